--- /dev/null
+++ b/tests/stored/mod.rs
@@ -0,0 +1,301 @@
+//! Values as stores hold them, and the bytes that commit 029518c wrote for them (`tests/fixtures`).
+#![allow(dead_code)]
+
+use brookpass::core::breaks::Break;
+use brookpass::fleet::learned::{Count, Word};
+use brookpass::fleet::recovery::{Clocks, Saved};
+use brookpass::store::agreed::{Change, Mark, Member, Membership, Proposal, Source, State};
+use brookpass::store::disk::{Identity, Marks, Witness};
+use brookpass::store::form::{self, Conf, Hard, HostRecord, LogEntry, NodeId, SnapshotRecord, Step};
+use brookpass::store::replica::Image;
+use brookpass::store::shares::{Share, Why};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::os::unix::fs::MetadataExt;
+use std::path::{Path, PathBuf};
+
+/// The tables by the names that lie in files. They are repeated here: a test must see it if the program's change.
+pub const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+pub const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+
+pub const B1: NodeId = 0x1b1b_0000_0000_0001;
+pub const B2: NodeId = 0x2b2b_0000_0000_0002;
+pub const B3: NodeId = 0x3b3b_0000_0000_0003;
+pub const B5: NodeId = 0x5b5b_0000_0000_0005;
+pub const B7: NodeId = 0x7b7b_0000_0000_0007;
+pub const B8: NodeId = 0x8b8b_0000_0000_0008;
+pub const FLEET: u128 = 0xf1ee_7000_0000_0000_0000_0000_0000_0042;
+
+pub fn fixtures() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
+}
+
+/// An empty folder of this name.
+pub fn folder(name: &str) -> PathBuf {
+    let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("stored-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&path);
+    std::fs::create_dir_all(&path).unwrap();
+    path
+}
+
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+pub fn unhex(text: &str) -> Vec<u8> {
+    assert!(text.len().is_multiple_of(2), "{text}");
+    (0..text.len()).step_by(2).map(|n| u8::from_str_radix(&text[n..n + 2], 16).unwrap()).collect()
+}
+
+pub fn mark(by: NodeId, number: u64) -> Mark {
+    Mark { by, number }
+}
+
+pub fn address(text: &str) -> SocketAddr {
+    text.parse().unwrap()
+}
+
+pub fn member(name: &str, at: &str) -> Member {
+    Member { name: name.into(), address: address(at) }
+}
+
+pub fn source(by: &str, changed: i64, version: u64) -> Source {
+    Source { by: by.into(), changed, version }
+}
+
+pub fn share(part: u16, why: Why, number: u64, failed: u8) -> Share {
+    Share { part, why, number, failed }
+}
+
+pub fn host(at: &str, group: u32, zone: u8, weight: f64) -> HostRecord {
+    HostRecord { address: address(at), group, zone, weight, leaving: false, started_at: None }
+}
+
+pub fn proposal(from: NodeId, token: u64, change: Change) -> Proposal {
+    Proposal { from, token, change }
+}
+
+pub fn drain(host: &str, mark: Mark) -> Change {
+    Change::Drain { host: host.into(), mark }
+}
+
+fn regions(all: &[(u8, &str)]) -> BTreeMap<u8, String> {
+    all.iter().map(|(zone, region)| (*zone, region.to_string())).collect()
+}
+
+/// The settings of the fixture, as the program keeps them.
+pub const SETTINGS: &str = "family-info.behind=none\nfamily-info.consistency=lag_bound,mutate\n\
+    family-info.max-age=0.8,0\nguarantees.cold-share=0.25\nguarantees.warm-up=16\nlimits.probes=true\n\
+    services.0.deadline=2.5\nservices.0.name=fixture-read\nservices.0.repeat=repeatable\nservices.0.target=1.0\n\
+    services.1.deadline=2.0\nservices.1.dedup-window=1.2\nservices.1.group=cell\nservices.1.name=fixture-write\n\
+    services.1.repeat=by_key\nservices.1.target=0.6\nservices.count=2\n";
+
+/// The agreed state in the fixture's snapshot, at entry 20.
+pub fn snapshot_state() -> State {
+    State {
+        fleet: FLEET,
+        members: BTreeMap::from([
+            (B1, member("b1", "127.0.0.1:1")),
+            (B2, member("b2", "127.0.0.1:2")),
+            (B3, member("b3", "[::1]:3")),
+            (B8, member("b8", "127.0.0.1:8")),
+        ]),
+        removed: BTreeMap::from([(B7, "b7".to_string())]),
+        founders: BTreeSet::new(),
+        settings: Some((source("b2", 1_790_000_000_111_000, 12), SETTINGS.to_string())),
+        inventory: Some(source("b3", 1_790_000_000_222_000, 15)),
+        hosts: BTreeMap::from([
+            ("s-1-0".to_string(), host("127.0.0.1:10", 1, 0, 1.0)),
+            ("s-1-1".to_string(), host("127.0.0.1:11", 1, 1, 0.5)),
+            (
+                "s-1-2".to_string(),
+                HostRecord { started_at: Some(1_780_000_000_333_000), ..host("[::1]:12", 1, 2, 2.25) },
+            ),
+            ("s-2-0".to_string(), host("127.0.0.1:20", 2, 0, 1.0)),
+            ("s-2-1".to_string(), host("127.0.0.1:21", 2, 1, 1.0)),
+            ("s-2-2".to_string(), HostRecord { leaving: true, ..host("127.0.0.1:22", 2, 2, 1.0) }),
+        ]),
+        drains: BTreeMap::from([
+            ("s-1-1".to_string(), BTreeSet::from([mark(B1, 4), mark(B2, 8)])),
+            ("s-1-2".to_string(), BTreeSet::from([mark(B2, 7)])),
+        ]),
+        undone: BTreeMap::from([(mark(B3, 1), 14)]),
+        former: BTreeSet::from([0xf0f0]),
+        digest: 0xd16e_57ab,
+        zones: BTreeMap::from([(1, share(500, Why::Slow, 1, 2)), (2, share(0, Why::Operator, 3, 0))]),
+        regions: (1_790_000_000_444_000, regions(&[(0, "north"), (1, "south")])),
+    }
+}
+
+/// The fixture's log: two entries that the snapshot has, seven after it that are agreed, and one that is not.
+pub fn entries() -> Vec<LogEntry> {
+    let change = |index, term, from, token, change| LogEntry {
+        index,
+        term,
+        kind: 0,
+        bytes: form::write(&proposal(from, token, change)),
+    };
+    let members =
+        |index, change: Membership| LogEntry { index, term: 3, kind: 2, bytes: form::write(&change) };
+    vec![
+        change(19, 2, B3, 31, drain("s-1-1", mark(B2, 8))),
+        LogEntry { index: 20, term: 3, kind: 0, bytes: Vec::new() },
+        change(21, 3, B3, 32, drain("s-2-0", mark(B3, 2))),
+        change(22, 3, B2, 33, Change::Undrain { host: "s-1-2".into(), marks: vec![mark(B2, 7)] }),
+        change(23, 3, B2, 34, Change::Zone { zone: 1, share: share(250, Why::Lost, 2, 3) }),
+        change(
+            24,
+            3,
+            B1,
+            35,
+            Change::Regions {
+                by: "b1".into(),
+                changed: 1_790_000_000_555_000,
+                regions: regions(&[(0, "north"), (1, "north"), (2, "south")]),
+            },
+        ),
+        members(25, Membership { steps: vec![Step::Remove(B8)], comes: None }),
+        members(
+            26,
+            Membership { steps: vec![Step::Follow(B5)], comes: Some((B5, member("b5", "127.0.0.1:5"))) },
+        ),
+        change(
+            27,
+            3,
+            B3,
+            36,
+            Change::Inventory {
+                by: "b3".into(),
+                changed: 1_790_000_000_666_000,
+                base: 15,
+                set: vec![("s-3-0".into(), host("127.0.0.1:30", 3, 0, 4.0))],
+                gone: vec!["s-2-1".into()],
+            },
+        ),
+        change(28, 4, B2, 37, drain("s-1-0", mark(B2, 11))),
+    ]
+}
+
+/// What became of the state by entry 27; `digest` is the check sum there.
+pub fn agreed_state(digest: u32) -> State {
+    let mut state = snapshot_state();
+    state.drains = BTreeMap::from([
+        ("s-1-1".to_string(), BTreeSet::from([mark(B1, 4), mark(B2, 8)])),
+        ("s-2-0".to_string(), BTreeSet::from([mark(B3, 2)])),
+    ]);
+    state.undone = BTreeMap::from([(mark(B3, 1), 14), (mark(B2, 7), 22)]);
+    state.zones = BTreeMap::from([(1, share(250, Why::Lost, 2, 3)), (2, share(0, Why::Operator, 3, 0))]);
+    state.regions = (1_790_000_000_555_000, regions(&[(0, "north"), (1, "north"), (2, "south")]));
+    state.members.remove(&B8);
+    state.members.insert(B5, member("b5", "127.0.0.1:5"));
+    state.removed.insert(B8, "b8".to_string());
+    state.hosts.remove("s-2-1");
+    state.hosts.insert("s-3-0".to_string(), host("127.0.0.1:30", 3, 0, 4.0));
+    state.inventory = Some(source("b3", 1_790_000_000_666_000, 27));
+    state.digest = digest;
+    state
+}
+
+/// The agreement in the fixture.
+pub fn image() -> Image {
+    Image {
+        hard: Hard { term: 4, vote: B2, commit: 27 },
+        snapshot: SnapshotRecord {
+            index: 20,
+            term: 3,
+            conf: Conf { voters: vec![B1, B2], learners: vec![B3, B8], ..Conf::default() },
+            state: form::write(&snapshot_state()),
+        },
+        dropped: (18, 2),
+        entries: entries(),
+    }
+}
+
+/// Who the fixture's daemon is. The place is of no file that there is.
+pub fn identity() -> Identity {
+    Identity { id: B1, boots: 5, place: (11, 12) }
+}
+
+pub fn marks() -> Marks {
+    vec![("s-2-0".into(), mark(B1, 9)), ("s-1-0".into(), mark(B1, 10))]
+}
+
+pub fn witnesses() -> BTreeMap<NodeId, Witness> {
+    BTreeMap::from([
+        (B2, Witness { boots: 3, term: 4, last: (4, 28) }),
+        (B3, Witness { boots: 2, term: 3, last: (3, 27) }),
+    ])
+}
+
+pub fn saved() -> Saved {
+    Saved {
+        at: Clocks { wall: 1_790_000_000_777_000, boot: "6f1c0e0e-2c5b-4d0f".into(), up: 86_400_123_456 },
+        words: vec![
+            Word {
+                by: B1,
+                count: Count { boot: 1_790_000_000_000_001, facts: 17 },
+                host: "s-1-0".into(),
+                primary: true,
+                position: 1_790_000_000_700_000,
+                age: 250_000,
+                out: 3,
+                up: Some(7_200_000_000),
+                rate: 12_500,
+                used: 730,
+            },
+            Word {
+                by: B3,
+                count: Count { boot: 5, facts: 6 },
+                host: "s-2-0".into(),
+                primary: false,
+                position: -7,
+                age: 8,
+                out: 0,
+                up: None,
+                rate: 0,
+                used: 0,
+            },
+        ],
+        breaks: vec![
+            Break { group: 1, from: 1_780_000_000_100_000, to: 1_780_000_000_200_000 },
+            Break { group: 2, from: 1_780_000_000_300_000, to: 1_780_000_000_400_000 },
+        ],
+    }
+}
+
+/// A copy of the fixture's file. Its place on the disk is another one than that of the original, by which the program
+/// knows copies: `adopted` writes the copy's own place into it, as if the daemon had made this file itself.
+pub fn copy(folder: &Path, name: &str, adopted: bool) -> PathBuf {
+    let path = folder.join(name);
+    std::fs::write(&path, std::fs::read(fixtures().join("member.store")).unwrap()).unwrap();
+    if adopted {
+        let meta = std::fs::metadata(&path).unwrap();
+        let own = Identity { place: (meta.dev(), meta.ino()), ..identity() };
+        let db = Database::open(&path).unwrap();
+        let writing = db.begin_write().unwrap();
+        writing.open_table(META).unwrap().insert("identity", &form::write(&own)[..]).unwrap();
+        writing.commit().unwrap();
+    }
+    path
+}
+
+/// All that lies in a store's file, a line `table key = hex` for each value, in order.
+pub fn dump(path: &Path) -> Vec<String> {
+    let db = Database::open(path).unwrap();
+    let reading = db.begin_read().unwrap();
+    let mut tables: Vec<String> =
+        reading.list_tables().unwrap().map(|t| redb::TableHandle::name(&t).to_string()).collect();
+    tables.sort();
+    assert_eq!(tables, ["log", "meta"]);
+    let mut lines = Vec::new();
+    for row in reading.open_table(META).unwrap().iter().unwrap() {
+        let (key, value) = row.unwrap();
+        lines.push(format!("meta {} = {}", key.value(), hex(value.value())));
+    }
+    for row in reading.open_table(LOG).unwrap().iter().unwrap() {
+        let (key, value) = row.unwrap();
+        lines.push(format!("log {} = {}", key.value(), hex(value.value())));
+    }
+    lines
+}
