--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -272,14 +272,19 @@
     if adopted {
         let meta = std::fs::metadata(&path).unwrap();
         let own = Identity { place: (meta.dev(), meta.ino()), ..identity() };
-        let db = Database::open(&path).unwrap();
-        let writing = db.begin_write().unwrap();
-        writing.open_table(META).unwrap().insert("identity", &form::write(&own)[..]).unwrap();
-        writing.commit().unwrap();
+        put(&path, "identity", &form::write(&own));
     }
     path
 }
 
+/// Puts one value into a store's file.
+pub fn put(path: &Path, key: &str, value: &[u8]) {
+    let db = Database::open(path).unwrap();
+    let writing = db.begin_write().unwrap();
+    writing.open_table(META).unwrap().insert(key, value).unwrap();
+    writing.commit().unwrap();
+}
+
 /// All that lies in a store's file, a line `table key = hex` for each value, in order.
 pub fn dump(path: &Path) -> Vec<String> {
     let db = Database::open(path).unwrap();
