--- a/src/bin/brookpass-adapter/frames.rs
+++ b/src/bin/brookpass-adapter/frames.rs
@@ -1,7 +1,7 @@
 //! The binary frames: batches of events in, replies of actions out. Offsets are those of the wire page.
 
 use brookpass::interface::*;
-use brookpass::settings::{self, micros};
+use brookpass::settings;
 
 /// Size of a batch header.
 pub const HEADER: usize = 16;
@@ -43,8 +43,8 @@
 fn f64_at(b: &[u8], at: usize) -> f64 {
     f64::from_le_bytes(array(b, at))
 }
-fn member_at(b: &[u8], at: usize) -> MemberId {
-    MemberId { ip: array(b, at), port: u16_at(b, at + 4) }
+fn member_at(b: &[u8], at: usize) -> EndpointId {
+    EndpointId { ip: array(b, at), port: u16_at(b, at + 4) }
 }
 
 fn report_at(b: &[u8], at: usize) -> Report {
@@ -57,7 +57,9 @@
 
 fn mark(note: u32) -> Option<Mark> {
     match note & 3 {
-        role @ (1 | 2) => Some(Mark { primary: role == 1, position: Micros::from(note >> 2) * 1000 }),
+        role @ (1 | 2) => {
+            Some(Mark { primary: role == 1, position: LogPosition::from_millis(i64::from(note >> 2)) })
+        }
         _ => None,
     }
 }
@@ -89,8 +91,8 @@
     let started = f64_at(b, 20);
     Ok(Entry {
         member: member_at(b, 0),
-        zone: b[6],
-        group: u32::from(u16_at(b, 9)),
+        zone: ZoneId(b[6]),
+        group: GroupId(u32::from(u16_at(b, 9))),
         availability: match b[11] {
             0 => Availability::Ready,
             1 => Availability::Draining,
@@ -99,7 +101,7 @@
         },
         primary: f32_at(b, 12) >= 0.5,
         units: f32_at(b, 16),
-        started_at: (started.is_finite() && started != 0.0).then(|| micros(started)),
+        started_at: (started.is_finite() && started != 0.0).then(|| Timestamp::from_secs_f64(started)),
     })
 }
 
@@ -114,12 +116,13 @@
 
 fn record(r: &[u8], tail: &[u8]) -> Result<Wire, String> {
     let instance = u32_at(r, 1);
-    let id = u64_at(r, 5);
+    let number = u64_at(r, 5);
+    let id = RequestId(number);
     let event = match r[0] {
         1 => {
             let text = std::str::from_utf8(tail_part(r, 13, tail, 1)?)
                 .map_err(|_| "settings are not UTF-8".to_string())?;
-            return Ok(Wire::Up { instance, seed: id, settings: Box::new(settings::parse(text)?) });
+            return Ok(Wire::Up { instance, seed: number, settings: Box::new(settings::parse(text)?) });
         }
         10 => return Ok(Wire::Stop { instance }),
         11 => {
@@ -142,20 +145,20 @@
             Event::Request(Ask {
                 id,
                 class: usize::from(u16_at(r, 13)),
-                group: f32_at(r, 23) as u32,
+                group: GroupId(f32_at(r, 23) as u32),
                 tenant: usize::from(u16_at(r, 27)),
-                effort: (flags & 1 != 0).then(|| micros(f64_at(r, 15))),
-                token_age: (token > 0.0).then(|| micros(token / 1000.0)),
+                effort: (flags & 1 != 0).then(|| TimeDelta::from_secs_f64(f64_at(r, 15))),
+                token_age: (token > 0.0).then(|| TimeDelta::from_secs_f64(token / 1000.0)),
                 session: u64_at(r, 42),
                 repeated: flags & 2 != 0,
-                patience: micros(f64_at(r, 34)),
+                patience: TimeDelta::from_secs_f64(f64_at(r, 34)),
             })
         }
         4 => Event::Started { id, attempt: r[13], member: member_at(r, 14) },
         5 => Event::Settled(Settled {
             id,
             member: member_at(r, 13),
-            took: micros(f64_at(r, 19)),
+            took: TimeDelta::from_secs_f64(f64_at(r, 19)),
             finished: r[27] != 0,
             mark: mark(u32_at(r, 28)),
             outcome: outcome(r[32]).ok_or_else(|| format!("unknown outcome {}", r[32]))?,
@@ -163,11 +166,11 @@
             report: report_at(r, 34),
         }),
         6 => Event::Lapsed { id },
-        7 => Event::Wake { timer: id },
+        7 => Event::Wake { timer: number },
         8 => Event::Probed {
             member: member_at(r, 5),
             ok: r[11] == 0,
-            took: micros(f64_at(r, 12)),
+            took: TimeDelta::from_secs_f64(f64_at(r, 12)),
             report: report_at(r, 20),
         },
         9 => Event::Peer { from: u16_at(r, 5), bytes: tail_part(r, 7, tail, 1)?.to_vec() },
@@ -210,8 +213,8 @@
 
     /// Adds one action.
     pub fn action(&mut self, instance: u32, action: &Action) {
-        let seconds = |t: Micros| (t as f64 / 1e6).to_le_bytes();
-        let member = |m: &MemberId| {
+        let seconds = |length: TimeDelta| length.as_secs_f64().to_le_bytes();
+        let member = |m: &EndpointId| {
             let mut b = [0; 6];
             b[..4].copy_from_slice(&m.ip);
             b[4..].copy_from_slice(&m.port.to_le_bytes());
@@ -219,15 +222,15 @@
         };
         match action {
             Action::Send { id, member: m, stop_at } => {
-                let stop = stop_at.map_or([0; 8], seconds);
-                self.record(1, instance, &[&id.to_le_bytes(), &member(m), &stop]);
+                let stop = stop_at.map_or([0; 8], |at| at.as_secs_f64().to_le_bytes());
+                self.record(1, instance, &[&id.0.to_le_bytes(), &member(m), &stop]);
             }
             Action::Refuse { id, retry_in } => {
                 let wait = retry_in.map_or([0; 8], seconds);
-                self.record(2, instance, &[&id.to_le_bytes(), &wait]);
+                self.record(2, instance, &[&id.0.to_le_bytes(), &wait]);
             }
-            Action::Fail { id } => self.record(3, instance, &[&id.to_le_bytes()]),
-            Action::Cancel { id, attempt } => self.record(4, instance, &[&id.to_le_bytes(), &[*attempt]]),
+            Action::Fail { id } => self.record(3, instance, &[&id.0.to_le_bytes()]),
+            Action::Cancel { id, attempt } => self.record(4, instance, &[&id.0.to_le_bytes(), &[*attempt]]),
             Action::WakeIn { span, timer } => {
                 self.record(5, instance, &[&seconds(*span), &timer.to_le_bytes()]);
             }
--- a/src/bin/brookpass-adapter/main.rs
+++ b/src/bin/brookpass-adapter/main.rs
@@ -4,7 +4,6 @@
 
 use brookpass::Router;
 use brookpass::interface::*;
-use brookpass::settings;
 use frames::{HEADER, Reply, Wire};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -19,7 +18,7 @@
 }
 
 impl Host {
-    fn batch(&mut self, now: Micros, events: Vec<Wire>) -> Result<Reply, String> {
+    fn batch(&mut self, now: Timestamp, events: Vec<Wire>) -> Result<Reply, String> {
         let mut reply = Reply::default();
         for event in events {
             let (instance, event) = match event {
@@ -98,7 +97,7 @@
             return Err(at(format!("body cut after {read} of {length} bytes")));
         }
         let events = frames::decode(count, &body).map_err(at)?;
-        let reply = host.batch(settings::micros(clock), events).map_err(at)?;
+        let reply = host.batch(Timestamp::from_secs_f64(clock), events).map_err(at)?;
         output.write_all(&reply.bytes()).and_then(|()| output.flush()).map_err(|e| at(e.to_string()))?;
     }
     Ok(())
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -12,7 +12,7 @@
 use std::ops::Bound;
 
 /// The design's half-second timer; also the shortest time for which a member that failed is left alone.
-const HOLD_TIMER: Micros = 500_000;
+const HOLD_TIMER: TimeDelta = TimeDelta::from_millis(500);
 /// Doublings at most of a back-off: 8 s, about as long as a member takes to come back.
 const MAX_DOUBLINGS: u32 = 4;
 /// Weight of a new sample in smoothed latencies: some ten answers make up a member's figure.
@@ -26,21 +26,21 @@
 /// Latency assumed for a class before its first answer, as a share of its aim.
 const FIRST_LATENCY: f64 = 0.25;
 /// Positions are told in whole milliseconds, rounded down.
-const ROUNDING: Micros = 1_000;
+const ROUNDING: TimeDelta = TimeDelta::from_millis(1);
 /// Errors with no good answer between that are laid to the member: fewer follow a request, key or tenant.
 const ERRORS: u32 = 3;
 /// Errors after which a request is given up.
 const BAD: u32 = 2;
 /// A read waits so long for a probe: some ten round trips between zones.
-const PROBE_WAIT: Micros = 50_000;
+const PROBE_WAIT: TimeDelta = TimeDelta::from_millis(50);
 /// Held requests that are looked at for one event, if none finds room.
 const TRIES: usize = 4;
 /// Share of the cold budget that is used: drivers' most at different times adds up, and sends come by chance.
 const BUDGET: f64 = 0.8;
 /// Clients are asked to come back after so many aims of the class: crowds and failovers last that long.
-const HINT: Micros = 4;
+const HINT: i64 = 4;
 /// A member that is gone and has not answered for so long is forgotten.
-const FORGET: Micros = 30_000_000;
+const FORGET: TimeDelta = TimeDelta::from_secs(30);
 /// Sessions whose last commit is remembered one by one.
 const SESSIONS: usize = 50_000;
 /// An attempt is taken for lost after so many usual latencies, when its member has answered so many that were
@@ -48,48 +48,48 @@
 const LOST: f64 = 8.0;
 const OVERTAKEN: u64 = 16;
 /// An answer needs so long at the most from here to the client.
-const WAY_OUT: Micros = 15_000;
+const WAY_OUT: TimeDelta = TimeDelta::from_millis(15);
 /// Weight in the draw of a member in another zone, against one in this driver's own.
 const FAR: f64 = 0.6;
 /// Aim of a class and attempts for a request where the settings do not say.
-const AIM: Micros = 1_000_000;
+const AIM: TimeDelta = TimeDelta::from_secs(1);
 const ATTEMPTS: u32 = 4;
 
 /// What the router keeps of a member.
 #[derive(Default)]
 struct Member {
     group: GroupId,
-    zone: u8,
+    zone: ZoneId,
     availability: Availability,
     units: f64,
-    started_at: Option<Micros>,
+    started_at: Option<Timestamp>,
     listed_primary: bool,
     /// The role last told and when; an answer sets it, other sources only where newer.
     role: Option<bool>,
-    role_at: Option<Micros>,
+    role_at: Option<Timestamp>,
     /// The log position, as clock time, that it is proven to have reached.
-    position: Option<Micros>,
+    position: Option<Timestamp>,
     /// How far its position trailed its last answer.
-    lag: Micros,
+    lag: TimeDelta,
     /// When it last answered anything, and how many attempts it has answered.
-    heard: Option<Micros>,
+    heard: Option<Timestamp>,
     answered: u64,
     /// Its latency against the mean of the class, smoothed.
     slow: f64,
     /// A probe is under way since.
-    probed_at: Option<Micros>,
+    probed_at: Option<Timestamp>,
     /// Attempts out: when each was sent.
-    out: BTreeMap<(RequestId, u8), Micros>,
+    out: BTreeMap<(RequestId, u8), Timestamp>,
     /// Attempts it may have out; below one, the share of time in which one may be.
     window: f64,
     /// Its last send, and the time between the last two.
-    sent_at: Micros,
-    gap: Micros,
-    shrunk_at: Micros,
+    sent_at: Timestamp,
+    gap: TimeDelta,
+    shrunk_at: Timestamp,
     /// Attempts go unanswered; cleared by the next answer.
     suspect: bool,
     /// Not to be used before this.
-    shunned_until: Option<Micros>,
+    shunned_until: Option<Timestamp>,
     /// Its last attempt found no connection.
     unreachable: bool,
     strikes: u32,
@@ -97,21 +97,21 @@
     errors: u32,
     /// Sends that a cold member may still be given.
     budget: f64,
-    budget_at: Micros,
+    budget_at: Timestamp,
 }
 
 /// What the router keeps of a group.
 #[derive(Default)]
 struct Group {
-    members: BTreeSet<MemberId>,
+    members: BTreeSet<EndpointId>,
     /// The believed primary.
-    primary: Option<MemberId>,
+    primary: Option<EndpointId>,
     /// A round of misses found no primary: writes are held.
     holding: bool,
     /// The one write that looks for the primary, and the members tried on this round.
     scout: Option<RequestId>,
-    walked: BTreeSet<MemberId>,
-    timer_at: Option<Micros>,
+    walked: BTreeSet<EndpointId>,
+    timer_at: Option<Timestamp>,
     held: [BTreeSet<Rank>; 2],
     /// Sends of this driver to the group, decayed.
     rate: Rate,
@@ -122,27 +122,27 @@
 const WRITES: usize = 1;
 
 /// The order in which held requests go: still in time, most urgent first.
-type Rank = (bool, Micros, RequestId);
+type Rank = (bool, Timestamp, RequestId);
 
 /// An exponentially decayed count of events, low at first.
 #[derive(Default)]
 struct Rate {
     count: f64,
-    at: Micros,
+    at: Timestamp,
 }
 
 impl Rate {
-    fn per_us(&self, now: Micros, span: Micros) -> f64 {
-        self.count * (-((now - self.at) as f64) / span as f64).exp() / span as f64
+    fn per_us(&self, now: Timestamp, span: TimeDelta) -> f64 {
+        self.count * (-(now - self.at).as_micros_f64() / span.as_micros_f64()).exp() / span.as_micros_f64()
     }
 
-    fn add(&mut self, now: Micros, span: Micros) {
-        (self.count, self.at) = (self.per_us(now, span) * span as f64 + 1.0, now);
+    fn add(&mut self, now: Timestamp, span: TimeDelta) {
+        (self.count, self.at) = (self.per_us(now, span) * span.as_micros_f64() + 1.0, now);
     }
 }
 
 /// Draws by weight.
-fn draw(rng: &mut Rng, of: &[(MemberId, f64)]) -> Option<MemberId> {
+fn draw(rng: &mut Rng, of: &[(EndpointId, f64)]) -> Option<EndpointId> {
     let mut at = rng.f64() * of.iter().map(|(_, w)| w).sum::<f64>();
     let hit = of.iter().find(|(_, w)| {
         at -= w;
@@ -152,15 +152,15 @@
 }
 
 struct Attempt {
-    member: MemberId,
-    sent: Micros,
+    member: EndpointId,
+    sent: Timestamp,
     open: bool,
     /// Its member has had it whole, or may have.
     written: bool,
     /// It is overtaken for good once its member has answered so many.
     overtaken_at: u64,
     /// When it ended without an answer for the client.
-    missed_at: Option<Micros>,
+    missed_at: Option<Timestamp>,
 }
 
 #[derive(Default)]
@@ -169,24 +169,24 @@
     kind: Option<Consistency>,
     /// It goes the way of writes.
     writes: bool,
-    aim: Micros,
+    aim: TimeDelta,
     group: GroupId,
-    arrived: Micros,
-    aim_at: Micros,
+    arrived: Timestamp,
+    aim_at: Timestamp,
     /// After this an answer is worth nothing.
-    end: Micros,
-    deadline: Micros,
+    end: Timestamp,
+    deadline: Timestamp,
     /// For a session read: the commit its data must include.
-    commit: Option<Micros>,
+    commit: Option<Timestamp>,
     session: u64,
     attempts: Vec<Attempt>,
     /// When the first attempt that may have run was sent.
-    first_ran: Option<Micros>,
+    first_ran: Option<Timestamp>,
     streaming: bool,
     /// Its place among the held.
     held: Option<Rank>,
     /// When it began to wait for a probe.
-    probed: Option<Micros>,
+    probed: Option<Timestamp>,
     errors: u32,
     /// An attempt was taken for lost: only once, or long work would never be done.
     moved: bool,
@@ -208,25 +208,25 @@
 pub struct Router {
     settings: Settings,
     /// Rates are taken over this long: the time in which a cold member falls over.
-    span: Micros,
+    span: TimeDelta,
     /// The least window: this driver's part of `LEAST_TOGETHER`.
     least: f64,
     rng: Rng,
-    members: BTreeMap<MemberId, Member>,
+    members: BTreeMap<EndpointId, Member>,
     groups: BTreeMap<GroupId, Group>,
     requests: BTreeMap<RequestId, Request>,
     /// Smoothed latency of each class over all members.
     latency: Vec<f64>,
     /// Last commit seen for each session, where the router must remember them.
-    sessions: BTreeMap<u64, Micros>,
+    sessions: BTreeMap<u64, Timestamp>,
     /// The last commit of any session that is remembered no more.
-    forgotten: Option<Micros>,
+    forgotten: Option<Timestamp>,
     /// Good answers, the size of all members, and the most that one unit of it has given, per microsecond.
     served: Rate,
     units: f64,
     peak: f64,
-    agenda: BTreeSet<(Micros, Due)>,
-    armed: Option<Micros>,
+    agenda: BTreeSet<(Timestamp, Due)>,
+    armed: Option<Timestamp>,
     dirty: BTreeSet<GroupId>,
     greeted: bool,
     list_failures: u32,
@@ -235,7 +235,8 @@
 impl Router {
     /// A router that knows nothing but its settings; `seed` feeds its draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let latency = settings.classes.iter().map(|c| c.aim.unwrap_or(AIM) as f64 * FIRST_LATENCY).collect();
+        let latency =
+            settings.classes.iter().map(|c| c.aim.unwrap_or(AIM).as_micros_f64() * FIRST_LATENCY).collect();
         let drivers = f64::from(settings.drivers.unwrap_or(1).max(1));
         Router {
             least: (LEAST_TOGETHER / drivers).min(1.0),
@@ -248,7 +249,7 @@
     }
 
     /// Takes one event at time `now` and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Members { kind, entries } => self.list(now, kind, &entries, out),
             Event::Request(ask) => self.take(now, &ask, out),
@@ -278,23 +279,24 @@
             && self.armed.is_none_or(|armed| at < armed)
         {
             self.armed = Some(at);
-            out.push(Action::WakeIn { span: (at - now).max(0), timer: 0 });
+            out.push(Action::WakeIn { span: (at - now).or_zero(), timer: 0 });
         }
     }
 
     // ---- learn ----
 
-    fn list(&mut self, now: Micros, kind: ListKind, entries: &[Entry], out: &mut Vec<Action>) {
+    fn list(&mut self, now: Timestamp, kind: ListKind, entries: &[Entry], out: &mut Vec<Action>) {
         if kind == ListKind::Failed {
             // All drivers fail at once where the list is overloaded: they must not come back at once.
             let wait = HOLD_TIMER << self.list_failures.min(MAX_DOUBLINGS);
             self.list_failures += 1;
-            self.agenda.insert((now + wait + self.rng.i64(0..wait), Due::Subscribe));
+            let apart = TimeDelta::from_micros(self.rng.i64(0..wait.as_micros()));
+            self.agenda.insert((now + wait + apart, Due::Subscribe));
             return;
         }
         self.list_failures *= u32::from(kind == ListKind::Cached);
         if kind != ListKind::Delta {
-            let named: BTreeSet<MemberId> = entries.iter().map(|e| e.member).collect();
+            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.member).collect();
             let binds = self.settings.drain_binds_alone != Some(true);
             for (id, m) in self.members.iter_mut().filter(|(id, _)| binds && !named.contains(id)) {
                 m.availability = Availability::Gone;
@@ -317,7 +319,7 @@
     }
 
     /// Members are replaced for as long as the router runs: what is gone for good is not kept.
-    fn forget(&mut self, now: Micros) {
+    fn forget(&mut self, now: Timestamp) {
         let old = |m: &Member| m.out.is_empty() && m.heard.is_none_or(|t| now - t > FORGET);
         self.members.retain(|_, m| m.availability != Availability::Gone || !old(m));
         let used = |g: &Group| !(g.members.is_empty() && g.held.iter().all(BTreeSet::is_empty));
@@ -326,11 +328,11 @@
 
     /// The last commit of a session, kept for reads that follow. The older half goes when there are too many;
     /// a session that is no longer known must see whatever one of them has written.
-    fn remember(&mut self, session: u64, commit: Micros) {
+    fn remember(&mut self, session: u64, commit: Timestamp) {
         let last = self.sessions.entry(session).or_insert(commit);
         *last = commit.max(*last);
         if self.sessions.len() > SESSIONS {
-            let mut commits: Vec<Micros> = self.sessions.values().copied().collect();
+            let mut commits: Vec<Timestamp> = self.sessions.values().copied().collect();
             let middle = *commits.select_nth_unstable(SESSIONS / 2).1;
             self.sessions.retain(|_, commit| *commit > middle);
             self.forgotten = self.forgotten.max(Some(middle));
@@ -342,7 +344,7 @@
     }
 
     /// How many members are on the list, and how many of these get nothing new now.
-    pub fn avoids(&self, now: Micros) -> (usize, usize) {
+    pub fn avoids(&self, now: Timestamp) -> (usize, usize) {
         let off =
             |m: &&Member| m.suspect || m.availability != Availability::Ready || Some(now) < m.shunned_until;
         (self.listed().count(), self.listed().filter(off).count())
@@ -353,10 +355,10 @@
         [self.members.len(), self.groups.len(), self.requests.len(), self.sessions.len()]
     }
 
-    fn entry(&mut self, now: Micros, e: &Entry) {
+    fn entry(&mut self, now: Timestamp, e: &Entry) {
         let m = self.members.entry(e.member).or_insert_with(|| Member {
             group: e.group,
-            started_at: Some(Micros::MIN),
+            started_at: Some(Timestamp::MIN),
             window: (FIRST_WINDOW * self.least).max(1.0),
             ..Member::default()
         });
@@ -391,13 +393,13 @@
     /// Takes in what a member said about itself, by an answer's mark or a load report.
     fn learn(
         &mut self,
-        now: Micros,
-        id: MemberId,
+        now: Timestamp,
+        id: EndpointId,
         mark: Option<Mark>,
         report: &Report,
         out: &mut Vec<Action>,
     ) {
-        let zero = self.settings.zero.unwrap_or(0);
+        let zero = self.settings.zero.unwrap_or(Timestamp::ZERO);
         let field = |name: &str| {
             let n = self.settings.report_fields.iter().position(|f| f == name)?;
             (n < usize::from(report.count)).then(|| report.values[n])
@@ -405,7 +407,7 @@
         let Some(m) = self.members.get_mut(&id) else { return };
         let mut role = None;
         if let Some(seconds) = field("x0") {
-            let position = zero + (seconds * 1e6) as Micros;
+            let position = zero + TimeDelta::from_micros_f64(seconds * 1e6);
             m.position = m.position.max(Some(position - ROUNDING));
             // A report counts where it is newer than the last answer: no member is ahead of the present.
             if m.role.is_none() || Some(position) > m.role_at {
@@ -414,9 +416,10 @@
         }
         if let Some(mark) = mark {
             (role, m.role_at) = (Some(mark.primary), Some(now));
-            if mark.position > 0 {
-                m.lag = (now - zero - mark.position).max(0);
-                m.position = m.position.max(Some(zero + mark.position));
+            if mark.position.is_known() {
+                let position = mark.position.commit_time(zero);
+                m.lag = (now - position).or_zero();
+                m.position = m.position.max(Some(position));
             }
         }
         (m.role, m.probed_at) = (role.or(m.role), None);
@@ -437,7 +440,7 @@
 
     /// What a peer saw of a primary is a hint: it counts where it is newer than what that member and the
     /// believed primary said themselves, names nobody that the list has not in service, and proves no data.
-    fn hinted(&mut self, now: Micros, hint: Hint) -> Option<()> {
+    fn hinted(&mut self, now: Timestamp, hint: Hint) -> Option<()> {
         let m = self.members.get(&hint.member).filter(|m| m.availability == Availability::Ready)?;
         let (g, at) = (self.groups.get_mut(&m.group)?, Some(hint.at.min(now)));
         let believed = g.primary.and_then(|p| self.members.get(&p)).filter(|p| p.role != Some(false));
@@ -449,7 +452,7 @@
         Some(())
     }
 
-    fn heard(&mut self, now: Micros, id: MemberId) {
+    fn heard(&mut self, now: Timestamp, id: EndpointId) {
         let Some(m) = self.members.get_mut(&id) else { return };
         (m.heard, m.suspect, m.unreachable, m.shunned_until) = (Some(now), false, false, None);
         self.dirty.insert(m.group);
@@ -457,7 +460,7 @@
 
     /// A member failed, by no connection or by turning work away: left alone for a while, longer each time
     /// in a row. One that fails fast looks idle and would draw all reads to itself.
-    fn shun(&mut self, now: Micros, id: MemberId, base: Micros) {
+    fn shun(&mut self, now: Timestamp, id: EndpointId, base: TimeDelta) {
         let Some(m) = self.members.get_mut(&id) else { return };
         m.shunned_until = Some(now + (base << m.strikes.min(MAX_DOUBLINGS)));
         m.strikes += 1;
@@ -466,7 +469,7 @@
     // ---- write path ----
 
     /// Where a write, or a read of the present, goes now; `None` holds it.
-    fn pick_primary(&mut self, now: Micros, id: RequestId) -> Option<MemberId> {
+    fn pick_primary(&mut self, now: Timestamp, id: RequestId) -> Option<EndpointId> {
         let group = self.requests[&id].group;
         let g = self.groups.get_mut(&group)?;
         if g.scout.map_or(g.holding, |s| s != id) {
@@ -501,11 +504,11 @@
     }
 
     /// The next member on the ring that may be the primary for all that is known.
-    fn next_in_ring(&self, now: Micros, group: GroupId) -> Option<MemberId> {
+    fn next_in_ring(&self, now: Timestamp, group: GroupId) -> Option<EndpointId> {
         let g = self.groups.get(&group)?;
         let from = g.primary?;
         let mut ring = g.members.range(from..).chain(g.members.range(..from));
-        let open = |id: &&MemberId| {
+        let open = |id: &&EndpointId| {
             let m = &self.members[id];
             m.availability == Availability::Ready
                 // A suspect is asked one thing at a time, or nobody would learn that it is well.
@@ -519,7 +522,7 @@
         ring.find(open).copied()
     }
 
-    fn hold_group(&mut self, now: Micros, group: GroupId) {
+    fn hold_group(&mut self, now: Timestamp, group: GroupId) {
         let g = self.groups.entry(group).or_default();
         (g.holding, g.scout) = (true, None);
         if g.timer_at.is_none_or(|t| t <= now) {
@@ -529,7 +532,7 @@
     }
 
     /// The half-second timer: one held write tries one further member.
-    fn group_timer(&mut self, now: Micros, group: GroupId, out: &mut Vec<Action>) {
+    fn group_timer(&mut self, now: Timestamp, group: GroupId, out: &mut Vec<Action>) {
         let Some(g) = self.groups.get(&group).filter(|g| g.holding) else { return };
         let held: Vec<Rank> = g.held[WRITES].iter().take(TRIES).copied().collect();
         self.hold_group(now, group);
@@ -556,18 +559,18 @@
     /// The companion draw: a replica that is fresh enough, weighted size / (latency x (1 + in flight)). Where
     /// none is known to be, one is asked by a probe and the read waits for that; else the primary; `None`
     /// holds the read.
-    fn pick_reader(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) -> Option<MemberId> {
+    fn pick_reader(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Action>) -> Option<EndpointId> {
         let r = &self.requests[&id];
         let g = self.groups.get(&r.group)?;
         // A member that turned this read away is tried again only on later news of it.
-        let tried = |id: &MemberId| {
+        let tried = |id: &EndpointId| {
             let news = |t| self.members[id].heard > Some(t);
             r.attempts.iter().any(|a| a.member == *id && (a.open || a.missed_at.is_some_and(|t| !news(t))))
         };
         // The believed primary is no reader, unless its role has yet to be heard: it is asked like the rest.
         let unheard = |m: &Member| m.role.is_none() && !m.listed_primary && !self.checks();
-        let reads = |id: &MemberId| Some(*id) != g.primary || unheard(&self.members[id]);
-        let open = |id: &&MemberId| reads(id) && !tried(id) && self.takes(now, **id);
+        let reads = |id: &EndpointId| Some(*id) != g.primary || unheard(&self.members[id]);
+        let open = |id: &&EndpointId| reads(id) && !tried(id) && self.takes(now, **id);
         let replicas = g.members.iter().filter(open).map(|id| {
             let m = &self.members[id];
             let near = if self.settings.zone.is_none_or(|z| z == m.zone) { 1.0 } else { FAR };
@@ -580,7 +583,7 @@
         }
         // A driver that sends little has no recent answer from anyone. Reads that find a probe under way wait
         // for it too; each read waits once, and no longer than a probe of a sound member takes.
-        let recent = |t: &Micros| now - t < PROBE_WAIT;
+        let recent = |t: &Timestamp| now - *t < PROBE_WAIT;
         let probes = self.settings.probes == Some(true) && !self.checks();
         let probes = probes && r.kind.is_some_and(|k| k != Consistency::Strong);
         if probes && r.probed.as_ref().is_none_or(recent) && !unknown.is_empty() {
@@ -607,7 +610,7 @@
     }
 
     /// In service, not failing (a suspect is asked one thing at a time), with room and within its budget.
-    fn takes(&self, now: Micros, id: MemberId) -> bool {
+    fn takes(&self, now: Timestamp, id: EndpointId) -> bool {
         let m = &self.members[&id];
         let room = (m.out.len() as f64) < m.window && (!m.suspect || m.out.is_empty());
         m.availability == Availability::Ready && room && now >= self.opens_at(now, m)
@@ -615,21 +618,23 @@
 
     /// From when on a member may take more, as far as that is a matter of time: it is shunned, its cold
     /// budget fills, or a window below one leaves pauses, measured in usual latencies of the first class.
-    fn opens_at(&self, now: Micros, m: &Member) -> Micros {
-        let rest = self.latency.first().filter(|_| m.window < 1.0).map_or(0, |l| (l / m.window) as Micros);
+    fn opens_at(&self, now: Timestamp, m: &Member) -> Timestamp {
+        let usual = self.latency.first().filter(|_| m.window < 1.0);
+        let rest = usual.map_or(TimeDelta::ZERO, |l| TimeDelta::from_micros_f64(l / m.window));
         let step = HOLD_TIMER / 8;
-        let fills = if self.allowance(now, m) < 1.0 { now + step - (now - m.budget_at) % step } else { 0 };
-        (m.sent_at + rest).max(fills).max(m.shunned_until.unwrap_or(0))
+        let filling = self.allowance(now, m) < 1.0;
+        let fills = if filling { now + step - (now - m.budget_at) % step } else { Timestamp::ZERO };
+        (m.sent_at + rest).max(fills).max(m.shunned_until.unwrap_or(Timestamp::ZERO))
     }
 
-    fn fresh(&self, now: Micros, r: &Request, m: &Member) -> bool {
+    fn fresh(&self, now: Timestamp, r: &Request, m: &Member) -> bool {
         let need = match r.kind {
             Some(Consistency::Session) => match r.commit {
                 Some(commit) => commit + ROUNDING,
                 None => return true,
             },
             Some(Consistency::Bounded) => {
-                now - self.settings.classes[r.class].max_age.unwrap_or(0) + ROUNDING
+                now - self.settings.classes[r.class].max_age.unwrap_or(TimeDelta::ZERO) + ROUNDING
             }
             Some(Consistency::Strong) | None => return false,
             _ => return true,
@@ -646,25 +651,25 @@
     }
 
     /// The share of its full capacity that a member has for certain.
-    fn warmth(&self, now: Micros, m: &Member) -> f64 {
+    fn warmth(&self, now: Timestamp, m: &Member) -> f64 {
         let (Some(share), Some(span)) = (self.settings.cold_share, self.settings.warm_up) else { return 1.0 };
         let Some(started) = m.started_at else { return 1.0 };
-        let age = (now - started).max(0) as f64 / span.max(1) as f64;
+        let age = (now - started).or_zero().as_micros_f64() / span.as_micros_f64().max(1.0);
         (share + (1.0 - share) * age).min(1.0)
     }
 
     // ---- attempts and answers ----
 
-    fn take(&mut self, now: Micros, ask: &Ask, out: &mut Vec<Action>) {
+    fn take(&mut self, now: Timestamp, ask: &Ask, out: &mut Vec<Action>) {
         let &Ask { id, class, group, effort, token_age, session, patience, .. } = ask;
         if class >= self.settings.classes.len() {
             out.push(Action::Fail { id });
             return;
         }
         let c = &self.settings.classes[class];
-        let stretch = c.aim_stretch.unwrap_or(0.0) * effort.unwrap_or(0) as f64;
-        let (aim, deadline) = (c.aim.unwrap_or(AIM), now + patience.max(0));
-        let aim_at = now + aim + stretch as Micros;
+        let stretch = c.aim_stretch.unwrap_or(0.0) * effort.unwrap_or(TimeDelta::ZERO).as_micros_f64();
+        let (aim, deadline) = (c.aim.unwrap_or(AIM), now + patience.or_zero());
+        let aim_at = now + aim + TimeDelta::from_micros_f64(stretch);
         let present = matches!(c.consistency, None | Some(Consistency::Strong));
         let r = Request {
             class,
@@ -684,14 +689,14 @@
             ..Request::default()
         };
         // Looked at when it turns late, when hope ends, and at its deadline.
-        let late = (aim_at - self.latency[class] as Micros).min(self.last_call(&r));
+        let late = (aim_at - TimeDelta::from_micros_f64(self.latency[class])).min(self.last_call(&r));
         self.agenda.insert((late.clamp(now, deadline), Due::Guard(id)));
         self.requests.insert(id, r);
         self.route(now, id, out);
     }
 
     /// Sends a request where the mechanism says, or holds it.
-    fn route(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
+    fn route(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Action>) {
         let writes = self.requests[&id].writes;
         match if writes { self.pick_primary(now, id) } else { self.pick_reader(now, id, out) } {
             Some(member) => self.send(now, id, member, out),
@@ -700,10 +705,10 @@
         }
     }
 
-    fn hold(&mut self, now: Micros, id: RequestId) {
+    fn hold(&mut self, now: Timestamp, id: RequestId) {
         self.release(id);
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let late = now + self.latency[r.class] as Micros > r.aim_at;
+        let late = now + TimeDelta::from_micros_f64(self.latency[r.class]) > r.aim_at;
         let rank = (late, if late { r.deadline } else { r.aim_at }, id);
         r.held = Some(rank);
         let (group, tried) = (r.group, !r.attempts.is_empty());
@@ -724,15 +729,15 @@
     }
 
     /// A new read behind too many others is refused at once: a retry still finds time, those held too.
-    fn hopeless(&self, now: Micros, id: RequestId) -> bool {
+    fn hopeless(&self, now: Timestamp, id: RequestId) -> bool {
         let r = &self.requests[&id];
         let new = !r.writes && r.arrived == now && r.attempts.is_empty() && r.probed.is_none();
         let Some(g) = self.groups.get(&r.group).filter(|_| new) else { return false };
-        let spare = (r.aim_at.min(r.deadline) - now) as f64 - self.latency[r.class];
+        let spare = (r.aim_at.min(r.deadline) - now).as_micros_f64() - self.latency[r.class];
         g.held[READS].len() as f64 / g.rate.per_us(now, self.span).max(f64::MIN_POSITIVE) > spare / 4.0
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, member: MemberId, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Timestamp, id: RequestId, member: EndpointId, out: &mut Vec<Action>) {
         self.release(id);
         let has = self.members.get(&member).map_or(0.0, |m| self.allowance(now, m));
         // The budget is one of work: a light class uses less of it than the heaviest.
@@ -748,11 +753,11 @@
         self.groups.entry(r.group).or_default().rate.add(now, self.span);
         self.agenda.insert((now + r.aim / 2, Due::Check(id, number)));
         let usual = self.latency[r.class] * m.slow.max(1.0);
-        self.agenda.insert((now + (usual * LOST) as Micros, Due::Lost(id, number)));
+        self.agenda.insert((now + TimeDelta::from_micros_f64(usual * LOST), Due::Lost(id, number)));
         out.push(Action::Send { id, member, stop_at: None });
     }
 
-    fn settled(&mut self, now: Micros, end: &Settled, out: &mut Vec<Action>) {
+    fn settled(&mut self, now: Timestamp, end: &Settled, out: &mut Vec<Action>) {
         let &Settled { id, attempt, member, took, outcome, finished, mark, .. } = end;
         let Some(m) = self.members.get_mut(&member) else { return };
         m.out.remove(&(id, attempt));
@@ -777,7 +782,11 @@
             Outcome::Reset if m.errors + 1 < ERRORS => m.errors += 1,
             Outcome::Full | Outcome::Error => {
                 self.shrink(now, member, class.map(|c| self.latency[c]));
-                self.shun(now, member, class.map_or(HOLD_TIMER, |c| self.latency[c] as Micros));
+                self.shun(
+                    now,
+                    member,
+                    class.map_or(HOLD_TIMER, |c| TimeDelta::from_micros_f64(self.latency[c])),
+                );
             }
             Outcome::ConnectFailed | Outcome::Reset => {
                 m.unreachable = true;
@@ -797,7 +806,8 @@
         if finished {
             let remembers = r.writes && self.settings.session_marks == Some(SessionMarks::Remembered);
             if let (Outcome::Ok, Some(mark), true) = (outcome, mark, remembers) {
-                let (session, commit) = (r.session, self.settings.zero.unwrap_or(0) + mark.position);
+                let zero = self.settings.zero.unwrap_or(Timestamp::ZERO);
+                let (session, commit) = (r.session, mark.position.commit_time(zero));
                 self.remember(session, commit);
             }
             self.finish(id, out);
@@ -816,15 +826,15 @@
     }
 
     /// Smooths latencies and moves the member's window: up while answers are well in time, down when late.
-    fn measure(&mut self, now: Micros, class: usize, member: MemberId, took: Micros, served: bool) {
+    fn measure(&mut self, now: Timestamp, class: usize, member: EndpointId, took: TimeDelta, served: bool) {
         let aim = self.settings.classes[class].aim.unwrap_or(AIM);
         let Some(m) = self.members.get_mut(&member) else { return };
-        let ratio = took as f64 / self.latency[class].max(1.0);
+        let ratio = took.as_micros_f64() / self.latency[class].max(1.0);
         if served || ratio > m.slow {
             m.slow = (m.slow + (ratio.min(20.0) - m.slow) * SMOOTHING).max(0.05);
         }
         if served {
-            self.latency[class] += (took as f64 - self.latency[class]) * SMOOTHING / 4.0;
+            self.latency[class] += (took.as_micros_f64() - self.latency[class]) * SMOOTHING / 4.0;
             if took < aim / 3 && (m.out.len() + 1) as f64 > m.window / 2.0 {
                 m.window += m.window.min(1.0 / m.window);
             }
@@ -839,10 +849,11 @@
 
     /// Closes the window against what was in use: after an attempt that was not served (`unserved`: the usual
     /// latency) against the share of time in use. Its member is buried in work that nobody waits for.
-    fn shrink(&mut self, now: Micros, member: MemberId, unserved: Option<f64>) {
+    fn shrink(&mut self, now: Timestamp, member: EndpointId, unserved: Option<f64>) {
         let Some(m) = self.members.get_mut(&member) else { return };
         if now - m.shrunk_at > HOLD_TIMER / 2 {
-            let share = unserved.filter(|_| m.out.is_empty()).map(|usual| usual / m.gap.max(1) as f64);
+            let share =
+                unserved.filter(|_| m.out.is_empty()).map(|usual| usual / m.gap.as_micros_f64().max(1.0));
             let used = (m.out.len() + 1) as f64 * share.unwrap_or(1.0).min(1.0);
             m.window = (m.window.min(used) * SHRINK).max(self.least);
             m.shrunk_at = now;
@@ -857,7 +868,7 @@
         let keyed = c.repeat == Some(Repeat::Keyed) && c.key_group == Some(KeyGroup::All);
         if !ran || keyed || c.repeat == Some(Repeat::Safe) {
             // What is in the way outlasts a service time: who comes back at once meets it again.
-            let wait = (HINT * r.aim).min(self.settings.max_retry_after.unwrap_or(Micros::MAX));
+            let wait = (HINT * r.aim).min(self.settings.max_retry_after.unwrap_or(TimeDelta::MAX));
             let retry_in = (self.settings.retry_after == Some(true)).then_some(wait);
             out.push(Action::Refuse { id, retry_in });
         } else {
@@ -881,7 +892,7 @@
 
     /// Tries what is held again, in the order of its rank. Writes all want the same member, so the first that
     /// finds no room ends it; reads differ in what is fresh enough for them, so a few are tried.
-    fn pump(&mut self, now: Micros, group: GroupId, out: &mut Vec<Action>) {
+    fn pump(&mut self, now: Timestamp, group: GroupId, out: &mut Vec<Action>) {
         for (held, mut tries) in [(WRITES, 1), (READS, TRIES)] {
             let mut after = None;
             while tries > 0 {
@@ -903,19 +914,19 @@
     // ---- guards ----
 
     /// Whether another attempt is allowed.
-    fn may_resend(&self, now: Micros, id: RequestId) -> bool {
+    fn may_resend(&self, now: Timestamp, id: RequestId) -> bool {
         let r = &self.requests[&id];
         self.may_repeat(now, r, r.first_ran)
     }
 
     /// The same where the first attempt that may have run was sent at `ran`: rule 2, attempt limit, deadline.
-    fn may_repeat(&self, now: Micros, r: &Request, ran: Option<Micros>) -> bool {
+    fn may_repeat(&self, now: Timestamp, r: &Request, ran: Option<Timestamp>) -> bool {
         let c = &self.settings.classes[r.class];
         let harmless = match (c.repeat.unwrap_or(Repeat::Unsafe), ran) {
             (Repeat::Safe, _) | (_, None) => true,
             // Where a key is known in one zone only, the group's next primary may stand in another.
             (Repeat::Keyed, Some(_)) if c.key_group == Some(KeyGroup::Zone) => false,
-            (Repeat::Keyed, Some(first)) => now < first + c.key_window.unwrap_or(0) - ROUNDING,
+            (Repeat::Keyed, Some(first)) => now < first + c.key_window.unwrap_or(TimeDelta::ZERO) - ROUNDING,
             (Repeat::Unsafe, Some(_)) => false,
         };
         let left = (r.attempts.len() as u32) < self.settings.max_attempts.unwrap_or(ATTEMPTS);
@@ -927,11 +938,12 @@
     /// multiple. With many drivers that is less than one send in a warm-up: each starts at its own point, and
     /// a saved-up send lapses after what counts as chance, 2 root of N + 2, or most of the time between two
     /// requests for the group. What was sent just now is no pace: where all are cold it follows demand.
-    fn allowance(&self, now: Micros, m: &Member) -> f64 {
+    fn allowance(&self, now: Timestamp, m: &Member) -> f64 {
         let warmth = self.warmth(now, m);
         let (Some(multiple), true) = (self.settings.fall_multiple, warmth < 1.0) else { return f64::MAX };
         let rate = self.peak * m.units * warmth * multiple * BUDGET;
-        let (saved, most) = (m.budget + rate * (now - m.budget_at) as f64, rate * self.span as f64 / 4.0);
+        let (saved, most) =
+            (m.budget + rate * (now - m.budget_at).as_micros_f64(), rate * self.span.as_micros_f64() / 4.0);
         let bears = most * 4.0 * LEAST_TOGETHER / (self.least * BUDGET);
         let kept = most * (1.0 + 4.0 * (2.0 / bears.sqrt() + 2.0 / bears) / BUDGET);
         let members = self.groups.get(&m.group).map_or(1, |g| g.members.len()) as f64;
@@ -940,7 +952,7 @@
         if saved >= 1.0 && most < 1.0 { lapsing } else { saved.min(most.max(1.0)) }
     }
 
-    fn due(&mut self, now: Micros, out: &mut Vec<Action>) {
+    fn due(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         while let Some(&(at, due)) = self.agenda.first()
             && at <= now
         {
@@ -958,14 +970,14 @@
 
     /// Until when a request is held: an answer would still be worth something, and where no member has had
     /// it at all, its client has half of its time left for another way.
-    fn last_call(&self, r: &Request) -> Micros {
-        let last = r.end - self.latency[r.class] as Micros;
-        let half = (r.arrived + r.deadline) / 2 - WAY_OUT;
+    fn last_call(&self, r: &Request) -> Timestamp {
+        let last = r.end - TimeDelta::from_micros_f64(self.latency[r.class]);
+        let half = r.arrived.midpoint(r.deadline) - WAY_OUT;
         if r.attempts.iter().any(|a| a.written) { last } else { last.min(half) }.max(r.arrived)
     }
 
     /// The deadline of a request: a held one is given up when hope is gone, any other at the very end.
-    fn guard(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
+    fn guard(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.streaming) else { return };
         let last = self.last_call(r);
         let at = if r.attempts.iter().any(|a| a.open) { r.deadline } else { last };
@@ -979,12 +991,13 @@
     }
 
     /// An attempt on a connection that fell silent, its member answering others, is called off and repeated.
-    fn lost(&mut self, now: Micros, id: RequestId, attempt: u8, out: &mut Vec<Action>) {
+    fn lost(&mut self, now: Timestamp, id: RequestId, attempt: u8, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.moved) else { return };
         let Some(a) = r.attempts.get(usize::from(attempt)).filter(|a| a.open) else { return };
-        let usual = self.latency[r.class] as Micros;
+        let usual = TimeDelta::from_micros_f64(self.latency[r.class]);
         let c = &self.settings.classes[r.class];
-        let known = c.repeat == Some(Repeat::Safe) || now < a.sent + c.key_window.unwrap_or(0) / 2;
+        let known =
+            c.repeat == Some(Repeat::Safe) || now < a.sent + c.key_window.unwrap_or(TimeDelta::ZERO) / 2;
         let again = known && self.may_repeat(now + usual, r, r.first_ran.or(Some(a.sent)));
         if !again || self.settings.may_cancel != Some(true) {
             return;
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,7 @@
 //! Limits of the program, filled once at start and handed down.
 
-use crate::interface::{Class, Micros};
+use crate::interface::Class;
+use crate::time::TimeDelta;
 use std::time::Duration;
 
 /// Every size, count and time that bounds what the program does.
@@ -317,8 +318,8 @@
     /// How long after SIGTERM connections are taken and idle ones kept, and when the program ends, where no
     /// client has given a request longer than `patience`. One that is `alone` has nobody to leave its clients
     /// to: it serves those that it has for as long as what they ask can still be answered.
-    pub fn ending(&self, patience: Option<Micros>, alone: bool) -> (Duration, Duration) {
-        let patience = Duration::from_micros(patience.unwrap_or(0).max(0) as u64).min(self.drain);
+    pub fn ending(&self, patience: Option<TimeDelta>, alone: bool) -> (Duration, Duration) {
+        let patience = patience.unwrap_or(TimeDelta::ZERO).to_duration().min(self.drain);
         // Killed no sooner than the longest deadline and 0.7 s more after SIGTERM.
         let end = patience.max(self.lame) + Duration::from_millis(550);
         (if alone { self.lame.max(end.saturating_sub(LAST_CALL)) } else { self.lame }, end)
@@ -328,7 +329,7 @@
     pub fn deadlines_at_most(&mut self, classes: &[Class]) {
         let longest = classes.iter().map(|c| c.deadline).reduce(|a, b| Some(a?.max(b?))).flatten();
         if let Some(longest) = longest {
-            self.drain = self.drain.min(Duration::from_micros(longest.max(0) as u64));
+            self.drain = self.drain.min(longest.to_duration());
         }
     }
     /// Hosts close connections that stood idle for so many seconds; ours go well before: a request that
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -6,16 +6,16 @@
 #[test]
 fn the_end_comes_before_the_kill_and_only_one_that_is_alone_serves_on() {
     let limits = Limits::for_sockets(64);
-    for patience in
-        [None, Some(-5), Some(1), Some(400_000), Some(930_000), Some(2_500_000), Some(Micros::MAX)]
-    {
+    let micros = [-5, 1, 400_000, 930_000, 2_500_000, i64::MAX].map(|n| Some(TimeDelta::from_micros(n)));
+    for patience in std::iter::once(None).chain(micros) {
         let (lame, end) = limits.ending(patience, true);
-        let deadline = Duration::from_micros(patience.unwrap_or(0).clamp(450_000, 3_000_000) as u64);
+        let (least, most) = (TimeDelta::from_millis(450), TimeDelta::from_secs(3));
+        let deadline = patience.unwrap_or(TimeDelta::ZERO).clamp(least, most).to_duration();
         assert!(end < deadline + Duration::from_millis(700), "{patience:?}");
         assert!(lame >= limits.lame && lame + limits.last_answers < end, "{patience:?}");
         assert_eq!(limits.ending(patience, false), (limits.lame, end), "{patience:?}");
     }
-    assert!(limits.ending(Some(2_500_000), true).0 > Duration::from_secs(2));
+    assert!(limits.ending(Some(TimeDelta::from_millis(2_500)), true).0 > Duration::from_secs(2));
 }
 
 /// Guards against sends to a host that drains, where the watch that had to tell it fell silent: whatever
@@ -45,7 +45,7 @@
 /// Guards against an end that follows what a client claims, where the settings say how long any may wait.
 #[test]
 fn the_longest_deadline_of_the_classes_bounds_the_end() {
-    let class = |ms: Option<Micros>| Class { deadline: ms.map(|ms| ms * 1_000), ..Class::default() };
+    let class = |ms: Option<i64>| Class { deadline: ms.map(TimeDelta::from_millis), ..Class::default() };
     let drain = |classes: &[Class]| {
         let mut limits = Limits::for_sockets(64);
         limits.deadlines_at_most(classes);
--- a/src/core/breaks.rs
+++ b/src/core/breaks.rs
@@ -3,7 +3,7 @@
 //! A host that lost its power may have lost what it had not synced. A session that wrote such a commit is told so:
 //! older data would pass for its own, and so would newer data in which its write is missing.
 
-use crate::interface::{GroupId, Micros};
+use crate::interface::{GroupId, LogPosition};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -15,11 +15,11 @@
 pub struct Break {
     /// The group.
     pub group: GroupId,
-    /// The position to which its primary went back, in Unix microseconds.
-    pub from: Micros,
+    /// The position to which its primary went back.
+    pub from: LogPosition,
     /// When the question went out that it answered with that position: no commit of before can be later, and none
     /// after it is earlier, as far as the clocks of hosts are right.
-    pub to: Micros,
+    pub to: LogPosition,
 }
 
 /// All breaks that are known.
@@ -53,7 +53,7 @@
     }
 
     /// Whether a commit at this position was lost: the position behind which its group went back.
-    pub fn lost(&self, group: GroupId, commit: Micros) -> Option<Micros> {
+    pub fn lost(&self, group: GroupId, commit: LogPosition) -> Option<LogPosition> {
         let known = self.0.get(&group)?;
         known.iter().find(|b| b.from < commit && commit <= b.to).map(|b| b.from)
     }
@@ -67,6 +67,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::interface::TimeDelta;
+
+    const G: GroupId = GroupId(1);
+
+    fn at(micros: i64) -> LogPosition {
+        LogPosition::from_micros(micros)
+    }
 
     /// Guards against a lost commit that passes for one that is there, and a kept one that is told as lost. Seeded: a
     /// log that loses its tail now and then, breaks noticed by several in any order.
@@ -74,25 +81,24 @@
     fn what_was_lost_is_told_and_what_is_there_is_not() {
         for seed in 0..500 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let (mut now, mut log, mut lost): (Micros, Vec<Micros>, Vec<Micros>) =
-                (1_000_000, Vec::new(), Vec::new());
+            let (mut now, mut log, mut lost) = (at(1_000_000), Vec::new(), Vec::new());
             let mut found = Vec::new();
             for _ in 0..60 {
-                now += rng.i64(1..50_000);
+                now = now + TimeDelta::from_micros(rng.i64(1..50_000));
                 if rng.u8(..10) > 0 {
                     log.push(now);
                     continue;
                 }
                 let left = log.len().saturating_sub(rng.usize(0..5));
-                let from = if left == 0 { 0 } else { log[left - 1] };
+                let from = if left == 0 { at(0) } else { log[left - 1] };
                 lost.extend(log.drain(left..));
-                let first = Break { group: 1, from, to: now + 1 };
-                now += 10;
+                let first = Break { group: G, from, to: now + TimeDelta::from_micros(1) };
+                now = now + TimeDelta::from_micros(10);
                 found.push(first);
                 if rng.bool() {
-                    found.push(Break { to: now + 40_000, ..first });
+                    found.push(Break { to: now + TimeDelta::from_millis(40), ..first });
                 }
-                now += 50_000;
+                now = now + TimeDelta::from_millis(50);
             }
             rng.shuffle(&mut found);
             let mut breaks = Breaks::default();
@@ -100,31 +106,34 @@
                 breaks.note(*b);
             }
             for commit in lost.iter().filter(|_| breaks.all().len() < BREAKS) {
-                assert!(breaks.lost(1, *commit).is_some(), "seed {seed}: {commit} is gone");
+                assert!(breaks.lost(G, *commit).is_some(), "seed {seed}: {commit:?} is gone");
             }
             for commit in &log {
-                assert_eq!(breaks.lost(1, *commit), None, "seed {seed}: {commit} is there");
+                assert_eq!(breaks.lost(G, *commit), None, "seed {seed}: {commit:?} is there");
             }
-            assert_eq!(breaks.lost(2, now), None);
+            assert_eq!(breaks.lost(GroupId(2), now), None);
         }
     }
 
     #[test]
     fn breaks_are_bounded_and_noted_once() {
         let mut breaks = Breaks::default();
-        let one = Break { group: 1, from: 5, to: 9 };
+        let one = Break { group: G, from: at(5), to: at(9) };
         assert!(!breaks.knows(one));
         assert!(
             breaks.note(one)
                 && breaks.knows(one)
                 && !breaks.note(one)
-                && !breaks.note(Break { to: 8, ..one })
+                && !breaks.note(Break { to: at(8), ..one })
+        );
+        assert!(!breaks.note(Break { to: at(5), ..one }) && breaks.note(Break { to: at(10), ..one }));
+        assert_eq!(
+            (breaks.lost(G, at(5)), breaks.lost(G, at(10)), breaks.lost(G, at(11))),
+            (None, Some(at(5)), None)
         );
-        assert!(!breaks.note(Break { to: 5, ..one }) && breaks.note(Break { to: 10, ..one }));
-        assert_eq!((breaks.lost(1, 5), breaks.lost(1, 10), breaks.lost(1, 11)), (None, Some(5), None));
         for n in 0..100 {
-            breaks.note(Break { group: 1, from: n * 10, to: n * 10 + 5 });
+            breaks.note(Break { group: G, from: at(n * 10), to: at(n * 10 + 5) });
         }
-        assert_eq!((breaks.all().len(), breaks.lost(1, 3)), (BREAKS, None));
+        assert_eq!((breaks.all().len(), breaks.lost(G, at(3))), (BREAKS, None));
     }
 }
--- a/src/core/classes.rs
+++ b/src/core/classes.rs
@@ -1,6 +1,6 @@
 //! Classes by name, as both fronts look them up.
 
-use crate::interface::{Consistency, Micros, Repeat, Settings};
+use crate::interface::{Consistency, Repeat, Settings, TimeDelta};
 
 /// The classes of a service.
 #[derive(Clone, Debug)]
@@ -9,7 +9,7 @@
     /// For a keyed class, the number of its twin for requests that carry no key.
     keyless: Vec<Option<usize>>,
     kinds: Vec<Option<Consistency>>,
-    deadlines: Vec<Option<Micros>>,
+    deadlines: Vec<Option<TimeDelta>>,
 }
 
 impl Classes {
@@ -66,7 +66,7 @@
     }
 
     /// The deadline of a class.
-    pub fn deadline(&self, name: &str) -> Option<Micros> {
+    pub fn deadline(&self, name: &str) -> Option<TimeDelta> {
         let n = self.names.iter().position(|c| c == name)?;
         self.deadlines.get(n).copied().flatten()
     }
--- a/src/core/facts.rs
+++ b/src/core/facts.rs
@@ -1,13 +1,13 @@
 //! What hosts last told of themselves, for whoever passes it on. Fed by the owner, read now and then. No I/O.
 
-use crate::interface::{Mark, MemberId, Micros};
+use crate::interface::{EndpointId, LogPosition, Mark, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Positions are told in whole milliseconds.
-const ROUNDING: Micros = 1_000;
+const ROUNDING: TimeDelta = TimeDelta::from_millis(1);
 
 /// Starts of a host that differ by no more are one: hosts tell how long they run, each time a little differently.
-pub const JITTER: Micros = 2_000_000;
+pub const JITTER: TimeDelta = TimeDelta::from_secs(2);
 
 /// What a host last told.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,35 +16,35 @@
     pub host: String,
     /// It called itself the primary.
     pub primary: bool,
-    /// The position that it told, in Unix microseconds; 0: none.
-    pub position: Micros,
+    /// The position that it told; [`LogPosition::UNKNOWN`]: none.
+    pub position: LogPosition,
     /// When.
-    pub at: Micros,
+    pub at: Timestamp,
     /// Attempts that are out at it now.
     pub out: u16,
     /// When it started, as far as it says itself, or its position shows, or the list knows.
-    pub started: Option<Micros>,
+    pub started: Option<Timestamp>,
     /// Good answers since the last time.
     pub served: u32,
     /// Which part of its capacity it said to be in use, added up over so many answers since the last time.
     pub used: (f64, u32),
     /// It went back behind what it had told before: to which position, and when the question went out that it
     /// answered so.
-    pub back: Option<(Micros, Micros)>,
+    pub back: Option<(LogPosition, Timestamp)>,
 }
 
 /// What is known of a host, since it was last read or, of `top`, ever.
 #[derive(Clone, Copy, Debug, Default)]
 struct Told {
-    mark: Option<(Mark, Micros)>,
-    up: Option<Micros>,
+    mark: Option<(Mark, Timestamp)>,
+    up: Option<Timestamp>,
     served: u32,
     used: (f64, u32),
-    back: Option<(Micros, Micros)>,
+    back: Option<(LogPosition, Timestamp)>,
     /// The greatest position that it told, and when that had come.
-    top: Option<(Micros, Micros)>,
+    top: Option<(LogPosition, Timestamp)>,
     /// It began anew, as its position shows: it was the primary and went back.
-    anew: Option<Micros>,
+    anew: Option<Timestamp>,
 }
 
 /// What one host told since the last time.
@@ -53,24 +53,24 @@
     /// The last mark, with when it came.
     pub mark: Mark,
     /// See there.
-    pub at: Micros,
+    pub at: Timestamp,
     /// When the host started, by its own word or its position.
-    pub started: Option<Micros>,
+    pub started: Option<Timestamp>,
     /// See [`Fact::served`].
     pub served: u32,
     /// See [`Fact::used`].
     pub used: (f64, u32),
     /// See [`Fact::back`].
-    pub back: Option<(Micros, Micros)>,
+    pub back: Option<(LogPosition, Timestamp)>,
 }
 
 /// What is new since it was last read. Off until somebody reads it.
 #[derive(Debug, Default)]
 pub struct Facts {
     on: bool,
-    all: BTreeMap<MemberId, Told>,
+    all: BTreeMap<EndpointId, Told>,
     urgent: bool,
-    new: BTreeSet<MemberId>,
+    new: BTreeSet<EndpointId>,
 }
 
 impl Facts {
@@ -78,22 +78,22 @@
     /// says so.
     pub fn note(
         &mut self,
-        member: MemberId,
+        member: EndpointId,
         mark: Option<Mark>,
-        up: Option<Micros>,
-        sent: Micros,
-        at: Micros,
+        up: Option<TimeDelta>,
+        sent: Timestamp,
+        at: Timestamp,
     ) {
         let Some(mark) = mark.filter(|_| self.on) else { return };
         let told = self.all.entry(member).or_default();
         told.mark = Some((mark, at));
-        let started = up.filter(|up| *up >= 0).map(|up| at.saturating_sub(up));
+        let started = up.filter(|up| *up >= TimeDelta::ZERO).map(|up| at.saturating_sub(up));
         if started > told.up.map(|known| known + JITTER) {
             self.urgent = true;
             told.up = started;
         }
         self.new.insert(member);
-        if mark.position <= 0 {
+        if !mark.position.is_known() {
             return;
         }
         // Answers overtake one another: only one that was asked for after a greater position had come shows that
@@ -116,7 +116,7 @@
     }
 
     /// A host has served something.
-    pub fn served(&mut self, member: MemberId) {
+    pub fn served(&mut self, member: EndpointId) {
         if self.on
             && let Some(told) = self.all.get_mut(&member)
         {
@@ -125,7 +125,7 @@
     }
 
     /// A host has said which part of its capacity is in use.
-    pub fn used(&mut self, member: MemberId, util: f64) {
+    pub fn used(&mut self, member: EndpointId, util: f64) {
         if self.on
             && let Some(told) = self.all.get_mut(&member)
         {
@@ -134,30 +134,30 @@
     }
 
     /// What was known of a host's position before, or by others: when it had come there.
-    pub fn known(&mut self, member: MemberId, position: Micros, came: Micros) {
+    pub fn known(&mut self, member: EndpointId, position: LogPosition, came: Timestamp) {
         let told = self.all.entry(member).or_default();
-        if position > 0 && told.top.is_none_or(|(top, _)| position > top) && told.back.is_none() {
+        if position.is_known() && told.top.is_none_or(|(top, _)| position > top) && told.back.is_none() {
             told.top = Some((position, came));
         }
     }
 
     /// When a host was last heard here.
-    pub fn heard(&self, member: MemberId) -> Option<Micros> {
+    pub fn heard(&self, member: EndpointId) -> Option<Timestamp> {
         self.all.get(&member).and_then(|told| told.mark).map(|(_, at)| at)
     }
 
     /// Forgets hosts that are gone.
-    pub fn retain(&mut self, stays: impl Fn(MemberId) -> bool) {
+    pub fn retain(&mut self, stays: impl Fn(EndpointId) -> bool) {
         self.all.retain(|member, _| stays(*member));
         self.new.retain(|member| stays(*member));
     }
 
     /// What was told since the last time.
-    pub fn take(&mut self) -> Vec<(MemberId, New)> {
+    pub fn take(&mut self) -> Vec<(EndpointId, New)> {
         self.on = true;
         let new = std::mem::take(&mut self.new);
         let all = &mut self.all;
-        let one = |member: MemberId| {
+        let one = |member: EndpointId| {
             let told = all.get_mut(&member)?;
             let (mark, at) = told.mark?;
             let served = std::mem::take(&mut told.served);
@@ -172,10 +172,18 @@
 mod tests {
     use super::*;
 
-    const A: MemberId = MemberId { ip: [0; 4], port: 1 };
+    const A: EndpointId = EndpointId { ip: [0; 4], port: 1 };
 
-    fn mark(position: Micros) -> Option<Mark> {
-        Some(Mark { primary: true, position })
+    fn at(micros: i64) -> Timestamp {
+        Timestamp::from_micros(micros)
+    }
+
+    fn position(micros: i64) -> LogPosition {
+        LogPosition::from_micros(micros)
+    }
+
+    fn mark(micros: i64) -> Option<Mark> {
+        Some(Mark { primary: true, position: position(micros) })
     }
 
     /// Guards against answers that overtake one another and pass for a host that went back, and against a host that
@@ -187,7 +195,7 @@
             let mut facts = Facts::default();
             facts.take();
             // Questions that are out: sent, and what the host told when it had them.
-            let mut out: Vec<(Micros, Micros)> = Vec::new();
+            let mut out: Vec<(i64, i64)> = Vec::new();
             let (mut now, mut position, mut went_back) = (1_000_000, 900_000, false);
             let falls = rng.bool().then(|| rng.u32(100..150));
             for n in 0..200 {
@@ -202,7 +210,7 @@
                 if rng.bool() {
                     let (sent, position) = out.swap_remove(rng.usize(..out.len()));
                     now += 1;
-                    facts.note(A, mark(position), None, sent, now);
+                    facts.note(A, mark(position), None, at(sent), at(now));
                 }
                 if rng.u8(..8) == 0 {
                     went_back |= facts.take().iter().any(|(_, new)| new.back.is_some());
@@ -216,18 +224,21 @@
     #[test]
     fn what_was_known_before_counts_and_a_new_start_is_told() {
         let mut facts = Facts::default();
-        facts.note(A, mark(5_000), None, 1, 2);
+        facts.note(A, mark(5_000), None, at(1), at(2));
         assert!(facts.take().is_empty(), "nobody has asked yet");
-        facts.known(A, 900_000, 10);
-        facts.known(A, 700_000, 11);
-        facts.note(A, mark(400_000), Some(30), 20, 50);
+        facts.known(A, position(900_000), at(10));
+        facts.known(A, position(700_000), at(11));
+        facts.note(A, mark(400_000), Some(TimeDelta::from_micros(30)), at(20), at(50));
         facts.served(A);
         assert!(facts.is_urgent() && !facts.is_urgent());
         let new = facts.take()[0].1;
-        assert_eq!((new.back, new.started, new.served), (Some((400_000, 20)), Some(50), 1));
-        facts.note(A, mark(500_000), Some(60), 60, 90);
+        assert_eq!((new.back, new.started, new.served), (Some((position(400_000), at(20))), Some(at(50)), 1));
+        facts.note(A, mark(500_000), Some(TimeDelta::from_micros(60)), at(60), at(90));
         let new = facts.take()[0].1;
-        assert_eq!((new.back, new.started, new.served, facts.heard(A)), (None, Some(50), 0, Some(90)));
+        assert_eq!(
+            (new.back, new.started, new.served, facts.heard(A)),
+            (None, Some(at(50)), 0, Some(at(90)))
+        );
         facts.retain(|member| member != A);
         assert_eq!(facts.heard(A), None);
     }
--- a/src/core/gate.rs
+++ b/src/core/gate.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// The pace is looked at once in so long.
-const ROUND: Micros = 100_000;
+const ROUND: TimeDelta = TimeDelta::from_millis(100);
 /// Each good answer while more is wanted than is let in adds so much to the pace, in requests a second: it doubles in
 /// a third of a second, whether one daemon has all the answers or many have few each.
 const GROW: f64 = 2.0;
@@ -21,14 +21,14 @@
 const EASE: f64 = 0.85;
 /// An answer came of a queue that took so many times the quickest of its class, and this more; it brings no growth.
 const QUEUED: f64 = 2.0;
-const JITTER: Micros = 30_000;
+const JITTER: TimeDelta = TimeDelta::from_millis(30);
 /// One that took this part of its class's aim, and came of a queue, says that less is to be sent: longer queues make
 /// the module ask hosts that have better work to do.
-const LONG: Micros = 6;
+const LONG: i64 = 6;
 /// The quickest of a class is forgotten slowly.
 const FADE: f64 = 0.002;
 /// More is wanted than is let in for so long after one was turned away.
-const WANTED: Micros = 1_000_000;
+const WANTED: TimeDelta = TimeDelta::from_secs(1);
 /// Answers went badly where so many of a hundred were turned away or never came, and no fewer than these: one may be
 /// chance.
 const BAD: u32 = 5;
@@ -37,16 +37,19 @@
 const MANY: u32 = 20;
 /// What may come at once, as a time at the pace, and at the least: requests come by chance, and of many daemons each
 /// lets in few.
-const BURST: Micros = 300_000;
+const BURST: TimeDelta = TimeDelta::from_millis(300);
 const ONES: f64 = 2.0;
 /// Each class of less worth leaves so much of that to those above it.
 const RESERVE: f64 = 0.25;
 /// Nobody is told to come back sooner than this.
-const SOON: Micros = 20_000;
+const SOON: TimeDelta = TimeDelta::from_millis(20);
 /// Multiples of it fill the space between two whole numbers evenly, whatever their count.
 const SPREAD: f64 = 0.618_033_988_75;
 /// The longest time to come back where the settings name none.
-const LONGEST: Micros = 1_000_000;
+const LONGEST: TimeDelta = TimeDelta::from_secs(1);
+
+/// Before all that happens; times since then can be told.
+const LONG_AGO: Timestamp = Timestamp::from_micros(i64::MIN / 2);
 
 /// Kinds of requests, in the order in which service returns for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -72,7 +75,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Way {
     /// None; a time to come back from which on that may be otherwise.
-    Shut(Micros),
+    Shut(TimeDelta),
     /// So many a second as its hosts bear, found out by their answers, at no time more than `most`: they are cold.
     Paced {
         /// This daemon's part of what they bear, a second, by what is known now. The pace begins there.
@@ -94,7 +97,7 @@
     /// Whether what any host can serve is let in.
     pub rest: bool,
     /// For groups that are not named, and where the rest is not let in.
-    pub wait: Micros,
+    pub wait: TimeDelta,
 }
 
 #[derive(Debug)]
@@ -105,10 +108,10 @@
     bears: f64,
     said: bool,
     tokens: f64,
-    at: Micros,
+    at: Timestamp,
     /// When the next one that is turned away may come back.
-    next: Micros,
-    round: Micros,
+    next: Timestamp,
+    round: Timestamp,
     well: u32,
     badly: u32,
     /// Quick answers of this round, and those that came of a long queue.
@@ -117,14 +120,14 @@
     /// It has been too high once.
     found: bool,
     /// When one was last turned away.
-    wanted: Micros,
+    wanted: Timestamp,
     /// When it last shrank: what was sent before that says nothing about what it is now.
-    shrunk: Micros,
+    shrunk: Timestamp,
 }
 
 impl Pace {
     /// `phase`: which part of a request it has saved up at first.
-    fn new(now: Micros, start: f64, most: f64, phase: f64) -> Pace {
+    fn new(now: Timestamp, start: f64, most: f64, phase: f64) -> Pace {
         let rate = start.min(most).max(0.1);
         Pace {
             rate,
@@ -141,13 +144,13 @@
             quick: 0,
             queued: 0,
             found: false,
-            wanted: Micros::MIN / 2,
-            shrunk: Micros::MIN / 2,
+            wanted: LONG_AGO,
+            shrunk: LONG_AGO,
         }
     }
 
     fn burst(&self) -> f64 {
-        (self.rate * BURST as f64 / 1e6).max(ONES)
+        (self.rate * BURST.as_micros_f64() / 1e6).max(ONES)
     }
 
     /// Grows by the quick answers of a round. Up to what hosts are known to bear there is no need to feel one's way.
@@ -160,7 +163,7 @@
         };
     }
 
-    fn go_on(&mut self, now: Micros) {
+    fn go_on(&mut self, now: Timestamp) {
         if now >= self.round {
             let answers = self.well + self.badly;
             if self.badly >= FEW && self.badly * 100 > answers * BAD {
@@ -179,12 +182,12 @@
         }
         self.rate = self.rate.clamp(self.floor.min(self.most), self.most);
         let burst = self.burst();
-        self.tokens = (self.tokens + self.rate * (now - self.at).max(0) as f64 / 1e6).min(burst);
+        self.tokens = (self.tokens + self.rate * (now - self.at).or_zero().as_micros_f64() / 1e6).min(burst);
         self.at = now;
     }
 
     /// `rank`: classes of the same kind that are worth more.
-    fn take(&mut self, now: Micros, rank: usize, longest: Micros) -> Result<(), Micros> {
+    fn take(&mut self, now: Timestamp, rank: usize, longest: TimeDelta) -> Result<(), TimeDelta> {
         self.go_on(now);
         let burst = self.burst();
         let needs = (1.0 + RESERVE * rank as f64 * (burst - 1.0)).min(burst);
@@ -193,7 +196,7 @@
             return Ok(());
         }
         self.wanted = now;
-        let step = (1e6 / self.rate) as Micros;
+        let step = TimeDelta::from_micros_f64(1e6 / self.rate);
         self.next = self.next.max(now) + step;
         let wait = self.next - now;
         if wait > longest {
@@ -211,10 +214,10 @@
     paces: BTreeMap<(GroupId, usize), Pace>,
     /// By class: its kind, and the classes of that kind that are worth more.
     ranks: Vec<(usize, Kind)>,
-    aims: Vec<Micros>,
+    aims: Vec<TimeDelta>,
     /// What the quickest answers of each class take.
     quickest: Vec<f64>,
-    longest: Micros,
+    longest: TimeDelta,
     /// Requests that were turned away: each has another time to come back.
     turned_away: u64,
     phases: fastrand::Rng,
@@ -248,7 +251,7 @@
     }
 
     /// Sets the terms; `None`: open to all from now on. A pace that runs goes on under the new bound.
-    pub fn set(&mut self, now: Micros, terms: Option<Terms>) {
+    pub fn set(&mut self, now: Timestamp, terms: Option<Terms>) {
         let groups = terms.as_ref().map(|t| &t.groups);
         self.paces.retain(|(group, side), _| {
             let ways = groups.and_then(|groups| groups.get(group));
@@ -268,7 +271,7 @@
     }
 
     /// Whether a request of this class and group is let in; an error: when to come back.
-    pub fn admit(&mut self, now: Micros, class: usize, group: GroupId) -> Result<(), Micros> {
+    pub fn admit(&mut self, now: Timestamp, class: usize, group: GroupId) -> Result<(), TimeDelta> {
         let Some(terms) = &self.terms else { return Ok(()) };
         let Some(&(rank, kind)) = self.ranks.get(class) else { return Ok(()) };
         let shut = Way::Shut(terms.wait);
@@ -281,7 +284,7 @@
             Way::Shut(wait) => {
                 // Spread over as long again: they would all come back in the moment in which it opens.
                 let n = self.turned_away as f64 * SPREAD;
-                let wait = wait + (wait as f64 * (n - n.floor())) as Micros;
+                let wait = wait + TimeDelta::from_micros_f64(wait.as_micros_f64() * (n - n.floor()));
                 Err(wait.clamp(SOON, self.longest.max(SOON)))
             }
             Way::Paced { .. } => match self.paces.get_mut(&(group, side(kind))) {
@@ -294,16 +297,17 @@
     }
 
     /// An attempt for a request of this class and group has ended.
-    pub fn ended(&mut self, now: Micros, class: usize, group: GroupId, took: Micros, outcome: Outcome) {
+    pub fn ended(&mut self, now: Timestamp, class: usize, group: GroupId, took: TimeDelta, outcome: Outcome) {
         let Some(&(_, kind)) = self.ranks.get(class) else { return };
         let Some(pace) = self.paces.get_mut(&(group, side(kind))) else { return };
         let counts = now - took >= pace.shrunk;
         match outcome {
             Outcome::Ok => {
                 let quickest = &mut self.quickest[class];
-                *quickest = (*quickest).min(took as f64);
-                *quickest += (took as f64 - *quickest) * FADE;
-                let queued = took > (*quickest * QUEUED).min(LONGEST as f64) as Micros + JITTER;
+                *quickest = (*quickest).min(took.as_micros_f64());
+                *quickest += (took.as_micros_f64() - *quickest) * FADE;
+                let queued = took
+                    > TimeDelta::from_micros_f64((*quickest * QUEUED).min(LONGEST.as_micros_f64())) + JITTER;
                 pace.well += 1;
                 pace.quick += u32::from(!queued);
                 // What was sent before it last shrank says nothing about what it is now.
@@ -320,10 +324,17 @@
 mod tests {
     use super::*;
 
-    const S: Micros = 1_000_000;
+    const S: TimeDelta = TimeDelta::from_secs(1);
+    const MS: TimeDelta = TimeDelta::from_millis(1);
+    const G: GroupId = GroupId(1);
+
+    /// From the first moment on, one each millisecond.
+    fn moments(length: TimeDelta) -> impl Iterator<Item = Timestamp> {
+        (0..length / MS).map(|n| Timestamp::ZERO + MS * n)
+    }
 
     fn class(consistency: Consistency, worth: f64) -> Class {
-        Class { consistency: Some(consistency), worth: Some(worth), aim: Some(600_000), ..Class::default() }
+        Class { consistency: Some(consistency), worth: Some(worth), aim: Some(MS * 600), ..Class::default() }
     }
 
     fn settings() -> Settings {
@@ -341,28 +352,36 @@
     }
 
     fn terms(writes: Way, reads: Way, rest: bool) -> Option<Terms> {
-        Some(Terms { groups: BTreeMap::from([(1, [writes, reads])]), rest, wait: 300_000 })
+        Some(Terms { groups: BTreeMap::from([(G, [writes, reads])]), rest, wait: MS * 300 })
     }
 
     #[test]
     fn kinds_return_one_after_the_other_and_groups_that_are_not_named_wait() {
         let mut gate = gate();
-        assert!((0..4).all(|class| gate.admit(0, class, 9).is_ok()), "without terms all are let in");
-        let seen = |gate: &mut Gate| (0..4).map(|c| gate.admit(0, c, 1).is_ok()).collect::<Vec<_>>();
-        gate.set(0, terms(Way::Shut(200_000), Way::Shut(200_000), false));
+        assert!(
+            (0..4).all(|class| gate.admit(Timestamp::ZERO, class, GroupId(9)).is_ok()),
+            "without terms all are let in"
+        );
+        let seen =
+            |gate: &mut Gate| (0..4).map(|c| gate.admit(Timestamp::ZERO, c, G).is_ok()).collect::<Vec<_>>();
+        gate.set(Timestamp::ZERO, terms(Way::Shut(MS * 200), Way::Shut(MS * 200), false));
         assert_eq!(seen(&mut gate), [false; 4]);
-        let waits: Vec<Micros> = (0..100).filter_map(|_| gate.admit(0, 0, 1).err()).collect();
-        for from in (200_000..400_000).step_by(20_000) {
-            assert!((8..=12).contains(&waits.iter().filter(|w| (from..from + 20_000).contains(*w)).count()));
+        let waits: Vec<TimeDelta> =
+            (0..100).filter_map(|_| gate.admit(Timestamp::ZERO, 0, G).err()).collect();
+        for from in (200..400).step_by(20).map(|n| MS * n) {
+            assert!((8..=12).contains(&waits.iter().filter(|w| (from..from + MS * 20).contains(*w)).count()));
         }
-        gate.set(0, terms(Way::Open, Way::Shut(200_000), false));
+        gate.set(Timestamp::ZERO, terms(Way::Open, Way::Shut(MS * 200), false));
         assert_eq!(seen(&mut gate), [true, false, false, false]);
-        gate.set(0, terms(Way::Open, Way::Open, false));
+        gate.set(Timestamp::ZERO, terms(Way::Open, Way::Open, false));
         assert_eq!(seen(&mut gate), [true, true, true, false]);
-        gate.set(0, terms(Way::Open, Way::Open, true));
-        assert!(seen(&mut gate) == [true; 4] && gate.admit(0, 0, 2).is_err_and(|w| w >= 300_000));
-        gate.set(0, None);
-        assert!(gate.admit(0, 0, 2).is_ok());
+        gate.set(Timestamp::ZERO, terms(Way::Open, Way::Open, true));
+        assert!(
+            seen(&mut gate) == [true; 4]
+                && gate.admit(Timestamp::ZERO, 0, GroupId(2)).is_err_and(|w| w >= MS * 300)
+        );
+        gate.set(Timestamp::ZERO, None);
+        assert!(gate.admit(Timestamp::ZERO, 0, GroupId(2)).is_ok());
     }
 
     /// Guards against a pace that is left, and against a wave: those that are turned away come back one after the
@@ -373,30 +392,31 @@
             let mut rng = fastrand::Rng::with_seed(seed);
             let mut gate = gate();
             let (start, most) = (rng.f64() * 40.0 + 1.0, rng.f64() * 200.0 + 1.0);
-            gate.set(0, terms(Way::Paced { bears: start, most, said: false }, Way::Open, true));
-            let (mut now, mut let_in) = (0, Vec::new());
-            let mut back: Vec<Micros> = Vec::new();
+            gate.set(Timestamp::ZERO, terms(Way::Paced { bears: start, most, said: false }, Way::Open, true));
+            let (mut now, mut let_in) = (Timestamp::ZERO, Vec::new());
+            let mut back: Vec<Timestamp> = Vec::new();
             for _ in 0..3_000 {
-                now += rng.i64(0..4_000);
-                match gate.admit(now, 0, 1) {
+                now += TimeDelta::from_micros(rng.i64(0..4_000));
+                match gate.admit(now, 0, G) {
                     Ok(()) => {
                         let_in.push(now);
                         let outcome = if rng.u8(..20) == 0 { Outcome::Full } else { Outcome::Ok };
-                        gate.ended(now + 1, 0, 1, rng.i64(0..500_000), outcome);
+                        let took = TimeDelta::from_micros(rng.i64(0..500_000));
+                        gate.ended(now + TimeDelta::from_micros(1), 0, G, took, outcome);
                     }
                     Err(wait) => {
-                        assert!((SOON..=S).contains(&wait), "seed {seed}: {wait}");
+                        assert!((SOON..=S).contains(&wait), "seed {seed}: {wait:?}");
                         back.push(now + wait);
                     }
                 }
             }
             for (n, from) in let_in.iter().enumerate() {
-                let second = let_in[n..].iter().take_while(|at| **at - from < S).count() as f64;
-                let burst = (most * BURST as f64 / 1e6).max(ONES);
+                let second = let_in[n..].iter().take_while(|at| **at - *from < S).count() as f64;
+                let burst = (most * BURST.as_micros_f64() / 1e6).max(ONES);
                 assert!(second <= most + burst + 2.0, "seed {seed}: {second} in a second, {most} at most");
             }
             back.sort_unstable();
-            let crowd = back.windows(40).filter(|w| w[39] - w[0] < 1_000).count();
+            let crowd = back.windows(40).filter(|w| w[39] - w[0] < MS).count();
             assert!(crowd * 20 <= back.len(), "seed {seed}: {crowd} crowds among {}", back.len());
         }
     }
@@ -406,23 +426,26 @@
     fn the_pace_finds_what_hosts_bear() {
         for bears in [5.0f64, 40.0, 300.0] {
             let mut gate = gate();
-            gate.set(0, terms(Way::Paced { bears: 10.0, most: 1_000.0, said: false }, Way::Open, true));
+            gate.set(
+                Timestamp::ZERO,
+                terms(Way::Paced { bears: 10.0, most: 1_000.0, said: false }, Way::Open, true),
+            );
             // One after the other: when each was sent, and is done or was turned away.
-            let mut out: Vec<(Micros, Micros, Outcome)> = Vec::new();
+            let mut out: Vec<(Timestamp, Timestamp, Outcome)> = Vec::new();
             let (mut free, mut served, mut most) = (0.0f64, 0, 0);
-            for now in (0..8 * S).step_by(1_000) {
+            for now in moments(8 * S) {
                 for (sent, _, outcome) in out.extract_if(.., |(_, done, _)| *done <= now).collect::<Vec<_>>()
                 {
-                    served += u32::from(now > 4 * S && outcome == Outcome::Ok);
-                    gate.ended(now, 0, 1, now - sent, outcome);
+                    served += u32::from(now > Timestamp::ZERO + 4 * S && outcome == Outcome::Ok);
+                    gate.ended(now, 0, G, now - sent, outcome);
                 }
-                if gate.admit(now, 0, 1).is_ok() {
+                if gate.admit(now, 0, G).is_ok() {
                     if out.len() as f64 > bears.max(4.0) {
-                        out.push((now, now + 1_000, Outcome::Full));
+                        out.push((now, now + MS, Outcome::Full));
                         continue;
                     }
-                    free = free.max(now as f64) + 1e6 / bears;
-                    out.push((now, free as Micros, Outcome::Ok));
+                    free = free.max(now.as_micros() as f64) + 1e6 / bears;
+                    out.push((now, Timestamp::from_micros(free as i64), Outcome::Ok));
                 }
                 most = most.max(out.len());
             }
@@ -442,26 +465,26 @@
             let bears = BEARS / daemons as f64;
             let way = Way::Paced { bears, most: bears * 3.2, said: true };
             let mut gates: Vec<Gate> = (0..daemons).map(|n| Gate::new(&settings(), seed * 100 + n)).collect();
-            gates.iter_mut().for_each(|gate| gate.set(0, terms(way, Way::Open, true)));
-            let mut out: Vec<(Micros, Micros, usize)> = Vec::new();
-            let (mut free, mut first, mut served, mut worst) = (0.0f64, 0, 0, 0);
-            for now in (0..6 * S).step_by(1_000) {
+            gates.iter_mut().for_each(|gate| gate.set(Timestamp::ZERO, terms(way, Way::Open, true)));
+            let mut out: Vec<(Timestamp, Timestamp, usize)> = Vec::new();
+            let (mut free, mut first, mut served, mut worst) = (0.0f64, 0, 0, TimeDelta::ZERO);
+            for now in moments(6 * S) {
                 for (sent, done, n) in out.extract_if(.., |(_, done, _)| *done <= now).collect::<Vec<_>>() {
-                    served += u32::from(now > S);
+                    served += u32::from(now > Timestamp::ZERO + S);
                     worst = worst.max(done - sent);
-                    gates[n].ended(now, 0, 1, done - sent, Outcome::Ok);
+                    gates[n].ended(now, 0, G, done - sent, Outcome::Ok);
                 }
                 let n = rng.usize(..gates.len());
-                if rng.f64() < BEARS * 1.5 / 1_000.0 && gates[n].admit(now, 0, 1).is_ok() {
-                    first += u32::from(now < S / 5);
-                    free = free.max(now as f64) + 1e6 / BEARS;
-                    out.push((now, free as Micros, n));
+                if rng.f64() < BEARS * 1.5 / 1_000.0 && gates[n].admit(now, 0, G).is_ok() {
+                    first += u32::from(now < Timestamp::ZERO + S / 5);
+                    free = free.max(now.as_micros() as f64) + 1e6 / BEARS;
+                    out.push((now, Timestamp::from_micros(free as i64), n));
                 }
             }
-            let what = format!("{daemons} daemons, seed {seed}: {first} at first, {served}, worst {worst}");
+            let what = format!("{daemons} daemons, seed {seed}: {first} at first, {served}, worst {worst:?}");
             assert!(first <= 8, "{what}");
             assert!(f64::from(served) > BEARS * 5.0 * 0.8, "{what}");
-            assert!(worst < 700_000, "{what}");
+            assert!(worst < MS * 700, "{what}");
         }
     }
 
@@ -469,11 +492,14 @@
     #[test]
     fn the_class_that_is_worth_more_goes_first() {
         let mut gate = gate();
-        gate.set(0, terms(Way::Open, Way::Paced { bears: 100.0, most: 100.0, said: false }, true));
+        gate.set(
+            Timestamp::ZERO,
+            terms(Way::Open, Way::Paced { bears: 100.0, most: 100.0, said: false }, true),
+        );
         let mut let_in = [0; 4];
-        for now in (0..2 * S).step_by(4_000) {
+        for now in moments(2 * S).step_by(4) {
             for class in [3, 2, 1] {
-                let_in[class] += u32::from(gate.admit(now, class, 1).is_ok());
+                let_in[class] += u32::from(gate.admit(now, class, G).is_ok());
             }
         }
         assert!(let_in[1] > 150 && let_in[2] + let_in[3] < 60, "{let_in:?}");
--- a/src/core/members.rs
+++ b/src/core/members.rs
@@ -3,7 +3,7 @@
 //! A host's name is the same at every pooler while its address is not, so the id is derived from the name:
 //! the module's ring of sorted ids then agrees across poolers and restarts.
 
-use crate::interface::{Availability, Entry, ListKind, MemberId, Micros};
+use crate::interface::{Availability, EndpointId, Entry, GroupId, ListKind, Timestamp, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
@@ -15,17 +15,17 @@
     /// Where it listens for this pooler.
     pub address: SocketAddr,
     /// Its zone.
-    pub zone: u8,
+    pub zone: ZoneId,
     /// Its group.
-    pub group: u32,
+    pub group: GroupId,
     /// Whether to use it.
     pub availability: Availability,
     /// The list takes it for the primary of its group.
     pub primary: bool,
     /// Its size against others.
     pub weight: f64,
-    /// When it last started, in Unix microseconds.
-    pub started_at: Option<Micros>,
+    /// When it last started.
+    pub started_at: Option<Timestamp>,
 }
 
 /// A list, or what changed in it.
@@ -75,7 +75,7 @@
     /// New work may go there.
     pub open: bool,
     /// When it last started; a change means that old connections are dead.
-    pub started_at: Option<Micros>,
+    pub started_at: Option<Timestamp>,
     /// No list names it any more: nothing of it need be kept.
     pub gone: bool,
 }
@@ -87,38 +87,38 @@
 #[derive(Default)]
 pub struct Members {
     /// Every group that a list has named: one that has lost all its hosts may get others.
-    groups: BTreeSet<u32>,
-    ids: BTreeMap<String, MemberId>,
-    taken: BTreeSet<MemberId>,
-    hosts: BTreeMap<MemberId, Host>,
-    entries: BTreeMap<MemberId, Entry>,
+    groups: BTreeSet<GroupId>,
+    ids: BTreeMap<String, EndpointId>,
+    taken: BTreeSet<EndpointId>,
+    hosts: BTreeMap<EndpointId, Host>,
+    entries: BTreeMap<EndpointId, Entry>,
 }
 
-fn fold(name: &str, salt: u8) -> MemberId {
+fn fold(name: &str, salt: u8) -> EndpointId {
     let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3);
     let hash = name.bytes().chain((salt > 0).then_some(salt)).fold(0xcbf2_9ce4_8422_2325, step);
     // The last bytes read stir only the low bits of this hash: mix it before it is cut to six bytes.
     let b = (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9).to_be_bytes();
-    MemberId { ip: [b[0], b[1], b[2], b[3]], port: u16::from_be_bytes([b[4], b[5]]) }
+    EndpointId { ip: [b[0], b[1], b[2], b[3]], port: u16::from_be_bytes([b[4], b[5]]) }
 }
 
 /// The id that a name has wherever no other name has taken it.
-pub fn id_of(name: &str) -> MemberId {
+pub fn id_of(name: &str) -> EndpointId {
     fold(name, 0)
 }
 
 impl Members {
     /// The id of a name; a second name that folds to the same id gets another one.
-    pub fn id(&mut self, name: &str) -> MemberId {
+    pub fn id(&mut self, name: &str) -> EndpointId {
         self.id_from(name, fold)
     }
 
     /// The id of a name that a list has named.
-    pub fn find(&self, name: &str) -> Option<MemberId> {
+    pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.ids.get(name).copied()
     }
 
-    fn id_from(&mut self, name: &str, fold: impl Fn(&str, u8) -> MemberId) -> MemberId {
+    fn id_from(&mut self, name: &str, fold: impl Fn(&str, u8) -> EndpointId) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
@@ -163,7 +163,7 @@
             entries.push(entry);
         }
         if list.whole {
-            let named: BTreeSet<MemberId> = entries.iter().map(|e| e.member).collect();
+            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.member).collect();
             for host in self.hosts.iter_mut().filter(|(id, _)| !named.contains(id)).map(|(_, host)| host) {
                 (host.open, host.gone) = (false, true);
                 changed.push(host.clone());
@@ -188,12 +188,12 @@
     }
 
     /// The host behind an id.
-    pub fn host(&self, id: MemberId) -> Option<&Host> {
+    pub fn host(&self, id: EndpointId) -> Option<&Host> {
         self.hosts.get(&id)
     }
 
     /// Whether a group can be served: false only where a list is known and names no such group.
-    pub fn knows_group(&self, group: u32) -> bool {
+    pub fn knows_group(&self, group: GroupId) -> bool {
         self.groups.is_empty() || self.groups.contains(&group)
     }
 
@@ -210,8 +210,8 @@
         Listed {
             name: name.into(),
             address: ([127, 0, 0, 1], 5432).into(),
-            zone: 0,
-            group: 1,
+            zone: ZoneId(0),
+            group: GroupId(1),
             availability: Availability::Ready,
             primary: false,
             weight: 1.0,
@@ -256,7 +256,7 @@
     #[test]
     fn two_names_never_share_an_id() {
         let mut m = Members::default();
-        let same = |_: &str, salt: u8| MemberId { ip: [1, 2, 3, salt], port: 4 };
+        let same = |_: &str, salt: u8| EndpointId { ip: [1, 2, 3, salt], port: 4 };
         let ids = [m.id_from("a", same), m.id_from("b", same), m.id_from("a", same)];
         assert_eq!(ids[0], ids[2]);
         assert_ne!(ids[0], ids[1]);
@@ -276,7 +276,7 @@
             assert_eq!((m.ids.len(), m.hosts.len(), m.entries.len()), (1, 1, 1), "{n}");
         }
         m.apply(&Listing { index: 1001, whole: true, entries: Vec::new() }, false);
-        assert!(m.hosts.is_empty() && m.knows_group(1) && !m.knows_group(2));
+        assert!(m.hosts.is_empty() && m.knows_group(GroupId(1)) && !m.knows_group(GroupId(2)));
     }
 
     /// Guards against sends to a host that a whole list no longer names.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -16,6 +16,7 @@
 
 use crate::clock::Clock;
 use crate::config::Limits;
+use crate::ids::NodeId;
 use crate::interface::*;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
@@ -36,7 +37,7 @@
     /// Not done; trying again is harmless.
     Refused {
         /// When to come back.
-        retry_in: Option<Micros>,
+        retry_in: Option<TimeDelta>,
         /// The time of the request was over.
         overdue: bool,
     },
@@ -55,7 +56,7 @@
     /// What the module is asked; its id is the ticket's.
     pub ask: Ask,
     /// When the client stops waiting.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
     /// What is sent to a host, opaque to the core.
     pub work: W,
     /// Where the final answer goes.
@@ -100,9 +101,9 @@
     /// A probe came back, with what the host told; `None`: nothing.
     Probed {
         /// The member.
-        member: MemberId,
+        member: EndpointId,
         /// Time since it was sent.
-        took: Micros,
+        took: TimeDelta,
         /// Its load report.
         report: Option<Report>,
     },
@@ -122,10 +123,10 @@
     pub host: String,
     /// It called itself the primary.
     pub primary: bool,
-    /// The position that it told, in Unix microseconds; 0: none.
-    pub position: Micros,
+    /// The position that it told; [`LogPosition::UNKNOWN`]: none.
+    pub position: LogPosition,
     /// When that was heard, by this daemon's clock.
-    pub at: Micros,
+    pub at: Timestamp,
     /// It was heard since the host's last start, as far as is known, and a moment ago: it does for an answer to
     /// the module's own question. Otherwise it tells only how far the host once was.
     pub fresh: bool,
@@ -135,9 +136,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Turns {
     /// This daemon.
-    pub me: u64,
+    pub me: NodeId,
     /// Others that are heard.
-    pub others: Vec<u64>,
+    pub others: Vec<NodeId>,
 }
 
 /// What comes in ahead of everything else.
@@ -177,9 +178,9 @@
     /// As it comes.
     Any,
     /// No older than this when it is sent.
-    Age(Micros),
+    Age(TimeDelta),
     /// From this point in time or later.
-    Since(Micros),
+    Since(Timestamp),
 }
 
 /// What a host side is asked to do.
@@ -192,23 +193,23 @@
         /// Its number among the request's attempts.
         attempt: u8,
         /// The module's name for the host, handed back with what it tells of itself.
-        member: MemberId,
+        member: EndpointId,
         /// The host's name.
         host: String,
         /// The work.
         work: W,
         /// When to abandon it.
-        until: Micros,
+        until: Timestamp,
         /// After this it may not be sent any more: an earlier attempt may have run, and what drops repeats of it
         /// forgets it then.
-        send_by: Option<Micros>,
+        send_by: Option<Timestamp>,
         /// How current its answer must be.
         need: Need,
     },
     /// Ask a host about itself.
     Probe {
         /// The module's name for it, handed back.
-        member: MemberId,
+        member: EndpointId,
         /// The host's name.
         host: String,
     },
@@ -243,7 +244,7 @@
     inputs: Sender<Input<W, A>>,
     control: Sender<Control>,
     next: Arc<AtomicU64>,
-    /// The longest time that a client gave a request.
+    /// The longest time that a client gave a request, in microseconds.
     patience: Arc<AtomicI64>,
     figures: Arc<Figures>,
     clock: Clock,
@@ -291,11 +292,11 @@
     pub async fn submit(
         &self,
         ask: Ask,
-        deadline: Micros,
+        deadline: Timestamp,
         work: W,
     ) -> Option<(RequestId, Receiver<Final<A>>)> {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
-        self.patience.fetch_max(deadline - self.clock.now(), Ordering::Relaxed);
+        let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
+        self.patience.fetch_max((deadline - self.clock.now()).as_micros(), Ordering::Relaxed);
         let (reply, answer) = async_channel::bounded(1);
         let request = Submission { ask: Ask { id, ..ask }, deadline, work, reply };
         self.inputs.send(Input::Request(request)).await.ok()?;
@@ -310,8 +311,9 @@
     }
 
     /// The longest time that a client has given a request; `None` before the first.
-    pub fn patience(&self) -> Option<Micros> {
-        Some(self.patience.load(Ordering::Relaxed)).filter(|p| *p > 0)
+    pub fn patience(&self) -> Option<TimeDelta> {
+        let longest = TimeDelta::from_micros(self.patience.load(Ordering::Relaxed));
+        Some(longest).filter(|p| *p > TimeDelta::ZERO)
     }
 
     /// Whether inputs wait.
--- a/src/core/owner.rs
+++ b/src/core/owner.rs
@@ -20,15 +20,15 @@
 use std::sync::Arc;
 
 /// Clocks of hosts may be ahead by this.
-const AHEAD: Micros = 1_000_000;
+const AHEAD: TimeDelta = TimeDelta::from_secs(1);
 
 struct Open<W, A> {
     work: W,
     reply: Sender<Final<A>>,
-    deadline: Micros,
+    deadline: Timestamp,
     attempts: u8,
     /// When the first attempt was sent that may have run.
-    first_ran: Option<Micros>,
+    first_ran: Option<Timestamp>,
     need: Need,
     class: usize,
     group: GroupId,
@@ -36,9 +36,9 @@
 
 /// What a host told about itself, unless it cannot be: none is ahead of the present, and a position that is
 /// would pass for fresh for ever.
-fn believed(now: Micros, mark: Option<Mark>) -> Option<Mark> {
-    let mark = mark.filter(|m| m.position <= now + AHEAD)?;
-    Some(Mark { position: mark.position.min(now), ..mark })
+fn believed(now: Timestamp, mark: Option<Mark>) -> Option<Mark> {
+    let mark = mark.filter(|m| m.position.commit_time(Timestamp::ZERO) <= now + AHEAD)?;
+    Some(Mark { position: mark.position.min(LogPosition::of_commit(now, Timestamp::ZERO)), ..mark })
 }
 
 /// What a final answer counts as.
@@ -57,13 +57,13 @@
     seed: u64,
     members: Members,
     most: usize,
-    overdue: Micros,
+    overdue: TimeDelta,
     open: BTreeMap<RequestId, Open<W, A>>,
     /// Requests whose answer has begun, with their class; nothing more is owed, but their client may go.
     begun: BTreeMap<RequestId, usize>,
     out: BTreeMap<(RequestId, u8), Out>,
-    deadlines: BTreeSet<(Micros, RequestId)>,
-    timers: BTreeSet<(Micros, u64)>,
+    deadlines: BTreeSet<(Timestamp, RequestId)>,
+    timers: BTreeSet<(Timestamp, u64)>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     figures: Arc<Figures>,
@@ -71,13 +71,13 @@
     sights: Sights,
     gate: Gate,
     /// Questions to hosts, where these are asked in turn with other daemons.
-    asks: Option<Asks<MemberId>>,
+    asks: Option<Asks<EndpointId>>,
     /// What hosts last told, to answer a question that need not be asked.
-    reports: BTreeMap<MemberId, Report>,
+    reports: BTreeMap<EndpointId, Report>,
     /// The program ends: nothing more is taken.
     ended: bool,
     /// Questions to hosts that are out: when each went.
-    asked: BTreeMap<MemberId, Micros>,
+    asked: BTreeMap<EndpointId, Timestamp>,
 }
 
 impl<W: Clone, A> Owner<W, A> {
@@ -93,7 +93,7 @@
             seed,
             members: Members::default(),
             most: limits.requests,
-            overdue: limits.overdue.as_micros() as Micros,
+            overdue: TimeDelta::from(limits.overdue),
             open: BTreeMap::new(),
             begun: BTreeMap::new(),
             out: BTreeMap::new(),
@@ -109,7 +109,7 @@
     }
 
     /// When something is due next.
-    pub fn next_due(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Timestamp> {
         let timer = self.timers.first().map(|(at, _)| *at);
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let turn = self.asks.as_ref().and_then(Asks::next);
@@ -122,7 +122,7 @@
     }
 
     /// What holds now. What is avoided is the module's to tell.
-    pub fn gauges(&self, now: Micros) -> Gauges {
+    pub fn gauges(&self, now: Timestamp) -> Gauges {
         let (targets, disabled) = self.router.avoids(now);
         Gauges { concurrent: self.open.len() + self.begun.len(), targets, disabled }
     }
@@ -130,9 +130,9 @@
     /// What hosts have told since this was last asked.
     pub fn facts(&mut self) -> Vec<Fact> {
         let new = self.facts.take();
-        let mut out: BTreeMap<MemberId, u16> = BTreeMap::new();
+        let mut out: BTreeMap<EndpointId, u16> = BTreeMap::new();
         self.out.values().for_each(|flight| *out.entry(flight.member).or_default() += 1);
-        let fact = |(member, new): (MemberId, New)| {
+        let fact = |(member, new): (EndpointId, New)| {
             let host = self.members.host(member)?;
             Some(Fact {
                 host: host.name.clone(),
@@ -150,7 +150,7 @@
     }
 
     /// What was seen of each host within the last moment.
-    pub fn sights(&mut self, now: Micros) -> BTreeMap<String, Seen> {
+    pub fn sights(&mut self, now: Timestamp) -> BTreeMap<String, Seen> {
         let Owner { sights, out, members, .. } = self;
         let seen = sights.read(now, out.values().copied()).into_iter();
         seen.filter_map(|(member, seen)| Some((members.host(member)?.name.clone(), seen))).collect()
@@ -158,7 +158,7 @@
 
     /// Reads that are out at these hosts and overdue are called off; the module asks them elsewhere, as far as their
     /// class permits. Nothing else is: what may have written is waited for.
-    pub fn call_off(&mut self, now: Micros, hosts: &BTreeSet<String>, commands: &mut Vec<Command<W>>) {
+    pub fn call_off(&mut self, now: Timestamp, hosts: &BTreeSet<String>, commands: &mut Vec<Command<W>>) {
         for (&(id, attempt), flight) in &self.out {
             let class = self.settings.classes.get(flight.class);
             let is_safe = class.is_some_and(|c| c.repeat == Some(Repeat::Safe));
@@ -170,12 +170,12 @@
     }
 
     /// The terms on which requests are let in.
-    pub fn admit(&mut self, now: Micros, terms: Option<Terms>) {
+    pub fn admit(&mut self, now: Timestamp, terms: Option<Terms>) {
         self.gate.set(now, terms);
     }
 
     /// Hosts are asked in turn with others from now on, or whenever the module wants it.
-    pub fn turns(&mut self, now: Micros, turns: Option<Turns>, commands: &mut Vec<Command<W>>) {
+    pub fn turns(&mut self, now: Timestamp, turns: Option<Turns>, commands: &mut Vec<Command<W>>) {
         match (turns, &mut self.asks) {
             (Some(Turns { others, .. }), Some(asks)) => asks.hears(others),
             (Some(Turns { me, others }), none) => *none = Some(Asks::new(me, others)),
@@ -190,29 +190,30 @@
     }
 
     /// Takes in what others heard hosts say. What this daemon heard itself, and later, counts for more.
-    pub fn told(&mut self, now: Micros, all: Vec<Told>, commands: &mut Vec<Command<W>>) {
+    pub fn told(&mut self, now: Timestamp, all: Vec<Told>, commands: &mut Vec<Command<W>>) {
         for Told { host, primary, position, at, fresh } in all {
             let Some(member) = self.members.find(&host) else { continue };
+            let committed = position.commit_time(Timestamp::ZERO);
             let later = self.facts.heard(member).is_some_and(|own| own >= at);
-            if !later && position <= now + AHEAD {
+            if !later && committed <= now + AHEAD {
                 self.facts.known(member, position, at);
             }
-            if later || !fresh || position > now + AHEAD || self.asks.is_none() {
+            if later || !fresh || committed > now + AHEAD || self.asks.is_none() {
                 continue;
             }
             let report = report_of(&self.settings.report_fields, |field| match field {
-                "x0" => Some(position as f64 / 1e6),
+                "x0" => Some(position.as_micros() as f64 / 1e6),
                 "x1" => Some(f64::from(u8::from(primary))),
                 _ => None,
             });
             self.learned(now, member, report);
             commands.push(Command::Heard(host));
-            self.tell(now, Event::Probed { member, ok: true, took: 0, report }, commands);
+            self.tell(now, Event::Probed { member, ok: true, took: TimeDelta::ZERO, report }, commands);
         }
     }
 
     /// A host's report is known now, to whoever wants it within a moment.
-    fn learned(&mut self, now: Micros, member: MemberId, report: Report) {
+    fn learned(&mut self, now: Timestamp, member: EndpointId, report: Report) {
         if let Some(asks) = self.asks.as_mut().filter(|_| report.count > 0) {
             asks.told(now, member);
             self.reports.insert(member, report);
@@ -225,12 +226,14 @@
     }
 
     /// How long a host has run, by its report.
-    fn up(&self, report: &Report) -> Option<Micros> {
-        self.field(report, "up").filter(|up| (0.0..1e10).contains(up)).map(|up| (up * 1e6) as Micros)
+    fn up(&self, report: &Report) -> Option<TimeDelta> {
+        self.field(report, "up")
+            .filter(|up| (0.0..1e10).contains(up))
+            .map(|up| TimeDelta::from_micros_f64(up * 1e6))
     }
 
     /// Asks a host about itself.
-    fn probe(&mut self, now: Micros, member: MemberId, commands: &mut Vec<Command<W>>) {
+    fn probe(&mut self, now: Timestamp, member: EndpointId, commands: &mut Vec<Command<W>>) {
         let host = self.members.host(member).filter(|h| h.open).map(|h| h.name.clone());
         match host {
             Some(host) => {
@@ -239,13 +242,13 @@
             }
             None => {
                 let report = Report::default();
-                self.events.push_back(Event::Probed { member, ok: false, took: 0, report });
+                self.events.push_back(Event::Probed { member, ok: false, took: TimeDelta::ZERO, report });
             }
         }
     }
 
     /// Fires what is due.
-    pub fn due(&mut self, now: Micros, commands: &mut Vec<Command<W>>) {
+    pub fn due(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
         for member in self.asks.as_mut().map(|asks| asks.due(now)).unwrap_or_default() {
             self.probe(now, member, commands);
         }
@@ -269,7 +272,7 @@
     }
 
     /// Takes in a list.
-    pub fn list(&mut self, now: Micros, list: &Listing, cached: bool, commands: &mut Vec<Command<W>>) {
+    pub fn list(&mut self, now: Timestamp, list: &Listing, cached: bool, commands: &mut Vec<Command<W>>) {
         let (kind, entries, changed) = self.members.apply(list, cached);
         if changed.iter().any(|h| h.gone) {
             let members = &self.members;
@@ -285,7 +288,7 @@
     }
 
     /// Takes in what a front or a host side has to say.
-    pub fn input(&mut self, now: Micros, input: Input<W, A>, commands: &mut Vec<Command<W>>) {
+    pub fn input(&mut self, now: Timestamp, input: Input<W, A>, commands: &mut Vec<Command<W>>) {
         match input {
             Input::Request(request) => self.take(now, request, commands),
             Input::Lapsed(id) => {
@@ -312,9 +315,12 @@
             Input::Ended(ended) => self.ended(now, ended, commands),
             Input::Probed { member, took, report } => {
                 let (ok, report) = (report.is_some(), self.credible(now, report.unwrap_or_default()));
-                let sent = self.asked.remove(&member).unwrap_or(0);
+                let sent = self.asked.remove(&member).unwrap_or(Timestamp::ZERO);
                 if let (Some(position), Some(role)) = (self.field(&report, "x0"), self.field(&report, "x1")) {
-                    let mark = Mark { primary: role >= 0.5, position: (position * 1e6) as Micros };
+                    let mark = Mark {
+                        primary: role >= 0.5,
+                        position: LogPosition::from_micros((position * 1e6) as i64),
+                    };
                     self.facts.note(member, believed(now, Some(mark)), self.up(&report), sent, now);
                     self.learned(now, member, report);
                 }
@@ -324,7 +330,7 @@
         }
     }
 
-    fn take(&mut self, now: Micros, request: Submission<W, A>, commands: &mut Vec<Command<W>>) {
+    fn take(&mut self, now: Timestamp, request: Submission<W, A>, commands: &mut Vec<Command<W>>) {
         let Submission { ask, deadline, work, reply } = request;
         let early = if !self.members.knows_group(ask.group) {
             Some(Final::UnknownGroup)
@@ -341,7 +347,7 @@
         }
         let need = match self.settings.classes.get(ask.class).and_then(|c| Some((c.consistency?, c.max_age)))
         {
-            Some((Consistency::Bounded, age)) => Need::Age(age.unwrap_or(0)),
+            Some((Consistency::Bounded, age)) => Need::Age(age.unwrap_or(TimeDelta::ZERO)),
             Some((Consistency::Session, _)) => ask.token_age.map_or(Need::Any, |age| Need::Since(now - age)),
             Some((Consistency::Strong, _)) => Need::Since(now),
             _ => Need::Any,
@@ -350,11 +356,11 @@
         self.open
             .insert(ask.id, Open { work, reply, deadline, attempts: 0, first_ran: None, need, class, group });
         self.deadlines.insert((deadline + self.overdue, ask.id));
-        let ask = Ask { patience: (deadline - now).max(0), ..ask };
+        let ask = Ask { patience: (deadline - now).or_zero(), ..ask };
         self.tell(now, Event::Request(ask), commands);
     }
 
-    fn ended(&mut self, now: Micros, ended: Ended<A>, commands: &mut Vec<Command<W>>) {
+    fn ended(&mut self, now: Timestamp, ended: Ended<A>, commands: &mut Vec<Command<W>>) {
         let Ended { id, attempt, outcome, mark, report, answer } = ended;
         let mark = believed(now, mark);
         let report = self.credible(now, report);
@@ -400,7 +406,7 @@
 
     /// Answers all that is open: the program ends, and what it took and left unanswered would be lost. What no
     /// attempt was made for may be asked again, and so may what comes from now on.
-    pub fn end(&mut self, now: Micros, commands: &mut Vec<Command<W>>) {
+    pub fn end(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
         self.ended = true;
         let open: Vec<(RequestId, u8)> = self.open.iter().map(|(id, open)| (*id, open.attempts)).collect();
         for (id, attempts) in open {
@@ -416,9 +422,9 @@
     }
 
     /// A load report, or an empty one where its position cannot be.
-    fn credible(&self, now: Micros, report: Report) -> Report {
-        let zero = self.settings.zero.unwrap_or(0) as f64;
-        let cannot_be = |x0: f64| zero + x0 * 1e6 > (now + AHEAD) as f64 || x0 < 0.0;
+    fn credible(&self, now: Timestamp, report: Report) -> Report {
+        let zero = self.settings.zero.unwrap_or(Timestamp::ZERO).as_micros() as f64;
+        let cannot_be = |x0: f64| zero + x0 * 1e6 > (now + AHEAD).as_micros() as f64 || x0 < 0.0;
         if self.field(&report, "x0").is_some_and(cannot_be) { Report::default() } else { report }
     }
 
@@ -439,7 +445,7 @@
         }
     }
 
-    fn tell(&mut self, now: Micros, event: Event, commands: &mut Vec<Command<W>>) {
+    fn tell(&mut self, now: Timestamp, event: Event, commands: &mut Vec<Command<W>>) {
         self.events.push_back(event);
         if self.facts.is_urgent() {
             commands.push(Command::News);
@@ -448,7 +454,7 @@
     }
 
     /// Tells the module what waits, and does what it says.
-    fn work_off(&mut self, now: Micros, commands: &mut Vec<Command<W>>) {
+    fn work_off(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             let handled = catch_unwind(AssertUnwindSafe(|| self.router.handle(now, event, &mut actions)));
@@ -481,7 +487,7 @@
         self.events.push_back(Event::Members { kind: ListKind::Cached, entries });
     }
 
-    fn act(&mut self, now: Micros, action: Action, commands: &mut Vec<Command<W>>) {
+    fn act(&mut self, now: Timestamp, action: Action, commands: &mut Vec<Command<W>>) {
         match action {
             Action::Send { id, member, stop_at } => self.send(now, id, member, stop_at, commands),
             Action::Refuse { id, retry_in } => {
@@ -497,7 +503,7 @@
                     commands.push(Command::Cancel { id, attempt });
                 }
             }
-            Action::WakeIn { span, timer } => drop(self.timers.insert((now + span.max(0), timer))),
+            Action::WakeIn { span, timer } => drop(self.timers.insert((now + span.or_zero(), timer))),
             Action::Probe { member } => {
                 let name = self.members.host(member).map(|h| h.name.as_str()).unwrap_or_default();
                 match self.asks.as_mut().map_or(Question::Now, |asks| asks.wanted(now, member, name)) {
@@ -508,7 +514,7 @@
                         self.events.push_back(Event::Probed {
                             member,
                             ok: report.count > 0,
-                            took: 0,
+                            took: TimeDelta::ZERO,
                             report,
                         });
                     }
@@ -525,16 +531,16 @@
         }
     }
 
-    fn is_late(&self, now: Micros, id: RequestId) -> bool {
+    fn is_late(&self, now: Timestamp, id: RequestId) -> bool {
         self.open.get(&id).is_some_and(|open| now >= open.deadline)
     }
 
     fn send(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         id: RequestId,
-        member: MemberId,
-        stop_at: Option<Micros>,
+        member: EndpointId,
+        stop_at: Option<Timestamp>,
         commands: &mut Vec<Command<W>>,
     ) {
         let Some(open) = self.open.get_mut(&id) else {
@@ -553,7 +559,7 @@
                 id,
                 attempt,
                 member,
-                took: 0,
+                took: TimeDelta::ZERO,
                 outcome,
                 finished: false,
                 mark: None,
@@ -565,7 +571,7 @@
         let until = stop_at.map_or(open.deadline, |at| at.min(open.deadline));
         let send_by = open.first_ran.and_then(|first| {
             let class = self.settings.classes.get(open.class)?;
-            (class.repeat == Some(Repeat::Keyed)).then(|| first + class.key_window.unwrap_or(0))
+            (class.repeat == Some(Repeat::Keyed)).then(|| first + class.key_window.unwrap_or(TimeDelta::ZERO))
         });
         let (host, work, need, class) = (host.name.clone(), open.work.clone(), open.need, open.class);
         self.out.insert((id, attempt), Out { member, class, sent: now });
--- a/src/core/owner/tests.rs
+++ b/src/core/owner/tests.rs
@@ -7,12 +7,16 @@
 
 type Out = Vec<Command<&'static str>>;
 
+fn at(micros: i64) -> Timestamp {
+    Timestamp::from_micros(micros)
+}
+
 fn owner() -> (Owner<&'static str, &'static str>, Out) {
     let class = Class {
-        aim: Some(500_000),
+        aim: Some(TimeDelta::from_millis(500)),
         repeat: Some(Repeat::Safe),
         consistency: Some(Consistency::Bounded),
-        max_age: Some(800_000),
+        max_age: Some(TimeDelta::from_millis(800)),
         ..Class::default()
     };
     let settings = Settings {
@@ -27,35 +31,37 @@
     let mut owner = Owner::new(settings, 1, &limits, figures);
     let mut out = Out::new();
     let list = Listing { index: 1, whole: true, entries: vec![Listed::plain("a"), Listed::plain("b")] };
-    owner.list(1_000, &list, false, &mut out);
+    owner.list(at(1_000), &list, false, &mut out);
     assert!(matches!(&out[..], [Command::Hosts(hosts)] if hosts.len() == 2));
     (owner, Out::new())
 }
 
 fn request(
     id: u64,
-    token_age: Option<Micros>,
+    token_age: Option<TimeDelta>,
 ) -> (Input<&'static str, &'static str>, Receiver<Final<&'static str>>) {
     let (reply, answer) = async_channel::bounded(1);
-    let ask = Ask { id, group: 1, token_age, ..Ask::default() };
-    (Input::Request(Submission { ask, deadline: 1_000_000, work: "w", reply }), answer)
+    let ask = Ask { id: RequestId(id), group: GroupId(1), token_age, ..Ask::default() };
+    (Input::Request(Submission { ask, deadline: at(1_000_000), work: "w", reply }), answer)
 }
 
 fn ended(id: u64, attempt: u8, outcome: Outcome) -> Input<&'static str, &'static str> {
     let answer = (outcome == Outcome::Ok).then_some("value");
-    let mark = Some(Mark { primary: true, position: 0 });
-    Input::Ended(Ended { id, attempt, outcome, mark, report: Report::default(), answer })
+    let mark = Some(Mark { primary: true, position: LogPosition::UNKNOWN });
+    Input::Ended(Ended { id: RequestId(id), attempt, outcome, mark, report: Report::default(), answer })
 }
 
 #[test]
 fn one_final_answer_and_late_results_are_dropped() {
     let (mut owner, mut out) = owner();
     let (input, answer) = request(1, None);
-    owner.input(2_000, input, &mut out);
-    let need = Need::Age(800_000);
-    assert!(matches!(&out[..], [Command::Attempt { id: 1, attempt: 0, need: n, .. }] if *n == need));
-    owner.input(3_000, ended(1, 0, Outcome::Ok), &mut out);
-    owner.input(4_000, ended(1, 0, Outcome::Ok), &mut out);
+    owner.input(at(2_000), input, &mut out);
+    let need = Need::Age(TimeDelta::from_millis(800));
+    assert!(
+        matches!(&out[..], [Command::Attempt { id: RequestId(1), attempt: 0, need: n, .. }] if *n == need)
+    );
+    owner.input(at(3_000), ended(1, 0, Outcome::Ok), &mut out);
+    owner.input(at(4_000), ended(1, 0, Outcome::Ok), &mut out);
     assert_eq!(answer.try_recv(), Ok(Final::Served("value")));
     assert!(answer.try_recv().is_err());
     assert_eq!(owner.open(), 0);
@@ -66,11 +72,11 @@
 fn a_client_that_goes_has_its_attempt_called_off() {
     let (mut owner, mut out) = owner();
     let (input, answer) = request(1, None);
-    owner.input(2_000, input, &mut out);
+    owner.input(at(2_000), input, &mut out);
     out.clear();
-    owner.input(3_000, Input::Lapsed(1), &mut out);
-    assert_eq!(out, [Command::Cancel { id: 1, attempt: 0 }]);
-    owner.input(4_000, ended(1, 0, Outcome::Ok), &mut out);
+    owner.input(at(3_000), Input::Lapsed(RequestId(1)), &mut out);
+    assert_eq!(out, [Command::Cancel { id: RequestId(1), attempt: 0 }]);
+    owner.input(at(4_000), ended(1, 0, Outcome::Ok), &mut out);
     assert!(answer.try_recv().is_err());
 }
 
@@ -79,14 +85,14 @@
 fn an_answer_that_has_begun_is_final_and_ends_with_its_client() {
     let (mut owner, mut out) = owner();
     let (input, answer) = request(1, None);
-    owner.input(2_000, input, &mut out);
+    owner.input(at(2_000), input, &mut out);
     out.clear();
-    owner.input(3_000, Input::Started { id: 1, attempt: 0, answer: "begun" }, &mut out);
+    owner.input(at(3_000), Input::Started { id: RequestId(1), attempt: 0, answer: "begun" }, &mut out);
     assert_eq!(answer.try_recv(), Ok(Final::Served("begun")));
-    owner.due(5_000_000, &mut out);
-    assert!(!out.contains(&Command::Cancel { id: 1, attempt: 0 }), "its deadline no longer binds");
-    owner.input(5_000_000, Input::Lapsed(1), &mut out);
-    assert!(out.contains(&Command::Cancel { id: 1, attempt: 0 }));
+    owner.due(at(5_000_000), &mut out);
+    assert!(!out.contains(&Command::Cancel { id: RequestId(1), attempt: 0 }), "its deadline no longer binds");
+    owner.input(at(5_000_000), Input::Lapsed(RequestId(1)), &mut out);
+    assert!(out.contains(&Command::Cancel { id: RequestId(1), attempt: 0 }));
 }
 
 #[test]
@@ -95,14 +101,14 @@
     let answers: Vec<_> = (1..=4)
         .map(|id| {
             let (input, answer) = request(id, None);
-            owner.input(2_000, input, &mut out);
+            owner.input(at(2_000), input, &mut out);
             answer
         })
         .collect();
     assert_eq!(answers[3].try_recv(), Ok(Final::Refused { retry_in: None, overdue: false }));
     let (Input::Request(mut s), answer) = request(9, None) else { return };
-    s.ask.group = 7;
-    owner.input(2_000, Input::Request(s), &mut out);
+    s.ask.group = GroupId(7);
+    owner.input(at(2_000), Input::Request(s), &mut out);
     assert_eq!(answer.try_recv(), Ok(Final::UnknownGroup));
 }
 
@@ -111,17 +117,17 @@
 fn at_the_end_all_that_is_open_is_answered() {
     let (mut owner, mut out) = owner();
     let (input, sent) = request(1, None);
-    owner.input(2_000, input, &mut out);
+    owner.input(at(2_000), input, &mut out);
     let draining = Listing { index: 2, whole: true, entries: Vec::new() };
-    owner.list(2_500, &draining, false, &mut out);
+    owner.list(at(2_500), &draining, false, &mut out);
     let (input, held) = request(2, None);
-    owner.input(3_000, input, &mut out);
+    owner.input(at(3_000), input, &mut out);
     assert!(held.try_recv().is_err() && sent.try_recv().is_err());
     out.clear();
-    owner.end(4_000, &mut out);
+    owner.end(at(4_000), &mut out);
     assert_eq!(sent.try_recv(), Ok(Final::Failed { overdue: false }));
     assert_eq!(held.try_recv(), Ok(Final::Refused { retry_in: None, overdue: false }));
-    assert_eq!((owner.open(), out), (0, vec![Command::Cancel { id: 1, attempt: 0 }]));
+    assert_eq!((owner.open(), out), (0, vec![Command::Cancel { id: RequestId(1), attempt: 0 }]));
 }
 
 /// Guards against a position or a report out of this world: it would pass for fresh for ever.
@@ -131,12 +137,12 @@
     owner.settings.report_fields = vec!["x0".into()];
     let report = |x0| Report { values: [x0; 4], count: 1 };
     for (x0, believed) in [(4.5, 1), (7.0, 0), (f64::MAX, 0), (-1.0, 0)] {
-        assert_eq!(owner.credible(5_000_000, report(x0)).count, believed, "{x0}");
+        assert_eq!(owner.credible(at(5_000_000), report(x0)).count, believed, "{x0}");
     }
-    let told = |position| Some(Mark { primary: false, position });
-    assert_eq!(believed(5_000_000, told(4_000_000)), told(4_000_000));
-    assert_eq!(believed(5_000_000, told(5_000_001)), told(5_000_000), "a clock that is a little ahead");
-    assert_eq!(believed(5_000_000, told(Micros::MAX)), None);
+    let told = |micros| Some(Mark { primary: false, position: LogPosition::from_micros(micros) });
+    assert_eq!(believed(at(5_000_000), told(4_000_000)), told(4_000_000));
+    assert_eq!(believed(at(5_000_000), told(5_000_001)), told(5_000_000), "a clock that is a little ahead");
+    assert_eq!(believed(at(5_000_000), told(i64::MAX)), None);
 }
 
 /// Guards against a fault of the module that would end the process and all that it has taken.
@@ -144,20 +150,20 @@
 fn a_module_that_panics_is_replaced_and_goes_on_from_the_list() {
     let (mut owner, mut out) = owner();
     let (input, open) = request(1, None);
-    owner.input(2_000, input, &mut out);
+    owner.input(at(2_000), input, &mut out);
     out.clear();
     // An age that no front hands in, since its arithmetic overflows.
-    let (poison, answer) = request(2, Some(Micros::MIN));
-    owner.input(3_000, poison, &mut out);
+    let (poison, answer) = request(2, Some(TimeDelta::from_micros(i64::MIN)));
+    owner.input(at(3_000), poison, &mut out);
     assert_eq!(answer.try_recv(), Ok(Final::Failed { overdue: false }));
     assert_eq!(open.try_recv(), Ok(Final::Failed { overdue: false }));
-    assert_eq!(out, [Command::Cancel { id: 1, attempt: 0 }]);
-    owner.input(3_500, ended(1, 0, Outcome::Cancelled), &mut out);
+    assert_eq!(out, [Command::Cancel { id: RequestId(1), attempt: 0 }]);
+    owner.input(at(3_500), ended(1, 0, Outcome::Cancelled), &mut out);
     out.clear();
     let (input, answer) = request(3, None);
-    owner.input(4_000, input, &mut out);
-    assert!(matches!(&out[..], [Command::Attempt { id: 3, .. }]), "{out:?}");
-    owner.input(5_000, ended(3, 0, Outcome::Ok), &mut out);
+    owner.input(at(4_000), input, &mut out);
+    assert!(matches!(&out[..], [Command::Attempt { id: RequestId(3), .. }]), "{out:?}");
+    owner.input(at(5_000), ended(3, 0, Outcome::Ok), &mut out);
     assert_eq!(answer.try_recv(), Ok(Final::Served("value")));
 }
 
@@ -165,9 +171,9 @@
 #[test]
 fn what_comes_after_the_last_answers_is_refused_at_once() {
     let (mut owner, mut out) = owner();
-    owner.end(2_000, &mut out);
+    owner.end(at(2_000), &mut out);
     let (input, late) = request(1, None);
-    owner.input(3_000, input, &mut out);
+    owner.input(at(3_000), input, &mut out);
     assert_eq!(late.try_recv(), Ok(Final::Refused { retry_in: None, overdue: false }));
     assert!(out.is_empty() && owner.open() == 0, "{out:?}");
 }
@@ -178,18 +184,22 @@
 fn a_repeat_of_a_keyed_request_carries_the_end_of_its_window() {
     let (mut owner, mut out) = owner();
     owner.settings.classes[0].repeat = Some(Repeat::Keyed);
-    owner.settings.classes[0].key_window = Some(300_000);
+    owner.settings.classes[0].key_window = Some(TimeDelta::from_millis(300));
     let (input, _answer) = request(1, None);
-    owner.input(2_000, input, &mut out);
+    owner.input(at(2_000), input, &mut out);
     let send_by = |out: &Out| match out.last() {
         Some(Command::Attempt { send_by, .. }) => *send_by,
         other => panic!("{other:?}"),
     };
     assert_eq!(send_by(&out), None, "nothing has run");
-    owner.input(10_000, ended(1, 0, Outcome::ConnectFailed), &mut out);
+    owner.input(at(10_000), ended(1, 0, Outcome::ConnectFailed), &mut out);
     assert_eq!(send_by(&out), None, "it never ran");
     let Some(Command::Attempt { attempt, .. }) = out.last().cloned() else { return };
     assert_eq!(attempt, 1);
-    owner.input(20_000, ended(1, 1, Outcome::Reset), &mut out);
-    assert_eq!(send_by(&out), Some(10_000 + 300_000), "counted from the send of the one that may have run");
+    owner.input(at(20_000), ended(1, 1, Outcome::Reset), &mut out);
+    assert_eq!(
+        send_by(&out),
+        Some(at(10_000 + 300_000)),
+        "counted from the send of the one that may have run"
+    );
 }
--- a/src/core/sights.rs
+++ b/src/core/sights.rs
@@ -3,26 +3,26 @@
 //!
 //! An attempt that is still out counts as silent before its time is over: in a zone that has gone nothing ends.
 
-use crate::interface::{MemberId, Micros, Outcome};
+use crate::interface::{EndpointId, Outcome, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
 /// A moment, in parts that fade one by one.
 const PARTS: i64 = 6;
-const PART: Micros = 100_000;
+const PART: TimeDelta = TimeDelta::from_millis(100);
 /// How long a moment is.
-pub const SPAN: Micros = PARTS * PART;
+pub const SPAN: TimeDelta = TimeDelta::from_micros(PARTS * PART.as_micros());
 /// An answer is late that took so many times the usual of its class, and this more.
 const LATE: f64 = 5.0;
-const JITTER: Micros = 30_000;
+const JITTER: TimeDelta = TimeDelta::from_millis(30);
 /// An attempt that is out is silent after that time, and no sooner than after this.
-const SILENT: Micros = 400_000;
+const SILENT: TimeDelta = TimeDelta::from_millis(400);
 /// What has failed at a host since its last answer is told for so long: it is tried seldom then, and nobody would know
 /// that it is still gone. Less than a zone stays left.
-const HELD: Micros = 2_000_000;
+const HELD: TimeDelta = TimeDelta::from_secs(2);
 /// So many of a kind are.
 const FEW: u32 = 4;
 /// No attempt is out for so long.
-const LONG: Micros = 600_000_000;
+const LONG: TimeDelta = TimeDelta::from_secs(600);
 /// The usual is what sound hosts take: slower answers raise it slowly, faster ones lower it soon.
 const RISE: f64 = 0.01;
 const FALL: f64 = 0.1;
@@ -60,11 +60,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Out {
     /// Where.
-    pub member: MemberId,
+    pub member: EndpointId,
     /// Its class.
     pub class: usize,
     /// When it was sent.
-    pub sent: Micros,
+    pub sent: Timestamp,
 }
 
 /// All hosts. Off until somebody reads it: nothing is kept for nobody.
@@ -72,27 +72,34 @@
 pub struct Sights {
     on: bool,
     /// By host, the number of the part and what was seen in it.
-    all: BTreeMap<MemberId, Vec<(i64, Seen)>>,
+    all: BTreeMap<EndpointId, Vec<(i64, Seen)>>,
     usual: BTreeMap<usize, f64>,
-    busy: BTreeMap<MemberId, f64>,
+    busy: BTreeMap<EndpointId, f64>,
     /// When each last answered an attempt: one that answers questions about itself alone does no work.
-    answered: BTreeMap<MemberId, Micros>,
+    answered: BTreeMap<EndpointId, Timestamp>,
     /// What failed since, and when last.
-    failed: BTreeMap<MemberId, (Seen, Micros)>,
+    failed: BTreeMap<EndpointId, (Seen, Timestamp)>,
 }
 
 impl Sights {
-    fn bound(&self, class: usize) -> Micros {
-        self.usual.get(&class).map_or(SILENT, |usual| (usual * LATE) as Micros) + JITTER
+    fn bound(&self, class: usize) -> TimeDelta {
+        self.usual.get(&class).map_or(SILENT, |usual| TimeDelta::from_micros_f64(usual * LATE)) + JITTER
     }
 
     /// An attempt that is out for longer is overdue.
-    fn patience(&self, class: usize) -> Micros {
+    fn patience(&self, class: usize) -> TimeDelta {
         self.bound(class).max(SILENT)
     }
 
     /// An attempt has ended. Whoever stops waiting early says nothing about the host.
-    pub fn ended(&mut self, now: Micros, member: MemberId, class: usize, took: Micros, outcome: Outcome) {
+    pub fn ended(
+        &mut self,
+        now: Timestamp,
+        member: EndpointId,
+        class: usize,
+        took: TimeDelta,
+        outcome: Outcome,
+    ) {
         if !self.on {
             return;
         }
@@ -107,9 +114,9 @@
             _ => return,
         }
         if outcome == Outcome::Ok {
-            let usual = self.usual.entry(class).or_insert(took as f64);
-            let weight = if took as f64 > *usual { RISE } else { FALL };
-            *usual += (took as f64 - *usual) * weight;
+            let usual = self.usual.entry(class).or_insert(took.as_micros_f64());
+            let weight = if took.as_micros_f64() > *usual { RISE } else { FALL };
+            *usual += (took.as_micros_f64() - *usual) * weight;
         }
         if seen.good + seen.late > 0 {
             self.answered.insert(member, now);
@@ -119,7 +126,7 @@
             failed.add(&seen);
             *at = now;
         }
-        let part = now / PART;
+        let part = now.since(Timestamp::ZERO) / PART;
         let parts = self.all.entry(member).or_default();
         parts.retain(|(n, _)| part - n < PARTS);
         match parts.last_mut() {
@@ -129,7 +136,7 @@
     }
 
     /// A host has said which part of its capacity is in use.
-    pub fn busy(&mut self, member: MemberId, util: f64) {
+    pub fn busy(&mut self, member: EndpointId, util: f64) {
         if !self.on {
             return;
         }
@@ -138,14 +145,14 @@
     }
 
     /// Whether an attempt has been out for longer than any sound answer of its class takes.
-    pub fn is_overdue(&self, now: Micros, out: &Out) -> bool {
+    pub fn is_overdue(&self, now: Timestamp, out: &Out) -> bool {
         now - out.sent > self.patience(out.class)
     }
 
     /// What was seen of each host within the last moment. `out`: the attempts that are out now.
-    pub fn read(&mut self, now: Micros, out: impl Iterator<Item = Out>) -> BTreeMap<MemberId, Seen> {
+    pub fn read(&mut self, now: Timestamp, out: impl Iterator<Item = Out>) -> BTreeMap<EndpointId, Seen> {
         self.on = true;
-        let part = now / PART;
+        let part = now.since(Timestamp::ZERO) / PART;
         self.all.retain(|_, parts| {
             parts.retain(|(n, _)| part - n < PARTS);
             !parts.is_empty()
@@ -154,7 +161,7 @@
         self.failed.retain(|_, (_, at)| now - *at < HELD);
         let Sights { all, busy, .. } = self;
         busy.retain(|member, _| all.contains_key(member));
-        let mut seen: BTreeMap<MemberId, Seen> = BTreeMap::new();
+        let mut seen: BTreeMap<EndpointId, Seen> = BTreeMap::new();
         for (member, parts) in &self.all {
             parts.iter().for_each(|(_, s)| seen.entry(*member).or_default().add(s));
         }
@@ -183,13 +190,17 @@
 mod tests {
     use super::*;
 
-    const A: MemberId = MemberId { ip: [0; 4], port: 1 };
-    const MS: Micros = 1_000;
+    const A: EndpointId = EndpointId { ip: [0; 4], port: 1 };
+    const MS: TimeDelta = TimeDelta::from_millis(1);
+
+    fn at(since: TimeDelta) -> Timestamp {
+        Timestamp::ZERO + since
+    }
 
     /// Somebody reads it.
     fn sights() -> Sights {
         let mut sights = Sights::default();
-        assert!(sights.read(0, std::iter::empty()).is_empty());
+        assert!(sights.read(Timestamp::ZERO, std::iter::empty()).is_empty());
         sights
     }
 
@@ -197,12 +208,12 @@
     #[test]
     fn nothing_is_kept_before_somebody_reads_it_nor_of_what_is_long_gone() {
         let mut sights = Sights::default();
-        sights.ended(0, A, 0, MS, Outcome::Ok);
+        sights.ended(Timestamp::ZERO, A, 0, MS, Outcome::Ok);
         sights.busy(A, 0.5);
-        assert!(sights.read(MS, std::iter::empty()).is_empty());
-        sights.ended(0, A, 0, MS, Outcome::Ok);
+        assert!(sights.read(at(MS), std::iter::empty()).is_empty());
+        sights.ended(Timestamp::ZERO, A, 0, MS, Outcome::Ok);
         sights.busy(A, 0.5);
-        sights.read(LONG, std::iter::empty());
+        sights.read(at(LONG), std::iter::empty());
         let kept = (sights.all.len(), sights.busy.len(), sights.answered.len(), sights.failed.len());
         assert_eq!(kept, (0, 0, 0, 0));
     }
@@ -212,30 +223,30 @@
     #[test]
     fn what_is_out_too_long_is_silent_unless_its_host_was_heard_since() {
         let mut sights = sights();
-        (0..50).for_each(|n| sights.ended(n * 10 * MS, A, 0, 5 * MS, Outcome::Ok));
+        (0..50).for_each(|n| sights.ended(at(n * 10 * MS), A, 0, 5 * MS, Outcome::Ok));
         let out = |sent| [Out { member: A, class: 0, sent }].into_iter();
         // It last answered at 490.
-        assert_eq!(sights.read(880 * MS, out(500 * MS)).get(&A).map_or(0, |s| s.silent), 0);
-        assert_eq!(sights.read(950 * MS, out(500 * MS))[&A].silent, 1);
-        let seen = sights.read(950 * MS, out(480 * MS))[&A];
+        assert_eq!(sights.read(at(880 * MS), out(at(500 * MS))).get(&A).map_or(0, |s| s.silent), 0);
+        assert_eq!(sights.read(at(950 * MS), out(at(500 * MS)))[&A].silent, 1);
+        let seen = sights.read(at(950 * MS), out(at(480 * MS)))[&A];
         assert_eq!((seen.silent, seen.late), (0, 1), "it has answered since, but not this one");
-        sights.ended(960 * MS, A, 0, 5 * MS, Outcome::Ok);
-        assert_eq!(sights.read(970 * MS, out(500 * MS))[&A].silent, 0);
-        assert!(sights.read(5_000 * MS, std::iter::empty()).is_empty(), "what is old has faded");
+        sights.ended(at(960 * MS), A, 0, 5 * MS, Outcome::Ok);
+        assert_eq!(sights.read(at(970 * MS), out(at(500 * MS)))[&A].silent, 0);
+        assert!(sights.read(at(5_000 * MS), std::iter::empty()).is_empty(), "what is old has faded");
     }
 
     /// Guards against a host that is gone, is tried seldom for that, and is forgotten between two tries.
     #[test]
     fn what_failed_last_is_told_until_the_host_answers_or_a_while_has_passed() {
         let mut sights = sights();
-        (0..9).for_each(|_| sights.ended(0, A, 0, MS, Outcome::ConnectFailed));
+        (0..9).for_each(|_| sights.ended(Timestamp::ZERO, A, 0, MS, Outcome::ConnectFailed));
         let none = std::iter::empty;
-        assert_eq!(sights.read(MS, none())[&A].refused, 9);
-        assert_eq!(sights.read(1_900 * MS, none())[&A].refused, FEW);
-        assert!(sights.read(HELD, none()).is_empty());
-        sights.ended(HELD, A, 0, MS, Outcome::Reset);
-        sights.ended(HELD, A, 0, MS, Outcome::Ok);
-        assert!(sights.read(HELD + 700 * MS, none()).is_empty(), "it has answered");
+        assert_eq!(sights.read(at(MS), none())[&A].refused, 9);
+        assert_eq!(sights.read(at(1_900 * MS), none())[&A].refused, FEW);
+        assert!(sights.read(at(HELD), none()).is_empty());
+        sights.ended(at(HELD), A, 0, MS, Outcome::Reset);
+        sights.ended(at(HELD), A, 0, MS, Outcome::Ok);
+        assert!(sights.read(at(HELD + 700 * MS), none()).is_empty(), "it has answered");
     }
 
     /// Guards against a usual that follows a slow zone until nothing there is late any more. Seeded: a third of the
@@ -244,14 +255,14 @@
     fn a_third_that_is_slow_stays_late() {
         for seed in 0..50 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let (mut sights, b) = (sights(), MemberId { ip: [0; 4], port: 2 });
+            let (mut sights, b) = (sights(), EndpointId { ip: [0; 4], port: 2 });
             for n in 0..2_000 {
                 let usual = rng.i64(10..20) * MS;
                 let slow = n > 300 && rng.u8(..3) == 0;
                 let (member, took) = if slow { (b, usual * 10) } else { (A, usual) };
-                sights.ended(n * MS, member, 0, took, Outcome::Ok);
+                sights.ended(at(n * MS), member, 0, took, Outcome::Ok);
             }
-            let seen = sights.read(2_000 * MS, std::iter::empty());
+            let seen = sights.read(at(2_000 * MS), std::iter::empty());
             assert!(seen[&A].late * 10 < seen[&A].good, "seed {seed}: {seen:?}");
             assert!(seen[&b].late > seen[&b].good, "seed {seed}: {seen:?}");
         }
@@ -261,10 +272,10 @@
     fn each_outcome_counts_as_what_it_says_of_the_host() {
         let mut sights = sights();
         let all = [Outcome::Ok, Outcome::Miss, Outcome::ConnectFailed, Outcome::TimedOut, Outcome::Reset];
-        all.into_iter().for_each(|outcome| sights.ended(MS, A, 0, MS, outcome));
-        sights.ended(MS, A, 0, MS, Outcome::Cancelled);
-        sights.ended(MS, A, 0, 500 * MS, Outcome::Cancelled);
-        let seen = sights.read(2 * MS, std::iter::empty())[&A];
+        all.into_iter().for_each(|outcome| sights.ended(at(MS), A, 0, MS, outcome));
+        sights.ended(at(MS), A, 0, MS, Outcome::Cancelled);
+        sights.ended(at(MS), A, 0, 500 * MS, Outcome::Cancelled);
+        let seen = sights.read(at(2 * MS), std::iter::empty())[&A];
         assert_eq!(seen, Seen { good: 2, late: 0, silent: 3, refused: 1, busy: 0 });
         assert_eq!(seen.ended(), 6);
     }
--- a/src/daemon/file.rs
+++ b/src/daemon/file.rs
@@ -3,7 +3,7 @@
 use crate::config::Limits;
 use crate::fleet::zones::Dwell;
 use crate::fleet::zoning::Leaving;
-use crate::interface::{Micros, Settings};
+use crate::interface::{GroupId, Settings, TimeDelta, Timestamp};
 use crate::inventory::yaml::{self, Fault, Kind, Node};
 use crate::inventory::{self, Inventory};
 use crate::net::sparql::front::Service;
@@ -43,7 +43,7 @@
     /// Settings of the service as pairs, a line each; `None`: the store's.
     pub settings: Option<String>,
     /// When the file was last changed.
-    pub changed: Micros,
+    pub changed: Timestamp,
 }
 
 /// The store as the file sets it up.
@@ -224,7 +224,7 @@
     node.get(key).map(read).transpose()
 }
 
-fn parse(path: &Path, text: &str, changed: Micros, limits: &Limits) -> Result<Operator, Fault> {
+fn parse(path: &Path, text: &str, changed: Timestamp, limits: &Limits) -> Result<Operator, Fault> {
     let tree = yaml::parse(text, limits)?;
     let keys = [
         "name",
@@ -281,7 +281,7 @@
             query: text_of(need(front, "query", "sparql")?)?,
             session: optional(front, "session", text_of)?,
             update: text_of(need(front, "update", "sparql")?)?,
-            group: optional(front, "group", |n| n.parsed("group"))?,
+            group: optional(front, "group", |n| n.parsed("group").map(GroupId))?,
         },
         store: StoreConfig {
             listen: loopback(need(store, "listen", "store")?, "listen")?,
@@ -315,10 +315,10 @@
     let mut leaving = Leaving { names: zones.to_vec(), ..Leaving::default() };
     let Some(node) = top.get("leaving") else { return Ok(leaving) };
     let node = section(node, &["automatic", "dwell", "longest"], "leaving")?;
-    let seconds = |n: &Node| -> Result<Micros, Fault> {
+    let seconds = |n: &Node| -> Result<TimeDelta, Fault> {
         let s: f64 = n.parsed("seconds")?;
         let sound = (3.0..=86_400.0).contains(&s);
-        if sound { Ok((s * 1e6) as Micros) } else { Err(n.fault("from 3 to 86400 seconds")) }
+        if sound { Ok(TimeDelta::from_micros_f64(s * 1e6)) } else { Err(n.fault("from 3 to 86400 seconds")) }
     };
     leaving.automatic = optional(node, "automatic", |n| n.parsed("true or false"))?.unwrap_or(true);
     let Dwell { least, longest } = leaving.dwell;
@@ -332,14 +332,14 @@
 }
 
 /// A file's text and when it was changed; one that is too long is refused.
-pub fn text(path: &Path, most: u64) -> Result<(String, Micros), String> {
-    let read = || -> std::io::Result<(String, Micros)> {
+pub fn text(path: &Path, most: u64) -> Result<(String, Timestamp), String> {
+    let read = || -> std::io::Result<(String, Timestamp)> {
         let meta = std::fs::metadata(path)?;
         if meta.len() > most {
             return Err(std::io::Error::other("the file is too long"));
         }
-        let changed = meta.modified()?.duration_since(UNIX_EPOCH).unwrap_or_default().as_micros();
-        Ok((std::fs::read_to_string(path)?, changed as Micros))
+        let changed = meta.modified()?.duration_since(UNIX_EPOCH).unwrap_or_default();
+        Ok((std::fs::read_to_string(path)?, Timestamp::ZERO + TimeDelta::from(changed)))
     };
     read().map_err(|e| format!("{}: {e}", path.display()))
 }
@@ -353,7 +353,7 @@
 }
 
 /// Reads an inventory; errors name file and line.
-pub fn inventory(path: &Path, zones: &[String], limits: &Limits) -> Result<(Inventory, Micros), String> {
+pub fn inventory(path: &Path, zones: &[String], limits: &Limits) -> Result<(Inventory, Timestamp), String> {
     let (text, changed) = text(path, limits.file)?;
     let all = inventory::parse(path, &text, zones, limits).map_err(|e| format!("{}: {e}", path.display()))?;
     Ok((all, changed))
@@ -367,11 +367,17 @@
 
     #[test]
     fn the_example_file_is_read() {
-        let operator = parse(Path::new("deploy/operator.yaml"), FILE, 7, &Limits::for_sockets(0)).unwrap();
+        let operator = parse(
+            Path::new("deploy/operator.yaml"),
+            FILE,
+            Timestamp::from_micros(7),
+            &Limits::for_sockets(0),
+        )
+        .unwrap();
         assert_eq!(operator.inventory, Some(PathBuf::from("deploy/inventory.yaml")));
         let (settings, names, _) = read_settings(operator.settings.as_deref().unwrap(), 1).unwrap();
         assert_eq!(names, ["catalog-read", "own-edit-read", "score-write"]);
-        assert_eq!(settings.classes[0].max_age, Some(800_000));
+        assert_eq!(settings.classes[0].max_age, Some(TimeDelta::from_micros(800_000)));
         assert_eq!(settings.me, Some(1));
     }
 
@@ -402,7 +408,8 @@
         ] {
             let line = FILE.lines().position(|l| l.contains(from)).map(|n| n + 1).expect(from);
             let fault =
-                parse(Path::new("f"), &FILE.replacen(from, to, 1), 0, &Limits::for_sockets(0)).unwrap_err();
+                parse(Path::new("f"), &FILE.replacen(from, to, 1), Timestamp::ZERO, &Limits::for_sockets(0))
+                    .unwrap_err();
             assert!(fault.text.contains(why), "{to}: {fault}");
             assert_eq!(fault.line, line, "{to}: {fault}");
         }
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -9,7 +9,7 @@
 use crate::fleet::api;
 use crate::fleet::driver::{Files, Fleet, Me};
 use crate::fleet::recovery::order::{Cold, Step};
-use crate::interface::{Micros, Settings};
+use crate::interface::{Settings, TimeDelta};
 use crate::net::duty::Duty;
 use crate::net::hosts::Hosts;
 use crate::net::link::Link;
@@ -121,7 +121,7 @@
 fn cold(settings: &Settings) -> Cold {
     Cold {
         share: settings.cold_share.unwrap_or(1.0),
-        warm_up: settings.warm_up.unwrap_or(0),
+        warm_up: settings.warm_up.unwrap_or(TimeDelta::ZERO),
         multiple: settings.fall_multiple.unwrap_or(1.0).max(1.0),
     }
 }
@@ -200,7 +200,7 @@
     let slot: Rc<RefCell<Option<Rc<Front>>>> = Rc::default();
     let accepting = {
         let (slot, clock) = (slot.clone(), clock.clone());
-        let again = early.again.as_micros() as Micros;
+        let again = TimeDelta::from(early.again).as_micros();
         accept(&executor, listener, &seats, move |stream, place, welcome| {
             let (front, early, clock) = (slot.borrow().clone(), early.clone(), clock.clone());
             async move {
@@ -208,8 +208,8 @@
                     Some(front) => front.serve(stream, place, welcome).await,
                     // Not all at one time: what they come back to has just begun.
                     None => {
-                        front::serve_early(stream, place, early, clock, || fastrand::i64(again..2 * again))
-                            .await
+                        let again = || TimeDelta::from_micros(fastrand::i64(again..2 * again));
+                        front::serve_early(stream, place, early, clock, again).await
                     }
                 }
             }
@@ -235,7 +235,7 @@
         }
     }
     let fields = settings.report_fields.clone();
-    let seed = clock.now() as u64;
+    let seed = clock.now().as_micros() as u64;
     let (handle, commands) =
         core::start(settings, &classes, seed, &limits, clock.clone()).map_err(|e| format!("module: {e}"))?;
 
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -13,6 +13,7 @@
 use crate::net::pg::front::Front;
 use crate::net::pg::host::Pg;
 use crate::net::{discovery as watcher, listen, passed};
+use crate::time::TimeDelta;
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use std::cell::{Cell, RefCell};
@@ -20,7 +21,6 @@
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
 use std::rc::Rc;
-use std::time::Duration;
 
 /// Reads the configuration; errors name file and line.
 pub fn load(path: &str) -> Result<Platform, String> {
@@ -44,7 +44,7 @@
     limits.hosts_idle_for(platform.conn_idle);
     limits.deadlines_at_most(&platform.settings.classes);
     if let Some(connect) = platform.settings.connect_timeout {
-        limits.connect = Duration::from_micros(connect.max(1) as u64);
+        limits.connect = connect.max(TimeDelta::from_micros(1)).to_duration();
     }
     limits
 }
--- a/src/fleet/api.rs
+++ b/src/fleet/api.rs
@@ -4,11 +4,12 @@
 use super::members::Wish;
 use super::zoning::Order;
 use crate::core::members::Listed;
+use crate::ids::NodeId;
 use crate::interface::Availability;
 use crate::net::buffer::Buffer;
 use crate::net::http::server::{self, Next, Request};
 use crate::net::link::Link;
-use crate::store::form::NodeId;
+use crate::time::Timestamp;
 use std::fmt::Write;
 use std::rc::Rc;
 use std::time::Instant;
@@ -123,7 +124,10 @@
 fn line(host: &Listed) -> String {
     let Listed { name, address, zone, group, weight, started_at, .. } = host;
     let status = if host.availability == Availability::Ready { "active" } else { "leaving" };
-    format!("{name} {address} {group} {zone} {weight} {status} {}", started_at.unwrap_or(0) / 1000)
+    format!(
+        "{name} {address} {group} {zone} {weight} {status} {}",
+        started_at.unwrap_or(Timestamp::ZERO).as_millis()
+    )
 }
 
 fn hosts(fleet: &Fleet) -> String {
@@ -137,10 +141,15 @@
     let now = fleet.now();
     let name = |id: NodeId| table.name(id);
     let beliefs = table.learned.beliefs().iter().map(|(group, b)| {
-        format!("group {group} primary {} heard by {} {} ms ago", b.host, name(b.by), (now - b.at) / 1000)
+        format!(
+            "group {group} primary {} heard by {} {} ms ago",
+            b.host,
+            name(b.by),
+            (now - b.at).as_millis()
+        )
     });
     let guesses = table.learned.guesses(&table.state).into_iter().map(|(group, (host, at))| {
-        format!("group {group} guess {host} from before this start, {} ms ago", (now - at) / 1000)
+        format!("group {group} guess {host} from before this start, {} ms ago", (now - at).as_millis())
     });
     beliefs.chain(guesses).chain(table.learned.describe(now, name)).collect::<Vec<_>>().join("\n")
 }
@@ -171,7 +180,7 @@
         ("members", table.state.members.len() as u64, 'g'),
         ("voters", table.status.conf.voters.len() as u64, 'g'),
         ("heard", heard.count() as u64, 'g'),
-        ("led", u64::from(table.status.leader != 0), 'g'),
+        ("led", u64::from(table.status.leader != NodeId::NOBODY), 'g'),
         ("leads", u64::from(table.status.leader == table.identity.id), 'g'),
         ("term", table.status.term, 'g'),
         ("agreed", table.status.agreed, 'g'),
@@ -199,7 +208,7 @@
     let now = Instant::now();
     let name = |id: NodeId| match table.state.members.get(&id) {
         Some(m) => m.name.clone(),
-        None if id == 0 => "none".into(),
+        None if id == NodeId::NOBODY => "none".into(),
         None => table.heard.get(&id).map_or(format!("{id:016x}"), |h| h.name.clone()),
     };
     let status = &table.status;
@@ -213,7 +222,8 @@
         "agreed {} applied {} digest {:08x} lag {lag}",
         status.agreed, table.applied, table.state.digest
     );
-    let stale = table.state.fleet == 0 || status.leader == 0 || table.removed || table.broken.is_some();
+    let stale =
+        table.state.fleet == 0 || status.leader == NodeId::NOBODY || table.removed || table.broken.is_some();
     let _ = writeln!(
         out,
         "serves {}",
@@ -240,7 +250,8 @@
         ),
     };
     for b in fleet.breaks.borrow().all() {
-        let _ = writeln!(out, "lost group {} after {} up to {}", b.group, b.from / 1000, b.to / 1000);
+        let _ =
+            writeln!(out, "lost group {} after {} up to {}", b.group, b.from.as_millis(), b.to.as_millis());
     }
     if let Some(why) = &table.broken {
         let _ = writeln!(out, "broken {why}");
@@ -256,7 +267,7 @@
             out,
             "settings of {} changed {} version {}",
             source.by,
-            source.changed / 1000,
+            source.changed.as_millis(),
             source.version
         );
     }
@@ -272,7 +283,7 @@
             out,
             "inventory of {} changed {} version {} hosts {}; {own}",
             source.by,
-            source.changed / 1000,
+            source.changed.as_millis(),
             source.version,
             table.state.hosts.len()
         );
--- a/src/fleet/driver.rs
+++ b/src/fleet/driver.rs
@@ -20,7 +20,9 @@
 use crate::core::members::{Listed, Listing, id_of};
 use crate::core::{Told, Turns};
 use crate::hint::Hint;
-use crate::interface::{Availability, MemberId, Micros};
+use crate::ids::NodeId;
+use crate::ids::{GroupId, ZoneId};
+use crate::interface::{Availability, EndpointId};
 use crate::inventory::Inventory;
 use crate::net::buffer::Buffer;
 use crate::net::http::server::{self, Request};
@@ -28,10 +30,11 @@
 use crate::net::until;
 use crate::store::agreed::{Change, Effect, Member, Proposal, State};
 use crate::store::disk::Identity;
-use crate::store::form::{self, FleetId, HostRecord, Letter, NodeId};
+use crate::store::form::{self, FleetId, HostRecord, Letter};
 use crate::store::owner::{Input, Opened, Output, Status};
 use crate::store::replica::{Applied, What};
 use crate::store::shares::Why;
+use crate::time::{LogPosition, TimeDelta, Timestamp};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -46,15 +49,15 @@
 mod zones;
 
 /// What groups have lost is said again for so long.
-const LATELY: Micros = 60_000_000;
+const LATELY: TimeDelta = TimeDelta::from_secs(60);
 
 /// What this daemon's own files say, each with when it was last changed.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
     /// The settings of the operator's file.
-    pub settings: Option<(String, Micros)>,
+    pub settings: Option<(String, Timestamp)>,
     /// The inventory.
-    pub hosts: Option<(Inventory, Micros)>,
+    pub hosts: Option<(Inventory, Timestamp)>,
 }
 
 /// What of the learned state lies on the disk: whose words, and what groups have lost.
@@ -183,7 +186,7 @@
     proposed: RefCell<BTreeMap<String, (u64, Instant)>>,
     /// Closed when all connections are to be opened anew.
     epoch: RefCell<(Sender<()>, Receiver<()>)>,
-    compared: Cell<(Micros, u64)>,
+    compared: Cell<(Timestamp, u64)>,
     touched: RefCell<Touched>,
     /// What lies on the disk of what was learned.
     kept: RefCell<Kept>,
@@ -197,7 +200,7 @@
     told: (Sender<Told>, Receiver<Told>),
     zoning: RefCell<Zoning>,
     /// Moves of zones that were proposed here a moment ago: by zone, its number and when.
-    moving: RefCell<BTreeMap<u8, (u64, Instant)>>,
+    moving: RefCell<BTreeMap<ZoneId, (u64, Instant)>>,
     lead: RefCell<Lead>,
 }
 
@@ -254,7 +257,7 @@
             old.changes(&me.name)
         });
         marks.settle(&state);
-        let mut learned = Learned::new(identity.id, clock.now().max(0) as u64);
+        let mut learned = Learned::new(identity.id, clock.now().as_micros().max(0) as u64);
         let mut breaks = Breaks::default();
         if let Some(saved) = kept.and_then(|bytes| form::read::<Saved>(&bytes)) {
             for b in &saved.breaks {
@@ -264,7 +267,7 @@
                 Trust::Guess(since) => {
                     log::info!(
                         "fleet: what was learned before is {} ms old; it is a first guess",
-                        since / 1000
+                        since.as_millis()
                     );
                     learned.remember(clock.now(), &saved.words, since);
                 }
@@ -302,7 +305,7 @@
             me,
             limits,
             // A token of an earlier start must not answer a call of this one.
-            next: Cell::new(clock.now().max(0) as u64),
+            next: Cell::new(clock.now().as_micros().max(0) as u64),
             clock,
             executor,
             inputs,
@@ -333,7 +336,7 @@
     }
 
     /// The present.
-    pub fn now(&self) -> Micros {
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
@@ -367,7 +370,7 @@
         let present = self.clock.now();
         let away = self.zoning.borrow().away(present, &table.state).into_iter();
         let gone = |zone| table.state.share(zone).why == Why::Lost;
-        let only: BTreeMap<u8, BTreeSet<u32>> =
+        let only: BTreeMap<ZoneId, BTreeSet<GroupId>> =
             away.map(|zone| (zone, zoning::only_there(zone, &table.state))).collect();
         let now = |name: &String| {
             let drained = table.state.is_drained(name) || table.marks.drains(name);
@@ -421,7 +424,7 @@
     /// Whether somebody leads, and all is taken in that anybody said to be agreed.
     pub fn is_current(&self) -> bool {
         let table = self.table();
-        let led = table.status.leader != 0 && table.status.part;
+        let led = table.status.leader != NodeId::NOBODY && table.status.part;
         // The leader's own word: one that leads no more is not heard as the leader.
         let leader = table.status.leader == table.identity.id
             || table.heard.get(&table.status.leader).is_some_and(|h| h.beat.term == table.status.term);
@@ -528,7 +531,7 @@
                 Output::Renewed(identity) => {
                     log::warn!("fleet: this daemon begins anew, as {:016x}", identity.id);
                     let mut table = self.change();
-                    table.learned = Learned::new(identity.id, self.clock.now().max(0) as u64);
+                    table.learned = Learned::new(identity.id, self.clock.now().as_micros().max(0) as u64);
                     table.identity = identity;
                     table.welcomes.clear();
                     // What was agreed goes on to be served until the fleet has told it again.
@@ -689,7 +692,11 @@
         let wanted: Vec<(String, Change)> = {
             let table = self.table();
             let state = &table.state;
-            if state.fleet == 0 || !state.is_complete() || table.removed || table.status.leader == 0 {
+            if state.fleet == 0
+                || !state.is_complete()
+                || table.removed
+                || table.status.leader == NodeId::NOBODY
+            {
                 return;
             }
             let mut wanted = Vec::new();
@@ -704,8 +711,10 @@
                 && state.settings.as_ref().is_none_or(|(s, _)| *changed > s.changed)
             {
                 let (by, text) = (self.me.name.clone(), text.clone());
-                wanted
-                    .push((format!("settings {changed}"), Change::Settings { by, changed: *changed, text }));
+                wanted.push((
+                    format!("settings {}", changed.as_micros()),
+                    Change::Settings { by, changed: *changed, text },
+                ));
             }
             if let Some((Inventory { regions, .. }, changed)) = &table.files.hosts
                 && *changed > state.regions.0
@@ -713,14 +722,17 @@
                 && *regions != state.regions.1
             {
                 let (by, changed, regions) = (self.me.name.clone(), *changed, regions.clone());
-                wanted.push((format!("regions {changed}"), Change::Regions { by, changed, regions }));
+                wanted.push((
+                    format!("regions {}", changed.as_micros()),
+                    Change::Regions { by, changed, regions },
+                ));
             }
             if let Some((Inventory { hosts, .. }, changed)) = &table.files.hosts
                 && !wanted.iter().any(|(_, c)| matches!(c, Change::Inventory { .. }))
                 && let Some(change) = state.inventory_change(&self.me.name, hosts, *changed, self.clock.now())
             {
                 let base = state.inventory.as_ref().map_or(0, |i| i.version);
-                wanted.push((format!("inventory {changed} {base}"), change));
+                wanted.push((format!("inventory {} {base}", changed.as_micros()), change));
             }
             wanted
         };
@@ -872,7 +884,7 @@
         if table.state.fleet == 0 || table.removed || table.broken.is_some() {
             return Err("there is nothing here to go on from".into());
         }
-        if table.status.leader != 0 {
+        if table.status.leader != NodeId::NOBODY {
             return Err("a majority is there: nothing has to be recovered".into());
         }
         let (last, me) = (table.applied, table.identity.id);
@@ -960,7 +972,7 @@
         if table.status.leader != me || !table.status.part {
             return;
         }
-        let insist = self.limits.insist.as_micros() as Micros;
+        let insist = TimeDelta::from(self.limits.insist);
         let due =
             if table.state.is_complete() { table.marks.due(self.clock.now(), insist) } else { Vec::new() };
         let now = Instant::now();
@@ -969,11 +981,10 @@
         table.candidates.retain(|_, (_, at)| now - *at < recent);
         let next = {
             let candidates = table.candidates.iter().map(|(id, (hello, _))| (*id, hello.clone())).collect();
-            let silent =
-                table.heard.iter().map(|(id, h)| (*id, (now - h.at).as_micros() as Micros)).collect();
+            let silent = table.heard.iter().map(|(id, h)| (*id, TimeDelta::from(now - h.at))).collect();
             let wishes = table.wishes.keys().cloned().collect();
             let word = |h: &Heard| Word {
-                leaderless: h.leaderless.map_or(0, |at| (now - at).as_micros() as Micros),
+                leaderless: h.leaderless.map_or(TimeDelta::ZERO, |at| TimeDelta::from(now - at)),
                 hears: h.beat.hears.iter().copied().collect(),
             };
             let words = table.heard.iter().map(|(id, h)| (*id, word(h))).collect();
@@ -985,10 +996,10 @@
                 progress: &table.status.progress,
                 candidates: &candidates,
                 silent: &silent,
-                led_for: table.leads.map_or(0, |at| (now - at).as_micros() as Micros),
+                led_for: table.leads.map_or(TimeDelta::ZERO, |at| TimeDelta::from(now - at)),
                 words: &words,
                 wishes: &wishes,
-                gone: self.limits.gone.as_micros() as Micros,
+                gone: TimeDelta::from(self.limits.gone),
             };
             view.next()
         };
@@ -1016,7 +1027,9 @@
             || !self.proposed.borrow().is_empty();
         match () {
             // It may have to stand for election.
-            _ if self.returns() && table.status.leader == 0 && table.state.fleet != 0 => self.limits.tick,
+            _ if self.returns() && table.status.leader == NodeId::NOBODY && table.state.fleet != 0 => {
+                self.limits.tick
+            }
             _ if waits => self.limits.insist,
             _ => self.limits.beat,
         }
@@ -1079,8 +1092,13 @@
                 if !digest.is_empty() {
                     self.spread(&Frame::Digest(digest));
                 }
-                let recent: Vec<Break> =
-                    self.breaks.borrow().all().into_iter().filter(|b| now - b.to < LATELY).collect();
+                let recent: Vec<Break> = self
+                    .breaks
+                    .borrow()
+                    .all()
+                    .into_iter()
+                    .filter(|b| now - b.to.commit_time(Timestamp::ZERO) < LATELY)
+                    .collect();
                 if !recent.is_empty() {
                     self.spread(&Frame::Breaks(recent));
                 }
@@ -1182,7 +1200,7 @@
                 );
                 false
             }
-            Verdict::Recovered if table.status.leader == 0 && fleet != 0 => {
+            Verdict::Recovered if table.status.leader == NodeId::NOBODY && fleet != 0 => {
                 log::warn!(
                     "fleet: {} is of a fleet that goes on from this one; this daemon goes over",
                     other.name
@@ -1374,8 +1392,8 @@
                     let mut table = self.change();
                     let marks = beat.marks;
                     if let Some(heard) = table.heard.get_mut(&from.id) {
-                        heard.leaderless =
-                            (beat.leader == 0).then(|| heard.leaderless.unwrap_or_else(Instant::now));
+                        heard.leaderless = (beat.leader == NodeId::NOBODY)
+                            .then(|| heard.leaderless.unwrap_or_else(Instant::now));
                         heard.beat = beat;
                     }
                     !table.marks.is_empty() && marks != table.marks.digest()
@@ -1426,8 +1444,8 @@
                     let _ = self.hints.0.try_send(hint.write());
                 }
             }
-            Frame::Hint([a, b, c, d, e, f], age) if age >= 0 => {
-                let member = MemberId { ip: [a, b, c, d], port: u16::from_be_bytes([e, f]) };
+            Frame::Hint([a, b, c, d, e, f], age) if age >= TimeDelta::ZERO => {
+                let member = EndpointId { ip: [a, b, c, d], port: u16::from_be_bytes([e, f]) };
                 let hint = Hint { member, at: self.clock.now() - age };
                 let _ = self.hints.0.try_send(hint.write());
             }
@@ -1468,10 +1486,12 @@
                     return None;
                 }
                 // Where it went back, or where it stands at a commit of before its start: nothing lies between.
-                let started =
-                    f.started.filter(|at| (1..*at).contains(&f.position)).map(|at| (f.position, at));
+                let started = f
+                    .started
+                    .filter(|at| f.position.is_known() && f.position.commit_time(Timestamp::ZERO) < *at)
+                    .map(|at| (f.position, at));
                 let (from, to) = f.back.or(started)?;
-                Some(Break { group, from, to })
+                Some(Break { group, from, to: LogPosition::of_commit(to, Timestamp::ZERO) })
             };
             facts.iter().filter_map(lost).collect()
         };
@@ -1577,7 +1597,7 @@
         Turns { me: table.identity.id, others: others.collect() }
     }
 
-    fn view(&self, now: Micros, listed: bool) -> recovery::order::View {
+    fn view(&self, now: Timestamp, listed: bool) -> recovery::order::View {
         let table = self.table();
         let members = table.state.members.len().max(1);
         let heard = self.hears(&table).iter().filter(|id| table.state.members.contains_key(id)).count() + 1;
@@ -1602,7 +1622,7 @@
 
     /// Notes which of these hosts have started a moment ago. The module is told, and spares them; but where no host of
     /// a group is warm, service returns to it in order and at the pace of what they bore before.
-    fn restarted<'a>(&self, now: Micros, hosts: impl Iterator<Item = &'a String>) {
+    fn restarted<'a>(&self, now: Timestamp, hosts: impl Iterator<Item = &'a String>) {
         let Some(cold) = self.cold.get() else { return };
         let news = {
             let table = self.table();
@@ -1646,7 +1666,12 @@
             for b in breaks {
                 // A clock that is far ahead would have whatever is written from now on pass for lost. Most words of it
                 // are repeated: all hosts are looked through only for what is new.
-                if b.from >= 0 && b.to <= now + JITTER && !own.knows(b) && known(b.group) && own.note(b) {
+                if b.from >= LogPosition::UNKNOWN
+                    && b.to.commit_time(Timestamp::ZERO) <= now + JITTER
+                    && !own.knows(b)
+                    && known(b.group)
+                    && own.note(b)
+                {
                     new.push(b);
                 }
             }
@@ -1655,8 +1680,8 @@
             log::warn!(
                 "fleet: group {} has lost what was written after {} up to {}, as {by} has noticed: sessions are told",
                 b.group,
-                b.from / 1000,
-                b.to / 1000
+                b.from.as_millis(),
+                b.to.as_millis()
             );
         }
         if !new.is_empty() {
@@ -1683,7 +1708,7 @@
         let Some(Hint { member, at }) = Hint::read(bytes) else { return };
         let [a, b, c, d] = member.ip;
         let [e, f] = member.port.to_be_bytes();
-        self.spread(&Frame::Hint([a, b, c, d, e, f], (self.clock.now() - at).max(0)));
+        self.spread(&Frame::Hint([a, b, c, d, e, f], (self.clock.now() - at).or_zero()));
     }
 
     /// The next word of another daemon's module.
@@ -1745,7 +1770,7 @@
         };
         let fleet = Fleet::new(me, limits, Clock::start(), Rc::default(), opened, inputs);
         assert!(fleet.tell(Input::TakePart) && !fleet.tell(Input::TakePart));
-        fleet.change().marks.say("s-1", 7, 1);
+        fleet.change().marks.say("s-1", NodeId(7), Timestamp::from_micros(1));
         fleet.save();
         assert!(matches!(queue.try_recv(), Ok(Input::TakePart)));
         fleet.save();
--- a/src/fleet/driver/first.rs
+++ b/src/fleet/driver/first.rs
@@ -2,7 +2,7 @@
 
 use super::{Fleet, Table};
 use crate::fleet::recovery::lead::Voter;
-use crate::store::form::NodeId;
+use crate::ids::NodeId;
 use crate::store::owner::Input;
 
 /// A daemon that would hear this one's letters.
--- a/src/fleet/driver/zones.rs
+++ b/src/fleet/driver/zones.rs
@@ -4,11 +4,12 @@
 use crate::core::sights::Seen;
 use crate::fleet::zones::{Sight, Verdict};
 use crate::fleet::zoning::{self, Order};
-use crate::interface::Micros;
+use crate::ids::NodeId;
+use crate::ids::ZoneId;
 use crate::store::agreed::Change;
-use crate::store::form::NodeId;
 use crate::store::owner::Input;
 use crate::store::shares::{Share, WHOLE};
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -26,7 +27,8 @@
             self.zoning.borrow_mut().see(seen, &table.state)
         };
         if let Some(sights) = urgent {
-            log::debug!("zones: seen {sights:?}");
+            let seen: BTreeMap<u8, &Sight> = sights.iter().map(|(zone, sight)| (zone.0, sight)).collect();
+            log::debug!("zones: seen {seen:?}");
             self.spread(&Frame::Sights(sights));
         }
         let lost = self.zoning.borrow_mut().look_alone(now, &self.table().state);
@@ -50,7 +52,7 @@
     }
 
     /// Another daemon's sights.
-    pub(super) fn hear_sights(&self, by: NodeId, sights: BTreeMap<u8, Sight>) {
+    pub(super) fn hear_sights(&self, by: NodeId, sights: BTreeMap<ZoneId, Sight>) {
         if self.table().state.members.contains_key(&by) {
             self.zoning.borrow_mut().hear(self.clock.now(), by, sights);
         }
@@ -65,7 +67,7 @@
     }
 
     /// Where this daemon leads it proposes the next moves.
-    fn move_zones(&self, now: Micros) {
+    fn move_zones(&self, now: Timestamp) {
         let mut proposals = Vec::new();
         {
             let table = self.table();
@@ -107,7 +109,7 @@
     }
 
     /// The share of its capacity that a zone has, by the youngest of its hosts.
-    fn warmth(&self, table: &Table, zone: u8, now: Micros) -> f64 {
+    fn warmth(&self, table: &Table, zone: ZoneId, now: Timestamp) -> f64 {
         let Some(cold) = self.cold.get() else { return 1.0 };
         let own = table.state.hosts.iter().filter(|(_, host)| host.zone == zone);
         let started = own.map(|(name, host)| table.learned.started(name).max(host.started_at));
@@ -115,7 +117,7 @@
     }
 
     /// Has the list follow the shares.
-    pub(super) fn shape_zones(&self, now: Micros) {
+    pub(super) fn shape_zones(&self, now: Timestamp) {
         let moved = self.zoning.borrow_mut().moved(now, &self.table().state);
         let table = self.table();
         let zoning = self.zoning.borrow();
--- a/src/fleet/forming.rs
+++ b/src/fleet/forming.rs
@@ -1,8 +1,9 @@
 //! How a fleet begins, and what daemons make of one another when they meet. No I/O.
 
+use crate::ids::NodeId;
 use crate::store::agreed::State;
 use crate::store::disk::Witness;
-use crate::store::form::{FleetId, NodeId};
+use crate::store::form::FleetId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -126,9 +127,10 @@
     use super::*;
     use crate::store::agreed::Member;
 
-    fn hello(name: &str, id: NodeId, fleet: FleetId) -> Hello {
+    fn hello(name: &str, id: u64, fleet: FleetId) -> Hello {
         let address = ([127, 0, 0, 1], id as u16).into();
-        Hello { fleet, id, name: name.into(), address, witness: Witness { boots: 3, term: 5, last: (4, 90) } }
+        let witness = Witness { boots: 3, term: 5, last: (4, 90) };
+        Hello { fleet, id: NodeId(id), name: name.into(), address, witness }
     }
 
     fn at(n: u16) -> SocketAddr {
@@ -149,10 +151,10 @@
                 let mut heard = BTreeMap::new();
                 for o in others {
                     if rng.u8(..10) < 8 {
-                        heard.insert(at(o as u16), hello(names[o], o as NodeId + 1, 0));
+                        heard.insert(at(o as u16), hello(names[o], o as u64 + 1, 0));
                     }
                 }
-                match stand((name, n as NodeId + 1), &named, &heard, false) {
+                match stand((name, NodeId(n as u64 + 1)), &named, &heard, false) {
                     Stand::Found(with) => {
                         assert_eq!(with.len(), size - 1, "seed {seed}");
                         founders.push(name);
@@ -170,12 +172,12 @@
     fn a_fleet_that_is_there_is_joined_and_an_operator_may_go_ahead() {
         let named = [at(1), at(2)];
         let mut heard = BTreeMap::from([(at(1), hello("a", 1, 0))]);
-        assert_eq!(stand(("b", 2), &named, &heard, false), Stand::Silent(vec![at(2)]));
-        assert_eq!(stand(("b", 2), &named, &heard, true), Stand::Found(["a".to_string()].into()));
+        assert_eq!(stand(("b", NodeId(2)), &named, &heard, false), Stand::Silent(vec![at(2)]));
+        assert_eq!(stand(("b", NodeId(2)), &named, &heard, true), Stand::Found(["a".to_string()].into()));
         heard.insert(at(2), hello("c", 3, 77));
-        assert_eq!(stand(("b", 2), &named, &heard, true), Stand::Joins(77));
+        assert_eq!(stand(("b", NodeId(2)), &named, &heard, true), Stand::Joins(77));
         heard.insert(at(2), hello("b", 3, 0));
-        assert_eq!(stand(("b", 2), &named, &heard, false), Stand::Twice("b".into()));
+        assert_eq!(stand(("b", NodeId(2)), &named, &heard, false), Stand::Twice("b".into()));
     }
 
     /// Guards against a disk from before that votes as its old self, a removed daemon that goes on, and a stranger.
@@ -184,8 +186,8 @@
         let mut state = State::default();
         assert_eq!(judge(&state, None, &hello("b", 2, 0)), Verdict::Welcome);
         state.fleet = 7;
-        state.members.insert(1, Member { name: "a".into(), address: at(1) });
-        state.removed.insert(9, "x".into());
+        state.members.insert(NodeId(1), Member { name: "a".into(), address: at(1) });
+        state.removed.insert(NodeId(9), "x".into());
         assert_eq!(judge(&state, None, &hello("b", 2, 0)), Verdict::Candidate(vec![("a".into(), at(1))]));
         assert_eq!(judge(&state, None, &hello("b", 2, 8)), Verdict::Stranger);
         assert_eq!(judge(&state, None, &hello("x", 9, 7)), Verdict::Removed);
--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -5,10 +5,12 @@
 use super::members::Wish;
 use super::zones::Sight;
 use crate::core::breaks::Break;
-use crate::interface::Micros;
+use crate::ids::NodeId;
+use crate::ids::ZoneId;
 use crate::store::agreed::Proposal;
 use crate::store::disk::Marks;
-use crate::store::form::{self, Letter, NodeId};
+use crate::store::form::{self, Letter};
+use crate::time::TimeDelta;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -34,11 +36,11 @@
     /// What the one that it goes to lacks of that.
     Words(Vec<Word>),
     /// A host has called itself the primary, so long ago: a hint for the module.
-    Hint([u8; 6], Micros),
+    Hint([u8; 6], TimeDelta),
     /// What groups have lost.
     Breaks(Vec<Break>),
     /// What the sender saw of zones within the last moment.
-    Sights(BTreeMap<u8, Sight>),
+    Sights(BTreeMap<ZoneId, Sight>),
 }
 
 /// A daemon's last word.
@@ -93,9 +95,9 @@
     /// Guards against frames that are cut off, too long or changed and are acted on, and against a panic.
     #[test]
     fn only_whole_frames_are_read() {
-        let (applied, hears) = ((9, 77), vec![5]);
+        let (applied, hears) = ((9, 77), vec![NodeId(5)]);
         let beat = Beat {
-            leader: 7,
+            leader: NodeId(7),
             term: 3,
             last: (3, 9),
             part: true,
