--- a/src/fleet/learned.rs
+++ b/src/fleet/learned.rs
@@ -6,30 +6,31 @@
 use crate::core::Told;
 use crate::core::asks;
 use crate::core::facts::Fact;
-use crate::interface::Micros;
+use crate::ids::GroupId;
+use crate::ids::NodeId;
 use crate::store::agreed::State;
-use crate::store::form::NodeId;
+use crate::time::{LogPosition, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Evidence that is older is not believed.
-const OLD: Micros = 60_000_000;
+const OLD: TimeDelta = TimeDelta::from_secs(60);
 /// A position is told again when it has moved by so much, and no host more often than this.
-const MOVED: Micros = 5_000_000;
+const MOVED: TimeDelta = TimeDelta::from_secs(5);
 /// While this daemon returns, others wait for its words: a position is told again after this.
-const MOVED_IN_HASTE: Micros = 200_000;
+const MOVED_IN_HASTE: TimeDelta = TimeDelta::from_millis(200);
 /// Others' words of a host are of a moment ago for so long: none is told anew more often than every [`MOVED`].
-const MOMENT: Micros = 2 * MOVED;
+const MOMENT: TimeDelta = TimeDelta::from_micros(2 * MOVED.as_micros());
 /// What a host serves is taken over about so long.
-const RATE: Micros = 4_000_000;
+const RATE: TimeDelta = TimeDelta::from_secs(4);
 /// Before what a host says of its capacity is believed so many answers count as if all of it had been in use.
 const DOUBT: f64 = 4.0;
 /// What says that less is in use says no more than that: loads are rounded, and come by chance.
 const LEAST_USED: f64 = 0.1;
 /// What it has served at its best is forgotten over about so long.
-const PEAK: Micros = 3_600_000_000;
+const PEAK: TimeDelta = TimeDelta::from_secs(3_600);
 /// A daemon that has not been heard of for so long is forgotten.
-const FORGOTTEN: Micros = 600_000_000;
+const FORGOTTEN: TimeDelta = TimeDelta::from_secs(600);
 
 /// Which start of a daemon, and how many facts it has told since.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -51,14 +52,14 @@
     pub host: String,
     /// The host called itself the primary.
     pub primary: bool,
-    /// The position that it told, in Unix microseconds of its own clock; 0: none.
-    pub position: Micros,
+    /// The position that it told, by its own clock.
+    pub position: LogPosition,
     /// How long ago that was.
-    pub age: Micros,
+    pub age: TimeDelta,
     /// Attempts that were out at it then.
     pub out: u16,
     /// How long ago it started, as far as known.
-    pub up: Option<Micros>,
+    pub up: Option<TimeDelta>,
     /// Thousandths of a request that it served a second, for that daemon.
     pub rate: u32,
     /// Thousandths of its capacity that it said to be in use at that time; 0: it does not say.
@@ -69,10 +70,10 @@
 struct Evidence {
     count: Count,
     primary: bool,
-    position: Micros,
-    at: Micros,
+    position: LogPosition,
+    at: Timestamp,
     out: u16,
-    started: Option<Micros>,
+    started: Option<Timestamp>,
     rate: u32,
     used: u16,
 }
@@ -81,9 +82,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Before {
     /// When it last called itself the primary.
-    primary: Option<Micros>,
+    primary: Option<Timestamp>,
     /// The greatest position that it told, and when.
-    position: (Micros, Micros),
+    position: (LogPosition, Timestamp),
     /// Thousandths of a request that it served a second, for all daemons.
     rate: u32,
     /// The part of these for which it said what was in use, and that times the part in use.
@@ -99,7 +100,7 @@
         if said <= 0.0 {
             return rate;
         }
-        let answers = said * RATE as f64 / 1e6;
+        let answers = said * RATE.as_micros_f64() / 1e6;
         let used = (used / said * answers + DOUBT) / (answers + DOUBT);
         rate / used.max(LEAST_USED)
     }
@@ -111,7 +112,7 @@
     /// The host.
     pub host: String,
     /// When it last called itself that, in this daemon's time.
-    pub at: Micros,
+    pub at: Timestamp,
     /// Who heard it.
     pub by: NodeId,
 }
@@ -123,8 +124,8 @@
     own: Count,
     /// By source, by host.
     all: BTreeMap<NodeId, BTreeMap<String, Evidence>>,
-    counts: BTreeMap<NodeId, (Count, Micros)>,
-    beliefs: BTreeMap<u32, Belief>,
+    counts: BTreeMap<NodeId, (Count, Timestamp)>,
+    beliefs: BTreeMap<GroupId, Belief>,
     /// What was known before this start, by host.
     before: BTreeMap<String, Before>,
     /// What each host serves for this daemon.
@@ -136,8 +137,8 @@
 struct Served {
     /// Answers, decayed, as of when.
     count: f64,
-    at: Micros,
-    since: Micros,
+    at: Timestamp,
+    since: Timestamp,
     /// The most in a second so far, decayed over [`PEAK`], and the part of the host's capacity in use then.
     peak: f64,
     peak_used: u16,
@@ -146,16 +147,16 @@
 }
 
 impl Served {
-    fn new(now: Micros) -> Served {
+    fn new(now: Timestamp) -> Served {
         Served { count: 0.0, at: now, since: now, peak: 0.0, peak_used: 0, used: (0.0, 0.0) }
     }
 
-    fn add(&mut self, now: Micros, answers: u32, (used, times): (f64, u32)) {
-        let span = (now - self.at).max(0) as f64;
-        let decay = (-span / RATE as f64).exp();
+    fn add(&mut self, now: Timestamp, answers: u32, (used, times): (f64, u32)) {
+        let span = (now - self.at).or_zero().as_micros_f64();
+        let decay = (-span / RATE.as_micros_f64()).exp();
         self.count = self.count * decay + f64::from(answers);
         self.used = (self.used.0 * decay + used, self.used.1 * decay + f64::from(times));
-        self.peak *= (-span / PEAK as f64).exp();
+        self.peak *= (-span / PEAK.as_micros_f64()).exp();
         self.at = now;
         if self.rate(now) >= self.peak {
             (self.peak, self.peak_used) = (self.rate(now), self.in_use());
@@ -169,10 +170,10 @@
     }
 
     /// A second, now.
-    fn rate(&self, now: Micros) -> f64 {
-        let decay = |span: Micros| (-(span.max(0) as f64) / RATE as f64).exp();
+    fn rate(&self, now: Timestamp) -> f64 {
+        let decay = |span: TimeDelta| (-span.or_zero().as_micros_f64() / RATE.as_micros_f64()).exp();
         let seen = 1.0 - decay((now - self.since).max(RATE / 8));
-        self.count * decay(now - self.at) * 1e6 / (RATE as f64 * seen)
+        self.count * decay(now - self.at) * 1e6 / (RATE.as_micros_f64() * seen)
     }
 }
 
@@ -186,7 +187,7 @@
     /// It told a position.
     pub proven: bool,
     /// When it started, as far as known.
-    pub started: Option<Micros>,
+    pub started: Option<Timestamp>,
     /// Requests a second that it bore when warm, by what it served all daemons together at its best before this
     /// daemon's start, and the part of its capacity that it said this took.
     pub bore: f64,
@@ -203,7 +204,7 @@
     }
 
     /// Hosts have told this daemon something; true: it is to be told at once. `haste`: whatever is new is.
-    pub fn observe(&mut self, now: Micros, facts: &[Fact], haste: bool) -> bool {
+    pub fn observe(&mut self, now: Timestamp, facts: &[Fact], haste: bool) -> bool {
         let mut urgent = false;
         let own = self.all.entry(self.me).or_default();
         let moved_by = if haste { MOVED_IN_HASTE } else { MOVED };
@@ -238,7 +239,7 @@
     /// The oldest first, at most `most`: what is left comes the next time.
     pub fn lacks(
         &self,
-        now: Micros,
+        now: Timestamp,
         digest: &[(NodeId, Count)],
         hears: impl Fn(NodeId) -> bool,
         most: usize,
@@ -258,9 +259,9 @@
                 host: host.clone(),
                 primary: e.primary,
                 position: e.position,
-                age: (now - e.at).max(0),
+                age: (now - e.at).or_zero(),
                 out: e.out,
-                up: e.started.map(|at| (now - at).max(0)),
+                up: e.started.map(|at| (now - at).or_zero()),
                 rate: e.rate,
                 used: e.used,
             }));
@@ -270,10 +271,11 @@
 
     /// Takes in what another daemon passed on. A host that the agreed list has not is not taken in, nor is
     /// anything of a daemon that is no member; what this daemon said itself comes back to nobody.
-    pub fn hear(&mut self, now: Micros, words: Vec<Word>, state: &State) {
+    pub fn hear(&mut self, now: Timestamp, words: Vec<Word>, state: &State) {
         for word in words {
             let Word { by, count, host, primary, position, age, out, up, rate, used } = word;
-            let is_sound = (0..FORGOTTEN).contains(&age) && up.is_none_or(|up| up >= 0);
+            let is_sound =
+                (TimeDelta::ZERO..FORGOTTEN).contains(&age) && up.is_none_or(|up| up >= TimeDelta::ZERO);
             if by == self.me || !state.members.contains_key(&by) || !is_sound {
                 continue;
             }
@@ -295,7 +297,7 @@
     }
 
     /// Forgets hosts that are gone, and daemons that are.
-    pub fn tidy(&mut self, now: Micros, state: &State) {
+    pub fn tidy(&mut self, now: Timestamp, state: &State) {
         let me = self.me;
         self.counts
             .retain(|id, (_, at)| *id == me || state.members.contains_key(id) && now - *at < FORGOTTEN);
@@ -310,10 +312,10 @@
     /// Works out who is primary where, from evidence that is not too old; what is new since the last time. What
     /// this daemon heard of a host itself voids every word of others about it from before, and a later primary
     /// is never replaced by an earlier one.
-    pub fn believe(&mut self, now: Micros, state: &State) -> Vec<(u32, Belief)> {
+    pub fn believe(&mut self, now: Timestamp, state: &State) -> Vec<(GroupId, Belief)> {
         let empty = BTreeMap::new();
         let own = self.all.get(&self.me).unwrap_or(&empty);
-        let mut found: BTreeMap<u32, Belief> = BTreeMap::new();
+        let mut found: BTreeMap<GroupId, Belief> = BTreeMap::new();
         for (by, hosts) in &self.all {
             for (host, e) in hosts.iter().filter(|(_, e)| e.primary && now - e.at < OLD) {
                 let Some(group) = state.hosts.get(host).map(|h| h.group) else { continue };
@@ -340,19 +342,19 @@
     }
 
     /// Who is believed to be the primary of each group.
-    pub fn beliefs(&self) -> &BTreeMap<u32, Belief> {
+    pub fn beliefs(&self) -> &BTreeMap<GroupId, Belief> {
         &self.beliefs
     }
 
     /// Whether a group's primary is known: the host that is believed to be that has not said otherwise since.
-    pub fn has_primary(&self, group: u32) -> bool {
+    pub fn has_primary(&self, group: GroupId) -> bool {
         let Some(belief) = self.beliefs.get(&group) else { return false };
         let words = self.all.values().filter_map(|hosts| hosts.get(&belief.host));
         words.max_by_key(|e| e.at).is_none_or(|last| last.primary)
     }
 
     /// All that is known, to lie on the disk. Of what hosts served this daemon, the best.
-    pub fn words(&self, now: Micros) -> Vec<Word> {
+    pub fn words(&self, now: Timestamp) -> Vec<Word> {
         let mut words = self.lacks(now, &[], |_| false, usize::MAX);
         for word in words.iter_mut().filter(|w| w.by == self.me) {
             let best = self.rates.get(&word.host).map(|s| ((s.peak * 1000.0) as u32, s.peak_used));
@@ -364,8 +366,8 @@
     }
 
     /// What was known before this start, older by `since` than when it was written: for guesses only.
-    pub fn remember(&mut self, now: Micros, words: &[Word], since: Micros) {
-        for word in words.iter().filter(|w| w.age >= 0) {
+    pub fn remember(&mut self, now: Timestamp, words: &[Word], since: TimeDelta) {
+        for word in words.iter().filter(|w| w.age >= TimeDelta::ZERO) {
             let at = now.saturating_sub(word.age).saturating_sub(since);
             let known = self.before.entry(word.host.clone()).or_default();
             if word.primary {
@@ -396,8 +398,8 @@
 
     /// First guesses at the primaries of groups of which nothing was heard since the start, from what was known
     /// before it; of several hosts of a group the one that called itself that last.
-    pub fn guesses(&self, state: &State) -> BTreeMap<u32, (String, Micros)> {
-        let mut found: BTreeMap<u32, (String, Micros)> = BTreeMap::new();
+    pub fn guesses(&self, state: &State) -> BTreeMap<GroupId, (String, Timestamp)> {
+        let mut found: BTreeMap<GroupId, (String, Timestamp)> = BTreeMap::new();
         for (host, at) in self.before.iter().filter_map(|(host, b)| Some((host, b.primary?))) {
             let Some(group) = state.hosts.get(host).map(|h| h.group) else { continue };
             let later = found.get(&group).is_none_or(|(_, known)| *known < at);
@@ -409,7 +411,7 @@
     }
 
     /// What others' words say of hosts, for this daemon's own module.
-    pub fn told(now: Micros, words: &[Word]) -> Vec<Told> {
+    pub fn told(now: Timestamp, words: &[Word]) -> Vec<Told> {
         let told = |w: &Word| Told {
             host: w.host.clone(),
             primary: w.primary,
@@ -417,23 +419,23 @@
             at: now - w.age,
             fresh: w.age < asks::GOOD,
         };
-        words.iter().filter(|w| (0..FORGOTTEN).contains(&w.age)).map(told).collect()
+        words.iter().filter(|w| (TimeDelta::ZERO..FORGOTTEN).contains(&w.age)).map(told).collect()
     }
 
     /// When a host started, by the latest word of it.
-    pub fn started(&self, host: &str) -> Option<Micros> {
+    pub fn started(&self, host: &str) -> Option<Timestamp> {
         self.all.values().filter_map(|hosts| hosts.get(host)?.started).max()
     }
 
     /// When a host was last heard, by whomever.
-    pub fn heard(&self, host: &str) -> Option<Micros> {
+    pub fn heard(&self, host: &str) -> Option<Timestamp> {
         let others = self.all.values().filter_map(|hosts| Some(hosts.get(host)?.at)).max();
         others.max(self.rates.get(host).map(|served| served.at))
     }
 
     /// What is known of a host now. This daemon's own evidence is of this start; others' counts if it is of a moment
     /// ago. What was heard before the host's last start says nothing any more but what it bore.
-    pub fn moment(&self, now: Micros, host: &str) -> Moment {
+    pub fn moment(&self, now: Timestamp, host: &str) -> Moment {
         let started = self.started(host);
         let mut moment = Moment { started, ..Moment::default() };
         let mut rate = 0;
@@ -445,7 +447,7 @@
             }
             let recent = *by == self.me || now - e.at < MOMENT;
             moment.primary |= recent && e.primary;
-            moment.proven |= recent && e.position > 0;
+            moment.proven |= recent && e.position.is_known();
             moment.named += usize::from(e.primary && now - e.at < OLD);
         }
         let before = self.before.get(host);
@@ -471,13 +473,13 @@
     }
 
     /// All of it in words, a line for each: host, who heard it, role, position, age in ms, attempts out.
-    pub fn describe(&self, now: Micros, name: impl Fn(NodeId) -> String) -> Vec<String> {
+    pub fn describe(&self, now: Timestamp, name: impl Fn(NodeId) -> String) -> Vec<String> {
         let hosts: BTreeSet<&String> = self.all.values().flat_map(BTreeMap::keys).collect();
         let mut lines = Vec::new();
         for host in hosts {
             for (by, e) in self.all.iter().filter_map(|(by, hosts)| Some((by, hosts.get(host)?))) {
                 let role = if e.primary { "primary" } else { "replica" };
-                let (position, age) = (e.position / 1000, (now - e.at) / 1000);
+                let (position, age) = (e.position.as_millis(), (now - e.at).as_millis());
                 lines.push(format!("{host} {} {role} {position} {age} {}", name(*by), e.out));
             }
         }
@@ -488,31 +490,37 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::ids::ZoneId;
     use crate::store::agreed::Member;
     use crate::store::form::HostRecord;
 
-    const S: Micros = 1_000_000;
+    const S: TimeDelta = TimeDelta::from_secs(1);
+
+    /// So many seconds after the clock's zero.
+    fn sec(seconds: i64) -> Timestamp {
+        Timestamp::ZERO + seconds * S
+    }
 
     fn state(members: u64, hosts: usize) -> State {
         let member = |n| Member { name: format!("b{n}"), address: ([127, 0, 0, 1], n as u16).into() };
         let host = |n: usize| HostRecord {
             address: ([127, 0, 0, 1], 1).into(),
-            group: n as u32 / 3,
-            zone: 0,
+            group: GroupId(n as u32 / 3),
+            zone: ZoneId(0),
             weight: 1.0,
             leaving: false,
             started_at: None,
         };
         State {
-            members: (1..=members).map(|n| (n, member(n))).collect(),
+            members: (1..=members).map(|n| (NodeId(n), member(n))).collect(),
             hosts: (0..hosts).map(|n| (format!("s-{n}"), host(n))).collect(),
             ..State::default()
         }
     }
 
-    fn fact(host: usize, primary: bool, at: Micros) -> Fact {
-        let host = format!("s-{host}");
-        Fact { host, primary, position: at, at, out: 0, started: None, served: 0, used: (0.0, 0), back: None }
+    fn fact(host: usize, primary: bool, at: Timestamp) -> Fact {
+        let (host, position) = (format!("s-{host}"), LogPosition::of_commit(at, Timestamp::ZERO));
+        Fact { host, primary, position, at, out: 0, started: None, served: 0, used: (0.0, 0), back: None }
     }
 
     /// Any order, loss and repetition, and clocks that differ: in the end all know the same, the belief of each
@@ -522,13 +530,14 @@
         for seed in 0..400 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let state = state(4, 6);
-            let mut nodes: Vec<Learned> = (1..=4).map(|n| Learned::new(n, 1)).collect();
-            let skew: Vec<Micros> = (0..4).map(|_| rng.i64(-5 * S..5 * S)).collect();
+            let mut nodes: Vec<Learned> = (1..=4).map(|n| Learned::new(NodeId(n), 1)).collect();
+            let skew: Vec<TimeDelta> =
+                (0..4).map(|_| TimeDelta::from_micros(rng.i64(-5_000_000..5_000_000))).collect();
             let mut mail: Vec<(usize, Vec<Word>)> = Vec::new();
-            let (mut now, mut primaries) = (100 * S, [0, 3]);
-            let mut last: Vec<BTreeMap<u32, Belief>> = vec![BTreeMap::new(); 4];
+            let (mut now, mut primaries) = (sec(100), [0, 3]);
+            let mut last: Vec<BTreeMap<GroupId, Belief>> = vec![BTreeMap::new(); 4];
             for _ in 0..300 {
-                now += rng.i64(0..S / 2);
+                now += TimeDelta::from_micros(rng.i64(0..500_000));
                 let (a, b) = (rng.usize(..4), rng.usize(..4));
                 match rng.u8(..10) {
                     0 => {
@@ -573,7 +582,7 @@
             }
             let digests: BTreeSet<_> = nodes.iter().map(Learned::digest).collect();
             assert_eq!(digests.len(), 1, "seed {seed}");
-            let lines = |n: &Learned| n.describe(0, |id| id.to_string()).len();
+            let lines = |n: &Learned| n.describe(Timestamp::ZERO, |id| id.to_string()).len();
             assert!(nodes.iter().all(|n| lines(n) == lines(&nodes[0])), "seed {seed}");
         }
     }
@@ -582,14 +591,14 @@
     #[test]
     fn a_peers_word_counts_for_less_than_ones_own_ears() {
         let state = state(3, 3);
-        let mut node = Learned::new(1, 1);
-        node.observe(50 * S, &[fact(0, true, 50 * S), fact(1, false, 52 * S)], false);
+        let mut node = Learned::new(NodeId(1), 1);
+        node.observe(sec(50), &[fact(0, true, sec(50)), fact(1, false, sec(52))], false);
         let word = |by, facts, host: &str, age| Word {
-            by,
+            by: NodeId(by),
             count: Count { boot: 1, facts },
             host: host.into(),
             primary: true,
-            position: i64::MAX,
+            position: LogPosition::from_micros(i64::MAX),
             age,
             out: 2,
             up: None,
@@ -597,68 +606,84 @@
             used: 0,
         };
         let believed = |node: &mut Learned| {
-            node.believe(60 * S, &state);
-            node.beliefs()[&0].host.clone()
+            node.believe(sec(60), &state);
+            node.beliefs()[&GroupId(0)].host.clone()
         };
         assert_eq!(believed(&mut node), "s-0");
         // Of 51 s: earlier than what this daemon heard s-1 say itself.
         node.hear(
-            60 * S,
-            vec![word(2, 1, "s-1", 9 * S), word(2, 2, "s-77", 0), word(9, 1, "s-1", 0)],
+            sec(60),
+            vec![
+                word(2, 1, "s-1", 9 * S),
+                word(2, 2, "s-77", TimeDelta::ZERO),
+                word(9, 1, "s-1", TimeDelta::ZERO),
+            ],
             &state,
         );
         assert_eq!((believed(&mut node).as_str(), node.len()), ("s-0", 3));
         node.hear(
-            60 * S,
-            vec![word(1, 99, "s-2", 0), word(2, 3, "s-2", -5), word(2, 3, "s-2", Micros::MAX)],
+            sec(60),
+            vec![
+                word(1, 99, "s-2", TimeDelta::ZERO),
+                word(2, 3, "s-2", TimeDelta::from_micros(-5)),
+                word(2, 3, "s-2", TimeDelta::MAX),
+            ],
             &state,
         );
         assert_eq!(believed(&mut node), "s-0");
-        node.hear(60 * S, vec![word(2, 4, "s-2", 4 * S)], &state);
+        node.hear(sec(60), vec![word(2, 4, "s-2", 4 * S)], &state);
         assert_eq!((believed(&mut node).as_str(), node.out("s-2")), ("s-2", 2));
-        node.hear(60 * S, vec![word(3, 1, "s-1", 5 * S)], &state);
+        node.hear(sec(60), vec![word(3, 1, "s-1", 5 * S)], &state);
         assert_eq!(believed(&mut node), "s-2", "an earlier primary never replaces a later one");
         // A daemon that began anew has said nothing yet.
-        node.hear(60 * S, vec![Word { count: Count { boot: 2, facts: 1 }, ..word(2, 0, "s-0", S) }], &state);
+        node.hear(sec(60), vec![Word { count: Count { boot: 2, facts: 1 }, ..word(2, 0, "s-0", S) }], &state);
         assert_eq!(node.out("s-2"), 0);
-        node.tidy(60 * S, &super::tests::state(1, 1));
+        node.tidy(sec(60), &super::tests::state(1, 1));
         assert_eq!(node.len(), 1);
     }
 
     #[test]
     fn what_has_hardly_changed_is_not_told_again() {
-        let mut node = Learned::new(1, 1);
-        assert!(node.observe(S, &[fact(0, true, S)], false));
+        let mut node = Learned::new(NodeId(1), 1);
+        assert!(node.observe(sec(1), &[fact(0, true, sec(1))], false));
         let told = node.digest();
-        assert!(!node.observe(2 * S, &[fact(0, true, 2 * S)], false));
+        assert!(!node.observe(sec(2), &[fact(0, true, sec(2))], false));
         assert_eq!(node.digest(), told);
-        assert!(!node.observe(7 * S, &[fact(0, true, 7 * S)], false), "told, but not in haste");
+        assert!(!node.observe(sec(7), &[fact(0, true, sec(7))], false), "told, but not in haste");
         assert_ne!(node.digest(), told);
-        assert_eq!(node.lacks(9 * S, &told, |_| false, 10)[0].age, 2 * S);
-        assert!(node.observe(8 * S, &[fact(1, true, 8 * S)], false), "a new primary is news");
+        assert_eq!(node.lacks(sec(9), &told, |_| false, 10)[0].age, 2 * S);
+        assert!(node.observe(sec(8), &[fact(1, true, sec(8))], false), "a new primary is news");
     }
 
     /// Guards against a guess that outlives what was heard since, or that is told to others as if it were heard.
     #[test]
     fn what_was_known_before_is_a_guess_until_something_is_heard() {
         let state = state(2, 6);
-        let mut old = Learned::new(1, 1);
+        let mut old = Learned::new(NodeId(1), 1);
         old.observe(
-            50 * S,
-            &[fact(0, true, 40 * S), fact(1, true, 48 * S), fact(2, false, 49 * S), fact(3, true, 49 * S)],
+            sec(50),
+            &[
+                fact(0, true, sec(40)),
+                fact(1, true, sec(48)),
+                fact(2, false, sec(49)),
+                fact(3, true, sec(49)),
+            ],
             false,
         );
-        let words = old.words(50 * S);
+        let words = old.words(sec(50));
         assert_eq!(words.len(), 4);
-        let mut new = Learned::new(1, 2);
-        new.remember(100 * S, &words, 30 * S);
+        let mut new = Learned::new(NodeId(1), 2);
+        new.remember(sec(100), &words, 30 * S);
         let host = |n: usize| format!("s-{n}");
         let guesses = new.guesses(&state);
-        assert_eq!(guesses, BTreeMap::from([(0, (host(1), 68 * S)), (1, (host(3), 69 * S))]));
+        assert_eq!(
+            guesses,
+            BTreeMap::from([(GroupId(0), (host(1), sec(68))), (GroupId(1), (host(3), sec(69)))])
+        );
         assert!(new.digest().is_empty() && new.is_empty(), "nobody is told");
-        new.observe(101 * S, &[fact(2, true, 101 * S)], false);
-        new.believe(101 * S, &state);
-        assert_eq!(new.guesses(&state), BTreeMap::from([(1, (host(3), 69 * S))]));
+        new.observe(sec(101), &[fact(2, true, sec(101))], false);
+        new.believe(sec(101), &state);
+        assert_eq!(new.guesses(&state), BTreeMap::from([(GroupId(1), (host(3), sec(69)))]));
         assert!(
             new.guesses(&super::tests::state(2, 2)).is_empty(),
             "the agreed list has neither group any more"
@@ -670,47 +695,53 @@
     #[test]
     fn words_of_before_a_hosts_start_prove_nothing_but_what_it_bore() {
         let state = state(3, 3);
-        let mut old = Learned::new(1, 1);
+        let mut old = Learned::new(NodeId(1), 1);
         for n in 1..=80 {
-            let served = Fact { served: 5, ..fact(0, true, n * S / 4) };
-            old.observe(n * S / 4, &[served], false);
+            let served = Fact { served: 5, ..fact(0, true, Timestamp::ZERO + n * S / 4) };
+            old.observe(Timestamp::ZERO + n * S / 4, &[served], false);
         }
-        let rate = old.moment(20 * S, "s-0").serves;
+        let rate = old.moment(sec(20), "s-0").serves;
         assert!((14.0..22.0).contains(&rate), "{rate}");
-        let mut new = Learned::new(1, 2);
-        new.remember(100 * S, &old.words(20 * S), 70 * S);
+        let mut new = Learned::new(NodeId(1), 2);
+        new.remember(sec(100), &old.words(sec(20)), 70 * S);
         let told = &new.positions()[0];
-        assert!((15 * S..=20 * S).contains(&told.position) && !told.fresh, "{told:?}");
-        let before = new.moment(100 * S, "s-0");
+        assert!(
+            (sec(15)..=sec(20)).contains(&told.position.commit_time(Timestamp::ZERO)) && !told.fresh,
+            "{told:?}"
+        );
+        let before = new.moment(sec(100), "s-0");
         assert_eq!((before.primary, before.proven, before.named), (false, false, 0));
         assert!(before.bore >= rate && before.bore < rate * 2.0 && before.serves == 0.0, "{before:?}");
         let word = |by, age, up| Word {
-            by,
+            by: NodeId(by),
             count: Count { boot: 1, facts: 1 },
             host: "s-0".into(),
             primary: true,
-            position: 99 * S,
+            position: LogPosition::of_commit(sec(99), Timestamp::ZERO),
             age,
             out: 0,
             up,
             rate: 1_000,
             used: 0,
         };
-        new.hear(100 * S, vec![word(2, 12 * S, None)], &state);
-        let stale = new.moment(100 * S, "s-0");
+        new.hear(sec(100), vec![word(2, 12 * S, None)], &state);
+        let stale = new.moment(sec(100), "s-0");
         assert_eq!((stale.primary, stale.proven, stale.named), (false, false, 1), "too long ago, but a word");
-        new.hear(100 * S, vec![word(3, S, Some(5 * S))], &state);
-        let fresh = new.moment(100 * S, "s-0");
+        new.hear(sec(100), vec![word(3, S, Some(5 * S))], &state);
+        let fresh = new.moment(sec(100), "s-0");
         assert_eq!(
             (fresh.primary, fresh.proven, fresh.named),
             (true, true, 1),
             "the other one heard it before"
         );
-        assert_eq!((fresh.started, new.started("s-1")), (Some(95 * S), None));
-        let told = Learned::told(100 * S, &[word(2, S / 10, None), word(2, S, None), word(2, -1, None)]);
+        assert_eq!((fresh.started, new.started("s-1")), (Some(sec(95)), None));
+        let told = Learned::told(
+            sec(100),
+            &[word(2, S / 10, None), word(2, S, None), word(2, TimeDelta::from_micros(-1), None)],
+        );
         assert_eq!(
             told.iter().map(|t| (t.at, t.fresh)).collect::<Vec<_>>(),
-            [(100 * S - S / 10, true), (99 * S, false)]
+            [(sec(100) - S / 10, true), (sec(99), false)]
         );
     }
 
@@ -719,15 +750,15 @@
     #[test]
     fn a_host_bears_what_it_served_by_the_part_of_its_capacity_that_this_took() {
         let bore = |each: u32, used: Option<f64>| {
-            let mut old = Learned::new(1, 1);
+            let mut old = Learned::new(NodeId(1), 1);
             for n in 1..=80 {
                 let used = used.map_or((0.0, 0), |u| (u * f64::from(each), each));
-                let served = Fact { served: each, used, ..fact(0, false, n * S / 4) };
-                old.observe(n * S / 4, &[served], false);
+                let served = Fact { served: each, used, ..fact(0, false, Timestamp::ZERO + n * S / 4) };
+                old.observe(Timestamp::ZERO + n * S / 4, &[served], false);
             }
-            let mut new = Learned::new(1, 2);
-            new.remember(100 * S, &old.words(20 * S), 70 * S);
-            let moment = new.moment(100 * S, "s-0");
+            let mut new = Learned::new(NodeId(1), 2);
+            new.remember(sec(100), &old.words(sec(20)), 70 * S);
+            let moment = new.moment(sec(100), "s-0");
             assert_eq!(moment.said, used.is_some());
             moment.bore
         };
--- a/src/fleet/marks.rs
+++ b/src/fleet/marks.rs
@@ -1,15 +1,16 @@
 //! Drains that are not agreed yet. They act where they are known, also where no majority can be reached, until
 //! the log has said what became of them. No I/O.
 
-use crate::interface::Micros;
+use crate::ids::NodeId;
 use crate::store::agreed::{Change, Mark, State};
-use crate::store::form::{self, NodeId};
+use crate::store::form;
+use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Drains that wait for a majority.
 #[derive(Debug, Default)]
 pub struct Marks {
-    open: BTreeMap<(String, Mark), Option<Micros>>,
+    open: BTreeMap<(String, Mark), Option<Timestamp>>,
     hosts: BTreeMap<String, usize>,
     last: u64,
     /// Grows with every change.
@@ -38,12 +39,12 @@
     }
 
     /// A drain is said here; `now` makes its number one that this daemon never used, also after a restart.
-    pub fn say(&mut self, host: &str, by: NodeId, now: Micros) -> Mark {
+    pub fn say(&mut self, host: &str, by: NodeId, now: Timestamp) -> Mark {
         let own = self.open.keys().find(|(h, m)| h == host && m.by == by);
         if let Some((_, mark)) = own {
             return *mark;
         }
-        self.last = (self.last + 1).max(now.max(0) as u64);
+        self.last = (self.last + 1).max(now.as_micros().max(0) as u64);
         let mark = Mark { by, number: self.last };
         self.add(host.to_string(), mark);
         mark
@@ -109,7 +110,7 @@
     }
 
     /// What the leader has to put into the log: each at once, and again where it was not settled for `insist`.
-    pub fn due(&mut self, now: Micros, insist: Micros) -> Vec<Change> {
+    pub fn due(&mut self, now: Timestamp, insist: TimeDelta) -> Vec<Change> {
         let mut due = Vec::new();
         for ((host, mark), proposed) in &mut self.open {
             if proposed.is_none_or(|at| now - at >= insist) {
@@ -136,12 +137,12 @@
             let mut nodes: Vec<Marks> = (0..3).map(|_| Marks::default()).collect();
             let mut said: BTreeSet<(String, Mark)> = BTreeSet::new();
             let mut undone: BTreeSet<Mark> = BTreeSet::new();
-            for step in 0..200 {
+            for step in 0..200i64 {
                 let n = rng.usize(..3);
                 let host = format!("s-{}", rng.u8(..4));
                 match rng.u8(..10) {
                     0 => {
-                        let mark = nodes[n].say(&host, n as NodeId + 1, step);
+                        let mark = nodes[n].say(&host, NodeId(n as u64 + 1), Timestamp::from_micros(step));
                         said.insert((host, mark));
                     }
                     1..=3 => {
@@ -149,7 +150,7 @@
                         nodes[n].hear(all, &state, 1000);
                     }
                     4 => {
-                        for change in nodes[n].due(step, 10) {
+                        for change in nodes[n].due(Timestamp::from_micros(step), TimeDelta::from_micros(10)) {
                             state.apply(step as u64, &change);
                         }
                     }
@@ -166,7 +167,7 @@
                 }
                 for (host, mark) in said.iter().filter(|(_, mark)| !undone.contains(mark)) {
                     let agreed = state.is_drained(host);
-                    let by = &nodes[mark.by as usize - 1];
+                    let by = &nodes[mark.by.0 as usize - 1];
                     assert!(agreed || by.drains(host), "seed {seed}, step {step}: {mark:?} of {host}");
                 }
             }
@@ -181,16 +182,19 @@
 
     #[test]
     fn a_number_is_never_used_twice_and_what_is_held_is_bounded() {
-        let mut marks = Marks::default();
-        let first = marks.say("a", 7, 1_000);
-        assert_eq!(marks.say("a", 7, 2_000), first, "it is drained already");
-        assert!(marks.say("b", 7, 1_000).number > first.number);
-        assert!(Marks::default().say("a", 7, 5_000).number > first.number, "after a restart without disk");
-        let many = (0..50).map(|n| (format!("s-{n}"), Mark { by: 9, number: n })).collect();
+        let (mut marks, me, at) = (Marks::default(), NodeId(7), Timestamp::from_micros);
+        let first = marks.say("a", me, at(1_000));
+        assert_eq!(marks.say("a", me, at(2_000)), first, "it is drained already");
+        assert!(marks.say("b", me, at(1_000)).number > first.number);
+        assert!(
+            Marks::default().say("a", me, at(5_000)).number > first.number,
+            "after a restart without disk"
+        );
+        let many = (0..50).map(|n| (format!("s-{n}"), Mark { by: NodeId(9), number: n })).collect();
         assert!(marks.hear(many, &State::default(), 10));
         assert_eq!(marks.all().len(), 10);
         assert_ne!(marks.digest(), 0);
-        let due = marks.due(0, 100).len();
-        assert_eq!((due, marks.due(50, 100).len(), marks.due(100, 100).len()), (10, 0, 10));
+        let mut due = |now| marks.due(at(now), TimeDelta::from_micros(100)).len();
+        assert_eq!((due(0), due(50), due(100)), (10, 0, 10));
     }
 }
--- a/src/fleet/members.rs
+++ b/src/fleet/members.rs
@@ -1,10 +1,11 @@
 //! Who comes into the fleet and who goes: the leader's next step, one at a time. No I/O.
 
 use super::forming::Hello;
-use crate::interface::Micros;
+use crate::ids::NodeId;
 use crate::store::agreed::{MEMBERS, Member, Membership, State};
-use crate::store::form::{Conf, NodeId, Step};
+use crate::store::form::{Conf, Step};
 use crate::store::replica::Progress;
+use crate::time::TimeDelta;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A daemon that lags behind by no more entries than this has caught up.
@@ -23,7 +24,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Word {
     /// It has known no leader for so long.
-    pub leaderless: Micros,
+    pub leaderless: TimeDelta,
     /// Whom it hears.
     pub hears: BTreeSet<NodeId>,
 }
@@ -43,15 +44,15 @@
     /// Daemons that were met a moment ago and are no members.
     pub candidates: &'a BTreeMap<NodeId, Hello>,
     /// How long ago each member was last heard.
-    pub silent: &'a BTreeMap<NodeId, Micros>,
+    pub silent: &'a BTreeMap<NodeId, TimeDelta>,
     /// The leader has led for so long.
-    pub led_for: Micros,
+    pub led_for: TimeDelta,
     /// What each voter that is heard says.
     pub words: &'a BTreeMap<NodeId, Word>,
     /// What operators want, by name.
     pub wishes: &'a BTreeSet<(String, Wish)>,
     /// Silent for so long, a member counts as gone.
-    pub gone: Micros,
+    pub gone: TimeDelta,
 }
 
 /// What the leader is to do next.
@@ -196,8 +197,8 @@
         conf: Conf,
         progress: Vec<Progress>,
         candidates: BTreeMap<NodeId, Hello>,
-        silent: BTreeMap<NodeId, Micros>,
-        led_for: Micros,
+        silent: BTreeMap<NodeId, TimeDelta>,
+        led_for: TimeDelta,
         words: BTreeMap<NodeId, Word>,
         wishes: BTreeSet<(String, Wish)>,
     }
@@ -210,29 +211,30 @@
         fn new(founders: &[&str]) -> Paper {
             let founders = founders.iter().map(|f| f.to_string()).collect();
             Paper {
-                state: State::found(7, 1, member("a"), founders),
-                conf: Conf { voters: vec![1], ..Conf::default() },
-                progress: vec![Progress { id: 1, matched: 100, active: true }],
+                state: State::found(7, NodeId(1), member("a"), founders),
+                conf: Conf { voters: vec![NodeId(1)], ..Conf::default() },
+                progress: vec![Progress { id: NodeId(1), matched: 100, active: true }],
                 candidates: BTreeMap::new(),
                 silent: BTreeMap::new(),
-                led_for: 60_000,
+                led_for: TimeDelta::from_micros(60_000),
                 words: BTreeMap::new(),
                 wishes: BTreeSet::new(),
             }
         }
 
-        fn meet(&mut self, id: NodeId, name: &str) {
+        fn meet(&mut self, id: u64, name: &str) {
+            let id = NodeId(id);
             let (address, witness) = (([127, 0, 0, 1], 9).into(), Witness::default());
             let hello = Hello { fleet: 0, id, name: name.into(), address, witness };
             self.candidates.insert(id, hello);
-            self.silent.insert(id, 0);
+            self.silent.insert(id, TimeDelta::ZERO);
         }
 
         fn next(&self) -> Next {
             let Paper { state, conf, progress, candidates, silent, led_for, words, wishes } = self;
             let led_for = *led_for;
             View {
-                me: 1,
+                me: NodeId(1),
                 state,
                 conf,
                 agreed: 100,
@@ -242,7 +244,7 @@
                 led_for,
                 words,
                 wishes,
-                gone: 2_000,
+                gone: TimeDelta::from_micros(2_000),
             }
             .next()
         }
@@ -284,18 +286,21 @@
             paper.meet(id, name);
         }
         paper.run();
-        assert_eq!((paper.conf.voters.clone(), paper.conf.learners.clone()), (vec![1, 2, 3], vec![4]));
+        assert_eq!(
+            (paper.conf.voters.clone(), paper.conf.learners.clone()),
+            ([1, 2, 3].map(NodeId).to_vec(), vec![NodeId(4)])
+        );
         assert!(paper.state.is_complete());
         paper.wishes.insert(("d".into(), Wish::Vote));
-        assert_eq!(paper.run(), [[1, 2, 3, 4]]);
+        assert_eq!(paper.run(), [[1, 2, 3, 4].map(NodeId)]);
         paper.wishes = [("b".to_string(), Wish::Leave)].into();
-        assert_eq!(paper.run(), [[1, 3, 4]]);
-        assert_eq!(paper.state.removed.get(&2).map(String::as_str), Some("b"));
+        assert_eq!(paper.run(), [[1, 3, 4].map(NodeId)]);
+        assert_eq!(paper.state.removed.get(&NodeId(2)).map(String::as_str), Some("b"));
         paper.wishes = [("a".to_string(), Wish::Leave)].into();
         paper.progress.iter_mut().for_each(|p| p.matched = 0);
         assert_eq!(paper.next(), Next::Nothing, "nobody has caught up enough to lead after it");
         paper.progress.iter_mut().for_each(|p| p.matched = 100);
-        assert_eq!(paper.next(), Next::Transfer(3), "it leads itself: another has to, first");
+        assert_eq!(paper.next(), Next::Transfer(NodeId(3)), "it leads itself: another has to, first");
     }
 
     /// Guards against a daemon without its disk that has two votes, or takes the name of one that lives.
@@ -307,11 +312,11 @@
         paper.run();
         paper.meet(5, "b");
         assert_eq!(paper.next(), Next::Nothing, "the other b is there");
-        paper.silent.insert(2, 5_000);
+        paper.silent.insert(NodeId(2), TimeDelta::from_micros(5_000));
         // The new one follows first, then changes places with the old one in one step.
-        assert_eq!(paper.run(), [[1, 2, 3], [1, 3, 5]]);
-        assert!(!paper.state.members.contains_key(&2));
-        paper.candidates.remove(&5);
+        assert_eq!(paper.run(), [[1, 2, 3].map(NodeId), [1, 3, 5].map(NodeId)]);
+        assert!(!paper.state.members.contains_key(&NodeId(2)));
+        paper.candidates.remove(&NodeId(5));
         assert_eq!(paper.next(), Next::Nothing, "the one that was removed does not come back");
     }
 
@@ -322,7 +327,7 @@
         assert_eq!(paper.next(), Next::Nothing);
         paper.meet(2, "b");
         assert_ne!(paper.next(), Next::Nothing);
-        paper.conf.voters_outgoing = vec![1];
+        paper.conf.voters_outgoing = vec![NodeId(1)];
         assert_eq!(paper.next(), Next::Nothing);
     }
 
@@ -335,21 +340,21 @@
             paper.meet(id, name);
         }
         paper.run();
-        let word = |me: NodeId, leaderless, lacks: &[NodeId]| {
-            let hears = (1..=5).filter(|id| *id != me && !lacks.contains(id)).collect();
-            (me, Word { leaderless, hears })
+        let word = |me: u64, leaderless, lacks: &[u64]| {
+            let hears = (1..=5).filter(|id| *id != me && !lacks.contains(id)).map(NodeId).collect();
+            (NodeId(me), Word { leaderless: TimeDelta::from_micros(leaderless), hears })
         };
         paper.words = (2..=5).map(|id| word(id, 0, &[])).collect();
         assert_eq!(paper.next(), Next::Nothing);
         paper.words.extend([word(2, 1_000, &[1]), word(3, 1_000, &[1])]);
         assert_eq!(paper.next(), Next::Nothing, "not for so long yet");
         paper.words.extend([word(2, 2_000, &[1]), word(3, 2_000, &[1])]);
-        paper.led_for = 1_999;
+        paper.led_for = TimeDelta::from_micros(1_999);
         assert_eq!(paper.next(), Next::Nothing, "that was said of the leader before");
-        paper.led_for = 2_000;
-        assert_eq!(paper.next(), Next::Transfer(4));
+        paper.led_for = TimeDelta::from_micros(2_000);
+        assert_eq!(paper.next(), Next::Transfer(NodeId(4)));
         paper.words.extend([word(2, 2_000, &[1, 4]), word(3, 2_000, &[1])]);
-        assert_eq!(paper.next(), Next::Transfer(5), "not every other one hears 4");
+        assert_eq!(paper.next(), Next::Transfer(NodeId(5)), "not every other one hears 4");
         // One that hears nobody is no reason to go: nobody would be heard better.
         paper.words = (2..=4).map(|id| word(id, 0, &[5])).collect();
         paper.words.extend([word(5, 9_000, &[1, 2, 3, 4])]);
--- a/src/fleet/recovery/lead.rs
+++ b/src/fleet/recovery/lead.rs
@@ -5,14 +5,14 @@
 //! a leader, the one whose log is the newest asks for the lead at once. That it gets it, and that nobody gets it
 //! twice, is the agreement's matter: a wrong guess here costs an exchange of letters.
 
-use crate::interface::Micros;
-use crate::store::form::NodeId;
+use crate::ids::NodeId;
+use crate::time::{TimeDelta, Timestamp};
 use std::cmp::Reverse;
 
 /// Where some voters are silent those that are heard wait this long for them: one of them may know more.
-const WAIT: Micros = 150_000;
+const WAIT: TimeDelta = TimeDelta::from_millis(150);
 /// One that got no answer asks again after this.
-const AGAIN: Micros = 150_000;
+const AGAIN: TimeDelta = TimeDelta::from_millis(150);
 
 /// What is known of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,20 +29,20 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lead {
     /// Since when it hears a majority of the voters.
-    majority: Option<Micros>,
+    majority: Option<Timestamp>,
     /// When it last stood.
-    stood: Option<Micros>,
+    stood: Option<Timestamp>,
     /// It has known a leader: from then on elections come by themselves.
     led: bool,
 }
 
 impl Lead {
     /// Whether this daemon stands for election now. `heard`: the other voters that are heard and take part.
-    pub fn stands(&mut self, now: Micros, me: Voter, voters: &[NodeId], heard: &[Voter]) -> bool {
-        self.led |= me.leader != 0;
+    pub fn stands(&mut self, now: Timestamp, me: Voter, voters: &[NodeId], heard: &[Voter]) -> bool {
+        self.led |= me.leader != NodeId::NOBODY;
         let there = heard.iter().filter(|v| voters.contains(&v.id)).count() + 1;
         self.majority = self.majority.or(Some(now)).filter(|_| there * 2 > voters.len());
-        let waited = self.majority.map_or(0, |at| now - at);
+        let waited = self.majority.map_or(TimeDelta::ZERO, |at| now - at);
         let rests = self.stood.is_some_and(|at| now - at < AGAIN);
         let due = !self.led && !rests && stands(me, voters, heard, waited);
         self.stood = if due { Some(now) } else { self.stood };
@@ -51,10 +51,10 @@
 }
 
 /// Whether it is this daemon's turn. `waited`: for how long a majority of all has been heard.
-fn stands(me: Voter, voters: &[NodeId], heard: &[Voter], waited: Micros) -> bool {
+fn stands(me: Voter, voters: &[NodeId], heard: &[Voter], waited: TimeDelta) -> bool {
     let heard: Vec<&Voter> = heard.iter().filter(|v| voters.contains(&v.id) && v.id != me.id).collect();
     let there = heard.len() + 1;
-    let led = me.leader != 0 || heard.iter().any(|v| v.leader != 0);
+    let led = me.leader != NodeId::NOBODY || heard.iter().any(|v| v.leader != NodeId::NOBODY);
     let newest = |v: &Voter| (v.last, Reverse(v.id));
     voters.contains(&me.id)
         && !led
@@ -67,8 +67,8 @@
 mod tests {
     use super::*;
 
-    fn voter(id: NodeId, index: u64) -> Voter {
-        Voter { id, last: (3, index), leader: 0 }
+    fn voter(id: u64, index: u64) -> Voter {
+        Voter { id: NodeId(id), last: (3, index), leader: NodeId::NOBODY }
     }
 
     /// Guards against two that stand against one another although they hear each other, against one that stands beside
@@ -78,21 +78,21 @@
         for seed in 0..2_000 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let size = rng.u64(1..=9);
-            let voters: Vec<NodeId> = (1..=size).collect();
+            let voters: Vec<NodeId> = (1..=size).map(NodeId).collect();
             let mut up = Vec::new();
             for id in &voters {
-                let one = voter(*id, rng.u64(0..3));
+                let one = voter(id.0, rng.u64(0..3));
                 up.extend((rng.u8(..4) > 0).then_some(one));
             }
             let led = rng.u8(..5) == 0;
-            let waited = if rng.bool() { WAIT } else { 0 };
+            let waited = if rng.bool() { WAIT } else { TimeDelta::ZERO };
             let mut standing = Vec::new();
             for (n, me) in up.iter().enumerate() {
                 let mut others: Vec<Voter> = [&up[..n], &up[n + 1..]].concat();
                 // One that only follows, and a stranger, have no say.
                 others.push(voter(77, 99));
-                if led && let Some(other) = others.first_mut().filter(|v| v.id < 77) {
-                    other.leader = 5;
+                if led && let Some(other) = others.first_mut().filter(|v| v.id < NodeId(77)) {
+                    other.leader = NodeId(5);
                 }
                 if stands(*me, &voters, &others, waited) {
                     standing.push(*me);
@@ -110,20 +110,26 @@
     /// Guards against letters without end, and against one that stands again because a leader has fallen silent.
     #[test]
     fn it_stands_again_after_a_while_and_never_once_it_has_known_a_leader() {
-        let (mut lead, voters, me) = (Lead::default(), [1, 2, 3], voter(1, 5));
+        let (mut lead, voters, me) = (Lead::default(), [1, 2, 3].map(NodeId), voter(1, 5));
         let two = [voter(2, 5)];
-        assert!(!lead.stands(0, me, &voters, &two), "the third one may know more");
-        assert!(!lead.stands(WAIT, me, &voters, &[]) && !lead.stands(WAIT + 1, me, &voters, &two));
-        assert!(lead.stands(2 * WAIT + 1, me, &voters, &two));
-        assert!(!lead.stands(2 * WAIT + AGAIN, me, &voters, &two));
-        assert!(lead.stands(2 * WAIT + 1 + AGAIN, me, &voters, &two));
-        assert!(!lead.stands(5 * WAIT, Voter { leader: 2, ..me }, &voters, &two));
-        assert!(!lead.stands(9 * WAIT, me, &voters, &two));
+        let (at, tick) = (|wait: TimeDelta| Timestamp::ZERO + wait, TimeDelta::from_micros(1));
+        assert!(!lead.stands(at(TimeDelta::ZERO), me, &voters, &two), "the third one may know more");
+        assert!(!lead.stands(at(WAIT), me, &voters, &[]) && !lead.stands(at(WAIT + tick), me, &voters, &two));
+        assert!(lead.stands(at(2 * WAIT + tick), me, &voters, &two));
+        assert!(!lead.stands(at(2 * WAIT + AGAIN), me, &voters, &two));
+        assert!(lead.stands(at(2 * WAIT + tick + AGAIN), me, &voters, &two));
+        assert!(!lead.stands(at(5 * WAIT), Voter { leader: NodeId(2), ..me }, &voters, &two));
+        assert!(!lead.stands(at(9 * WAIT), me, &voters, &two));
     }
 
     #[test]
     fn one_that_only_follows_never_stands() {
-        assert!(!stands(voter(9, 50), &[1, 2, 3], &[voter(1, 1), voter(2, 1), voter(3, 1)], WAIT));
-        assert!(stands(voter(1, 0), &[1], &[], 0));
+        assert!(!stands(
+            voter(9, 50),
+            &[1, 2, 3].map(NodeId),
+            &[voter(1, 1), voter(2, 1), voter(3, 1)],
+            WAIT
+        ));
+        assert!(stands(voter(1, 0), &[NodeId(1)], &[], TimeDelta::ZERO));
     }
 }
--- a/src/fleet/recovery/mod.rs
+++ b/src/fleet/recovery/mod.rs
@@ -9,23 +9,23 @@
 
 use super::learned::Word;
 use crate::core::breaks::Break;
-use crate::interface::Micros;
+use crate::time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// What has lain longer is worth nothing.
-const KEPT: Micros = 3_600_000_000;
+const KEPT: TimeDelta = TimeDelta::from_secs(3_600);
 /// A clock that went differently from the machine by more than this was set.
-const SET: Micros = 2_000_000;
+const SET: TimeDelta = TimeDelta::from_secs(2);
 
 /// The clocks of a machine at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Clocks {
-    /// Unix time in microseconds.
-    pub wall: Micros,
+    /// Unix time.
+    pub wall: Timestamp,
     /// Which start of the machine; empty: not known.
     pub boot: String,
-    /// Since that start, in microseconds, sleep included.
-    pub up: Micros,
+    /// Since that start, sleep included.
+    pub up: TimeDelta,
 }
 
 /// What was learned, as it lies on the disk.
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
     /// A guess, older by so much than when it was written.
-    Guess(Micros),
+    Guess(TimeDelta),
     /// Nothing, and why.
     Worthless(&'static str),
 }
@@ -52,12 +52,12 @@
 /// was off counts; a clock that was set makes it worthless rather than fresh.
 pub fn trust(then: &Clocks, now: &Clocks) -> Trust {
     let span = now.wall - then.wall;
-    if span < 0 {
+    if span < TimeDelta::ZERO {
         return Trust::Worthless("the clock went back");
     }
     if !now.boot.is_empty() && now.boot == then.boot {
         let truth = now.up - then.up;
-        if truth < 0 || (truth - span).abs() > SET {
+        if truth < TimeDelta::ZERO || (truth - span).abs() > SET {
             return Trust::Worthless("the clock was set");
         }
     }
@@ -68,14 +68,14 @@
 mod tests {
     use super::*;
 
-    fn clocks(wall: Micros, boot: &str, up: Micros) -> Clocks {
-        Clocks { wall, boot: boot.into(), up }
+    fn clocks(wall: TimeDelta, boot: &str, up: TimeDelta) -> Clocks {
+        Clocks { wall: Timestamp::ZERO + wall, boot: boot.into(), up }
     }
 
     /// Guards against something old that passes for fresh, whatever the clock did meanwhile.
     #[test]
     fn what_lay_is_older_by_that_time_and_worth_nothing_when_the_clock_was_set() {
-        let s = 1_000_000;
+        let s = TimeDelta::from_secs(1);
         let then = clocks(1_000 * s, "a", 50 * s);
         for (now, wanted) in [
             (clocks(1_030 * s, "a", 80 * s), Trust::Guess(30 * s)),
@@ -91,8 +91,9 @@
         let mut rng = fastrand::Rng::with_seed(2);
         for _ in 0..5_000 {
             // The machine was on all the time: however its clock was set, nothing looks younger than it is.
-            let (true_span, set) = (rng.i64(0..4_000 * s), rng.i64(-5_000 * s..5_000 * s));
-            let now = clocks(then.wall + true_span + set, "a", then.up + true_span);
+            let (true_span, set) = (rng.i64(0..4_000_000_000), rng.i64(-5_000_000_000..5_000_000_000));
+            let (true_span, set) = (TimeDelta::from_micros(true_span), TimeDelta::from_micros(set));
+            let now = clocks(then.wall.since(Timestamp::ZERO) + true_span + set, "a", then.up + true_span);
             if let Trust::Guess(span) = trust(&then, &now) {
                 assert!(span + SET >= true_span);
             }
--- a/src/fleet/recovery/order.rs
+++ b/src/fleet/recovery/order.rs
@@ -12,17 +12,18 @@
 //! falls, whoever hears whom.
 
 use crate::core::gate::{Terms, Way};
-use crate::interface::{GroupId, Micros};
+use crate::ids::GroupId;
+use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// A group is opened without proof after this.
-pub const PATIENCE: Micros = 600_000;
+pub const PATIENCE: TimeDelta = TimeDelta::from_millis(600);
 /// Hosts are asked in turn for so long, and until all have answered, but no longer than [`LEAST`]: a position is worth
 /// something for a second, and whoever waits for another's word of it has its reads go to the primary.
-pub const FIRST: Micros = 1_000_000;
+pub const FIRST: TimeDelta = TimeDelta::from_secs(1);
 /// Service is not as ever before this.
-pub const LEAST: Micros = 2_000_000;
+pub const LEAST: TimeDelta = TimeDelta::from_secs(2);
 /// Of the load under which a cold host falls, all daemons together let in so much.
 pub const TOGETHER: f64 = 0.8;
 /// Of that, daemons that hear no majority take so much together.
@@ -32,7 +33,7 @@
 /// What is waited for at first.
 pub const UNLISTED: &str = "a majority's word of what is agreed";
 /// Whoever is turned away from a group that is shut comes back after this.
-const AGAIN: Micros = 100_000;
+const AGAIN: TimeDelta = TimeDelta::from_millis(100);
 
 /// How far service has returned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -68,16 +69,17 @@
     /// The share of its capacity that one has at its start.
     pub share: f64,
     /// It has all of it after this.
-    pub warm_up: Micros,
+    pub warm_up: TimeDelta,
     /// It falls over above this multiple of what it has.
     pub multiple: f64,
 }
 
 impl Cold {
     /// The share of its capacity that a host has for certain, so long after its start.
-    pub fn warmth(&self, age: Option<Micros>) -> f64 {
+    pub fn warmth(&self, age: Option<TimeDelta>) -> f64 {
         let Some(age) = age else { return 1.0 };
-        let grown = age.max(0) as f64 / self.warm_up.max(1) as f64;
+        let grown =
+            age.or_zero().as_micros_f64() / self.warm_up.max(TimeDelta::from_micros(1)).as_micros_f64();
         (self.share + (1.0 - self.share) * grown).min(1.0)
     }
 }
@@ -94,7 +96,7 @@
     /// It told its position, here or to another daemon a moment ago.
     pub proven: bool,
     /// How long ago it started, where that is known.
-    pub age: Option<Micros>,
+    pub age: Option<TimeDelta>,
     /// Requests a second that it bears from all daemons together when warm, by what it did before; 0: not known.
     pub bore: f64,
     /// It said itself which part of its capacity that took.
@@ -107,7 +109,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// The present.
-    pub now: Micros,
+    pub now: Timestamp,
     /// The list is there.
     pub listed: bool,
     /// Daemons of the fleet.
@@ -135,7 +137,7 @@
 #[derive(Clone, Debug)]
 pub struct Order {
     cold: Cold,
-    listed: Option<Micros>,
+    listed: Option<Timestamp>,
     /// By group: writes and reads were opened.
     opened: BTreeMap<GroupId, [bool; 2]>,
     step: Step,
@@ -246,35 +248,38 @@
 mod tests {
     use super::*;
 
-    const S: Micros = 1_000_000;
-    const COLD: Cold = Cold { share: 0.25, warm_up: 16 * S, multiple: 4.0 };
+    const S: TimeDelta = TimeDelta::from_secs(1);
+    const COLD: Cold = Cold { share: 0.25, warm_up: TimeDelta::from_secs(16), multiple: 4.0 };
 
-    fn host(group: GroupId) -> Seen {
-        Seen { group, ..Seen::default() }
+    fn host(group: u32) -> Seen {
+        Seen { group: GroupId(group), ..Seen::default() }
     }
 
-    fn view(now: Micros, hosts: Vec<Seen>) -> View {
-        View { now, listed: true, members: 3, heard: 3, hosts }
+    fn view(now: TimeDelta, hosts: Vec<Seen>) -> View {
+        View { now: Timestamp::ZERO + now, listed: true, members: 3, heard: 3, hosts }
     }
 
     #[test]
     fn service_returns_step_by_step_and_waits_for_no_proof_for_ever() {
-        let mut order = Order::new(COLD);
-        let early = order.next(&View { listed: false, ..view(0, vec![host(1)]) });
+        let (mut order, tick) = (Order::new(COLD), TimeDelta::from_micros(1));
+        let early = order.next(&View { listed: false, ..view(TimeDelta::ZERO, vec![host(1)]) });
         assert_eq!((early.step, early.terms.unwrap().groups.len()), (Step::List, 0));
         let unknown = order.next(&view(S, vec![host(1), host(1), host(2)]));
         assert_eq!((unknown.step, unknown.waits.as_str()), (Step::Writes, "the primary of group 1, 2"));
         let primary = Seen { primary: true, ..host(1) };
         let by_word = Seen { named: 2, ..host(2) };
-        let named = order.next(&view(S + 1, vec![primary, host(1), by_word]));
+        let named = order.next(&view(S + tick, vec![primary, host(1), by_word]));
         assert_eq!((named.step, named.waits.as_str()), (Step::Reads, "a proven position in group 1, 2"));
         let terms = named.terms.unwrap();
-        assert!(matches!(terms.groups[&1], [Way::Open, Way::Shut(_)]) && !terms.rest);
+        assert!(matches!(terms.groups[&GroupId(1)], [Way::Open, Way::Shut(_)]) && !terms.rest);
         let one = Seen { named: 1, ..host(3) };
         let proven = Seen { proven: true, ..host(1) };
-        let late = order.next(&view(S + PATIENCE - 1, vec![primary, proven, by_word, one]));
+        let late = order.next(&view(S + PATIENCE - tick, vec![primary, proven, by_word, one]));
         assert_eq!((late.step, late.waits.as_str()), (Step::Reads, "the primary of group 3"));
-        assert!(matches!(late.terms.unwrap().groups[&3], [Way::Shut(_), _]), "one of three is no majority");
+        assert!(
+            matches!(late.terms.unwrap().groups[&GroupId(3)], [Way::Shut(_), _]),
+            "one of three is no majority"
+        );
         let over = order.next(&view(S + PATIENCE, vec![host(1), host(1), by_word, one]));
         assert_eq!((over.step, over.terms.unwrap().rest), (Step::Rest, true));
         let done = order.next(&view(S + LEAST, vec![host(1), by_word, one]));
@@ -316,11 +321,12 @@
         for seed in 0..400 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let mut order = Order::new(COLD);
-            let started = rng.bool().then(|| rng.i64(-20 * S..2 * S));
-            let (mut now, mut last, mut open) = (0, Step::List, BTreeMap::new());
-            let listed_at = rng.i64(0..S);
+            let started = rng.bool().then(|| TimeDelta::from_micros(rng.i64(-20_000_000..2_000_000)));
+            let (mut now, mut last, mut open) = (TimeDelta::ZERO, Step::List, BTreeMap::new());
+            let listed_at = TimeDelta::from_micros(rng.i64(0..1_000_000));
+            let gap = TimeDelta::from_millis(300);
             while now < 30 * S {
-                now += rng.i64(1..300_000);
+                now += TimeDelta::from_micros(rng.i64(1..300_000));
                 let hosts = (0..6u32).map(|n| Seen {
                     primary: n % 3 == 0 && rng.bool(),
                     proven: rng.bool(),
@@ -329,7 +335,7 @@
                     bore: f64::from(n) * 5.0,
                     said: rng.bool(),
                     serves: f64::from(n),
-                    group: n / 3,
+                    group: GroupId(n / 3),
                 });
                 let hosts = hosts.collect();
                 let view = View { listed: now >= listed_at, heard: rng.usize(1..=3), ..view(now, hosts) };
@@ -344,13 +350,13 @@
                         let is_open = !matches!(way, Way::Shut(_));
                         let was = open.insert((*group, side), is_open).unwrap_or(false);
                         assert!(is_open || !was, "seed {seed}: group {group} was shut again");
-                        assert!(is_open || now < listed_at + 300_000 + PATIENCE, "seed {seed}");
+                        assert!(is_open || now < listed_at + gap + PATIENCE, "seed {seed}");
                         if let Way::Paced { bears: start, most, .. } = way {
                             assert!(*start > 0.0 && start <= most, "seed {seed}: {way:?}");
                         }
                     }
                 }
-                if started.is_none_or(|at| now > at + 16 * S) && now > listed_at + 300_000 + LEAST {
+                if started.is_none_or(|at| now > at + 16 * S) && now > listed_at + gap + LEAST {
                     assert_eq!(stand.step, Step::Done, "seed {seed}");
                 }
             }
@@ -360,10 +366,12 @@
     #[test]
     fn cold_hosts_open_at_this_daemons_part_of_what_they_bear() {
         let mut order = Order::new(COLD);
-        let cold = |primary, bore| Seen { primary, bore, proven: true, age: Some(0), ..host(1) };
-        let stand = order.next(&view(0, vec![cold(true, 20.0), cold(false, 20.0), cold(false, 0.0)]));
+        let cold =
+            |primary, bore| Seen { primary, bore, proven: true, age: Some(TimeDelta::ZERO), ..host(1) };
+        let stand =
+            order.next(&view(TimeDelta::ZERO, vec![cold(true, 20.0), cold(false, 20.0), cold(false, 0.0)]));
         let [Way::Paced { bears: start, most, .. }, Way::Paced { bears: reads, .. }] =
-            stand.terms.unwrap().groups[&1]
+            stand.terms.unwrap().groups[&GroupId(1)]
         else {
             panic!("no pace");
         };
@@ -371,14 +379,18 @@
         assert!((reads - 30.0 * 0.25 / 3.0).abs() < 1e-9);
         // A host that has said nothing yet is neither warm nor of help.
         let silent = Seen { bore: 50.0, ..host(1) };
-        let early = order.next(&view(1, vec![cold(true, 20.0), cold(false, 20.0), silent]));
-        let [_, Way::Paced { bears: early, .. }] = early.terms.unwrap().groups[&1] else { panic!("no pace") };
+        let early =
+            order.next(&view(TimeDelta::from_micros(1), vec![cold(true, 20.0), cold(false, 20.0), silent]));
+        let [_, Way::Paced { bears: early, .. }] = early.terms.unwrap().groups[&GroupId(1)] else {
+            panic!("no pace")
+        };
         assert!((early - 20.0 * 0.25 / 3.0).abs() < 1e-9);
         // Nobody knows who is primary: the weakest may be.
         let mut order = Order::new(COLD);
-        order.next(&view(0, vec![]));
+        order.next(&view(TimeDelta::ZERO, vec![]));
         let unknown = view(PATIENCE, vec![cold(false, 20.0), cold(false, 12.0)]);
-        let [Way::Paced { bears: start, .. }, _] = order.next(&unknown).terms.unwrap().groups[&1] else {
+        let [Way::Paced { bears: start, .. }, _] = order.next(&unknown).terms.unwrap().groups[&GroupId(1)]
+        else {
             panic!("no pace");
         };
         assert!((start - 12.0 * 0.25 / 3.0).abs() < 1e-9);
--- a/src/fleet/recovery/restarts.rs
+++ b/src/fleet/recovery/restarts.rs
@@ -6,7 +6,8 @@
 
 use super::order::Cold;
 use crate::core::facts::JITTER;
-use crate::interface::{GroupId, Micros};
+use crate::ids::GroupId;
+use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is known of a host.
@@ -15,11 +16,11 @@
     /// Its group.
     pub group: GroupId,
     /// Its start by the agreed list.
-    pub listed: Option<Micros>,
+    pub listed: Option<Timestamp>,
     /// Its start by anybody's word.
-    pub started: Option<Micros>,
+    pub started: Option<Timestamp>,
     /// When it was last heard.
-    pub heard: Option<Micros>,
+    pub heard: Option<Timestamp>,
 }
 
 /// What follows from what was heard.
@@ -34,14 +35,14 @@
 /// Starts that were seen in service.
 #[derive(Clone, Debug, Default)]
 pub struct Restarts {
-    told: BTreeMap<String, Micros>,
+    told: BTreeMap<String, Timestamp>,
     /// It is not known yet whether these are alone with it.
     open: BTreeSet<String>,
 }
 
 impl Restarts {
     /// The start that the module was told of.
-    pub fn told(&self, host: &str) -> Option<Micros> {
+    pub fn told(&self, host: &str) -> Option<Timestamp> {
         self.told.get(host).copied()
     }
 
@@ -53,7 +54,7 @@
     /// These hosts were heard; `all` has what is known of every host.
     pub fn note(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         cold: Cold,
         heard: impl Iterator<Item = String>,
         all: &BTreeMap<&str, Known>,
@@ -84,10 +85,10 @@
 /// Whether a host that started at `since` has a warm one beside it: one that was heard since and did not start then
 /// too. `None`: that is not known yet.
 fn warm_beside(
-    now: Micros,
+    now: Timestamp,
     cold: Cold,
     host: &str,
-    since: Micros,
+    since: Timestamp,
     group: GroupId,
     all: &BTreeMap<&str, Known>,
 ) -> Option<bool> {
@@ -106,9 +107,15 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::time::TimeDelta;
 
-    const S: Micros = 1_000_000;
-    const COLD: Cold = Cold { share: 0.25, warm_up: 16 * S, multiple: 4.0 };
+    const S: TimeDelta = TimeDelta::from_secs(1);
+    const COLD: Cold = Cold { share: 0.25, warm_up: TimeDelta::from_secs(16), multiple: 4.0 };
+
+    /// So many seconds after the clock's zero.
+    fn sec(seconds: i64) -> Timestamp {
+        Timestamp::ZERO + seconds * S
+    }
 
     /// Guards against a group that is taken for half warm while its hosts are heard one after the other, and against
     /// one cold host that slows its whole group. Seeded: any order of words, one to all of three hosts restarted.
@@ -119,19 +126,19 @@
             let mut restarts = Restarts::default();
             let names = ["a", "b", "c"];
             let restarted = rng.usize(0..=3);
-            let at = 100 * S;
+            let at = sec(100);
             let mut all: BTreeMap<&str, Known> = names
                 .iter()
-                .map(|n| (*n, Known { group: 1, listed: None, started: None, heard: Some(at - S) }))
+                .map(|n| (*n, Known { group: GroupId(1), listed: None, started: None, heard: Some(at - S) }))
                 .collect();
             let mut order: Vec<usize> = (0..12).map(|n| n % 3).collect();
             rng.shuffle(&mut order);
             let (mut now, mut told, mut cold) = (at, BTreeMap::new(), false);
             for n in order {
-                now += rng.i64(S / 100..S / 5);
+                now += TimeDelta::from_micros(rng.i64(10_000..200_000));
                 // How long it runs, as it says: never quite the same.
-                let started = (n < restarted).then(|| at + rng.i64(0..S / 50));
-                all.insert(names[n], Known { group: 1, listed: None, started, heard: Some(now) });
+                let started = (n < restarted).then(|| at + TimeDelta::from_micros(rng.i64(0..20_000)));
+                all.insert(names[n], Known { group: GroupId(1), listed: None, started, heard: Some(now) });
                 let news = restarts.note(now, COLD, [names[n].to_string()].into_iter(), &all);
                 news.spared.into_iter().for_each(|host| *told.entry(host).or_insert(0) += 1);
                 cold |= news.group_cold;
@@ -147,18 +154,18 @@
     #[test]
     fn what_the_list_knows_and_what_is_warm_by_now_is_no_news() {
         let mut restarts = Restarts::default();
-        let known = |listed, started, heard| Known { group: 1, listed, started, heard };
-        let mut all = BTreeMap::from([("a", known(Some(90 * S), Some(91 * S), Some(99 * S)))]);
-        all.insert("b", known(None, None, Some(99 * S)));
+        let known = |listed, started, heard| Known { group: GroupId(1), listed, started, heard };
+        let mut all = BTreeMap::from([("a", known(Some(sec(90)), Some(sec(91)), Some(sec(99))))]);
+        all.insert("b", known(None, None, Some(sec(99))));
         let heard = || ["a".to_string(), "b".to_string(), "gone".to_string()].into_iter();
-        assert_eq!(restarts.note(100 * S, COLD, heard(), &all), News::default(), "the list said so");
-        all.insert("a", known(None, Some(80 * S), Some(99 * S)));
-        assert_eq!(restarts.note(100 * S, COLD, heard(), &all), News::default(), "it is warm by now");
-        all.insert("a", known(None, Some(95 * S), Some(99 * S)));
-        assert_eq!(restarts.note(100 * S, COLD, heard(), &all).spared, ["a"]);
-        assert_eq!((restarts.told("a"), restarts.told("b")), (Some(95 * S), None));
+        assert_eq!(restarts.note(sec(100), COLD, heard(), &all), News::default(), "the list said so");
+        all.insert("a", known(None, Some(sec(80)), Some(sec(99))));
+        assert_eq!(restarts.note(sec(100), COLD, heard(), &all), News::default(), "it is warm by now");
+        all.insert("a", known(None, Some(sec(95)), Some(sec(99))));
+        assert_eq!(restarts.note(sec(100), COLD, heard(), &all).spared, ["a"]);
+        assert_eq!((restarts.told("a"), restarts.told("b")), (Some(sec(95)), None));
         // One that is alone in its group is the whole group.
-        let alone = BTreeMap::from([("a", known(None, Some(99 * S), Some(99 * S)))]);
-        assert!(restarts.note(100 * S, COLD, heard(), &alone).group_cold);
+        let alone = BTreeMap::from([("a", known(None, Some(sec(99)), Some(sec(99))))]);
+        assert!(restarts.note(sec(100), COLD, heard(), &alone).group_cold);
     }
 }
--- a/src/fleet/way.rs
+++ b/src/fleet/way.rs
@@ -4,10 +4,11 @@
 use super::forming::{Hello, Verdict};
 use super::frame::Frame;
 use crate::config::Limits;
+use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
 use crate::net::http::client::Client;
 use crate::net::until;
-use crate::store::form::{FleetId, NodeId};
+use crate::store::form::FleetId;
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -57,9 +58,9 @@
         }
     }
 
-    /// Who was met there last; 0: nobody yet.
+    /// Who was met there last; nobody yet: [`NodeId::NOBODY`].
     pub fn id(&self) -> NodeId {
-        self.met.borrow().as_ref().map_or(0, |h| h.id)
+        self.met.borrow().as_ref().map_or(NodeId::NOBODY, |h| h.id)
     }
 
     /// Sends a frame, unless the way is broken or full; whether it did.
--- a/src/fleet/zones.rs
+++ b/src/fleet/zones.rs
@@ -5,9 +5,10 @@
 //! at a time. Every daemon acts on the same ones. A share is the part of its usual reads that a zone gets; writes follow each group's primary.
 
 use crate::core::sights::Seen;
-use crate::interface::Micros;
-use crate::store::form::NodeId;
+use crate::ids::NodeId;
+use crate::ids::ZoneId;
 use crate::store::shares::{Share, WHOLE, Why};
+use crate::time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -25,11 +26,11 @@
 /// Shares on the way back, in thousandths; the first is a trickle.
 const STEPS: [u16; 5] = [20, 125, 250, 500, WHOLE];
 /// A step lasts at least so long, and needs good answers from it.
-const STEP: Micros = 1_000_000;
+const STEP: TimeDelta = TimeDelta::from_secs(1);
 /// Where nobody asks anything no answer can come: a step is over after this. What little does come there says more.
-const QUIET: Micros = 3 * STEP;
+const QUIET: TimeDelta = TimeDelta::from_micros(3 * STEP.as_micros());
 /// One that has been in service for so long since is as if it had never failed.
-const FORGIVEN: Micros = 120_000_000;
+const FORGIVEN: TimeDelta = TimeDelta::from_secs(120);
 /// What stays must bear what moves there with so much to spare.
 const SPARE: f64 = 0.9;
 /// A host that says that less of it is in use may round: it is not asked what it bears.
@@ -48,20 +49,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dwell {
     /// At least; twice as long each time it fails again soon after.
-    pub least: Micros,
+    pub least: TimeDelta,
     /// At most.
-    pub longest: Micros,
+    pub longest: TimeDelta,
 }
 
 impl Default for Dwell {
     fn default() -> Dwell {
-        Dwell { least: 3_000_000, longest: 60_000_000 }
+        Dwell { least: TimeDelta::from_secs(3), longest: TimeDelta::from_secs(60) }
     }
 }
 
 impl Dwell {
     /// After so many failures soon after a return.
-    pub fn after(&self, failed: u8) -> Micros {
+    pub fn after(&self, failed: u8) -> TimeDelta {
         self.least.saturating_mul(1 << failed.min(16)).min(self.longest)
     }
 }
@@ -186,12 +187,12 @@
 }
 
 /// What each daemon saw, by zone.
-pub type Sights = BTreeMap<NodeId, BTreeMap<u8, Sight>>;
+pub type Sights = BTreeMap<NodeId, BTreeMap<ZoneId, Sight>>;
 
 /// A daemon to which every zone that it tries is lost, and that tries more than one, is itself cut off: its word says
 /// nothing about the zones. Where all say so of all zones, nobody is.
 fn suspects(sights: &Sights) -> BTreeSet<NodeId> {
-    let sees_nobody = |own: &BTreeMap<u8, Sight>| {
+    let sees_nobody = |own: &BTreeMap<ZoneId, Sight>| {
         let known: Vec<&Sight> = own.values().filter(|s| s.ended() > 0).collect();
         known.len() > 1 && known.iter().all(|s| s.is_lost())
     };
@@ -199,7 +200,7 @@
 }
 
 /// The words on zones that count, each daemon's on all of them together.
-fn words(zones: &[u8], sights: &Sights) -> Vec<(NodeId, Sight)> {
+fn words(zones: &[ZoneId], sights: &Sights) -> Vec<(NodeId, Sight)> {
     let suspects = suspects(sights);
     let words = sights.iter().filter(|(id, _)| !suspects.contains(id));
     let words = words.map(|(id, own)| (*id, sum(zones.iter().filter_map(|zone| own.get(zone)))));
@@ -213,7 +214,7 @@
 }
 
 /// How a zone looks, by what all daemons saw.
-pub fn judge(zone: u8, sights: &Sights) -> Verdict {
+pub fn judge(zone: ZoneId, sights: &Sights) -> Verdict {
     weigh(&words(&[zone], sights))
 }
 
@@ -244,7 +245,7 @@
 }
 
 /// How a zone on its way back looks: few go there, so what all daemons saw counts together.
-fn judge_trickle(zone: u8, sights: &Sights) -> Verdict {
+fn judge_trickle(zone: ZoneId, sights: &Sights) -> Verdict {
     sum(words(&[zone], sights).iter().map(|(_, s)| s)).verdict()
 }
 
@@ -262,7 +263,7 @@
 pub struct Zones {
     dwell: Dwell,
     /// When each zone's share last moved, by this daemon's clock; the number of that move.
-    moved: BTreeMap<u8, (u64, Micros)>,
+    moved: BTreeMap<ZoneId, (u64, Timestamp)>,
 }
 
 impl Zones {
@@ -271,7 +272,7 @@
         Zones { dwell, moved: BTreeMap::new() }
     }
 
-    fn since(&mut self, now: Micros, zone: u8, share: &Share) -> Micros {
+    fn since(&mut self, now: Timestamp, zone: ZoneId, share: &Share) -> TimeDelta {
         let known = self.moved.entry(zone).or_insert((share.number, now));
         if known.0 != share.number {
             *known = (share.number, now);
@@ -284,33 +285,33 @@
     /// them.
     pub fn next(
         &mut self,
-        now: Micros,
-        shares: &BTreeMap<u8, Share>,
-        region: impl Fn(u8) -> Vec<u8>,
+        now: Timestamp,
+        shares: &BTreeMap<ZoneId, Share>,
+        region: impl Fn(ZoneId) -> Vec<ZoneId>,
         sights: &Sights,
-        loads: &BTreeMap<u8, Load>,
-    ) -> Vec<(u8, Share)> {
-        let look = |(zone, share): (&u8, &Share)| {
+        loads: &BTreeMap<ZoneId, Load>,
+    ) -> Vec<(ZoneId, Share)> {
+        let look = |(zone, share): (&ZoneId, &Share)| {
             let returns = share.part > 0 && share.part < WHOLE && share.why == Why::Returns;
             (*zone, if returns { judge_trickle(*zone, sights) } else { judge(*zone, sights) })
         };
-        let mut verdicts: BTreeMap<u8, Verdict> = shares.iter().map(look).collect();
+        let mut verdicts: BTreeMap<ZoneId, Verdict> = shares.iter().map(look).collect();
         for (zone, verdict) in verdicts.iter_mut().filter(|(_, verdict)| **verdict == Verdict::Unknown) {
             // Of a zone in which little is asked its region's other zones tell enough.
             if is_lost(&region(*zone), sights) {
                 *verdict = Verdict::Lost;
             }
         }
-        let rests: BTreeMap<u8, Micros> =
+        let rests: BTreeMap<ZoneId, TimeDelta> =
             shares.iter().map(|(zone, share)| (*zone, self.since(now, *zone, share))).collect();
         // Lost ones first, then those that fail on their way back, slow ones, and at last those that may return.
-        let lost = |zone: &&u8| verdicts[*zone] == Verdict::Lost && shares[*zone].part > 0;
-        let lost: Vec<u8> = shares.keys().filter(lost).copied().collect();
+        let lost = |zone: &&ZoneId| verdicts[*zone] == Verdict::Lost && shares[*zone].part > 0;
+        let lost: Vec<ZoneId> = shares.keys().filter(lost).copied().collect();
         if !lost.is_empty() {
             let leave = |zone| leave(zone, Why::Lost, rests[&zone], shares, &verdicts, loads);
             return lost.into_iter().filter_map(leave).collect();
         }
-        let slow = |zone: &&u8| verdicts[*zone] == Verdict::Slow && shares[*zone].part > 0;
+        let slow = |zone: &&ZoneId| verdicts[*zone] == Verdict::Slow && shares[*zone].part > 0;
         if let Some(zone) = shares.keys().find(slow).filter(|zone| rests[*zone] >= STEP) {
             return leave(*zone, Why::Slow, rests[zone], shares, &verdicts, loads).into_iter().collect();
         }
@@ -335,27 +336,27 @@
 }
 
 /// Whether a region is lost: to most daemons that tried any of its zones, and in more than one of them, as a zone is.
-fn is_lost(zones: &[u8], sights: &Sights) -> bool {
-    let tried = |zone: &&u8| sights.values().any(|own| own.get(*zone).is_some_and(|s| s.ended() > 0));
+fn is_lost(zones: &[ZoneId], sights: &Sights) -> bool {
+    let tried = |zone: &&ZoneId| sights.values().any(|own| own.get(*zone).is_some_and(|s| s.ended() > 0));
     zones.iter().filter(tried).count() > 1 && weigh(&words(zones, sights)) == Verdict::Lost
 }
 
 /// The share that a zone keeps when it is left: none, unless those that stay could not carry what moves to them.
 /// `None`: nothing is to be gained, or it is the last one that works.
 fn leave(
-    zone: u8,
+    zone: ZoneId,
     why: Why,
-    rests: Micros,
-    shares: &BTreeMap<u8, Share>,
-    verdicts: &BTreeMap<u8, Verdict>,
-    loads: &BTreeMap<u8, Load>,
-) -> Option<(u8, Share)> {
-    let works = |other: &&u8| {
+    rests: TimeDelta,
+    shares: &BTreeMap<ZoneId, Share>,
+    verdicts: &BTreeMap<ZoneId, Verdict>,
+    loads: &BTreeMap<ZoneId, Load>,
+) -> Option<(ZoneId, Share)> {
+    let works = |other: &&ZoneId| {
         **other != zone
             && shares[*other].part > 0
             && !matches!(verdicts[*other], Verdict::Lost | Verdict::Slow)
     };
-    let others: Vec<&u8> = shares.keys().filter(works).collect();
+    let others: Vec<&ZoneId> = shares.keys().filter(works).collect();
     // Nothing is left but for a zone that is seen to work: where all is slow or silent the fault is elsewhere.
     if !others.iter().any(|other| verdicts[*other] == Verdict::Sound) {
         return None;
@@ -387,7 +388,7 @@
 pub struct Alone {
     dwell: Dwell,
     /// By zone: until when it is left, and times that it was.
-    left: BTreeMap<u8, (Micros, u8)>,
+    left: BTreeMap<ZoneId, (Timestamp, u8)>,
 }
 
 impl Alone {
@@ -397,35 +398,35 @@
     }
 
     /// Whether this daemon leaves a zone now.
-    pub fn leaves(&self, now: Micros, zone: u8) -> bool {
+    pub fn leaves(&self, now: Timestamp, zone: ZoneId) -> bool {
         self.left.get(&zone).is_some_and(|(until, _)| now < *until)
     }
 
     /// Zones that this daemon leaves now.
-    pub fn left(&self, now: Micros) -> impl Iterator<Item = u8> {
+    pub fn left(&self, now: Timestamp) -> impl Iterator<Item = ZoneId> {
         self.left.iter().filter(move |(_, (until, _))| now < *until).map(|(zone, _)| *zone)
     }
 
     /// Weighs what this daemon sees itself: the zones that it leaves from now on. Never all that it tries.
     pub fn look(
         &mut self,
-        now: Micros,
-        own: &BTreeMap<u8, Sight>,
-        agreed: &BTreeMap<u8, Share>,
-    ) -> BTreeSet<u8> {
+        now: Timestamp,
+        own: &BTreeMap<ZoneId, Sight>,
+        agreed: &BTreeMap<ZoneId, Share>,
+    ) -> BTreeSet<ZoneId> {
         self.left.retain(|zone, (until, _)| {
             now - *until < FORGIVEN && agreed.get(zone).is_none_or(|s| s.part == WHOLE)
         });
         // Alone it has to see more of the zone than where others see as much.
         let is_lost =
             |s: &Sight| s.ended() >= ENOUGH && s.is_lost() && u32::from(s.gone) * 2 >= u32::from(s.of);
-        let works = |zone: &u8, s: &Sight| s.is_sound() && !self.leaves(now, *zone);
+        let works = |zone: &ZoneId, s: &Sight| s.is_sound() && !self.leaves(now, *zone);
         if !own.iter().any(|(zone, s)| works(zone, s)) {
             return BTreeSet::new();
         }
-        let whole = |zone: &u8| agreed.get(zone).is_none_or(|s| s.part == WHOLE);
+        let whole = |zone: &ZoneId| agreed.get(zone).is_none_or(|s| s.part == WHOLE);
         let lost = own.iter().filter(|(zone, s)| is_lost(s) && whole(zone) && !self.leaves(now, **zone));
-        let lost: BTreeSet<u8> = lost.map(|(zone, _)| *zone).collect();
+        let lost: BTreeSet<ZoneId> = lost.map(|(zone, _)| *zone).collect();
         for zone in &lost {
             let failed = self.left.get(zone).map_or(0, |(_, failed)| *failed);
             self.left.insert(*zone, (now + self.dwell.after(failed), failed.saturating_add(1)));
@@ -438,7 +439,7 @@
 mod tests {
     use super::*;
 
-    const S: Micros = 1_000_000;
+    const S: TimeDelta = TimeDelta::from_secs(1);
 
     fn good(n: u32) -> Sight {
         Sight { good: n, hosts: 4, of: 4, ..Sight::default() }
@@ -449,8 +450,8 @@
     }
 
     fn sights(all: &[&[Sight]]) -> Sights {
-        let own = |own: &&[Sight]| own.iter().enumerate().map(|(z, s)| (z as u8, *s)).collect();
-        all.iter().enumerate().map(|(n, s)| (n as NodeId + 1, own(s))).collect()
+        let own = |own: &&[Sight]| own.iter().enumerate().map(|(z, s)| (ZoneId(z as u8), *s)).collect();
+        all.iter().enumerate().map(|(n, s)| (NodeId(n as u64 + 1), own(s))).collect()
     }
 
     #[test]
@@ -459,60 +460,75 @@
         let late = Sight { late: 15, good: 5, ..Sight::default() };
         let unlucky = Sight { good: 15, silent: 3, hosts: 4, gone: 1, ..Sight::default() };
         let one_dead = Sight { good: 0, silent: 9, hosts: 1, gone: 1, of: 4, ..Sight::default() };
-        assert_eq!(judge(0, &sights(&[&[s, g], &[s, g], &[g, g]])), Verdict::Lost);
-        assert_eq!(judge(0, &sights(&[&[s, g], &[g, g], &[g, g]])), Verdict::CutOff(BTreeSet::from([1])));
-        assert_eq!(judge(0, &sights(&[&[late, g], &[late, g], &[g, g]])), Verdict::Slow);
-        assert_eq!(judge(0, &sights(&[&[unlucky, g], &[g, g]])), Verdict::Sound);
-        assert_eq!(judge(0, &sights(&[&[unlucky, g], &[unlucky, g]])), Verdict::Doubtful);
-        assert_eq!(judge(0, &sights(&[&[s, s], &[g, g]])), Verdict::Sound, "its own link is cut");
-        assert_eq!(judge(0, &sights(&[&[silent(2), g], &[good(2), g]])), Verdict::Unknown);
+        assert_eq!(judge(ZoneId(0), &sights(&[&[s, g], &[s, g], &[g, g]])), Verdict::Lost);
+        assert_eq!(
+            judge(ZoneId(0), &sights(&[&[s, g], &[g, g], &[g, g]])),
+            Verdict::CutOff(BTreeSet::from([NodeId(1)]))
+        );
+        assert_eq!(judge(ZoneId(0), &sights(&[&[late, g], &[late, g], &[g, g]])), Verdict::Slow);
+        assert_eq!(judge(ZoneId(0), &sights(&[&[unlucky, g], &[g, g]])), Verdict::Sound);
+        assert_eq!(judge(ZoneId(0), &sights(&[&[unlucky, g], &[unlucky, g]])), Verdict::Doubtful);
+        assert_eq!(judge(ZoneId(0), &sights(&[&[s, s], &[g, g]])), Verdict::Sound, "its own link is cut");
+        assert_eq!(judge(ZoneId(0), &sights(&[&[silent(2), g], &[good(2), g]])), Verdict::Unknown);
         // Many daemons that saw little each know enough together.
-        assert_eq!(judge(0, &sights(&[&[silent(2), g], &[silent(2), g], &[silent(1), g]])), Verdict::Lost);
-        assert_eq!(judge(0, &sights(&[&[one_dead, g], &[g, g]])), Verdict::CutOff(BTreeSet::from([1])));
+        assert_eq!(
+            judge(ZoneId(0), &sights(&[&[silent(2), g], &[silent(2), g], &[silent(1), g]])),
+            Verdict::Lost
+        );
+        assert_eq!(
+            judge(ZoneId(0), &sights(&[&[one_dead, g], &[g, g]])),
+            Verdict::CutOff(BTreeSet::from([NodeId(1)]))
+        );
         assert_ne!(
-            judge(0, &sights(&[&[one_dead, g]])),
+            judge(ZoneId(0), &sights(&[&[one_dead, g]])),
             Verdict::Lost,
             "one host of four is all that was tried"
         );
         let one_each = &[&[one_dead, g][..], &[one_dead, g], &[one_dead, g]];
-        assert_eq!(judge(0, &sights(one_each)), Verdict::Lost, "each may have tried another one");
+        assert_eq!(judge(ZoneId(0), &sights(one_each)), Verdict::Lost, "each may have tried another one");
         // One that reports every zone as dead, however much it claims to have seen.
         let liar = silent(u32::MAX);
-        assert_eq!(judge(0, &sights(&[&[liar, liar], &[g, g], &[g, g]])), Verdict::Sound);
-        assert_eq!(judge(0, &sights(&[&[liar, g], &[g, g], &[g, g]])), Verdict::CutOff(BTreeSet::from([1])));
+        assert_eq!(judge(ZoneId(0), &sights(&[&[liar, liar], &[g, g], &[g, g]])), Verdict::Sound);
+        assert_eq!(
+            judge(ZoneId(0), &sights(&[&[liar, g], &[g, g], &[g, g]])),
+            Verdict::CutOff(BTreeSet::from([NodeId(1)]))
+        );
     }
 
     /// Three zones whose hosts fail, return cold and slow by seed; shares as they are agreed.
     struct World {
-        shares: BTreeMap<u8, Share>,
+        shares: BTreeMap<ZoneId, Share>,
         /// Until when each zone is silent, and since when its hosts run.
-        silent: [Micros; 3],
-        started: [Micros; 3],
+        silent: [Timestamp; 3],
+        started: [Timestamp; 3],
     }
 
     impl World {
         fn new() -> World {
-            let shares = (0..3).map(|z| (z, Share::default())).collect();
-            World { shares, silent: [0; 3], started: [-100 * S; 3] }
+            let shares = (0..3).map(|z| (ZoneId(z), Share::default())).collect();
+            World { shares, silent: [Timestamp::ZERO; 3], started: [Timestamp::ZERO - 100 * S; 3] }
         }
 
-        fn warmth(&self, now: Micros, zone: u8) -> f64 {
-            let age = (now - self.started[usize::from(zone)]).max(0) as f64 / (16 * S) as f64;
+        fn warmth(&self, now: Timestamp, zone: ZoneId) -> f64 {
+            let age = (now - self.started[usize::from(zone.0)]).or_zero().as_micros_f64()
+                / (16 * S).as_micros_f64();
             (0.25 + 0.75 * age).min(1.0)
         }
 
-        fn loads(&self, now: Micros) -> BTreeMap<u8, Load> {
-            (0..3).map(|z| (z, Load { reads: 100.0, bears: 200.0 * self.warmth(now, z) })).collect()
+        fn loads(&self, now: Timestamp) -> BTreeMap<ZoneId, Load> {
+            let load = |z| Load { reads: 100.0, bears: 200.0 * self.warmth(now, z) };
+            (0..3).map(ZoneId).map(|z| (z, load(z))).collect()
         }
 
         /// What daemons see in a second: `daemons` of them, each a like part.
-        fn sights(&self, now: Micros, daemons: u64) -> Sights {
-            let sight = |zone: u8| {
+        fn sights(&self, now: Timestamp, daemons: u64) -> Sights {
+            let sight = |zone: ZoneId| {
                 let sent =
                     (f64::from(self.shares[&zone].part) / 1000.0 * 100.0 / daemons as f64).ceil() as u32;
-                if self.silent[usize::from(zone)] > now { silent(sent) } else { good(sent) }
+                if self.silent[usize::from(zone.0)] > now { silent(sent) } else { good(sent) }
             };
-            (1..=daemons).map(|id| (id, (0..3).map(|z| (z, sight(z))).collect())).collect()
+            let own = || (0..3).map(ZoneId).map(|z| (z, sight(z))).collect();
+            (1..=daemons).map(|id| (NodeId(id), own())).collect()
         }
     }
 
@@ -523,14 +539,14 @@
         for seed in 0..40 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let (mut world, mut zones) = (World::new(), Zones::default());
-            let mut moves: Vec<(Micros, u8, Share)> = Vec::new();
-            let last_fault = 120 * S;
-            let mut now = 0;
-            while now < 400 * S {
-                now += 100_000;
+            let mut moves: Vec<(Timestamp, ZoneId, Share)> = Vec::new();
+            let (last_fault, end) = (Timestamp::ZERO + 120 * S, Timestamp::ZERO + 400 * S);
+            let mut now = Timestamp::ZERO;
+            while now < end {
+                now += TimeDelta::from_millis(100);
                 if now < last_fault && rng.u16(..600) == 0 {
                     let zone = rng.usize(..3);
-                    world.silent[zone] = now + rng.i64(S..10 * S);
+                    world.silent[zone] = now + TimeDelta::from_micros(rng.i64(1_000_000..10_000_000));
                     world.started[zone] = world.silent[zone];
                 }
                 let (sights, loads) = (world.sights(now, 5), world.loads(now));
@@ -544,7 +560,7 @@
                         let load = loads[&zone];
                         assert!(load.bears >= load.reads * f64::from(share.part) / 1000.0, "seed {seed}");
                         assert!(
-                            world.silent[usize::from(zone)] <= now,
+                            world.silent[usize::from(zone.0)] <= now,
                             "seed {seed}: a step into a silent zone"
                         );
                     }
@@ -554,7 +570,7 @@
                 }
             }
             assert!(world.shares.values().all(|s| s.part == WHOLE), "seed {seed}: {:?}", world.shares);
-            for zone in 0..3 {
+            for zone in (0..3).map(ZoneId) {
                 let own: Vec<_> = moves.iter().filter(|(_, z, _)| *z == zone).collect();
                 for pair in own.windows(2) {
                     let (left, back) = (pair[0].2, pair[1].2);
@@ -572,30 +588,33 @@
     fn a_slow_zone_is_left_in_shares_that_the_others_can_carry_and_a_lost_one_whole() {
         let late = Sight { late: 20, ..Sight::default() };
         let (g, s) = (good(20), silent(20));
-        let shares: BTreeMap<u8, Share> = (0..2).map(|z| (z, Share::default())).collect();
+        let shares: BTreeMap<ZoneId, Share> = (0..2).map(|z| (ZoneId(z), Share::default())).collect();
         let loads = BTreeMap::from([
-            (0, Load { reads: 100.0, bears: 150.0 }),
-            (1, Load { reads: 100.0, bears: 150.0 }),
+            (ZoneId(0), Load { reads: 100.0, bears: 150.0 }),
+            (ZoneId(1), Load { reads: 100.0, bears: 150.0 }),
         ]);
-        let mut zones = Zones::default();
+        let (mut zones, zero) = (Zones::default(), Timestamp::ZERO);
         let own = |zone| vec![zone];
-        assert!(zones.next(0, &shares, own, &sights(&[&[late, g]]), &loads).is_empty(), "not at first sight");
-        let (zone, share) = zones.next(STEP, &shares, own, &sights(&[&[late, g]]), &loads)[0];
+        assert!(
+            zones.next(zero, &shares, own, &sights(&[&[late, g]]), &loads).is_empty(),
+            "not at first sight"
+        );
+        let (zone, share) = zones.next(zero + STEP, &shares, own, &sights(&[&[late, g]]), &loads)[0];
         // The other one has room for 35 of its 100.
-        assert_eq!((zone, share.part, share.why), (0, 650, Why::Slow));
-        let (zone, share) = Zones::default().next(0, &shares, own, &sights(&[&[s, g]]), &loads)[0];
-        assert_eq!((zone, share.part, share.why), (0, 0, Why::Lost));
+        assert_eq!((zone, share.part, share.why), (ZoneId(0), 650, Why::Slow));
+        let (zone, share) = Zones::default().next(zero, &shares, own, &sights(&[&[s, g]]), &loads)[0];
+        assert_eq!((zone, share.part, share.why), (ZoneId(0), 0, Why::Lost));
         // Both are slow: nothing is to be gained. Only one is left that works: it stays.
-        assert!(zones.next(2 * STEP, &shares, own, &sights(&[&[late, late]]), &loads).is_empty());
+        assert!(zones.next(zero + 2 * STEP, &shares, own, &sights(&[&[late, late]]), &loads).is_empty());
         let mut one_left = shares.clone();
-        one_left.insert(0, Share { part: 0, why: Why::Lost, number: 1, failed: 0 });
+        one_left.insert(ZoneId(0), Share { part: 0, why: Why::Lost, number: 1, failed: 0 });
         let both = sights(&[&[Sight::default(), s], &[Sight::default(), s]]);
-        assert!(Zones::default().next(0, &one_left, own, &both, &loads).is_empty());
+        assert!(Zones::default().next(zero, &one_left, own, &both, &loads).is_empty());
         // What an operator has left returns on an operator's word.
         let mut held = shares.clone();
-        held.insert(0, Share { part: 0, why: Why::Operator, number: 1, failed: 0 });
+        held.insert(ZoneId(0), Share { part: 0, why: Why::Operator, number: 1, failed: 0 });
         let mut zones = Zones::default();
-        for now in [0, Dwell::default().longest * 2] {
+        for now in [zero, zero + Dwell::default().longest * 2] {
             assert!(zones.next(now, &held, own, &sights(&[&[Sight::default(), g]]), &loads).is_empty());
         }
     }
@@ -605,13 +624,13 @@
     #[test]
     fn a_lost_region_is_left_whole_and_a_lost_zone_alone() {
         let (g, s, none) = (good(20), silent(20), Sight::default());
-        let shares: BTreeMap<u8, Share> = (0..4).map(|z| (z, Share::default())).collect();
+        let shares: BTreeMap<ZoneId, Share> = (0..4).map(|z| (ZoneId(z), Share::default())).collect();
         let loads = BTreeMap::new();
         // Zones 0, 1 and 2 are a region.
-        let region = |zone: u8| if zone < 3 { vec![0, 1, 2] } else { vec![zone] };
+        let region = |zone: ZoneId| if zone.0 < 3 { [0, 1, 2].map(ZoneId).to_vec() } else { vec![zone] };
         let left = |seen: &[&[Sight]]| -> Vec<(u8, u16)> {
-            let due = Zones::default().next(0, &shares, region, &sights(seen), &loads);
-            due.into_iter().map(|(zone, share)| (zone, share.part)).collect()
+            let due = Zones::default().next(Timestamp::ZERO, &shares, region, &sights(seen), &loads);
+            due.into_iter().map(|(zone, share)| (zone.0, share.part)).collect()
         };
         assert_eq!(left(&[&[s, silent(3), none, g], &[s, none, none, g]]), [(0, 0), (1, 0), (2, 0)]);
         assert_eq!(left(&[&[s, s, g, g], &[s, s, g, g]]), [(0, 0), (1, 0)], "one of its zones works");
@@ -623,7 +642,7 @@
         assert_eq!(left(&[&[s, s, s, s], &[s, s, s, s]]), [], "there is nowhere to go");
         // The same without regions: what little is asked tells nothing.
         let seen = sights(&[&[s, silent(3), none, g], &[s, none, none, g]]);
-        let alone = Zones::default().next(0, &shares, |zone| vec![zone], &seen, &loads);
-        assert_eq!(alone.iter().map(|(zone, _)| *zone).collect::<Vec<_>>(), [0]);
+        let alone = Zones::default().next(Timestamp::ZERO, &shares, |zone| vec![zone], &seen, &loads);
+        assert_eq!(alone.iter().map(|(zone, _)| *zone).collect::<Vec<_>>(), [ZoneId(0)]);
     }
 }
--- a/src/fleet/zoning.rs
+++ b/src/fleet/zoning.rs
@@ -8,14 +8,16 @@
 use super::zones::{Alone, Dwell, Load, Sight, Sights, Verdict, Zones, judge};
 use crate::core::members::Listed;
 use crate::core::sights::Seen;
-use crate::interface::{Availability, Micros};
+use crate::ids::NodeId;
+use crate::ids::{GroupId, ZoneId};
+use crate::interface::Availability;
 use crate::store::agreed::State;
-use crate::store::form::NodeId;
 use crate::store::shares::{Share, WHOLE, Why};
+use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A daemon's word counts for so long.
-const FRESH: Micros = 1_000_000;
+const FRESH: TimeDelta = TimeDelta::from_secs(1);
 /// What a zone serves is taken over about so many looks.
 const SMOOTH: f64 = 0.05;
 /// What a zone bears is at least this multiple of what it was seen to serve, where its hosts do not say.
@@ -58,14 +60,14 @@
 pub struct Zoning {
     /// How zones are left.
     pub leaving: Leaving,
-    own: BTreeMap<u8, Sight>,
-    others: BTreeMap<NodeId, (BTreeMap<u8, Sight>, Micros)>,
+    own: BTreeMap<ZoneId, Sight>,
+    others: BTreeMap<NodeId, (BTreeMap<ZoneId, Sight>, Timestamp)>,
     zones: Zones,
     alone: Alone,
     /// Reads a second that each zone serves at its whole share, and the part of its capacity that these take.
-    usual: BTreeMap<u8, (f64, f64)>,
+    usual: BTreeMap<ZoneId, (f64, f64)>,
     /// The parts of zones that were away when this was last looked at.
-    parts: BTreeMap<u8, u16>,
+    parts: BTreeMap<ZoneId, u16>,
 }
 
 impl Zoning {
@@ -77,25 +79,25 @@
     }
 
     /// The name of a zone.
-    pub fn name(&self, zone: u8) -> String {
-        self.leaving.names.get(usize::from(zone)).cloned().unwrap_or_else(|| zone.to_string())
+    pub fn name(&self, zone: ZoneId) -> String {
+        self.leaving.names.get(usize::from(zone.0)).cloned().unwrap_or_else(|| zone.to_string())
     }
 
     /// The zone of a name.
-    pub fn find(&self, name: &str) -> Option<u8> {
-        self.leaving.names.iter().position(|n| n == name).and_then(|n| u8::try_from(n).ok())
+    pub fn find(&self, name: &str) -> Option<ZoneId> {
+        self.leaving.names.iter().position(|n| n == name).and_then(|n| u8::try_from(n).ok()).map(ZoneId)
     }
 
     /// Takes in what this daemon saw of hosts; what it saw of zones, if anybody should hear of it now.
-    pub fn see(&mut self, seen: &BTreeMap<String, Seen>, state: &State) -> Option<BTreeMap<u8, Sight>> {
-        let mut by: BTreeMap<u8, Vec<&Seen>> = BTreeMap::new();
+    pub fn see(&mut self, seen: &BTreeMap<String, Seen>, state: &State) -> Option<BTreeMap<ZoneId, Sight>> {
+        let mut by: BTreeMap<ZoneId, Vec<&Seen>> = BTreeMap::new();
         for (host, seen) in seen {
             if let Some(host) = state.hosts.get(host) {
                 by.entry(host.zone).or_default().push(seen);
             }
         }
         let of = |zone| state.hosts.values().filter(|host| host.zone == zone).count();
-        let own: BTreeMap<u8, Sight> =
+        let own: BTreeMap<ZoneId, Sight> =
             by.into_iter().map(|(zone, seen)| (zone, Sight::new(seen.into_iter(), of(zone)))).collect();
         let amiss = |s: &Sight| s.silent + s.refused + s.late > 0;
         let urgent = own.values().chain(self.own.values()).any(amiss)
@@ -105,19 +107,19 @@
     }
 
     /// What this daemon saw of zones.
-    pub fn own(&self) -> &BTreeMap<u8, Sight> {
+    pub fn own(&self) -> &BTreeMap<ZoneId, Sight> {
         &self.own
     }
 
     /// Another daemon has said what it saw of zones.
-    pub fn hear(&mut self, now: Micros, by: NodeId, sights: BTreeMap<u8, Sight>) {
+    pub fn hear(&mut self, now: Timestamp, by: NodeId, sights: BTreeMap<ZoneId, Sight>) {
         self.others.insert(by, (sights, now));
     }
 
     /// All words that count.
-    pub fn sights(&self, now: Micros, me: NodeId, state: &State) -> Sights {
-        let fresh = |(id, (_, at)): &(&NodeId, &(BTreeMap<u8, Sight>, Micros))| {
-            now - at < FRESH && state.members.contains_key(id)
+    pub fn sights(&self, now: Timestamp, me: NodeId, state: &State) -> Sights {
+        let fresh = |(id, (_, at)): &(&NodeId, &(BTreeMap<ZoneId, Sight>, Timestamp))| {
+            now - *at < FRESH && state.members.contains_key(id)
         };
         let others = self.others.iter().filter(fresh).map(|(id, (sights, _))| (*id, sights.clone()));
         others.chain([(me, self.own.clone())]).collect()
@@ -127,13 +129,13 @@
     /// hosts; `span`: time since the last call.
     pub fn next(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         me: NodeId,
         state: &State,
-        warmth: impl Fn(u8) -> f64,
-    ) -> Vec<(u8, Share)> {
+        warmth: impl Fn(ZoneId) -> f64,
+    ) -> Vec<(ZoneId, Share)> {
         self.others.retain(|id, _| state.members.contains_key(id));
-        let shares: BTreeMap<u8, Share> = zones(state).into_iter().map(|z| (z, state.share(z))).collect();
+        let shares: BTreeMap<ZoneId, Share> = zones(state).into_iter().map(|z| (z, state.share(z))).collect();
         let sights = self.sights(now, me, state);
         if shares.values().all(|s| s.part == WHOLE) {
             self.measure(&sights, &shares);
@@ -146,14 +148,14 @@
     }
 
     /// Notes what zones serve while all is as ever.
-    fn measure(&mut self, sights: &Sights, shares: &BTreeMap<u8, Share>) {
+    fn measure(&mut self, sights: &Sights, shares: &BTreeMap<ZoneId, Share>) {
         for zone in shares.keys() {
             let words: Vec<&Sight> = sights.values().filter_map(|own| own.get(zone)).collect();
             let served: f64 = words.iter().map(|s| f64::from(s.good) + f64::from(s.late)).sum();
             let busy: Vec<f64> =
                 words.iter().filter(|s| s.busy > 0).map(|s| f64::from(s.busy) / 1000.0).collect();
             let busy = if busy.is_empty() { 0.0 } else { busy.iter().sum::<f64>() / busy.len() as f64 };
-            let rate = served * 1e6 / crate::core::sights::SPAN as f64;
+            let rate = served * 1e6 / crate::core::sights::SPAN.as_micros_f64();
             let (known, used) = self.usual.entry(*zone).or_insert((rate, busy));
             *known += (rate - *known) * SMOOTH;
             *used += (busy - *used) * SMOOTH;
@@ -161,13 +163,13 @@
     }
 
     /// What a zone would carry at its whole share, and what it bears at this warmth.
-    fn load(&self, zone: u8, warmth: f64) -> Load {
+    fn load(&self, zone: ZoneId, warmth: f64) -> Load {
         let Some((reads, busy)) = self.usual.get(&zone) else { return Load::default() };
         Load { reads: *reads, bears: reads * super::zones::room(*busy, UNSAID) * warmth }
     }
 
     /// This daemon's own part in it: zones that it leaves for itself from now on.
-    pub fn look_alone(&mut self, now: Micros, state: &State) -> BTreeSet<u8> {
+    pub fn look_alone(&mut self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
         if !self.leaving.automatic {
             return BTreeSet::new();
         }
@@ -175,20 +177,20 @@
     }
 
     /// The part of its reads that a zone gets from this daemon.
-    pub fn part(&self, now: Micros, zone: u8, state: &State) -> u16 {
+    pub fn part(&self, now: Timestamp, zone: ZoneId, state: &State) -> u16 {
         let agreed = state.share(zone).part;
         if agreed == WHOLE && self.alone.leaves(now, zone) { 0 } else { agreed }
     }
 
     /// Zones that do not get all of their reads from this daemon.
-    pub fn away(&self, now: Micros, state: &State) -> BTreeSet<u8> {
+    pub fn away(&self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
         let agreed = state.zones.iter().filter(|(_, share)| share.part < WHOLE).map(|(zone, _)| *zone);
         agreed.chain(self.alone.left(now)).collect()
     }
 
     /// Zones from whose hosts an overdue answer is not waited for: left ones, and those that fail much of what is asked
     /// while another one is sound.
-    pub fn hopeless(&self, now: Micros, state: &State) -> BTreeSet<u8> {
+    pub fn hopeless(&self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
         let mut zones = self.away(now, state);
         zones.retain(|zone| self.part(now, *zone, state) == 0);
         if self.own.values().any(Sight::is_sound) {
@@ -198,11 +200,11 @@
     }
 
     /// Zones whose part is another one than when this was last asked.
-    pub fn moved(&mut self, now: Micros, state: &State) -> BTreeSet<u8> {
+    pub fn moved(&mut self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
         let away = self.away(now, state).into_iter();
-        let parts: BTreeMap<u8, u16> = away.map(|zone| (zone, self.part(now, zone, state))).collect();
+        let parts: BTreeMap<ZoneId, u16> = away.map(|zone| (zone, self.part(now, zone, state))).collect();
         // Whoever is not named gets all.
-        let part = |parts: &BTreeMap<u8, u16>, zone: &u8| parts.get(zone).copied().unwrap_or(WHOLE);
+        let part = |parts: &BTreeMap<ZoneId, u16>, zone: &ZoneId| parts.get(zone).copied().unwrap_or(WHOLE);
         let named = parts.keys().chain(self.parts.keys());
         let moved = named.filter(|zone| part(&parts, zone) != part(&self.parts, zone)).copied().collect();
         self.parts = parts;
@@ -211,7 +213,7 @@
 
     /// A line of the list as it counts here. `primary`: it is believed to be its group's. A group that has no host
     /// elsewhere keeps those that it has: `alone`.
-    pub fn shape(&self, now: Micros, listed: Listed, state: &State, primary: bool, alone: bool) -> Listed {
+    pub fn shape(&self, now: Timestamp, listed: Listed, state: &State, primary: bool, alone: bool) -> Listed {
         let part = self.part(now, listed.zone, state);
         if part == WHOLE || alone {
             return listed;
@@ -223,7 +225,7 @@
     }
 
     /// The share that an operator's word gives a zone; an error says why not.
-    pub fn order(&self, order: Order, zone: u8, state: &State) -> Result<Share, String> {
+    pub fn order(&self, order: Order, zone: ZoneId, state: &State) -> Result<Share, String> {
         let share = state.share(zone);
         let others = zones(state).into_iter().any(|other| other != zone && state.share(other).part > 0);
         match order {
@@ -240,19 +242,20 @@
 }
 
 /// How each zone looks by these sights.
-pub fn verdicts(sights: &Sights, state: &State) -> BTreeMap<u8, Verdict> {
+pub fn verdicts(sights: &Sights, state: &State) -> BTreeMap<ZoneId, Verdict> {
     zones(state).into_iter().map(|zone| (zone, judge(zone, sights))).collect()
 }
 
 /// Zones that have hosts.
-pub fn zones(state: &State) -> BTreeSet<u8> {
+pub fn zones(state: &State) -> BTreeSet<ZoneId> {
     state.hosts.values().map(|host| host.zone).collect()
 }
 
 /// Groups that have no host outside this zone.
-pub fn only_there(zone: u8, state: &State) -> BTreeSet<u32> {
+pub fn only_there(zone: ZoneId, state: &State) -> BTreeSet<GroupId> {
     let inside = state.hosts.values().filter(|h| h.zone == zone).map(|h| h.group);
-    let outside: BTreeSet<u32> = state.hosts.values().filter(|h| h.zone != zone).map(|h| h.group).collect();
+    let outside: BTreeSet<GroupId> =
+        state.hosts.values().filter(|h| h.zone != zone).map(|h| h.group).collect();
     inside.filter(|group| !outside.contains(group)).collect()
 }
 
@@ -262,23 +265,25 @@
     use crate::store::agreed::{Change, Member};
     use crate::store::form::HostRecord;
 
-    const S: Micros = 1_000_000;
+    /// A second after the clock's zero.
+    const S: Timestamp = Timestamp::from_micros(1_000_000);
 
     /// Two groups with a host in each of three zones.
     fn state() -> State {
-        let member =
-            |id: NodeId| (id, Member { name: format!("b{id}"), address: ([127, 0, 0, 1], id as u16).into() });
-        let host = |group: u32, zone: u8| {
+        let member = |id: u64| {
+            (NodeId(id), Member { name: format!("b{id}"), address: ([127, 0, 0, 1], id as u16).into() })
+        };
+        let host = |group: GroupId, zone: ZoneId| {
             let listed = Listed { group, zone, ..Listed::plain(&format!("s-{group}-{zone}")) };
             (listed.name.clone(), HostRecord::of(&listed))
         };
-        let hosts = (0..6).map(|n| host(n / 3 + 1, (n % 3) as u8)).collect();
+        let hosts = (0..6).map(|n| host(GroupId(n / 3 + 1), ZoneId((n % 3) as u8))).collect();
         State { hosts, members: (1..=3).map(member).collect(), ..State::default() }
     }
 
     fn seen(lost: &[u8]) -> BTreeMap<String, Seen> {
         let one = |(name, host): (String, HostRecord)| {
-            let silent = lost.contains(&host.zone);
+            let silent = lost.contains(&host.zone.0);
             let seen = if silent {
                 Seen { silent: 4, ..Seen::default() }
             } else {
@@ -296,14 +301,18 @@
         let state = state();
         let mut zoning = Zoning::new(Leaving::default());
         zoning.see(&seen(&[0]), &state);
-        assert_eq!(zoning.look_alone(S, &state), BTreeSet::from([0]));
-        assert_eq!((zoning.part(S, 0, &state), zoning.part(S, 1, &state)), (0, WHOLE));
-        assert_eq!(zoning.moved(S, &state), BTreeSet::from([0]));
+        assert_eq!(zoning.look_alone(S, &state), BTreeSet::from([ZoneId(0)]));
+        assert_eq!((zoning.part(S, ZoneId(0), &state), zoning.part(S, ZoneId(1), &state)), (0, WHOLE));
+        assert_eq!(zoning.moved(S, &state), BTreeSet::from([ZoneId(0)]));
         assert!(zoning.moved(S, &state).is_empty() && zoning.look_alone(S, &state).is_empty());
         let back = S + Dwell::default().least;
-        assert_eq!(zoning.part(back, 0, &state), WHOLE);
+        assert_eq!(zoning.part(back, ZoneId(0), &state), WHOLE);
         zoning.look_alone(back, &state);
-        assert_eq!(zoning.part(back + Dwell::default().least, 0, &state), 0, "twice as long the second time");
+        assert_eq!(
+            zoning.part(back + Dwell::default().least, ZoneId(0), &state),
+            0,
+            "twice as long the second time"
+        );
         let mut all = Zoning::new(Leaving::default());
         all.see(&seen(&[0, 1, 2]), &state);
         assert!(all.look_alone(S, &state).is_empty());
@@ -319,19 +328,22 @@
         let zoning = Zoning::new(Leaving::default());
         let shape = |state: &State, primary, alone| {
             let listed = state.hosts["s-1-0"].listed("s-1-0", false);
-            let shaped = zoning.shape(0, listed, state, primary, alone);
+            let shaped = zoning.shape(Timestamp::ZERO, listed, state, primary, alone);
             (shaped.availability, shaped.weight)
         };
         assert_eq!(shape(&state, false, false), (Availability::Ready, 1.0));
-        state.apply(1, &Change::Zone { zone: 0, share: state.share(0).then(0, Why::Lost) });
+        state.apply(1, &Change::Zone { zone: ZoneId(0), share: state.share(ZoneId(0)).then(0, Why::Lost) });
         assert_eq!(shape(&state, false, false), (Availability::Draining, LITTLE));
         assert_eq!(shape(&state, true, false), (Availability::Ready, LITTLE));
         assert_eq!(shape(&state, false, true), (Availability::Ready, 1.0));
-        state.apply(2, &Change::Zone { zone: 0, share: state.share(0).then(250, Why::Returns) });
+        state.apply(
+            2,
+            &Change::Zone { zone: ZoneId(0), share: state.share(ZoneId(0)).then(250, Why::Returns) },
+        );
         assert_eq!(shape(&state, false, false), (Availability::Ready, 0.25));
-        assert!(only_there(0, &state).is_empty());
-        state.hosts.retain(|_, h| h.zone == 0 || h.group == 2);
-        assert_eq!(only_there(0, &state), BTreeSet::from([1]));
+        assert!(only_there(ZoneId(0), &state).is_empty());
+        state.hosts.retain(|_, h| h.zone == ZoneId(0) || h.group == GroupId(2));
+        assert_eq!(only_there(ZoneId(0), &state), BTreeSet::from([GroupId(1)]));
     }
 
     /// Guards against an old word that counts for ever, a stranger's that counts at all, and an order that leaves the
@@ -342,21 +354,21 @@
         let mut zoning = Zoning::new(Leaving::default());
         zoning.see(&seen(&[0]), &state);
         let sights = zoning.own().clone();
-        for by in [2, 3, 77] {
+        for by in [2, 3, 77].map(NodeId) {
             zoning.hear(S, by, sights.clone());
         }
-        assert_eq!(zoning.sights(S, 1, &state).len(), 3, "77 is no member");
-        assert_eq!(verdicts(&zoning.sights(S, 1, &state), &state)[&0], Verdict::Lost);
-        assert_eq!(zoning.next(S, 1, &state, |_| 1.0)[0].1.why, Why::Lost);
-        assert_eq!(zoning.sights(S + FRESH, 1, &state).len(), 1);
-        for zone in [0, 1] {
+        assert_eq!(zoning.sights(S, NodeId(1), &state).len(), 3, "77 is no member");
+        assert_eq!(verdicts(&zoning.sights(S, NodeId(1), &state), &state)[&ZoneId(0)], Verdict::Lost);
+        assert_eq!(zoning.next(S, NodeId(1), &state, |_| 1.0)[0].1.why, Why::Lost);
+        assert_eq!(zoning.sights(S + FRESH, NodeId(1), &state).len(), 1);
+        for zone in [0, 1].map(ZoneId) {
             let share = zoning.order(Order::Leave, zone, &state).unwrap();
             assert_eq!(state.apply(1, &Change::Zone { zone, share }), crate::store::agreed::Effect::Done);
         }
-        assert!(zoning.order(Order::Leave, 2, &state).is_err());
-        let back = zoning.order(Order::Return, 0, &state).unwrap();
+        assert!(zoning.order(Order::Leave, ZoneId(2), &state).is_err());
+        let back = zoning.order(Order::Return, ZoneId(0), &state).unwrap();
         assert_eq!((back.part, back.why, back.number), (super::super::zones::TRICKLE, Why::Returns, 2));
-        assert_eq!(zoning.order(Order::ReturnNow, 0, &state).unwrap().part, WHOLE);
-        assert_eq!(zoning.order(Order::Hold, 2, &state).unwrap().why, Why::Operator);
+        assert_eq!(zoning.order(Order::ReturnNow, ZoneId(0), &state).unwrap().part, WHOLE);
+        assert_eq!(zoning.order(Order::Hold, ZoneId(2), &state).unwrap().why, Why::Operator);
     }
 }
--- a/src/hint.rs
+++ b/src/hint.rs
@@ -1,6 +1,7 @@
 //! What drivers of a tier tell one another: the form of the message, and nothing of what it is worth.
 
-use crate::interface::{MemberId, Micros};
+use crate::ids::EndpointId;
+use crate::time::Timestamp;
 
 /// First byte of the message, or of its next form.
 const SEEN_PRIMARY: u8 = 1;
@@ -9,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hint {
     /// The member.
-    pub member: MemberId,
+    pub member: EndpointId,
     /// When its answer came, on the clock that all machines share.
-    pub at: Micros,
+    pub at: Timestamp,
 }
 
 impl Hint {
@@ -20,7 +21,7 @@
         let mut bytes = vec![SEEN_PRIMARY];
         bytes.extend(self.member.ip);
         bytes.extend(self.member.port.to_be_bytes());
-        bytes.extend(self.at.to_be_bytes());
+        bytes.extend(self.at.as_micros().to_be_bytes());
         bytes
     }
 
@@ -29,8 +30,9 @@
         let [SEEN_PRIMARY, rest @ ..] = bytes else { return None };
         let (ip, rest) = rest.split_first_chunk::<4>()?;
         let (port, at) = rest.split_first_chunk::<2>()?;
-        let member = MemberId { ip: *ip, port: u16::from_be_bytes(*port) };
-        Some(Hint { member, at: Micros::from_be_bytes(at.try_into().ok()?) })
+        let member = EndpointId { ip: *ip, port: u16::from_be_bytes(*port) };
+        let at = Timestamp::from_micros(i64::from_be_bytes(at.try_into().ok()?));
+        Some(Hint { member, at })
     }
 }
 
@@ -41,7 +43,8 @@
     /// Guards against a datagram that is truncated, too long or not ours and is taken for news.
     #[test]
     fn only_whole_messages_of_this_form_are_read() {
-        let hint = Hint { member: MemberId { ip: [9, 8, 7, 6], port: 54321 }, at: 1_796_158_648_224_123 };
+        let member = EndpointId { ip: [9, 8, 7, 6], port: 54321 };
+        let hint = Hint { member, at: Timestamp::from_micros(1_796_158_648_224_123) };
         let bytes = hint.write();
         assert_eq!((Hint::read(&bytes), bytes.len()), (Some(hint), 15));
         for n in 0..bytes.len() {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,23 +1,10 @@
 //! What the decision module is told and what it can ask for: settings, events, actions.
 //!
-//! Nothing here decides. Times are whole microseconds on the driver's own clock; a setting that the
+//! Nothing here decides. Times are readings of the driver's own clock; a setting that the
 //! operator does not state is `None`, and the module settles what that means.
 
-/// A point in time or a span, in microseconds.
-pub type Micros = i64;
-/// A request, as the driver numbers it; never reused.
-pub type RequestId = u64;
-/// Number of a group: one primary and its replicas.
-pub type GroupId = u32;
-
-/// The address of a database member. The order is that of the bytes, then the port.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct MemberId {
-    /// The four bytes of the address, first byte first.
-    pub ip: [u8; 4],
-    /// The port.
-    pub port: u16,
-}
+pub use crate::ids::{EndpointId, GroupId, RequestId, ZoneId};
+pub use crate::time::{LogPosition, TimeDelta, Timestamp};
 
 /// How current the data behind an answer must be, or that the request writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,11 +67,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Class {
     /// Answers within this time are worth most.
-    pub aim: Option<Micros>,
+    pub aim: Option<TimeDelta>,
     /// The aim grows by this multiple of the request's own work.
     pub aim_stretch: Option<f64>,
     /// A client waits this long over all its tries.
-    pub deadline: Option<Micros>,
+    pub deadline: Option<TimeDelta>,
     /// Worth of an answer in time.
     pub worth: Option<f64>,
     /// Share of the worth left after the aim.
@@ -94,11 +81,11 @@
     /// Who drops its repeats.
     pub key_group: Option<KeyGroup>,
     /// How long repeats are dropped, from the first send that may have run.
-    pub key_window: Option<Micros>,
+    pub key_window: Option<TimeDelta>,
     /// How current its data must be.
     pub consistency: Option<Consistency>,
     /// The bound of a `Bounded` class.
-    pub max_age: Option<Micros>,
+    pub max_age: Option<TimeDelta>,
 }
 
 /// A tenant's share.
@@ -116,9 +103,9 @@
     /// This driver's number among them.
     pub me: Option<u16>,
     /// This driver's zone.
-    pub zone: Option<u8>,
+    pub zone: Option<ZoneId>,
     /// The least time between two batches of events.
-    pub step: Option<Micros>,
+    pub step: Option<TimeDelta>,
     /// Classes, by number.
     pub classes: Vec<Class>,
     /// Tenants, by number.
@@ -128,7 +115,7 @@
     /// The member list must be asked for.
     pub must_subscribe: Option<bool>,
     /// Without a subscription or a call for this long, the driver counts as told.
-    pub must_ask_in: Option<Micros>,
+    pub must_ask_in: Option<TimeDelta>,
     /// Two attempts of one request may be out at once.
     pub second_copies: Option<bool>,
     /// Attempts may be cancelled.
@@ -140,33 +127,33 @@
     /// Clients are told when to come back.
     pub retry_after: Option<bool>,
     /// The longest wait a client honours.
-    pub max_retry_after: Option<Micros>,
+    pub max_retry_after: Option<TimeDelta>,
     /// Attempts for one request.
     pub max_attempts: Option<u32>,
     /// A connection not made by then has failed.
-    pub connect_timeout: Option<Micros>,
+    pub connect_timeout: Option<TimeDelta>,
     /// Slack after a client's deadline in which a final answer still counts.
-    pub grace_to_answer: Option<Micros>,
+    pub grace_to_answer: Option<TimeDelta>,
     /// Sends to a draining or gone member must stop within this.
-    pub stop_sending_within: Option<Micros>,
+    pub stop_sending_within: Option<TimeDelta>,
     /// Only an entry that says draining binds.
     pub drain_binds_alone: Option<bool>,
     /// A member starts with at least this share of its capacity.
     pub cold_share: Option<f64>,
     /// And is warm within this.
-    pub warm_up: Option<Micros>,
+    pub warm_up: Option<TimeDelta>,
     /// A cold member falls over above this multiple of its present capacity.
     pub fall_multiple: Option<f64>,
     /// When that lasts this long.
-    pub tip_after: Option<Micros>,
+    pub tip_after: Option<TimeDelta>,
     /// What a member does with a read it lags too far behind for.
     pub behind: Option<Behind>,
     /// How long it waits first.
-    pub holds_for: Option<Micros>,
+    pub holds_for: Option<TimeDelta>,
     /// How a session read's need is known.
     pub session_marks: Option<SessionMarks>,
     /// Clock time from which positions count.
-    pub zero: Option<Micros>,
+    pub zero: Option<Timestamp>,
     /// Names of the values in a load report, in order.
     pub report_fields: Vec<String>,
     /// Points lost for each attempt that crosses zones, per first try.
@@ -183,7 +170,7 @@
     /// It is the primary.
     pub primary: bool,
     /// How far it has applied the log, after `Settings::zero`; for a write its commit. 0: untold.
-    pub position: Micros,
+    pub position: LogPosition,
 }
 
 /// Values of a load report, in the order of `Settings::report_fields`.
@@ -211,9 +198,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
     /// The member.
-    pub member: MemberId,
+    pub member: EndpointId,
     /// Its zone.
-    pub zone: u8,
+    pub zone: ZoneId,
     /// Its group.
     pub group: GroupId,
     /// Whether to use it.
@@ -223,7 +210,7 @@
     /// Its size against other members.
     pub units: f64,
     /// When it last started; `None` is long ago.
-    pub started_at: Option<Micros>,
+    pub started_at: Option<Timestamp>,
 }
 
 /// What kind of list arrived.
@@ -281,15 +268,15 @@
     /// Its tenant.
     pub tenant: usize,
     /// Its work, where a hint came with it.
-    pub effort: Option<Micros>,
+    pub effort: Option<TimeDelta>,
     /// Age of the session's last commit; `None` where there is none.
-    pub token_age: Option<Micros>,
+    pub token_age: Option<TimeDelta>,
     /// The session; 0 is none.
     pub session: u64,
     /// The client marks it as its own repeat.
     pub repeated: bool,
     /// Time until the client gives this try up.
-    pub patience: Micros,
+    pub patience: TimeDelta,
 }
 
 /// How an attempt ended, and what came with it.
@@ -300,9 +287,9 @@
     /// The attempt.
     pub attempt: u8,
     /// Where it was sent.
-    pub member: MemberId,
+    pub member: EndpointId,
     /// Time since it was sent.
-    pub took: Micros,
+    pub took: TimeDelta,
     /// How it ended.
     pub outcome: Outcome,
     /// The request is finished.
@@ -332,7 +319,7 @@
         /// The attempt.
         attempt: u8,
         /// Who answers.
-        member: MemberId,
+        member: EndpointId,
     },
     /// An attempt has ended.
     Settled(Settled),
@@ -349,11 +336,11 @@
     /// A probe came back.
     Probed {
         /// The member.
-        member: MemberId,
+        member: EndpointId,
         /// It answered.
         ok: bool,
         /// Time since it was sent.
-        took: Micros,
+        took: TimeDelta,
         /// Its load report.
         report: Report,
     },
@@ -374,16 +361,16 @@
         /// The request.
         id: RequestId,
         /// Where to.
-        member: MemberId,
+        member: EndpointId,
         /// When to abandon it; `None`: when the client does.
-        stop_at: Option<Micros>,
+        stop_at: Option<Timestamp>,
     },
     /// Final answer: refused; trying again is harmless.
     Refuse {
         /// The request.
         id: RequestId,
         /// When to come back.
-        retry_in: Option<Micros>,
+        retry_in: Option<TimeDelta>,
     },
     /// Final answer: failed; nothing is promised.
     Fail {
@@ -400,14 +387,14 @@
     /// Ask for a `Wake`.
     WakeIn {
         /// From now.
-        span: Micros,
+        span: TimeDelta,
         /// Handed back.
         timer: u64,
     },
     /// Probe a member.
     Probe {
         /// The member.
-        member: MemberId,
+        member: EndpointId,
     },
     /// Subscribe to list changes, or stop.
     Subscribe {
@@ -419,7 +406,7 @@
     /// Close idle connections to a member.
     CloseIdle {
         /// The member.
-        member: MemberId,
+        member: EndpointId,
     },
     /// A message to another driver, or to all of them.
     Tell {
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -4,7 +4,7 @@
 
 use crate::config::Limits;
 use crate::core::members::Listed;
-use crate::interface::{Availability, Micros};
+use crate::interface::{Availability, GroupId, Timestamp, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,7 +16,7 @@
 const REGION: usize = 64;
 
 /// Regions by the numbers of their zones: zones of one region fail together.
-pub type Regions = BTreeMap<u8, String>;
+pub type Regions = BTreeMap<ZoneId, String>;
 
 /// What a file says.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -252,15 +252,15 @@
         return Err(Fault::new(at, format!("host {name:?}: {address} is not on this machine's loopback")));
     }
     let (group, at) = fact("group").ok_or_else(|| Fault::new(line, format!("host {name:?} has no group")))?;
-    let group = group.parse().map_err(|_| wrong("group", group, at))?;
+    let group = group.parse().map(GroupId).map_err(|_| wrong("group", group, at))?;
     let availability = match fact("status") {
         None | Some(("active", _)) => Availability::Ready,
         Some(("leaving", _)) => Availability::Draining,
         Some((v, l)) => return Err(wrong("status", v, l)),
     };
     let zone = match fact("zone") {
-        None => 0,
-        Some((v, l)) => zones.iter().position(|z| z == v).ok_or_else(|| wrong("zone", v, l))? as u8,
+        None => ZoneId(0),
+        Some((v, l)) => ZoneId(zones.iter().position(|z| z == v).ok_or_else(|| wrong("zone", v, l))? as u8),
     };
     let weight = match fact("weight") {
         None => 1.0,
@@ -268,11 +268,11 @@
             v.parse().ok().filter(|w| *w > 0.0 && *w <= 100.0).ok_or_else(|| wrong("weight", v, l))?
         }
     };
-    let started_at: Option<Micros> = match fact("since_ms") {
+    let started_at: Option<Timestamp> = match fact("since_ms") {
         None | Some(("0", _)) => None,
         Some((v, l)) => {
-            let ms = v.parse::<Micros>().ok().filter(|ms| *ms > 0).and_then(|ms| ms.checked_mul(1000));
-            Some(ms.ok_or_else(|| wrong("since_ms", v, l))?)
+            let since = v.parse::<i64>().ok().filter(|ms| *ms > 0).and_then(Timestamp::try_from_millis);
+            Some(since.ok_or_else(|| wrong("since_ms", v, l))?)
         }
     };
     // Who is primary is learned from answers alone: an inventory is no proof of it.
@@ -300,7 +300,7 @@
             "{brookpass_group: 1}",
             "{brookpass_group: 1, brookpass_zone: a, brookpass_region: north}",
         );
-        let wanted = Regions::from([(0, "north".to_string())]);
+        let wanted = Regions::from([(ZoneId(0), "north".to_string())]);
         assert_eq!(inventory("i.csv", &csv).unwrap().regions, wanted);
         assert_eq!(inventory("i.yml", &yaml).unwrap().regions, wanted);
         let second = csv + "s-3,127.0.0.1:7003,1,a,1,active,";
@@ -327,7 +327,7 @@
     fn both_forms_say_the_same() {
         let (csv, yaml) = (read("i.csv", CSV).unwrap(), read("i.yml", YAML).unwrap());
         assert_eq!(csv, yaml);
-        assert_eq!((csv[1].group, csv[1].zone, csv[1].weight), (2, 1, 0.5));
+        assert_eq!((csv[1].group, csv[1].zone, csv[1].weight), (GroupId(2), ZoneId(1), 0.5));
         assert_eq!(csv[1].availability, Availability::Draining);
     }
 
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,7 +1,7 @@
 //! The one place where JSON is read: miniserde, into the few values that the program uses.
 
 use crate::core::members::{Listed, Listing};
-use crate::interface::{Availability, Settings};
+use crate::interface::{Availability, GroupId, Settings, TimeDelta, Timestamp, ZoneId};
 use crate::settings;
 use miniserde::json::Value;
 use miniserde::{Deserialize, json};
@@ -102,12 +102,12 @@
         Ok(Listed {
             address: address(&e.address, &format!("endpoint {}", e.name))?,
             name: e.name,
-            zone: zone.unwrap_or(0) as u8,
-            group: e.group,
+            zone: ZoneId(zone.unwrap_or(0) as u8),
+            group: GroupId(e.group),
             availability,
             primary: false,
             weight: e.weight.filter(|w| w.is_finite()).unwrap_or(1.0),
-            started_at: since.map(|ms| (ms * 1000.0) as i64),
+            started_at: since.map(|ms| Timestamp::ZERO + TimeDelta::from_micros_f64(ms * 1000.0)),
         })
     };
     let entries = raw.endpoints.into_iter().map(one).collect::<Result<_, String>>()?;
@@ -210,7 +210,7 @@
         at(path.rsplit('.').next().unwrap_or(path), value, e.clone())
     })?;
     // Positions on sockets are Unix times on every machine's one clock.
-    let settings = Settings { zero: Some(0), ..settings };
+    let settings = Settings { zero: Some(Timestamp::ZERO), ..settings };
     let place = |key: &str, value: &str| address(value, key).map_err(|e| at(key, value, e));
     Ok(Platform {
         listen: place("listen", &raw.listen)?,
@@ -250,15 +250,18 @@
         assert_eq!((p.classes, p.conn_idle, p.sockets), (vec!["read".to_string()], Some(15.0), Some(1024)));
         assert_eq!(
             (p.seed, p.settings.zero, p.settings.probes),
-            (0x8c1f_30d2_7a5b_e964, Some(0), Some(false))
+            (0x8c1f_30d2_7a5b_e964, Some(Timestamp::ZERO), Some(false))
         );
         assert_eq!(
             (p.settings.classes[0].max_age, p.settings.classes[0].aim),
-            (Some(800_000), Some(500_000))
+            (Some(TimeDelta::from_micros(800_000)), Some(TimeDelta::from_micros(500_000)))
         );
         let host = &p.known.unwrap().entries[0];
-        assert_eq!((host.zone, host.group, host.availability), (1, 3, Availability::Draining));
-        assert_eq!(host.started_at, Some(1_767_225_600_123_000));
+        assert_eq!(
+            (host.zone, host.group, host.availability),
+            (ZoneId(1), GroupId(3), Availability::Draining)
+        );
+        assert_eq!(host.started_at, Some(Timestamp::from_micros(1_767_225_600_123_000)));
     }
 
     #[test]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 //! use brookpass::Router;
 //!
 //! let write = Class {
-//!     aim: Some(500_000),
+//!     aim: Some(TimeDelta::from_millis(500)),
 //!     repeat: Some(Repeat::Unsafe),
 //!     consistency: Some(Consistency::Write),
 //!     ..Class::default()
@@ -22,22 +22,25 @@
 //! let mut router = Router::new(settings, 7);
 //! let mut actions = Vec::new();
 //!
-//! let member = MemberId { ip: [10, 0, 0, 1], port: 5432 };
+//! let member = EndpointId { ip: [10, 0, 0, 1], port: 5432 };
 //! let entry = Entry {
 //!     member,
-//!     zone: 0,
-//!     group: 1,
+//!     zone: ZoneId(0),
+//!     group: GroupId(1),
 //!     availability: Availability::Ready,
 //!     primary: true,
 //!     units: 1.0,
 //!     started_at: None,
 //! };
-//! router.handle(0, Event::Members { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//! let start = Timestamp::ZERO;
+//! router.handle(start, Event::Members { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! actions.clear();
 //!
-//! let ask = Ask { id: 42, class: 0, group: 1, session: 9, patience: 2_000_000, ..Ask::default() };
-//! router.handle(5_000, Event::Request(ask), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 42, member: m, .. } if *m == member)));
+//! let (id, patience) = (RequestId(42), TimeDelta::from_secs(2));
+//! let ask = Ask { id, class: 0, group: GroupId(1), session: 9, patience, ..Ask::default() };
+//! router.handle(start + TimeDelta::from_millis(5), Event::Request(ask), &mut actions);
+//! let sent = |a: &Action| matches!(a, Action::Send { id: i, member: m, .. } if (*i, *m) == (id, member));
+//! assert!(actions.iter().any(sent));
 //! ```
 
 pub mod choice;
@@ -47,6 +50,7 @@
 pub mod daemon;
 pub mod fleet;
 pub mod hint;
+pub mod ids;
 pub mod interface;
 pub mod inventory;
 pub mod json;
@@ -54,5 +58,6 @@
 pub mod net;
 pub mod settings;
 pub mod store;
+pub mod time;
 
 pub use choice::Router;
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -76,10 +76,10 @@
 pub struct Trip<'a, W, A> {
     id: RequestId,
     attempt: u8,
-    member: MemberId,
+    member: EndpointId,
     handle: &'a Handle<W, A>,
-    stop_at: Micros,
-    send_by: Option<Micros>,
+    stop_at: Timestamp,
+    send_by: Option<Timestamp>,
     /// How current its answer must be.
     pub need: Need,
     /// The last byte of the request was written: from then on it may have run.
@@ -89,7 +89,7 @@
 
 impl<W, A> Trip<'_, W, A> {
     /// The present.
-    pub fn now(&self) -> Micros {
+    pub fn now(&self) -> Timestamp {
         self.handle.clock().now()
     }
 
@@ -100,8 +100,8 @@
     }
 
     /// Time until it is abandoned.
-    pub fn left(&self) -> Micros {
-        (self.stop_at - self.now()).max(0)
+    pub fn left(&self) -> TimeDelta {
+        (self.stop_at - self.now()).or_zero()
     }
 
     /// Why it may not be sent any more, if so: the time may have passed in which a connection came up. It never ran.
--- a/src/net/link.rs
+++ b/src/net/link.rs
@@ -6,7 +6,7 @@
 use super::until;
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::interface::Micros;
+use crate::time::{TimeDelta, Timestamp};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, future};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -54,9 +54,9 @@
     /// Bytes that were read so far.
     total: u64,
     /// Up to which byte was read at which time, for what is not used yet.
-    reads: VecDeque<(u64, Micros)>,
+    reads: VecDeque<(u64, Timestamp)>,
     /// Since when nothing was read, though bytes may have come.
-    paused: Option<Micros>,
+    paused: Option<Timestamp>,
 }
 
 impl Arrivals {
@@ -75,7 +75,7 @@
 
     /// Notes a read behind so many bytes that are not used yet. What comes after a pause may have waited for as long
     /// as that, until less than a full read is there.
-    fn read(&mut self, unread: usize, bytes: usize, now: Micros) {
+    fn read(&mut self, unread: usize, bytes: usize, now: Timestamp) {
         let used = self.total.saturating_sub(unread as u64);
         while self.reads.front().is_some_and(|(end, _)| *end <= used) {
             self.reads.pop_front();
@@ -94,7 +94,7 @@
     }
 
     /// When the last byte came that was used, where so many bytes are not used yet.
-    fn of_used(&mut self, unread: usize) -> Option<Micros> {
+    fn of_used(&mut self, unread: usize) -> Option<Timestamp> {
         let used = self.total.saturating_sub(unread as u64);
         while self.reads.len() > 1 && self.reads.front().is_some_and(|(end, _)| *end < used) {
             self.reads.pop_front();
@@ -123,7 +123,7 @@
     }
 
     /// When the last byte of the request came that was just taken, where so many bytes are not used yet.
-    pub fn arrived(&mut self, unread: usize) -> Micros {
+    pub fn arrived(&mut self, unread: usize) -> Timestamp {
         self.arrivals.of_used(unread).unwrap_or_else(|| self.clock.now())
     }
 
@@ -137,8 +137,8 @@
 
     /// Whether the client of a request that came at `arrived` has gone meanwhile. It is looked for only where the
     /// request may have waited to be read.
-    pub fn has_left_since(&self, arrived: Micros) -> bool {
-        let waited = self.clock.now() - arrived >= self.limits.depart.as_micros() as Micros;
+    pub fn has_left_since(&self, arrived: Timestamp) -> bool {
+        let waited = self.clock.now() - arrived >= TimeDelta::from(self.limits.depart);
         (waited || !self.place.has_asked()) && self.departed()
     }
 
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -79,7 +79,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::MemberId;
+    use crate::interface::{EndpointId, Timestamp};
     use async_channel::unbounded;
     use futures_lite::future;
 
@@ -102,7 +102,8 @@
         });
         let mut bytes = [0; 512];
         assert_eq!(peer.recv(&mut bytes).unwrap(), 256, "the longer one never left");
-        let hint = Hint { member: MemberId { ip: [1, 2, 3, 4], port: 5 }, at: 6 }.write();
+        let hint =
+            Hint { member: EndpointId { ip: [1, 2, 3, 4], port: 5 }, at: Timestamp::from_micros(6) }.write();
         stranger.send_to(&hint, at).unwrap();
         for bad in [&hint[..hint.len() - 1], b"", b"noise", &[1; 257], &[1; 2000]] {
             peer.send_to(bad, at).unwrap();
--- a/src/net/pg/front.rs
+++ b/src/net/pg/front.rs
@@ -113,7 +113,7 @@
         let class = self.classes.find(&s.class, s.keyed)?;
         let now = self.handle.clock().now();
         // The module wants the age of the session's last commit; a clock a little ahead makes it no older.
-        let token_age = s.after.map(|at| (now - at).max(0));
+        let token_age = s.after.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
         Some(Ask {
             class,
             group: s.group,
@@ -148,7 +148,7 @@
             rows
         }
         Final::Refused { retry_in, .. } => {
-            refusal("no score host can take this now", retry_in.map(|t| (t / 1000).max(1)))
+            refusal("no score host can take this now", retry_in.map(|t| t.as_millis().max(1)))
         }
         Final::Failed { overdue: true } => failure("57014", "no answer came in time"),
         Final::Failed { overdue: false } => failure("58000", "the request failed"),
@@ -306,7 +306,7 @@
     }
 
     /// Hands in a statement that came at `arrived`; the error is its answer at once.
-    async fn query(&self, text: &str, arrived: Micros) -> Result<Open, Vec<u8>> {
+    async fn query(&self, text: &str, arrived: Timestamp) -> Result<Open, Vec<u8>> {
         let statement = statement::parse(text).map_err(|why| {
             log::warn!("client: {why}");
             failure("42601", &why)
@@ -320,8 +320,8 @@
             return Err(failure("42710", "a request with this id is open"));
         };
         let limits = &self.front.limits;
-        let margin = limits.margin.as_micros() as Micros;
-        let deadline = arrived + (statement.patience - margin).max(0);
+        let margin = TimeDelta::from(limits.margin);
+        let deadline = arrived + (statement.patience - margin).or_zero();
         let submitted = self.front.handle.submit(ask, deadline, Arc::new(statement)).await;
         let again = || refusal("the pooler is ending", Some(limits.again.as_millis() as i64));
         let (id, reply) = submitted.ok_or_else(again)?;
--- a/src/net/pg/reply.rs
+++ b/src/net/pg/reply.rs
@@ -49,7 +49,7 @@
     /// Bytes of ParameterStatus messages and notices so far.
     words: usize,
     role: Option<bool>,
-    position: Option<Micros>,
+    position: Option<LogPosition>,
     vitals: Option<String>,
 }
 
@@ -189,7 +189,7 @@
                 Some(("rank", "source")) => self.role = Some(true),
                 Some(("rank", "copy")) => self.role = Some(false),
                 Some(("as_of", value)) => {
-                    self.position = value.parse().ok().and_then(|ms: Micros| ms.checked_mul(1000));
+                    self.position = value.parse().ok().and_then(LogPosition::try_from_millis);
                 }
                 Some(("vitals", value)) => self.vitals = Some(value.to_string()),
                 _ => {}
@@ -215,7 +215,7 @@
 
     /// Role and position of the host.
     pub fn mark(&self) -> Option<Mark> {
-        Some(Mark { primary: self.role?, position: self.position.unwrap_or(0) })
+        Some(Mark { primary: self.role?, position: self.position.unwrap_or(LogPosition::UNKNOWN) })
     }
 
     /// Its load report.
--- a/src/net/pg/reply/tests.rs
+++ b/src/net/pg/reply/tests.rs
@@ -73,7 +73,7 @@
         let (reply, used) = read(&[&whole[..], b"T\0\0"].concat(), piece);
         prop_assert_eq!(used, Ok(whole.len()));
         prop_assert!(reply.finished() && reply.idle() && reply.outcome() == Outcome::Ok);
-        prop_assert_eq!(reply.mark(), Some(Mark { primary: false, position: 0 }));
+        prop_assert_eq!(reply.mark(), Some(Mark { primary: false, position: LogPosition::UNKNOWN }));
         prop_assert_eq!(reply.report(&["x0".to_string()]).count, 0);
         let (first, served) = (33, reply.rows.clone());
         prop_assert_eq!(&served[first + 11..first + 11 + value.len()], &value[..]);
--- a/src/net/pg/statement.rs
+++ b/src/net/pg/statement.rs
@@ -1,6 +1,6 @@
 //! The comment in front of a statement: what a client says about its request.
 
-use crate::interface::Micros;
+use crate::interface::{GroupId, LogPosition, TimeDelta};
 use std::ops::Range;
 
 /// A statement as it came, with what its comment says.
@@ -14,11 +14,11 @@
     /// Name of the class.
     pub class: String,
     /// How long the client waits.
-    pub patience: Micros,
+    pub patience: TimeDelta,
     /// The group.
-    pub group: u32,
+    pub group: GroupId,
     /// The position that a read has to see, as Unix time.
-    pub after: Option<Micros>,
+    pub after: Option<LogPosition>,
     /// The client marks it as its own repeat.
     pub repeated: bool,
     /// It carries an idempotency key.
@@ -59,10 +59,8 @@
                 let from = at + part.find(pair).unwrap_or(0) + 2;
                 wait = Some((ms, from..from + value.len()));
             }
-            "cluster" => group = Some(number(value).ok_or_else(wrong)?),
-            "after" => {
-                after = Some(number::<i64>(value).and_then(|v| v.checked_mul(1000)).ok_or_else(wrong)?)
-            }
+            "cluster" => group = Some(GroupId(number(value).ok_or_else(wrong)?)),
+            "after" => after = Some(number(value).and_then(LogPosition::try_from_millis).ok_or_else(wrong)?),
             "r" => repeated = value == "1",
             "k" => keyed = !value.is_empty(),
             // Whatever else a client says goes to the host as it stands.
@@ -81,7 +79,7 @@
         wait,
         id,
         class: class.ok_or("the comment names no class")?,
-        patience: ms * 1000,
+        patience: TimeDelta::from_millis(ms),
         group: group.ok_or("the comment names no group")?,
         after,
         repeated,
@@ -92,8 +90,8 @@
 
 impl Statement {
     /// The statement as a host gets it: unchanged, but for how long is waited.
-    pub fn with_wait(&self, left: Micros) -> String {
-        let ms = (left / 1000).max(1);
+    pub fn with_wait(&self, left: TimeDelta) -> String {
+        let ms = left.as_millis().max(1);
         format!("{}{ms}{}", &self.text[..self.wait.start], &self.text[self.wait.end..])
     }
 }
@@ -108,9 +106,15 @@
     #[test]
     fn only_the_wait_changes_on_the_way() {
         let s = parse(READ).unwrap();
-        assert_eq!((s.class.as_str(), s.patience, s.group), ("basket", 480_000, 2));
-        assert_eq!((s.after, s.key.as_str()), (Some(1_767_225_600_123_000), "7f3a"));
-        assert_eq!(s.with_wait(93_700), READ.replace("d=480", "d=93"));
+        assert_eq!(
+            (s.class.as_str(), s.patience, s.group),
+            ("basket", TimeDelta::from_micros(480_000), GroupId(2))
+        );
+        assert_eq!(
+            (s.after, s.key.as_str()),
+            (Some(LogPosition::from_micros(1_767_225_600_123_000)), "7f3a")
+        );
+        assert_eq!(s.with_wait(TimeDelta::from_micros(93_700)), READ.replace("d=480", "d=93"));
     }
 
     #[test]
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -35,7 +35,7 @@
     /// Class of an update that names none.
     pub update: String,
     /// The group of a request that names none.
-    pub group: Option<u32>,
+    pub group: Option<GroupId>,
 }
 
 /// What all connections of the front share.
@@ -63,7 +63,7 @@
     place: Place,
     limits: Rc<Limits>,
     clock: Clock,
-    again: impl Fn() -> Micros,
+    again: impl Fn() -> TimeDelta,
 ) {
     let mut link = Link::new(stream, place, limits.clone(), clock);
     let mut buffer = Buffer::default();
@@ -87,8 +87,8 @@
     Cut,
 }
 
-fn refusal(retry_in: Option<Micros>, text: &str) -> Vec<u8> {
-    let ms = retry_in.unwrap_or(1_000_000).max(0) / 1000;
+fn refusal(retry_in: Option<TimeDelta>, text: &str) -> Vec<u8> {
+    let ms = retry_in.unwrap_or(TimeDelta::from_secs(1)).or_zero().as_millis();
     // The standard header counts in seconds: rounded up, so that nobody comes too early by it.
     let seconds = ((ms + 999) / 1000).max(1).to_string();
     server::answer(503, &[("Retry-After", &seconds), (COME_BACK, &ms.max(1).to_string())], text)
@@ -99,7 +99,7 @@
     pub async fn serve(&self, stream: Async<TcpStream>, place: Place, welcome: Welcome) {
         let mut link = Link::new(stream, place, self.limits.clone(), self.handle.clock().clone());
         if welcome == Welcome::TurnedAway {
-            let again = Some(self.limits.again.as_micros() as Micros);
+            let again = Some(TimeDelta::from(self.limits.again));
             let _ = link.write(&refusal(again, "too many connections")).await;
             let _ = link.linger().await;
             return;
@@ -154,14 +154,14 @@
         if let Some(position) = commit.and_then(|at| self.breaks.borrow().lost(ask.group, at)) {
             return serve(link, buffer, request, lost(position)).await;
         }
-        let margin = self.limits.margin.as_micros() as Micros;
+        let margin = TimeDelta::from(self.limits.margin);
         let arrived = link.arrived(buffer.unread().len());
         if link.departed() {
             return Ok(After::Cut);
         }
-        let deadline = arrived + (patience - margin).max(0);
+        let deadline = arrived + (patience - margin).or_zero();
         let Some((id, reply)) = self.handle.submit(ask, deadline, Arc::new(operation)).await else {
-            let again = Some(self.limits.again.as_micros() as Micros);
+            let again = Some(TimeDelta::from(self.limits.again));
             return reply(link, true, refusal(again, "the pooler is ending")).await;
         };
         let last = async { Some(reply.recv().await.unwrap_or(Final::Failed { overdue: false })) };
@@ -181,7 +181,7 @@
         written
     }
 
-    fn ask(&self, operation: Operation) -> Result<(Ask, Micros, Operation), Refusal> {
+    fn ask(&self, operation: Operation) -> Result<(Ask, TimeDelta, Operation), Refusal> {
         let s = &self.service;
         let query = s.session.as_ref().filter(|_| operation.position.is_some()).unwrap_or(&s.query);
         let name = operation.class.as_ref().unwrap_or(if operation.update { &s.update } else { query });
@@ -199,10 +199,10 @@
         let group =
             group.ok_or_else(|| Refusal(400, format!("{GROUP} names no group, and there is no default")))?;
         let now = self.handle.clock().now();
-        let token_age = operation.position.map(|at| (now - at).max(0));
+        let token_age = operation.position.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
         let session = operation.session.as_deref().map_or(0, crate::net::fingerprint);
         let patience = operation.patience.or(self.classes.deadline(name));
-        let patience = patience.unwrap_or(self.limits.patience.as_micros() as Micros);
+        let patience = patience.unwrap_or(TimeDelta::from(self.limits.patience));
         Ok((Ask { class, group, token_age, session, ..Ask::default() }, patience, operation))
     }
 
--- a/src/net/sparql/host.rs
+++ b/src/net/sparql/host.rs
@@ -57,16 +57,15 @@
         "replica" => false,
         _ => return None,
     };
-    let position =
-        head.get(POSITION).and_then(|p| p.parse::<Micros>().ok()).and_then(|ms| ms.checked_mul(1000));
-    Some(Mark { primary, position: position.unwrap_or(0).max(0) })
+    let position = head.get(POSITION).and_then(|p| p.parse().ok()).and_then(LogPosition::try_from_millis);
+    Some(Mark { primary, position: position.unwrap_or(LogPosition::UNKNOWN).max(LogPosition::UNKNOWN) })
 }
 
 /// A load report made of the headers: `x0` and `x1` are the position in seconds and the role, as elsewhere.
 fn report(head: &Head, fields: &[String]) -> Report {
     let told = mark(head);
     report_of(fields, |name| match name {
-        "x0" => told.map(|m| m.position as f64 / 1e6),
+        "x0" => told.map(|m| m.position.as_micros() as f64 / 1e6),
         "x1" => told.map(|m| f64::from(u8::from(m.primary))),
         name => figure(head.get(LOAD).unwrap_or(""), name),
     })
@@ -85,23 +84,23 @@
 
 /// Whether an answer's data is as current as it must be. A primary is at the present; from a replica only a
 /// position that it told with this very answer counts.
-fn current(mark: Option<Mark>, since: Option<Micros>) -> bool {
+fn current(mark: Option<Mark>, since: Option<LogPosition>) -> bool {
     match (since, mark) {
         (None, _) => true,
         (Some(_), None) => false,
-        (Some(since), Some(mark)) => mark.primary || mark.position > 0 && mark.position >= since,
+        (Some(since), Some(mark)) => mark.primary || mark.position.is_known() && mark.position >= since,
     }
 }
 
 /// The position up to which a primary has the log, where it lacks what the session of a read has written.
-fn lacks(mark: Option<Mark>, commit: Option<Micros>) -> Option<Micros> {
-    let mark = mark.filter(|m| m.primary && m.position > 0)?;
+fn lacks(mark: Option<Mark>, commit: Option<LogPosition>) -> Option<LogPosition> {
+    let mark = mark.filter(|m| m.primary && m.position.is_known())?;
     (mark.position < commit?).then_some(mark.position)
 }
 
 /// The answer to a read whose session has written what its group has lost: older data would pass for its own.
-pub fn lost(position: Micros) -> Answer {
-    let position = (position / 1000).to_string();
+pub fn lost(position: LogPosition) -> Answer {
+    let position = position.as_millis().to_string();
     let text =
         format!("what this session wrote after position {position} is lost: its group went back to there");
     Answer {
@@ -143,6 +142,7 @@
             Need::Age(age) => Some(trip.now() - age),
             Need::Since(at) => Some(at),
         };
+        let since = since.map(|at| LogPosition::of_commit(at, Timestamp::ZERO));
         c.send(&operation.request(c.address(), &self.path, &self.via, trip.left(), since)).await?;
         trip.written();
         let head = c.head(&self.limits).await?;
@@ -250,25 +250,27 @@
     /// Guards against stale answers: a replica proves its position with each answer, or the answer is dropped.
     #[test]
     fn only_a_position_told_with_the_answer_proves_it_current() {
-        let told = |primary, position| Some(Mark { primary, position });
+        let at = LogPosition::from_micros;
+        let told = |primary, position| Some(Mark { primary, position: at(position) });
         assert!(current(None, None));
-        assert!(!current(None, Some(5)));
-        assert!(current(told(true, 0), Some(5)));
-        assert!(current(told(false, 5), Some(5)));
-        assert!(!current(told(false, 4), Some(5)));
-        assert!(!current(told(false, 0), Some(-5)));
+        assert!(!current(None, Some(at(5))));
+        assert!(current(told(true, 0), Some(at(5))));
+        assert!(current(told(false, 5), Some(at(5))));
+        assert!(!current(told(false, 4), Some(at(5))));
+        assert!(!current(told(false, 0), Some(at(-5))));
     }
 
     /// Guards against a primary that lost a session's write and answers it with older data.
     #[test]
     fn a_primary_that_lacks_a_sessions_write_is_seen() {
-        let told = |primary, position| Some(Mark { primary, position });
-        assert_eq!(lacks(told(true, 4_000), Some(5_000)), Some(4_000));
-        assert_eq!(lacks(told(true, 5_000), Some(5_000)), None);
+        let at = LogPosition::from_micros;
+        let told = |primary, position| Some(Mark { primary, position: at(position) });
+        assert_eq!(lacks(told(true, 4_000), Some(at(5_000))), Some(at(4_000)));
+        assert_eq!(lacks(told(true, 5_000), Some(at(5_000))), None);
         assert_eq!(lacks(told(true, 4_000), None), None);
         // It tells no position; and a replica is only behind.
         assert_eq!(
-            (lacks(told(true, 0), Some(5)), lacks(told(false, 4), Some(5)), lacks(None, Some(5))),
+            (lacks(told(true, 0), Some(at(5))), lacks(told(false, 4), Some(at(5))), lacks(None, Some(at(5)))),
             (None, None, None)
         );
     }
--- a/src/net/sparql/operation.rs
+++ b/src/net/sparql/operation.rs
@@ -1,7 +1,7 @@
 //! What a client asks for: a query or an update, as the SPARQL 1.1 Protocol puts them into HTTP.
 
 use super::{CLASS, GROUP, KEY, POSITION, SESSION, TIME_LEFT};
-use crate::interface::Micros;
+use crate::interface::{GroupId, LogPosition, TimeDelta};
 use crate::net::http::codec::Head;
 use crate::net::http::form;
 use crate::net::http::server::Request;
@@ -27,15 +27,15 @@
     /// The class it names.
     pub class: Option<String>,
     /// The group it names.
-    pub group: Option<u32>,
+    pub group: Option<GroupId>,
     /// Its session.
     pub session: Option<String>,
     /// Its key.
     pub key: Option<String>,
     /// How long the client waits.
-    pub patience: Option<Micros>,
+    pub patience: Option<TimeDelta>,
     /// The position that it has to see, as Unix time.
-    pub position: Option<Micros>,
+    pub position: Option<LogPosition>,
 }
 
 fn number(head: &Head, name: &str, most: i64) -> Result<Option<i64>, Refusal> {
@@ -104,29 +104,36 @@
         headers,
         body: if method == "GET" { Vec::new() } else { request.body.clone() },
         class: word(head, CLASS)?,
-        group: number(head, GROUP, u32::MAX.into())?.map(|g| g as u32),
+        group: number(head, GROUP, u32::MAX.into())?.map(|g| GroupId(g as u32)),
         session: word(head, SESSION)?,
         key: word(head, KEY)?,
-        patience: number(head, TIME_LEFT, 86_400_000)?.map(|ms| ms * 1000),
-        position: number(head, POSITION, i64::MAX / 1000)?.map(|ms| ms * 1000),
+        patience: number(head, TIME_LEFT, 86_400_000)?.map(TimeDelta::from_millis),
+        position: number(head, POSITION, i64::MAX / 1000)?.and_then(LogPosition::try_from_millis),
     })
 }
 
 impl Operation {
-    /// The request as a host gets it: `since` is what its data has to see, as Unix time; `via` is who passes it on.
-    pub fn request(&self, host: &str, path: &str, via: &str, left: Micros, since: Option<Micros>) -> Vec<u8> {
+    /// The request as a host gets it: `since` is the position that its data has to see, as Unix time; `via` is who passes it on.
+    pub fn request(
+        &self,
+        host: &str,
+        path: &str,
+        via: &str,
+        left: TimeDelta,
+        since: Option<LogPosition>,
+    ) -> Vec<u8> {
         let question = if self.query.is_empty() { "" } else { "?" };
         let mut out = format!("{} {path}{question}{} HTTP/1.1\r\nHost: {host}\r\n", self.method, self.query);
         let mut put = |name: &str, value: &str| out += &format!("{name}: {value}\r\n");
         self.headers.iter().for_each(|(n, v)| put(n, v));
         put("Via", via);
-        put(TIME_LEFT, &(left / 1000).max(1).to_string());
+        put(TIME_LEFT, &left.as_millis().max(1).to_string());
         for (name, value) in [(CLASS, &self.class), (SESSION, &self.session), (KEY, &self.key)] {
             value.iter().for_each(|v| put(name, v));
         }
         self.group.iter().for_each(|g| put(GROUP, &g.to_string()));
         // Rounded up: a host that has applied all up to there has applied what is needed.
-        since.iter().for_each(|t| put(POSITION, &((t + 999) / 1000).to_string()));
+        since.iter().for_each(|t| put(POSITION, &((t.as_micros() + 999) / 1000).to_string()));
         if self.method == "POST" {
             put("Content-Length", &self.body.len().to_string());
         }
@@ -161,7 +168,7 @@
             let request = request(&text);
             let operation = read(&request).unwrap();
             assert_eq!(operation.update, update, "{text}");
-            let sent = String::from_utf8(operation.request("h:1", "/sparql", "1.1 b1", 5_000, Some(1_500))).unwrap();
+            let sent = String::from_utf8(operation.request("h:1", "/sparql", "1.1 b1", TimeDelta::from_micros(5_000), Some(LogPosition::from_micros(1_500)))).unwrap();
             let line = text.lines().next().unwrap();
             assert!(sent.starts_with(&format!("{line}\r\nHost: h:1\r\n")), "{sent}");
             assert!(sent.ends_with(text.split("\r\n\r\n").nth(1).unwrap()), "{sent}");
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -21,8 +21,8 @@
         }
     }
 
-    fn span(&self, path: &str) -> Result<Option<Micros>, String> {
-        Ok(self.number(path)?.map(micros))
+    fn span(&self, path: &str) -> Result<Option<TimeDelta>, String> {
+        Ok(self.number(path)?.map(TimeDelta::from_secs_f64))
     }
 
     fn list(&self, path: &str) -> Vec<&'a str> {
@@ -46,11 +46,6 @@
     words.iter().find(|(w, _)| *w == value).map(|(_, t)| *t)
 }
 
-/// Seconds on the wire to whole microseconds.
-pub fn micros(seconds: f64) -> Micros {
-    (seconds * 1e6).round() as Micros
-}
-
 /// Reads the settings text of one `UP`.
 pub fn parse(text: &str) -> Result<Settings, String> {
     let mut lines = BTreeMap::new();
@@ -98,7 +93,9 @@
                     ],
                 )
             }),
-            max_age: age.map_err(|_| "settings: family-info.max-age does not parse".to_string())?.map(micros),
+            max_age: age
+                .map_err(|_| "settings: family-info.max-age does not parse".to_string())?
+                .map(TimeDelta::from_secs_f64),
         });
     }
     let tenants = (0..t.count("tenants.count")?)
@@ -138,7 +135,7 @@
             "family-info.session-marks",
             &[("brought", SessionMarks::Carried), ("kept", SessionMarks::Remembered)],
         ),
-        zero: t.span("family-info.zero")?,
+        zero: t.number("family-info.zero")?.map(Timestamp::from_secs_f64),
         report_fields: t.list("report.fields").iter().map(|f| f.to_string()).collect(),
         cross_zone_fee: t.number("fees.cross-zone")?,
         probe_fee: t.number("fees.probe")?,
@@ -157,8 +154,8 @@
              family-info.consistency=lag_bound,mutate\nfamily-info.max-age=0.5,0.0\nsome.new-key=7\n",
         )
         .unwrap();
-        assert_eq!(s.classes[0].aim, Some(250_000));
-        assert_eq!(s.classes[0].max_age, Some(500_000));
+        assert_eq!(s.classes[0].aim, Some(TimeDelta::from_millis(250)));
+        assert_eq!(s.classes[0].max_age, Some(TimeDelta::from_millis(500)));
         assert_eq!(s.classes[0].consistency, Some(Consistency::Bounded));
         assert_eq!(s.classes[1].repeat, Some(Repeat::Keyed));
         assert_eq!(s.classes[1].key_group, Some(KeyGroup::Cell));
--- a/src/store/agreed.rs
+++ b/src/store/agreed.rs
@@ -1,10 +1,12 @@
 //! The agreed state: settings, inventory, drain marks, members. No I/O and no clock: the same changes in the
 //! same order make the same state at every daemon.
 
-use super::form::{self, FleetId, HostRecord, NodeId, Step};
+use super::form::{self, FleetId, HostRecord, Step};
 use super::shares::Share;
 use crate::core::members::{Listed, Listing};
-use crate::interface::Micros;
+use crate::ids::NodeId;
+use crate::ids::ZoneId;
+use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -56,7 +58,7 @@
         /// The daemon that read the file.
         by: String,
         /// When the file was last changed.
-        changed: Micros,
+        changed: Timestamp,
         /// The version of the agreed inventory that this was compared with.
         base: u64,
         /// New and changed hosts.
@@ -69,14 +71,14 @@
         /// The daemon that read the file.
         by: String,
         /// When the file was last changed.
-        changed: Micros,
+        changed: Timestamp,
         /// A line for each path.
         text: String,
     },
     /// A zone gets this part of its usual reads.
     Zone {
         /// Its number.
-        zone: u8,
+        zone: ZoneId,
         /// The share; its number is one more than that of the one before.
         share: Share,
     },
@@ -85,9 +87,9 @@
         /// The daemon that read the file.
         by: String,
         /// When the file was last changed.
-        changed: Micros,
+        changed: Timestamp,
         /// By zone.
-        regions: BTreeMap<u8, String>,
+        regions: BTreeMap<ZoneId, String>,
     },
 }
 
@@ -124,7 +126,7 @@
     /// The daemon that read the file.
     pub by: String,
     /// When the file was last changed.
-    pub changed: Micros,
+    pub changed: Timestamp,
     /// The place in the log at which it was agreed.
     pub version: u64,
 }
@@ -155,9 +157,9 @@
     /// A check sum over all that was agreed: alike at two daemons only where both took in the same sequence.
     pub digest: u32,
     /// Shares of zones that were ever moved.
-    pub zones: BTreeMap<u8, Share>,
+    pub zones: BTreeMap<ZoneId, Share>,
     /// Regions by zone, and when the file that said so was changed.
-    pub regions: (Micros, BTreeMap<u8, String>),
+    pub regions: (Timestamp, BTreeMap<ZoneId, String>),
 }
 
 /// What became of a change.
@@ -181,13 +183,13 @@
     }
 
     /// Zones of the same region as this one, itself among them.
-    pub fn region(&self, zone: u8) -> Vec<u8> {
+    pub fn region(&self, zone: ZoneId) -> Vec<ZoneId> {
         let Some(region) = self.regions.1.get(&zone) else { return vec![zone] };
         self.regions.1.iter().filter(|(_, r)| *r == region).map(|(z, _)| *z).collect()
     }
 
     /// The share of a zone.
-    pub fn share(&self, zone: u8) -> Share {
+    pub fn share(&self, zone: ZoneId) -> Share {
         self.zones.get(&zone).copied().unwrap_or_default()
     }
 
@@ -344,8 +346,8 @@
         &self,
         by: &str,
         hosts: &[Listed],
-        changed: Micros,
-        now: Micros,
+        changed: Timestamp,
+        now: Timestamp,
     ) -> Option<Change> {
         if self.inventory.as_ref().is_some_and(|i| changed <= i.changed) {
             return None;
@@ -398,16 +400,21 @@
         Listed { address: ([127, 0, 0, 1], port).into(), ..Listed::plain(name) }
     }
 
-    fn mark(by: NodeId, number: u64) -> Mark {
-        Mark { by, number }
+    fn mark(by: u64, number: u64) -> Mark {
+        Mark { by: NodeId(by), number }
     }
 
-    fn read(state: &mut State, index: u64, hosts: &[Listed], changed: Micros) -> Option<Effect> {
-        let change = state.inventory_change("a", hosts, changed, 1_000_000 * changed)?;
+    /// The time of a change, as a small number.
+    fn at(micros: i64) -> Timestamp {
+        Timestamp::from_micros(micros)
+    }
+
+    fn read(state: &mut State, index: u64, hosts: &[Listed], changed: i64) -> Option<Effect> {
+        let change = state.inventory_change("a", hosts, at(changed), at(1_000_000 * changed))?;
         Some(state.apply(index, &change))
     }
 
-    fn since(state: &State) -> Vec<Option<Micros>> {
+    fn since(state: &State) -> Vec<Option<Timestamp>> {
         state.hosts.values().map(|h| h.started_at).collect()
     }
 
@@ -418,12 +425,16 @@
         read(&mut s, 1, &[host("x", 1)], 1);
         assert_eq!(since(&s), [None], "the first inventory is of hosts that run already");
         read(&mut s, 2, &[host("x", 1), host("y", 2)], 2);
-        assert_eq!(since(&s), [None, Some(2_000_000)]);
+        assert_eq!(since(&s), [None, Some(at(2_000_000))]);
         read(&mut s, 3, &[host("x", 3), host("y", 2)], 3);
-        assert_eq!(since(&s), [Some(3_000_000), Some(2_000_000)], "one that moved is another process");
+        assert_eq!(
+            since(&s),
+            [Some(at(3_000_000)), Some(at(2_000_000))],
+            "one that moved is another process"
+        );
         read(&mut s, 4, &[host("y", 2)], 4);
         read(&mut s, 5, &[host("x", 3), host("y", 2)], 5);
-        assert_eq!(since(&s), [Some(5_000_000), Some(2_000_000)], "one that comes back is new");
+        assert_eq!(since(&s), [Some(at(5_000_000)), Some(at(2_000_000))], "one that comes back is new");
     }
 
     /// Guards against a daemon with an old file that takes back what was edited elsewhere, and against two
@@ -433,14 +444,14 @@
         let mut s = State::default();
         assert_eq!(read(&mut s, 1, &[host("x", 1), host("y", 2)], 20), Some(Effect::Done));
         assert_eq!(read(&mut s, 2, &[host("x", 9)], 10), None);
-        let late = s.inventory_change("b", &[host("x", 7)], 25, 0).unwrap();
+        let late = s.inventory_change("b", &[host("x", 7)], at(25), at(0)).unwrap();
         assert_eq!(read(&mut s, 3, &[host("z", 3)], 22), Some(Effect::Done));
         assert_eq!(s.apply(4, &late), Effect::Outdated, "it would leave z, which b's file does not name");
-        let again = s.inventory_change("b", &[host("x", 7)], 25, 0).unwrap();
+        let again = s.inventory_change("b", &[host("x", 7)], at(25), at(0)).unwrap();
         assert_eq!(s.apply(5, &again), Effect::Done);
         assert_eq!(s.hosts.keys().collect::<Vec<_>>(), ["x"]);
         assert_eq!(s.apply(6, &again), Effect::Overtaken);
-        assert_eq!(s.inventory, Some(Source { by: "b".into(), changed: 25, version: 5 }));
+        assert_eq!(s.inventory, Some(Source { by: "b".into(), changed: at(25), version: 5 }));
     }
 
     /// Guards against an undrain that takes away a drain which whoever said it had not heard of, and against a
@@ -477,15 +488,21 @@
     #[test]
     fn a_fleet_is_complete_when_its_founders_vote_or_are_gone() {
         let member = |n: u16| Member { name: format!("b{n}"), address: ([127, 0, 0, 1], n).into() };
-        let mut s = State::found(7, 1, member(1), ["b2", "b3"].map(String::from).into());
-        s.apply_members(&Membership { steps: vec![Step::Follow(2)], comes: Some((2, member(2))) });
+        let mut s = State::found(7, NodeId(1), member(1), ["b2", "b3"].map(String::from).into());
+        s.apply_members(&Membership {
+            steps: vec![Step::Follow(NodeId(2))],
+            comes: Some((NodeId(2), member(2))),
+        });
         assert!(!s.is_complete() && s.members.len() == 2);
-        s.apply_members(&Membership { steps: vec![Step::Vote(2)], comes: None });
-        s.apply_members(&Membership { steps: vec![Step::Follow(3)], comes: Some((3, member(3))) });
-        s.apply_members(&Membership { steps: vec![Step::Remove(3)], comes: None });
+        s.apply_members(&Membership { steps: vec![Step::Vote(NodeId(2))], comes: None });
+        s.apply_members(&Membership {
+            steps: vec![Step::Follow(NodeId(3))],
+            comes: Some((NodeId(3), member(3))),
+        });
+        s.apply_members(&Membership { steps: vec![Step::Remove(NodeId(3))], comes: None });
         assert!(s.is_complete());
-        s.apply_members(&Membership { steps: vec![Step::Remove(2)], comes: None });
-        assert_eq!(s.removed, BTreeMap::from([(2, "b2".to_string()), (3, "b3".to_string())]));
+        s.apply_members(&Membership { steps: vec![Step::Remove(NodeId(2))], comes: None });
+        assert_eq!(s.removed, BTreeMap::from([(NodeId(2), "b2".to_string()), (NodeId(3), "b3".to_string())]));
     }
 
     /// Guards against a move of a zone that was decided before another one and undoes it, and against a disk of before
@@ -496,13 +513,13 @@
         let mut s = State::default();
         let before = form::write(&s);
         let there = |zone| HostRecord::of(&Listed { zone, ..host("x", 1) });
-        s.hosts = [3, 4].map(|zone| (format!("s-{zone}"), there(zone))).into();
-        let first = s.share(3).then(0, Why::Lost);
-        assert_eq!(s.apply(1, &Change::Zone { zone: 3, share: first }), Effect::Done);
+        s.hosts = [3, 4].map(|zone| (format!("s-{zone}"), there(ZoneId(zone)))).into();
+        let first = s.share(ZoneId(3)).then(0, Why::Lost);
+        assert_eq!(s.apply(1, &Change::Zone { zone: ZoneId(3), share: first }), Effect::Done);
         let late = Share::default().then(500, Why::Slow);
-        assert_eq!(s.apply(2, &Change::Zone { zone: 3, share: late }), Effect::Overtaken);
-        assert_eq!(s.share(3), first);
-        let last = Change::Zone { zone: 4, share: Share::default().then(0, Why::Operator) };
+        assert_eq!(s.apply(2, &Change::Zone { zone: ZoneId(3), share: late }), Effect::Overtaken);
+        assert_eq!(s.share(ZoneId(3)), first);
+        let last = Change::Zone { zone: ZoneId(4), share: Share::default().then(0, Why::Operator) };
         assert_eq!(s.apply(3, &last), Effect::Refused, "it is the last one");
         assert_eq!(State::read(&form::write(&s)), Some(s));
         // The last bytes are the count of shares, when regions were said, and their count: there are none of them.
@@ -514,13 +531,16 @@
         // Regions follow the file that was changed last.
         let say = |changed, region: &str| Change::Regions {
             by: "b1".into(),
-            changed,
-            regions: BTreeMap::from([(3, region.to_string()), (4, "x".to_string())]),
+            changed: at(changed),
+            regions: BTreeMap::from([(ZoneId(3), region.to_string()), (ZoneId(4), "x".to_string())]),
         };
         let mut s = State::default();
-        assert_eq!((s.region(3), s.apply(1, &say(5, "x"))), (vec![3], Effect::Done));
-        assert_eq!((s.region(3), s.apply(2, &say(5, "y"))), (vec![3, 4], Effect::Overtaken));
-        assert_eq!((s.apply(3, &say(6, "y")), s.region(3)), (Effect::Done, vec![3]));
+        assert_eq!((s.region(ZoneId(3)), s.apply(1, &say(5, "x"))), (vec![ZoneId(3)], Effect::Done));
+        assert_eq!(
+            (s.region(ZoneId(3)), s.apply(2, &say(5, "y"))),
+            (vec![ZoneId(3), ZoneId(4)], Effect::Overtaken)
+        );
+        assert_eq!((s.apply(3, &say(6, "y")), s.region(ZoneId(3))), (Effect::Done, vec![ZoneId(3)]));
     }
 
     #[test]
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -2,9 +2,10 @@
 //! others once said. A crash-safe library (`redb`) keeps it; every value has a check sum of its own.
 
 use super::agreed::Mark;
-use super::form::{self, Hard, LogEntry, NodeId, SnapshotRecord};
+use super::form::{self, Hard, LogEntry, SnapshotRecord};
 use super::legacy;
 use super::replica::{Image, Write};
+use crate::ids::NodeId;
 use redb::backends::InMemoryBackend;
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use serde::de::DeserializeOwned;
@@ -238,7 +239,7 @@
     }
 
     fn fresh(db: Database, path: Option<PathBuf>) -> Result<Disk, String> {
-        let identity = Identity { id: fastrand::u64(1..), boots: 1, place: (0, 0) };
+        let identity = Identity { id: NodeId(fastrand::u64(1..)), boots: 1, place: (0, 0) };
         let mut writing = db.begin_write().map_err(text)?;
         writing.set_durability(Durability::Immediate).map_err(text)?;
         {
--- a/src/store/disk/tests.rs
+++ b/src/store/disk/tests.rs
@@ -90,14 +90,14 @@
 }
 
 fn founded() -> Image {
-    Image::found(&State { fleet: 7, ..State::default() }, 1)
+    Image::found(&State { fleet: 7, ..State::default() }, NodeId(1))
 }
 
 /// One write of a random kind, as the agreement makes them.
 fn any_write(rng: &mut fastrand::Rng, image: &Image) -> Write {
     let (last, term) = (image.last().0, image.hard.term);
     match rng.u8(..10) {
-        0 => Write { hard: Some(Hard { term: term + 1, vote: 2, ..image.hard }), ..Write::default() },
+        0 => Write { hard: Some(Hard { term: term + 1, vote: NodeId(2), ..image.hard }), ..Write::default() },
         1 if last > image.dropped.0 + 4 => {
             let dropped = (image.dropped.0 + 2, term);
             let snapshot = SnapshotRecord { index: dropped.0 + 1, ..image.snapshot.clone() };
--- a/src/store/form.rs
+++ b/src/store/form.rs
@@ -4,14 +4,15 @@
 //! our own form; bytes from a socket or a disk are never parsed by protobuf.
 
 use crate::core::members::Listed;
-use crate::interface::{Availability, Micros};
+use crate::ids::NodeId;
+use crate::ids::{GroupId, ZoneId};
+use crate::interface::Availability;
+use crate::time::Timestamp;
 use raft::eraftpb::{self, ConfChangeType, EntryType, MessageType};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A daemon's identity in the fleet: drawn at random once and kept on its disk. Never 0.
-pub type NodeId = u64;
 /// A fleet's identity.
 pub type FleetId = u128;
 
@@ -52,15 +53,15 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Its group.
-    pub group: u32,
+    pub group: GroupId,
     /// Its zone.
-    pub zone: u8,
+    pub zone: ZoneId,
     /// Its size against others.
     pub weight: f64,
     /// The inventory itself says that it leaves.
     pub leaving: bool,
-    /// When it last started, in Unix microseconds.
-    pub started_at: Option<Micros>,
+    /// When it last started.
+    pub started_at: Option<Timestamp>,
 }
 
 impl HostRecord {
@@ -196,8 +197,8 @@
             .then(|| SnapshotRecord::of(m.get_snapshot()));
         Some(Letter {
             kind,
-            to: m.to,
-            from: m.from,
+            to: NodeId(m.to),
+            from: NodeId(m.from),
             term: m.term,
             log_term: m.log_term,
             index: m.index,
@@ -219,7 +220,7 @@
         let mut m = eraftpb::Message::default();
         m.set_msg_type(kind);
         (m.to, m.from, m.term, m.log_term, m.index) =
-            (self.to, self.from, self.term, self.log_term, self.index);
+            (self.to.0, self.from.0, self.term, self.log_term, self.index);
         (m.commit, m.commit_term, m.request_snapshot) =
             (self.commit, self.commit_term, self.request_snapshot);
         (m.reject, m.reject_hint, m.priority) = (self.reject, self.reject_hint, self.priority);
@@ -282,8 +283,8 @@
     /// Of the library's.
     pub fn of(c: &eraftpb::ConfState) -> Conf {
         // The library keeps sets: in order they are alike at all daemons.
-        let sorted = |ids: &[NodeId]| {
-            let mut ids = ids.to_vec();
+        let sorted = |ids: &[u64]| {
+            let mut ids: Vec<NodeId> = ids.iter().copied().map(NodeId).collect();
             ids.sort_unstable();
             ids
         };
@@ -298,11 +299,12 @@
 
     /// As the library wants it.
     pub fn state(&self) -> eraftpb::ConfState {
+        let numbers = |ids: &[NodeId]| ids.iter().map(|id| id.0).collect::<Vec<u64>>();
         let mut c = eraftpb::ConfState::default();
-        c.set_voters(self.voters.clone());
-        c.set_learners(self.learners.clone());
-        c.set_voters_outgoing(self.voters_outgoing.clone());
-        c.set_learners_next(self.learners_next.clone());
+        c.set_voters(numbers(&self.voters));
+        c.set_learners(numbers(&self.learners));
+        c.set_voters_outgoing(numbers(&self.voters_outgoing));
+        c.set_learners_next(numbers(&self.learners_next));
         c.auto_leave = self.auto_leave;
         c
     }
@@ -349,7 +351,7 @@
             Step::Follow(id) => (ConfChangeType::AddLearnerNode, id),
             Step::Remove(id) => (ConfChangeType::RemoveNode, id),
         };
-        let mut single = eraftpb::ConfChangeSingle { node_id: id, ..Default::default() };
+        let mut single = eraftpb::ConfChangeSingle { node_id: id.0, ..Default::default() };
         single.set_change_type(kind);
         single
     }
@@ -378,7 +380,7 @@
     #[test]
     fn only_messages_that_go_between_daemons_are_made() {
         for kind in 0..=u8::MAX {
-            let letter = Letter { kind, to: 1, from: 2, ..Letter::default() };
+            let letter = Letter { kind, to: NodeId(1), from: NodeId(2), ..Letter::default() };
             let known = KINDS.iter().any(|(k, _)| *k == kind) && kind != 7;
             assert_eq!(letter.message().is_some(), known, "{kind}");
         }
@@ -387,13 +389,13 @@
     #[test]
     fn a_message_keeps_all_that_counts_on_its_way() {
         let entry = LogEntry { index: 6, term: 3, kind: 2, bytes: vec![1, 2] };
-        let conf = Conf { voters: vec![1, 2], learners: vec![3], ..Conf::default() };
+        let conf = Conf { voters: vec![NodeId(1), NodeId(2)], learners: vec![NodeId(3)], ..Conf::default() };
         let snapshot = SnapshotRecord { index: 5, term: 2, conf, state: vec![9] };
         for (kind, snapshot) in [(3, None), (7, Some(snapshot))] {
             let letter = Letter {
                 kind,
-                to: 1,
-                from: 2,
+                to: NodeId(1),
+                from: NodeId(2),
                 term: 3,
                 log_term: 2,
                 index: 5,
--- a/src/store/legacy.rs
+++ b/src/store/legacy.rs
@@ -2,7 +2,8 @@
 
 use super::agreed::Change;
 use super::form::HostRecord;
-use crate::interface::Micros;
+use crate::ids::{GroupId, ZoneId};
+use crate::time::Timestamp;
 
 /// Its first line.
 pub const FORM: &str = "brookpass-store 1";
@@ -13,11 +14,11 @@
     /// The inventory's hosts.
     pub hosts: Vec<(String, HostRecord)>,
     /// When the inventory was last changed.
-    pub hosts_changed: Micros,
+    pub hosts_changed: Timestamp,
     /// Hosts that were drained.
     pub drains: Vec<String>,
     /// The settings, and when they were last changed.
-    pub settings: Option<(String, Micros)>,
+    pub settings: Option<(String, Timestamp)>,
 }
 
 impl Legacy {
@@ -59,14 +60,14 @@
 fn host(line: &str) -> Option<HostRecord> {
     let parts: Vec<&str> = line.split(' ').collect();
     let &[address, group, zone, weight, status, since] = &parts[..] else { return None };
-    let since: Micros = since.parse().ok()?;
+    let since_ms: i64 = since.parse().ok()?;
     Some(HostRecord {
         address: address.parse().ok()?,
-        group: group.parse().ok()?,
-        zone: zone.parse().ok()?,
+        group: GroupId(group.parse().ok()?),
+        zone: ZoneId(zone.parse().ok()?),
         weight: weight.parse().ok()?,
         leaving: status != "active",
-        started_at: (since > 0).then(|| since.saturating_mul(1000)),
+        started_at: (since_ms > 0).then(|| Timestamp::from_micros(since_ms.saturating_mul(1000))),
     })
 }
 
@@ -74,7 +75,7 @@
 pub fn parse(text: &str) -> Result<Legacy, String> {
     let mut found = Legacy::default();
     let mut settings = None;
-    let mut settings_changed = 0;
+    let mut settings_changed = Timestamp::ZERO;
     let mut ended = false;
     for (n, line) in text.lines().enumerate() {
         let fault = |what: &str| format!("line {}: {what}", n + 1);
@@ -99,7 +100,7 @@
             Some(("-", "")) => continue,
             _ => return Err(fault("neither a value nor a removal")),
         };
-        let time = || value.parse().map_err(|_| fault("no such time"));
+        let time = || value.parse().map(Timestamp::from_micros).map_err(|_| fault("no such time"));
         if let Some(name) = key.strip_prefix("host/") {
             found.hosts.push((name.to_string(), host(&value).ok_or_else(|| fault("no such host"))?));
         } else if let Some(name) = key.strip_prefix("drain/") {
@@ -132,9 +133,12 @@
     fn a_file_of_the_old_form_is_read_whole() {
         let old = parse(OLD).unwrap();
         assert_eq!(old.drains, ["s-1", "s-3"], "also one that had no stamp yet");
-        assert_eq!(old.settings, Some(("x=1\ny=2\n".to_string(), 7)));
-        assert_eq!((old.hosts_changed, old.hosts.len()), (9, 1));
-        assert_eq!((old.hosts[0].1.started_at, old.hosts[0].1.weight), (Some(12_000), 0.5));
+        assert_eq!(old.settings, Some(("x=1\ny=2\n".to_string(), Timestamp::from_micros(7))));
+        assert_eq!((old.hosts_changed, old.hosts.len()), (Timestamp::from_micros(9), 1));
+        assert_eq!(
+            (old.hosts[0].1.started_at, old.hosts[0].1.weight),
+            (Some(Timestamp::from_micros(12_000)), 0.5)
+        );
         assert_eq!(old.changes("b1").len(), 2);
     }
 
--- a/src/store/owner.rs
+++ b/src/store/owner.rs
@@ -3,9 +3,10 @@
 
 use super::agreed::{Change, Effect, Membership, Proposal, State};
 use super::disk::{Disk, Held, Identity, Marks, Witness};
-use super::form::{self, Conf, Hard, Letter, NodeId};
+use super::form::{self, Conf, Hard, Letter};
 use super::replica::{Applied, Image, Progress, Replica, What, Write};
 use crate::config::Limits;
+use crate::ids::NodeId;
 use async_channel::{Receiver, Sender};
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -331,7 +332,7 @@
             }
             Input::Renounce(why) => self.renounce(why),
             Input::Transfer(to) => drop(self.guarded(|r| r.transfer(to))),
-            Input::Stand if self.part && self.replica.leader() == 0 => {
+            Input::Stand if self.part && self.replica.leader() == NodeId::NOBODY => {
                 log::debug!("store: asks for the lead");
                 self.guarded(Replica::campaign);
             }
--- a/src/store/replica.rs
+++ b/src/store/replica.rs
@@ -5,7 +5,8 @@
 //! and the order of writing, sending and taking in.
 
 use super::agreed::{Effect, Membership, Proposal, State};
-use super::form::{self, Conf, FleetId, Hard, Letter, LogEntry, NodeId, SnapshotRecord};
+use super::form::{self, Conf, FleetId, Hard, Letter, LogEntry, SnapshotRecord};
+use crate::ids::NodeId;
 use raft::eraftpb::{self, ConfChangeV2, EntryType};
 use raft::{
     Config, GetEntriesContext, RaftState, RawNode, Ready, SnapshotStatus, StateRole, Storage, StorageError,
@@ -55,7 +56,7 @@
     pub fn found(state: &State, id: NodeId) -> Image {
         let conf = Conf { voters: vec![id], ..Conf::default() };
         Image {
-            hard: Hard { term: 1, vote: 0, commit: 1 },
+            hard: Hard { term: 1, vote: NodeId::NOBODY, commit: 1 },
             snapshot: SnapshotRecord { index: 1, term: 1, conf, state: form::write(state) },
             dropped: (1, 1),
             entries: Vec::new(),
@@ -66,7 +67,7 @@
     pub fn refound(state: &State, id: NodeId, last: (u64, u64)) -> Image {
         let (index, term) = (last.0 + 1, last.1 + 1);
         let mut image = Image::found(state, id);
-        image.hard = Hard { term, vote: 0, commit: index };
+        image.hard = Hard { term, vote: NodeId::NOBODY, commit: index };
         (image.snapshot.index, image.snapshot.term) = (index, term);
         image.dropped = (index, term);
         image
@@ -166,7 +167,7 @@
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
         let mut hard =
-            eraftpb::HardState { term: self.hard.term, vote: self.hard.vote, ..Default::default() };
+            eraftpb::HardState { term: self.hard.term, vote: self.hard.vote.0, ..Default::default() };
         hard.commit = self.hard.commit.max(self.applied);
         Ok(RaftState { hard_state: hard, conf_state: self.conf.state() })
     }
@@ -306,7 +307,7 @@
             applied_term: image.snapshot.term,
         };
         let config = Config {
-            id,
+            id: id.0,
             election_tick: ELECTION_TICKS,
             heartbeat_tick: HEARTBEAT_TICKS,
             applied: log.applied,
@@ -364,7 +365,7 @@
 
     /// The leader, as far as this daemon knows; 0: none.
     pub fn leader(&self) -> NodeId {
-        self.node.raft.leader_id
+        NodeId(self.node.raft.leader_id)
     }
 
     /// Whether it leads.
@@ -396,8 +397,12 @@
             return Vec::new();
         }
         let all = self.node.raft.prs().iter();
-        all.map(|(id, p)| Progress { id: *id, matched: p.matched, active: p.recent_active || *id == self.id })
-            .collect()
+        all.map(|(id, p)| Progress {
+            id: NodeId(*id),
+            matched: p.matched,
+            active: p.recent_active || *id == self.id.0,
+        })
+        .collect()
     }
 
     /// Time has passed: a tick.
@@ -419,7 +424,7 @@
     pub fn receive(&mut self, letter: Letter) -> bool {
         let (to, from) = (letter.to, letter.from);
         let Some(message) = letter.message() else { return false };
-        if to != self.id || from == self.id || from == 0 {
+        if to != self.id || from == self.id || from == NodeId::NOBODY {
             return false;
         }
         if message.has_snapshot() && message.get_snapshot().get_metadata().index > 0 {
@@ -462,19 +467,19 @@
 
     /// A snapshot was handed to the way to this daemon, or could not be.
     pub fn snapshot_sent(&mut self, to: NodeId, sent: bool) {
-        self.node.report_snapshot(to, if sent { SnapshotStatus::Finish } else { SnapshotStatus::Failure });
+        self.node.report_snapshot(to.0, if sent { SnapshotStatus::Finish } else { SnapshotStatus::Failure });
     }
 
     /// Hands the lead to another daemon.
     pub fn transfer(&mut self, to: NodeId) {
         if self.leads() {
-            self.node.transfer_leader(to);
+            self.node.transfer_leader(to.0);
         }
     }
 
     /// The way to this daemon is broken.
     pub fn unreachable(&mut self, id: NodeId) {
-        self.node.report_unreachable(id);
+        self.node.report_unreachable(id.0);
     }
 
     /// The next step, if there is one.
@@ -489,7 +494,7 @@
             }
         }
         let send = ready.take_messages().into_iter().filter_map(Letter::of).collect();
-        let hard = ready.hs().map(|h| Hard { term: h.term, vote: h.vote, commit: h.commit });
+        let hard = ready.hs().map(|h| Hard { term: h.term, vote: NodeId(h.vote), commit: h.commit });
         let entries = ready.entries().iter().cloned().map(LogEntry::of).collect();
         let fresh = !ready.snapshot().get_metadata().index.eq(&0);
         let snapshot = fresh.then(|| SnapshotRecord::of(ready.snapshot()));
--- a/src/store/replica/tests.rs
+++ b/src/store/replica/tests.rs
@@ -7,7 +7,7 @@
 
 fn image(voters: &[NodeId]) -> Image {
     let members = voters.iter().map(|id| {
-        (*id, Member { name: format!("b{id}"), address: ([127, 0, 0, 1], 1000 + *id as u16).into() })
+        (*id, Member { name: format!("b{id}"), address: ([127, 0, 0, 1], 1000 + id.0 as u16).into() })
     });
     let state = State { fleet: 7, members: members.collect(), ..State::default() };
     let mut image = Image::found(&state, voters[0]);
@@ -33,7 +33,7 @@
 
 impl World {
     fn new(seed: u64, size: u64) -> World {
-        let voters: Vec<NodeId> = (1..=size).collect();
+        let voters: Vec<NodeId> = (1..=size).map(NodeId).collect();
         let disks: BTreeMap<NodeId, Image> = voters.iter().map(|id| (*id, image(&voters))).collect();
         let nodes = disks.iter().map(|(id, i)| (*id, Replica::new(*id, i.clone()).unwrap())).collect();
         World {
@@ -218,7 +218,7 @@
 fn a_sequence_that_differs_is_seen() {
     let mut world = World::new(1, 3);
     world.heal(30);
-    world.history.insert(world.nodes[&1].applied() + 1, 1);
+    world.history.insert(world.nodes[&NodeId(1)].applied() + 1, 1);
     let leader = world.leader().unwrap();
     let change = Change::Drain { host: "x".into(), mark: Mark { by: leader, number: 1 } };
     world.nodes.get_mut(&leader).unwrap().propose(&Proposal { from: leader, token: 1, change });
@@ -251,39 +251,42 @@
 fn a_fleet_of_one_grows_to_three_and_one_is_replaced() {
     let mut world = World::new(5, 1);
     world.check_majority = false;
-    world.nodes.get_mut(&1).unwrap().campaign();
-    world.settle(1, 0);
+    world.nodes.get_mut(&NodeId(1)).unwrap().campaign();
+    world.settle(NodeId(1), 0);
     let lead = |world: &mut World, change: Membership| {
         let leader = world.leader().unwrap();
         assert!(world.nodes.get_mut(&leader).unwrap().propose_members(&change));
         world.heal(40);
     };
-    for id in [2, 3, 4] {
+    for id in [2, 3, 4].map(NodeId) {
         world.disks.insert(id, Image::default());
         world.nodes.insert(id, Replica::new(id, Image::default()).unwrap());
-        let member = Member { name: format!("b{id}"), address: ([127, 0, 0, 1], id as u16).into() };
+        let member = Member { name: format!("b{id}"), address: ([127, 0, 0, 1], id.0 as u16).into() };
         lead(&mut world, Membership { steps: vec![Step::Follow(id)], comes: Some((id, member)) });
-        assert_eq!(world.nodes[&id].state(), world.nodes[&1].state());
+        assert_eq!(world.nodes[&id].state(), world.nodes[&NodeId(1)].state());
         assert!(world.nodes[&id].conf().learners.contains(&id));
-        if id < 4 {
+        if id < NodeId(4) {
             lead(&mut world, Membership { steps: vec![Step::Vote(id)], comes: None });
         }
     }
-    assert_eq!(world.nodes[&1].conf().voters, [1, 2, 3]);
+    assert_eq!(world.nodes[&NodeId(1)].conf().voters, [1, 2, 3].map(NodeId));
     // In one step the new one votes and the old one is gone.
-    world.nodes.remove(&3);
-    lead(&mut world, Membership { steps: vec![Step::Remove(3), Step::Vote(4)], comes: None });
+    world.nodes.remove(&NodeId(3));
+    lead(&mut world, Membership { steps: vec![Step::Remove(NodeId(3)), Step::Vote(NodeId(4))], comes: None });
     world.heal(20);
-    let conf = world.nodes[&4].conf();
-    assert_eq!((conf.voters, conf.learners, conf.voters_outgoing), (vec![1, 2, 4], vec![], vec![]));
-    assert_eq!(world.nodes[&4].state().removed, BTreeMap::from([(3, "b3".to_string())]));
+    let conf = world.nodes[&NodeId(4)].conf();
+    assert_eq!(
+        (conf.voters, conf.learners, conf.voters_outgoing),
+        ([1, 2, 4].map(NodeId).to_vec(), vec![], vec![])
+    );
+    assert_eq!(world.nodes[&NodeId(4)].state().removed, BTreeMap::from([(NodeId(3), "b3".to_string())]));
 }
 
 /// Guards against a letter out of form that ends the daemon or changes it.
 #[test]
 fn letters_out_of_form_change_nothing() {
-    let mut node = Replica::new(1, image(&[1, 2, 3])).unwrap();
-    let good = Letter { kind: 8, to: 1, from: 2, term: 2, ..Letter::default() };
+    let mut node = Replica::new(NodeId(1), image(&[1, 2, 3].map(NodeId))).unwrap();
+    let good = Letter { kind: 8, to: NodeId(1), from: NodeId(2), term: 2, ..Letter::default() };
     let foreign = SnapshotRecord {
         index: 9,
         term: 9,
@@ -293,8 +296,8 @@
     let broken = SnapshotRecord { state: vec![1, 2, 3], ..foreign.clone() };
     for bad in [
         Letter { kind: 2, ..good.clone() },
-        Letter { to: 3, ..good.clone() },
-        Letter { from: 1, ..good.clone() },
+        Letter { to: NodeId(3), ..good.clone() },
+        Letter { from: NodeId(1), ..good.clone() },
         Letter { kind: 7, ..good.clone() },
         Letter { kind: 7, snapshot: Some(foreign), ..good.clone() },
         Letter { kind: 7, snapshot: Some(broken), ..good.clone() },
@@ -303,22 +306,22 @@
         assert_eq!(node.last(), (1, 1), "{bad:?}");
     }
     assert!(node.receive(good));
-    assert_eq!((node.last(), node.leader()), ((1, 2), 2));
+    assert_eq!((node.last(), node.leader()), ((1, 2), NodeId(2)));
 }
 
 /// Guards against a disk that is believed though parts of it are missing.
 #[test]
 fn an_image_with_gaps_is_refused() {
     let entry = |index| LogEntry { index, term: 1, kind: 0, bytes: Vec::new() };
-    let good = Image { entries: vec![entry(2), entry(3)], ..image(&[1]) };
-    assert!(Replica::new(1, good.clone()).is_ok());
+    let good = Image { entries: vec![entry(2), entry(3)], ..image(&[NodeId(1)]) };
+    assert!(Replica::new(NodeId(1), good.clone()).is_ok());
     for bad in [
         Image { entries: vec![entry(2), entry(4)], ..good.clone() },
         Image { entries: vec![entry(3)], ..good.clone() },
         Image { entries: vec![LogEntry { kind: 9, ..entry(2) }], ..good.clone() },
-        Image { hard: Hard { term: 1, vote: 0, commit: 9 }, ..good.clone() },
+        Image { hard: Hard { term: 1, vote: NodeId::NOBODY, commit: 9 }, ..good.clone() },
         Image { snapshot: SnapshotRecord { state: vec![0], ..good.snapshot.clone() }, ..good.clone() },
     ] {
-        assert!(Replica::new(1, bad).is_err());
+        assert!(Replica::new(NodeId(1), bad).is_err());
     }
 }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -8,8 +8,8 @@
 const DRIVERS: u32 = 30;
 /// Requests a second that a warm member bears; the tier asks eight tenths of that of each.
 const CAPACITY: f64 = 18.75;
-const WINDOW: Micros = 1_000 * MS;
-const WARM_UP: Micros = 16_000 * MS;
+const WINDOW: TimeDelta = TimeDelta::from_secs(1);
+const WARM_UP: TimeDelta = TimeDelta::from_secs(16);
 const COLD_SHARE: f64 = 0.25;
 const MULTIPLE: f64 = 4.0;
 
@@ -29,7 +29,7 @@
 
 /// One driver that has seen what two warm members bear, and then: the second one restarts, the first one leaves, and
 /// after `idle` a burst of requests comes. When it sent to the restarted member, counted from its start.
-fn sent_by(seed: u64, idle: Micros) -> Vec<Micros> {
+fn sent_by(seed: u64, idle: TimeDelta) -> Vec<TimeDelta> {
     let mut rig = Rig::seeded(tier(), 2, seed);
     let mut rng = fastrand::Rng::with_seed(seed);
     rig.pass(rng.i64(1..1_000) * MS);
@@ -37,7 +37,7 @@
         let (id, sent) = rig.ask(0, 2_000 * MS, None);
         let to = sends(&sent, id)[0];
         rig.pass(20 * MS);
-        rig.answer(id, 0, to.ip[3], Outcome::Ok, Some(to == member(1)), 0);
+        rig.answer(id, 0, to.ip[3], Outcome::Ok, Some(to == member(1)), FRESH);
         rig.pass(980 * MS);
     }
     let started = rig.now;
@@ -47,7 +47,7 @@
     let from = rig.log.len();
     let mut times = Vec::new();
     let mut seen = from;
-    let mut out: Vec<(Micros, RequestId, u8)> = Vec::new();
+    let mut out: Vec<(Timestamp, RequestId, u8)> = Vec::new();
     for step in 0..500 {
         if step % 20 == 0 {
             rig.ask(0, 2_000 * MS, None);
@@ -64,7 +64,7 @@
         let (due, rest) = out.into_iter().partition(|(at, ..)| *at <= rig.now);
         out = rest;
         for (_, id, attempt) in due {
-            rig.answer(id, attempt, 2, Outcome::Ok, Some(false), 0);
+            rig.answer(id, attempt, 2, Outcome::Ok, Some(false), FRESH);
         }
         seen = seen.min(rig.log.len());
     }
@@ -75,18 +75,20 @@
 /// to more than a cold member bears, whenever a burst comes after a pause.
 #[test]
 fn thirty_drivers_together_send_no_more_than_a_cold_member_bears_after_a_pause() {
-    for idle in [0, 500 * MS, 1_000 * MS, 3_000 * MS, 6_000 * MS] {
-        let mut all: Vec<Micros> = (0..u64::from(DRIVERS)).flat_map(|seed| sent_by(seed, idle)).collect();
+    for idle in [TimeDelta::ZERO, 500 * MS, 1_000 * MS, 3_000 * MS, 6_000 * MS] {
+        let mut all: Vec<TimeDelta> = (0..u64::from(DRIVERS)).flat_map(|seed| sent_by(seed, idle)).collect();
         all.sort_unstable();
-        assert!(all.len() > 10, "it is used: {} sends after {idle} us", all.len());
+        assert!(all.len() > 10, "it is used: {} sends after {} us", all.len(), idle.as_micros());
         for (n, from) in all.iter().enumerate() {
-            let within = all[n..].iter().take_while(|at| **at < from + WINDOW).count();
-            let warmth = COLD_SHARE + (1.0 - COLD_SHARE) * (*from as f64 / WARM_UP as f64).min(1.0);
-            let bears = CAPACITY * warmth * MULTIPLE * WINDOW as f64 / 1e6;
+            let within = all[n..].iter().take_while(|at| **at < *from + WINDOW).count();
+            let warmth =
+                COLD_SHARE + (1.0 - COLD_SHARE) * (from.as_micros_f64() / WARM_UP.as_micros_f64()).min(1.0);
+            let bears = CAPACITY * warmth * MULTIPLE * WINDOW.as_secs_f64();
             let most = bears + 2.0 * bears.sqrt() + 2.0;
             assert!(
                 within as f64 <= most,
-                "{within} within a second from {from} us on; {most:.1} is the most"
+                "{within} within a second from {} us on; {most:.1} is the most",
+                from.as_micros()
             );
         }
     }
