--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,7 +4,9 @@
 use brookpass::Router;
 use brookpass::interface::*;
 
-pub const MS: Micros = 1_000;
+pub const MS: TimeDelta = TimeDelta::from_millis(1);
+/// Age of data that does not trail.
+pub const FRESH: TimeDelta = TimeDelta::ZERO;
 pub const READ: usize = 0;
 pub const OWN: usize = 1;
 pub const WRITE: usize = 2;
@@ -12,15 +14,15 @@
 
 pub struct Rig {
     pub router: Router,
-    pub now: Micros,
+    pub now: Timestamp,
     pub log: Vec<Action>,
     /// How long members take to answer.
-    pub took: Micros,
+    pub took: TimeDelta,
     next: RequestId,
 }
 
-pub fn member(n: u8) -> MemberId {
-    MemberId { ip: [10, 0, 0, n], port: 5432 }
+pub fn member(n: u8) -> EndpointId {
+    EndpointId { ip: [10, 0, 0, n], port: 5432 }
 }
 
 fn class(consistency: Consistency, repeat: Repeat) -> Class {
@@ -59,7 +61,7 @@
         tip_after: Some(3_000 * MS),
         behind: Some(Behind::Answers),
         session_marks: Some(SessionMarks::Carried),
-        zero: Some(0),
+        zero: Some(Timestamp::ZERO),
         report_fields: vec!["x0".into(), "x1".into()],
         ..Settings::default()
     }
@@ -68,8 +70,8 @@
 pub fn entry(n: u8) -> Entry {
     Entry {
         member: member(n),
-        zone: 0,
-        group: 1,
+        zone: ZoneId(0),
+        group: GroupId(1),
         availability: Availability::Ready,
         primary: false,
         units: 1.0,
@@ -86,10 +88,10 @@
     pub fn seeded(settings: Settings, members: u8, seed: u64) -> Rig {
         let mut rig = Rig {
             router: Router::new(settings, seed),
-            now: 10_000 * MS,
+            now: Timestamp::ZERO + 10_000 * MS,
             log: Vec::new(),
             took: 20 * MS,
-            next: 1,
+            next: RequestId(1),
         };
         let entries = (1..=members).map(|n| Entry { primary: n == 1, ..entry(n) }).collect();
         rig.list(ListKind::Full, entries);
@@ -108,7 +110,7 @@
     }
 
     /// Lets time pass, with every timer handed back when due.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    pub fn pass(&mut self, span: TimeDelta) -> Vec<Action> {
         let (end, from) = (self.now + span, self.log.len());
         while self.now < end {
             self.now = (self.now + 5 * MS).min(end);
@@ -121,12 +123,12 @@
     pub fn ask(
         &mut self,
         class: usize,
-        patience: Micros,
-        token_age: Option<Micros>,
+        patience: TimeDelta,
+        token_age: Option<TimeDelta>,
     ) -> (RequestId, Vec<Action>) {
         let id = self.next;
-        self.next += 1;
-        let ask = Ask { id, class, group: 1, token_age, session: 7, patience, ..Ask::default() };
+        self.next.0 += 1;
+        let ask = Ask { id, class, group: GroupId(1), token_age, session: 7, patience, ..Ask::default() };
         (id, self.event(Event::Request(ask)))
     }
 
@@ -138,9 +140,10 @@
         from: u8,
         outcome: Outcome,
         role: Option<bool>,
-        age: Micros,
+        age: TimeDelta,
     ) -> Vec<Action> {
-        let mark = role.map(|primary| Mark { primary, position: self.now - age });
+        let position = LogPosition::of_commit(self.now - age, Timestamp::ZERO);
+        let mark = role.map(|primary| Mark { primary, position });
         self.event(Event::Settled(Settled {
             id,
             attempt,
@@ -154,29 +157,29 @@
     }
 
     /// Asks `count` requests of `class`, each answered after 10 ms by where it went; those members.
-    pub fn serve(&mut self, class: usize, count: usize) -> Vec<MemberId> {
+    pub fn serve(&mut self, class: usize, count: usize) -> Vec<EndpointId> {
         let one = |_| {
             let (id, sent) = self.ask(class, 2_000 * MS, None);
             let to = sends(&sent, id)[0];
             self.pass(10 * MS);
-            self.answer(id, 0, to.ip[3], Outcome::Ok, Some(to == member(1)), 0);
+            self.answer(id, 0, to.ip[3], Outcome::Ok, Some(to == member(1)), FRESH);
             to
         };
         (0..count).map(one).collect()
     }
 
     /// Makes member `n` known by a probe's report: its role, and data `age` old.
-    pub fn introduce(&mut self, n: u8, primary: bool, age: Micros) {
+    pub fn introduce(&mut self, n: u8, primary: bool, age: TimeDelta) {
         let report = Report {
             count: 2,
-            values: [(self.now - age) as f64 / 1e6, f64::from(u8::from(primary)), 0.0, 0.0],
+            values: [(self.now - age).as_secs_f64(), f64::from(u8::from(primary)), 0.0, 0.0],
         };
         self.event(Event::Probed { member: member(n), ok: true, took: MS, report });
     }
 }
 
 /// The members that `actions` send `id` to.
-pub fn sends(actions: &[Action], id: RequestId) -> Vec<MemberId> {
+pub fn sends(actions: &[Action], id: RequestId) -> Vec<EndpointId> {
     let to = |a: &Action| match a {
         Action::Send { id: i, member, .. } if *i == id => Some(*member),
         _ => None,
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -7,17 +7,18 @@
 use common::*;
 use fastrand::Rng;
 use std::collections::BTreeMap;
+use std::ops::Range;
 
 #[derive(Default)]
 struct Open {
     class: usize,
     group: GroupId,
-    deadline: Micros,
-    arrived: Micros,
-    token_age: Option<Micros>,
-    out: BTreeMap<u8, (u8, Micros)>,
+    deadline: Timestamp,
+    arrived: Timestamp,
+    token_age: Option<TimeDelta>,
+    out: BTreeMap<u8, (u8, Timestamp)>,
     sent: u8,
-    first_ran: Option<Micros>,
+    first_ran: Option<Timestamp>,
 }
 
 #[derive(Clone)]
@@ -26,7 +27,7 @@
     /// What the router was told last: role and best position.
     told_primary: bool,
     was_primary: bool,
-    position: Option<Micros>,
+    position: Option<Timestamp>,
 }
 
 struct World {
@@ -36,20 +37,24 @@
     cold: BTreeMap<u8, u32>,
     settings: Settings,
     rng: Rng,
-    now: Micros,
+    now: Timestamp,
     router: Router,
     seen: Vec<Seen>,
     open: BTreeMap<RequestId, Open>,
     /// Attempts under way: when they end.
-    ends: BTreeMap<(Micros, RequestId, u8), u8>,
-    wakes: Vec<Micros>,
+    ends: BTreeMap<(Timestamp, RequestId, u8), u8>,
+    wakes: Vec<Timestamp>,
     next: RequestId,
     sends: usize,
     finals: usize,
 }
 
 fn group_of(n: u8, groups: u32) -> GroupId {
-    u32::from(n) % groups
+    GroupId(u32::from(n) % groups)
+}
+
+fn length(rng: &mut Rng, within: Range<TimeDelta>) -> TimeDelta {
+    TimeDelta::from_micros(rng.i64(within.start.as_micros()..within.end.as_micros()))
 }
 
 impl World {
@@ -109,7 +114,7 @@
                     *sends += 1;
                 }
                 r.out.insert(r.sent, (n, now));
-                let end = (now + self.rng.i64(MS..900 * MS)).min(r.deadline);
+                let end = (now + length(&mut self.rng, MS..900 * MS)).min(r.deadline);
                 self.ends.insert((end, id, r.sent), n);
                 (r.sent, self.sends) = (r.sent + 1, self.sends + 1);
             }
@@ -152,15 +157,16 @@
         }
         let tells = matches!(outcome, Ok | Miss | Full | Error);
         let primary = self.rng.u8(..10) == 0;
-        let age = self.rng.i64(0..600 * MS);
-        let mark =
-            tells.then_some(Mark { primary, position: if primary { self.now } else { self.now - age } });
+        let age = length(&mut self.rng, TimeDelta::ZERO..600 * MS);
+        let reached = if primary { self.now } else { self.now - age };
+        // Told in whole milliseconds, rounded down.
+        let position = LogPosition::from_millis(reached.as_millis());
+        let mark = tells.then_some(Mark { primary, position });
         let seen = &mut self.seen[usize::from(n)];
         if let Some(m) = mark {
             (seen.told_primary, seen.was_primary) = (m.primary, seen.was_primary || m.primary);
-            seen.position = seen.position.max(Some(m.position / MS * MS));
+            seen.position = seen.position.max(Some(m.position.commit_time(Timestamp::ZERO)));
         }
-        let mark = mark.map(|m| Mark { position: m.position / MS * MS, ..m });
         let end = Settled {
             id,
             attempt,
@@ -210,11 +216,11 @@
             }
             3..=20 => {
                 let id = self.next;
-                self.next += 1;
+                self.next.0 += 1;
                 let class = self.rng.usize(..self.settings.classes.len());
-                let patience = self.rng.i64(50 * MS..3_000 * MS);
-                let token_age = (self.rng.bool()).then(|| self.rng.i64(MS..900 * MS));
-                let group = self.rng.u32(..self.groups);
+                let patience = length(&mut self.rng, 50 * MS..3_000 * MS);
+                let token_age = (self.rng.bool()).then(|| length(&mut self.rng, MS..900 * MS));
+                let group = GroupId(self.rng.u32(..self.groups));
                 let (arrived, deadline) = (self.now, self.now + patience);
                 self.open.insert(id, Open { class, group, deadline, arrived, token_age, ..Open::default() });
                 self.event(Event::Request(Ask {
@@ -246,12 +252,12 @@
         router: Router::new(s.clone(), seed),
         settings: s,
         rng: Rng::with_seed(seed ^ 0x5eed),
-        now: 1_000 * MS,
+        now: Timestamp::ZERO + 1_000 * MS,
         seen: vec![seen; usize::from(members)],
         open: BTreeMap::new(),
         ends: BTreeMap::new(),
         wakes: Vec::new(),
-        next: 1,
+        next: RequestId(1),
         sends: 0,
         finals: 0,
     };
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -10,9 +10,9 @@
     let mut rig = Rig::new(settings(), 4);
     let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
     assert_eq!(sends(&sent, id), [member(1)]);
-    let second = rig.answer(id, 0, 1, Outcome::Miss, Some(false), 0);
+    let second = rig.answer(id, 0, 1, Outcome::Miss, Some(false), FRESH);
     assert_eq!(sends(&second, id), [member(2)]);
-    let third = rig.answer(id, 1, 2, Outcome::ConnectFailed, None, 0);
+    let third = rig.answer(id, 1, 2, Outcome::ConnectFailed, None, FRESH);
     assert_eq!(sends(&third, id), [member(3)]);
 }
 
@@ -20,14 +20,14 @@
 fn after_a_round_of_misses_a_write_is_held_and_a_role_releases_it() {
     let mut rig = Rig::new(settings(), 3);
     let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
-    rig.answer(id, 0, 1, Outcome::Miss, Some(false), 0);
-    rig.answer(id, 1, 2, Outcome::Miss, Some(false), 0);
-    let held = rig.answer(id, 2, 3, Outcome::Miss, Some(false), 0);
+    rig.answer(id, 0, 1, Outcome::Miss, Some(false), FRESH);
+    rig.answer(id, 1, 2, Outcome::Miss, Some(false), FRESH);
+    let held = rig.answer(id, 2, 3, Outcome::Miss, Some(false), FRESH);
     assert!(sends(&held, id).is_empty() && !refused(&held, id) && !failed(&held, id));
     rig.now += 100 * MS;
     let (read, sent) = rig.ask(ANY, 2_000 * MS, None);
     let to = sends(&sent, read)[0];
-    let released = rig.answer(read, 0, to.ip[3], Outcome::Ok, Some(true), 0);
+    let released = rig.answer(read, 0, to.ip[3], Outcome::Ok, Some(true), FRESH);
     assert_eq!(sends(&released, id), [to]);
 }
 
@@ -36,7 +36,7 @@
     let mut rig = Rig::new(settings(), 3);
     let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
     for (attempt, from) in [(0, 1), (1, 2), (2, 3)] {
-        rig.answer(id, attempt, from, Outcome::Miss, Some(false), 0);
+        rig.answer(id, attempt, from, Outcome::Miss, Some(false), FRESH);
     }
     let (other, now) = rig.ask(WRITE, 5_000 * MS, None);
     assert!(sends(&now, other).is_empty(), "a second write must not walk the ring too");
@@ -49,7 +49,7 @@
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::TimedOut] {
         let mut rig = Rig::new(settings(), 3);
         let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
-        let end = rig.answer(id, 0, 1, outcome, None, 0);
+        let end = rig.answer(id, 0, 1, outcome, None, FRESH);
         assert!(failed(&end, id) && !refused(&end, id) && sends(&end, id).is_empty());
     }
 }
@@ -64,14 +64,14 @@
     let mut rig = Rig::new(keyed(), 3);
     let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
     rig.now += 1_000 * MS;
-    let again = rig.answer(id, 0, 1, Outcome::Error, Some(true), 0);
+    let again = rig.answer(id, 0, 1, Outcome::Error, Some(true), FRESH);
     assert_eq!(sends(&again, id), [member(1)], "once more, to the same primary");
-    let end = rig.answer(id, 1, 1, Outcome::Error, Some(true), 0);
+    let end = rig.answer(id, 1, 1, Outcome::Error, Some(true), FRESH);
     assert!(sends(&end, id).is_empty() && failed(&end, id), "a second error is laid to the request");
     let mut rig = Rig::new(keyed(), 3);
     let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
     rig.now += 3_000 * MS;
-    let end = rig.answer(id, 0, 1, Outcome::Error, Some(true), 0);
+    let end = rig.answer(id, 0, 1, Outcome::Error, Some(true), FRESH);
     assert!(sends(&end, id).is_empty() && failed(&end, id) && !refused(&end, id));
 }
 
@@ -79,8 +79,8 @@
 fn a_held_write_is_refused_before_its_client_leaves() {
     let mut rig = Rig::new(settings(), 2);
     let (id, _) = rig.ask(WRITE, 400 * MS, None);
-    rig.answer(id, 0, 1, Outcome::ConnectFailed, None, 0);
-    rig.answer(id, 1, 2, Outcome::Miss, Some(false), 0);
+    rig.answer(id, 0, 1, Outcome::ConnectFailed, None, FRESH);
+    rig.answer(id, 1, 2, Outcome::Miss, Some(false), FRESH);
     let end = rig.pass(400 * MS);
     assert!(refused(&end, id), "it never ran: coming back is harmless");
 }
@@ -88,12 +88,12 @@
 #[test]
 fn a_replica_whose_known_position_is_too_old_gets_no_bounded_read() {
     let mut rig = Rig::new(settings(), 2);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     rig.introduce(2, false, 400 * MS);
     for _ in 0..20 {
         let (id, sent) = rig.ask(READ, 2_000 * MS, None);
         assert_eq!(sends(&sent, id), [member(1)]);
-        rig.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
+        rig.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
     }
     rig.introduce(2, false, 10 * MS);
     let (id, sent) = rig.ask(READ, 2_000 * MS, None);
@@ -103,7 +103,7 @@
 #[test]
 fn a_session_read_sees_its_own_write() {
     let mut rig = Rig::new(settings(), 2);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     rig.introduce(2, false, 200 * MS);
     let (id, sent) = rig.ask(OWN, 2_000 * MS, Some(100 * MS));
     assert_eq!(sends(&sent, id), [member(1)]);
@@ -119,7 +119,7 @@
         for _ in 0..20 {
             let (id, sent) = rig.ask(ANY, 2_000 * MS, None);
             assert_eq!(sends(&sent, id), [member(1)]);
-            rig.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
+            rig.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
         }
     }
 }
@@ -138,7 +138,7 @@
 #[test]
 fn a_hung_primary_takes_no_further_unsafe_writes() {
     let mut rig = Rig::new(settings(), 3);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     rig.ask(WRITE, 5_000 * MS, None);
     rig.ask(WRITE, 5_000 * MS, None);
     rig.pass(600 * MS);
@@ -151,12 +151,12 @@
     let mut rig = Rig::new(settings(), 0);
     let (id, _) = rig.ask(WRITE, 1_000 * MS, None);
     assert!(refused(&rig.pass(1_100 * MS), id));
-    rig.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
-    rig.answer(999, 3, 9, Outcome::Error, None, 0);
-    rig.event(Event::Lapsed { id: 12345 });
+    rig.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
+    rig.answer(RequestId(999), 3, 9, Outcome::Error, None, FRESH);
+    rig.event(Event::Lapsed { id: RequestId(12345) });
     rig.event(Event::Wake { timer: 99 });
     rig.event(Event::Peer { from: 1, bytes: vec![1, 2, 3] });
-    rig.event(Event::Started { id: 5, attempt: 0, member: member(4) });
+    rig.event(Event::Started { id: RequestId(5), attempt: 0, member: member(4) });
     rig.list(ListKind::Failed, Vec::new());
 }
 
@@ -165,7 +165,7 @@
     let mut s = settings();
     s.behind = Some(Behind::Misses);
     let mut rig = Rig::new(s, 2);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     let (id, sent) = rig.ask(READ, 2_000 * MS, None);
     assert_eq!(sends(&sent, id), [member(2)]);
     let back = rig.answer(id, 0, 2, Outcome::Miss, Some(false), 900 * MS);
@@ -175,7 +175,7 @@
 #[test]
 fn reads_that_fall_back_on_the_primary_leave_it_room_for_writes() {
     let mut rig = Rig::new(settings(), 2);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     let reads = (0..20).filter(|_| {
         let (id, sent) = rig.ask(READ, 2_000 * MS, None);
         !sends(&sent, id).is_empty()
@@ -188,7 +188,7 @@
 #[test]
 fn what_an_impatient_client_left_behind_is_cancelled() {
     let mut rig = Rig::new(settings(), 2);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     let (id, _) = rig.ask(ANY, 2_000 * MS, None);
     let left = rig.event(Event::Lapsed { id });
     assert_eq!(left.first(), Some(&Action::Cancel { id, attempt: 0 }));
@@ -197,7 +197,7 @@
 #[test]
 fn a_read_behind_a_long_queue_is_refused_at_once() {
     let mut rig = Rig::new(settings(), 1);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     let refusals = (0..60).filter(|_| {
         let (id, done) = rig.ask(READ, 2_000 * MS, None);
         refused(&done, id)
@@ -209,7 +209,7 @@
 fn a_member_that_turns_everything_away_does_not_draw_all_reads() {
     let mut rig = Rig::new(settings(), 3);
     for n in 1..=3 {
-        rig.introduce(n, n == 1, 0);
+        rig.introduce(n, n == 1, FRESH);
     }
     let mut to_full = 0;
     for _ in 0..100 {
@@ -217,7 +217,7 @@
         let to = sends(&sent, id)[0];
         to_full += usize::from(to == member(3));
         let outcome = if to == member(3) { Outcome::Full } else { Outcome::Ok };
-        rig.answer(id, 0, to.ip[3], outcome, Some(to == member(1)), 0);
+        rig.answer(id, 0, to.ip[3], outcome, Some(to == member(1)), FRESH);
         rig.pass(10 * MS);
     }
     assert!((1..15).contains(&to_full), "{to_full} of 100 reads went to the member that is always full");
@@ -228,13 +228,13 @@
     let mut s = settings();
     s.classes[READ].consistency = Some(Consistency::Strong);
     let mut rig = Rig::new(s, 3);
-    rig.introduce(1, true, 0);
-    rig.introduce(2, false, 0);
+    rig.introduce(1, true, FRESH);
+    rig.introduce(2, false, FRESH);
     let (id, sent) = rig.ask(READ, 2_000 * MS, None);
     assert_eq!(sends(&sent, id), [member(1)]);
-    let next = rig.answer(id, 0, 1, Outcome::Miss, Some(false), 0);
+    let next = rig.answer(id, 0, 1, Outcome::Miss, Some(false), FRESH);
     assert!(sends(&next, id).is_empty(), "held until a primary is known");
-    rig.introduce(3, true, 0);
+    rig.introduce(3, true, FRESH);
     let freed = rig.pass(700 * MS);
     assert!(sends(&freed, id).iter().all(|m| *m == member(3)));
 }
@@ -244,12 +244,12 @@
     let mut s = settings();
     s.session_marks = Some(SessionMarks::Remembered);
     let mut rig = Rig::new(s, 2);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     rig.introduce(2, false, 50 * MS);
     let (read, sent) = rig.ask(OWN, 2_000 * MS, None);
     assert_eq!(sends(&sent, read), [member(2)], "no write remembered: any replica");
     let (id, _) = rig.ask(WRITE, 2_000 * MS, None);
-    rig.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
+    rig.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
     let (read, sent) = rig.ask(OWN, 2_000 * MS, None);
     assert_eq!(sends(&sent, read), [member(1)]);
 }
@@ -296,10 +296,10 @@
     s.classes[WRITE].repeat = Some(Repeat::Keyed);
     s.classes[WRITE].key_group = Some(KeyGroup::Zone);
     let mut rig = Rig::new(s, 1);
-    rig.list(ListKind::Delta, vec![Entry { zone: 1, ..entry(2) }]);
+    rig.list(ListKind::Delta, vec![Entry { zone: ZoneId(1), ..entry(2) }]);
     let (id, _) = rig.ask(WRITE, 2_000 * MS, None);
-    rig.answer(id, 0, 1, Outcome::Reset, None, 0);
-    rig.introduce(2, true, 0);
+    rig.answer(id, 0, 1, Outcome::Reset, None, FRESH);
+    rig.introduce(2, true, FRESH);
     assert!(sends(&rig.pass(1_500 * MS), id).iter().all(|m| *m == member(1)));
 }
 
@@ -320,14 +320,14 @@
     let mut s = settings();
     s.behind = Some(Behind::Misses);
     let mut rig = Rig::new(s, 2);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     for n in 0..40 {
         let (id, sent) = rig.ask(ANY, 2_000 * MS, None);
         assert_eq!(sends(&sent, id), [member(2)], "every other request errs, whoever answers");
         let outcome = if n % 2 == 0 { Outcome::Error } else { Outcome::Ok };
-        rig.answer(id, 0, 2, outcome, Some(false), 0);
+        rig.answer(id, 0, 2, outcome, Some(false), FRESH);
         if n % 2 == 0 {
-            rig.answer(id, 1, 1, Outcome::Error, Some(true), 0);
+            rig.answer(id, 1, 1, Outcome::Error, Some(true), FRESH);
         }
         rig.now += 10 * MS;
     }
@@ -338,16 +338,16 @@
     let mut s = settings();
     s.probes = Some(true);
     let mut rig = Rig::new(s, 3);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     rig.now += 1_000 * MS;
     let (id, done) = rig.ask(READ, 2_000 * MS, None);
     let asked =
         done.iter().filter_map(|a| if let Action::Probe { member } = a { Some(*member) } else { None });
-    let asked: Vec<MemberId> = asked.collect();
+    let asked: Vec<EndpointId> = asked.collect();
     assert!(asked.len() == 1 && asked[0] != member(1) && sends(&done, id).is_empty());
     let (other, done) = rig.ask(READ, 2_000 * MS, None);
     assert!(done.is_empty(), "a second read waits for the probe under way");
-    let position = rig.now as f64 / 1e6;
+    let position = rig.now.as_secs_f64();
     let report = Report { count: 2, values: [position, 0.0, 0.0, 0.0] };
     let freed = rig.event(Event::Probed { member: asked[0], ok: true, took: MS, report });
     assert_eq!((sends(&freed, id), sends(&freed, other)), (vec![asked[0]], vec![asked[0]]));
@@ -376,7 +376,7 @@
         found = rig.ask(OWN, 2_000 * MS, Some(100 * MS)).1.iter().any(probe);
     }
     assert!(found, "its role is asked for");
-    let position = rig.now as f64 / 1e6;
+    let position = rig.now.as_secs_f64();
     let report = Report { count: 2, values: [position, 1.0, 0.0, 0.0] };
     let freed = rig.event(Event::Probed { member: member(1), ok: true, took: MS, report });
     assert_eq!(sends(&freed, id), [member(1)]);
@@ -402,19 +402,19 @@
     let mut s = settings();
     s.drivers = Some(100);
     let mut rig = Rig::new(s, 1);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     for _ in 0..6 {
         let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
         assert_eq!(sends(&sent, id), [member(1)]);
         rig.now += 450 * MS;
         rig.took = 450 * MS;
-        rig.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
+        rig.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
         rig.now += 5_000 * MS;
     }
     let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
     rig.now += 450 * MS;
     rig.took = 450 * MS;
-    rig.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
+    rig.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
     let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
     assert!(sends(&sent, id).is_empty());
     let sent = rig.pass(300 * MS);
@@ -431,13 +431,13 @@
     for _ in 0..4 {
         let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
         assert_eq!(sends(&sent, id), [member(1)]);
-        let again = rig.answer(id, 0, 1, Outcome::Reset, None, 0);
+        let again = rig.answer(id, 0, 1, Outcome::Reset, None, FRESH);
         assert_eq!(sends(&again, id), [member(1)], "sent again there at once");
-        rig.answer(id, 1, 1, Outcome::Ok, Some(true), 0);
+        rig.answer(id, 1, 1, Outcome::Ok, Some(true), FRESH);
     }
     // Several with no answer between are laid to the member.
     let ids: Vec<_> = (0..3).map(|_| rig.ask(WRITE, 5_000 * MS, None).0).collect();
-    let sent: Vec<_> = ids.iter().map(|id| rig.answer(*id, 0, 1, Outcome::Reset, None, 0)).collect();
+    let sent: Vec<_> = ids.iter().map(|id| rig.answer(*id, 0, 1, Outcome::Reset, None, FRESH)).collect();
     let last = sends(&sent[2], ids[2]);
     assert!(!last.contains(&member(1)), "{last:?}");
 }
@@ -450,10 +450,10 @@
     let mut rig = Rig::new(s, 3);
     let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
     rig.now += 300 * MS;
-    rig.answer(id, 0, 1, Outcome::Reset, None, 0);
-    rig.answer(id, 1, 1, Outcome::ConnectFailed, None, 0);
+    rig.answer(id, 0, 1, Outcome::Reset, None, FRESH);
+    rig.answer(id, 1, 1, Outcome::ConnectFailed, None, FRESH);
     for (attempt, n) in [(2, 2), (3, 3)] {
-        rig.answer(id, attempt, n, Outcome::Miss, Some(false), 0);
+        rig.answer(id, attempt, n, Outcome::Miss, Some(false), FRESH);
     }
     let all = rig.pass(2_000 * MS);
     assert!(sends(&all, id).len() <= 1 && failed(&all, id), "at 500 ms at most, never after 700");
@@ -464,12 +464,12 @@
     let mut s = settings();
     s.drivers = Some(100);
     let mut rig = Rig::new(s, 2);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     let (id, sent) = rig.ask(READ, 2_000 * MS, None);
     assert_eq!(sends(&sent, id), [member(1)], "no replica is known to be fresh");
     rig.now += 450 * MS;
     rig.took = 450 * MS;
-    rig.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
+    rig.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
     rig.now += 10_000 * MS;
     let (id, sent) = rig.ask(READ, 2_000 * MS, None);
     assert!(sends(&sent, id).is_empty(), "what it bears is for writes");
@@ -482,13 +482,13 @@
     let mut s = settings();
     s.drivers = Some(100);
     let mut rig = Rig::new(s, 1);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     for outcome in [Outcome::Ok, Outcome::TimedOut] {
         let (id, sent) = rig.ask(WRITE, 450 * MS, None);
         assert_eq!(sends(&sent, id), [member(1)]);
         rig.now += 450 * MS;
         rig.took = if outcome == Outcome::Ok { 20 * MS } else { 450 * MS };
-        rig.answer(id, 0, 1, outcome, Some(true), 0);
+        rig.answer(id, 0, 1, outcome, Some(true), FRESH);
         rig.now += 2_000 * MS;
     }
     let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
@@ -500,17 +500,17 @@
     let mut s = settings();
     s.behind = Some(Behind::Misses);
     let mut rig = Rig::new(s, 3);
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     for n in [2, 3] {
         let (id, _) = rig.ask(READ, 2_000 * MS, None);
         rig.answer(id, 0, n, Outcome::Miss, Some(false), 3_000 * MS);
         rig.answer(id, 1, 3, Outcome::Miss, Some(false), 3_000 * MS);
-        rig.answer(id, 2, 1, Outcome::Ok, Some(true), 0);
+        rig.answer(id, 2, 1, Outcome::Ok, Some(true), FRESH);
     }
     rig.now += 1_000 * MS;
     let (id, sent) = rig.ask(READ, 2_000 * MS, None);
     assert_eq!(sends(&sent, id), [member(1)], "a miss for all that is known");
-    rig.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
+    rig.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
     rig.now += 3_000 * MS;
     let (id, sent) = rig.ask(READ, 2_000 * MS, None);
     assert_ne!(sends(&sent, id), [member(1)], "a read finds out whether it has caught up");
@@ -524,8 +524,8 @@
     s.classes[WRITE].aim = Some(10_000 * MS);
     let mut rig = Rig::new(s, 2);
     let host = |n: u16, availability| {
-        let member = MemberId { ip: [10, 1, (n >> 8) as u8, n as u8], port: 1 };
-        Entry { member, availability, group: u32::from(n), ..entry(0) }
+        let member = EndpointId { ip: [10, 1, (n >> 8) as u8, n as u8], port: 1 };
+        Entry { member, availability, group: GroupId(u32::from(n)), ..entry(0) }
     };
     for n in 0..500 {
         rig.now += 2_000 * MS;
@@ -539,19 +539,20 @@
     rig.list(ListKind::Delta, vec![Entry { availability: Availability::Gone, ..entry(1) }]);
     rig.now += 50_000 * MS;
     rig.list(ListKind::Delta, Vec::new());
-    let end = rig.answer(id, 0, 1, Outcome::Error, None, 0);
+    let end = rig.answer(id, 0, 1, Outcome::Error, None, FRESH);
     assert!(failed(&end, id), "its request gets its final answer");
     rig.list(ListKind::Delta, Vec::new());
     let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
     assert_eq!(sends(&sent, id), [member(2)], "the believed primary is forgotten, the ring goes on");
-    rig.answer(id, 0, 2, Outcome::Ok, Some(true), 0);
+    rig.answer(id, 0, 2, Outcome::Ok, Some(true), FRESH);
     for session in 0..60_000 {
         rig.now += MS;
-        let id = 1_000_000 + session;
-        let ask = Ask { id, class: WRITE, group: 1, session, patience: 5_000 * MS, ..Ask::default() };
+        let id = RequestId(1_000_000 + session);
+        let ask =
+            Ask { id, class: WRITE, group: GroupId(1), session, patience: 5_000 * MS, ..Ask::default() };
         let sent = rig.event(Event::Request(ask));
         assert_eq!(sends(&sent, id), [member(2)], "{session}");
-        rig.answer(id, 0, 2, Outcome::Ok, Some(true), 0);
+        rig.answer(id, 0, 2, Outcome::Ok, Some(true), FRESH);
     }
     let [.., requests, sessions] = rig.router.kept();
     assert!(requests == 0 && sessions <= 50_000, "{requests} requests, {sessions} sessions");
@@ -563,7 +564,7 @@
     let mut rig = Rig::new(settings(), 3);
     let (scout, _) = rig.ask(WRITE, 2_000 * MS, None);
     for (attempt, from) in [(0, 1), (1, 2), (2, 3)] {
-        rig.answer(scout, attempt, from, Outcome::Miss, Some(false), 0);
+        rig.answer(scout, attempt, from, Outcome::Miss, Some(false), FRESH);
     }
     let (held, sent) = rig.ask(WRITE, 2_000 * MS, None);
     assert!(sends(&sent, held).is_empty());
@@ -576,7 +577,7 @@
     let (id, sent) = rig.ask(WRITE, 2_000 * MS, None);
     assert_eq!(sends(&sent, id), [member(1)]);
     rig.pass(1_200 * MS);
-    rig.answer(id, 0, 1, Outcome::ConnectFailed, None, 0);
+    rig.answer(id, 0, 1, Outcome::ConnectFailed, None, FRESH);
     assert!(refused(&rig.pass(10 * MS), id));
 }
 
@@ -585,21 +586,22 @@
 fn an_attempt_that_is_overtaken_by_far_is_called_off_and_repeated_once() {
     let mut rig = Rig::new(settings(), 2);
     rig.serve(WRITE, 3);
-    rig.introduce(2, false, 0);
+    rig.introduce(2, false, FRESH);
     let (silent, sent) = rig.ask(READ, 5_000 * MS, None);
     assert_eq!(sends(&sent, silent), [member(2)]);
     let from = rig.log.len();
     for _ in 0..60 {
-        rig.introduce(2, false, 0);
+        rig.introduce(2, false, FRESH);
         let (id, sent) = rig.ask(READ, 2_000 * MS, None);
         let to = sends(&sent, id);
         rig.pass(20 * MS);
-        to.iter().for_each(|to| drop(rig.answer(id, 0, to.ip[3], Outcome::Ok, Some(*to == member(1)), 0)));
+        to.iter()
+            .for_each(|to| drop(rig.answer(id, 0, to.ip[3], Outcome::Ok, Some(*to == member(1)), FRESH)));
     }
     let off = |a: &&Action| matches!(a, Action::Cancel { id, attempt: 0 } if *id == silent);
     assert_eq!(rig.log[from..].iter().filter(off).count(), 1);
     rig.took = 1_200 * MS;
-    let again = rig.answer(silent, 0, 2, Outcome::Cancelled, None, 0);
+    let again = rig.answer(silent, 0, 2, Outcome::Cancelled, None, FRESH);
     assert_eq!(sends(&again, silent).len(), 1, "repeated: it is a read");
     let sent: Vec<_> = (0..4).flat_map(|_| rig.ask(READ, 2_000 * MS, None).1).collect();
     assert!(sent.iter().filter(|a| matches!(a, Action::Send { .. })).count() >= 4, "its window is as it was");
@@ -615,13 +617,13 @@
     rig.pass(1_000 * MS);
     let (held, sent) = rig.ask(WRITE, 2_000 * MS, None);
     assert!(sends(&sent, held).is_empty(), "it takes work and answers nothing");
-    out.iter().for_each(|id| drop(rig.answer(*id, 0, 1, Outcome::TimedOut, None, 0)));
+    out.iter().for_each(|id| drop(rig.answer(*id, 0, 1, Outcome::TimedOut, None, FRESH)));
     for n in [2, 3] {
-        rig.introduce(n, false, 0);
+        rig.introduce(n, false, FRESH);
     }
     let later = rig.pass(600 * MS);
     assert_eq!(sends(&later, held), [member(1)], "the timer asks it");
-    rig.answer(held, 0, 1, Outcome::Ok, Some(true), 0);
+    rig.answer(held, 0, 1, Outcome::Ok, Some(true), FRESH);
     let (next, sent) = rig.ask(WRITE, 2_000 * MS, None);
     assert_eq!(sends(&sent, next), [member(1)]);
 }
@@ -634,20 +636,20 @@
         let mut s = settings();
         s.drivers = Some(100);
         let mut rig = Rig::new(s, 1);
-        rig.introduce(1, true, 0);
+        rig.introduce(1, true, FRESH);
         rig
     };
     let mut rests = driver();
     let (id, _) = rests.ask(WRITE, 5_000 * MS, None);
     rests.now += 450 * MS;
     rests.took = 450 * MS;
-    rests.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
+    rests.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
     rests.now += 10 * MS;
     let (id, sent) = rests.ask(WRITE, 2_000 * MS, None);
     assert_eq!(sends(&sent, id), [member(1)]);
     rests.took = 200 * MS;
     rests.now += 200 * MS;
-    rests.answer(id, 0, 1, Outcome::Ok, Some(true), 0);
+    rests.answer(id, 0, 1, Outcome::Ok, Some(true), FRESH);
     let mut cold = driver();
     cold.serve(WRITE, 40);
     cold.list(ListKind::Delta, vec![Entry { started_at: Some(cold.now), ..entry(1) }]);
@@ -666,14 +668,14 @@
     s.peer_messages = Some(true);
     let (mut one, mut other) = (Rig::new(s.clone(), 3), Rig::new(s, 3));
     for rig in [&mut one, &mut other] {
-        rig.introduce(1, true, 0);
+        rig.introduce(1, true, FRESH);
         rig.now += 1_000 * MS;
         let (id, _) = rig.ask(WRITE, 9_000 * MS, None);
-        (0..3).for_each(|n| drop(rig.answer(id, n, n + 1, Outcome::Miss, Some(false), 0)));
+        (0..3).for_each(|n| drop(rig.answer(id, n, n + 1, Outcome::Miss, Some(false), FRESH)));
     }
     one.now += 900 * MS;
     let (id, _) = one.ask(ANY, 2_000 * MS, None);
-    let told = one.answer(id, 0, 2, Outcome::Ok, Some(true), 0);
+    let told = one.answer(id, 0, 2, Outcome::Ok, Some(true), FRESH);
     let word = |actions: &[Action]| {
         let mut words = actions.iter().filter_map(|a| match a {
             Action::Tell { to: None, bytes } => Some(bytes.clone()),
@@ -683,7 +685,7 @@
     };
     let (Some(bytes), 0) = word(&told) else { panic!("one word to all: {told:?}") };
     let (id, _) = one.ask(ANY, 2_000 * MS, None);
-    assert_eq!(word(&one.answer(id, 0, 2, Outcome::Ok, Some(true), 0)), (None, 0), "no news");
+    assert_eq!(word(&one.answer(id, 0, 2, Outcome::Ok, Some(true), FRESH)), (None, 0), "no news");
     other.now = one.now + 20 * MS;
     let (id, sent) = other.ask(WRITE, 2_000 * MS, None);
     assert!(sends(&sent, id).is_empty(), "it holds writes");
@@ -691,7 +693,7 @@
     assert!(sends(&released, id) == [member(2)] && word(&released).0.is_none(), "{released:?}");
     // An answer that it heard itself outranks a word about an earlier time, and so does the list.
     other.now += 20 * MS;
-    other.answer(id, 0, 2, Outcome::Miss, Some(false), 0);
+    other.answer(id, 0, 2, Outcome::Miss, Some(false), FRESH);
     let (id, _) = other.ask(WRITE, 2_000 * MS, None);
     assert!(sends(&other.event(Event::Peer { from: 0, bytes }), id).is_empty(), "older than the miss");
     let word = |n, at| Event::Peer { from: 0, bytes: Hint { member: member(n), at }.write() };
@@ -710,12 +712,12 @@
     let mut rig = Rig::new(s, 2);
     rig.introduce(2, false, 4_000 * MS);
     rig.now += 1_000 * MS;
-    let bytes = Hint { member: member(2), at: Micros::MAX }.write();
+    let bytes = Hint { member: member(2), at: Timestamp::MAX }.write();
     rig.event(Event::Peer { from: 0, bytes });
     let (id, sent) = rig.ask(READ, 2_000 * MS, None);
     assert!(sends(&sent, id).is_empty(), "it answers from whatever it holds");
     rig.now += 1_000 * MS;
-    rig.introduce(1, true, 0);
+    rig.introduce(1, true, FRESH);
     let (id, sent) = rig.ask(WRITE, 2_000 * MS, None);
     assert_eq!(sends(&sent, id), [member(1)], "a word from the future is no newer than the present");
 }
@@ -724,11 +726,11 @@
 /// refused while it has room. What is sent in all stays within its budget of work.
 #[test]
 fn a_light_class_uses_less_of_a_cold_budget() {
-    let sent = |read: Micros, write: Micros| {
+    let sent = |read: i64, write: i64| {
         let mut s = settings();
         s.drivers = Some(100);
         let mut rig = Rig::new(s, 2);
-        rig.introduce(1, true, 0);
+        rig.introduce(1, true, FRESH);
         // Reads go to the replica, writes to the primary, until it is known how long each takes.
         for _ in 0..200 {
             for (class, to, took) in [(ANY, 2, read), (WRITE, 1, write)] {
@@ -736,7 +738,7 @@
                 assert_eq!(sends(&now, id), [member(to)]);
                 rig.pass(15 * MS);
                 rig.took = took * MS;
-                rig.answer(id, 0, to, Outcome::Ok, Some(to == 1), 0);
+                rig.answer(id, 0, to, Outcome::Ok, Some(to == 1), FRESH);
             }
         }
         let cold = |n| Entry { started_at: Some(rig.now), ..entry(n) };
@@ -748,7 +750,7 @@
             let later = rig.pass(50 * MS);
             if let Some(to) = sends(&now, id).first().or(sends(&later, id).first()) {
                 sent += 1;
-                rig.answer(id, 0, to.ip[3], Outcome::Ok, Some(to.ip[3] == 1), 0);
+                rig.answer(id, 0, to.ip[3], Outcome::Ok, Some(to.ip[3] == 1), FRESH);
             }
         }
         sent
