--- a/src/fleet/frame.rs
+++ b/src/fleet/frame.rs
@@ -86,6 +86,9 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- /dev/null
+++ b/src/fleet/frame/golden_tests.rs
@@ -0,0 +1,316 @@
+//! Golden bytes of every message between daemons. The names of types and fields may change, the bytes may not: a
+//! daemon of the next version meets daemons of this one.
+
+use super::*;
+use crate::store::agreed::{Change, Mark};
+use crate::store::disk::Witness;
+use crate::store::form::HostRecord;
+use crate::store::shares::{Share, Why};
+use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType, Snapshot};
+use std::collections::BTreeSet;
+
+/// One message a line, `name = hex`: the whole frame with its length and check sum.
+const GOLDEN: &str = include_str!("../../../tests/fixtures/peer-messages.hex");
+
+/// Longer than any of them.
+const MOST: usize = 4096;
+
+fn hello(name: &str, fleet: u128) -> Hello {
+    Hello {
+        fleet,
+        id: 0x1122_3344_5566_7788,
+        name: name.into(),
+        address: "127.0.0.1:8891".parse().unwrap(),
+        witness: Witness { boots: 3, term: 500, last: (499, 70_000) },
+    }
+}
+
+fn verdicts() -> Vec<(&'static str, Frame)> {
+    let candidate = vec![
+        ("b0".to_string(), "127.0.0.1:8001".parse().unwrap()),
+        ("b1".to_string(), "[::1]:8002".parse().unwrap()),
+    ];
+    [
+        ("verdict welcome", Verdict::Welcome),
+        ("verdict stranger", Verdict::Stranger),
+        ("verdict removed", Verdict::Removed),
+        ("verdict older", Verdict::Older),
+        ("verdict recovered", Verdict::Recovered),
+        ("verdict candidate", Verdict::Candidate(candidate)),
+    ]
+    .map(|(name, verdict)| (name, Frame::Verdict(verdict, hello("b2", 9))))
+    .into()
+}
+
+/// A message in which every field that all kinds share has a value of its own.
+fn message(kind: MessageType) -> Message {
+    let mut m =
+        Message { to: 11, from: 12, term: 13, log_term: 14, index: 15, commit: 16, ..Message::default() };
+    m.set_msg_type(kind);
+    (m.commit_term, m.request_snapshot, m.reject, m.reject_hint, m.priority) = (17, 18, true, 19, -20);
+    m.context = vec![0xc0, 0xff, 0xee].into();
+    m
+}
+
+fn entries() -> Vec<Entry> {
+    let normal = Entry { index: 300, term: 21, data: vec![0xda, 0x7a].into(), ..Entry::default() };
+    let mut member = Entry { index: 301, term: 22, context: vec![0x4d, 0x45].into(), ..Entry::default() };
+    member.set_entry_type(EntryType::EntryConfChangeV2);
+    vec![normal, member, Entry { index: 302, term: 23, ..Entry::default() }]
+}
+
+fn snapshot() -> Snapshot {
+    let mut conf = ConfState::default();
+    conf.set_voters(vec![1, 2]);
+    conf.set_learners(vec![3]);
+    conf.set_voters_outgoing(vec![1, 4]);
+    conf.set_learners_next(vec![5]);
+    conf.auto_leave = true;
+    let mut snapshot = Snapshot { data: vec![0x57, 0xa7, 0xe0].into(), ..Snapshot::default() };
+    let meta = snapshot.mut_metadata();
+    (meta.index, meta.term) = (400, 24);
+    meta.set_conf_state(conf);
+    snapshot
+}
+
+fn letters() -> Vec<(&'static str, Frame)> {
+    let mut all: Vec<(&'static str, Message)> = [
+        ("letter append", MessageType::MsgAppend),
+        ("letter append response", MessageType::MsgAppendResponse),
+        ("letter request vote", MessageType::MsgRequestVote),
+        ("letter request vote response", MessageType::MsgRequestVoteResponse),
+        ("letter snapshot", MessageType::MsgSnapshot),
+        ("letter heartbeat", MessageType::MsgHeartbeat),
+        ("letter heartbeat response", MessageType::MsgHeartbeatResponse),
+        ("letter transfer leader", MessageType::MsgTransferLeader),
+        ("letter timeout now", MessageType::MsgTimeoutNow),
+        ("letter read index", MessageType::MsgReadIndex),
+        ("letter read index response", MessageType::MsgReadIndexResp),
+        ("letter request pre-vote", MessageType::MsgRequestPreVote),
+        ("letter request pre-vote response", MessageType::MsgRequestPreVoteResponse),
+    ]
+    .map(|(name, kind)| (name, message(kind)))
+    .into();
+    for (name, m) in &mut all {
+        match *name {
+            "letter append" => m.set_entries(entries().into()),
+            "letter snapshot" => m.set_snapshot(snapshot()),
+            _ => {}
+        }
+    }
+    let letter = |m: &Message| Letter::of(m.clone()).expect("it goes between daemons");
+    let two = vec![letter(&all[5].1), letter(&all[6].1)];
+    let one = all.iter().map(|(name, m)| (*name, Frame::Letters(vec![letter(m)])));
+    one.chain([("letters none", Frame::Letters(Vec::new())), ("letters two", Frame::Letters(two))]).collect()
+}
+
+fn changes() -> Vec<(&'static str, Frame)> {
+    let marks = vec![Mark { by: 5, number: 6 }, Mark { by: 7, number: 800 }];
+    let record = |address: &str, leaving, started_at| HostRecord {
+        address: address.parse().unwrap(),
+        group: 300,
+        zone: 2,
+        weight: 0.75,
+        leaving,
+        started_at,
+    };
+    let set = vec![
+        ("s-1".to_string(), record("127.0.0.1:7001", false, Some(1_767_225_600_123_000))),
+        ("s-2".to_string(), record("[::1]:7002", true, None)),
+    ];
+    let share = |part, why| Change::Zone { zone: 4, share: Share { part, why, number: 31, failed: 2 } };
+    [
+        ("forward drain", Change::Drain { host: "s-1-1".into(), mark: Mark { by: 5, number: 6 } }),
+        ("forward undrain", Change::Undrain { host: "s-1-2".into(), marks }),
+        (
+            "forward inventory",
+            Change::Inventory { by: "b0".into(), changed: -5, base: 41, set, gone: vec!["s-9".into()] },
+        ),
+        (
+            "forward settings",
+            Change::Settings { by: "b1".into(), changed: 1_767_225_600_000_000, text: "step=1\n".into() },
+        ),
+        ("forward zone returns", share(20, Why::Returns)),
+        ("forward zone lost", share(0, Why::Lost)),
+        ("forward zone slow", share(650, Why::Slow)),
+        ("forward zone operator", share(1000, Why::Operator)),
+        (
+            "forward regions",
+            Change::Regions {
+                by: "b2".into(),
+                changed: 77,
+                regions: BTreeMap::from([(0, "north".to_string()), (3, "south".to_string())]),
+            },
+        ),
+    ]
+    .map(|(name, change)| (name, Frame::Forward(Proposal { from: 0xfedc_ba98, token: 600, change })))
+    .into()
+}
+
+fn beat() -> Beat {
+    Beat {
+        leader: 7,
+        term: 300,
+        last: (299, 70_001),
+        part: true,
+        agreed: 70_002,
+        applied: (70_003, 0xdead_beef),
+        marks: 0x0bad_cafe,
+        hears: vec![5, 600],
+        returns: false,
+    }
+}
+
+fn words() -> Vec<Word> {
+    let full = Word {
+        by: 5,
+        count: Count { boot: 6, facts: 700 },
+        host: "s-1-0".into(),
+        primary: true,
+        position: 1_767_225_600_123_456,
+        age: 250_000,
+        out: 400,
+        up: Some(16_000_000),
+        rate: 123_456,
+        used: 610,
+    };
+    let bare = Word { up: None, primary: false, position: 0, used: 0, host: "s-2".into(), ..full.clone() };
+    vec![full, bare]
+}
+
+fn sights() -> BTreeMap<u8, Sight> {
+    let one = Sight { good: 1000, late: 2, silent: 3, refused: 400, hosts: 5, gone: 6, of: 700, busy: 810 };
+    BTreeMap::from([(0, one), (200, Sight { good: 9, ..Sight::default() })])
+}
+
+/// Every message, each variant of what is in it among them.
+fn messages() -> Vec<(&'static str, Frame)> {
+    let fleet = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
+    let marks = vec![
+        ("s-1-1".to_string(), Mark { by: 5, number: 6 }),
+        ("s-2".to_string(), Mark { by: 7, number: 800 }),
+    ];
+    let v6 = Hello { address: "[::1]:8892".parse().unwrap(), ..hello("b1", 0) };
+    let digest = vec![(5, Count { boot: 6, facts: 700 }), (800, Count { boot: 9, facts: 0 })];
+    let breaks = vec![Break { group: 300, from: 1_767_225_600_000_000, to: 1_767_225_600_000_001 }];
+    let returns = Beat { part: false, returns: true, ..beat() };
+    let mut all = vec![
+        ("hello", Frame::Hello(hello("b0", fleet))),
+        ("hello without a fleet at an IPv6 address", Frame::Hello(v6)),
+        ("wish vote", Frame::Wish("b3".into(), Wish::Vote)),
+        ("wish leave", Frame::Wish("b4".into(), Wish::Leave)),
+        ("marks", Frame::Marks(marks)),
+        ("beat", Frame::Beat(beat())),
+        ("beat of one that returns", Frame::Beat(returns)),
+        ("digest", Frame::Digest(digest)),
+        ("words with and without optional parts", Frame::Words(words())),
+        ("hint", Frame::Hint([127, 0, 0, 1, 0xd4, 0x31], 250_000)),
+        ("breaks", Frame::Breaks(breaks)),
+        ("sights", Frame::Sights(sights())),
+    ];
+    all.extend(verdicts());
+    all.extend(letters());
+    all.extend(changes());
+    all
+}
+
+/// Fails to compile where a variant is added: it needs a golden message above, and a line here.
+fn kinds(frame: &Frame) -> (&'static str, &'static str) {
+    match frame {
+        Frame::Hello(_) => ("hello", ""),
+        Frame::Verdict(verdict, _) => (
+            "verdict",
+            match verdict {
+                Verdict::Welcome => "welcome",
+                Verdict::Stranger => "stranger",
+                Verdict::Removed => "removed",
+                Verdict::Older => "older",
+                Verdict::Recovered => "recovered",
+                Verdict::Candidate(_) => "candidate",
+            },
+        ),
+        Frame::Letters(_) => ("letters", ""),
+        Frame::Forward(proposal) => (
+            "forward",
+            match &proposal.change {
+                Change::Drain { .. } => "drain",
+                Change::Undrain { .. } => "undrain",
+                Change::Inventory { .. } => "inventory",
+                Change::Settings { .. } => "settings",
+                Change::Zone { share, .. } => match share.why {
+                    Why::Returns => "zone returns",
+                    Why::Lost => "zone lost",
+                    Why::Slow => "zone slow",
+                    Why::Operator => "zone operator",
+                },
+                Change::Regions { .. } => "regions",
+            },
+        ),
+        Frame::Wish(_, Wish::Vote) => ("wish", "vote"),
+        Frame::Wish(_, Wish::Leave) => ("wish", "leave"),
+        Frame::Marks(_) => ("marks", ""),
+        Frame::Beat(_) => ("beat", ""),
+        Frame::Digest(_) => ("digest", ""),
+        Frame::Words(_) => ("words", ""),
+        Frame::Hint(..) => ("hint", ""),
+        Frame::Breaks(_) => ("breaks", ""),
+        Frame::Sights(_) => ("sights", ""),
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex")).collect()
+}
+
+/// Guards against a message that daemons of the version before cannot read.
+#[test]
+fn every_peer_message_is_written_as_its_golden_bytes() {
+    let written: String =
+        messages().iter().map(|(name, frame)| format!("{name} = {}\n", hex(&frame.bytes()))).collect();
+    assert_eq!(written, GOLDEN, "what is written now:\n{written}");
+}
+
+/// Guards against a message of a daemon of the version before that is read as something else.
+#[test]
+fn the_golden_bytes_of_every_peer_message_are_read_as_its_value() {
+    let mut golden = GOLDEN.lines();
+    for (name, frame) in messages() {
+        let (known, hex) = golden.next().and_then(|l| l.split_once(" = ")).expect("name = hex");
+        let bytes = bytes(hex);
+        assert_eq!((known, Frame::read(&bytes, MOST)), (name, Ok(Some((frame, bytes.len())))), "{name}");
+    }
+    assert_eq!(golden.next(), None);
+}
+
+/// Guards against a letter whose golden bytes are right and that the consensus gets as another one.
+#[test]
+fn the_golden_letters_become_the_same_consensus_messages() {
+    for (name, frame) in messages() {
+        let Frame::Letters(letters) = frame else { continue };
+        for letter in letters {
+            let kind = letter.clone().message().map(|m| m.msg_type);
+            // What is no snapshot and what carries one must go together.
+            assert_eq!(
+                kind.is_some(),
+                letter.carries_state() == name.starts_with("letter snapshot"),
+                "{name}"
+            );
+            assert_eq!(letter.clone().message().and_then(Letter::of), Some(letter), "{name}");
+        }
+    }
+}
+
+/// Guards against a variant that has no golden message.
+#[test]
+fn every_variant_of_a_peer_message_has_golden_bytes() {
+    let messages = messages();
+    let named: BTreeSet<&str> = messages.iter().map(|(name, _)| *name).collect();
+    assert_eq!(named.len(), messages.len(), "each name once");
+    let found: BTreeSet<(&str, &str)> = messages.iter().map(|(_, frame)| kinds(frame)).collect();
+    let tops: BTreeSet<&str> = found.iter().map(|(top, _)| *top).collect();
+    assert_eq!((tops.len(), found.len()), (12, 6 + 9 + 2 + 9), "{found:?}");
+}
--- a/src/hint.rs
+++ b/src/hint.rs
@@ -34,6 +34,9 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- /dev/null
+++ b/src/hint/golden_tests.rs
@@ -0,0 +1,17 @@
+//! Golden bytes of the datagram between poolers: poolers of two versions share a tier while one follows the other.
+
+use super::*;
+
+/// The kind, four bytes of the address, the port and the time, the highest byte of each first.
+const GOLDEN: [u8; 15] =
+    [0x01, 0x09, 0x08, 0x07, 0x06, 0xd4, 0x31, 0x00, 0x06, 0x61, 0x97, 0x25, 0x70, 0x69, 0x7b];
+
+/// Guards against a datagram that poolers of the version before take for noise, or for another host's.
+#[test]
+fn the_datagram_is_written_and_read_as_its_golden_bytes() {
+    let hint = Hint { member: MemberId { ip: [9, 8, 7, 6], port: 54321 }, at: 0x0006_6197_2570_697b };
+    assert_eq!((hint.write(), Hint::read(&GOLDEN)), (GOLDEN.to_vec(), Some(hint)));
+    let before = Hint { at: -2, ..hint };
+    let bytes = [&GOLDEN[..7], &[0xff; 7], &[0xfe]].concat();
+    assert_eq!((before.write(), Hint::read(&bytes)), (bytes, Some(before)), "the time has a sign");
+}
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -76,6 +76,9 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
