--- /dev/null
+++ b/tests/golden_files.rs
@@ -0,0 +1,344 @@
+//! The files that operators and the platform write: every key, read into the value that it stands for. The names of
+//! fields in the program may change, the keys and what they mean may not.
+
+use brookpass::config::Limits;
+use brookpass::core::members::{Listed, Listing};
+use brookpass::daemon::file::{self, Operator, StoreConfig};
+use brookpass::fleet::zones::Dwell;
+use brookpass::fleet::zoning::Leaving;
+use brookpass::interface::*;
+use brookpass::inventory::{self, Inventory};
+use brookpass::json::{self, Platform};
+use brookpass::net::sparql::front::Service;
+use brookpass::settings;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::Path;
+
+const SETTINGS: &str = include_str!("fixtures/settings-every-key.txt");
+const CSV: &str = include_str!("fixtures/inventory-every-column.csv");
+const YAML: &str = include_str!("fixtures/inventory-every-key.yaml");
+const PLATFORM: &str = include_str!("fixtures/platform-every-key.json");
+const PAIRS: &str = include_str!("fixtures/operator-every-key.pairs");
+
+fn fixture(name: &str) -> std::path::PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn at(text: &str) -> SocketAddr {
+    text.parse().unwrap()
+}
+
+/// Guards against a setting that is read from another key, into another field or in another unit. A field that is
+/// added fails to compile here until it has a line in the file.
+#[test]
+fn every_settings_key_is_read_into_its_field() {
+    let Settings {
+        drivers,
+        me,
+        zone,
+        step,
+        classes,
+        tenants,
+        over_share_worth,
+        must_subscribe,
+        must_ask_in,
+        second_copies,
+        may_cancel,
+        probes,
+        peer_messages,
+        retry_after,
+        max_retry_after,
+        max_attempts,
+        connect_timeout,
+        grace_to_answer,
+        stop_sending_within,
+        drain_binds_alone,
+        cold_share,
+        warm_up,
+        fall_multiple,
+        tip_after,
+        behind,
+        holds_for,
+        session_marks,
+        zero,
+        report_fields,
+        cross_zone_fee,
+        probe_fee,
+        waste_fee,
+    } = settings::parse(SETTINGS).unwrap();
+    assert_eq!((drivers, me, zone, step), (Some(3), Some(2), Some(1), Some(5_000)));
+    assert_eq!((over_share_worth, must_subscribe, must_ask_in), (Some(0.3), Some(true), Some(30_000_000)));
+    assert_eq!((second_copies, may_cancel, probes), (Some(true), Some(false), Some(true)));
+    assert_eq!((peer_messages, retry_after, max_retry_after), (Some(false), Some(true), Some(1_100_000)));
+    assert_eq!((max_attempts, connect_timeout, grace_to_answer), (Some(8), Some(220_000), Some(50_000)));
+    assert_eq!((stop_sending_within, drain_binds_alone), (Some(150_000), Some(true)));
+    assert_eq!((cold_share, warm_up), (Some(0.35), Some(16_000_000)));
+    assert_eq!((fall_multiple, tip_after), (Some(4.0), Some(1_750_000)));
+    assert_eq!((behind, holds_for), (Some(Behind::Waits), Some(450_000)));
+    assert_eq!((session_marks, zero), (Some(SessionMarks::Carried), Some(12_500_000)));
+    assert_eq!(report_fields, ["x0", "x1", "up", "util"]);
+    assert_eq!((cross_zone_fee, probe_fee, waste_fee), (Some(0.01), Some(0.02), Some(0.03)));
+    let quotas: Vec<_> = tenants.into_iter().map(|Tenant { quota_per_s }| quota_per_s).collect();
+    assert_eq!(quotas, [Some(40.0), Some(41.5)]);
+    let [read, write] = <[Class; 2]>::try_from(classes).unwrap();
+    let Class {
+        aim,
+        aim_stretch,
+        deadline,
+        worth,
+        late_worth,
+        repeat,
+        key_group,
+        key_window,
+        consistency,
+        max_age,
+    } = read;
+    assert_eq!((aim, aim_stretch, deadline), (Some(250_000), Some(1.5), Some(2_500_000)));
+    assert_eq!((worth, late_worth, repeat), (Some(3.0), Some(0.2), Some(Repeat::Safe)));
+    assert_eq!((key_group, key_window), (Some(KeyGroup::All), Some(1_200_000)));
+    assert_eq!((consistency, max_age), (Some(Consistency::Bounded), Some(800_000)));
+    assert_eq!((write.aim, write.aim_stretch, write.deadline), (Some(600_000), Some(2.5), Some(2_750_000)));
+    assert_eq!((write.worth, write.late_worth, write.repeat), (Some(6.0), Some(0.5), Some(Repeat::Keyed)));
+    assert_eq!((write.key_group, write.key_window), (Some(KeyGroup::Cell), Some(1_250_000)));
+    assert_eq!((write.consistency, write.max_age), (Some(Consistency::Write), Some(900_000)));
+}
+
+/// Guards against a line of the file above that nothing reads: without it some field must be another one.
+#[test]
+fn every_settings_key_counts() {
+    let whole = format!("{:?}", settings::parse(SETTINGS).unwrap());
+    // Names belong to those who read the pairs; the report says by itself how it comes.
+    let named = |line: &&str| line.contains(".name=");
+    let lines: Vec<&str> = SETTINGS.lines().collect();
+    for line in lines.iter().filter(|l| !named(l)) {
+        let without: String = lines.iter().filter(|l| *l != line).map(|l| format!("{l}\n")).collect();
+        assert_ne!(format!("{:?}", settings::parse(&without).unwrap()), whole, "{line}");
+    }
+}
+
+/// Guards against a word of a setting that means something else.
+#[test]
+fn every_word_of_a_setting_means_what_it_meant() {
+    let class = |line: &str| {
+        let class = settings::parse(&format!("services.count=1\n{line}\n")).unwrap().classes.remove(0);
+        (class.repeat, class.key_group, class.consistency)
+    };
+    for (word, repeat) in [("repeatable", Repeat::Safe), ("by_key", Repeat::Keyed), ("once", Repeat::Unsafe)]
+    {
+        assert_eq!(class(&format!("services.0.repeat={word}")), (Some(repeat), None, None));
+    }
+    for (word, group) in [("all", KeyGroup::All), ("cell", KeyGroup::Cell), ("zone", KeyGroup::Zone)] {
+        assert_eq!(class(&format!("services.0.group={word}")), (None, Some(group), None));
+    }
+    for (word, consistency) in [
+        ("mutate", Consistency::Write),
+        ("strong", Consistency::Strong),
+        ("causal", Consistency::Session),
+        ("lag_bound", Consistency::Bounded),
+        ("eventual", Consistency::Eventual),
+    ] {
+        assert_eq!(class(&format!("family-info.consistency={word}")), (None, None, Some(consistency)));
+    }
+    let read = |line: &str| settings::parse(line).unwrap();
+    for (word, behind) in [("none", Behind::Answers), ("bounce", Behind::Misses), ("await", Behind::Waits)] {
+        assert_eq!(read(&format!("family-info.behind={word}")).behind, Some(behind));
+    }
+    for (word, marks) in [("brought", SessionMarks::Carried), ("kept", SessionMarks::Remembered)] {
+        assert_eq!(read(&format!("family-info.session-marks={word}")).session_marks, Some(marks));
+    }
+    for (word, must) in [("subscribe", true), ("automatic", false)] {
+        assert_eq!(read(&format!("discovery={word}")).must_subscribe, Some(must));
+    }
+}
+
+/// Guards against a key of the operator's file that is read into another field, with another default path or in
+/// another unit, and against settings that reach the fleet's store as other pairs.
+#[test]
+fn every_key_of_the_operators_file_is_read_into_its_field() {
+    let path = fixture("operator-every-key.yaml");
+    let Operator {
+        path: own,
+        name,
+        number,
+        listen,
+        admin,
+        host_path,
+        service,
+        store,
+        inventory,
+        zones,
+        leaving,
+        sockets,
+        settings,
+        changed,
+    } = file::load(&path).unwrap();
+    assert_eq!((own, name.as_str(), number, sockets), (path, "b7", 3, 2048));
+    assert_eq!((listen, admin), (at("127.0.0.1:9001"), Some(at("127.0.0.1:9006"))));
+    let Service { path, query, session, update, group } = service;
+    assert_eq!((path.as_str(), host_path.as_str()), ("/query", "/host/sparql"));
+    assert_eq!((query.as_str(), session.as_deref()), ("catalog-read", Some("own-edit-read")));
+    assert_eq!((update.as_str(), group), ("score-write", Some(12)));
+    let StoreConfig { listen, peers, advertise, snapshot } = store;
+    assert_eq!((listen, advertise), (at("127.0.0.1:9002"), Some(at("127.0.0.1:9003"))));
+    assert_eq!(peers, [at("127.0.0.1:9004"), at("[::1]:9005")]);
+    assert_eq!((snapshot, inventory), (Some(fixture("kept/b7.store")), Some(fixture("hosts.csv"))));
+    assert_eq!(zones, ["north-1", "south-2"]);
+    let Leaving { names, automatic, dwell } = leaving;
+    assert_eq!((names, automatic, dwell), (zones, false, Dwell { least: 4_500_000, longest: 90_000_000 }));
+    assert!(changed > 0);
+    let text = settings.unwrap();
+    assert_eq!(text, PAIRS, "the pairs that the store gets:\n{text}");
+    let (settings, names, all) = file::read_settings(&text, 3).unwrap();
+    assert_eq!(names, ["catalog-read", "own-edit-read", "score-write"]);
+    assert_eq!((settings.drivers, settings.me, settings.probes), (Some(5), Some(3), Some(true)));
+    assert_eq!(all["limits.conn-idle"], "15");
+    assert_eq!(all.len(), PAIRS.lines().count() + 9, "and what the daemon itself decides");
+    for (key, value) in [
+        ("me", "3"),
+        ("discovery", "automatic"),
+        ("limits.may-cancel", "true"),
+        ("limits.second-copies", "false"),
+        ("limits.retry-after", "true"),
+        ("limits.peer-messages", "true"),
+        ("family-info.session-marks", "brought"),
+        ("family-info.zero", "0"),
+        ("report.fields", "x0,x1,up,util"),
+    ] {
+        assert_eq!(all.get(key).map(String::as_str), Some(value), "{key}");
+    }
+}
+
+/// Guards against a default that changes for whoever leaves a key out.
+#[test]
+fn what_an_operators_file_leaves_out_has_its_default() {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-least-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let path = folder.join("operator.yaml");
+    let least =
+        "name: b1\nsparql:\n  listen: 127.0.0.1:1\n  query: q\n  update: u\nstore:\n  listen: 127.0.0.1:2\n";
+    std::fs::write(&path, least).unwrap();
+    let o = file::load(&path).unwrap();
+    std::fs::remove_dir_all(&folder).unwrap();
+    assert_eq!((o.number, o.admin, o.sockets), (0, None, 1024));
+    assert_eq!((o.host_path.as_str(), o.service.path.as_str()), ("/sparql", "/sparql"));
+    assert_eq!((o.service.session, o.service.group), (None, None));
+    assert_eq!((o.store.advertise, o.store.peers, o.store.snapshot), (None, Vec::new(), None));
+    assert_eq!((o.inventory, o.zones, o.settings), (None, Vec::new(), None));
+    assert_eq!((o.leaving.names, o.leaving.automatic), (Vec::new(), true));
+    assert_eq!(o.leaving.dwell, Dwell { least: 3_000_000, longest: 60_000_000 });
+}
+
+/// Guards against a column or a variable of an inventory that is read as something else, in both forms.
+#[test]
+fn every_key_of_an_inventory_is_read_into_its_field() {
+    let first = Listed {
+        name: "s-1".into(),
+        address: at("127.0.0.1:7001"),
+        zone: 0,
+        group: 1,
+        availability: Availability::Ready,
+        primary: false,
+        weight: 0.5,
+        started_at: Some(1_767_225_600_123_000),
+    };
+    let second = Listed {
+        name: "s-2".into(),
+        address: at("127.0.0.1:7002"),
+        zone: 1,
+        group: 2,
+        availability: Availability::Draining,
+        primary: false,
+        weight: 2.0,
+        started_at: None,
+    };
+    let regions = BTreeMap::from([(0, "north".to_string()), (1, "south".to_string())]);
+    let wanted = Inventory { hosts: vec![first, second], regions };
+    let zones = ["north-1".to_string(), "south-2".to_string()];
+    for (name, text) in [("i.csv", CSV), ("i.yaml", YAML), ("i.yml", YAML)] {
+        let read = inventory::parse(Path::new(name), text, &zones, &Limits::for_sockets(64));
+        assert_eq!(read.as_ref(), Ok(&wanted), "{name}");
+    }
+}
+
+/// Guards against a key of the platform's configuration that is read into another field.
+#[test]
+fn every_key_of_the_platforms_configuration_is_read_into_its_field() {
+    let Platform {
+        name,
+        listen,
+        discovery,
+        seed,
+        sockets,
+        memory_mb,
+        peer_listen,
+        peers,
+        peers_all,
+        passed,
+        admin,
+        known,
+        settings,
+        classes,
+        zones,
+        conn_idle,
+    } = json::platform(PLATFORM).unwrap();
+    assert_eq!((name.as_str(), seed), ("n3", 0x8c1f_30d2_7a5b_e964));
+    assert_eq!((listen, discovery), (at("127.0.0.1:9101"), at("127.0.0.1:9102")));
+    assert_eq!((sockets, memory_mb, conn_idle), (Some(1024), Some(192.0), Some(15.0)));
+    assert_eq!((peer_listen, peers_all), (Some(at("127.0.0.1:9103")), Some(at("127.0.0.1:9105"))));
+    assert_eq!(peers, [at("127.0.0.1:9103"), at("127.0.0.1:9104")]);
+    assert_eq!((passed, admin), (None, Some(at("127.0.0.1:9106"))));
+    let host = |name: &str, port: u16, zone, group, availability, weight, started_at| Listed {
+        name: name.into(),
+        address: ([127, 0, 0, 1], port).into(),
+        zone,
+        group,
+        availability,
+        primary: false,
+        weight,
+        started_at,
+    };
+    let entries = vec![
+        host("s-1", 7001, 1, 3, Availability::Draining, 0.5, Some(1_767_225_600_123_000)),
+        host("s-2", 7002, 0, 4, Availability::Ready, 2.0, None),
+        host("s-3", 7003, 0, 5, Availability::Gone, 1.0, None),
+    ];
+    assert_eq!(known, Some(Listing { index: 41, whole: false, entries }));
+    assert_eq!((classes, zones), (vec!["read".into(), "write".into()], vec!["a".into(), "b".into()]));
+    assert_eq!((settings.drivers, settings.me, settings.zone), (Some(2), Some(1), Some(1)));
+    assert_eq!((settings.must_subscribe, settings.zero), (Some(false), Some(0)), "positions are Unix times");
+    assert_eq!(settings.tenants[0].quota_per_s, Some(40.0));
+    assert_eq!(settings.classes[1].key_window, Some(1_200_000));
+    assert_eq!(settings.classes[0].consistency, Some(Consistency::Bounded));
+    assert_eq!(settings.report_fields, ["x0", "x1", "util"]);
+}
+
+/// Guards against a build file whose keys or programs are others, and whose parts lists name what has moved.
+#[test]
+fn the_build_file_has_its_keys_and_names_what_is_there() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let text = std::fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
+    let pairs: Vec<(&str, &str)> = text
+        .lines()
+        .filter(|l| !l.trim().is_empty() && !l.starts_with('#'))
+        .map(|l| l.split('#').next().unwrap().split_once('=').expect("key = value"))
+        .map(|(key, value)| (key.trim(), value.trim()))
+        .collect();
+    let keys: Vec<&str> = pairs.iter().map(|(key, _)| *key).collect();
+    assert_eq!(keys, ["build", "run", "sim", "policy", "node", "packages"]);
+    let value = |key: &str| pairs.iter().find(|(k, _)| *k == key).unwrap().1;
+    assert_eq!(value("build"), r#""cargo build --release --locked""#);
+    assert_eq!(value("run"), r#""exec target/release/brookpass""#);
+    assert_eq!(value("sim"), r#""exec target/release/brookpass-adapter""#);
+    assert_eq!((value("policy"), value("packages")), (r#"["src/choice.rs"]"#, "[]"));
+    let programs = [env!("CARGO_BIN_EXE_brookpass"), env!("CARGO_BIN_EXE_brookpass-adapter")];
+    for (program, name) in programs.iter().zip(["brookpass", "brookpass-adapter"]) {
+        assert_eq!(Path::new(program).file_name().unwrap(), name);
+    }
+    let node = value("node").trim_start_matches('[').trim_end_matches(']').split(',');
+    let node: Vec<&str> = node.map(|p| p.trim().trim_matches('"')).collect();
+    assert!(node.contains(&"src/main.rs"), "{node:?}");
+    for path in node.iter().chain(&["src/choice.rs"]) {
+        assert!(root.join(path).exists(), "{path}");
+    }
+}
