--- a/src/hint.rs
+++ b/src/hint.rs
@@ -36,6 +36,9 @@
     }
 }
 
+#[cfg(test)]
+mod golden_tests;
+
 #[cfg(test)]
 mod tests {
     use super::*;
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -6,12 +6,14 @@
 use async_channel::Receiver;
 use brookpass::config::Limits;
 use brookpass::fleet::recovery::Saved;
+use brookpass::ids::NodeId;
 use brookpass::store::agreed::{Change, Effect};
 use brookpass::store::disk::{Disk, Held};
 use brookpass::store::form::{self, Conf, HostRecord, Letter, LogEntry};
 use brookpass::store::legacy::{self, Legacy};
 use brookpass::store::owner::{self, Input, Output};
 use brookpass::store::replica::{Applied, Replica, What, Write};
+use brookpass::time::Timestamp;
 use brookpass_lab::process::Process;
 use brookpass_lab::{eventually, http, now};
 use raft::eraftpb;
@@ -115,7 +117,11 @@
     assert_eq!(opened.learned.as_deref().and_then(form::read::<Saved>), Some(saved()));
     assert_eq!(opened.legacy, None);
     let status = &opened.status;
-    assert_eq!((status.term, status.leader, status.part), (4, 0, false), "others are asked first");
+    assert_eq!(
+        (status.term, status.leader, status.part),
+        (4, NodeId::NOBODY, false),
+        "others are asked first"
+    );
     assert_eq!((status.agreed, status.applied), (27, 20));
     assert_eq!((status.witness.boots, status.witness.term, status.witness.last), (6, 4, (4, 28)));
     assert_eq!(status.witnesses, witnesses());
@@ -166,8 +172,8 @@
     disk.write(&image().whole(), &[("identity", form::write(&disk.identity))]).unwrap();
     let held = Held { image: disk.image().unwrap(), ..held };
     let (_, inputs, outputs) = owner::start(disk, held, &Limits::for_sockets(1024)).unwrap();
-    let heartbeat = |from, term| {
-        let mut m = eraftpb::Message { from, to: B1, term, ..Default::default() };
+    let heartbeat = |from: NodeId, term| {
+        let mut m = eraftpb::Message { from: from.0, to: B1.0, term, ..Default::default() };
         m.set_msg_type(eraftpb::MessageType::MsgHeartbeat);
         Letter::of(m).unwrap()
     };
@@ -227,15 +233,18 @@
             ),
             (
                 "s-1".into(),
-                HostRecord { started_at: Some(1_780_000_000_123_000), ..host("127.0.0.1:7001", 1, 0, 0.5) },
+                HostRecord {
+                    started_at: Some(Timestamp::from_micros(1_780_000_000_123_000)),
+                    ..host("127.0.0.1:7001", 1, 0, 0.5)
+                },
             ),
             ("s-2".into(), host("[fd00::8]:7002", 2, 1, 2.0)),
         ],
-        hosts_changed: 1_780_000_000_333_444,
+        hosts_changed: Timestamp::from_micros(1_780_000_000_333_444),
         drains: vec!["s-1".into(), "odd\tname\\x".into(), "s-4".into()],
         settings: Some((
             "limits.probes=true\nnote=tab\there, backslash \\, return\r, literal \\n\n".into(),
-            1_780_000_000_111_222,
+            Timestamp::from_micros(1_780_000_000_111_222),
         )),
     }
 }
@@ -251,7 +260,7 @@
             Change::Settings { by: "b1".into(), changed, text },
             Change::Inventory {
                 by: "b1".into(),
-                changed: 1_780_000_000_333_444,
+                changed: Timestamp::from_micros(1_780_000_000_333_444),
                 base: 0,
                 set: old.hosts,
                 gone: Vec::new(),
@@ -285,7 +294,7 @@
     let path = copy(&folder, "fleet.store", true);
     // What was learned is worth nothing after an hour: here it was written now.
     let mut learned = saved();
-    learned.at.wall = now();
+    learned.at.wall = Timestamp::from_micros(now());
     put(&path, "learned", &form::write(&form::write(&learned)));
     let file = folder.join("operator.yaml");
     fs::write(&file, OPERATOR).unwrap();
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -4,11 +4,13 @@
 use brookpass::core::breaks::Break;
 use brookpass::fleet::learned::{Count, Word};
 use brookpass::fleet::recovery::{Clocks, Saved};
+use brookpass::ids::{GroupId, NodeId, ZoneId};
 use brookpass::store::agreed::{Change, Mark, Member, Membership, Proposal, Source, State};
 use brookpass::store::disk::{Identity, Marks, Witness};
-use brookpass::store::form::{self, Conf, Hard, HostRecord, LogEntry, NodeId, SnapshotRecord, Step};
+use brookpass::store::form::{self, Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
 use brookpass::store::replica::Image;
 use brookpass::store::shares::{Share, Why};
+use brookpass::time::{LogPosition, TimeDelta, Timestamp};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,12 +21,12 @@
 pub const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 pub const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
-pub const B1: NodeId = 0x1b1b_0000_0000_0001;
-pub const B2: NodeId = 0x2b2b_0000_0000_0002;
-pub const B3: NodeId = 0x3b3b_0000_0000_0003;
-pub const B5: NodeId = 0x5b5b_0000_0000_0005;
-pub const B7: NodeId = 0x7b7b_0000_0000_0007;
-pub const B8: NodeId = 0x8b8b_0000_0000_0008;
+pub const B1: NodeId = NodeId(0x1b1b_0000_0000_0001);
+pub const B2: NodeId = NodeId(0x2b2b_0000_0000_0002);
+pub const B3: NodeId = NodeId(0x3b3b_0000_0000_0003);
+pub const B5: NodeId = NodeId(0x5b5b_0000_0000_0005);
+pub const B7: NodeId = NodeId(0x7b7b_0000_0000_0007);
+pub const B8: NodeId = NodeId(0x8b8b_0000_0000_0008);
 pub const FLEET: u128 = 0xf1ee_7000_0000_0000_0000_0000_0000_0042;
 
 pub fn fixtures() -> PathBuf {
@@ -61,7 +63,7 @@
 }
 
 pub fn source(by: &str, changed: i64, version: u64) -> Source {
-    Source { by: by.into(), changed, version }
+    Source { by: by.into(), changed: Timestamp::from_micros(changed), version }
 }
 
 pub fn share(part: u16, why: Why, number: u64, failed: u8) -> Share {
@@ -69,7 +71,14 @@
 }
 
 pub fn host(at: &str, group: u32, zone: u8, weight: f64) -> HostRecord {
-    HostRecord { address: address(at), group, zone, weight, leaving: false, started_at: None }
+    HostRecord {
+        address: address(at),
+        group: GroupId(group),
+        zone: ZoneId(zone),
+        weight,
+        leaving: false,
+        started_at: None,
+    }
 }
 
 pub fn proposal(from: NodeId, token: u64, change: Change) -> Proposal {
@@ -80,7 +89,7 @@
     Change::Drain { host: host.into(), mark }
 }
 
-fn regions(all: &[(u8, &str)]) -> BTreeMap<u8, String> {
+fn regions(all: &[(ZoneId, &str)]) -> BTreeMap<ZoneId, String> {
     all.iter().map(|(zone, region)| (*zone, region.to_string())).collect()
 }
 
@@ -110,7 +119,10 @@
             ("s-1-1".to_string(), host("127.0.0.1:11", 1, 1, 0.5)),
             (
                 "s-1-2".to_string(),
-                HostRecord { started_at: Some(1_780_000_000_333_000), ..host("[::1]:12", 1, 2, 2.25) },
+                HostRecord {
+                    started_at: Some(Timestamp::from_micros(1_780_000_000_333_000)),
+                    ..host("[::1]:12", 1, 2, 2.25)
+                },
             ),
             ("s-2-0".to_string(), host("127.0.0.1:20", 2, 0, 1.0)),
             ("s-2-1".to_string(), host("127.0.0.1:21", 2, 1, 1.0)),
@@ -123,8 +135,14 @@
         undone: BTreeMap::from([(mark(B3, 1), 14)]),
         former: BTreeSet::from([0xf0f0]),
         digest: 0xd16e_57ab,
-        zones: BTreeMap::from([(1, share(500, Why::Slow, 1, 2)), (2, share(0, Why::Operator, 3, 0))]),
-        regions: (1_790_000_000_444_000, regions(&[(0, "north"), (1, "south")])),
+        zones: BTreeMap::from([
+            (ZoneId(1), share(500, Why::Slow, 1, 2)),
+            (ZoneId(2), share(0, Why::Operator, 3, 0)),
+        ]),
+        regions: (
+            Timestamp::from_micros(1_790_000_000_444_000),
+            regions(&[(ZoneId(0), "north"), (ZoneId(1), "south")]),
+        ),
     }
 }
 
@@ -143,7 +161,7 @@
         LogEntry { index: 20, term: 3, kind: 0, bytes: Vec::new() },
         change(21, 3, B3, 32, drain("s-2-0", mark(B3, 2))),
         change(22, 3, B2, 33, Change::Undrain { host: "s-1-2".into(), marks: vec![mark(B2, 7)] }),
-        change(23, 3, B2, 34, Change::Zone { zone: 1, share: share(250, Why::Lost, 2, 3) }),
+        change(23, 3, B2, 34, Change::Zone { zone: ZoneId(1), share: share(250, Why::Lost, 2, 3) }),
         change(
             24,
             3,
@@ -151,8 +169,8 @@
             35,
             Change::Regions {
                 by: "b1".into(),
-                changed: 1_790_000_000_555_000,
-                regions: regions(&[(0, "north"), (1, "north"), (2, "south")]),
+                changed: Timestamp::from_micros(1_790_000_000_555_000),
+                regions: regions(&[(ZoneId(0), "north"), (ZoneId(1), "north"), (ZoneId(2), "south")]),
             },
         ),
         members(25, Membership { steps: vec![Step::Remove(B8)], comes: None }),
@@ -167,7 +185,7 @@
             36,
             Change::Inventory {
                 by: "b3".into(),
-                changed: 1_790_000_000_666_000,
+                changed: Timestamp::from_micros(1_790_000_000_666_000),
                 base: 15,
                 set: vec![("s-3-0".into(), host("127.0.0.1:30", 3, 0, 4.0))],
                 gone: vec!["s-2-1".into()],
@@ -185,8 +203,14 @@
         ("s-2-0".to_string(), BTreeSet::from([mark(B3, 2)])),
     ]);
     state.undone = BTreeMap::from([(mark(B3, 1), 14), (mark(B2, 7), 22)]);
-    state.zones = BTreeMap::from([(1, share(250, Why::Lost, 2, 3)), (2, share(0, Why::Operator, 3, 0))]);
-    state.regions = (1_790_000_000_555_000, regions(&[(0, "north"), (1, "north"), (2, "south")]));
+    state.zones = BTreeMap::from([
+        (ZoneId(1), share(250, Why::Lost, 2, 3)),
+        (ZoneId(2), share(0, Why::Operator, 3, 0)),
+    ]);
+    state.regions = (
+        Timestamp::from_micros(1_790_000_000_555_000),
+        regions(&[(ZoneId(0), "north"), (ZoneId(1), "north"), (ZoneId(2), "south")]),
+    );
     state.members.remove(&B8);
     state.members.insert(B5, member("b5", "127.0.0.1:5"));
     state.removed.insert(B8, "b8".to_string());
@@ -230,17 +254,21 @@
 
 pub fn saved() -> Saved {
     Saved {
-        at: Clocks { wall: 1_790_000_000_777_000, boot: "6f1c0e0e-2c5b-4d0f".into(), up: 86_400_123_456 },
+        at: Clocks {
+            wall: Timestamp::from_micros(1_790_000_000_777_000),
+            boot: "6f1c0e0e-2c5b-4d0f".into(),
+            up: TimeDelta::from_micros(86_400_123_456),
+        },
         words: vec![
             Word {
                 by: B1,
                 count: Count { boot: 1_790_000_000_000_001, facts: 17 },
                 host: "s-1-0".into(),
                 primary: true,
-                position: 1_790_000_000_700_000,
-                age: 250_000,
+                position: LogPosition::from_micros(1_790_000_000_700_000),
+                age: TimeDelta::from_micros(250_000),
                 out: 3,
-                up: Some(7_200_000_000),
+                up: Some(TimeDelta::from_micros(7_200_000_000)),
                 rate: 12_500,
                 used: 730,
             },
@@ -249,8 +277,8 @@
                 count: Count { boot: 5, facts: 6 },
                 host: "s-2-0".into(),
                 primary: false,
-                position: -7,
-                age: 8,
+                position: LogPosition::from_micros(-7),
+                age: TimeDelta::from_micros(8),
                 out: 0,
                 up: None,
                 rate: 0,
@@ -258,8 +286,16 @@
             },
         ],
         breaks: vec![
-            Break { group: 1, from: 1_780_000_000_100_000, to: 1_780_000_000_200_000 },
-            Break { group: 2, from: 1_780_000_000_300_000, to: 1_780_000_000_400_000 },
+            Break {
+                group: GroupId(1),
+                from: LogPosition::from_micros(1_780_000_000_100_000),
+                to: LogPosition::from_micros(1_780_000_000_200_000),
+            },
+            Break {
+                group: GroupId(2),
+                from: LogPosition::from_micros(1_780_000_000_300_000),
+                to: LogPosition::from_micros(1_780_000_000_400_000),
+            },
         ],
     }
 }
--- a/tests/stored_records.rs
+++ b/tests/stored_records.rs
@@ -3,10 +3,12 @@
 
 mod stored;
 
+use brookpass::ids::{GroupId, NodeId, ZoneId};
 use brookpass::store::agreed::{Change, Membership, State};
 use brookpass::store::disk::{Identity, Marks, Witness};
 use brookpass::store::form::{self, Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
 use brookpass::store::shares::Why;
+use brookpass::time::Timestamp;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,20 +39,20 @@
 fn full_host() -> HostRecord {
     HostRecord {
         address: address("10.1.2.3:7001"),
-        group: 70_000,
-        zone: 201,
+        group: GroupId(70_000),
+        zone: ZoneId(201),
         weight: 0.75,
         leaving: true,
-        started_at: Some(1_780_000_000_000_123),
+        started_at: Some(Timestamp::from_micros(1_780_000_000_000_123)),
     }
 }
 
 fn conf() -> Conf {
     Conf {
-        voters: vec![1, 300],
-        learners: vec![3],
-        voters_outgoing: vec![4, 5, 6],
-        learners_next: vec![7],
+        voters: vec![NodeId(1), NodeId(300)],
+        learners: vec![NodeId(3)],
+        voters_outgoing: vec![NodeId(4), NodeId(5), NodeId(6)],
+        learners_next: vec![NodeId(7)],
         auto_leave: true,
     }
 }
@@ -61,10 +63,10 @@
     state.founders = BTreeSet::from(["b8".to_string(), "b9".to_string()]);
     state.hosts.insert("s-9".into(), full_host());
     state.zones = BTreeMap::from([
-        (3, share(1000, Why::Returns, 41, 1)),
-        (4, share(0, Why::Lost, 42, 2)),
-        (5, share(750, Why::Slow, 43, 3)),
-        (6, share(125, Why::Operator, 44, 4)),
+        (ZoneId(3), share(1000, Why::Returns, 41, 1)),
+        (ZoneId(4), share(0, Why::Lost, 42, 2)),
+        (ZoneId(5), share(750, Why::Slow, 43, 3)),
+        (ZoneId(6), share(125, Why::Operator, 44, 4)),
     ]);
     state
 }
@@ -82,7 +84,7 @@
             "proposal-inventory",
             Change::Inventory {
                 by: "b2".into(),
-                changed: 1_790_000_000_000_321,
+                changed: Timestamp::from_micros(1_790_000_000_000_321),
                 base: 77,
                 set: vec![("s-9".into(), full_host()), ("s-8".into(), host("[fd00::8]:7002", 8, 2, 1.5))],
                 gone: vec!["s-6".into(), "s-7".into()],
@@ -93,22 +95,22 @@
             "proposal-settings",
             Change::Settings {
                 by: "b3".into(),
-                changed: -5,
+                changed: Timestamp::from_micros(-5),
                 text: "limits.probes=true\nservices.count=1\n".into(),
             },
         ),
         (
             "change-zone",
             "proposal-zone",
-            Change::Zone { zone: 9, share: share(333, Why::Operator, 1_000, 12) },
+            Change::Zone { zone: ZoneId(9), share: share(333, Why::Operator, 1_000, 12) },
         ),
         (
             "change-regions",
             "proposal-regions",
             Change::Regions {
                 by: "b1".into(),
-                changed: 1_790_000_000_000_654,
-                regions: BTreeMap::from([(1, "north".to_string()), (2, "süd".to_string())]),
+                changed: Timestamp::from_micros(1_790_000_000_000_654),
+                regions: BTreeMap::from([(ZoneId(1), "north".to_string()), (ZoneId(2), "süd".to_string())]),
             },
         ),
     ]
