--- a/src/bin/brookpass-adapter/frames.rs
+++ b/src/bin/brookpass-adapter/frames.rs
@@ -1,7 +1,7 @@
 //! The binary frames: batches of events in, replies of actions out. Offsets are those of the wire page.
 
-use brookpass::interface::*;
-use brookpass::settings;
+use brookpass::routing::settings_parser;
+use brookpass::routing::*;
 
 /// Size of a batch header.
 pub const HEADER: usize = 16;
@@ -122,7 +122,11 @@
         1 => {
             let text = std::str::from_utf8(tail_part(r, 13, tail, 1)?)
                 .map_err(|_| "settings are not UTF-8".to_string())?;
-            return Ok(Wire::Up { instance, seed: number, settings: Box::new(settings::parse(text)?) });
+            return Ok(Wire::Up {
+                instance,
+                seed: number,
+                settings: Box::new(settings_parser::parse(text)?),
+            });
         }
         10 => return Ok(Wire::Stop { instance }),
         11 => {
--- a/src/bin/brookpass-adapter/main.rs
+++ b/src/bin/brookpass-adapter/main.rs
@@ -3,7 +3,7 @@
 mod frames;
 
 use brookpass::Router;
-use brookpass::interface::*;
+use brookpass::routing::*;
 use frames::{HEADER, Reply, Wire};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
 //! Limits of the program, filled once at start and handed down.
 
-use crate::interface::Class;
+use crate::routing::Class;
 use crate::time::TimeDelta;
 use std::time::Duration;
 
--- a/src/daemon/file.rs
+++ b/src/daemon/file.rs
@@ -3,11 +3,11 @@
 use crate::config::Limits;
 use crate::fleet::zones::Dwell;
 use crate::fleet::zoning::Leaving;
-use crate::interface::{GroupId, Settings, TimeDelta, Timestamp};
 use crate::inventory::yaml::{self, Fault, Kind, Node};
 use crate::inventory::{self, Inventory};
 use crate::net::sparql::front::Service;
-use crate::settings;
+use crate::routing::settings_parser;
+use crate::routing::{GroupId, Settings, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -193,7 +193,7 @@
     FIXED.iter().for_each(|(k, v)| drop(all.insert(k.to_string(), v.to_string())));
     all.insert("me".into(), number.to_string());
     let names = (0..).map_while(|n| all.get(&format!("services.{n}.name")).cloned()).collect();
-    let settings = settings::read(all.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect())?;
+    let settings = settings_parser::read(all.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect())?;
     Ok((settings, names, all))
 }
 
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -5,11 +5,11 @@
 pub mod platform;
 
 use crate::config::Limits;
-use crate::core::{Command, Control, Handle};
-use crate::net::door::Door;
-use crate::net::duty::Duty;
-use crate::net::hosts::{Hosts, Wire};
-use crate::net::listen::{self, Place, Seats, Welcome};
+use crate::engine::{Command, Control, Handle};
+use crate::net::admin_server::Door;
+use crate::net::backend_pool::{Hosts, Wire};
+use crate::net::connection_limiter::{self, Place, Seats, Welcome};
+use crate::net::lifecycle::Duty;
 use crate::net::until;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -114,7 +114,7 @@
     let (stop, stopped) = async_channel::bounded(1);
     let task = executor.spawn(async move {
         let spawn = |stream, place, welcome| executor2.spawn(serve(stream, place, welcome)).detach();
-        listen::accept(&listener, &seats, &stopped, spawn).await;
+        connection_limiter::accept(&listener, &seats, &stopped, spawn).await;
     });
     Accepting { task, stop }
 }
@@ -145,13 +145,13 @@
             serving.detach();
         }
     };
-    match listen::open(at) {
+    match connection_limiter::open(at) {
         Ok(listener) => open(listener),
         // Clients are served meanwhile.
         Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
             let limits = limits.clone();
             let task = async move {
-                match listen::open_when_free(at, &limits).await {
+                match connection_limiter::open_when_free(at, &limits).await {
                     Ok(listener) => open(listener),
                     Err(e) => log::error!("the operators' address {at}: {e}; there is no door"),
                 }
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -4,21 +4,21 @@
 use super::{Executor, Leave, accept, carry, open_door, signal, signalled, until_drained};
 use crate::clock::Clock;
 use crate::config::{Limits, Machine};
-use crate::core::classes::Classes;
-use crate::core::{self, Command, Control, Handle, Input};
-use crate::fleet::api;
-use crate::fleet::driver::{Files, Fleet, Me};
-use crate::fleet::recovery::order::{Cold, Step};
-use crate::interface::{Settings, TimeDelta};
-use crate::net::duty::Duty;
-use crate::net::hosts::Hosts;
-use crate::net::link::Link;
-use crate::net::listen::{self, Seats};
+use crate::engine::classes::Classes;
+use crate::engine::{self, Command, Control, Handle, Input};
+use crate::fleet::admin_api;
+use crate::fleet::recovery::phases::{Cold, Step};
+use crate::fleet::runtime::{Files, Fleet, Me};
+use crate::net::backend_pool::Hosts;
+use crate::net::connection::Link;
+use crate::net::connection_limiter::{self, Seats};
+use crate::net::lifecycle::Duty;
 use crate::net::sparql::front::{self, Front};
 use crate::net::sparql::host::Sparql;
 use crate::net::until;
-use crate::store::disk::{Disk, Held};
-use crate::store::owner;
+use crate::routing::{Settings, TimeDelta};
+use crate::store::storage::{Disk, Held};
+use crate::store::store_thread;
 use async_io::{Async, Timer};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -150,11 +150,12 @@
     }
     let (disk, held) = open_store(&operator)?;
     let at = operator.store.listen;
-    let store_listener = listen::open(at).map_err(|e| format!("{at}: {e}"))?;
+    let store_listener = connection_limiter::open(at).map_err(|e| format!("{at}: {e}"))?;
     let at = store_listener.get_ref().local_addr().unwrap_or(at);
     log::info!("{}: store at http://{at}", operator.name);
-    let listener = listen::open(operator.listen).map_err(|e| format!("{}: {e}", operator.listen))?;
-    let (opened, inputs, outputs) = owner::start(disk, held, &limits)?;
+    let listener =
+        connection_limiter::open(operator.listen).map_err(|e| format!("{}: {e}", operator.listen))?;
+    let (opened, inputs, outputs) = store_thread::start(disk, held, &limits)?;
     let me = Me {
         name: operator.name.clone(),
         address: operator.store.advertise.unwrap_or(at),
@@ -179,8 +180,8 @@
         accept(&executor, store_listener, &store_seats, move |stream, place, welcome| {
             let (fleet, few, clock) = (fleet.clone(), few.clone(), clock.clone());
             async move {
-                if welcome == listen::Welcome::Served {
-                    api::serve(fleet, Link::new(stream, place, few, clock)).await;
+                if welcome == connection_limiter::Welcome::Served {
+                    admin_api::serve(fleet, Link::new(stream, place, few, clock)).await;
                 }
             }
         })
@@ -236,8 +237,8 @@
     }
     let fields = settings.report_fields.clone();
     let seed = clock.now().as_micros() as u64;
-    let (handle, commands) =
-        core::start(settings, &classes, seed, &limits, clock.clone()).map_err(|e| format!("module: {e}"))?;
+    let (handle, commands) = engine::start(settings, &classes, seed, &limits, clock.clone())
+        .map_err(|e| format!("module: {e}"))?;
 
     {
         let (operator, fleet, limits) = (operator.clone(), fleet.clone(), limits.clone());
@@ -332,7 +333,7 @@
     let ending = handle.clone();
     if let Some(at) = operator.admin {
         let fleet = told.clone();
-        let more = move || api::figures(&fleet);
+        let more = move || admin_api::figures(&fleet);
         open_door(&executor, at, &operator.name, &limits, &handle, &duty, &open, more)?;
     }
     let (breaks, limits2) = (told.breaks.clone(), limits.clone());
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -3,16 +3,16 @@
 use super::{Executor, Leave, accept, carry, open_door, signal, signalled, unless_signalled, until_drained};
 use crate::clock::Clock;
 use crate::config::{Limits, Machine};
-use crate::core::classes::Classes;
-use crate::core::members::{Known, Listing};
-use crate::core::{self, Command, Control, Input};
+use crate::engine::classes::Classes;
+use crate::engine::endpoints::{Known, Listing};
+use crate::engine::{self, Command, Control, Input};
 use crate::json::{self, Platform};
-use crate::net::duty::Duty;
-use crate::net::hosts::Hosts;
-use crate::net::peers::Peers;
-use crate::net::pg::front::Front;
-use crate::net::pg::host::Pg;
-use crate::net::{discovery as watcher, listen, passed};
+use crate::net::backend_pool::Hosts;
+use crate::net::gossip_socket::Peers;
+use crate::net::lifecycle::Duty;
+use crate::net::postgres::front::Front;
+use crate::net::postgres::host::Pg;
+use crate::net::{connection_limiter, discovery as watcher, inherited_socket};
 use crate::time::TimeDelta;
 use async_channel::Sender;
 use async_io::{Async, Timer};
@@ -84,7 +84,7 @@
     let alone = settings.drivers == Some(1);
     let classes = Classes::new(platform.classes, &mut settings);
     let fields = settings.report_fields.clone();
-    let (handle, commands) = core::start(settings, &classes, platform.seed, &limits, clock.clone())
+    let (handle, commands) = engine::start(settings, &classes, platform.seed, &limits, clock.clone())
         .map_err(|e| format!("module: {e}"))?;
     // Here there is no store: the last known list is kept in memory, fed by discovery.
     let hosts_known = Rc::new(RefCell::new(Known::default()));
@@ -95,10 +95,10 @@
     let succeeds = platform.passed.is_some();
     let listener = match &platform.passed {
         Some(number) => {
-            Async::new(passed::listener(number)?).map_err(|e| format!("GW_PASSED_SOCKET: {e}"))?
+            Async::new(inherited_socket::listener(number)?).map_err(|e| format!("GW_PASSED_SOCKET: {e}"))?
         }
         None => {
-            let opened = listen::open_when_free(platform.listen, &limits);
+            let opened = connection_limiter::open_when_free(platform.listen, &limits);
             let Some(opened) = unless_signalled(&mut ends, opened).await else { return ended_early() };
             opened.map_err(|e| format!("{}: {e}", platform.listen))?
         }
@@ -198,7 +198,7 @@
         duty: duty.clone(),
         open: Default::default(),
     });
-    let seats = listen::Seats::new(limits.clone(), duty.clone());
+    let seats = connection_limiter::Seats::new(limits.clone(), duty.clone());
     let accepting = accept(&executor, listener, &seats, move |stream, place, welcome| {
         let front = front.clone();
         async move { front.serve(stream, place, welcome).await }
--- a/src/core/gate.rs
+++ b/src/engine/admission.rs
@@ -4,7 +4,7 @@
 //! What is not let in is refused at once, with a time to come back that is a place in a queue: those who keep it
 //! return at the pace at which they can be let in, not as one wave.
 
-use crate::interface::*;
+use crate::routing::*;
 use std::collections::BTreeMap;
 
 /// The pace is looked at once in so long.
--- a/src/core/classes.rs
+++ b/src/engine/classes.rs
@@ -1,6 +1,6 @@
 //! Classes by name, as both fronts look them up.
 
-use crate::interface::{Consistency, Repeat, Settings, TimeDelta};
+use crate::routing::{Consistency, Repeat, Settings, TimeDelta};
 
 /// The classes of a service.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
             let twin = (settings.classes[n].repeat == Some(Repeat::Keyed)).then_some(settings.classes.len());
             if twin.is_some() {
                 let class =
-                    crate::interface::Class { repeat: Some(Repeat::Unsafe), ..settings.classes[n].clone() };
+                    crate::routing::Class { repeat: Some(Repeat::Unsafe), ..settings.classes[n].clone() };
                 settings.classes.push(class);
             }
             keyless.push(twin);
@@ -75,7 +75,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::Class;
+    use crate::routing::Class;
 
     /// Guards against a write without a key that runs twice.
     #[test]
--- a/src/core/members.rs
+++ b/src/engine/endpoints.rs
@@ -3,7 +3,7 @@
 //! A host's name is the same at every pooler while its address is not, so the id is derived from the name:
 //! the module's ring of sorted ids then agrees across poolers and restarts.
 
-use crate::interface::{Availability, EndpointId, Entry, GroupId, ListKind, Timestamp, ZoneId};
+use crate::routing::{Availability, EndpointId, Entry, GroupId, ListKind, Timestamp, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/src/core/reports.rs
+++ b/src/engine/load_report.rs
@@ -1,6 +1,6 @@
 //! Load reports by the names of their fields. No I/O.
 
-use crate::interface::Report;
+use crate::routing::Report;
 
 /// A load report with the values of `fields`, up to the first that is missing: the module counts on those
 /// that stand before it.
--- a/src/core/breaks.rs
+++ b/src/engine/log_rollback.rs
@@ -3,7 +3,7 @@
 //! A host that lost its power may have lost what it had not synced. A session that wrote such a commit is told so:
 //! older data would pass for its own, and so would newer data in which its write is missing.
 
-use crate::interface::{GroupId, LogPosition};
+use crate::routing::{GroupId, LogPosition};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -67,7 +67,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::TimeDelta;
+    use crate::routing::TimeDelta;
 
     const G: GroupId = GroupId(1);
 
--- a/src/core/figures.rs
+++ b/src/engine/metrics.rs
@@ -79,7 +79,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::{Class, Repeat, Settings};
+    use crate::routing::{Class, Repeat, Settings};
 
     /// Guards against a keyed class that is told as two, and against classes that are missing until they are asked.
     #[test]
--- a/src/core/mod.rs
+++ b/src/engine/mod.rs
@@ -3,28 +3,28 @@
 //! Nothing here knows a wire. A front hands in a request with its work `W` as an opaque value and gets one
 //! [`Final`] with an answer `A`; a host side carries out [`Command`]s and reports how each attempt ended.
 
-pub mod asks;
-pub mod breaks;
+pub mod admission;
 pub mod classes;
-pub mod facts;
-pub mod figures;
-pub mod gate;
-pub mod members;
-pub mod owner;
-pub mod reports;
-pub mod sights;
+pub mod endpoints;
+pub mod load_report;
+pub mod log_rollback;
+pub mod metrics;
+pub mod observations;
+pub mod outcome_window;
+pub mod poll_scheduler;
+pub mod request_engine;
 
 use crate::clock::Clock;
 use crate::config::Limits;
 use crate::ids::NodeId;
-use crate::interface::*;
+use crate::routing::*;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use classes::Classes;
-use figures::{Figures, Gauges};
+use endpoints::{Host, Listing};
 use futures_lite::future;
-use members::{Host, Listing};
-use owner::Owner;
+use metrics::{Figures, Gauges};
+use request_engine::Owner;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
@@ -154,15 +154,15 @@
     /// What holds now is told there.
     Gauges(Sender<Gauges>),
     /// What hosts have told since the last time is told there.
-    Facts(Sender<Vec<facts::Fact>>),
+    Facts(Sender<Vec<observations::Fact>>),
     /// What was seen of each host within the last moment is told there, by its name.
-    Sights(Sender<BTreeMap<String, sights::Seen>>),
+    Sights(Sender<BTreeMap<String, outcome_window::Seen>>),
     /// Nothing more is to be waited for from these hosts: reads that are out there and overdue are asked elsewhere.
     CallOff(BTreeSet<String>),
     /// What other daemons heard hosts say, or this one before its start.
     Told(Vec<Told>),
     /// The terms on which requests are let in; `None`: all are.
-    Admit(Option<gate::Terms>),
+    Admit(Option<admission::Terms>),
     /// Hosts are asked in turn with these other daemons; `None`: whenever the module wants it.
     Turns(Option<Turns>),
     /// Whatever is open gets its final answer now: the program ends.
@@ -282,7 +282,7 @@
     }
 
     /// What hosts have told since the last time. `None`: the core has ended.
-    pub async fn facts(&self) -> Option<Vec<facts::Fact>> {
+    pub async fn facts(&self) -> Option<Vec<observations::Fact>> {
         let (reply, facts) = async_channel::bounded(1);
         self.control(Control::Facts(reply)).await;
         facts.recv().await.ok()
@@ -304,7 +304,7 @@
     }
 
     /// What was seen of each host within the last moment. `None`: the core has ended.
-    pub async fn sights(&self) -> Option<BTreeMap<String, sights::Seen>> {
+    pub async fn sights(&self) -> Option<BTreeMap<String, outcome_window::Seen>> {
         let (reply, sights) = async_channel::bounded(1);
         self.control(Control::Sights(reply)).await;
         sights.recv().await.ok()
--- a/src/core/facts.rs
+++ b/src/engine/observations.rs
@@ -1,6 +1,6 @@
 //! What hosts last told of themselves, for whoever passes it on. Fed by the owner, read now and then. No I/O.
 
-use crate::interface::{EndpointId, LogPosition, Mark, TimeDelta, Timestamp};
+use crate::routing::{EndpointId, LogPosition, Mark, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Positions are told in whole milliseconds.
--- a/src/core/sights.rs
+++ b/src/engine/outcome_window.rs
@@ -3,7 +3,7 @@
 //!
 //! An attempt that is still out counts as silent before its time is over: in a zone that has gone nothing ends.
 
-use crate::interface::{EndpointId, Outcome, TimeDelta, Timestamp};
+use crate::routing::{EndpointId, Outcome, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
 /// A moment, in parts that fade one by one.
--- a/src/core/asks.rs
+++ b/src/engine/poll_scheduler.rs
@@ -5,7 +5,7 @@
 //! the number of daemons; with none, so seldom that it bears it.
 
 use crate::ids::NodeId;
-use crate::interface::{TimeDelta, Timestamp};
+use crate::routing::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
 /// A daemon waits so long for the word of each one before it. In a second a host is asked by four at the most
--- a/src/core/owner.rs
+++ b/src/engine/request_engine.rs
@@ -3,17 +3,17 @@
 //! What it guards for every front: one final answer for each request, one attempt out at a time, results
 //! that come after the end are told to the module and dropped, and a client that has gone ends its attempt.
 
-use super::asks::{Ask as Question, Asks};
-use super::facts::{Fact, Facts, New};
-use super::figures::{End, Figures, Gauges};
-use super::gate::{Gate, Terms};
-use super::members::{Listing, Members};
-use super::reports::{self, report_of};
-use super::sights::{Out, Seen, Sights};
+use super::admission::{Gate, Terms};
+use super::endpoints::{Listing, Members};
+use super::load_report::{self, report_of};
+use super::metrics::{End, Figures, Gauges};
+use super::observations::{Fact, Facts, New};
+use super::outcome_window::{Out, Seen, Sights};
+use super::poll_scheduler::{Ask as Question, Asks};
 use super::{Command, Ended, Final, Input, Need, Submission, Told, Turns};
 use crate::Router;
 use crate::config::Limits;
-use crate::interface::*;
+use crate::routing::*;
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -222,7 +222,7 @@
 
     /// The value of a report's field.
     fn field(&self, report: &Report, name: &str) -> Option<f64> {
-        reports::field(&self.settings.report_fields, report, name)
+        load_report::field(&self.settings.report_fields, report, name)
     }
 
     /// How long a host has run, by its report.
--- a/src/core/owner/tests.rs
+++ b/src/engine/request_engine/tests.rs
@@ -1,7 +1,7 @@
 //! The request table: one final answer each, whatever comes in which order.
 
 use super::super::classes::Classes;
-use super::super::members::Listed;
+use super::super::endpoints::Listed;
 use super::*;
 use async_channel::Receiver;
 
--- a/src/fleet/api.rs
+++ b/src/fleet/admin_api.rs
@@ -1,14 +1,14 @@
 //! The calls at the store's address: HTTP on loopback.
 
-use super::driver::{Fleet, Outcome, Table};
-use super::members::Wish;
+use super::membership::Wish;
+use super::runtime::{Fleet, Outcome, Table};
 use super::zoning::Order;
-use crate::core::members::Listed;
+use crate::engine::endpoints::Listed;
 use crate::ids::NodeId;
-use crate::interface::Availability;
 use crate::net::buffer::Buffer;
+use crate::net::connection::Link;
 use crate::net::http::server::{self, Next, Request};
-use crate::net::link::Link;
+use crate::routing::Availability;
 use crate::time::Timestamp;
 use std::fmt::Write;
 use std::rc::Rc;
--- a/src/fleet/forming.rs
+++ b/src/fleet/bootstrap.rs
@@ -1,9 +1,9 @@
 //! How a fleet begins, and what daemons make of one another when they meet. No I/O.
 
 use crate::ids::NodeId;
-use crate::store::agreed::State;
-use crate::store::disk::Witness;
-use crate::store::form::FleetId;
+use crate::store::records::FleetId;
+use crate::store::state_machine::State;
+use crate::store::storage::Witness;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -125,7 +125,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::store::agreed::Member;
+    use crate::store::state_machine::Member;
 
     fn hello(name: &str, id: u64, fleet: FleetId) -> Hello {
         let address = ([127, 0, 0, 1], id as u16).into();
--- a/src/fleet/learned.rs
+++ b/src/fleet/gossip.rs
@@ -3,12 +3,12 @@
 //!
 //! Ages go between daemons, never times: clocks may differ.
 
-use crate::core::Told;
-use crate::core::asks;
-use crate::core::facts::Fact;
+use crate::engine::Told;
+use crate::engine::observations::Fact;
+use crate::engine::poll_scheduler;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
-use crate::store::agreed::State;
+use crate::store::state_machine::State;
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -417,7 +417,7 @@
             primary: w.primary,
             position: w.position,
             at: now - w.age,
-            fresh: w.age < asks::GOOD,
+            fresh: w.age < poll_scheduler::GOOD,
         };
         words.iter().filter(|w| (TimeDelta::ZERO..FORGOTTEN).contains(&w.age)).map(told).collect()
     }
@@ -491,8 +491,8 @@
 mod tests {
     use super::*;
     use crate::ids::ZoneId;
-    use crate::store::agreed::Member;
-    use crate::store::form::HostRecord;
+    use crate::store::records::HostRecord;
+    use crate::store::state_machine::Member;
 
     const S: TimeDelta = TimeDelta::from_secs(1);
 
--- a/src/fleet/members.rs
+++ b/src/fleet/membership.rs
@@ -1,10 +1,10 @@
 //! Who comes into the fleet and who goes: the leader's next step, one at a time. No I/O.
 
-use super::forming::Hello;
+use super::bootstrap::Hello;
 use crate::ids::NodeId;
-use crate::store::agreed::{MEMBERS, Member, Membership, State};
-use crate::store::form::{Conf, Step};
-use crate::store::replica::Progress;
+use crate::store::raft_node::Progress;
+use crate::store::records::{Conf, Step};
+use crate::store::state_machine::{MEMBERS, Member, Membership, State};
 use crate::time::TimeDelta;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -189,7 +189,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::store::disk::Witness;
+    use crate::store::storage::Witness;
 
     /// A fleet on paper: every step that is proposed is agreed.
     struct Paper {
--- a/src/fleet/frame.rs
+++ b/src/fleet/message.rs
@@ -1,15 +1,15 @@
 //! What goes between two daemons: frames with a length before them and a check sum inside.
 
-use super::forming::{Hello, Verdict};
-use super::learned::{Count, Word};
-use super::members::Wish;
+use super::bootstrap::{Hello, Verdict};
+use super::gossip::{Count, Word};
+use super::membership::Wish;
 use super::zones::Sight;
-use crate::core::breaks::Break;
+use crate::engine::log_rollback::Break;
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
-use crate::store::agreed::Proposal;
-use crate::store::disk::Marks;
-use crate::store::form::{self, Letter};
+use crate::store::records::{self, Letter};
+use crate::store::state_machine::Proposal;
+use crate::store::storage::Marks;
 use crate::time::TimeDelta;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -69,7 +69,7 @@
 impl Frame {
     /// As it goes out.
     pub fn bytes(&self) -> Vec<u8> {
-        let body = form::write(self);
+        let body = records::write(self);
         let mut out = (body.len() as u32).to_be_bytes().to_vec();
         out.extend(body);
         out
@@ -84,7 +84,7 @@
             return Err("too long");
         }
         let Some(body) = rest.get(..length) else { return Ok(None) };
-        form::read(body).map(|frame| Some((frame, length + 4))).ok_or("out of form")
+        records::read(body).map(|frame| Some((frame, length + 4))).ok_or("out of form")
     }
 }
 
--- a/src/fleet/frame/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -3,10 +3,10 @@
 
 use super::*;
 use crate::ids::{GroupId, ZoneId};
-use crate::store::agreed::{Change, Mark};
-use crate::store::disk::Witness;
-use crate::store::form::HostRecord;
-use crate::store::shares::{Share, Why};
+use crate::store::records::HostRecord;
+use crate::store::state_machine::{Change, Mark};
+use crate::store::storage::Witness;
+use crate::store::zone_weights::{Share, Why};
 use crate::time::{LogPosition, Timestamp};
 use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType, Snapshot};
 use std::collections::BTreeSet;
--- a/src/fleet/way.rs
+++ b/src/fleet/peer_link.rs
@@ -1,14 +1,14 @@
 //! The way to one other daemon: a connection that is opened again whenever it breaks, and a bounded queue. A
 //! slow daemon holds up nobody else: what does not fit is dropped, and said again by whoever still means it.
 
-use super::forming::{Hello, Verdict};
-use super::frame::Frame;
+use super::bootstrap::{Hello, Verdict};
+use super::message::Frame;
 use crate::config::Limits;
 use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
 use crate::net::http::client::Client;
 use crate::net::until;
-use crate::store::form::FleetId;
+use crate::store::records::FleetId;
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/src/fleet/recovery/mod.rs
+++ b/src/fleet/recovery/mod.rs
@@ -3,12 +3,12 @@
 //! What was learned from before is a first guess and nothing more: it is told to nobody, proves no position, and goes
 //! as soon as anybody has heard something since.
 
-pub mod lead;
-pub mod order;
-pub mod restarts;
+pub mod first_election;
+pub mod phases;
+pub mod restart_detector;
 
-use super::learned::Word;
-use crate::core::breaks::Break;
+use super::gossip::Word;
+use crate::engine::log_rollback::Break;
 use crate::time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
--- a/src/fleet/recovery/order.rs
+++ b/src/fleet/recovery/phases.rs
@@ -11,7 +11,7 @@
 //! of what they bear. What all daemons let in together stays below [`TOGETHER`] of the load under which a cold host
 //! falls, whoever hears whom.
 
-use crate::core::gate::{Terms, Way};
+use crate::engine::admission::{Terms, Way};
 use crate::ids::GroupId;
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
--- a/src/fleet/recovery/restarts.rs
+++ b/src/fleet/recovery/restart_detector.rs
@@ -4,8 +4,8 @@
 //! group are cold nothing is left to spare it for: service returns to that group in order, at the pace that its hosts
 //! bear. What is not known yet waits: hosts of one group are heard one after the other, also when all lost their power.
 
-use super::order::Cold;
-use crate::core::facts::JITTER;
+use super::phases::Cold;
+use crate::engine::observations::JITTER;
 use crate::ids::GroupId;
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/fleet/driver.rs
+++ b/src/fleet/runtime.rs
@@ -1,39 +1,39 @@
 //! Carries out what the fleet's decisions say: keeps the ways to the others open, hands letters to the thread
 //! that owns the agreement and takes in what it agreed on.
 
-use super::forming::{self, Hello, Stand, Verdict};
-use super::frame::{Beat, Frame};
-use super::learned::{Count, Learned};
-use super::marks::Marks;
-use super::members::{Next, View, Wish, Word};
-use super::recovery::lead::Lead;
-use super::recovery::order::{Cold, Order, Seen, Stand as Service, Step, UNLISTED};
-use super::recovery::restarts::{Known, Restarts};
+use super::bootstrap::{self, Hello, Stand, Verdict};
+use super::gossip::{Count, Learned};
+use super::membership::{Next, View, Wish, Word};
+use super::message::{Beat, Frame};
+use super::peer_link::{PATH, PROTOCOL, Way, may_meet};
+use super::pending_drains::Marks;
+use super::recovery::first_election::Lead;
+use super::recovery::phases::{Cold, Order, Seen, Stand as Service, Step, UNLISTED};
+use super::recovery::restart_detector::{Known, Restarts};
 use super::recovery::{self, Clocks, Saved, Trust};
-use super::way::{PATH, PROTOCOL, Way, may_meet};
 use super::zoning::{self, Leaving, Zoning};
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::core::breaks::{Break, Breaks};
-use crate::core::facts::{Fact, JITTER};
-use crate::core::gate::Terms;
-use crate::core::members::{Listed, Listing, id_of};
-use crate::core::{Told, Turns};
-use crate::hint::Hint;
+use crate::engine::admission::Terms;
+use crate::engine::endpoints::{Listed, Listing, id_of};
+use crate::engine::log_rollback::{Break, Breaks};
+use crate::engine::observations::{Fact, JITTER};
+use crate::engine::{Told, Turns};
 use crate::ids::NodeId;
 use crate::ids::{GroupId, ZoneId};
-use crate::interface::{Availability, EndpointId};
 use crate::inventory::Inventory;
 use crate::net::buffer::Buffer;
+use crate::net::connection::Link;
 use crate::net::http::server::{self, Request};
-use crate::net::link::Link;
 use crate::net::until;
-use crate::store::agreed::{Change, Effect, Member, Proposal, State};
-use crate::store::disk::Identity;
-use crate::store::form::{self, FleetId, HostRecord, Letter};
-use crate::store::owner::{Input, Opened, Output, Status};
-use crate::store::replica::{Applied, What};
-use crate::store::shares::Why;
+use crate::primary_hint::Hint;
+use crate::routing::{Availability, EndpointId};
+use crate::store::raft_node::{Applied, What};
+use crate::store::records::{self, FleetId, HostRecord, Letter};
+use crate::store::state_machine::{Change, Effect, Member, Proposal, State};
+use crate::store::storage::Identity;
+use crate::store::store_thread::{Input, Opened, Output, Status};
+use crate::store::zone_weights::Why;
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -259,7 +259,7 @@
         marks.settle(&state);
         let mut learned = Learned::new(identity.id, clock.now().as_micros().max(0) as u64);
         let mut breaks = Breaks::default();
-        if let Some(saved) = kept.and_then(|bytes| form::read::<Saved>(&bytes)) {
+        if let Some(saved) = kept.and_then(|bytes| records::read::<Saved>(&bytes)) {
             for b in &saved.breaks {
                 breaks.note(*b);
             }
@@ -854,7 +854,7 @@
                 {
                     way.send(&Frame::Wish(name.to_string(), wish).bytes());
                 }
-                super::way::rest(self.limits.insist, &woken).await;
+                super::peer_link::rest(self.limits.insist, &woken).await;
             }
         };
         let done = until(Instant::now() + self.limits.agree * 2, work).await;
@@ -933,7 +933,7 @@
                 return;
             }
             let me = (self.me.name.as_str(), table.identity.id);
-            forming::stand(me, &self.me.named, &table.met, table.word)
+            bootstrap::stand(me, &self.me.named, &table.met, table.word)
         };
         self.stands(stand.to_string());
         if let Stand::Found(others) = stand {
@@ -1045,7 +1045,7 @@
         let words = table.learned.words(self.clock.now());
         let saved = Saved { at: clocks(&self.clock), words, breaks: kept.1.clone() };
         log::debug!("fleet: {} words on hosts are kept", saved.words.len());
-        if self.tell(Input::Learned(form::write(&saved))) {
+        if self.tell(Input::Learned(records::write(&saved))) {
             *self.kept.borrow_mut() = kept;
         }
     }
@@ -1105,7 +1105,7 @@
                 let recent = Instant::now();
                 self.change().candidates.retain(|_, (_, at)| recent - *at < self.limits.gone * 5);
             }
-            if super::way::rest(self.pause(), &woken).await {
+            if super::peer_link::rest(self.pause(), &woken).await {
                 // Many changes in a row are worked off together.
                 Timer::after(Duration::from_millis(1)).await;
             }
@@ -1264,7 +1264,7 @@
         let verdict = {
             let mut table = self.change();
             let known = table.status.witnesses.get(&hello.id).copied();
-            let verdict = forming::judge(&table.state, known.as_ref(), &hello);
+            let verdict = bootstrap::judge(&table.state, known.as_ref(), &hello);
             match &verdict {
                 Verdict::Candidate(_) if table.candidates.len() < self.limits.members => {
                     table.candidates.insert(hello.id, (hello.clone(), Instant::now()));
@@ -1457,7 +1457,7 @@
         true
     }
 
-    fn hear_marks(&self, marks: Vec<(String, crate::store::agreed::Mark)>) {
+    fn hear_marks(&self, marks: Vec<(String, crate::store::state_machine::Mark)>) {
         let new = {
             let mut table = self.change();
             self.touch(marks.iter().map(|(host, _)| host.clone()));
@@ -1597,7 +1597,7 @@
         Turns { me: table.identity.id, others: others.collect() }
     }
 
-    fn view(&self, now: Timestamp, listed: bool) -> recovery::order::View {
+    fn view(&self, now: Timestamp, listed: bool) -> recovery::phases::View {
         let table = self.table();
         let members = table.state.members.len().max(1);
         let heard = self.hears(&table).iter().filter(|id| table.state.members.contains_key(id)).count() + 1;
@@ -1617,7 +1617,7 @@
             })
         };
         let hosts = if listed { table.state.hosts.iter().filter_map(seen).collect() } else { Vec::new() };
-        recovery::order::View { now, listed, members, heard, hosts }
+        recovery::phases::View { now, listed, members, heard, hosts }
     }
 
     /// Notes which of these hosts have started a moment ago. The module is told, and spares them; but where no host of
@@ -1752,7 +1752,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::store::{disk::Disk, owner};
+    use crate::store::{storage::Disk, store_thread};
     use std::sync::mpsc::sync_channel;
 
     /// Guards against a drain that is never kept because the disk was slow in the moment it was said.
@@ -1760,7 +1760,7 @@
     fn what_a_full_queue_turned_away_is_handed_in_again() {
         let limits = Rc::new(Limits::for_sockets(64));
         let (disk, held) = Disk::in_memory().unwrap();
-        let (opened, ..) = owner::start(disk, held, &limits).unwrap();
+        let (opened, ..) = store_thread::start(disk, held, &limits).unwrap();
         let (inputs, queue) = sync_channel(1);
         let me = Me {
             name: "b1".into(),
--- a/src/fleet/driver/first.rs
+++ b/src/fleet/runtime/first.rs
@@ -1,9 +1,9 @@
 //! Carries out who stands for election first after a start.
 
 use super::{Fleet, Table};
-use crate::fleet::recovery::lead::Voter;
+use crate::fleet::recovery::first_election::Voter;
 use crate::ids::NodeId;
-use crate::store::owner::Input;
+use crate::store::store_thread::Input;
 
 /// A daemon that would hear this one's letters.
 fn voter(table: &Table, id: NodeId) -> Option<Voter> {
--- a/src/fleet/driver/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -1,14 +1,14 @@
 //! Carries out what is decided on zones: hears and tells sights, has moves agreed, shapes the list.
 
 use super::{Fleet, Frame, Outcome, Proposal, Table};
-use crate::core::sights::Seen;
+use crate::engine::outcome_window::Seen;
 use crate::fleet::zones::{Sight, Verdict};
 use crate::fleet::zoning::{self, Order};
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
-use crate::store::agreed::Change;
-use crate::store::owner::Input;
-use crate::store::shares::{Share, WHOLE};
+use crate::store::state_machine::Change;
+use crate::store::store_thread::Input;
+use crate::store::zone_weights::{Share, WHOLE};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
--- a/src/fleet/zones.rs
+++ b/src/fleet/zones.rs
@@ -4,10 +4,10 @@
 //! ([`judge`]) and moves zones by agreed changes with a number ([`Zones::next`]): all that are lost at once, otherwise one
 //! at a time. Every daemon acts on the same ones. A share is the part of its usual reads that a zone gets; writes follow each group's primary.
 
-use crate::core::sights::Seen;
+use crate::engine::outcome_window::Seen;
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
-use crate::store::shares::{Share, WHOLE, Why};
+use crate::store::zone_weights::{Share, WHOLE, Why};
 use crate::time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/fleet/zoning.rs
+++ b/src/fleet/zoning.rs
@@ -6,13 +6,13 @@
 //! itself whether it does.
 
 use super::zones::{Alone, Dwell, Load, Sight, Sights, Verdict, Zones, judge};
-use crate::core::members::Listed;
-use crate::core::sights::Seen;
+use crate::engine::endpoints::Listed;
+use crate::engine::outcome_window::Seen;
 use crate::ids::NodeId;
 use crate::ids::{GroupId, ZoneId};
-use crate::interface::Availability;
-use crate::store::agreed::State;
-use crate::store::shares::{Share, WHOLE, Why};
+use crate::routing::Availability;
+use crate::store::state_machine::State;
+use crate::store::zone_weights::{Share, WHOLE, Why};
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -155,7 +155,7 @@
             let busy: Vec<f64> =
                 words.iter().filter(|s| s.busy > 0).map(|s| f64::from(s.busy) / 1000.0).collect();
             let busy = if busy.is_empty() { 0.0 } else { busy.iter().sum::<f64>() / busy.len() as f64 };
-            let rate = served * 1e6 / crate::core::sights::SPAN.as_micros_f64();
+            let rate = served * 1e6 / crate::engine::outcome_window::SPAN.as_micros_f64();
             let (known, used) = self.usual.entry(*zone).or_insert((rate, busy));
             *known += (rate - *known) * SMOOTH;
             *used += (busy - *used) * SMOOTH;
@@ -262,8 +262,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::store::agreed::{Change, Member};
-    use crate::store::form::HostRecord;
+    use crate::store::records::HostRecord;
+    use crate::store::state_machine::{Change, Member};
 
     /// A second after the clock's zero.
     const S: Timestamp = Timestamp::from_micros(1_000_000);
@@ -363,7 +363,10 @@
         assert_eq!(zoning.sights(S + FRESH, NodeId(1), &state).len(), 1);
         for zone in [0, 1].map(ZoneId) {
             let share = zoning.order(Order::Leave, zone, &state).unwrap();
-            assert_eq!(state.apply(1, &Change::Zone { zone, share }), crate::store::agreed::Effect::Done);
+            assert_eq!(
+                state.apply(1, &Change::Zone { zone, share }),
+                crate::store::state_machine::Effect::Done
+            );
         }
         assert!(zoning.order(Order::Leave, ZoneId(2), &state).is_err());
         let back = zoning.order(Order::Return, ZoneId(0), &state).unwrap();
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -3,8 +3,8 @@
 pub mod yaml;
 
 use crate::config::Limits;
-use crate::core::members::Listed;
-use crate::interface::{Availability, GroupId, Timestamp, ZoneId};
+use crate::engine::endpoints::Listed;
+use crate::routing::{Availability, GroupId, Timestamp, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::Path;
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,8 +1,8 @@
 //! The one place where JSON is read: miniserde, into the few values that the program uses.
 
-use crate::core::members::{Listed, Listing};
-use crate::interface::{Availability, GroupId, Settings, TimeDelta, Timestamp, ZoneId};
-use crate::settings;
+use crate::engine::endpoints::{Listed, Listing};
+use crate::routing::settings_parser;
+use crate::routing::{Availability, GroupId, Settings, TimeDelta, Timestamp, ZoneId};
 use miniserde::json::Value;
 use miniserde::{Deserialize, json};
 use std::collections::BTreeMap;
@@ -203,7 +203,7 @@
     let zones = names("zones");
     let classes = (0..).map_while(|n| flat.get(&format!("services.{n}.name")).cloned()).collect();
     let conn_idle = pairs.get("limits.conn-idle").and_then(|v| v.parse().ok());
-    let settings = settings::read(pairs).map_err(|e| {
+    let settings = settings_parser::read(pairs).map_err(|e| {
         // The reader names a path and its value; the path's last part is the key in the text.
         let stated = e.split_once(": ").map_or("", |(_, rest)| rest.split(' ').next().unwrap_or(""));
         let (path, value) = stated.split_once('=').unwrap_or((stated, ""));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! brookpass: a pooler that routes requests to replicated score hosts.
 //!
-//! `choice` and `interface` are the decision module, without any I/O; `core` owns one such module and knows
+//! `routing` is the decision module, without any I/O; `engine` owns one such module and knows
 //! no wire; `net` holds the fronts and the host sides. `docs/architecture.md` tells how they fit.
 //!
 //! A driver feeds [`Router::handle`] with events and carries out the actions it gets back. One
@@ -9,7 +9,7 @@
 //! among the replicas known to be fresh enough.
 //!
 //! ```
-//! use brookpass::interface::*;
+//! use brookpass::routing::*;
 //! use brookpass::Router;
 //!
 //! let write = Class {
@@ -43,21 +43,19 @@
 //! assert!(actions.iter().any(sent));
 //! ```
 
-pub mod choice;
 pub mod clock;
 pub mod config;
-pub mod core;
 pub mod daemon;
+pub mod engine;
 pub mod fleet;
-pub mod hint;
 pub mod ids;
-pub mod interface;
 pub mod inventory;
 pub mod json;
 pub mod logger;
 pub mod net;
-pub mod settings;
+pub mod primary_hint;
+pub mod routing;
 pub mod store;
 pub mod time;
 
-pub use choice::Router;
+pub use routing::Router;
--- a/src/net/door.rs
+++ b/src/net/admin_server.rs
@@ -1,14 +1,14 @@
 //! The operators' door: HTTP/1.1, one call a connection, on an address of its own.
 
 use super::buffer::Buffer;
-use super::duty::{Duty, State};
+use super::connection::Link;
+use super::connection_limiter::{Place, Welcome};
 use super::http::server::{self, Next, Request};
-use super::link::Link;
-use super::listen::{Place, Welcome};
+use super::lifecycle::{Duty, State};
 use super::until;
 use crate::config::Limits;
-use crate::core::Handle;
-use crate::core::figures::Gauges;
+use crate::engine::Handle;
+use crate::engine::metrics::Gauges;
 use async_channel::Receiver;
 use async_io::Async;
 use std::cell::Cell;
--- a/src/net/hosts.rs
+++ b/src/net/backend_pool.rs
@@ -4,9 +4,9 @@
 use super::until;
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::core::members::Host;
-use crate::core::{Command, Ended, Handle, Input, Need};
-use crate::interface::*;
+use crate::engine::endpoints::Host;
+use crate::engine::{Command, Ended, Handle, Input, Need};
+use crate::routing::*;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
--- a/src/net/link.rs
+++ b/src/net/connection.rs
@@ -2,7 +2,7 @@
 //! an end that does not lose the last answer.
 
 use super::buffer::{Buffer, CHUNK};
-use super::listen::{Place, Standing};
+use super::connection_limiter::{Place, Standing};
 use super::until;
 use crate::clock::Clock;
 use crate::config::Limits;
--- a/src/net/listen.rs
+++ b/src/net/connection_limiter.rs
@@ -1,6 +1,6 @@
 //! A front's listener: connections within the limits, and what happens to them at the end.
 
-use super::duty::Duty;
+use super::lifecycle::Duty;
 use crate::config::Limits;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,7 +3,7 @@
 use super::http::client::Client;
 use super::until;
 use crate::config::Limits;
-use crate::core::members::Listing;
+use crate::engine::endpoints::Listing;
 use crate::json;
 use async_channel::Receiver;
 use fastrand::Rng;
--- a/src/net/peers.rs
+++ b/src/net/gossip_socket.rs
@@ -1,7 +1,7 @@
 //! Datagrams between poolers: at most `Limits::datagram` bytes, late or not at all.
 
 use crate::config::Limits;
-use crate::hint::Hint;
+use crate::primary_hint::Hint;
 use async_io::Async;
 use std::cell::{Cell, OnceCell};
 use std::future::Future;
@@ -82,7 +82,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::{EndpointId, Timestamp};
+    use crate::routing::{EndpointId, Timestamp};
     use async_channel::unbounded;
     use futures_lite::future;
 
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -42,7 +42,7 @@
 
     /// Whether nothing came since the last answer.
     pub fn quiet(&self) -> bool {
-        self.buffer.unread().is_empty() && crate::net::hosts::silent(&self.stream)
+        self.buffer.unread().is_empty() && crate::net::backend_pool::silent(&self.stream)
     }
 
     /// Writes a request.
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -3,7 +3,7 @@
 use super::codec::{Body, Head, Malformed, head};
 use crate::config::Limits;
 use crate::net::buffer::Buffer;
-use crate::net::link::{Heard, Link};
+use crate::net::connection::{Heard, Link};
 
 /// A request that came whole.
 #[derive(Clone, Debug)]
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,16 +1,16 @@
 //! Everything that speaks on sockets. It reaches the module only through [`crate::core::Handle`].
 
+pub mod admin_server;
+pub mod backend_pool;
 pub mod buffer;
+pub mod connection;
+pub mod connection_limiter;
 pub mod discovery;
-pub mod door;
-pub mod duty;
-pub mod hosts;
+pub mod gossip_socket;
 pub mod http;
-pub mod link;
-pub mod listen;
-pub mod passed;
-pub mod peers;
-pub mod pg;
+pub mod inherited_socket;
+pub mod lifecycle;
+pub mod postgres;
 pub mod sparql;
 
 use async_io::Timer;
--- a/src/net/pg/reply.rs
+++ b/src/net/postgres/reply.rs
@@ -4,9 +4,9 @@
 //! length, checked at its first bytes, so that neither noise nor a false length is waited for or kept.
 
 use super::codec::{self, Malformed, message};
-use crate::core::reports::report_of;
-use crate::interface::*;
-use crate::net::hosts::figure;
+use crate::engine::load_report::report_of;
+use crate::net::backend_pool::figure;
+use crate::routing::*;
 
 /// The longest ParameterStatus, ErrorResponse or notice.
 const WORDS: usize = 8 * 1024;
--- a/src/net/pg/reply/tests.rs
+++ b/src/net/postgres/reply/tests.rs
@@ -1,7 +1,7 @@
 //! Hosts' answers in pieces, spoilt and endless.
 
 use super::*;
-use crate::net::pg::codec::put;
+use crate::net::postgres::codec::put;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/src/net/pg/statement.rs
+++ b/src/net/postgres/statement.rs
@@ -1,6 +1,6 @@
 //! The comment in front of a statement: what a client says about its request.
 
-use crate::interface::{GroupId, LogPosition, TimeDelta};
+use crate::routing::{GroupId, LogPosition, TimeDelta};
 use std::ops::Range;
 
 /// A statement as it came, with what its comment says.
--- a/src/net/sparql/host.rs
+++ b/src/net/sparql/host.rs
@@ -3,13 +3,13 @@
 use super::operation::Operation;
 use super::{LOAD, POSITION, ROLE};
 use crate::config::Limits;
-use crate::core::Need;
-use crate::core::reports::report_of;
-use crate::interface::*;
-use crate::net::hosts::{Exchange, Trip, Wire, figure};
+use crate::engine::Need;
+use crate::engine::load_report::report_of;
+use crate::net::backend_pool::{Exchange, Trip, Wire, figure};
 use crate::net::http::client::Client;
 use crate::net::http::codec::{Body, Head};
 use crate::net::until;
+use crate::routing::*;
 use async_channel::Receiver;
 use async_io::Async;
 use std::io;
--- a/src/net/sparql/operation.rs
+++ b/src/net/sparql/operation.rs
@@ -1,10 +1,10 @@
 //! What a client asks for: a query or an update, as the SPARQL 1.1 Protocol puts them into HTTP.
 
 use super::{CLASS, GROUP, KEY, POSITION, SESSION, TIME_LEFT};
-use crate::interface::{GroupId, LogPosition, TimeDelta};
 use crate::net::http::codec::Head;
 use crate::net::http::form;
 use crate::net::http::server::Request;
+use crate::routing::{GroupId, LogPosition, TimeDelta};
 
 /// A refusal by the front itself: a status and its reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/interface.rs
+++ b/src/routing/mod.rs
@@ -3,6 +3,11 @@
 //! Nothing here decides. Times are readings of the driver's own clock; a setting that the
 //! operator does not state is `None`, and the module settles what that means.
 
+mod router;
+pub mod settings_parser;
+
+pub use router::Router;
+
 pub use crate::ids::{EndpointId, GroupId, RequestId, ZoneId};
 pub use crate::time::{LogPosition, TimeDelta, Timestamp};
 
--- a/src/choice.rs
+++ b/src/routing/router.rs
@@ -1,12 +1,12 @@
 //! Every decision of the router, read from top to bottom: learn, write path, read path, attempts and
-//! answers, guards. The types it speaks (settings, events, actions) are in `src/interface.rs`.
+//! answers, guards. The types it speaks (settings, events, actions) are in `src/routing/mod.rs`.
 //!
 //! The ordinary path is the mechanism of the RFT paper as `docs/design.md` lays it out: a believed
 //! primary for each group, a ring of its other members in sorted order, holding of writes after a
 //! round of misses, and the companion draw for reads among replicas known to be fresh enough.
 
-use crate::hint::Hint;
-use crate::interface::*;
+use super::*;
+use crate::primary_hint::Hint;
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
--- a/src/settings.rs
+++ b/src/routing/settings_parser.rs
@@ -2,7 +2,7 @@
 //!
 //! The adapter gets the pairs as text, the daemon flattens its JSON configuration into them.
 
-use crate::interface::*;
+use crate::routing::*;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
--- a/src/store/legacy.rs
+++ b/src/store/legacy.rs
@@ -1,7 +1,7 @@
 //! The store file of the form before the fleet agreed on anything: read once and taken over.
 
-use super::agreed::Change;
-use super::form::HostRecord;
+use super::records::HostRecord;
+use super::state_machine::Change;
 use crate::ids::{GroupId, ZoneId};
 use crate::time::Timestamp;
 
--- a/src/store/replica/tests.rs
+++ b/src/store/raft_node/tests.rs
@@ -1,8 +1,8 @@
 //! Seeded schedules: letters lost, doubled and out of order, crashes before and after a write, no sockets.
 
 use super::*;
-use crate::store::agreed::{Change, Mark, Member};
-use crate::store::form::Step;
+use crate::store::records::Step;
+use crate::store::state_machine::{Change, Mark, Member};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn image(voters: &[NodeId]) -> Image {
@@ -290,7 +290,7 @@
     let foreign = SnapshotRecord {
         index: 9,
         term: 9,
-        state: form::write(&State { fleet: 8, ..State::default() }),
+        state: records::write(&State { fleet: 8, ..State::default() }),
         conf: Conf::default(),
     };
     let broken = SnapshotRecord { state: vec![1, 2, 3], ..foreign.clone() };
--- a/src/store/form.rs
+++ b/src/store/records.rs
@@ -3,10 +3,10 @@
 //! The consensus library keeps its messages in protobuf types. They are made here from parts that were read in
 //! our own form; bytes from a socket or a disk are never parsed by protobuf.
 
-use crate::core::members::Listed;
+use crate::engine::endpoints::Listed;
 use crate::ids::NodeId;
 use crate::ids::{GroupId, ZoneId};
-use crate::interface::Availability;
+use crate::routing::Availability;
 use crate::time::Timestamp;
 use raft::eraftpb::{self, ConfChangeType, EntryType, MessageType};
 use serde::de::DeserializeOwned;
--- a/src/store/agreed.rs
+++ b/src/store/state_machine.rs
@@ -1,9 +1,9 @@
 //! The agreed state: settings, inventory, drain marks, members. No I/O and no clock: the same changes in the
 //! same order make the same state at every daemon.
 
-use super::form::{self, FleetId, HostRecord, Step};
-use super::shares::Share;
-use crate::core::members::{Listed, Listing};
+use super::records::{self, FleetId, HostRecord, Step};
+use super::zone_weights::Share;
+use crate::engine::endpoints::{Listed, Listing};
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
 use crate::time::Timestamp;
@@ -178,8 +178,8 @@
 impl State {
     /// From its bytes; those of a version that knew no regions, or no shares either, are read too.
     pub fn read(bytes: &[u8]) -> Option<State> {
-        let earlier = |missing: &[u8]| form::read_earlier(bytes, missing);
-        form::read(bytes).or_else(|| earlier(&[0, 0])).or_else(|| earlier(&[0, 0, 0]))
+        let earlier = |missing: &[u8]| records::read_earlier(bytes, missing);
+        records::read(bytes).or_else(|| earlier(&[0, 0])).or_else(|| earlier(&[0, 0, 0]))
     }
 
     /// Zones of the same region as this one, itself among them.
@@ -394,7 +394,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::Availability;
+    use crate::routing::Availability;
 
     fn host(name: &str, port: u16) -> Listed {
         Listed { address: ([127, 0, 0, 1], port).into(), ..Listed::plain(name) }
@@ -509,9 +509,9 @@
     /// that is taken for damaged.
     #[test]
     fn a_zone_moves_from_its_last_share_only_and_a_state_without_shares_is_read() {
-        use crate::store::shares::Why;
+        use crate::store::zone_weights::Why;
         let mut s = State::default();
-        let before = form::write(&s);
+        let before = records::write(&s);
         let there = |zone| HostRecord::of(&Listed { zone, ..host("x", 1) });
         s.hosts = [3, 4].map(|zone| (format!("s-{zone}"), there(ZoneId(zone)))).into();
         let first = s.share(ZoneId(3)).then(0, Why::Lost);
@@ -521,7 +521,7 @@
         assert_eq!(s.share(ZoneId(3)), first);
         let last = Change::Zone { zone: ZoneId(4), share: Share::default().then(0, Why::Operator) };
         assert_eq!(s.apply(3, &last), Effect::Refused, "it is the last one");
-        assert_eq!(State::read(&form::write(&s)), Some(s));
+        assert_eq!(State::read(&records::write(&s)), Some(s));
         // The last bytes are the count of shares, when regions were said, and their count: there are none of them.
         for (missing, wanted) in [(2, Some(State::default())), (3, Some(State::default())), (4, None)] {
             let body = &before[4..before.len() - missing];
--- a/src/store/disk.rs
+++ b/src/store/storage.rs
@@ -1,10 +1,10 @@
 //! What a daemon keeps on its disk: its identity, the log, a state, drains that are not agreed yet, and what the
 //! others once said. A crash-safe library (`redb`) keeps it; every value has a check sum of its own.
 
-use super::agreed::Mark;
-use super::form::{self, Hard, LogEntry, SnapshotRecord};
 use super::legacy;
-use super::replica::{Image, Write};
+use super::raft_node::{Image, Write};
+use super::records::{self, Hard, LogEntry, SnapshotRecord};
+use super::state_machine::Mark;
 use crate::ids::NodeId;
 use redb::backends::InMemoryBackend;
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
@@ -100,7 +100,7 @@
     key: &str,
 ) -> Result<Option<T>, String> {
     let Some(found) = table.get(key).map_err(text)? else { return Ok(None) };
-    form::read(found.value()).map(Some).ok_or_else(|| format!("{key} is damaged"))
+    records::read(found.value()).map(Some).ok_or_else(|| format!("{key} is damaged"))
 }
 
 fn read(db: &Database) -> Result<Option<(Identity, Held)>, String> {
@@ -124,7 +124,7 @@
     };
     for row in reading.open_table(LOG).map_err(text)?.iter().map_err(text)? {
         let (index, bytes) = row.map_err(text)?;
-        let entry: Option<LogEntry> = form::read(bytes.value());
+        let entry: Option<LogEntry> = records::read(bytes.value());
         let entry = entry.filter(|e| e.index == index.value());
         image.entries.push(entry.ok_or_else(|| format!("entry {} is damaged", index.value()))?);
     }
@@ -244,8 +244,8 @@
         writing.set_durability(Durability::Immediate).map_err(text)?;
         {
             let mut meta = writing.open_table(META).map_err(text)?;
-            meta.insert("form", &form::write(&FORM)[..]).map_err(text)?;
-            meta.insert("identity", &form::write(&identity)[..]).map_err(text)?;
+            meta.insert("form", &records::write(&FORM)[..]).map_err(text)?;
+            meta.insert("identity", &records::write(&identity)[..]).map_err(text)?;
             writing.open_table(LOG).map_err(text)?;
         }
         writing.commit().map_err(text)?;
@@ -253,7 +253,7 @@
     }
 
     fn put<T: Serialize>(&self, key: &str, value: &T) -> Result<(), String> {
-        self.write(&Write::default(), &[(key, form::write(value))])
+        self.write(&Write::default(), &[(key, records::write(value))])
     }
 
     /// Writes all of this or nothing, and comes back when it is on the disk.
@@ -264,20 +264,20 @@
             let mut meta = writing.open_table(META).map_err(text)?;
             let mut log = writing.open_table(LOG).map_err(text)?;
             if let Some(hard) = &write.hard {
-                meta.insert("hard", &form::write(hard)[..]).map_err(text)?;
+                meta.insert("hard", &records::write(hard)[..]).map_err(text)?;
             }
             if let Some(snapshot) = &write.snapshot {
-                meta.insert("snapshot", &form::write(snapshot)[..]).map_err(text)?;
+                meta.insert("snapshot", &records::write(snapshot)[..]).map_err(text)?;
             }
             if let Some(dropped) = &write.dropped {
-                meta.insert("dropped", &form::write(dropped)[..]).map_err(text)?;
+                meta.insert("dropped", &records::write(dropped)[..]).map_err(text)?;
                 log.retain_in(..=dropped.0, |_, _| false).map_err(text)?;
             }
             if let Some(first) = write.entries.first() {
                 log.retain_in(first.index.., |_, _| false).map_err(text)?;
             }
             for entry in &write.entries {
-                log.insert(entry.index, &form::write(entry)[..]).map_err(text)?;
+                log.insert(entry.index, &records::write(entry)[..]).map_err(text)?;
             }
             for (key, value) in more {
                 meta.insert(*key, &value[..]).map_err(text)?;
--- a/src/store/disk/tests.rs
+++ b/src/store/storage/tests.rs
@@ -1,7 +1,7 @@
 //! The disk under power loss and damage, on a store of bytes that forgets what was not synced.
 
 use super::*;
-use crate::store::agreed::State;
+use crate::store::state_machine::State;
 
 use std::ops::Bound;
 use std::sync::{Arc, Mutex};
@@ -132,7 +132,7 @@
             let mut lost = None;
             for _ in 0..12 {
                 let write = any_write(&mut rng, &image);
-                if disk.write(&write, &[("marks", form::write(&Marks::new()))]).is_err() {
+                if disk.write(&write, &[("marks", records::write(&Marks::new()))]).is_err() {
                     lost = Some(write);
                     break;
                 }
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use brookpass::interface::*;
+use brookpass::routing::*;
 use common::*;
 
 const DRIVERS: u32 = 30;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use brookpass::Router;
-use brookpass::interface::*;
+use brookpass::routing::*;
 
 pub const MS: TimeDelta = TimeDelta::from_millis(1);
 /// Age of data that does not trail.
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -2,15 +2,15 @@
 //! fields in the program may change, the keys and what they mean may not.
 
 use brookpass::config::Limits;
-use brookpass::core::members::{Listed, Listing};
 use brookpass::daemon::file::{self, Operator, StoreConfig};
+use brookpass::engine::endpoints::{Listed, Listing};
 use brookpass::fleet::zones::Dwell;
 use brookpass::fleet::zoning::Leaving;
-use brookpass::interface::*;
 use brookpass::inventory::{self, Inventory};
 use brookpass::json::{self, Platform};
 use brookpass::net::sparql::front::Service;
-use brookpass::settings;
+use brookpass::routing::settings_parser;
+use brookpass::routing::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -71,7 +71,7 @@
         cross_zone_fee,
         probe_fee,
         waste_fee,
-    } = settings::parse(SETTINGS).unwrap();
+    } = settings_parser::parse(SETTINGS).unwrap();
     assert_eq!((drivers, me, zone, step), (Some(3), Some(2), Some(ZoneId(1)), micros(5_000)));
     assert_eq!((over_share_worth, must_subscribe, must_ask_in), (Some(0.3), Some(true), micros(30_000_000)));
     assert_eq!((second_copies, may_cancel, probes), (Some(true), Some(false), Some(true)));
@@ -118,13 +118,13 @@
 /// Guards against a line of the file above that nothing reads: without it some field must be another one.
 #[test]
 fn every_settings_key_counts() {
-    let whole = format!("{:?}", settings::parse(SETTINGS).unwrap());
+    let whole = format!("{:?}", settings_parser::parse(SETTINGS).unwrap());
     // Names belong to those who read the pairs; the report says by itself how it comes.
     let named = |line: &&str| line.contains(".name=");
     let lines: Vec<&str> = SETTINGS.lines().collect();
     for line in lines.iter().filter(|l| !named(l)) {
         let without: String = lines.iter().filter(|l| *l != line).map(|l| format!("{l}\n")).collect();
-        assert_ne!(format!("{:?}", settings::parse(&without).unwrap()), whole, "{line}");
+        assert_ne!(format!("{:?}", settings_parser::parse(&without).unwrap()), whole, "{line}");
     }
 }
 
@@ -132,7 +132,7 @@
 #[test]
 fn every_word_of_a_setting_means_what_it_meant() {
     let class = |line: &str| {
-        let class = settings::parse(&format!("services.count=1\n{line}\n")).unwrap().classes.remove(0);
+        let class = settings_parser::parse(&format!("services.count=1\n{line}\n")).unwrap().classes.remove(0);
         (class.repeat, class.key_group, class.consistency)
     };
     for (word, repeat) in [("repeatable", Repeat::Safe), ("by_key", Repeat::Keyed), ("once", Repeat::Unsafe)]
@@ -151,7 +151,7 @@
     ] {
         assert_eq!(class(&format!("family-info.consistency={word}")), (None, None, Some(consistency)));
     }
-    let read = |line: &str| settings::parse(line).unwrap();
+    let read = |line: &str| settings_parser::parse(line).unwrap();
     for (word, behind) in [("none", Behind::Answers), ("bounce", Behind::Misses), ("await", Behind::Waits)] {
         assert_eq!(read(&format!("family-info.behind={word}")).behind, Some(behind));
     }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use brookpass::Router;
-use brookpass::interface::*;
+use brookpass::routing::*;
 use common::*;
 use fastrand::Rng;
 use std::collections::BTreeMap;
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -1,8 +1,8 @@
 //! One behaviour a test, named for what would be seen if it broke.
 
 mod common;
-use brookpass::hint::Hint;
-use brookpass::interface::*;
+use brookpass::primary_hint::Hint;
+use brookpass::routing::*;
 use common::*;
 
 #[test]
@@ -365,7 +365,7 @@
     let mut rig = Rig::new(s, 3);
     rig.list(ListKind::Full, (1..=3).map(entry).collect());
     (2..=3).for_each(|n| rig.introduce(n, false, 900 * MS));
-    let hint = brookpass::hint::Hint { member: member(1), at: rig.now };
+    let hint = brookpass::primary_hint::Hint { member: member(1), at: rig.now };
     rig.event(Event::Peer { from: 2, bytes: hint.write() });
     let (id, asked) = rig.ask(OWN, 2_000 * MS, Some(100 * MS));
     let probe = |a: &Action| matches!(a, Action::Probe { member: m } if *m == member(1));
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -1,7 +1,7 @@
 //! The states of a PostgreSQL client's connection under random steps, against a short model.
 
 use brookpass::config::Limits;
-use brookpass::net::pg::session::{Session, State, Step};
+use brookpass::net::postgres::session::{Session, State, Step};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -125,7 +125,7 @@
 
 /// Names in the order of the module's ring: a fresh module tries the first one as its primary.
 pub fn names<const N: usize>() -> [String; N] {
-    let mut members = brookpass::core::members::Members::default();
+    let mut members = brookpass::engine::endpoints::Members::default();
     let mut names = std::array::from_fn(|n| format!("host-{n}"));
     names.sort_by_key(|name| members.id(name));
     names
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -1,15 +1,15 @@
 //! Values as stores hold them, and the bytes that commit 029518c wrote for them (`tests/fixtures`).
 #![allow(dead_code)]
 
-use brookpass::core::breaks::Break;
-use brookpass::fleet::learned::{Count, Word};
+use brookpass::engine::log_rollback::Break;
+use brookpass::fleet::gossip::{Count, Word};
 use brookpass::fleet::recovery::{Clocks, Saved};
 use brookpass::ids::{GroupId, NodeId, ZoneId};
-use brookpass::store::agreed::{Change, Mark, Member, Membership, Proposal, Source, State};
-use brookpass::store::disk::{Identity, Marks, Witness};
-use brookpass::store::form::{self, Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
-use brookpass::store::replica::Image;
-use brookpass::store::shares::{Share, Why};
+use brookpass::store::raft_node::Image;
+use brookpass::store::records::{self, Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
+use brookpass::store::state_machine::{Change, Mark, Member, Membership, Proposal, Source, State};
+use brookpass::store::storage::{Identity, Marks, Witness};
+use brookpass::store::zone_weights::{Share, Why};
 use brookpass::time::{LogPosition, TimeDelta, Timestamp};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::{BTreeMap, BTreeSet};
@@ -152,10 +152,10 @@
         index,
         term,
         kind: 0,
-        bytes: form::write(&proposal(from, token, change)),
+        bytes: records::write(&proposal(from, token, change)),
     };
     let members =
-        |index, change: Membership| LogEntry { index, term: 3, kind: 2, bytes: form::write(&change) };
+        |index, change: Membership| LogEntry { index, term: 3, kind: 2, bytes: records::write(&change) };
     vec![
         change(19, 2, B3, 31, drain("s-1-1", mark(B2, 8))),
         LogEntry { index: 20, term: 3, kind: 0, bytes: Vec::new() },
@@ -229,7 +229,7 @@
             index: 20,
             term: 3,
             conf: Conf { voters: vec![B1, B2], learners: vec![B3, B8], ..Conf::default() },
-            state: form::write(&snapshot_state()),
+            state: records::write(&snapshot_state()),
         },
         dropped: (18, 2),
         entries: entries(),
@@ -308,7 +308,7 @@
     if adopted {
         let meta = std::fs::metadata(&path).unwrap();
         let own = Identity { place: (meta.dev(), meta.ino()), ..identity() };
-        put(&path, "identity", &form::write(&own));
+        put(&path, "identity", &records::write(&own));
     }
     path
 }
