--- a/src/bin/brookpass-adapter/frames.rs
+++ b/src/bin/brookpass-adapter/frames.rs
@@ -13,7 +13,7 @@
 pub enum Wire {
     Up { instance: u32, seed: u64, settings: Box<Settings> },
     Stop { instance: u32 },
-    Roster { slot: u8, entries: Vec<Entry> },
+    Roster { slot: u8, entries: Vec<EndpointEntry> },
     Members { instance: u32, kind: ListKind, slot: u8 },
     Event { instance: u32, event: Event },
 }
@@ -47,34 +47,35 @@
     EndpointId { ip: array(b, at), port: u16_at(b, at + 4) }
 }
 
-fn report_at(b: &[u8], at: usize) -> Report {
+fn report_at(b: &[u8], at: usize) -> LoadReport {
     let mut values = [0.0; 4];
     for (n, v) in values.iter_mut().enumerate() {
         *v = f32_at(b, at + 1 + 4 * n);
     }
-    Report { count: b[at].min(4), values }
+    LoadReport { count: b[at].min(4), values }
 }
 
-fn mark(note: u32) -> Option<Mark> {
+fn replica_status(note: u32) -> Option<ReplicaStatus> {
     match note & 3 {
-        role @ (1 | 2) => {
-            Some(Mark { primary: role == 1, position: LogPosition::from_millis(i64::from(note >> 2)) })
-        }
+        role @ (1 | 2) => Some(ReplicaStatus {
+            primary: role == 1,
+            position: LogPosition::from_millis(i64::from(note >> 2)),
+        }),
         _ => None,
     }
 }
 
-fn outcome(status: u8) -> Option<Outcome> {
+fn outcome(status: u8) -> Option<AttemptOutcome> {
     Some(match status {
-        0 => Outcome::Ok,
-        2 => Outcome::Miss,
-        5 => Outcome::Error,
-        11 => Outcome::Full,
-        104 => Outcome::Reset,
-        110 => Outcome::TimedOut,
-        111 => Outcome::ConnectFailed,
-        114 => Outcome::Moot,
-        125 => Outcome::Cancelled,
+        0 => AttemptOutcome::Served,
+        2 => AttemptOutcome::Misdirected,
+        5 => AttemptOutcome::Error,
+        11 => AttemptOutcome::Overloaded,
+        104 => AttemptOutcome::Reset,
+        110 => AttemptOutcome::TimedOut,
+        111 => AttemptOutcome::ConnectFailed,
+        114 => AttemptOutcome::NotSent,
+        125 => AttemptOutcome::Cancelled,
         _ => return None,
     })
 }
@@ -87,10 +88,10 @@
         .ok_or_else(|| format!("offset {from} with {items} items is outside the tail of {}", tail.len()))
 }
 
-fn entry(b: &[u8]) -> Result<Entry, String> {
+fn entry(b: &[u8]) -> Result<EndpointEntry, String> {
     let started = f64_at(b, 20);
-    Ok(Entry {
-        member: member_at(b, 0),
+    Ok(EndpointEntry {
+        endpoint: member_at(b, 0),
         zone: ZoneId(b[6]),
         group: GroupId(u32::from(u16_at(b, 9))),
         availability: match b[11] {
@@ -146,38 +147,38 @@
         }
         3 => {
             let (token, flags) = (f32_at(r, 29), r[33]);
-            Event::Request(Ask {
+            Event::Request(IncomingRequest {
                 id,
                 class: usize::from(u16_at(r, 13)),
                 group: GroupId(f32_at(r, 23) as u32),
                 tenant: usize::from(u16_at(r, 27)),
-                effort: (flags & 1 != 0).then(|| TimeDelta::from_secs_f64(f64_at(r, 15))),
-                token_age: (token > 0.0).then(|| TimeDelta::from_secs_f64(token / 1000.0)),
+                work_hint: (flags & 1 != 0).then(|| TimeDelta::from_secs_f64(f64_at(r, 15))),
+                last_commit_age: (token > 0.0).then(|| TimeDelta::from_secs_f64(token / 1000.0)),
                 session: u64_at(r, 42),
                 repeated: flags & 2 != 0,
-                patience: TimeDelta::from_secs_f64(f64_at(r, 34)),
+                client_timeout: TimeDelta::from_secs_f64(f64_at(r, 34)),
             })
         }
-        4 => Event::Started { id, attempt: r[13], member: member_at(r, 14) },
-        5 => Event::Settled(Settled {
+        4 => Event::ResponseStarted { id, attempt: r[13], endpoint: member_at(r, 14) },
+        5 => Event::AttemptFinished(AttemptFinished {
             id,
-            member: member_at(r, 13),
+            endpoint: member_at(r, 13),
             took: TimeDelta::from_secs_f64(f64_at(r, 19)),
             finished: r[27] != 0,
-            mark: mark(u32_at(r, 28)),
+            replica_status: replica_status(u32_at(r, 28)),
             outcome: outcome(r[32]).ok_or_else(|| format!("unknown outcome {}", r[32]))?,
             attempt: r[33],
             report: report_at(r, 34),
         }),
-        6 => Event::Lapsed { id },
-        7 => Event::Wake { timer: number },
-        8 => Event::Probed {
-            member: member_at(r, 5),
+        6 => Event::RequestCancelled { id },
+        7 => Event::TimerFired { timer: number },
+        8 => Event::ProbeFinished {
+            endpoint: member_at(r, 5),
             ok: r[11] == 0,
             took: TimeDelta::from_secs_f64(f64_at(r, 12)),
             report: report_at(r, 20),
         },
-        9 => Event::Peer { from: u16_at(r, 5), bytes: tail_part(r, 7, tail, 1)?.to_vec() },
+        9 => Event::PeerMessage { from: u16_at(r, 5), bytes: tail_part(r, 7, tail, 1)?.to_vec() },
         other => return Err(format!("unknown event code {other}")),
     };
     Ok(Wire::Event { instance, event })
@@ -218,29 +219,29 @@
     /// Adds one action.
     pub fn action(&mut self, instance: u32, action: &Action) {
         let seconds = |length: TimeDelta| length.as_secs_f64().to_le_bytes();
-        let member = |m: &EndpointId| {
+        let endpoint = |m: &EndpointId| {
             let mut b = [0; 6];
             b[..4].copy_from_slice(&m.ip);
             b[4..].copy_from_slice(&m.port.to_le_bytes());
             b
         };
         match action {
-            Action::Send { id, member: m, stop_at } => {
+            Action::Send { id, endpoint: m, stop_at } => {
                 let stop = stop_at.map_or([0; 8], |at| at.as_secs_f64().to_le_bytes());
-                self.record(1, instance, &[&id.0.to_le_bytes(), &member(m), &stop]);
+                self.record(1, instance, &[&id.0.to_le_bytes(), &endpoint(m), &stop]);
             }
-            Action::Refuse { id, retry_in } => {
-                let wait = retry_in.map_or([0; 8], seconds);
+            Action::Reject { id, retry_after } => {
+                let wait = retry_after.map_or([0; 8], seconds);
                 self.record(2, instance, &[&id.0.to_le_bytes(), &wait]);
             }
             Action::Fail { id } => self.record(3, instance, &[&id.0.to_le_bytes()]),
             Action::Cancel { id, attempt } => self.record(4, instance, &[&id.0.to_le_bytes(), &[*attempt]]),
-            Action::WakeIn { span, timer } => {
+            Action::SetTimer { span, timer } => {
                 self.record(5, instance, &[&seconds(*span), &timer.to_le_bytes()]);
             }
-            Action::Probe { member: m } => self.record(6, instance, &[&member(m)]),
-            Action::CloseIdle { member: m } => self.record(7, instance, &[&member(m)]),
-            Action::Tell { to, bytes } => {
+            Action::Probe { endpoint: m } => self.record(6, instance, &[&endpoint(m)]),
+            Action::CloseIdle { endpoint: m } => self.record(7, instance, &[&endpoint(m)]),
+            Action::SendToPeers { to, bytes } => {
                 let place = self.tail(bytes);
                 self.record(8, instance, &[&to.unwrap_or(u16::MAX).to_le_bytes(), &place]);
             }
--- a/src/bin/brookpass-adapter/main.rs
+++ b/src/bin/brookpass-adapter/main.rs
@@ -13,7 +13,7 @@
 #[derive(Default)]
 struct Host {
     routers: BTreeMap<u32, Router>,
-    rosters: BTreeMap<u8, Vec<Entry>>,
+    rosters: BTreeMap<u8, Vec<EndpointEntry>>,
     actions: Vec<Action>,
 }
 
@@ -38,11 +38,11 @@
                     continue;
                 }
                 Wire::Members { instance, kind: ListKind::Failed, .. } => {
-                    (instance, Event::Members { kind: ListKind::Failed, entries: Vec::new() })
+                    (instance, Event::EndpointList { kind: ListKind::Failed, entries: Vec::new() })
                 }
                 Wire::Members { instance, kind, slot } => {
                     let entries = self.rosters.get(&slot).ok_or(format!("list {slot} was never given"))?;
-                    (instance, Event::Members { kind, entries: entries.clone() })
+                    (instance, Event::EndpointList { kind, entries: entries.clone() })
                 }
                 Wire::Event { instance, event } => (instance, event),
             };
--- a/src/bin/brookpass-adapter/tests.rs
+++ b/src/bin/brookpass-adapter/tests.rs
@@ -118,17 +118,17 @@
 
 #[test]
 fn every_action_is_one_record_of_its_size_with_text_in_the_tail() {
-    let member = EndpointId { ip: [1, 2, 3, 4], port: 5 };
+    let endpoint = EndpointId { ip: [1, 2, 3, 4], port: 5 };
     let mut reply = Reply::default();
     let actions = [
-        Action::Send { id: RequestId(1), member, stop_at: Some(Timestamp::from_micros(2_500_000)) },
-        Action::Refuse { id: RequestId(2), retry_in: Some(TimeDelta::from_millis(250)) },
+        Action::Send { id: RequestId(1), endpoint, stop_at: Some(Timestamp::from_micros(2_500_000)) },
+        Action::Reject { id: RequestId(2), retry_after: Some(TimeDelta::from_millis(250)) },
         Action::Fail { id: RequestId(3) },
         Action::Cancel { id: RequestId(4), attempt: 6 },
-        Action::WakeIn { span: TimeDelta::from_millis(1), timer: 8 },
-        Action::Probe { member },
-        Action::CloseIdle { member },
-        Action::Tell { to: None, bytes: b"hi".to_vec() },
+        Action::SetTimer { span: TimeDelta::from_millis(1), timer: 8 },
+        Action::Probe { endpoint },
+        Action::CloseIdle { endpoint },
+        Action::SendToPeers { to: None, bytes: b"hi".to_vec() },
         Action::Log { text: "two".to_string() },
         Action::Subscribe { on: true },
         Action::FetchList,
--- a/src/config.rs
+++ b/src/config.rs
@@ -8,148 +8,148 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Client connections held at once.
-    pub clients: usize,
+    pub client_connections: usize,
     /// Connections to hosts held at once, idle ones included.
-    pub hosts: usize,
+    pub backend_connections: usize,
     /// Connections that are only told that there are too many.
-    pub turned_away: usize,
+    pub rejected_connections: usize,
     /// Connections of operators.
-    pub door: usize,
+    pub admin_connections: usize,
     /// Requests open at once.
-    pub requests: usize,
+    pub open_requests: usize,
     /// Inputs that wait for the module's owner.
-    pub queue: usize,
+    pub input_queue: usize,
     /// Connections of clients that have asked something, beyond which those that asked once make room.
-    pub crowded: usize,
+    pub crowded_clients: usize,
     /// A client's connection that stood idle for so long ends.
     pub client_idle: Duration,
     /// Time between two looks for such connections.
-    pub relief: Duration,
+    pub idle_check_interval: Duration,
     /// Bytes of its message that a client may have held without asking for room.
-    pub small: usize,
+    pub unbudgeted_message: usize,
     /// Bytes that the longer messages of all clients may hold together.
-    pub held: usize,
+    pub message_budget: usize,
     /// Bytes that are read of what a client sends behind requests that are still open, and the length of these
     /// from which on no further one is taken.
-    pub ahead: usize,
+    pub read_ahead: usize,
     /// Requests of one connection that may be open at once.
-    pub pipeline: usize,
+    pub pipelined_requests: usize,
     /// The longest startup message of a client.
-    pub startup_message: usize,
+    pub startup_message_bytes: usize,
     /// The longest message of a client.
-    pub message: usize,
+    pub client_message: usize,
     /// Answers of an HTTP host up to this are held until they are whole.
-    pub answer: usize,
+    pub http_answer_buffer: usize,
     /// Rows of a PostgreSQL host up to this are held until they are whole, and asked for again if they are not.
-    pub whole: usize,
+    pub postgres_row_buffer: usize,
     /// The longest row of a PostgreSQL host.
-    pub row: usize,
+    pub postgres_row: usize,
     /// The longest head of an HTTP message.
-    pub head: usize,
+    pub http_head: usize,
     /// Headers of an HTTP message.
-    pub headers: usize,
+    pub http_headers: usize,
     /// The longest list of discovery.
-    pub list: usize,
+    pub discovery_answer: usize,
     /// The longest datagram to a peer.
-    pub datagram: usize,
+    pub datagram_bytes: usize,
     /// Time for a connection to a host to be ready.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// An idle connection to a host is closed after this, before the host would.
     pub host_idle: Duration,
     /// Time for a client to send its first request whole from its connection, any other from its first byte.
-    pub startup: Duration,
+    pub first_request_timeout: Duration,
     /// A client that has sent no whole request for so long makes room before one that has.
-    pub grace: Duration,
+    pub silent_client_grace: Duration,
     /// A request that has waited for so long in the buffer is sent on only if its client is still there; whether
     /// one that is not read is still there is looked at as often.
-    pub depart: Duration,
+    pub departure_check_interval: Duration,
     /// Time for a client to take its answer.
-    pub write: Duration,
+    pub client_write_timeout: Duration,
     /// How long discovery may hold a watch.
-    pub watch: Duration,
+    pub discovery_watch: Duration,
     /// How long discovery may take beyond that.
-    pub discovery: Duration,
+    pub discovery_timeout: Duration,
     /// How long discovery may hold the call after one that failed.
-    pub recheck: Duration,
+    pub discovery_recheck: Duration,
     /// How long discovery may take at the longest, after calls that failed: it may have those of others to answer
     /// first.
-    pub first_list: Duration,
+    pub discovery_timeout_after_failure: Duration,
     /// A process that has a list from before uses it when discovery has said nothing for so long.
-    pub stale_list: Duration,
+    pub cached_list_delay: Duration,
     /// Calls that discovery had no room for are spread over so long.
-    pub overbooked: Duration,
+    pub discovery_spread: Duration,
     /// First and longest pause after a failed call to discovery.
-    pub pause: (Duration, Duration),
+    pub discovery_backoff: (Duration, Duration),
     /// The answer goes out this long before the client stops waiting.
-    pub margin: Duration,
+    pub answer_margin: Duration,
     /// A connection that is closed is read for so long, or its last answer may be lost with a reset, and for no
     /// more bytes than these.
-    pub linger: (Duration, usize),
+    pub close_linger: (Duration, usize),
     /// A host that sends nothing for so long in the midst of an answer has broken off.
-    pub stall: Duration,
+    pub backend_stall_timeout: Duration,
     /// A host that sends nothing for so long in the midst of an answer that is held back has spoilt it.
-    pub answer_stall: Duration,
+    pub buffered_answer_stall_timeout: Duration,
     /// What belongs to no answer comes right behind one: a connection rests for so long before it is used
     /// again, so that it is seen.
-    pub settle: Duration,
+    pub connection_settle_time: Duration,
     /// How long a client waits that does not say so.
-    pub patience: Duration,
+    pub default_client_timeout: Duration,
     /// Parts of a long answer that wait for the client.
-    pub parts: usize,
+    pub answer_chunks: usize,
     /// The longest file that is read.
-    pub file: u64,
+    pub file_bytes: u64,
     /// Parts of a YAML file, its aliases followed, and levels in it.
-    pub yaml: (usize, usize),
+    pub yaml_limits: (usize, usize),
     /// Refusals of a front itself ask to come back after this.
-    pub again: Duration,
+    pub front_retry_after: Duration,
     /// The module answers at a deadline; a request that it has not answered so long after fails without it.
-    pub overdue: Duration,
+    pub deadline_grace: Duration,
     /// Time between two looks for idle connections.
-    pub tidy: Duration,
+    pub pool_sweep_interval: Duration,
     /// A listener's address that another process still has is waited for so long.
-    pub port: Duration,
+    pub bind_timeout: Duration,
     /// Pause after a connection could not be taken.
-    pub accept: Duration,
+    pub accept_retry_delay: Duration,
     /// Time between two looks at files, and between two exchanges with a peer of the store.
-    pub period: Duration,
+    pub file_check_interval: Duration,
     /// Between two looks at how far service has returned, until it has.
-    pub turn: Duration,
+    pub recovery_check_interval: Duration,
     /// Between two looks at zones, while hosts are asked.
-    pub look: Duration,
+    pub zone_check_interval: Duration,
     /// After SIGTERM connections are taken, and those that stand idle kept, for this long.
-    pub lame: Duration,
+    pub shutdown_accept_period: Duration,
     /// Longer deadlines of clients are not waited for after SIGTERM.
-    pub drain: Duration,
+    pub shutdown_deadline: Duration,
     /// So long before that what is still open gets its final answer all the same.
-    pub last_answers: Duration,
+    pub final_answer_margin: Duration,
     /// Between two ticks of the agreement. An election comes after 10 to 20 without a word of a leader.
-    pub tick: Duration,
+    pub raft_tick: Duration,
     /// Between two words that a daemon has for each other one, also where there is nothing new.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// A call that changes what is agreed waits for a majority for so long.
-    pub agree: Duration,
+    pub agreement_timeout: Duration,
     /// What was not agreed is said again after this.
-    pub insist: Duration,
+    pub proposal_retry_interval: Duration,
     /// What was learned of the hosts is written to the disk no more often than this.
-    pub keep: Duration,
+    pub gossip_save_interval: Duration,
     /// A daemon that said nothing for so long counts as gone where another of its name has come.
-    pub gone: Duration,
+    pub peer_gone_timeout: Duration,
     /// Bytes and entries of the agreed log, beyond which its older half goes.
     pub log_bytes: usize,
     /// See `log_bytes`.
     pub log_entries: usize,
     /// Daemons of a fleet, and changes that wait for a majority.
-    pub members: usize,
+    pub fleet_nodes: usize,
     /// The longest frame between daemons.
-    pub frame: usize,
+    pub peer_message_bytes: usize,
     /// Frames that wait for one daemon, and their bytes; what comes then is dropped.
-    pub frames: (usize, usize),
+    pub peer_queue: (usize, usize),
     /// Drains that wait for a majority.
-    pub marks: usize,
+    pub pending_drains: usize,
     /// Facts about hosts that go into one frame.
-    pub facts: usize,
+    pub observations_per_message: usize,
     /// An answer to the readiness query waits at most this long for the first list.
-    pub ready: Duration,
+    pub readiness_timeout: Duration,
 }
 
 /// What the program may use of its machine.
@@ -213,123 +213,131 @@
         let Machine { sockets, reserved, memory_mb, door } = machine;
         let free = sockets.saturating_sub(reserved).max(16);
         // An open request needs one connection on each side; idle and silent ones pile up on the clients'.
-        let (clients, turned_away) = (free / 2, free / 16);
+        let (clients, rejected) = (free / 2, free / 16);
         let eighth = (memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
         Limits {
-            clients,
-            turned_away,
-            hosts: free - clients - turned_away,
-            door: if door { DOOR } else { 0 },
-            requests: 4096,
-            crowded: clients,
+            client_connections: clients,
+            rejected_connections: rejected,
+            backend_connections: free - clients - rejected,
+            admin_connections: if door { DOOR } else { 0 },
+            open_requests: 4096,
+            crowded_clients: clients,
             client_idle: Duration::from_secs(60),
-            relief: Duration::from_millis(50),
+            idle_check_interval: Duration::from_millis(50),
             // A long statement is held up to five times on its way: read, taken, numbered, written out.
-            small: 16 * 1024,
-            held: eighth,
-            ahead: (eighth / clients).clamp(8 * 1024, 64 * 1024),
-            pipeline: 64,
-            queue: 1024,
-            startup_message: 10_000,
+            unbudgeted_message: 16 * 1024,
+            message_budget: eighth,
+            read_ahead: (eighth / clients).clamp(8 * 1024, 64 * 1024),
+            pipelined_requests: 64,
+            input_queue: 1024,
+            startup_message_bytes: 10_000,
             // Values hold 64 KiB at the most; in a statement each byte takes two digits.
-            message: 2 * VALUE + 4 * 1024,
-            answer: 1024 * 1024,
-            whole: VALUE,
+            client_message: 2 * VALUE + 4 * 1024,
+            http_answer_buffer: 1024 * 1024,
+            postgres_row_buffer: VALUE,
             // Values run to 4 MiB.
-            row: 4 * 1024 * 1024 + 1024,
-            head: 16 * 1024,
-            headers: 100,
-            list: 4 * 1024 * 1024,
-            datagram: 256,
-            connect: Duration::from_millis(250),
+            postgres_row: 4 * 1024 * 1024 + 1024,
+            http_head: 16 * 1024,
+            http_headers: 100,
+            discovery_answer: 4 * 1024 * 1024,
+            datagram_bytes: 256,
+            connect_timeout: Duration::from_millis(250),
             host_idle: Duration::from_secs(14),
-            startup: Duration::from_millis(2_500),
-            grace: Duration::from_millis(100),
-            depart: Duration::from_millis(25),
-            write: Duration::from_secs(5),
+            first_request_timeout: Duration::from_millis(2_500),
+            silent_client_grace: Duration::from_millis(100),
+            departure_check_interval: Duration::from_millis(25),
+            client_write_timeout: Duration::from_secs(5),
             // A watch that fell silent must be noticed before what it has to tell counts as told all the same.
-            watch: Duration::from_secs(2),
-            discovery: Duration::from_secs(1),
-            recheck: Duration::from_millis(100),
-            first_list: Duration::from_millis(2_500),
-            stale_list: Duration::from_millis(100),
-            overbooked: CALL,
-            pause: (Duration::from_millis(50), Duration::from_secs(1)),
-            margin: Duration::from_millis(4),
-            linger: (Duration::from_millis(500), 1024 * 1024),
-            stall: Duration::from_secs(10),
-            answer_stall: Duration::from_millis(120),
-            settle: Duration::from_millis(1),
-            patience: Duration::from_secs(30),
-            parts: 4,
-            file: 4 * 1024 * 1024,
-            yaml: (200_000, 64),
-            again: Duration::from_millis(200),
-            overdue: Duration::from_millis(10),
-            tidy: Duration::from_millis(500),
-            accept: Duration::from_millis(5),
-            port: Duration::from_secs(20),
-            period: Duration::from_millis(500),
-            turn: Duration::from_millis(20),
-            look: Duration::from_millis(100),
-            lame: Duration::from_millis(450),
-            drain: Duration::from_secs(3),
-            last_answers: Duration::from_millis(100),
-            tick: Duration::from_millis(50),
-            beat: Duration::from_millis(500),
-            agree: Duration::from_secs(2),
-            insist: Duration::from_millis(250),
-            keep: Duration::from_secs(5),
-            gone: Duration::from_secs(2),
+            discovery_watch: Duration::from_secs(2),
+            discovery_timeout: Duration::from_secs(1),
+            discovery_recheck: Duration::from_millis(100),
+            discovery_timeout_after_failure: Duration::from_millis(2_500),
+            cached_list_delay: Duration::from_millis(100),
+            discovery_spread: CALL,
+            discovery_backoff: (Duration::from_millis(50), Duration::from_secs(1)),
+            answer_margin: Duration::from_millis(4),
+            close_linger: (Duration::from_millis(500), 1024 * 1024),
+            backend_stall_timeout: Duration::from_secs(10),
+            buffered_answer_stall_timeout: Duration::from_millis(120),
+            connection_settle_time: Duration::from_millis(1),
+            default_client_timeout: Duration::from_secs(30),
+            answer_chunks: 4,
+            file_bytes: 4 * 1024 * 1024,
+            yaml_limits: (200_000, 64),
+            front_retry_after: Duration::from_millis(200),
+            deadline_grace: Duration::from_millis(10),
+            pool_sweep_interval: Duration::from_millis(500),
+            accept_retry_delay: Duration::from_millis(5),
+            bind_timeout: Duration::from_secs(20),
+            file_check_interval: Duration::from_millis(500),
+            recovery_check_interval: Duration::from_millis(20),
+            zone_check_interval: Duration::from_millis(100),
+            shutdown_accept_period: Duration::from_millis(450),
+            shutdown_deadline: Duration::from_secs(3),
+            final_answer_margin: Duration::from_millis(100),
+            raft_tick: Duration::from_millis(50),
+            heartbeat_interval: Duration::from_millis(500),
+            agreement_timeout: Duration::from_secs(2),
+            proposal_retry_interval: Duration::from_millis(250),
+            gossip_save_interval: Duration::from_secs(5),
+            peer_gone_timeout: Duration::from_secs(2),
             // Ten thousand changes of one host each are caught up by differences.
             log_bytes: 4 * 1024 * 1024,
             log_entries: 16 * 1024,
-            members: 32,
-            frame: 8 * 1024 * 1024,
-            frames: (512, 16 * 1024 * 1024),
-            marks: 10_000,
-            facts: 512,
-            ready: Duration::from_millis(500),
+            fleet_nodes: 32,
+            peer_message_bytes: 8 * 1024 * 1024,
+            peer_queue: (512, 16 * 1024 * 1024),
+            pending_drains: 10_000,
+            observations_per_message: 512,
+            readiness_timeout: Duration::from_millis(500),
         }
     }
     /// Limits of the operators' door: calls are few and short, and share nothing with clients.
     pub fn for_door(&self) -> Limits {
         Limits {
-            clients: self.door,
-            turned_away: self.door / 4,
-            crowded: self.door,
-            client_idle: self.startup,
-            relief: self.period,
-            message: 4 * 1024,
-            head: 4 * 1024,
+            client_connections: self.admin_connections,
+            rejected_connections: self.admin_connections / 4,
+            crowded_clients: self.admin_connections,
+            client_idle: self.first_request_timeout,
+            idle_check_interval: self.file_check_interval,
+            client_message: 4 * 1024,
+            http_head: 4 * 1024,
             ..self.clone()
         }
     }
     /// All clients together hold at most so many connections for requests: those that lie idle are taken from
     /// those that ask, and end soon.
     pub fn clients_hold(&mut self, most: usize) {
-        self.crowded = (most * 5 / 8).clamp(1, self.clients);
+        self.crowded_clients = (most * 5 / 8).clamp(1, self.client_connections);
         self.client_idle = Duration::from_secs(2);
     }
     /// So many poolers share discovery.
     pub fn tier(&mut self, poolers: Option<u32>) {
-        self.overbooked = (CALL * poolers.unwrap_or(1).clamp(1, 10_000)).min(ASK_AGAIN);
+        self.discovery_spread = (CALL * poolers.unwrap_or(1).clamp(1, 10_000)).min(ASK_AGAIN);
     }
     /// How long after SIGTERM connections are taken and idle ones kept, and when the program ends, where no
-    /// client has given a request longer than `patience`. One that is `alone` has nobody to leave its clients
+    /// client has given a request longer than `client_timeout`. One that is `alone` has nobody to leave its clients
     /// to: it serves those that it has for as long as what they ask can still be answered.
-    pub fn ending(&self, patience: Option<TimeDelta>, alone: bool) -> (Duration, Duration) {
-        let patience = patience.unwrap_or(TimeDelta::ZERO).to_duration().min(self.drain);
+    pub fn ending(&self, client_timeout: Option<TimeDelta>, alone: bool) -> (Duration, Duration) {
+        let client_timeout =
+            client_timeout.unwrap_or(TimeDelta::ZERO).to_duration().min(self.shutdown_deadline);
         // Killed no sooner than the longest deadline and 0.7 s more after SIGTERM.
-        let end = patience.max(self.lame) + Duration::from_millis(550);
-        (if alone { self.lame.max(end.saturating_sub(LAST_CALL)) } else { self.lame }, end)
+        let end = client_timeout.max(self.shutdown_accept_period) + Duration::from_millis(550);
+        (
+            if alone {
+                self.shutdown_accept_period.max(end.saturating_sub(LAST_CALL))
+            } else {
+                self.shutdown_accept_period
+            },
+            end,
+        )
     }
     /// The longest deadline of these classes is waited for after SIGTERM, whatever a client claims: the platform's
     /// SIGKILL follows that.
     pub fn deadlines_at_most(&mut self, classes: &[Class]) {
         let longest = classes.iter().map(|c| c.deadline).reduce(|a, b| Some(a?.max(b?))).flatten();
         if let Some(longest) = longest {
-            self.drain = self.drain.min(longest.to_duration());
+            self.shutdown_deadline = self.shutdown_deadline.min(longest.to_duration());
         }
     }
     /// Hosts close connections that stood idle for so many seconds; ours go well before: a request that
--- a/src/daemon/file.rs
+++ b/src/daemon/file.rs
@@ -348,13 +348,13 @@
 pub fn load(path: &Path) -> Result<Operator, String> {
     // How many descriptors there are stands in the file: until it is read the least will do.
     let limits = Limits::for_sockets(0);
-    let (text, changed) = text(path, limits.file)?;
+    let (text, changed) = text(path, limits.file_bytes)?;
     parse(path, &text, changed, &limits).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Reads an inventory; errors name file and line.
 pub fn inventory(path: &Path, zones: &[String], limits: &Limits) -> Result<(Inventory, Timestamp), String> {
-    let (text, changed) = text(path, limits.file)?;
+    let (text, changed) = text(path, limits.file_bytes)?;
     let all = inventory::parse(path, &text, zones, limits).map_err(|e| format!("{}: {e}", path.display()))?;
     Ok((all, changed))
 }
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -5,11 +5,11 @@
 pub mod platform;
 
 use crate::config::Limits;
-use crate::engine::{Command, Control, Handle};
-use crate::net::admin_server::Door;
-use crate::net::backend_pool::{Hosts, Wire};
-use crate::net::connection_limiter::{self, Place, Seats, Welcome};
-use crate::net::lifecycle::Duty;
+use crate::engine::{Command, Control, EngineHandle};
+use crate::net::admin_server::AdminServer;
+use crate::net::backend_pool::{BackendPool, BackendProtocol};
+use crate::net::connection_limiter::{self, AcceptDecision, ConnectionLimiter, ConnectionSlot};
+use crate::net::lifecycle::Lifecycle;
 use crate::net::until;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -58,11 +58,11 @@
 }
 
 /// Carries out the core's commands for ever; what is not for hosts goes to `other`.
-pub fn carry<W: Wire>(
+pub fn carry<W: BackendProtocol>(
     executor: &Executor,
-    hosts: &Rc<Hosts<W>>,
+    hosts: &Rc<BackendPool<W>>,
     commands: Receiver<Command<W::Work>>,
-    handle: &Handle<W::Work, W::Answer>,
+    handle: &EngineHandle<W::Work, W::Answer>,
     other: impl AsyncFn(Command<W::Work>) + 'static,
 ) -> Task<()> {
     let (hosts, handle, executor2) = (hosts.clone(), handle.clone(), executor.clone());
@@ -105,8 +105,8 @@
 pub fn accept<F: Future<Output = ()> + 'static>(
     executor: &Executor,
     listener: Async<TcpListener>,
-    seats: &Rc<Seats>,
-    serve: impl Fn(Async<TcpStream>, Place, Welcome) -> F + 'static,
+    seats: &Rc<ConnectionLimiter>,
+    serve: impl Fn(Async<TcpStream>, ConnectionSlot, AcceptDecision) -> F + 'static,
 ) -> Accepting {
     let (seats, executor2) = (seats.clone(), executor.clone());
     let tidy = seats.clone();
@@ -126,18 +126,18 @@
     at: SocketAddr,
     name: &str,
     limits: &Limits,
-    handle: &Handle<W, A>,
-    duty: &Rc<Duty>,
+    handle: &EngineHandle<W, A>,
+    duty: &Rc<Lifecycle>,
     ready: &Receiver<()>,
     more: impl Fn() -> String + 'static,
 ) -> Result<(), String> {
     let name = name.to_string();
-    let door = Rc::new(Door::new(limits, handle.clone(), duty.clone(), ready.clone(), more));
+    let door = Rc::new(AdminServer::new(limits, handle.clone(), duty.clone(), ready.clone(), more));
     let open = {
         let executor = executor.clone();
         move |listener: Async<TcpListener>| {
             log::info!("{name}: operators at http://{}", listener.get_ref().local_addr().unwrap_or(at));
-            let seats = Seats::new(door.limits().clone(), Rc::default());
+            let seats = ConnectionLimiter::new(door.limits().clone(), Rc::default());
             let serving = accept(&executor, listener, &seats, move |stream, place, welcome| {
                 let door = door.clone();
                 async move { door.serve(stream, place, welcome).await }
@@ -179,9 +179,9 @@
 pub async fn until_drained<W, A>(
     mut ends: Async<UnixStream>,
     limits: &Limits,
-    seats: &Seats,
-    duty: &Duty,
-    handle: &Handle<W, A>,
+    seats: &ConnectionLimiter,
+    duty: &Lifecycle,
+    handle: &EngineHandle<W, A>,
     leave: Leave,
     accepting: Accepting,
     carrying: Task<()>,
@@ -194,7 +194,7 @@
         signalled(&mut ends).await;
         let began = Instant::now();
         duty.end();
-        let (lame, end) = limits.ending(handle.patience(), leave == Leave::Nobody);
+        let (lame, end) = limits.ending(handle.client_timeout(), leave == Leave::Nobody);
         let end = began + end;
         if leave == Leave::Successor {
             // Whoever comes now is the successor's, which listens on the same socket.
@@ -208,8 +208,8 @@
             accepting.finish().await;
         }
         seats.close();
-        if until(end - limits.last_answers, seats.emptied()).await.is_none() {
-            handle.control(Control::End).await;
+        if until(end - limits.final_answer_margin, seats.emptied()).await.is_none() {
+            handle.control(Control::FinishAll).await;
             seats.cut_waiting();
             until(end, seats.emptied()).await;
         }
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -5,14 +5,14 @@
 use crate::clock::Clock;
 use crate::config::{Limits, Machine};
 use crate::engine::classes::Classes;
-use crate::engine::{self, Command, Control, Handle, Input};
+use crate::engine::{self, Command, Control, EngineHandle, Input};
 use crate::fleet::admin_api;
 use crate::fleet::recovery::phases::{Cold, Step};
 use crate::fleet::runtime::{Files, Fleet, Me};
-use crate::net::backend_pool::Hosts;
-use crate::net::connection::Link;
-use crate::net::connection_limiter::{self, Seats};
-use crate::net::lifecycle::Duty;
+use crate::net::backend_pool::BackendPool;
+use crate::net::connection::ClientConnection;
+use crate::net::connection_limiter::{self, ConnectionLimiter};
+use crate::net::lifecycle::Lifecycle;
 use crate::net::sparql::front::{self, Front};
 use crate::net::sparql::host::Sparql;
 use crate::net::until;
@@ -43,7 +43,8 @@
     // What was read at the start is read once more: the file may have changed since.
     let mut seen = None;
     loop {
-        let asked = until(Instant::now() + limits.period, signalled(&mut hangup)).await.is_some();
+        let asked =
+            until(Instant::now() + limits.file_check_interval, signalled(&mut hangup)).await.is_some();
         let Some(path) = &operator.inventory else { continue };
         let now = stamp(path);
         if now == seen && !asked {
@@ -67,7 +68,7 @@
 /// those that run: a module keeps those that it was started with.
 async fn follow<W, A>(
     fleet: &Fleet,
-    handle: &Handle<W, A>,
+    handle: &EngineHandle<W, A>,
     ready: async_channel::Sender<()>,
     mut settings: String,
 ) {
@@ -79,7 +80,7 @@
             settings = newer;
         }
         if let Some(list) = fleet.list_change(&mut list) {
-            handle.control(Control::List { list, cached: false }).await;
+            handle.control(Control::EndpointList { list, cached: false }).await;
             ready.close();
         }
         let _ = changed.recv().await;
@@ -95,11 +96,11 @@
         if let Some(text) = fleet.settings() {
             return text;
         }
-        if !told && began.elapsed() > limits.period * 4 {
+        if !told && began.elapsed() > limits.file_check_interval * 4 {
             told = true;
             log::warn!("not ready: no settings are agreed yet; {}", fleet.table().stand.0);
         }
-        let _ = until(Instant::now() + limits.period, changed.recv()).await;
+        let _ = until(Instant::now() + limits.file_check_interval, changed.recv()).await;
     }
 }
 
@@ -112,7 +113,7 @@
             let _ = changed.recv().await;
         }
     };
-    if until(Instant::now() + limits.discovery * 2, wait).await.is_none() {
+    if until(Instant::now() + limits.discovery_timeout * 2, wait).await.is_none() {
         log::warn!("fleet: no majority is known; serving with what was last agreed");
     }
 }
@@ -120,17 +121,17 @@
 /// How cold hosts behave, by the settings; without a word of it they are warm from the start.
 fn cold(settings: &Settings) -> Cold {
     Cold {
-        share: settings.cold_share.unwrap_or(1.0),
+        share: settings.cold_capacity.unwrap_or(1.0),
         warm_up: settings.warm_up.unwrap_or(TimeDelta::ZERO),
-        multiple: settings.fall_multiple.unwrap_or(1.0).max(1.0),
+        multiple: settings.overload_multiple.unwrap_or(1.0).max(1.0),
     }
 }
 
 /// Has service return as far as it can now; whether all groups are served.
-async fn return_on<W, A>(fleet: &Fleet, handle: &Handle<W, A>, listed: bool) -> bool {
+async fn return_on<W, A>(fleet: &Fleet, handle: &EngineHandle<W, A>, listed: bool) -> bool {
     let (terms, turns) = fleet.return_on(listed);
-    handle.control(Control::Turns(turns)).await;
-    handle.control(Control::Admit(terms)).await;
+    handle.control(Control::SetPollParticipants(turns)).await;
+    handle.control(Control::SetAdmission(terms)).await;
     fleet.service().step >= Step::Rest
 }
 
@@ -142,8 +143,8 @@
     let machine = Machine::operator(operator.sockets);
     let mut limits = Limits::on(if operator.admin.is_some() { machine.with_door() } else { machine });
     // Here connections are many but none makes room in haste: idle ones may be looked for at leisure.
-    limits.relief = limits.period;
-    limits.tidy = limits.period * 4;
+    limits.idle_check_interval = limits.file_check_interval;
+    limits.pool_sweep_interval = limits.file_check_interval * 4;
     let mut files = Files { settings: operator.settings.clone().map(|s| (s, operator.changed)), hosts: None };
     if let Some(path) = &operator.inventory {
         files.hosts = Some(file::inventory(path, &operator.zones, &limits)?);
@@ -164,9 +165,9 @@
     };
     // A connection for each daemon, and some for operators.
     let few = Rc::new(Limits {
-        clients: limits.members + 16,
-        turned_away: 4,
-        relief: limits.period,
+        client_connections: limits.fleet_nodes + 16,
+        rejected_connections: 4,
+        idle_check_interval: limits.file_check_interval,
         ..limits.clone()
     });
     let fleet = Fleet::new(me, few.clone(), clock.clone(), executor.clone(), opened, inputs);
@@ -174,14 +175,14 @@
     let operator = Rc::new(operator);
 
     // The store first: whoever is drained elsewhere must not be sent anything here.
-    let store_seats = Seats::new(few.clone(), Rc::default());
+    let store_seats = ConnectionLimiter::new(few.clone(), Rc::default());
     let serving = {
         let (fleet, clock) = (fleet.clone(), clock.clone());
         accept(&executor, store_listener, &store_seats, move |stream, place, welcome| {
             let (fleet, few, clock) = (fleet.clone(), few.clone(), clock.clone());
             async move {
-                if welcome == connection_limiter::Welcome::Served {
-                    admin_api::serve(fleet, Link::new(stream, place, few, clock)).await;
+                if welcome == connection_limiter::AcceptDecision::Served {
+                    admin_api::serve(fleet, ClientConnection::new(stream, place, few, clock)).await;
                 }
             }
         })
@@ -195,13 +196,13 @@
     // Clients that come before anything can be served are told when to come back.
     let at = listener.get_ref().local_addr().unwrap_or(operator.listen);
     log::info!("{}: SPARQL at http://{at}{}", operator.name, operator.service.path);
-    let duty = Rc::new(Duty::default());
+    let duty = Rc::new(Lifecycle::default());
     let early = Rc::new(limits.clone());
-    let seats = Seats::new(early.clone(), duty.clone());
+    let seats = ConnectionLimiter::new(early.clone(), duty.clone());
     let slot: Rc<RefCell<Option<Rc<Front>>>> = Rc::default();
     let accepting = {
         let (slot, clock) = (slot.clone(), clock.clone());
-        let again = TimeDelta::from(early.again).as_micros();
+        let again = TimeDelta::from(early.front_retry_after).as_micros();
         accept(&executor, listener, &seats, move |stream, place, welcome| {
             let (front, early, clock) = (slot.borrow().clone(), early.clone(), clock.clone());
             async move {
@@ -224,7 +225,7 @@
     let seconds = |key: &str| all.get(key).and_then(|v| v.parse::<f64>().ok());
     limits.hosts_idle_for(seconds("limits.conn-idle"));
     if let Some(s) = seconds("limits.connect-timeout").filter(|s| *s > 0.0 && *s < 3600.0) {
-        limits.connect = Duration::from_secs_f64(s);
+        limits.connect_timeout = Duration::from_secs_f64(s);
     }
     let limits = Rc::new(limits);
     let classes = Classes::new(names, &mut settings);
@@ -254,7 +255,7 @@
         let (fleet, handle) = (fleet.clone(), handle.clone());
         executor.spawn(async move { follow(&fleet, &handle, listed, text).await }).detach();
     }
-    let hosts = Hosts::new(
+    let hosts = BackendPool::new(
         Sparql::new(limits.clone(), operator.host_path.clone(), &operator.name, fields),
         limits.clone(),
         clock,
@@ -267,12 +268,13 @@
     {
         let (fleet, handle, limits) = (fleet.clone(), handle.clone(), limits.clone());
         let task = async move {
-            while let Some(facts) = handle.facts().await {
+            while let Some(facts) = handle.observations().await {
                 fleet.observe(&facts);
                 if fleet.returns() && return_on(&fleet, &handle, knows.is_closed()).await {
                     opened.close();
                 }
-                let pause = if fleet.returns() { limits.turn } else { limits.period };
+                let pause =
+                    if fleet.returns() { limits.recovery_check_interval } else { limits.file_check_interval };
                 let _ = until(Instant::now() + pause, news.recv()).await;
             }
         };
@@ -282,13 +284,18 @@
         let (fleet, handle, limits, ready) = (fleet.clone(), handle.clone(), limits.clone(), ready.clone());
         let task = async move {
             while ready.recv().await.is_ok() {}
-            while let Some(seen) = handle.sights().await {
+            while let Some(seen) = handle.outcome_counts().await {
                 let left = fleet.look_at_zones(&seen);
                 if !left.is_empty() {
-                    handle.control(Control::CallOff(left)).await;
+                    handle.control(Control::CancelOverdueReads(left)).await;
                 }
                 // Where nothing is asked nothing can be seen.
-                Timer::after(if seen.is_empty() { limits.period } else { limits.look }).await;
+                Timer::after(if seen.is_empty() {
+                    limits.file_check_interval
+                } else {
+                    limits.zone_check_interval
+                })
+                .await;
             }
         };
         executor.spawn(task).detach();
@@ -297,9 +304,9 @@
         let (fleet, handle, ready) = (fleet.clone(), handle.clone(), ready.clone());
         let task = async move {
             while ready.recv().await.is_ok() {}
-            handle.control(Control::Told(fleet.told_before())).await;
+            handle.control(Control::PeerObservations(fleet.told_before())).await;
             while let Some(told) = fleet.told().await {
-                handle.control(Control::Told(told)).await;
+                handle.control(Control::PeerObservations(told)).await;
             }
         };
         executor.spawn(task).detach();
@@ -311,11 +318,11 @@
             // A hint about a host that the module's list has not yet would be lost.
             while ready.recv().await.is_ok() {}
             for bytes in fleet.first_hints() {
-                handle.input(Input::Peer { from: 0, bytes }).await;
+                handle.input(Input::PeerMessage { from: 0, bytes }).await;
             }
             hinted.close();
             while let Some(bytes) = fleet.hinted().await {
-                handle.input(Input::Peer { from: 0, bytes }).await;
+                handle.input(Input::PeerMessage { from: 0, bytes }).await;
             }
         };
         executor.spawn(task).detach();
@@ -323,9 +330,9 @@
     let told = fleet.clone();
     let carrying = carry(&executor, &hosts, commands, &handle, async move |command| {
         match command {
-            Command::Tell { bytes, .. } => fleet.hint(&bytes),
+            Command::SendToPeers { bytes, .. } => fleet.hint(&bytes),
             // Full: it is read in a moment.
-            Command::News => drop(tell.try_send(())),
+            Command::ObservationsPending => drop(tell.try_send(())),
             _ => {}
         }
     });
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -4,12 +4,12 @@
 use crate::clock::Clock;
 use crate::config::{Limits, Machine};
 use crate::engine::classes::Classes;
-use crate::engine::endpoints::{Known, Listing};
+use crate::engine::endpoints::{EndpointCatalog, EndpointUpdate};
 use crate::engine::{self, Command, Control, Input};
 use crate::json::{self, Platform};
-use crate::net::backend_pool::Hosts;
-use crate::net::gossip_socket::Peers;
-use crate::net::lifecycle::Duty;
+use crate::net::backend_pool::BackendPool;
+use crate::net::gossip_socket::GossipSocket;
+use crate::net::lifecycle::Lifecycle;
 use crate::net::postgres::front::Front;
 use crate::net::postgres::host::Pg;
 use crate::net::{connection_limiter, discovery as watcher, inherited_socket};
@@ -40,11 +40,11 @@
     let machine = if platform.passed.is_some() { machine.half() } else { machine };
     let mut limits = Limits::on(if platform.admin.is_some() { machine.with_door() } else { machine });
     limits.clients_hold(platform.sockets.unwrap_or(1024) / 3);
-    limits.tier(platform.settings.drivers);
+    limits.tier(platform.settings.pooler_count);
     limits.hosts_idle_for(platform.conn_idle);
     limits.deadlines_at_most(&platform.settings.classes);
     if let Some(connect) = platform.settings.connect_timeout {
-        limits.connect = connect.max(TimeDelta::from_micros(1)).to_duration();
+        limits.connect_timeout = connect.max(TimeDelta::from_micros(1)).to_duration();
     }
     limits
 }
@@ -81,16 +81,16 @@
     let limits = Rc::new(limits(&platform));
     let clock = Clock::start();
     let mut settings = platform.settings;
-    let alone = settings.drivers == Some(1);
+    let alone = settings.pooler_count == Some(1);
     let classes = Classes::new(platform.classes, &mut settings);
     let fields = settings.report_fields.clone();
     let (handle, commands) = engine::start(settings, &classes, platform.seed, &limits, clock.clone())
         .map_err(|e| format!("module: {e}"))?;
     // Here there is no store: the last known list is kept in memory, fed by discovery.
-    let hosts_known = Rc::new(RefCell::new(Known::default()));
+    let hosts_known = Rc::new(RefCell::new(EndpointCatalog::default()));
     let known = platform.known.is_some();
     if let Some(known) = platform.known {
-        hosts_known.borrow_mut().take(&Listing { whole: true, ..known });
+        hosts_known.borrow_mut().take(&EndpointUpdate { whole: true, ..known });
     }
     let succeeds = platform.passed.is_some();
     let listener = match &platform.passed {
@@ -103,7 +103,7 @@
             opened.map_err(|e| format!("{}: {e}", platform.listen))?
         }
     };
-    let peers = Rc::new(Peers::new(platform.peers, platform.peers_all, &limits));
+    let peers = Rc::new(GossipSocket::new(platform.peers, platform.peers_all, &limits));
     if let Some(at) = platform.peer_listen {
         match peers.open(at) {
             // A process that this one follows still has it.
@@ -112,12 +112,12 @@
             }
             opened => opened.map_err(|e| format!("{at}: {e}"))?,
         }
-        let (peers, handle, period) = (peers.clone(), handle.clone(), limits.period);
+        let (peers, handle, period) = (peers.clone(), handle.clone(), limits.file_check_interval);
         let task = async move {
             while peers.open(at).is_err() {
                 Timer::after(period).await;
             }
-            peers.listen(|from, bytes| handle.input(Input::Peer { from, bytes })).await;
+            peers.listen(|from, bytes| handle.input(Input::PeerMessage { from, bytes })).await;
         };
         executor.spawn(task).detach();
     }
@@ -125,9 +125,9 @@
     log::info!("{}: clients at {at}, discovery at {}", platform.name, platform.discovery);
     log::info!(
         "at most {} clients, {} connections to hosts, {} KiB of long messages",
-        limits.clients,
-        limits.hosts,
-        limits.held / 1024
+        limits.client_connections,
+        limits.backend_connections,
+        limits.message_budget / 1024
     );
 
     let (fetch, asked) = async_channel::bounded(1);
@@ -141,19 +141,19 @@
         // What discovery has to tell counts from the first moment: the list from before serves only while it is
         // silent, when to wait for a newer one would serve nobody. Until then what comes is held.
         let (listed, handle, known) = (listed.clone(), handle.clone(), hosts_known.clone());
-        let (wait, ready) = (limits.stale_list, limits.ready);
+        let (wait, ready) = (limits.cached_list_delay, limits.readiness_timeout);
         let task = async move {
             Timer::after(wait).await;
             if !listed.is_closed() {
                 let list = known.borrow().listing();
-                handle.control(Control::List { list, cached: true }).await;
+                handle.control(Control::EndpointList { list, cached: true }).await;
             }
             Timer::after(ready.saturating_sub(wait)).await;
             listed.close();
         };
         executor.spawn(task).detach();
     }
-    let duty = Rc::new(Duty::default());
+    let duty = Rc::new(Lifecycle::default());
     if let Some(at) = platform.admin {
         open_door(&executor, at, &platform.name, &limits, &handle, &duty, &ready, String::new)?;
     }
@@ -161,12 +161,12 @@
         let (limits, handle) = (limits.clone(), handle.clone());
         let (zones, seed) = (platform.zones, platform.seed);
         let task = async move {
-            let deliver = |list: Listing| {
+            let deliver = |list: EndpointUpdate| {
                 let (handle, listed, known) = (&handle, &listed, &hosts_known);
                 async move {
                     known.borrow_mut().take(&list);
                     let list = known.borrow().listing();
-                    handle.control(Control::List { list, cached: false }).await;
+                    handle.control(Control::EndpointList { list, cached: false }).await;
                     listed.close();
                 }
             };
@@ -174,9 +174,9 @@
         };
         executor.spawn(task).detach();
     }
-    let hosts = Hosts::new(Pg::new(limits.clone(), fields), limits.clone(), clock);
+    let hosts = BackendPool::new(Pg::new(limits.clone(), fields), limits.clone(), clock);
     let carrying = carry(&executor, &hosts, commands, &handle, async move |command| match command {
-        Command::Tell { to, bytes } => {
+        Command::SendToPeers { to, bytes } => {
             peers.tell(to, &bytes).await;
         }
         Command::FetchList => drop(fetch.try_send(())),
@@ -198,7 +198,7 @@
         duty: duty.clone(),
         open: Default::default(),
     });
-    let seats = connection_limiter::Seats::new(limits.clone(), duty.clone());
+    let seats = connection_limiter::ConnectionLimiter::new(limits.clone(), duty.clone());
     let accepting = accept(&executor, listener, &seats, move |stream, place, welcome| {
         let front = front.clone();
         async move { front.serve(stream, place, welcome).await }
--- a/src/engine/admission.rs
+++ b/src/engine/admission.rs
@@ -53,7 +53,7 @@
 
 /// Kinds of requests, in the order in which service returns for them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum RequestKind {
     /// It needs the primary.
     Write,
     /// It needs a host with a proven position.
@@ -63,19 +63,19 @@
 }
 
 /// The kind of a class.
-pub fn kind(class: &Class) -> Kind {
+pub fn kind(class: &Class) -> RequestKind {
     match class.consistency {
-        None | Some(Consistency::Write | Consistency::Strong) => Kind::Write,
-        Some(Consistency::Session | Consistency::Bounded) => Kind::Read,
-        Some(Consistency::Eventual) => Kind::Rest,
+        None | Some(Consistency::Write | Consistency::Strong) => RequestKind::Write,
+        Some(Consistency::Session | Consistency::Bounded) => RequestKind::Read,
+        Some(Consistency::Eventual) => RequestKind::Rest,
     }
 }
 
 /// Whether requests of one kind of one group are let in.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum AdmissionMode {
     /// None; a time to come back from which on that may be otherwise.
-    Shut(TimeDelta),
+    Closed(TimeDelta),
     /// So many a second as its hosts bear, found out by their answers, at no time more than `most`: they are cold.
     Paced {
         /// This daemon's part of what they bear, a second, by what is known now. The pace begins there.
@@ -91,9 +91,9 @@
 
 /// The terms of a daemon that returns.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct AdmissionPolicy {
     /// By group, for writes and for reads; what needs neither goes with reads.
-    pub groups: BTreeMap<GroupId, [Way; 2]>,
+    pub groups: BTreeMap<GroupId, [AdmissionMode; 2]>,
     /// Whether what any host can serve is let in.
     pub rest: bool,
     /// For groups that are not named, and where the rest is not let in.
@@ -101,7 +101,7 @@
 }
 
 #[derive(Debug)]
-struct Pace {
+struct PacedRate {
     rate: f64,
     floor: f64,
     most: f64,
@@ -125,11 +125,11 @@
     shrunk: Timestamp,
 }
 
-impl Pace {
+impl PacedRate {
     /// `phase`: which part of a request it has saved up at first.
-    fn new(now: Timestamp, start: f64, most: f64, phase: f64) -> Pace {
+    fn new(now: Timestamp, start: f64, most: f64, phase: f64) -> PacedRate {
         let rate = start.min(most).max(0.1);
-        Pace {
+        PacedRate {
             rate,
             floor: rate / 4.0,
             most,
@@ -209,12 +209,12 @@
 
 /// The gate. Open to all unless terms are set.
 #[derive(Debug, Default)]
-pub struct Gate {
-    terms: Option<Terms>,
-    paces: BTreeMap<(GroupId, usize), Pace>,
+pub struct AdmissionController {
+    terms: Option<AdmissionPolicy>,
+    paces: BTreeMap<(GroupId, usize), PacedRate>,
     /// By class: its kind, and the classes of that kind that are worth more.
-    ranks: Vec<(usize, Kind)>,
-    aims: Vec<TimeDelta>,
+    ranks: Vec<(usize, RequestKind)>,
+    latency_objectives: Vec<TimeDelta>,
     /// What the quickest answers of each class take.
     quickest: Vec<f64>,
     longest: TimeDelta,
@@ -223,46 +223,48 @@
     phases: fastrand::Rng,
 }
 
-fn side(kind: Kind) -> usize {
-    usize::from(kind != Kind::Write)
+fn side(kind: RequestKind) -> usize {
+    usize::from(kind != RequestKind::Write)
 }
 
-impl Gate {
+impl AdmissionController {
     /// A gate that is open to all. `seed`: another one in each daemon.
-    pub fn new(settings: &Settings, seed: u64) -> Gate {
+    pub fn new(settings: &Settings, seed: u64) -> AdmissionController {
         let classes = &settings.classes;
-        let worth = |c: &Class| c.worth.unwrap_or(1.0);
+        let priority_weight = |c: &Class| c.priority_weight.unwrap_or(1.0);
         let rank = |c: &Class| {
-            let above = classes.iter().filter(|o| side(kind(o)) == side(kind(c)) && worth(o) > worth(c));
+            let above = classes
+                .iter()
+                .filter(|o| side(kind(o)) == side(kind(c)) && priority_weight(o) > priority_weight(c));
             // A class and its twin without keys are one.
-            let mut worths: Vec<f64> = above.map(worth).collect();
+            let mut worths: Vec<f64> = above.map(priority_weight).collect();
             worths.sort_by(f64::total_cmp);
             worths.dedup();
             (worths.len(), kind(c))
         };
-        Gate {
+        AdmissionController {
             ranks: classes.iter().map(rank).collect(),
-            aims: classes.iter().map(|c| c.aim.unwrap_or(LONGEST)).collect(),
+            latency_objectives: classes.iter().map(|c| c.latency_objective.unwrap_or(LONGEST)).collect(),
             quickest: vec![f64::MAX; classes.len()],
             longest: settings.max_retry_after.unwrap_or(LONGEST),
             phases: fastrand::Rng::with_seed(seed),
-            ..Gate::default()
+            ..AdmissionController::default()
         }
     }
 
     /// Sets the terms; `None`: open to all from now on. A pace that runs goes on under the new bound.
-    pub fn set(&mut self, now: Timestamp, terms: Option<Terms>) {
+    pub fn set(&mut self, now: Timestamp, terms: Option<AdmissionPolicy>) {
         let groups = terms.as_ref().map(|t| &t.groups);
         self.paces.retain(|(group, side), _| {
             let ways = groups.and_then(|groups| groups.get(group));
-            ways.is_some_and(|ways| matches!(ways[*side], Way::Paced { .. }))
+            ways.is_some_and(|ways| matches!(ways[*side], AdmissionMode::Paced { .. }))
         });
         for (group, ways) in terms.iter().flat_map(|t| &t.groups) {
             for (side, way) in ways.iter().enumerate() {
-                if let Way::Paced { bears, most, said } = *way {
+                if let AdmissionMode::Paced { bears, most, said } = *way {
                     let pace = self.paces.entry((*group, side));
                     // One whole for each daemon would be a wave that grows with their number.
-                    let pace = pace.or_insert_with(|| Pace::new(now, bears, most, self.phases.f64()));
+                    let pace = pace.or_insert_with(|| PacedRate::new(now, bears, most, self.phases.f64()));
                     (pace.bears, pace.most, pace.said) = (bears, most, said);
                 }
             }
@@ -274,20 +276,20 @@
     pub fn admit(&mut self, now: Timestamp, class: usize, group: GroupId) -> Result<(), TimeDelta> {
         let Some(terms) = &self.terms else { return Ok(()) };
         let Some(&(rank, kind)) = self.ranks.get(class) else { return Ok(()) };
-        let shut = Way::Shut(terms.wait);
+        let shut = AdmissionMode::Closed(terms.wait);
         let way = match kind {
-            Kind::Rest if !terms.rest => shut,
+            RequestKind::Rest if !terms.rest => shut,
             _ => terms.groups.get(&group).map_or(shut, |ways| ways[side(kind)]),
         };
         let let_in = match way {
-            Way::Open => Ok(()),
-            Way::Shut(wait) => {
+            AdmissionMode::Open => Ok(()),
+            AdmissionMode::Closed(wait) => {
                 // Spread over as long again: they would all come back in the moment in which it opens.
                 let n = self.turned_away as f64 * SPREAD;
                 let wait = wait + TimeDelta::from_micros_f64(wait.as_micros_f64() * (n - n.floor()));
                 Err(wait.clamp(SOON, self.longest.max(SOON)))
             }
-            Way::Paced { .. } => match self.paces.get_mut(&(group, side(kind))) {
+            AdmissionMode::Paced { .. } => match self.paces.get_mut(&(group, side(kind))) {
                 Some(pace) => pace.take(now, rank, self.longest),
                 None => Ok(()),
             },
@@ -297,12 +299,19 @@
     }
 
     /// An attempt for a request of this class and group has ended.
-    pub fn ended(&mut self, now: Timestamp, class: usize, group: GroupId, took: TimeDelta, outcome: Outcome) {
+    pub fn ended(
+        &mut self,
+        now: Timestamp,
+        class: usize,
+        group: GroupId,
+        took: TimeDelta,
+        outcome: AttemptOutcome,
+    ) {
         let Some(&(_, kind)) = self.ranks.get(class) else { return };
         let Some(pace) = self.paces.get_mut(&(group, side(kind))) else { return };
         let counts = now - took >= pace.shrunk;
         match outcome {
-            Outcome::Ok => {
+            AttemptOutcome::Served => {
                 let quickest = &mut self.quickest[class];
                 *quickest = (*quickest).min(took.as_micros_f64());
                 *quickest += (took.as_micros_f64() - *quickest) * FADE;
@@ -311,9 +320,9 @@
                 pace.well += 1;
                 pace.quick += u32::from(!queued);
                 // What was sent before it last shrank says nothing about what it is now.
-                pace.queued += u32::from(queued && counts && took > self.aims[class] / LONG);
+                pace.queued += u32::from(queued && counts && took > self.latency_objectives[class] / LONG);
             }
-            Outcome::Full | Outcome::TimedOut if counts => pace.badly += 1,
+            AttemptOutcome::Overloaded | AttemptOutcome::TimedOut if counts => pace.badly += 1,
             _ => {}
         }
         pace.go_on(now);
@@ -333,8 +342,13 @@
         (0..length / MS).map(|n| Timestamp::ZERO + MS * n)
     }
 
-    fn class(consistency: Consistency, worth: f64) -> Class {
-        Class { consistency: Some(consistency), worth: Some(worth), aim: Some(MS * 600), ..Class::default() }
+    fn class(consistency: Consistency, priority_weight: f64) -> Class {
+        Class {
+            consistency: Some(consistency),
+            priority_weight: Some(priority_weight),
+            latency_objective: Some(MS * 600),
+            ..Class::default()
+        }
     }
 
     fn settings() -> Settings {
@@ -347,12 +361,12 @@
         Settings { classes, max_retry_after: Some(S), ..Settings::default() }
     }
 
-    fn gate() -> Gate {
-        Gate::new(&settings(), 1)
+    fn gate() -> AdmissionController {
+        AdmissionController::new(&settings(), 1)
     }
 
-    fn terms(writes: Way, reads: Way, rest: bool) -> Option<Terms> {
-        Some(Terms { groups: BTreeMap::from([(G, [writes, reads])]), rest, wait: MS * 300 })
+    fn terms(writes: AdmissionMode, reads: AdmissionMode, rest: bool) -> Option<AdmissionPolicy> {
+        Some(AdmissionPolicy { groups: BTreeMap::from([(G, [writes, reads])]), rest, wait: MS * 300 })
     }
 
     #[test]
@@ -362,20 +376,24 @@
             (0..4).all(|class| gate.admit(Timestamp::ZERO, class, GroupId(9)).is_ok()),
             "without terms all are let in"
         );
-        let seen =
-            |gate: &mut Gate| (0..4).map(|c| gate.admit(Timestamp::ZERO, c, G).is_ok()).collect::<Vec<_>>();
-        gate.set(Timestamp::ZERO, terms(Way::Shut(MS * 200), Way::Shut(MS * 200), false));
+        let seen = |gate: &mut AdmissionController| {
+            (0..4).map(|c| gate.admit(Timestamp::ZERO, c, G).is_ok()).collect::<Vec<_>>()
+        };
+        gate.set(
+            Timestamp::ZERO,
+            terms(AdmissionMode::Closed(MS * 200), AdmissionMode::Closed(MS * 200), false),
+        );
         assert_eq!(seen(&mut gate), [false; 4]);
         let waits: Vec<TimeDelta> =
             (0..100).filter_map(|_| gate.admit(Timestamp::ZERO, 0, G).err()).collect();
         for from in (200..400).step_by(20).map(|n| MS * n) {
             assert!((8..=12).contains(&waits.iter().filter(|w| (from..from + MS * 20).contains(*w)).count()));
         }
-        gate.set(Timestamp::ZERO, terms(Way::Open, Way::Shut(MS * 200), false));
+        gate.set(Timestamp::ZERO, terms(AdmissionMode::Open, AdmissionMode::Closed(MS * 200), false));
         assert_eq!(seen(&mut gate), [true, false, false, false]);
-        gate.set(Timestamp::ZERO, terms(Way::Open, Way::Open, false));
+        gate.set(Timestamp::ZERO, terms(AdmissionMode::Open, AdmissionMode::Open, false));
         assert_eq!(seen(&mut gate), [true, true, true, false]);
-        gate.set(Timestamp::ZERO, terms(Way::Open, Way::Open, true));
+        gate.set(Timestamp::ZERO, terms(AdmissionMode::Open, AdmissionMode::Open, true));
         assert!(
             seen(&mut gate) == [true; 4]
                 && gate.admit(Timestamp::ZERO, 0, GroupId(2)).is_err_and(|w| w >= MS * 300)
@@ -392,7 +410,10 @@
             let mut rng = fastrand::Rng::with_seed(seed);
             let mut gate = gate();
             let (start, most) = (rng.f64() * 40.0 + 1.0, rng.f64() * 200.0 + 1.0);
-            gate.set(Timestamp::ZERO, terms(Way::Paced { bears: start, most, said: false }, Way::Open, true));
+            gate.set(
+                Timestamp::ZERO,
+                terms(AdmissionMode::Paced { bears: start, most, said: false }, AdmissionMode::Open, true),
+            );
             let (mut now, mut let_in) = (Timestamp::ZERO, Vec::new());
             let mut back: Vec<Timestamp> = Vec::new();
             for _ in 0..3_000 {
@@ -400,7 +421,11 @@
                 match gate.admit(now, 0, G) {
                     Ok(()) => {
                         let_in.push(now);
-                        let outcome = if rng.u8(..20) == 0 { Outcome::Full } else { Outcome::Ok };
+                        let outcome = if rng.u8(..20) == 0 {
+                            AttemptOutcome::Overloaded
+                        } else {
+                            AttemptOutcome::Served
+                        };
                         let took = TimeDelta::from_micros(rng.i64(0..500_000));
                         gate.ended(now + TimeDelta::from_micros(1), 0, G, took, outcome);
                     }
@@ -428,24 +453,28 @@
             let mut gate = gate();
             gate.set(
                 Timestamp::ZERO,
-                terms(Way::Paced { bears: 10.0, most: 1_000.0, said: false }, Way::Open, true),
+                terms(
+                    AdmissionMode::Paced { bears: 10.0, most: 1_000.0, said: false },
+                    AdmissionMode::Open,
+                    true,
+                ),
             );
             // One after the other: when each was sent, and is done or was turned away.
-            let mut out: Vec<(Timestamp, Timestamp, Outcome)> = Vec::new();
+            let mut out: Vec<(Timestamp, Timestamp, AttemptOutcome)> = Vec::new();
             let (mut free, mut served, mut most) = (0.0f64, 0, 0);
             for now in moments(8 * S) {
                 for (sent, _, outcome) in out.extract_if(.., |(_, done, _)| *done <= now).collect::<Vec<_>>()
                 {
-                    served += u32::from(now > Timestamp::ZERO + 4 * S && outcome == Outcome::Ok);
+                    served += u32::from(now > Timestamp::ZERO + 4 * S && outcome == AttemptOutcome::Served);
                     gate.ended(now, 0, G, now - sent, outcome);
                 }
                 if gate.admit(now, 0, G).is_ok() {
                     if out.len() as f64 > bears.max(4.0) {
-                        out.push((now, now + MS, Outcome::Full));
+                        out.push((now, now + MS, AttemptOutcome::Overloaded));
                         continue;
                     }
                     free = free.max(now.as_micros() as f64) + 1e6 / bears;
-                    out.push((now, Timestamp::from_micros(free as i64), Outcome::Ok));
+                    out.push((now, Timestamp::from_micros(free as i64), AttemptOutcome::Served));
                 }
                 most = most.max(out.len());
             }
@@ -463,16 +492,19 @@
         for (daemons, seed) in [1, 3, 12].into_iter().flat_map(|d| (0..12).map(move |seed| (d, seed))) {
             let mut rng = fastrand::Rng::with_seed(seed);
             let bears = BEARS / daemons as f64;
-            let way = Way::Paced { bears, most: bears * 3.2, said: true };
-            let mut gates: Vec<Gate> = (0..daemons).map(|n| Gate::new(&settings(), seed * 100 + n)).collect();
-            gates.iter_mut().for_each(|gate| gate.set(Timestamp::ZERO, terms(way, Way::Open, true)));
+            let way = AdmissionMode::Paced { bears, most: bears * 3.2, said: true };
+            let mut gates: Vec<AdmissionController> =
+                (0..daemons).map(|n| AdmissionController::new(&settings(), seed * 100 + n)).collect();
+            gates
+                .iter_mut()
+                .for_each(|gate| gate.set(Timestamp::ZERO, terms(way, AdmissionMode::Open, true)));
             let mut out: Vec<(Timestamp, Timestamp, usize)> = Vec::new();
             let (mut free, mut first, mut served, mut worst) = (0.0f64, 0, 0, TimeDelta::ZERO);
             for now in moments(6 * S) {
                 for (sent, done, n) in out.extract_if(.., |(_, done, _)| *done <= now).collect::<Vec<_>>() {
                     served += u32::from(now > Timestamp::ZERO + S);
                     worst = worst.max(done - sent);
-                    gates[n].ended(now, 0, G, done - sent, Outcome::Ok);
+                    gates[n].ended(now, 0, G, done - sent, AttemptOutcome::Served);
                 }
                 let n = rng.usize(..gates.len());
                 if rng.f64() < BEARS * 1.5 / 1_000.0 && gates[n].admit(now, 0, G).is_ok() {
@@ -494,7 +526,7 @@
         let mut gate = gate();
         gate.set(
             Timestamp::ZERO,
-            terms(Way::Open, Way::Paced { bears: 100.0, most: 100.0, said: false }, true),
+            terms(AdmissionMode::Open, AdmissionMode::Paced { bears: 100.0, most: 100.0, said: false }, true),
         );
         let mut let_in = [0; 4];
         for now in moments(2 * S).step_by(4) {
@@ -503,6 +535,9 @@
             }
         }
         assert!(let_in[1] > 150 && let_in[2] + let_in[3] < 60, "{let_in:?}");
-        assert_eq!(gate.ranks, [(0, Kind::Write), (0, Kind::Read), (1, Kind::Read), (2, Kind::Rest)]);
+        assert_eq!(
+            gate.ranks,
+            [(0, RequestKind::Write), (0, RequestKind::Read), (1, RequestKind::Read), (2, RequestKind::Rest)]
+        );
     }
 }
--- a/src/engine/classes.rs
+++ b/src/engine/classes.rs
@@ -1,6 +1,6 @@
 //! Classes by name, as both fronts look them up.
 
-use crate::routing::{Consistency, Repeat, Settings, TimeDelta};
+use crate::routing::{Consistency, Idempotency, Settings, TimeDelta};
 
 /// The classes of a service.
 #[derive(Clone, Debug)]
@@ -19,10 +19,13 @@
         settings.classes.truncate(names.len());
         let mut keyless = Vec::new();
         for n in 0..settings.classes.len() {
-            let twin = (settings.classes[n].repeat == Some(Repeat::Keyed)).then_some(settings.classes.len());
+            let twin = (settings.classes[n].idempotency == Some(Idempotency::Keyed))
+                .then_some(settings.classes.len());
             if twin.is_some() {
-                let class =
-                    crate::routing::Class { repeat: Some(Repeat::Unsafe), ..settings.classes[n].clone() };
+                let class = crate::routing::Class {
+                    idempotency: Some(Idempotency::NonIdempotent),
+                    ..settings.classes[n].clone()
+                };
                 settings.classes.push(class);
             }
             keyless.push(twin);
@@ -80,12 +83,12 @@
     /// Guards against a write without a key that runs twice.
     #[test]
     fn a_request_without_a_key_takes_the_unsafe_twin_of_its_class() {
-        let keyed = Class { repeat: Some(Repeat::Keyed), ..Class::default() };
+        let keyed = Class { idempotency: Some(Idempotency::Keyed), ..Class::default() };
         let mut settings = Settings { classes: vec![Class::default(), keyed], ..Settings::default() };
         let classes = Classes::new(vec!["read".into(), "write".into()], &mut settings);
         assert_eq!((classes.find("read", true), classes.find("read", false)), (Some(0), Some(0)));
         assert_eq!((classes.find("write", true), classes.find("write", false)), (Some(1), Some(2)));
         assert_eq!(classes.find("other", true), None);
-        assert_eq!(settings.classes[2].repeat, Some(Repeat::Unsafe));
+        assert_eq!(settings.classes[2].idempotency, Some(Idempotency::NonIdempotent));
     }
 }
--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -3,13 +3,13 @@
 //! A host's name is the same at every pooler while its address is not, so the id is derived from the name:
 //! the module's ring of sorted ids then agrees across poolers and restarts.
 
-use crate::routing::{Availability, EndpointId, Entry, GroupId, ListKind, Timestamp, ZoneId};
+use crate::routing::{Availability, EndpointEntry, EndpointId, GroupId, ListKind, Timestamp, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// A line of a list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct EndpointRecord {
     /// The host's name.
     pub name: String,
     /// Where it listens for this pooler.
@@ -30,25 +30,25 @@
 
 /// A list, or what changed in it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct EndpointUpdate {
     /// Its version.
     pub index: u64,
     /// Whether it is the whole list.
     pub whole: bool,
     /// Its lines.
-    pub entries: Vec<Listed>,
+    pub entries: Vec<EndpointRecord>,
 }
 
 /// The hosts as discovery last told them, of whole lists and of changes.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
-    hosts: BTreeMap<String, Listed>,
+pub struct EndpointCatalog {
+    hosts: BTreeMap<String, EndpointRecord>,
     version: u64,
 }
 
-impl Known {
+impl EndpointCatalog {
     /// Takes in what discovery tells.
-    pub fn take(&mut self, list: &Listing) {
+    pub fn take(&mut self, list: &EndpointUpdate) {
         let before = list.whole.then(|| std::mem::take(&mut self.hosts));
         for e in &list.entries {
             match e.availability {
@@ -60,14 +60,14 @@
     }
 
     /// The whole list.
-    pub fn listing(&self) -> Listing {
-        Listing { index: self.version, whole: true, entries: self.hosts.values().cloned().collect() }
+    pub fn listing(&self) -> EndpointUpdate {
+        EndpointUpdate { index: self.version, whole: true, entries: self.hosts.values().cloned().collect() }
     }
 }
 
 /// What the host side needs to know of a host.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Host {
+pub struct EndpointChange {
     /// Its name.
     pub name: String,
     /// Where it listens.
@@ -85,13 +85,13 @@
 
 /// The hosts of the list. One that is gone is forgotten: hosts are replaced for as long as the program runs.
 #[derive(Default)]
-pub struct Members {
+pub struct EndpointRegistry {
     /// Every group that a list has named: one that has lost all its hosts may get others.
     groups: BTreeSet<GroupId>,
     ids: BTreeMap<String, EndpointId>,
     taken: BTreeSet<EndpointId>,
-    hosts: BTreeMap<EndpointId, Host>,
-    entries: BTreeMap<EndpointId, Entry>,
+    hosts: BTreeMap<EndpointId, EndpointChange>,
+    entries: BTreeMap<EndpointId, EndpointEntry>,
 }
 
 fn fold(name: &str, salt: u8) -> EndpointId {
@@ -107,7 +107,7 @@
     fold(name, 0)
 }
 
-impl Members {
+impl EndpointRegistry {
     /// The id of a name; a second name that folds to the same id gets another one.
     pub fn id(&mut self, name: &str) -> EndpointId {
         self.id_from(name, fold)
@@ -133,12 +133,16 @@
     }
 
     /// Takes in a list: what the module is told, and the hosts that changed.
-    pub fn apply(&mut self, list: &Listing, cached: bool) -> (ListKind, Vec<Entry>, Vec<Host>) {
+    pub fn apply(
+        &mut self,
+        list: &EndpointUpdate,
+        cached: bool,
+    ) -> (ListKind, Vec<EndpointEntry>, Vec<EndpointChange>) {
         let mut changed = Vec::new();
         let mut entries = Vec::new();
         for e in &list.entries {
-            let member = self.id(&e.name);
-            let host = Host {
+            let endpoint = self.id(&e.name);
+            let host = EndpointChange {
                 name: e.name.clone(),
                 address: e.address,
                 open: e.availability == Availability::Ready,
@@ -146,12 +150,12 @@
                 gone: e.availability == Availability::Gone,
             };
             self.groups.insert(e.group);
-            if self.hosts.get(&member) != Some(&host) {
+            if self.hosts.get(&endpoint) != Some(&host) {
                 changed.push(host.clone());
-                self.hosts.insert(member, host);
+                self.hosts.insert(endpoint, host);
             }
-            let entry = Entry {
-                member,
+            let entry = EndpointEntry {
+                endpoint,
                 zone: e.zone,
                 group: e.group,
                 availability: e.availability,
@@ -159,11 +163,11 @@
                 units: e.weight,
                 started_at: e.started_at,
             };
-            self.entries.insert(member, entry);
+            self.entries.insert(endpoint, entry);
             entries.push(entry);
         }
         if list.whole {
-            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.member).collect();
+            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
             for host in self.hosts.iter_mut().filter(|(id, _)| !named.contains(id)).map(|(_, host)| host) {
                 (host.open, host.gone) = (false, true);
                 changed.push(host.clone());
@@ -188,7 +192,7 @@
     }
 
     /// The host behind an id.
-    pub fn host(&self, id: EndpointId) -> Option<&Host> {
+    pub fn host(&self, id: EndpointId) -> Option<&EndpointChange> {
         self.hosts.get(&id)
     }
 
@@ -198,16 +202,16 @@
     }
 
     /// The whole list as it is held now.
-    pub fn entries(&self) -> Vec<Entry> {
+    pub fn entries(&self) -> Vec<EndpointEntry> {
         self.entries.values().copied().collect()
     }
 }
 
 #[cfg(test)]
-impl Listed {
+impl EndpointRecord {
     /// A host in service as any other, for tests.
-    pub fn plain(name: &str) -> Listed {
-        Listed {
+    pub fn plain(name: &str) -> EndpointRecord {
+        EndpointRecord {
             name: name.into(),
             address: ([127, 0, 0, 1], 5432).into(),
             zone: ZoneId(0),
@@ -224,16 +228,16 @@
 mod tests {
     use super::*;
 
-    fn line(name: &str, availability: Availability) -> Listed {
-        Listed { availability, ..Listed::plain(name) }
+    fn line(name: &str, availability: Availability) -> EndpointRecord {
+        EndpointRecord { availability, ..EndpointRecord::plain(name) }
     }
 
     /// Guards against a change that is lost, or a host that stays, between discovery and the core.
     #[test]
     fn discovery_is_taken_in_whole_and_by_changes() {
-        let mut known = Known::default();
+        let mut known = EndpointCatalog::default();
         let (x, y) = (line("x", Availability::Ready), line("y", Availability::Ready));
-        let told = |whole, entries| Listing { index: 1, whole, entries };
+        let told = |whole, entries| EndpointUpdate { index: 1, whole, entries };
         known.take(&told(true, vec![x.clone(), y.clone()]));
         let leaving = line("x", Availability::Draining);
         known.take(&told(false, vec![leaving.clone()]));
@@ -247,7 +251,7 @@
     /// Guards against rings that differ between poolers: the address and the order of arrival must not matter.
     #[test]
     fn an_id_follows_from_the_name_alone() {
-        let (mut a, mut b) = (Members::default(), Members::default());
+        let (mut a, mut b) = (EndpointRegistry::default(), EndpointRegistry::default());
         let ids = [a.id("s-1"), a.id("s-2")];
         assert_eq!([b.id("s-2"), b.id("s-1")], [ids[1], ids[0]]);
         assert_ne!(ids[0], ids[1]);
@@ -255,7 +259,7 @@
 
     #[test]
     fn two_names_never_share_an_id() {
-        let mut m = Members::default();
+        let mut m = EndpointRegistry::default();
         let same = |_: &str, salt: u8| EndpointId { ip: [1, 2, 3, salt], port: 4 };
         let ids = [m.id_from("a", same), m.id_from("b", same), m.id_from("a", same)];
         assert_eq!(ids[0], ids[2]);
@@ -265,28 +269,28 @@
     /// Guards against memory that grows with every host that was ever replaced.
     #[test]
     fn hosts_that_are_gone_are_forgotten() {
-        let mut m = Members::default();
+        let mut m = EndpointRegistry::default();
         for n in 0..1000 {
             let (old, new) = (format!("h{n}"), format!("h{}", n + 1));
             let whole = n % 2 == 0;
             let leaves = (!whole).then(|| line(&old, Availability::Gone));
             let entries = leaves.into_iter().chain([line(&new, Availability::Ready)]).collect();
-            let (.., changed) = m.apply(&Listing { index: n, whole, entries }, false);
+            let (.., changed) = m.apply(&EndpointUpdate { index: n, whole, entries }, false);
             assert_eq!(changed.iter().filter(|h| h.gone && h.name == old).count(), usize::from(n > 0), "{n}");
             assert_eq!((m.ids.len(), m.hosts.len(), m.entries.len()), (1, 1, 1), "{n}");
         }
-        m.apply(&Listing { index: 1001, whole: true, entries: Vec::new() }, false);
+        m.apply(&EndpointUpdate { index: 1001, whole: true, entries: Vec::new() }, false);
         assert!(m.hosts.is_empty() && m.knows_group(GroupId(1)) && !m.knows_group(GroupId(2)));
     }
 
     /// Guards against sends to a host that a whole list no longer names.
     #[test]
     fn a_host_that_drops_out_of_a_whole_list_is_closed() {
-        let mut m = Members::default();
+        let mut m = EndpointRegistry::default();
         let both = vec![line("a", Availability::Ready), line("b", Availability::Ready)];
-        m.apply(&Listing { index: 1, whole: true, entries: both }, false);
+        m.apply(&EndpointUpdate { index: 1, whole: true, entries: both }, false);
         let only = vec![line("a", Availability::Ready)];
-        let (.., changed) = m.apply(&Listing { index: 2, whole: true, entries: only }, false);
+        let (.., changed) = m.apply(&EndpointUpdate { index: 2, whole: true, entries: only }, false);
         assert_eq!(changed.iter().map(|h| (h.name.as_str(), h.open)).collect::<Vec<_>>(), [("b", false)]);
     }
 }
--- a/src/engine/log_rollback.rs
+++ b/src/engine/log_rollback.rs
@@ -12,7 +12,7 @@
 
 /// Commits after `from` up to `to` are gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Break {
+pub struct LogRollback {
     /// The group.
     pub group: GroupId,
     /// The position to which its primary went back.
@@ -24,16 +24,16 @@
 
 /// All breaks that are known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Breaks(BTreeMap<GroupId, Vec<Break>>);
+pub struct LogRollbacks(BTreeMap<GroupId, Vec<LogRollback>>);
 
-impl Breaks {
+impl LogRollbacks {
     /// Whether nothing is new in a break.
-    pub fn knows(&self, one: Break) -> bool {
+    pub fn knows(&self, one: LogRollback) -> bool {
         self.0.get(&one.group).is_some_and(|known| known.iter().any(|b| b.from == one.from && b.to >= one.to))
     }
 
     /// Notes a break; true: it was not known. One that was noticed by several daemons is one.
-    pub fn note(&mut self, new: Break) -> bool {
+    pub fn note(&mut self, new: LogRollback) -> bool {
         if new.to <= new.from {
             return false;
         }
@@ -59,7 +59,7 @@
     }
 
     /// All of them.
-    pub fn all(&self) -> Vec<Break> {
+    pub fn all(&self) -> Vec<LogRollback> {
         self.0.values().flatten().copied().collect()
     }
 }
@@ -92,16 +92,16 @@
                 let left = log.len().saturating_sub(rng.usize(0..5));
                 let from = if left == 0 { at(0) } else { log[left - 1] };
                 lost.extend(log.drain(left..));
-                let first = Break { group: G, from, to: now + TimeDelta::from_micros(1) };
+                let first = LogRollback { group: G, from, to: now + TimeDelta::from_micros(1) };
                 now = now + TimeDelta::from_micros(10);
                 found.push(first);
                 if rng.bool() {
-                    found.push(Break { to: now + TimeDelta::from_millis(40), ..first });
+                    found.push(LogRollback { to: now + TimeDelta::from_millis(40), ..first });
                 }
                 now = now + TimeDelta::from_millis(50);
             }
             rng.shuffle(&mut found);
-            let mut breaks = Breaks::default();
+            let mut breaks = LogRollbacks::default();
             for b in &found {
                 breaks.note(*b);
             }
@@ -117,22 +117,24 @@
 
     #[test]
     fn breaks_are_bounded_and_noted_once() {
-        let mut breaks = Breaks::default();
-        let one = Break { group: G, from: at(5), to: at(9) };
+        let mut breaks = LogRollbacks::default();
+        let one = LogRollback { group: G, from: at(5), to: at(9) };
         assert!(!breaks.knows(one));
         assert!(
             breaks.note(one)
                 && breaks.knows(one)
                 && !breaks.note(one)
-                && !breaks.note(Break { to: at(8), ..one })
+                && !breaks.note(LogRollback { to: at(8), ..one })
+        );
+        assert!(
+            !breaks.note(LogRollback { to: at(5), ..one }) && breaks.note(LogRollback { to: at(10), ..one })
         );
-        assert!(!breaks.note(Break { to: at(5), ..one }) && breaks.note(Break { to: at(10), ..one }));
         assert_eq!(
             (breaks.lost(G, at(5)), breaks.lost(G, at(10)), breaks.lost(G, at(11))),
             (None, Some(at(5)), None)
         );
         for n in 0..100 {
-            breaks.note(Break { group: G, from: at(n * 10), to: at(n * 10 + 5) });
+            breaks.note(LogRollback { group: G, from: at(n * 10), to: at(n * 10 + 5) });
         }
         assert_eq!((breaks.all().len(), breaks.lost(G, at(3))), (BREAKS, None));
     }
--- a/src/engine/metrics.rs
+++ b/src/engine/metrics.rs
@@ -7,7 +7,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Served.
     Success,
     /// Refused.
@@ -29,7 +29,7 @@
 
 /// The counts.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     /// Names of the classes, each with its counts by [`End`].
     classes: Vec<(String, [AtomicU64; 3])>,
     /// For every number of a class, that of its name: a class and its twin without keys are one.
@@ -37,16 +37,16 @@
     dispatches: AtomicU64,
 }
 
-impl Figures {
+impl Metrics {
     /// Nothing has happened yet. All classes are there, also those that no request names.
-    pub fn new(classes: &Classes) -> Figures {
+    pub fn new(classes: &Classes) -> Metrics {
         let (names, named) = classes.names();
         let classes = names.iter().map(|name| (name.clone(), Default::default())).collect();
-        Figures { classes, named, dispatches: AtomicU64::new(0) }
+        Metrics { classes, named, dispatches: AtomicU64::new(0) }
     }
 
     /// A request of this class has its final answer.
-    pub fn ended(&self, class: usize, end: End) {
+    pub fn ended(&self, class: usize, end: RequestOutcome) {
         if let Some((_, counts)) = self.named.get(class).and_then(|n| self.classes.get(*n)) {
             counts[end as usize].fetch_add(1, Ordering::Relaxed);
         }
@@ -79,23 +79,25 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::routing::{Class, Repeat, Settings};
+    use crate::routing::{Class, Idempotency, Settings};
 
     /// Guards against a keyed class that is told as two, and against classes that are missing until they are asked.
     #[test]
     fn every_class_of_the_settings_is_told_once_with_both_kinds_of_its_requests() {
-        let class = |repeat| Class { repeat: Some(repeat), ..Class::default() };
-        let mut settings =
-            Settings { classes: vec![class(Repeat::Keyed), class(Repeat::Safe)], ..Settings::default() };
+        let class = |repeat| Class { idempotency: Some(repeat), ..Class::default() };
+        let mut settings = Settings {
+            classes: vec![class(Idempotency::Keyed), class(Idempotency::Idempotent)],
+            ..Settings::default()
+        };
         let classes = Classes::new(vec!["write".into(), "read".into()], &mut settings);
-        let figures = Figures::new(&classes);
+        let metrics = Metrics::new(&classes);
         for keyed in [true, false] {
-            figures.ended(classes.find("write", keyed).unwrap(), End::Success);
+            metrics.ended(classes.find("write", keyed).unwrap(), RequestOutcome::Success);
         }
-        figures.ended(classes.find("write", false).unwrap(), End::Error);
-        figures.ended(99, End::Error);
-        figures.dispatched();
-        let text = figures.text(Gauges { concurrent: 3, targets: 5, disabled: 1 });
+        metrics.ended(classes.find("write", false).unwrap(), RequestOutcome::Error);
+        metrics.ended(99, RequestOutcome::Error);
+        metrics.dispatched();
+        let text = metrics.text(Gauges { concurrent: 3, targets: 5, disabled: 1 });
         let lines: Vec<&str> = text.lines().collect();
         assert_eq!(
             lines,
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! The core: the thread that owns the decision module, and the queue by which fronts reach it.
 //!
 //! Nothing here knows a wire. A front hands in a request with its work `W` as an opaque value and gets one
-//! [`Final`] with an answer `A`; a host side carries out [`Command`]s and reports how each attempt ended.
+//! [`FinalAnswer`] with an answer `A`; a host side carries out [`Command`]s and reports how each attempt ended.
 
 pub mod admission;
 pub mod classes;
@@ -21,23 +21,23 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use classes::Classes;
-use endpoints::{Host, Listing};
+use endpoints::{EndpointChange, EndpointUpdate};
 use futures_lite::future;
-use metrics::{Figures, Gauges};
-use request_engine::Owner;
+use metrics::{Gauges, Metrics};
+use request_engine::RequestEngine;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 
 /// The one final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Final<A> {
+pub enum FinalAnswer<A> {
     /// Served, with what the host gave.
     Served(A),
     /// Not done; trying again is harmless.
-    Refused {
+    Rejected {
         /// When to come back.
-        retry_in: Option<TimeDelta>,
+        retry_after: Option<TimeDelta>,
         /// The time of the request was over.
         overdue: bool,
     },
@@ -54,28 +54,28 @@
 #[derive(Clone, Debug)]
 pub struct Submission<W, A> {
     /// What the module is asked; its id is the ticket's.
-    pub ask: Ask,
+    pub ask: IncomingRequest,
     /// When the client stops waiting.
     pub deadline: Timestamp,
     /// What is sent to a host, opaque to the core.
     pub work: W,
     /// Where the final answer goes.
-    pub reply: Sender<Final<A>>,
+    pub reply: Sender<FinalAnswer<A>>,
 }
 
 /// How an attempt ended, as the host side saw it.
 #[derive(Clone, Debug)]
-pub struct Ended<A> {
+pub struct AttemptReport<A> {
     /// The request.
     pub id: RequestId,
     /// The attempt.
     pub attempt: u8,
     /// The outcome.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// What the host told about itself.
-    pub mark: Option<Mark>,
+    pub replica_status: Option<ReplicaStatus>,
     /// Its load report.
-    pub report: Report,
+    pub report: LoadReport,
     /// The answer, where it was served.
     pub answer: Option<A>,
 }
@@ -86,9 +86,9 @@
     /// A request.
     Request(Submission<W, A>),
     /// The client of a request has gone.
-    Lapsed(RequestId),
+    RequestCancelled(RequestId),
     /// An answer too long to be held back has begun: what it is, while the rest is still to come.
-    Started {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// The attempt.
@@ -97,18 +97,18 @@
         answer: A,
     },
     /// An attempt ended.
-    Ended(Ended<A>),
+    AttemptFinished(AttemptReport<A>),
     /// A probe came back, with what the host told; `None`: nothing.
-    Probed {
+    ProbeFinished {
         /// The member.
-        member: EndpointId,
+        endpoint: EndpointId,
         /// Time since it was sent.
         took: TimeDelta,
         /// Its load report.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A message of a peer.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: u16,
         /// The message.
@@ -118,7 +118,7 @@
 
 /// What another daemon heard a host say of itself, or this one before its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct PeerObservation {
     /// The host's name.
     pub host: String,
     /// It called itself the primary.
@@ -134,7 +134,7 @@
 
 /// Who asks hosts in turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Turns {
+pub struct PollParticipants {
     /// This daemon.
     pub me: NodeId,
     /// Others that are heard.
@@ -145,28 +145,28 @@
 #[derive(Clone, Debug)]
 pub enum Control {
     /// A list, or changes to it.
-    List {
+    EndpointList {
         /// The list.
-        list: Listing,
+        list: EndpointUpdate,
         /// It was remembered from before the start.
         cached: bool,
     },
     /// What holds now is told there.
     Gauges(Sender<Gauges>),
     /// What hosts have told since the last time is told there.
-    Facts(Sender<Vec<observations::Fact>>),
+    Observations(Sender<Vec<observations::Observation>>),
     /// What was seen of each host within the last moment is told there, by its name.
-    Sights(Sender<BTreeMap<String, outcome_window::Seen>>),
+    OutcomeCounts(Sender<BTreeMap<String, outcome_window::OutcomeCounts>>),
     /// Nothing more is to be waited for from these hosts: reads that are out there and overdue are asked elsewhere.
-    CallOff(BTreeSet<String>),
+    CancelOverdueReads(BTreeSet<String>),
     /// What other daemons heard hosts say, or this one before its start.
-    Told(Vec<Told>),
+    PeerObservations(Vec<PeerObservation>),
     /// The terms on which requests are let in; `None`: all are.
-    Admit(Option<admission::Terms>),
+    SetAdmission(Option<admission::AdmissionPolicy>),
     /// Hosts are asked in turn with these other daemons; `None`: whenever the module wants it.
-    Turns(Option<Turns>),
+    SetPollParticipants(Option<PollParticipants>),
     /// Whatever is open gets its final answer now: the program ends.
-    End,
+    FinishAll,
     /// End the thread.
     Stop,
 }
@@ -174,26 +174,26 @@
 /// How current the data of an answer must be. The module sends only where it knows that; a host side that
 /// is told the position of each answer checks it once more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Freshness {
     /// As it comes.
     Any,
     /// No older than this when it is sent.
-    Age(TimeDelta),
+    MaxAge(TimeDelta),
     /// From this point in time or later.
-    Since(Timestamp),
+    CommittedSince(Timestamp),
 }
 
 /// What a host side is asked to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command<W> {
     /// Send an attempt.
-    Attempt {
+    SendAttempt {
         /// The request.
         id: RequestId,
         /// Its number among the request's attempts.
         attempt: u8,
         /// The module's name for the host, handed back with what it tells of itself.
-        member: EndpointId,
+        endpoint: EndpointId,
         /// The host's name.
         host: String,
         /// The work.
@@ -204,12 +204,12 @@
         /// forgets it then.
         send_by: Option<Timestamp>,
         /// How current its answer must be.
-        need: Need,
+        freshness: Freshness,
     },
     /// Ask a host about itself.
     Probe {
         /// The module's name for it, handed back.
-        member: EndpointId,
+        endpoint: EndpointId,
         /// The host's name.
         host: String,
     },
@@ -221,11 +221,11 @@
         attempt: u8,
     },
     /// These hosts are new or changed.
-    Hosts(Vec<Host>),
+    UpdateEndpoints(Vec<EndpointChange>),
     /// Close idle connections to a host.
     CloseIdle(String),
     /// A message for peers.
-    Tell {
+    SendToPeers {
         /// Its number; `None`: all.
         to: Option<u16>,
         /// The message.
@@ -234,44 +234,44 @@
     /// The whole list is wanted.
     FetchList,
     /// Another daemon has just heard this host: it need not be asked about itself before anything else.
-    Heard(String),
+    SkipInitialProbe(String),
     /// A host has begun anew: what hosts have told is to be read now.
-    News,
+    ObservationsPending,
 }
 
 /// A front's and a host side's way to the core.
-pub struct Handle<W, A> {
+pub struct EngineHandle<W, A> {
     inputs: Sender<Input<W, A>>,
     control: Sender<Control>,
     next: Arc<AtomicU64>,
     /// The longest time that a client gave a request, in microseconds.
-    patience: Arc<AtomicI64>,
-    figures: Arc<Figures>,
+    client_timeout: Arc<AtomicI64>,
+    metrics: Arc<Metrics>,
     clock: Clock,
 }
 
-impl<W, A> Clone for Handle<W, A> {
+impl<W, A> Clone for EngineHandle<W, A> {
     fn clone(&self) -> Self {
-        Handle {
+        EngineHandle {
             inputs: self.inputs.clone(),
             control: self.control.clone(),
             next: self.next.clone(),
-            patience: self.patience.clone(),
-            figures: self.figures.clone(),
+            client_timeout: self.client_timeout.clone(),
+            metrics: self.metrics.clone(),
             clock: self.clock.clone(),
         }
     }
 }
 
-impl<W, A> Handle<W, A> {
+impl<W, A> EngineHandle<W, A> {
     /// The program's clock.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
     /// What is counted.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
     /// What holds now; the core answers ahead of requests that wait. `None`: it has ended.
@@ -282,37 +282,37 @@
     }
 
     /// What hosts have told since the last time. `None`: the core has ended.
-    pub async fn facts(&self) -> Option<Vec<observations::Fact>> {
+    pub async fn observations(&self) -> Option<Vec<observations::Observation>> {
         let (reply, facts) = async_channel::bounded(1);
-        self.control(Control::Facts(reply)).await;
+        self.control(Control::Observations(reply)).await;
         facts.recv().await.ok()
     }
 
     /// Hands in a request; waits while the queue is full. `None`: the core has ended.
     pub async fn submit(
         &self,
-        ask: Ask,
+        ask: IncomingRequest,
         deadline: Timestamp,
         work: W,
-    ) -> Option<(RequestId, Receiver<Final<A>>)> {
+    ) -> Option<(RequestId, Receiver<FinalAnswer<A>>)> {
         let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
-        self.patience.fetch_max((deadline - self.clock.now()).as_micros(), Ordering::Relaxed);
+        self.client_timeout.fetch_max((deadline - self.clock.now()).as_micros(), Ordering::Relaxed);
         let (reply, answer) = async_channel::bounded(1);
-        let request = Submission { ask: Ask { id, ..ask }, deadline, work, reply };
+        let request = Submission { ask: IncomingRequest { id, ..ask }, deadline, work, reply };
         self.inputs.send(Input::Request(request)).await.ok()?;
         Some((id, answer))
     }
 
     /// What was seen of each host within the last moment. `None`: the core has ended.
-    pub async fn sights(&self) -> Option<BTreeMap<String, outcome_window::Seen>> {
-        let (reply, sights) = async_channel::bounded(1);
-        self.control(Control::Sights(reply)).await;
-        sights.recv().await.ok()
+    pub async fn outcome_counts(&self) -> Option<BTreeMap<String, outcome_window::OutcomeCounts>> {
+        let (reply, outcomes) = async_channel::bounded(1);
+        self.control(Control::OutcomeCounts(reply)).await;
+        outcomes.recv().await.ok()
     }
 
     /// The longest time that a client has given a request; `None` before the first.
-    pub fn patience(&self) -> Option<TimeDelta> {
-        let longest = TimeDelta::from_micros(self.patience.load(Ordering::Relaxed));
+    pub fn client_timeout(&self) -> Option<TimeDelta> {
+        let longest = TimeDelta::from_micros(self.client_timeout.load(Ordering::Relaxed));
         Some(longest).filter(|p| *p > TimeDelta::ZERO)
     }
 
@@ -333,7 +333,7 @@
 }
 
 /// The way to the core, and the commands that come out of it.
-pub type Started<W, A> = (Handle<W, A>, Receiver<Command<W>>);
+pub type Started<W, A> = (EngineHandle<W, A>, Receiver<Command<W>>);
 
 /// Starts the thread that owns the module.
 pub fn start<W, A>(
@@ -347,17 +347,17 @@
     W: Clone + Send + 'static,
     A: Send + 'static,
 {
-    let (inputs, queue) = async_channel::bounded(limits.queue);
-    let (control, urgent) = async_channel::bounded(limits.queue);
+    let (inputs, queue) = async_channel::bounded(limits.input_queue);
+    let (control, urgent) = async_channel::bounded(limits.input_queue);
     // Never full to block on: each open request has one attempt out at the most.
     let (commands, out) = async_channel::unbounded();
-    let figures = Arc::new(Figures::new(classes));
-    let owner = Owner::new(settings, seed, limits, figures.clone());
+    let metrics = Arc::new(Metrics::new(classes));
+    let owner = RequestEngine::new(settings, seed, limits, metrics.clone());
     let own_clock = clock.clone();
     let thread = std::thread::Builder::new().name("module".into());
     thread.spawn(move || run(owner, &own_clock, &urgent, &queue, &commands))?;
-    let (next, patience) = (Arc::new(AtomicU64::new(1)), Arc::default());
-    Ok((Handle { inputs, control, next, patience, figures, clock }, out))
+    let (next, client_timeout) = (Arc::new(AtomicU64::new(1)), Arc::default());
+    Ok((EngineHandle { inputs, control, next, client_timeout, metrics, clock }, out))
 }
 
 enum Woken<W, A> {
@@ -368,7 +368,7 @@
 }
 
 fn run<W: Clone, A>(
-    mut owner: Owner<W, A>,
+    mut owner: RequestEngine<W, A>,
     clock: &Clock,
     urgent: &Receiver<Control>,
     queue: &Receiver<Input<W, A>>,
@@ -394,17 +394,21 @@
         };
         // In this order: what discovery told counts before any request that waits.
         match future::block_on(future::or(control, future::or(input, timer))) {
-            Woken::Control(Control::List { list, cached }) => {
+            Woken::Control(Control::EndpointList { list, cached }) => {
                 owner.list(clock.now(), &list, cached, &mut out)
             }
             Woken::Control(Control::Gauges(reply)) => drop(reply.try_send(owner.gauges(clock.now()))),
-            Woken::Control(Control::Facts(reply)) => drop(reply.try_send(owner.facts())),
-            Woken::Control(Control::Sights(reply)) => drop(reply.try_send(owner.sights(clock.now()))),
-            Woken::Control(Control::CallOff(hosts)) => owner.call_off(clock.now(), &hosts, &mut out),
-            Woken::Control(Control::Told(told)) => owner.told(clock.now(), told, &mut out),
-            Woken::Control(Control::Admit(terms)) => owner.admit(clock.now(), terms),
-            Woken::Control(Control::Turns(turns)) => owner.turns(clock.now(), turns, &mut out),
-            Woken::Control(Control::End) => owner.end(clock.now(), &mut out),
+            Woken::Control(Control::Observations(reply)) => drop(reply.try_send(owner.facts())),
+            Woken::Control(Control::OutcomeCounts(reply)) => {
+                drop(reply.try_send(owner.outcomes(clock.now())))
+            }
+            Woken::Control(Control::CancelOverdueReads(hosts)) => {
+                owner.call_off(clock.now(), &hosts, &mut out)
+            }
+            Woken::Control(Control::PeerObservations(told)) => owner.told(clock.now(), told, &mut out),
+            Woken::Control(Control::SetAdmission(terms)) => owner.admit(clock.now(), terms),
+            Woken::Control(Control::SetPollParticipants(turns)) => owner.turns(clock.now(), turns, &mut out),
+            Woken::Control(Control::FinishAll) => owner.end(clock.now(), &mut out),
             Woken::Input(input) => owner.input(clock.now(), input, &mut out),
             Woken::Timer => {}
             Woken::Control(Control::Stop) | Woken::Over => return,
--- a/src/engine/observations.rs
+++ b/src/engine/observations.rs
@@ -1,17 +1,17 @@
 //! What hosts last told of themselves, for whoever passes it on. Fed by the owner, read now and then. No I/O.
 
-use crate::routing::{EndpointId, LogPosition, Mark, TimeDelta, Timestamp};
+use crate::routing::{EndpointId, LogPosition, ReplicaStatus, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Positions are told in whole milliseconds.
 const ROUNDING: TimeDelta = TimeDelta::from_millis(1);
 
 /// Starts of a host that differ by no more are one: hosts tell how long they run, each time a little differently.
-pub const JITTER: TimeDelta = TimeDelta::from_secs(2);
+pub const START_TIME_TOLERANCE: TimeDelta = TimeDelta::from_secs(2);
 
 /// What a host last told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fact {
+pub struct Observation {
     /// The host's name.
     pub host: String,
     /// It called itself the primary.
@@ -35,8 +35,8 @@
 
 /// What is known of a host, since it was last read or, of `top`, ever.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
-    mark: Option<(Mark, Timestamp)>,
+struct EndpointHistory {
+    replica_status: Option<(ReplicaStatus, Timestamp)>,
     up: Option<Timestamp>,
     served: u32,
     used: (f64, u32),
@@ -49,64 +49,65 @@
 
 /// What one host told since the last time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct New {
+pub struct NewObservation {
     /// The last mark, with when it came.
-    pub mark: Mark,
+    pub replica_status: ReplicaStatus,
     /// See there.
     pub at: Timestamp,
     /// When the host started, by its own word or its position.
     pub started: Option<Timestamp>,
-    /// See [`Fact::served`].
+    /// See [`Observation::served`].
     pub served: u32,
-    /// See [`Fact::used`].
+    /// See [`Observation::used`].
     pub used: (f64, u32),
-    /// See [`Fact::back`].
+    /// See [`Observation::back`].
     pub back: Option<(LogPosition, Timestamp)>,
 }
 
 /// What is new since it was last read. Off until somebody reads it.
 #[derive(Debug, Default)]
-pub struct Facts {
+pub struct Observations {
     on: bool,
-    all: BTreeMap<EndpointId, Told>,
+    all: BTreeMap<EndpointId, EndpointHistory>,
     urgent: bool,
     new: BTreeSet<EndpointId>,
 }
 
-impl Facts {
+impl Observations {
     /// A host has told something, in answer to a question that went out at `sent`. `up`: how long it has run, if it
     /// says so.
     pub fn note(
         &mut self,
-        member: EndpointId,
-        mark: Option<Mark>,
+        endpoint: EndpointId,
+        replica_status: Option<ReplicaStatus>,
         up: Option<TimeDelta>,
         sent: Timestamp,
         at: Timestamp,
     ) {
-        let Some(mark) = mark.filter(|_| self.on) else { return };
-        let told = self.all.entry(member).or_default();
-        told.mark = Some((mark, at));
+        let Some(replica_status) = replica_status.filter(|_| self.on) else { return };
+        let told = self.all.entry(endpoint).or_default();
+        told.replica_status = Some((replica_status, at));
         let started = up.filter(|up| *up >= TimeDelta::ZERO).map(|up| at.saturating_sub(up));
-        if started > told.up.map(|known| known + JITTER) {
+        if started > told.up.map(|known| known + START_TIME_TOLERANCE) {
             self.urgent = true;
             told.up = started;
         }
-        self.new.insert(member);
-        if !mark.position.is_known() {
+        self.new.insert(endpoint);
+        if !replica_status.position.is_known() {
             return;
         }
         // Answers overtake one another: only one that was asked for after a greater position had come shows that
         // the host went back.
-        let went_back = told.top.is_some_and(|(top, came)| came < sent && mark.position + ROUNDING < top);
+        let went_back =
+            told.top.is_some_and(|(top, came)| came < sent && replica_status.position + ROUNDING < top);
         if went_back {
-            told.back = Some((mark.position, sent));
+            told.back = Some((replica_status.position, sent));
             self.urgent = true;
             // A replica may have been given an older copy while it ran; a primary has lost what it had.
-            told.anew = if mark.primary { Some(at) } else { told.anew };
+            told.anew = if replica_status.primary { Some(at) } else { told.anew };
         }
-        if went_back || told.top.is_none_or(|(top, _)| mark.position >= top) {
-            told.top = Some((mark.position, at));
+        if went_back || told.top.is_none_or(|(top, _)| replica_status.position >= top) {
+            told.top = Some((replica_status.position, at));
         }
     }
 
@@ -116,53 +117,56 @@
     }
 
     /// A host has served something.
-    pub fn served(&mut self, member: EndpointId) {
+    pub fn served(&mut self, endpoint: EndpointId) {
         if self.on
-            && let Some(told) = self.all.get_mut(&member)
+            && let Some(told) = self.all.get_mut(&endpoint)
         {
             told.served += 1;
         }
     }
 
     /// A host has said which part of its capacity is in use.
-    pub fn used(&mut self, member: EndpointId, util: f64) {
+    pub fn used(&mut self, endpoint: EndpointId, util: f64) {
         if self.on
-            && let Some(told) = self.all.get_mut(&member)
+            && let Some(told) = self.all.get_mut(&endpoint)
         {
             told.used = (told.used.0 + util.clamp(0.0, 1.0), told.used.1 + 1);
         }
     }
 
     /// What was known of a host's position before, or by others: when it had come there.
-    pub fn known(&mut self, member: EndpointId, position: LogPosition, came: Timestamp) {
-        let told = self.all.entry(member).or_default();
+    pub fn known(&mut self, endpoint: EndpointId, position: LogPosition, came: Timestamp) {
+        let told = self.all.entry(endpoint).or_default();
         if position.is_known() && told.top.is_none_or(|(top, _)| position > top) && told.back.is_none() {
             told.top = Some((position, came));
         }
     }
 
     /// When a host was last heard here.
-    pub fn heard(&self, member: EndpointId) -> Option<Timestamp> {
-        self.all.get(&member).and_then(|told| told.mark).map(|(_, at)| at)
+    pub fn heard(&self, endpoint: EndpointId) -> Option<Timestamp> {
+        self.all.get(&endpoint).and_then(|told| told.replica_status).map(|(_, at)| at)
     }
 
     /// Forgets hosts that are gone.
     pub fn retain(&mut self, stays: impl Fn(EndpointId) -> bool) {
-        self.all.retain(|member, _| stays(*member));
-        self.new.retain(|member| stays(*member));
+        self.all.retain(|endpoint, _| stays(*endpoint));
+        self.new.retain(|endpoint| stays(*endpoint));
     }
 
     /// What was told since the last time.
-    pub fn take(&mut self) -> Vec<(EndpointId, New)> {
+    pub fn take(&mut self) -> Vec<(EndpointId, NewObservation)> {
         self.on = true;
         let new = std::mem::take(&mut self.new);
         let all = &mut self.all;
-        let one = |member: EndpointId| {
-            let told = all.get_mut(&member)?;
-            let (mark, at) = told.mark?;
+        let one = |endpoint: EndpointId| {
+            let told = all.get_mut(&endpoint)?;
+            let (replica_status, at) = told.replica_status?;
             let served = std::mem::take(&mut told.served);
             let (started, used) = (told.up.max(told.anew), std::mem::take(&mut told.used));
-            Some((member, New { mark, at, started, served, used, back: told.back.take() }))
+            Some((
+                endpoint,
+                NewObservation { replica_status, at, started, served, used, back: told.back.take() },
+            ))
         };
         new.into_iter().filter_map(one).collect()
     }
@@ -182,8 +186,8 @@
         LogPosition::from_micros(micros)
     }
 
-    fn mark(micros: i64) -> Option<Mark> {
-        Some(Mark { primary: true, position: position(micros) })
+    fn replica_status(micros: i64) -> Option<ReplicaStatus> {
+        Some(ReplicaStatus { primary: true, position: position(micros) })
     }
 
     /// Guards against answers that overtake one another and pass for a host that went back, and against a host that
@@ -192,7 +196,7 @@
     fn a_host_goes_back_only_where_it_was_asked_after_it_had_told_more() {
         for seed in 0..400 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut facts = Facts::default();
+            let mut facts = Observations::default();
             facts.take();
             // Questions that are out: sent, and what the host told when it had them.
             let mut out: Vec<(i64, i64)> = Vec::new();
@@ -210,7 +214,7 @@
                 if rng.bool() {
                     let (sent, position) = out.swap_remove(rng.usize(..out.len()));
                     now += 1;
-                    facts.note(A, mark(position), None, at(sent), at(now));
+                    facts.note(A, replica_status(position), None, at(sent), at(now));
                 }
                 if rng.u8(..8) == 0 {
                     went_back |= facts.take().iter().any(|(_, new)| new.back.is_some());
@@ -223,23 +227,23 @@
 
     #[test]
     fn what_was_known_before_counts_and_a_new_start_is_told() {
-        let mut facts = Facts::default();
-        facts.note(A, mark(5_000), None, at(1), at(2));
+        let mut facts = Observations::default();
+        facts.note(A, replica_status(5_000), None, at(1), at(2));
         assert!(facts.take().is_empty(), "nobody has asked yet");
         facts.known(A, position(900_000), at(10));
         facts.known(A, position(700_000), at(11));
-        facts.note(A, mark(400_000), Some(TimeDelta::from_micros(30)), at(20), at(50));
+        facts.note(A, replica_status(400_000), Some(TimeDelta::from_micros(30)), at(20), at(50));
         facts.served(A);
         assert!(facts.is_urgent() && !facts.is_urgent());
         let new = facts.take()[0].1;
         assert_eq!((new.back, new.started, new.served), (Some((position(400_000), at(20))), Some(at(50)), 1));
-        facts.note(A, mark(500_000), Some(TimeDelta::from_micros(60)), at(60), at(90));
+        facts.note(A, replica_status(500_000), Some(TimeDelta::from_micros(60)), at(60), at(90));
         let new = facts.take()[0].1;
         assert_eq!(
             (new.back, new.started, new.served, facts.heard(A)),
             (None, Some(at(50)), 0, Some(at(90)))
         );
-        facts.retain(|member| member != A);
+        facts.retain(|endpoint| endpoint != A);
         assert_eq!(facts.heard(A), None);
     }
 }
--- a/src/engine/outcome_window.rs
+++ b/src/engine/outcome_window.rs
@@ -3,14 +3,14 @@
 //!
 //! An attempt that is still out counts as silent before its time is over: in a zone that has gone nothing ends.
 
-use crate::routing::{EndpointId, Outcome, TimeDelta, Timestamp};
+use crate::routing::{AttemptOutcome, EndpointId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
 /// A moment, in parts that fade one by one.
 const PARTS: i64 = 6;
 const PART: TimeDelta = TimeDelta::from_millis(100);
 /// How long a moment is.
-pub const SPAN: TimeDelta = TimeDelta::from_micros(PARTS * PART.as_micros());
+pub const WINDOW_LENGTH: TimeDelta = TimeDelta::from_micros(PARTS * PART.as_micros());
 /// An answer is late that took so many times the usual of its class, and this more.
 const LATE: f64 = 5.0;
 const JITTER: TimeDelta = TimeDelta::from_millis(30);
@@ -29,7 +29,7 @@
 
 /// What one host did with the attempts of one daemon within the last moments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct OutcomeCounts {
     /// Answered in time.
     pub good: u32,
     /// Answered late against the usual of the class, or overdue while the host answers others.
@@ -42,8 +42,8 @@
     pub busy: u16,
 }
 
-impl Seen {
-    fn add(&mut self, other: &Seen) {
+impl OutcomeCounts {
+    fn add(&mut self, other: &OutcomeCounts) {
         self.good += other.good;
         self.late += other.late;
         self.silent += other.silent;
@@ -58,9 +58,9 @@
 
 /// An attempt that is out.
 #[derive(Clone, Copy, Debug)]
-pub struct Out {
+pub struct InFlightAttempt {
     /// Where.
-    pub member: EndpointId,
+    pub endpoint: EndpointId,
     /// Its class.
     pub class: usize,
     /// When it was sent.
@@ -69,25 +69,25 @@
 
 /// All hosts. Off until somebody reads it: nothing is kept for nobody.
 #[derive(Debug, Default)]
-pub struct Sights {
+pub struct OutcomeWindow {
     on: bool,
     /// By host, the number of the part and what was seen in it.
-    all: BTreeMap<EndpointId, Vec<(i64, Seen)>>,
+    all: BTreeMap<EndpointId, Vec<(i64, OutcomeCounts)>>,
     usual: BTreeMap<usize, f64>,
     busy: BTreeMap<EndpointId, f64>,
     /// When each last answered an attempt: one that answers questions about itself alone does no work.
     answered: BTreeMap<EndpointId, Timestamp>,
     /// What failed since, and when last.
-    failed: BTreeMap<EndpointId, (Seen, Timestamp)>,
+    failed: BTreeMap<EndpointId, (OutcomeCounts, Timestamp)>,
 }
 
-impl Sights {
+impl OutcomeWindow {
     fn bound(&self, class: usize) -> TimeDelta {
         self.usual.get(&class).map_or(SILENT, |usual| TimeDelta::from_micros_f64(usual * LATE)) + JITTER
     }
 
     /// An attempt that is out for longer is overdue.
-    fn patience(&self, class: usize) -> TimeDelta {
+    fn client_timeout(&self, class: usize) -> TimeDelta {
         self.bound(class).max(SILENT)
     }
 
@@ -95,39 +95,42 @@
     pub fn ended(
         &mut self,
         now: Timestamp,
-        member: EndpointId,
+        endpoint: EndpointId,
         class: usize,
         took: TimeDelta,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
     ) {
         if !self.on {
             return;
         }
         let bound = self.bound(class);
-        let mut seen = Seen::default();
+        let mut seen = OutcomeCounts::default();
         match outcome {
-            Outcome::Ok if took > bound => seen.late = 1,
-            Outcome::Ok | Outcome::Miss | Outcome::Full | Outcome::Error => seen.good = 1,
-            Outcome::ConnectFailed => seen.refused = 1,
-            Outcome::TimedOut | Outcome::Reset => seen.silent = 1,
-            Outcome::Cancelled if took > self.patience(class) => seen.silent = 1,
+            AttemptOutcome::Served if took > bound => seen.late = 1,
+            AttemptOutcome::Served
+            | AttemptOutcome::Misdirected
+            | AttemptOutcome::Overloaded
+            | AttemptOutcome::Error => seen.good = 1,
+            AttemptOutcome::ConnectFailed => seen.refused = 1,
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset => seen.silent = 1,
+            AttemptOutcome::Cancelled if took > self.client_timeout(class) => seen.silent = 1,
             _ => return,
         }
-        if outcome == Outcome::Ok {
+        if outcome == AttemptOutcome::Served {
             let usual = self.usual.entry(class).or_insert(took.as_micros_f64());
             let weight = if took.as_micros_f64() > *usual { RISE } else { FALL };
             *usual += (took.as_micros_f64() - *usual) * weight;
         }
         if seen.good + seen.late > 0 {
-            self.answered.insert(member, now);
-            self.failed.remove(&member);
+            self.answered.insert(endpoint, now);
+            self.failed.remove(&endpoint);
         } else {
-            let (failed, at) = self.failed.entry(member).or_default();
+            let (failed, at) = self.failed.entry(endpoint).or_default();
             failed.add(&seen);
             *at = now;
         }
         let part = now.since(Timestamp::ZERO) / PART;
-        let parts = self.all.entry(member).or_default();
+        let parts = self.all.entry(endpoint).or_default();
         parts.retain(|(n, _)| part - n < PARTS);
         match parts.last_mut() {
             Some((n, known)) if *n == part => known.add(&seen),
@@ -136,21 +139,25 @@
     }
 
     /// A host has said which part of its capacity is in use.
-    pub fn busy(&mut self, member: EndpointId, util: f64) {
+    pub fn busy(&mut self, endpoint: EndpointId, util: f64) {
         if !self.on {
             return;
         }
-        let known = self.busy.entry(member).or_insert(util);
+        let known = self.busy.entry(endpoint).or_insert(util);
         *known += (util.clamp(0.0, 1.0) - *known) * FALL;
     }
 
     /// Whether an attempt has been out for longer than any sound answer of its class takes.
-    pub fn is_overdue(&self, now: Timestamp, out: &Out) -> bool {
-        now - out.sent > self.patience(out.class)
+    pub fn is_overdue(&self, now: Timestamp, out: &InFlightAttempt) -> bool {
+        now - out.sent > self.client_timeout(out.class)
     }
 
     /// What was seen of each host within the last moment. `out`: the attempts that are out now.
-    pub fn read(&mut self, now: Timestamp, out: impl Iterator<Item = Out>) -> BTreeMap<EndpointId, Seen> {
+    pub fn read(
+        &mut self,
+        now: Timestamp,
+        out: impl Iterator<Item = InFlightAttempt>,
+    ) -> BTreeMap<EndpointId, OutcomeCounts> {
         self.on = true;
         let part = now.since(Timestamp::ZERO) / PART;
         self.all.retain(|_, parts| {
@@ -159,28 +166,28 @@
         });
         self.answered.retain(|_, at| now - *at < LONG);
         self.failed.retain(|_, (_, at)| now - *at < HELD);
-        let Sights { all, busy, .. } = self;
-        busy.retain(|member, _| all.contains_key(member));
-        let mut seen: BTreeMap<EndpointId, Seen> = BTreeMap::new();
-        for (member, parts) in &self.all {
-            parts.iter().for_each(|(_, s)| seen.entry(*member).or_default().add(s));
+        let OutcomeWindow { all, busy, .. } = self;
+        busy.retain(|endpoint, _| all.contains_key(endpoint));
+        let mut seen: BTreeMap<EndpointId, OutcomeCounts> = BTreeMap::new();
+        for (endpoint, parts) in &self.all {
+            parts.iter().for_each(|(_, s)| seen.entry(*endpoint).or_default().add(s));
         }
-        for (member, (failed, _)) in &self.failed {
-            let seen = seen.entry(*member).or_default();
+        for (endpoint, (failed, _)) in &self.failed {
+            let seen = seen.entry(*endpoint).or_default();
             seen.silent = seen.silent.max(failed.silent.min(FEW));
             seen.refused = seen.refused.max(failed.refused.min(FEW));
         }
         for one in out.filter(|out| self.is_overdue(now, out)) {
-            let seen = seen.entry(one.member).or_default();
+            let seen = seen.entry(one.endpoint).or_default();
             // Whatever comes of it, it is late: where one request in three gets lost its host answers the others.
-            if self.answered.get(&one.member).is_some_and(|at| *at >= one.sent) {
+            if self.answered.get(&one.endpoint).is_some_and(|at| *at >= one.sent) {
                 seen.late += 1;
             } else {
                 seen.silent += 1;
             }
         }
-        for (member, seen) in &mut seen {
-            seen.busy = self.busy.get(member).map_or(0, |busy| ((busy * 1000.0) as u16).max(1));
+        for (endpoint, seen) in &mut seen {
+            seen.busy = self.busy.get(endpoint).map_or(0, |busy| ((busy * 1000.0) as u16).max(1));
         }
         seen
     }
@@ -198,23 +205,23 @@
     }
 
     /// Somebody reads it.
-    fn sights() -> Sights {
-        let mut sights = Sights::default();
-        assert!(sights.read(Timestamp::ZERO, std::iter::empty()).is_empty());
-        sights
+    fn outcomes() -> OutcomeWindow {
+        let mut outcomes = OutcomeWindow::default();
+        assert!(outcomes.read(Timestamp::ZERO, std::iter::empty()).is_empty());
+        outcomes
     }
 
     /// Guards against memory that grows with hosts that come and go where nobody ever looks.
     #[test]
     fn nothing_is_kept_before_somebody_reads_it_nor_of_what_is_long_gone() {
-        let mut sights = Sights::default();
-        sights.ended(Timestamp::ZERO, A, 0, MS, Outcome::Ok);
-        sights.busy(A, 0.5);
-        assert!(sights.read(at(MS), std::iter::empty()).is_empty());
-        sights.ended(Timestamp::ZERO, A, 0, MS, Outcome::Ok);
-        sights.busy(A, 0.5);
-        sights.read(at(LONG), std::iter::empty());
-        let kept = (sights.all.len(), sights.busy.len(), sights.answered.len(), sights.failed.len());
+        let mut outcomes = OutcomeWindow::default();
+        outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::Served);
+        outcomes.busy(A, 0.5);
+        assert!(outcomes.read(at(MS), std::iter::empty()).is_empty());
+        outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::Served);
+        outcomes.busy(A, 0.5);
+        outcomes.read(at(LONG), std::iter::empty());
+        let kept = (outcomes.all.len(), outcomes.busy.len(), outcomes.answered.len(), outcomes.failed.len());
         assert_eq!(kept, (0, 0, 0, 0));
     }
 
@@ -222,31 +229,31 @@
     /// which goes on answering.
     #[test]
     fn what_is_out_too_long_is_silent_unless_its_host_was_heard_since() {
-        let mut sights = sights();
-        (0..50).for_each(|n| sights.ended(at(n * 10 * MS), A, 0, 5 * MS, Outcome::Ok));
-        let out = |sent| [Out { member: A, class: 0, sent }].into_iter();
+        let mut outcomes = outcomes();
+        (0..50).for_each(|n| outcomes.ended(at(n * 10 * MS), A, 0, 5 * MS, AttemptOutcome::Served));
+        let out = |sent| [InFlightAttempt { endpoint: A, class: 0, sent }].into_iter();
         // It last answered at 490.
-        assert_eq!(sights.read(at(880 * MS), out(at(500 * MS))).get(&A).map_or(0, |s| s.silent), 0);
-        assert_eq!(sights.read(at(950 * MS), out(at(500 * MS)))[&A].silent, 1);
-        let seen = sights.read(at(950 * MS), out(at(480 * MS)))[&A];
+        assert_eq!(outcomes.read(at(880 * MS), out(at(500 * MS))).get(&A).map_or(0, |s| s.silent), 0);
+        assert_eq!(outcomes.read(at(950 * MS), out(at(500 * MS)))[&A].silent, 1);
+        let seen = outcomes.read(at(950 * MS), out(at(480 * MS)))[&A];
         assert_eq!((seen.silent, seen.late), (0, 1), "it has answered since, but not this one");
-        sights.ended(at(960 * MS), A, 0, 5 * MS, Outcome::Ok);
-        assert_eq!(sights.read(at(970 * MS), out(at(500 * MS)))[&A].silent, 0);
-        assert!(sights.read(at(5_000 * MS), std::iter::empty()).is_empty(), "what is old has faded");
+        outcomes.ended(at(960 * MS), A, 0, 5 * MS, AttemptOutcome::Served);
+        assert_eq!(outcomes.read(at(970 * MS), out(at(500 * MS)))[&A].silent, 0);
+        assert!(outcomes.read(at(5_000 * MS), std::iter::empty()).is_empty(), "what is old has faded");
     }
 
     /// Guards against a host that is gone, is tried seldom for that, and is forgotten between two tries.
     #[test]
     fn what_failed_last_is_told_until_the_host_answers_or_a_while_has_passed() {
-        let mut sights = sights();
-        (0..9).for_each(|_| sights.ended(Timestamp::ZERO, A, 0, MS, Outcome::ConnectFailed));
+        let mut outcomes = outcomes();
+        (0..9).for_each(|_| outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::ConnectFailed));
         let none = std::iter::empty;
-        assert_eq!(sights.read(at(MS), none())[&A].refused, 9);
-        assert_eq!(sights.read(at(1_900 * MS), none())[&A].refused, FEW);
-        assert!(sights.read(at(HELD), none()).is_empty());
-        sights.ended(at(HELD), A, 0, MS, Outcome::Reset);
-        sights.ended(at(HELD), A, 0, MS, Outcome::Ok);
-        assert!(sights.read(at(HELD + 700 * MS), none()).is_empty(), "it has answered");
+        assert_eq!(outcomes.read(at(MS), none())[&A].refused, 9);
+        assert_eq!(outcomes.read(at(1_900 * MS), none())[&A].refused, FEW);
+        assert!(outcomes.read(at(HELD), none()).is_empty());
+        outcomes.ended(at(HELD), A, 0, MS, AttemptOutcome::Reset);
+        outcomes.ended(at(HELD), A, 0, MS, AttemptOutcome::Served);
+        assert!(outcomes.read(at(HELD + 700 * MS), none()).is_empty(), "it has answered");
     }
 
     /// Guards against a usual that follows a slow zone until nothing there is late any more. Seeded: a third of the
@@ -255,14 +262,14 @@
     fn a_third_that_is_slow_stays_late() {
         for seed in 0..50 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let (mut sights, b) = (sights(), EndpointId { ip: [0; 4], port: 2 });
+            let (mut outcomes, b) = (outcomes(), EndpointId { ip: [0; 4], port: 2 });
             for n in 0..2_000 {
                 let usual = rng.i64(10..20) * MS;
                 let slow = n > 300 && rng.u8(..3) == 0;
-                let (member, took) = if slow { (b, usual * 10) } else { (A, usual) };
-                sights.ended(at(n * MS), member, 0, took, Outcome::Ok);
+                let (endpoint, took) = if slow { (b, usual * 10) } else { (A, usual) };
+                outcomes.ended(at(n * MS), endpoint, 0, took, AttemptOutcome::Served);
             }
-            let seen = sights.read(at(2_000 * MS), std::iter::empty());
+            let seen = outcomes.read(at(2_000 * MS), std::iter::empty());
             assert!(seen[&A].late * 10 < seen[&A].good, "seed {seed}: {seen:?}");
             assert!(seen[&b].late > seen[&b].good, "seed {seed}: {seen:?}");
         }
@@ -270,13 +277,19 @@
 
     #[test]
     fn each_outcome_counts_as_what_it_says_of_the_host() {
-        let mut sights = sights();
-        let all = [Outcome::Ok, Outcome::Miss, Outcome::ConnectFailed, Outcome::TimedOut, Outcome::Reset];
-        all.into_iter().for_each(|outcome| sights.ended(at(MS), A, 0, MS, outcome));
-        sights.ended(at(MS), A, 0, MS, Outcome::Cancelled);
-        sights.ended(at(MS), A, 0, 500 * MS, Outcome::Cancelled);
-        let seen = sights.read(at(2 * MS), std::iter::empty())[&A];
-        assert_eq!(seen, Seen { good: 2, late: 0, silent: 3, refused: 1, busy: 0 });
+        let mut outcomes = outcomes();
+        let all = [
+            AttemptOutcome::Served,
+            AttemptOutcome::Misdirected,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::TimedOut,
+            AttemptOutcome::Reset,
+        ];
+        all.into_iter().for_each(|outcome| outcomes.ended(at(MS), A, 0, MS, outcome));
+        outcomes.ended(at(MS), A, 0, MS, AttemptOutcome::Cancelled);
+        outcomes.ended(at(MS), A, 0, 500 * MS, AttemptOutcome::Cancelled);
+        let seen = outcomes.read(at(2 * MS), std::iter::empty())[&A];
+        assert_eq!(seen, OutcomeCounts { good: 2, late: 0, silent: 3, refused: 1, busy: 0 });
         assert_eq!(seen.ended(), 6);
     }
 }
--- a/src/engine/poll_scheduler.rs
+++ b/src/engine/poll_scheduler.rs
@@ -10,9 +10,9 @@
 
 /// A daemon waits so long for the word of each one before it. In a second a host is asked by four at the most
 /// that hear nothing of one another.
-pub const TURN: TimeDelta = TimeDelta::from_millis(250);
+pub const POLL_STAGGER: TimeDelta = TimeDelta::from_millis(250);
 /// A word of a host is as good as an answer for so long.
-pub const GOOD: TimeDelta = TimeDelta::from_millis(200);
+pub const OBSERVATION_TTL: TimeDelta = TimeDelta::from_millis(200);
 
 /// The place of a daemon in the order in which a host is asked, among these others.
 pub fn place(host: &str, me: NodeId, others: &[NodeId]) -> usize {
@@ -28,7 +28,7 @@
 
 /// What becomes of a question to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum PollDecision {
     /// It goes out.
     Now,
     /// It waits for another daemon's word.
@@ -39,17 +39,17 @@
 
 /// Questions of one daemon. `K`: how hosts are named.
 #[derive(Debug)]
-pub struct Asks<K> {
+pub struct PollScheduler<K> {
     me: NodeId,
     others: Vec<NodeId>,
     later: BTreeMap<K, Timestamp>,
     told: BTreeMap<K, Timestamp>,
 }
 
-impl<K: Ord + Copy> Asks<K> {
+impl<K: Ord + Copy> PollScheduler<K> {
     /// Questions of `me`, where these others are heard.
-    pub fn new(me: NodeId, others: Vec<NodeId>) -> Asks<K> {
-        Asks { me, others, later: BTreeMap::new(), told: BTreeMap::new() }
+    pub fn new(me: NodeId, others: Vec<NodeId>) -> PollScheduler<K> {
+        PollScheduler { me, others, later: BTreeMap::new(), told: BTreeMap::new() }
     }
 
     /// Others are heard now.
@@ -58,17 +58,17 @@
     }
 
     /// A question to a host is wanted.
-    pub fn wanted(&mut self, now: Timestamp, key: K, host: &str) -> Ask {
-        if self.told.get(&key).is_some_and(|at| now - *at < GOOD) {
-            return Ask::Known;
+    pub fn wanted(&mut self, now: Timestamp, key: K, host: &str) -> PollDecision {
+        if self.told.get(&key).is_some_and(|at| now - *at < OBSERVATION_TTL) {
+            return PollDecision::Known;
         }
         let place = place(host, self.me, &self.others);
         if place == 0 {
             self.later.remove(&key);
-            return Ask::Now;
+            return PollDecision::Now;
         }
-        self.later.entry(key).or_insert(now + TURN * place as i64);
-        Ask::Later
+        self.later.entry(key).or_insert(now + POLL_STAGGER * place as i64);
+        PollDecision::Later
     }
 
     /// A host was heard, by this daemon or by another one.
@@ -108,8 +108,8 @@
             let daemons: Vec<NodeId> = (0..rng.u64(1..16)).map(|_| NodeId(rng.u64(1..))).collect();
             let others =
                 |n: usize| daemons.iter().copied().filter(|id| *id != daemons[n]).collect::<Vec<_>>();
-            let mut all: Vec<Asks<u8>> =
-                (0..daemons.len()).map(|n| Asks::new(daemons[n], others(n))).collect();
+            let mut all: Vec<PollScheduler<u8>> =
+                (0..daemons.len()).map(|n| PollScheduler::new(daemons[n], others(n))).collect();
             // How long a word is on its way; none arrives where it is cut off.
             let way = TimeDelta::from_micros(rng.i64(1_000..100_000));
             let cut = rng.bool();
@@ -123,7 +123,9 @@
                 for own in &mut all {
                     let mut out = own.due(now);
                     if now == Timestamp::ZERO {
-                        out.extend((0..6).filter(|h| own.wanted(now, *h, &format!("s-{h}")) == Ask::Now));
+                        out.extend(
+                            (0..6).filter(|h| own.wanted(now, *h, &format!("s-{h}")) == PollDecision::Now),
+                        );
                     }
                     for host in out {
                         asked[usize::from(host)].push(now);
@@ -152,20 +154,29 @@
     #[test]
     fn what_was_told_a_moment_ago_is_not_asked_and_a_daemon_that_is_alone_asks_at_once() {
         let at = |since: TimeDelta| Timestamp::ZERO + since;
-        let mut alone = Asks::new(NodeId(7), Vec::new());
-        assert_eq!(alone.wanted(Timestamp::ZERO, 1, "a"), Ask::Now);
+        let mut alone = PollScheduler::new(NodeId(7), Vec::new());
+        assert_eq!(alone.wanted(Timestamp::ZERO, 1, "a"), PollDecision::Now);
         let soon = TimeDelta::from_micros(10);
         alone.told(at(soon), 1);
         assert_eq!(
-            (alone.wanted(at(GOOD), 1, "a"), alone.wanted(at(GOOD + soon), 1, "a")),
-            (Ask::Known, Ask::Now)
+            (alone.wanted(at(OBSERVATION_TTL), 1, "a"), alone.wanted(at(OBSERVATION_TTL + soon), 1, "a")),
+            (PollDecision::Known, PollDecision::Now)
         );
         let later = (1..).map(NodeId).find(|id| place("a", *id, &[NodeId(1_000)]) == 1).unwrap();
-        let mut asks = Asks::new(later, vec![NodeId(1_000)]);
-        assert_eq!((asks.wanted(Timestamp::ZERO, 1, "a"), asks.next()), (Ask::Later, Some(at(TURN))));
-        assert_eq!((asks.wanted(at(TURN / 2), 1, "a"), asks.next()), (Ask::Later, Some(at(TURN))));
-        assert_eq!((asks.due(at(TURN - TimeDelta::from_micros(1))), asks.due(at(TURN))), (vec![], vec![1]));
-        assert_eq!((asks.wanted(at(TURN), 1, "a"), asks.end()), (Ask::Later, vec![1]));
+        let mut asks = PollScheduler::new(later, vec![NodeId(1_000)]);
+        assert_eq!(
+            (asks.wanted(Timestamp::ZERO, 1, "a"), asks.next()),
+            (PollDecision::Later, Some(at(POLL_STAGGER)))
+        );
+        assert_eq!(
+            (asks.wanted(at(POLL_STAGGER / 2), 1, "a"), asks.next()),
+            (PollDecision::Later, Some(at(POLL_STAGGER)))
+        );
+        assert_eq!(
+            (asks.due(at(POLL_STAGGER - TimeDelta::from_micros(1))), asks.due(at(POLL_STAGGER))),
+            (vec![], vec![1])
+        );
+        assert_eq!((asks.wanted(at(POLL_STAGGER), 1, "a"), asks.end()), (PollDecision::Later, vec![1]));
         // The work is divided evenly.
         let others: Vec<NodeId> = (0..12).map(NodeId).collect();
         let first = |id: NodeId| (0..600).filter(|n| place(&format!("s-{n}"), id, &others) == 0).count();
--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -3,14 +3,16 @@
 //! What it guards for every front: one final answer for each request, one attempt out at a time, results
 //! that come after the end are told to the module and dropped, and a client that has gone ends its attempt.
 
-use super::admission::{Gate, Terms};
-use super::endpoints::{Listing, Members};
+use super::admission::{AdmissionController, AdmissionPolicy};
+use super::endpoints::{EndpointRegistry, EndpointUpdate};
 use super::load_report::{self, report_of};
-use super::metrics::{End, Figures, Gauges};
-use super::observations::{Fact, Facts, New};
-use super::outcome_window::{Out, Seen, Sights};
-use super::poll_scheduler::{Ask as Question, Asks};
-use super::{Command, Ended, Final, Input, Need, Submission, Told, Turns};
+use super::metrics::{Gauges, Metrics, RequestOutcome};
+use super::observations::{NewObservation, Observation, Observations};
+use super::outcome_window::{InFlightAttempt, OutcomeCounts, OutcomeWindow};
+use super::poll_scheduler::{PollDecision, PollScheduler};
+use super::{
+    AttemptReport, Command, FinalAnswer, Freshness, Input, PeerObservation, PollParticipants, Submission,
+};
 use crate::Router;
 use crate::config::Limits;
 use crate::routing::*;
@@ -24,76 +26,79 @@
 
 struct Open<W, A> {
     work: W,
-    reply: Sender<Final<A>>,
+    reply: Sender<FinalAnswer<A>>,
     deadline: Timestamp,
     attempts: u8,
     /// When the first attempt was sent that may have run.
     first_ran: Option<Timestamp>,
-    need: Need,
+    freshness: Freshness,
     class: usize,
     group: GroupId,
 }
 
 /// What a host told about itself, unless it cannot be: none is ahead of the present, and a position that is
 /// would pass for fresh for ever.
-fn believed(now: Timestamp, mark: Option<Mark>) -> Option<Mark> {
-    let mark = mark.filter(|m| m.position.commit_time(Timestamp::ZERO) <= now + AHEAD)?;
-    Some(Mark { position: mark.position.min(LogPosition::of_commit(now, Timestamp::ZERO)), ..mark })
+fn believed(now: Timestamp, replica_status: Option<ReplicaStatus>) -> Option<ReplicaStatus> {
+    let replica_status = replica_status.filter(|m| m.position.commit_time(Timestamp::ZERO) <= now + AHEAD)?;
+    Some(ReplicaStatus {
+        position: replica_status.position.min(LogPosition::of_commit(now, Timestamp::ZERO)),
+        ..replica_status
+    })
 }
 
 /// What a final answer counts as.
-fn end_of<A>(answer: &Final<A>) -> End {
+fn end_of<A>(answer: &FinalAnswer<A>) -> RequestOutcome {
     match answer {
-        Final::Served(_) => End::Success,
-        Final::Refused { .. } => End::Overload,
-        Final::Failed { .. } | Final::UnknownGroup => End::Error,
+        FinalAnswer::Served(_) => RequestOutcome::Success,
+        FinalAnswer::Rejected { .. } => RequestOutcome::Overload,
+        FinalAnswer::Failed { .. } | FinalAnswer::UnknownGroup => RequestOutcome::Error,
     }
 }
 
 /// The module with all that belongs to its requests.
-pub struct Owner<W, A> {
+pub struct RequestEngine<W, A> {
     router: Router,
     settings: Settings,
     seed: u64,
-    members: Members,
+    endpoints: EndpointRegistry,
     most: usize,
     overdue: TimeDelta,
     open: BTreeMap<RequestId, Open<W, A>>,
     /// Requests whose answer has begun, with their class; nothing more is owed, but their client may go.
     begun: BTreeMap<RequestId, usize>,
-    out: BTreeMap<(RequestId, u8), Out>,
+    out: BTreeMap<(RequestId, u8), InFlightAttempt>,
     deadlines: BTreeSet<(Timestamp, RequestId)>,
     timers: BTreeSet<(Timestamp, u64)>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
-    figures: Arc<Figures>,
-    facts: Facts,
-    sights: Sights,
-    gate: Gate,
+    metrics: Arc<Metrics>,
+    facts: Observations,
+    outcomes: OutcomeWindow,
+    gate: AdmissionController,
     /// Questions to hosts, where these are asked in turn with other daemons.
-    asks: Option<Asks<EndpointId>>,
+    asks: Option<PollScheduler<EndpointId>>,
     /// What hosts last told, to answer a question that need not be asked.
-    reports: BTreeMap<EndpointId, Report>,
+    reports: BTreeMap<EndpointId, LoadReport>,
     /// The program ends: nothing more is taken.
     ended: bool,
     /// Questions to hosts that are out: when each went.
     asked: BTreeMap<EndpointId, Timestamp>,
 }
 
-impl<W: Clone, A> Owner<W, A> {
+impl<W: Clone, A> RequestEngine<W, A> {
     /// An owner of a fresh module.
-    pub fn new(settings: Settings, seed: u64, limits: &Limits, figures: Arc<Figures>) -> Self {
-        Owner {
+    pub fn new(settings: Settings, seed: u64, limits: &Limits, metrics: Arc<Metrics>) -> Self {
+        RequestEngine {
             router: Router::new(settings.clone(), seed),
-            gate: Gate::new(&settings, seed),
+            gate: AdmissionController::new(&settings, seed),
             asks: None,
             reports: BTreeMap::new(),
             asked: BTreeMap::new(),
             settings,
             seed,
-            members: Members::default(),
-            most: limits.requests,
-            overdue: TimeDelta::from(limits.overdue),
+            endpoints: EndpointRegistry::default(),
+            most: limits.open_requests,
+            overdue: TimeDelta::from(limits.deadline_grace),
             open: BTreeMap::new(),
             begun: BTreeMap::new(),
             out: BTreeMap::new(),
@@ -101,9 +106,9 @@
             timers: BTreeSet::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
-            figures,
-            facts: Facts::default(),
-            sights: Sights::default(),
+            metrics,
+            facts: Observations::default(),
+            outcomes: OutcomeWindow::default(),
             ended: false,
         }
     }
@@ -112,7 +117,7 @@
     pub fn next_due(&self) -> Option<Timestamp> {
         let timer = self.timers.first().map(|(at, _)| *at);
         let deadline = self.deadlines.first().map(|(at, _)| *at);
-        let turn = self.asks.as_ref().and_then(Asks::next);
+        let turn = self.asks.as_ref().and_then(PollScheduler::next);
         timer.into_iter().chain(deadline).chain(turn).min()
     }
 
@@ -128,18 +133,18 @@
     }
 
     /// What hosts have told since this was last asked.
-    pub fn facts(&mut self) -> Vec<Fact> {
+    pub fn facts(&mut self) -> Vec<Observation> {
         let new = self.facts.take();
         let mut out: BTreeMap<EndpointId, u16> = BTreeMap::new();
-        self.out.values().for_each(|flight| *out.entry(flight.member).or_default() += 1);
-        let fact = |(member, new): (EndpointId, New)| {
-            let host = self.members.host(member)?;
-            Some(Fact {
+        self.out.values().for_each(|flight| *out.entry(flight.endpoint).or_default() += 1);
+        let fact = |(endpoint, new): (EndpointId, NewObservation)| {
+            let host = self.endpoints.host(endpoint)?;
+            Some(Observation {
                 host: host.name.clone(),
-                primary: new.mark.primary,
-                position: new.mark.position,
+                primary: new.replica_status.primary,
+                position: new.replica_status.position,
                 at: new.at,
-                out: out.get(&member).copied().unwrap_or(0),
+                out: out.get(&endpoint).copied().unwrap_or(0),
                 started: new.started.max(host.started_at),
                 served: new.served,
                 used: new.used,
@@ -150,10 +155,10 @@
     }
 
     /// What was seen of each host within the last moment.
-    pub fn sights(&mut self, now: Timestamp) -> BTreeMap<String, Seen> {
-        let Owner { sights, out, members, .. } = self;
-        let seen = sights.read(now, out.values().copied()).into_iter();
-        seen.filter_map(|(member, seen)| Some((members.host(member)?.name.clone(), seen))).collect()
+    pub fn outcomes(&mut self, now: Timestamp) -> BTreeMap<String, OutcomeCounts> {
+        let RequestEngine { outcomes, out, endpoints, .. } = self;
+        let seen = outcomes.read(now, out.values().copied()).into_iter();
+        seen.filter_map(|(endpoint, seen)| Some((endpoints.host(endpoint)?.name.clone(), seen))).collect()
     }
 
     /// Reads that are out at these hosts and overdue are called off; the module asks them elsewhere, as far as their
@@ -161,27 +166,27 @@
     pub fn call_off(&mut self, now: Timestamp, hosts: &BTreeSet<String>, commands: &mut Vec<Command<W>>) {
         for (&(id, attempt), flight) in &self.out {
             let class = self.settings.classes.get(flight.class);
-            let is_safe = class.is_some_and(|c| c.repeat == Some(Repeat::Safe));
-            let named = self.members.host(flight.member).is_some_and(|h| hosts.contains(&h.name));
-            if is_safe && named && self.open.contains_key(&id) && self.sights.is_overdue(now, flight) {
+            let is_safe = class.is_some_and(|c| c.idempotency == Some(Idempotency::Idempotent));
+            let named = self.endpoints.host(flight.endpoint).is_some_and(|h| hosts.contains(&h.name));
+            if is_safe && named && self.open.contains_key(&id) && self.outcomes.is_overdue(now, flight) {
                 commands.push(Command::Cancel { id, attempt });
             }
         }
     }
 
     /// The terms on which requests are let in.
-    pub fn admit(&mut self, now: Timestamp, terms: Option<Terms>) {
+    pub fn admit(&mut self, now: Timestamp, terms: Option<AdmissionPolicy>) {
         self.gate.set(now, terms);
     }
 
     /// Hosts are asked in turn with others from now on, or whenever the module wants it.
-    pub fn turns(&mut self, now: Timestamp, turns: Option<Turns>, commands: &mut Vec<Command<W>>) {
+    pub fn turns(&mut self, now: Timestamp, turns: Option<PollParticipants>, commands: &mut Vec<Command<W>>) {
         match (turns, &mut self.asks) {
-            (Some(Turns { others, .. }), Some(asks)) => asks.hears(others),
-            (Some(Turns { me, others }), none) => *none = Some(Asks::new(me, others)),
+            (Some(PollParticipants { others, .. }), Some(asks)) => asks.hears(others),
+            (Some(PollParticipants { me, others }), none) => *none = Some(PollScheduler::new(me, others)),
             (None, asks) => {
-                for member in asks.take().map(Asks::end).unwrap_or_default() {
-                    self.probe(now, member, commands);
+                for endpoint in asks.take().map(PollScheduler::end).unwrap_or_default() {
+                    self.probe(now, endpoint, commands);
                 }
                 self.reports.clear();
                 self.work_off(now, commands);
@@ -190,13 +195,13 @@
     }
 
     /// Takes in what others heard hosts say. What this daemon heard itself, and later, counts for more.
-    pub fn told(&mut self, now: Timestamp, all: Vec<Told>, commands: &mut Vec<Command<W>>) {
-        for Told { host, primary, position, at, fresh } in all {
-            let Some(member) = self.members.find(&host) else { continue };
+    pub fn told(&mut self, now: Timestamp, all: Vec<PeerObservation>, commands: &mut Vec<Command<W>>) {
+        for PeerObservation { host, primary, position, at, fresh } in all {
+            let Some(endpoint) = self.endpoints.find(&host) else { continue };
             let committed = position.commit_time(Timestamp::ZERO);
-            let later = self.facts.heard(member).is_some_and(|own| own >= at);
+            let later = self.facts.heard(endpoint).is_some_and(|own| own >= at);
             if !later && committed <= now + AHEAD {
-                self.facts.known(member, position, at);
+                self.facts.known(endpoint, position, at);
             }
             if later || !fresh || committed > now + AHEAD || self.asks.is_none() {
                 continue;
@@ -206,58 +211,67 @@
                 "x1" => Some(f64::from(u8::from(primary))),
                 _ => None,
             });
-            self.learned(now, member, report);
-            commands.push(Command::Heard(host));
-            self.tell(now, Event::Probed { member, ok: true, took: TimeDelta::ZERO, report }, commands);
+            self.learned(now, endpoint, report);
+            commands.push(Command::SkipInitialProbe(host));
+            self.tell(
+                now,
+                Event::ProbeFinished { endpoint, ok: true, took: TimeDelta::ZERO, report },
+                commands,
+            );
         }
     }
 
     /// A host's report is known now, to whoever wants it within a moment.
-    fn learned(&mut self, now: Timestamp, member: EndpointId, report: Report) {
+    fn learned(&mut self, now: Timestamp, endpoint: EndpointId, report: LoadReport) {
         if let Some(asks) = self.asks.as_mut().filter(|_| report.count > 0) {
-            asks.told(now, member);
-            self.reports.insert(member, report);
+            asks.told(now, endpoint);
+            self.reports.insert(endpoint, report);
         }
     }
 
     /// The value of a report's field.
-    fn field(&self, report: &Report, name: &str) -> Option<f64> {
+    fn field(&self, report: &LoadReport, name: &str) -> Option<f64> {
         load_report::field(&self.settings.report_fields, report, name)
     }
 
     /// How long a host has run, by its report.
-    fn up(&self, report: &Report) -> Option<TimeDelta> {
+    fn up(&self, report: &LoadReport) -> Option<TimeDelta> {
         self.field(report, "up")
             .filter(|up| (0.0..1e10).contains(up))
             .map(|up| TimeDelta::from_micros_f64(up * 1e6))
     }
 
     /// Asks a host about itself.
-    fn probe(&mut self, now: Timestamp, member: EndpointId, commands: &mut Vec<Command<W>>) {
-        let host = self.members.host(member).filter(|h| h.open).map(|h| h.name.clone());
+    fn probe(&mut self, now: Timestamp, endpoint: EndpointId, commands: &mut Vec<Command<W>>) {
+        let host = self.endpoints.host(endpoint).filter(|h| h.open).map(|h| h.name.clone());
         match host {
             Some(host) => {
-                self.asked.insert(member, now);
-                commands.push(Command::Probe { member, host });
+                self.asked.insert(endpoint, now);
+                commands.push(Command::Probe { endpoint, host });
             }
             None => {
-                let report = Report::default();
-                self.events.push_back(Event::Probed { member, ok: false, took: TimeDelta::ZERO, report });
+                let report = LoadReport::default();
+                self.events.push_back(Event::ProbeFinished {
+                    endpoint,
+                    ok: false,
+                    took: TimeDelta::ZERO,
+                    report,
+                });
             }
         }
     }
 
     /// Fires what is due.
     pub fn due(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
-        for member in self.asks.as_mut().map(|asks| asks.due(now)).unwrap_or_default() {
-            self.probe(now, member, commands);
+        for endpoint in self.asks.as_mut().map(|asks| asks.due(now)).unwrap_or_default() {
+            self.probe(now, endpoint, commands);
         }
         self.work_off(now, commands);
         while let Some(&(at, timer)) = self.timers.first()
             && at <= now
         {
             self.timers.pop_first();
-            self.tell(now, Event::Wake { timer }, commands);
+            self.tell(now, Event::TimerFired { timer }, commands);
         }
         while let Some(&(at, id)) = self.deadlines.first()
             && at <= now
@@ -265,33 +279,39 @@
             self.deadlines.pop_first();
             if self.open.contains_key(&id) {
                 log::warn!("request {id}: no answer at its deadline");
-                self.finish(id, Final::Failed { overdue: true });
-                self.tell(now, Event::Lapsed { id }, commands);
+                self.finish(id, FinalAnswer::Failed { overdue: true });
+                self.tell(now, Event::RequestCancelled { id }, commands);
             }
         }
     }
 
     /// Takes in a list.
-    pub fn list(&mut self, now: Timestamp, list: &Listing, cached: bool, commands: &mut Vec<Command<W>>) {
-        let (kind, entries, changed) = self.members.apply(list, cached);
+    pub fn list(
+        &mut self,
+        now: Timestamp,
+        list: &EndpointUpdate,
+        cached: bool,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        let (kind, entries, changed) = self.endpoints.apply(list, cached);
         if changed.iter().any(|h| h.gone) {
-            let members = &self.members;
-            self.facts.retain(|member| members.host(member).is_some());
-            self.reports.retain(|member, _| members.host(*member).is_some());
-            self.asked.retain(|member, _| members.host(*member).is_some());
+            let endpoints = &self.endpoints;
+            self.facts.retain(|endpoint| endpoints.host(endpoint).is_some());
+            self.reports.retain(|endpoint, _| endpoints.host(*endpoint).is_some());
+            self.asked.retain(|endpoint, _| endpoints.host(*endpoint).is_some());
         }
         // Before the module's own commands: an attempt must find its host known, or known to be closed.
         if !changed.is_empty() {
-            commands.push(Command::Hosts(changed));
+            commands.push(Command::UpdateEndpoints(changed));
         }
-        self.tell(now, Event::Members { kind, entries }, commands);
+        self.tell(now, Event::EndpointList { kind, entries }, commands);
     }
 
     /// Takes in what a front or a host side has to say.
     pub fn input(&mut self, now: Timestamp, input: Input<W, A>, commands: &mut Vec<Command<W>>) {
         match input {
             Input::Request(request) => self.take(now, request, commands),
-            Input::Lapsed(id) => {
+            Input::RequestCancelled(id) => {
                 let open = self.open.remove(&id);
                 if let Some(open) = &open {
                     self.deadlines.remove(&(open.deadline + self.overdue, id));
@@ -299,83 +319,95 @@
                 let class = open.as_ref().map(|open| open.class).or(self.begun.remove(&id));
                 if let Some(class) = class {
                     // Its client has gone: whatever is still to come reaches nobody.
-                    self.figures.ended(class, End::Error);
-                    self.tell(now, Event::Lapsed { id }, commands);
+                    self.metrics.ended(class, RequestOutcome::Error);
+                    self.tell(now, Event::RequestCancelled { id }, commands);
                 }
             }
-            Input::Started { id, attempt, answer } => {
+            Input::ResponseStarted { id, attempt, answer } => {
                 let Some(flight) = self.out.get(&(id, attempt)) else { return };
-                let member = flight.member;
+                let endpoint = flight.endpoint;
                 // One that was given up meanwhile has its answer: this one is dropped, which ends the attempt.
                 if self.open.contains_key(&id) {
                     self.begin(id, answer);
-                    self.tell(now, Event::Started { id, attempt, member }, commands);
+                    self.tell(now, Event::ResponseStarted { id, attempt, endpoint }, commands);
                 }
             }
-            Input::Ended(ended) => self.ended(now, ended, commands),
-            Input::Probed { member, took, report } => {
+            Input::AttemptFinished(ended) => self.ended(now, ended, commands),
+            Input::ProbeFinished { endpoint, took, report } => {
                 let (ok, report) = (report.is_some(), self.credible(now, report.unwrap_or_default()));
-                let sent = self.asked.remove(&member).unwrap_or(Timestamp::ZERO);
+                let sent = self.asked.remove(&endpoint).unwrap_or(Timestamp::ZERO);
                 if let (Some(position), Some(role)) = (self.field(&report, "x0"), self.field(&report, "x1")) {
-                    let mark = Mark {
+                    let replica_status = ReplicaStatus {
                         primary: role >= 0.5,
                         position: LogPosition::from_micros((position * 1e6) as i64),
                     };
-                    self.facts.note(member, believed(now, Some(mark)), self.up(&report), sent, now);
-                    self.learned(now, member, report);
+                    self.facts.note(
+                        endpoint,
+                        believed(now, Some(replica_status)),
+                        self.up(&report),
+                        sent,
+                        now,
+                    );
+                    self.learned(now, endpoint, report);
                 }
-                self.tell(now, Event::Probed { member, ok, took, report }, commands);
+                self.tell(now, Event::ProbeFinished { endpoint, ok, took, report }, commands);
+            }
+            Input::PeerMessage { from, bytes } => {
+                self.tell(now, Event::PeerMessage { from, bytes }, commands)
             }
-            Input::Peer { from, bytes } => self.tell(now, Event::Peer { from, bytes }, commands),
         }
     }
 
     fn take(&mut self, now: Timestamp, request: Submission<W, A>, commands: &mut Vec<Command<W>>) {
         let Submission { ask, deadline, work, reply } = request;
-        let early = if !self.members.knows_group(ask.group) {
-            Some(Final::UnknownGroup)
+        let early = if !self.endpoints.knows_group(ask.group) {
+            Some(FinalAnswer::UnknownGroup)
         } else if self.ended || self.open.len() >= self.most {
-            Some(Final::Refused { retry_in: None, overdue: false })
+            Some(FinalAnswer::Rejected { retry_after: None, overdue: false })
         } else {
             let let_in = self.gate.admit(now, ask.class, ask.group);
-            let_in.err().map(|wait| Final::Refused { retry_in: Some(wait), overdue: false })
+            let_in.err().map(|wait| FinalAnswer::Rejected { retry_after: Some(wait), overdue: false })
         };
         if let Some(answer) = early {
-            self.figures.ended(ask.class, end_of(&answer));
+            self.metrics.ended(ask.class, end_of(&answer));
             let _ = reply.try_send(answer);
             return;
         }
-        let need = match self.settings.classes.get(ask.class).and_then(|c| Some((c.consistency?, c.max_age)))
-        {
-            Some((Consistency::Bounded, age)) => Need::Age(age.unwrap_or(TimeDelta::ZERO)),
-            Some((Consistency::Session, _)) => ask.token_age.map_or(Need::Any, |age| Need::Since(now - age)),
-            Some((Consistency::Strong, _)) => Need::Since(now),
-            _ => Need::Any,
-        };
+        let freshness =
+            match self.settings.classes.get(ask.class).and_then(|c| Some((c.consistency?, c.max_age))) {
+                Some((Consistency::Bounded, age)) => Freshness::MaxAge(age.unwrap_or(TimeDelta::ZERO)),
+                Some((Consistency::Session, _)) => {
+                    ask.last_commit_age.map_or(Freshness::Any, |age| Freshness::CommittedSince(now - age))
+                }
+                Some((Consistency::Strong, _)) => Freshness::CommittedSince(now),
+                _ => Freshness::Any,
+            };
         let (class, group) = (ask.class, ask.group);
-        self.open
-            .insert(ask.id, Open { work, reply, deadline, attempts: 0, first_ran: None, need, class, group });
+        self.open.insert(
+            ask.id,
+            Open { work, reply, deadline, attempts: 0, first_ran: None, freshness, class, group },
+        );
         self.deadlines.insert((deadline + self.overdue, ask.id));
-        let ask = Ask { patience: (deadline - now).or_zero(), ..ask };
+        let ask = IncomingRequest { client_timeout: (deadline - now).or_zero(), ..ask };
         self.tell(now, Event::Request(ask), commands);
     }
 
-    fn ended(&mut self, now: Timestamp, ended: Ended<A>, commands: &mut Vec<Command<W>>) {
-        let Ended { id, attempt, outcome, mark, report, answer } = ended;
-        let mark = believed(now, mark);
+    fn ended(&mut self, now: Timestamp, ended: AttemptReport<A>, commands: &mut Vec<Command<W>>) {
+        let AttemptReport { id, attempt, outcome, replica_status, report, answer } = ended;
+        let replica_status = believed(now, replica_status);
         let report = self.credible(now, report);
         let Some(flight) = self.out.remove(&(id, attempt)) else { return };
-        self.facts.note(flight.member, mark, self.up(&report), flight.sent, now);
-        if self.members.host(flight.member).is_some_and(|h| h.open) {
-            self.sights.ended(now, flight.member, flight.class, now - flight.sent, outcome);
+        self.facts.note(flight.endpoint, replica_status, self.up(&report), flight.sent, now);
+        if self.endpoints.host(flight.endpoint).is_some_and(|h| h.open) {
+            self.outcomes.ended(now, flight.endpoint, flight.class, now - flight.sent, outcome);
             if let Some(util) = self.field(&report, "util") {
-                self.sights.busy(flight.member, util);
-                self.facts.used(flight.member, util);
+                self.outcomes.busy(flight.endpoint, util);
+                self.facts.used(flight.endpoint, util);
             }
         }
-        let served = outcome == Outcome::Ok;
+        let served = outcome == AttemptOutcome::Served;
         if served {
-            self.facts.served(flight.member);
+            self.facts.served(flight.endpoint);
         }
         if let Some(open) = self.open.get_mut(&id) {
             if outcome.may_have_run() {
@@ -385,23 +417,23 @@
         }
         if let Some(answer) = answer.filter(|_| served) {
             // One that was given up meanwhile has its answer: this one is dropped.
-            self.finish(id, Final::Served(answer));
+            self.finish(id, FinalAnswer::Served(answer));
         }
         // Counted once it is whole: what broke off in its midst is no success.
         if let Some(class) = self.begun.remove(&id) {
-            self.figures.ended(class, if served { End::Success } else { End::Error });
+            self.metrics.ended(class, if served { RequestOutcome::Success } else { RequestOutcome::Error });
         }
-        let event = Settled {
+        let event = AttemptFinished {
             id,
             attempt,
-            member: flight.member,
+            endpoint: flight.endpoint,
             took: now - flight.sent,
             outcome,
             finished: !self.open.contains_key(&id),
-            mark,
+            replica_status,
             report,
         };
-        self.tell(now, Event::Settled(event), commands);
+        self.tell(now, Event::AttemptFinished(event), commands);
     }
 
     /// Answers all that is open: the program ends, and what it took and left unanswered would be lost. What no
@@ -413,19 +445,19 @@
             self.finish(
                 id,
                 match attempts {
-                    0 => Final::Refused { retry_in: None, overdue: false },
-                    _ => Final::Failed { overdue: false },
+                    0 => FinalAnswer::Rejected { retry_after: None, overdue: false },
+                    _ => FinalAnswer::Failed { overdue: false },
                 },
             );
-            self.tell(now, Event::Lapsed { id }, commands);
+            self.tell(now, Event::RequestCancelled { id }, commands);
         }
     }
 
     /// A load report, or an empty one where its position cannot be.
-    fn credible(&self, now: Timestamp, report: Report) -> Report {
+    fn credible(&self, now: Timestamp, report: LoadReport) -> LoadReport {
         let zero = self.settings.zero.unwrap_or(Timestamp::ZERO).as_micros() as f64;
         let cannot_be = |x0: f64| zero + x0 * 1e6 > (now + AHEAD).as_micros() as f64 || x0 < 0.0;
-        if self.field(&report, "x0").is_some_and(cannot_be) { Report::default() } else { report }
+        if self.field(&report, "x0").is_some_and(cannot_be) { LoadReport::default() } else { report }
     }
 
     /// Hands out an answer that is still to come; it is counted when it has.
@@ -433,14 +465,14 @@
         if let Some(open) = self.open.remove(&id) {
             self.deadlines.remove(&(open.deadline + self.overdue, id));
             self.begun.insert(id, open.class);
-            let _ = open.reply.try_send(Final::Served(answer));
+            let _ = open.reply.try_send(FinalAnswer::Served(answer));
         }
     }
 
-    fn finish(&mut self, id: RequestId, answer: Final<A>) {
+    fn finish(&mut self, id: RequestId, answer: FinalAnswer<A>) {
         if let Some(open) = self.open.remove(&id) {
             self.deadlines.remove(&(open.deadline + self.overdue, id));
-            self.figures.ended(open.class, end_of(&answer));
+            self.metrics.ended(open.class, end_of(&answer));
             let _ = open.reply.try_send(answer);
         }
     }
@@ -448,7 +480,7 @@
     fn tell(&mut self, now: Timestamp, event: Event, commands: &mut Vec<Command<W>>) {
         self.events.push_back(event);
         if self.facts.is_urgent() {
-            commands.push(Command::News);
+            commands.push(Command::ObservationsPending);
         }
         self.work_off(now, commands);
     }
@@ -474,7 +506,7 @@
     fn restart(&mut self, commands: &mut Vec<Command<W>>) {
         log::error!("the module panicked; a fresh one takes over, {} requests fail", self.open.len());
         for id in self.open.keys().copied().collect::<Vec<_>>() {
-            self.finish(id, Final::Failed { overdue: false });
+            self.finish(id, FinalAnswer::Failed { overdue: false });
         }
         let out = std::mem::take(&mut self.out);
         commands.extend(out.into_keys().map(|(id, attempt)| Command::Cancel { id, attempt }));
@@ -483,36 +515,36 @@
         self.events.clear();
         self.seed = self.seed.wrapping_add(1);
         self.router = Router::new(self.settings.clone(), self.seed);
-        let entries = self.members.entries();
-        self.events.push_back(Event::Members { kind: ListKind::Cached, entries });
+        let entries = self.endpoints.entries();
+        self.events.push_back(Event::EndpointList { kind: ListKind::Cached, entries });
     }
 
     fn act(&mut self, now: Timestamp, action: Action, commands: &mut Vec<Command<W>>) {
         match action {
-            Action::Send { id, member, stop_at } => self.send(now, id, member, stop_at, commands),
-            Action::Refuse { id, retry_in } => {
+            Action::Send { id, endpoint, stop_at } => self.send(now, id, endpoint, stop_at, commands),
+            Action::Reject { id, retry_after } => {
                 let overdue = self.is_late(now, id);
-                self.finish(id, Final::Refused { retry_in, overdue });
+                self.finish(id, FinalAnswer::Rejected { retry_after, overdue });
             }
             Action::Fail { id } => {
                 let overdue = self.is_late(now, id);
-                self.finish(id, Final::Failed { overdue });
+                self.finish(id, FinalAnswer::Failed { overdue });
             }
             Action::Cancel { id, attempt } => {
                 if self.out.contains_key(&(id, attempt)) {
                     commands.push(Command::Cancel { id, attempt });
                 }
             }
-            Action::WakeIn { span, timer } => drop(self.timers.insert((now + span.or_zero(), timer))),
-            Action::Probe { member } => {
-                let name = self.members.host(member).map(|h| h.name.as_str()).unwrap_or_default();
-                match self.asks.as_mut().map_or(Question::Now, |asks| asks.wanted(now, member, name)) {
-                    Question::Now => self.probe(now, member, commands),
-                    Question::Later => {}
-                    Question::Known => {
-                        let report = self.reports.get(&member).copied().unwrap_or_default();
-                        self.events.push_back(Event::Probed {
-                            member,
+            Action::SetTimer { span, timer } => drop(self.timers.insert((now + span.or_zero(), timer))),
+            Action::Probe { endpoint } => {
+                let name = self.endpoints.host(endpoint).map(|h| h.name.as_str()).unwrap_or_default();
+                match self.asks.as_mut().map_or(PollDecision::Now, |asks| asks.wanted(now, endpoint, name)) {
+                    PollDecision::Now => self.probe(now, endpoint, commands),
+                    PollDecision::Later => {}
+                    PollDecision::Known => {
+                        let report = self.reports.get(&endpoint).copied().unwrap_or_default();
+                        self.events.push_back(Event::ProbeFinished {
+                            endpoint,
                             ok: report.count > 0,
                             took: TimeDelta::ZERO,
                             report,
@@ -522,11 +554,11 @@
             }
             // Discovery is watched from the start to the end, whoever asks.
             Action::Subscribe { on: _ } | Action::FetchList => commands.push(Command::FetchList),
-            Action::CloseIdle { member } => {
-                let host = self.members.host(member).map(|h| h.name.clone());
+            Action::CloseIdle { endpoint } => {
+                let host = self.endpoints.host(endpoint).map(|h| h.name.clone());
                 commands.extend(host.map(Command::CloseIdle));
             }
-            Action::Tell { to, bytes } => commands.push(Command::Tell { to, bytes }),
+            Action::SendToPeers { to, bytes } => commands.push(Command::SendToPeers { to, bytes }),
             Action::Log { text } => log::info!("module: {text}"),
         }
     }
@@ -539,7 +571,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        member: EndpointId,
+        endpoint: EndpointId,
         stop_at: Option<Timestamp>,
         commands: &mut Vec<Command<W>>,
     ) {
@@ -550,32 +582,34 @@
         let attempt = open.attempts;
         open.attempts = open.attempts.saturating_add(1);
         let out = self.out.range((id, 0)..=(id, u8::MAX)).next().is_some();
-        let host = self.members.host(member).filter(|_| !out);
+        let host = self.endpoints.host(endpoint).filter(|_| !out);
         let Some(host) = host else {
             // A second copy is never sent, nor can one be to a host that no list names any more.
             log::error!("request {id}: attempt {attempt} was not allowed out");
-            let outcome = if out { Outcome::Moot } else { Outcome::ConnectFailed };
-            let event = Settled {
+            let outcome = if out { AttemptOutcome::NotSent } else { AttemptOutcome::ConnectFailed };
+            let event = AttemptFinished {
                 id,
                 attempt,
-                member,
+                endpoint,
                 took: TimeDelta::ZERO,
                 outcome,
                 finished: false,
-                mark: None,
-                report: Report::default(),
+                replica_status: None,
+                report: LoadReport::default(),
             };
-            self.events.push_back(Event::Settled(event));
+            self.events.push_back(Event::AttemptFinished(event));
             return;
         };
         let until = stop_at.map_or(open.deadline, |at| at.min(open.deadline));
         let send_by = open.first_ran.and_then(|first| {
             let class = self.settings.classes.get(open.class)?;
-            (class.repeat == Some(Repeat::Keyed)).then(|| first + class.key_window.unwrap_or(TimeDelta::ZERO))
+            (class.idempotency == Some(Idempotency::Keyed))
+                .then(|| first + class.key_window.unwrap_or(TimeDelta::ZERO))
         });
-        let (host, work, need, class) = (host.name.clone(), open.work.clone(), open.need, open.class);
-        self.out.insert((id, attempt), Out { member, class, sent: now });
-        commands.push(Command::Attempt { id, attempt, member, host, work, until, send_by, need });
+        let (host, work, freshness, class) =
+            (host.name.clone(), open.work.clone(), open.freshness, open.class);
+        self.out.insert((id, attempt), InFlightAttempt { endpoint, class, sent: now });
+        commands.push(Command::SendAttempt { id, attempt, endpoint, host, work, until, send_by, freshness });
     }
 }
 
--- a/src/fleet/admin_api.rs
+++ b/src/fleet/admin_api.rs
@@ -1,12 +1,12 @@
 //! The calls at the store's address: HTTP on loopback.
 
 use super::membership::Wish;
-use super::runtime::{Fleet, Outcome, Table};
+use super::runtime::{ChangeOutcome, Fleet, Table};
 use super::zoning::Order;
-use crate::engine::endpoints::Listed;
+use crate::engine::endpoints::EndpointRecord;
 use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
-use crate::net::connection::Link;
+use crate::net::connection::ClientConnection;
 use crate::net::http::server::{self, Next, Request};
 use crate::routing::Availability;
 use crate::time::Timestamp;
@@ -15,7 +15,7 @@
 use std::time::Instant;
 
 /// Serves one connection of another daemon or an operator.
-pub async fn serve(fleet: Rc<Fleet>, mut link: Link) {
+pub async fn serve(fleet: Rc<Fleet>, mut link: ClientConnection) {
     let mut buffer = Buffer::default();
     loop {
         let (bytes, keeps) = match server::next(&mut link, &mut buffer, &fleet.limits).await {
@@ -69,7 +69,7 @@
     if let Some(name) = path.strip_prefix("/drain/") {
         return match fleet.drain(name).await {
             None => (404, format!("no host {name:?}")),
-            Some(Outcome::Agreed) => (200, format!("{name} drained")),
+            Some(ChangeOutcome::Agreed) => (200, format!("{name} drained")),
             Some(_) => {
                 (202, format!("{name} drained here and wherever this daemon is heard; waits for a majority"))
             }
@@ -78,11 +78,11 @@
     if let Some(name) = path.strip_prefix("/undrain/") {
         let known = fleet.table().state.hosts.contains_key(name);
         return match fleet.undrain(name).await {
-            Outcome::Agreed if known && fleet.table().state.is_drained(name) => {
+            ChangeOutcome::Agreed if known && fleet.table().state.is_drained(name) => {
                 (409, format!("{name} stays drained: it was drained again meanwhile"))
             }
-            Outcome::Agreed if known => (200, format!("{name} in service")),
-            Outcome::Agreed => (404, format!("no host {name:?}")),
+            ChangeOutcome::Agreed if known => (200, format!("{name} in service")),
+            ChangeOutcome::Agreed => (404, format!("no host {name:?}")),
             _ => (
                 503,
                 format!("not done: no majority agreed in time; {name} stays drained. Say it again later"),
@@ -97,8 +97,8 @@
     let Some((name, wish)) = wish else { return (404, "nothing is here".into()) };
     match fleet.wish(name, wish).await {
         None => (404, format!("no daemon {name:?} in the fleet")),
-        Some(Outcome::Agreed) if wish == Wish::Vote => (200, format!("{name} votes")),
-        Some(Outcome::Agreed) => (200, format!("{name} has left")),
+        Some(ChangeOutcome::Agreed) if wish == Wish::Vote => (200, format!("{name} votes")),
+        Some(ChangeOutcome::Agreed) => (200, format!("{name} has left")),
         Some(_) => (503, "not done: no majority agreed in time. Say it again later".into()),
     }
 }
@@ -114,15 +114,15 @@
     match fleet.order_zone(name, order).await {
         None => (404, format!("no zone {name:?} with hosts")),
         Some(Err(why)) => (409, format!("not done: {why}")),
-        Some(Ok((share, Outcome::Agreed))) => {
+        Some(Ok((share, ChangeOutcome::Agreed))) => {
             (200, format!("{name} gets {} of 1000 by move {}", share.part, share.number))
         }
         Some(Ok(_)) => (503, "not done: no majority agreed in time. Say it again later".into()),
     }
 }
 
-fn line(host: &Listed) -> String {
-    let Listed { name, address, zone, group, weight, started_at, .. } = host;
+fn line(host: &EndpointRecord) -> String {
+    let EndpointRecord { name, address, zone, group, weight, started_at, .. } = host;
     let status = if host.availability == Availability::Ready { "active" } else { "leaving" };
     format!(
         "{name} {address} {group} {zone} {weight} {status} {}",
@@ -170,10 +170,9 @@
 /// Figures for the door, a line each.
 pub fn figures(fleet: &Fleet) -> String {
     let table = fleet.table();
-    let heard = table
-        .heard
-        .iter()
-        .filter(|(id, h)| table.state.members.contains_key(id) && h.at.elapsed() < fleet.limits.gone);
+    let heard = table.heard.iter().filter(|(id, h)| {
+        table.state.members.contains_key(id) && h.at.elapsed() < fleet.limits.peer_gone_timeout
+    });
     let unsent: u64 = fleet.ways().iter().map(|w| w.dropped.get()).sum();
     let (away, moves) = fleet.zone_figures();
     let lines = [
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -3,8 +3,8 @@
 //!
 //! Ages go between daemons, never times: clocks may differ.
 
-use crate::engine::Told;
-use crate::engine::observations::Fact;
+use crate::engine::PeerObservation;
+use crate::engine::observations::Observation;
 use crate::engine::poll_scheduler;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
@@ -204,7 +204,7 @@
     }
 
     /// Hosts have told this daemon something; true: it is to be told at once. `haste`: whatever is new is.
-    pub fn observe(&mut self, now: Timestamp, facts: &[Fact], haste: bool) -> bool {
+    pub fn observe(&mut self, now: Timestamp, facts: &[Observation], haste: bool) -> bool {
         let mut urgent = false;
         let own = self.all.entry(self.me).or_default();
         let moved_by = if haste { MOVED_IN_HASTE } else { MOVED };
@@ -222,7 +222,7 @@
             }
             urgent |= turned && fact.primary || haste || fact.back.is_some();
             self.own.facts += 1;
-            let Fact { primary, position, at, out, started, .. } = *fact;
+            let Observation { primary, position, at, out, started, .. } = *fact;
             let evidence = Evidence { count: self.own, primary, position, at, out, started, rate, used };
             own.insert(fact.host.clone(), evidence);
         }
@@ -385,8 +385,8 @@
 
     /// Positions from before this start. Each is proof only of what its host once said: one that now tells less has
     /// gone back.
-    pub fn positions(&self) -> Vec<Told> {
-        let told = |(host, b): (&String, &Before)| Told {
+    pub fn positions(&self) -> Vec<PeerObservation> {
+        let told = |(host, b): (&String, &Before)| PeerObservation {
             host: host.clone(),
             primary: b.primary.is_some(),
             position: b.position.0,
@@ -411,13 +411,13 @@
     }
 
     /// What others' words say of hosts, for this daemon's own module.
-    pub fn told(now: Timestamp, words: &[Word]) -> Vec<Told> {
-        let told = |w: &Word| Told {
+    pub fn told(now: Timestamp, words: &[Word]) -> Vec<PeerObservation> {
+        let told = |w: &Word| PeerObservation {
             host: w.host.clone(),
             primary: w.primary,
             position: w.position,
             at: now - w.age,
-            fresh: w.age < poll_scheduler::GOOD,
+            fresh: w.age < poll_scheduler::OBSERVATION_TTL,
         };
         words.iter().filter(|w| (TimeDelta::ZERO..FORGOTTEN).contains(&w.age)).map(told).collect()
     }
@@ -518,9 +518,19 @@
         }
     }
 
-    fn fact(host: usize, primary: bool, at: Timestamp) -> Fact {
+    fn fact(host: usize, primary: bool, at: Timestamp) -> Observation {
         let (host, position) = (format!("s-{host}"), LogPosition::of_commit(at, Timestamp::ZERO));
-        Fact { host, primary, position, at, out: 0, started: None, served: 0, used: (0.0, 0), back: None }
+        Observation {
+            host,
+            primary,
+            position,
+            at,
+            out: 0,
+            started: None,
+            served: 0,
+            used: (0.0, 0),
+            back: None,
+        }
     }
 
     /// Any order, loss and repetition, and clocks that differ: in the end all know the same, the belief of each
@@ -697,7 +707,7 @@
         let state = state(3, 3);
         let mut old = Learned::new(NodeId(1), 1);
         for n in 1..=80 {
-            let served = Fact { served: 5, ..fact(0, true, Timestamp::ZERO + n * S / 4) };
+            let served = Observation { served: 5, ..fact(0, true, Timestamp::ZERO + n * S / 4) };
             old.observe(Timestamp::ZERO + n * S / 4, &[served], false);
         }
         let rate = old.moment(sec(20), "s-0").serves;
@@ -753,7 +763,8 @@
             let mut old = Learned::new(NodeId(1), 1);
             for n in 1..=80 {
                 let used = used.map_or((0.0, 0), |u| (u * f64::from(each), each));
-                let served = Fact { served: each, used, ..fact(0, false, Timestamp::ZERO + n * S / 4) };
+                let served =
+                    Observation { served: each, used, ..fact(0, false, Timestamp::ZERO + n * S / 4) };
                 old.observe(Timestamp::ZERO + n * S / 4, &[served], false);
             }
             let mut new = Learned::new(NodeId(1), 2);
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -4,7 +4,7 @@
 use super::gossip::{Count, Word};
 use super::membership::Wish;
 use super::zones::Sight;
-use crate::engine::log_rollback::Break;
+use crate::engine::log_rollback::LogRollback;
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
 use crate::store::records::{self, Letter};
@@ -36,9 +36,9 @@
     /// What the one that it goes to lacks of that.
     Words(Vec<Word>),
     /// A host has called itself the primary, so long ago: a hint for the module.
-    Hint([u8; 6], TimeDelta),
+    PrimaryHint([u8; 6], TimeDelta),
     /// What groups have lost.
-    Breaks(Vec<Break>),
+    LogRollbacks(Vec<LogRollback>),
     /// What the sender saw of zones within the last moment.
     Sights(BTreeMap<ZoneId, Sight>),
 }
--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::ids::{GroupId, ZoneId};
 use crate::store::records::HostRecord;
-use crate::store::state_machine::{Change, Mark};
+use crate::store::state_machine::{Change, DrainMark};
 use crate::store::storage::Witness;
 use crate::store::zone_weights::{Share, Why};
 use crate::time::{LogPosition, Timestamp};
@@ -107,7 +107,7 @@
 }
 
 fn changes() -> Vec<(&'static str, Frame)> {
-    let marks = vec![Mark { by: NodeId(5), number: 6 }, Mark { by: NodeId(7), number: 800 }];
+    let marks = vec![DrainMark { by: NodeId(5), number: 6 }, DrainMark { by: NodeId(7), number: 800 }];
     let record = |address: &str, leaving, started_at| HostRecord {
         address: address.parse().unwrap(),
         group: GroupId(300),
@@ -126,7 +126,10 @@
     let share =
         |part, why| Change::Zone { zone: ZoneId(4), share: Share { part, why, number: 31, failed: 2 } };
     [
-        ("forward drain", Change::Drain { host: "s-1-1".into(), mark: Mark { by: NodeId(5), number: 6 } }),
+        (
+            "forward drain",
+            Change::Drain { host: "s-1-1".into(), mark: DrainMark { by: NodeId(5), number: 6 } },
+        ),
         ("forward undrain", Change::Undrain { host: "s-1-2".into(), marks }),
         (
             "forward inventory",
@@ -210,12 +213,12 @@
 fn messages() -> Vec<(&'static str, Frame)> {
     let fleet = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
     let marks = vec![
-        ("s-1-1".to_string(), Mark { by: NodeId(5), number: 6 }),
-        ("s-2".to_string(), Mark { by: NodeId(7), number: 800 }),
+        ("s-1-1".to_string(), DrainMark { by: NodeId(5), number: 6 }),
+        ("s-2".to_string(), DrainMark { by: NodeId(7), number: 800 }),
     ];
     let v6 = Hello { address: "[::1]:8892".parse().unwrap(), ..hello("b1", 0) };
     let digest = vec![(NodeId(5), Count { boot: 6, facts: 700 }), (NodeId(800), Count { boot: 9, facts: 0 })];
-    let breaks = vec![Break {
+    let breaks = vec![LogRollback {
         group: GroupId(300),
         from: LogPosition::from_micros(1_767_225_600_000_000),
         to: LogPosition::from_micros(1_767_225_600_000_001),
@@ -231,8 +234,8 @@
         ("beat of one that returns", Frame::Beat(returns)),
         ("digest", Frame::Digest(digest)),
         ("words with and without optional parts", Frame::Words(words())),
-        ("hint", Frame::Hint([127, 0, 0, 1, 0xd4, 0x31], TimeDelta::from_micros(250_000))),
-        ("breaks", Frame::Breaks(breaks)),
+        ("hint", Frame::PrimaryHint([127, 0, 0, 1, 0xd4, 0x31], TimeDelta::from_micros(250_000))),
+        ("breaks", Frame::LogRollbacks(breaks)),
         ("sights", Frame::Sights(sights())),
     ];
     all.extend(verdicts());
@@ -279,8 +282,8 @@
         Frame::Beat(_) => ("beat", ""),
         Frame::Digest(_) => ("digest", ""),
         Frame::Words(_) => ("words", ""),
-        Frame::Hint(..) => ("hint", ""),
-        Frame::Breaks(_) => ("breaks", ""),
+        Frame::PrimaryHint(..) => ("hint", ""),
+        Frame::LogRollbacks(_) => ("breaks", ""),
         Frame::Sights(_) => ("sights", ""),
     }
 }
--- a/src/fleet/peer_link.rs
+++ b/src/fleet/peer_link.rs
@@ -21,7 +21,7 @@
 pub const PATH: &str = "/fleet/link";
 
 /// The way to one address.
-pub struct Way {
+pub struct PeerLink {
     /// Where it leads.
     pub address: SocketAddr,
     /// Whether this daemon's own file names it.
@@ -41,20 +41,20 @@
     most: usize,
 }
 
-impl Way {
+impl PeerLink {
     /// A way that is not open yet.
-    pub fn new(address: SocketAddr, named: bool, limits: &Limits) -> Way {
-        Way {
+    pub fn new(address: SocketAddr, named: bool, limits: &Limits) -> PeerLink {
+        PeerLink {
             address,
             named,
             met: RefCell::default(),
             up: Cell::new(false),
             dropped: Cell::new(0),
             bytes: Cell::new(0),
-            queue: async_channel::bounded(limits.frames.0),
+            queue: async_channel::bounded(limits.peer_queue.0),
             ended: async_channel::bounded(1),
             again: async_channel::bounded(1),
-            most: limits.frames.1,
+            most: limits.peer_queue.1,
         }
     }
 
@@ -90,24 +90,24 @@
         &self,
         limits: &Limits,
         hello: impl Fn() -> Hello,
-        judged: impl Fn(&Way, Verdict, Hello) -> bool,
-        opened: impl Fn(&Way),
-        broke: impl Fn(&Way),
+        judged: impl Fn(&PeerLink, Verdict, Hello) -> bool,
+        opened: impl Fn(&PeerLink),
+        broke: impl Fn(&PeerLink),
     ) {
-        let mut pause = limits.pause.0;
+        let mut pause = limits.discovery_backoff.0;
         while !self.ended.0.is_closed() {
-            let met = until(Instant::now() + limits.discovery, self.open(limits, &hello)).await;
+            let met = until(Instant::now() + limits.discovery_timeout, self.open(limits, &hello)).await;
             match met {
                 Some(Ok((client, verdict, other))) => {
                     let stranger = matches!(verdict, Verdict::Stranger | Verdict::Removed);
                     *self.met.borrow_mut() = Some(other.clone());
                     if judged(self, verdict, other) {
-                        pause = limits.pause.0;
+                        pause = limits.discovery_backoff.0;
                         let why = self.carry(client, limits, &opened).await;
                         log::debug!("fleet: the way to {} ended: {why}", self.address);
                         broke(self);
                     } else if stranger {
-                        pause = limits.pause.1;
+                        pause = limits.discovery_backoff.1;
                     }
                 }
                 Some(Err(e)) => log::debug!("fleet: {}: {e}", self.address),
@@ -115,7 +115,7 @@
             }
             let jitter = pause.mul_f64(0.5 + fastrand::f64() / 2.0);
             let _ = until(Instant::now() + jitter, self.ended.1.recv()).await;
-            pause = (pause * 2).min(limits.pause.1 / 2).max(limits.pause.0);
+            pause = (pause * 2).min(limits.discovery_backoff.1 / 2).max(limits.discovery_backoff.0);
         }
     }
 
@@ -133,7 +133,7 @@
         client.upgraded(limits).await?;
         client.send(&Frame::Hello(hello()).bytes()).await?;
         loop {
-            match Frame::read(client.unread(), limits.frame) {
+            match Frame::read(client.unread(), limits.peer_message_bytes) {
                 Ok(Some((Frame::Verdict(verdict, other), used))) => {
                     client.consume(used);
                     return Ok((client, verdict, other));
@@ -149,7 +149,7 @@
     }
 
     /// Sends what is queued until the connection breaks.
-    async fn carry(&self, mut client: Client, limits: &Limits, opened: &impl Fn(&Way)) -> String {
+    async fn carry(&self, mut client: Client, limits: &Limits, opened: &impl Fn(&PeerLink)) -> String {
         while self.queue.1.try_recv().is_ok() {}
         while self.again.1.try_recv().is_ok() {}
         self.bytes.set(0);
@@ -195,7 +195,7 @@
                 bytes.extend(more);
             }
             self.bytes.set(self.bytes.get().saturating_sub(bytes.len()));
-            match until(Instant::now() + limits.write, client.send(&bytes)).await {
+            match until(Instant::now() + limits.client_write_timeout, client.send(&bytes)).await {
                 Some(Ok(())) => {}
                 Some(Err(e)) => return e.to_string(),
                 None => return "it takes nothing".to_string(),
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -3,14 +3,14 @@
 
 use crate::ids::NodeId;
 use crate::store::records;
-use crate::store::state_machine::{Change, Mark, State};
+use crate::store::state_machine::{Change, DrainMark, State};
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Drains that wait for a majority.
 #[derive(Debug, Default)]
 pub struct Marks {
-    open: BTreeMap<(String, Mark), Option<Timestamp>>,
+    open: BTreeMap<(String, DrainMark), Option<Timestamp>>,
     hosts: BTreeMap<String, usize>,
     last: u64,
     /// Grows with every change.
@@ -19,7 +19,7 @@
 
 impl Marks {
     /// What a disk held.
-    pub fn new(held: Vec<(String, Mark)>) -> Marks {
+    pub fn new(held: Vec<(String, DrainMark)>) -> Marks {
         let mut marks = Marks::default();
         held.into_iter().for_each(|(host, mark)| {
             marks.add(host, mark);
@@ -27,7 +27,7 @@
         marks
     }
 
-    fn add(&mut self, host: String, mark: Mark) -> bool {
+    fn add(&mut self, host: String, mark: DrainMark) -> bool {
         let key = (host, mark);
         if self.open.contains_key(&key) {
             return false;
@@ -39,20 +39,20 @@
     }
 
     /// A drain is said here; `now` makes its number one that this daemon never used, also after a restart.
-    pub fn say(&mut self, host: &str, by: NodeId, now: Timestamp) -> Mark {
+    pub fn say(&mut self, host: &str, by: NodeId, now: Timestamp) -> DrainMark {
         let own = self.open.keys().find(|(h, m)| h == host && m.by == by);
         if let Some((_, mark)) = own {
             return *mark;
         }
         self.last = (self.last + 1).max(now.as_micros().max(0) as u64);
-        let mark = Mark { by, number: self.last };
+        let mark = DrainMark { by, number: self.last };
         self.add(host.to_string(), mark);
         mark
     }
 
     /// Takes in what another daemon holds, as far as the log has not settled it; true: something was new. More
     /// than `most` are not kept.
-    pub fn hear(&mut self, others: Vec<(String, Mark)>, state: &State, most: usize) -> bool {
+    pub fn hear(&mut self, others: Vec<(String, DrainMark)>, state: &State, most: usize) -> bool {
         let before = self.version;
         for (host, mark) in others {
             if !state.settled(&host, mark) && self.open.len() < most {
@@ -63,8 +63,8 @@
     }
 
     /// Forgets what the log has settled, and says what that was.
-    pub fn settle(&mut self, state: &State) -> Vec<(String, Mark)> {
-        let settled: Vec<(String, Mark)> =
+    pub fn settle(&mut self, state: &State) -> Vec<(String, DrainMark)> {
+        let settled: Vec<(String, DrainMark)> =
             self.open.keys().filter(|(host, mark)| state.settled(host, *mark)).cloned().collect();
         for key in &settled {
             self.open.remove(key);
@@ -85,12 +85,12 @@
     }
 
     /// Those of a host.
-    pub fn of(&self, host: &str) -> BTreeSet<Mark> {
+    pub fn of(&self, host: &str) -> BTreeSet<DrainMark> {
         self.open.keys().filter(|(h, _)| h == host).map(|(_, mark)| *mark).collect()
     }
 
     /// All of them.
-    pub fn all(&self) -> Vec<(String, Mark)> {
+    pub fn all(&self) -> Vec<(String, DrainMark)> {
         self.open.keys().cloned().collect()
     }
 
@@ -135,8 +135,8 @@
             let mut rng = fastrand::Rng::with_seed(seed);
             let mut state = State::default();
             let mut nodes: Vec<Marks> = (0..3).map(|_| Marks::default()).collect();
-            let mut said: BTreeSet<(String, Mark)> = BTreeSet::new();
-            let mut undone: BTreeSet<Mark> = BTreeSet::new();
+            let mut said: BTreeSet<(String, DrainMark)> = BTreeSet::new();
+            let mut undone: BTreeSet<DrainMark> = BTreeSet::new();
             for step in 0..200i64 {
                 let n = rng.usize(..3);
                 let host = format!("s-{}", rng.u8(..4));
@@ -156,7 +156,7 @@
                     }
                     5 => {
                         let known = state.drains.get(&host).into_iter().flatten().copied();
-                        let marks: Vec<Mark> = known.chain(nodes[n].of(&host)).collect();
+                        let marks: Vec<DrainMark> = known.chain(nodes[n].of(&host)).collect();
                         undone.extend(&marks);
                         state.apply(step as u64, &Change::Undrain { host, marks });
                     }
@@ -190,7 +190,7 @@
             Marks::default().say("a", me, at(5_000)).number > first.number,
             "after a restart without disk"
         );
-        let many = (0..50).map(|n| (format!("s-{n}"), Mark { by: NodeId(9), number: n })).collect();
+        let many = (0..50).map(|n| (format!("s-{n}"), DrainMark { by: NodeId(9), number: n })).collect();
         assert!(marks.hear(many, &State::default(), 10));
         assert_eq!(marks.all().len(), 10);
         assert_ne!(marks.digest(), 0);
--- a/src/fleet/recovery/mod.rs
+++ b/src/fleet/recovery/mod.rs
@@ -8,7 +8,7 @@
 pub mod restart_detector;
 
 use super::gossip::Word;
-use crate::engine::log_rollback::Break;
+use crate::engine::log_rollback::LogRollback;
 use crate::time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
@@ -36,7 +36,7 @@
     /// What was known.
     pub words: Vec<Word>,
     /// What groups have lost. That counts whatever the clock did: it names positions, not times.
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<LogRollback>,
 }
 
 /// What something from before is worth.
