--- a/src/fleet/recovery/phases.rs
+++ b/src/fleet/recovery/phases.rs
@@ -11,7 +11,7 @@
 //! of what they bear. What all daemons let in together stays below [`TOGETHER`] of the load under which a cold host
 //! falls, whoever hears whom.
 
-use crate::engine::admission::{Terms, Way};
+use crate::engine::admission::{AdmissionMode, AdmissionPolicy};
 use crate::ids::GroupId;
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
@@ -128,7 +128,7 @@
     /// What is waited for, in words; empty: nothing.
     pub waits: String,
     /// On which terms requests are let in; `None`: all are.
-    pub terms: Option<Terms>,
+    pub terms: Option<AdmissionPolicy>,
     /// Hosts are asked in turn with other daemons that return.
     pub turns: bool,
 }
@@ -176,7 +176,7 @@
     pub fn next(&mut self, view: &View) -> Stand {
         if !view.listed {
             let waits = UNLISTED.to_string();
-            let terms = Some(Terms { groups: BTreeMap::new(), rest: false, wait: AGAIN });
+            let terms = Some(AdmissionPolicy { groups: BTreeMap::new(), rest: false, wait: AGAIN });
             return Stand { step: self.step, waits, terms, turns: true };
         }
         let listed = *self.listed.get_or_insert(view.now);
@@ -193,10 +193,10 @@
             opened[1] |= hosts.iter().any(|h| h.proven) || out_of_patience;
             let mut both = Order::ways(self.cold, view, hosts, primary);
             for (side, way) in both.iter_mut().enumerate().filter(|(side, _)| !opened[*side]) {
-                *way = Way::Shut(AGAIN);
+                *way = AdmissionMode::Closed(AGAIN);
                 shut[side].push(*group);
             }
-            if both.iter().any(|way| matches!(way, Way::Paced { .. })) {
+            if both.iter().any(|way| matches!(way, AdmissionMode::Paced { .. })) {
                 paced.push(*group);
             }
             ways.insert(*group, both);
@@ -210,14 +210,14 @@
             _ => (Step::Done, String::new()),
         };
         self.step = self.step.max(step);
-        let terms = (self.step != Step::Done).then_some(Terms { groups: ways, rest, wait: AGAIN });
+        let terms = (self.step != Step::Done).then_some(AdmissionPolicy { groups: ways, rest, wait: AGAIN });
         let turn = view.now - listed;
         let turns = turn < FIRST || turn < LEAST && !view.hosts.iter().all(|h| h.proven);
         Stand { step: self.step, waits, terms, turns }
     }
 
     /// How writes and reads go to the hosts of a group; `primary`: which of them is known to be that.
-    fn ways(cold: Cold, view: &View, hosts: &[&Seen], primary: Option<usize>) -> [Way; 2] {
+    fn ways(cold: Cold, view: &View, hosts: &[&Seen], primary: Option<usize>) -> [AdmissionMode; 2] {
         let Some(n) = primary else {
             return [Order::way(cold, view, hosts, true), Order::way(cold, view, hosts, false)];
         };
@@ -228,19 +228,19 @@
     }
 
     /// How requests go to these hosts; `any`: each of them may turn out to be the one that takes them.
-    fn way(cold: Cold, view: &View, hosts: &[&Seen], any: bool) -> Way {
+    fn way(cold: Cold, view: &View, hosts: &[&Seen], any: bool) -> AdmissionMode {
         // One that has said nothing yet is not taken for warm beside one that is known to be cold, nor for any help.
         let heard: Vec<&Seen> =
             hosts.iter().copied().filter(|h| h.proven || h.primary || h.age.is_some()).collect();
         // Where one of them is warm the module spares the others by itself.
         if heard.is_empty() || heard.iter().any(|h| cold.warmth(h.age) >= 1.0) {
-            return Way::Open;
+            return AdmissionMode::Open;
         }
         let bears = |h: &&Seen| (h.bore.max(UNSEEN) * cold.warmth(h.age)).max(h.serves);
         let all = heard.iter().map(bears);
         let bears = if any { all.fold(f64::MAX, f64::min) } else { all.sum() };
         let (first, most) = part(view.members, view.heard, cold.multiple);
-        Way::Paced { bears: bears * first, most: bears * most, said: heard.iter().all(|h| h.said) }
+        AdmissionMode::Paced { bears: bears * first, most: bears * most, said: heard.iter().all(|h| h.said) }
     }
 }
 
@@ -271,13 +271,16 @@
         let named = order.next(&view(S + tick, vec![primary, host(1), by_word]));
         assert_eq!((named.step, named.waits.as_str()), (Step::Reads, "a proven position in group 1, 2"));
         let terms = named.terms.unwrap();
-        assert!(matches!(terms.groups[&GroupId(1)], [Way::Open, Way::Shut(_)]) && !terms.rest);
+        assert!(
+            matches!(terms.groups[&GroupId(1)], [AdmissionMode::Open, AdmissionMode::Closed(_)])
+                && !terms.rest
+        );
         let one = Seen { named: 1, ..host(3) };
         let proven = Seen { proven: true, ..host(1) };
         let late = order.next(&view(S + PATIENCE - tick, vec![primary, proven, by_word, one]));
         assert_eq!((late.step, late.waits.as_str()), (Step::Reads, "the primary of group 3"));
         assert!(
-            matches!(late.terms.unwrap().groups[&GroupId(3)], [Way::Shut(_), _]),
+            matches!(late.terms.unwrap().groups[&GroupId(3)], [AdmissionMode::Closed(_), _]),
             "one of three is no majority"
         );
         let over = order.next(&view(S + PATIENCE, vec![host(1), host(1), by_word, one]));
@@ -347,11 +350,11 @@
                 }
                 for (group, ways) in stand.terms.iter().flat_map(|t| &t.groups) {
                     for (side, way) in ways.iter().enumerate() {
-                        let is_open = !matches!(way, Way::Shut(_));
+                        let is_open = !matches!(way, AdmissionMode::Closed(_));
                         let was = open.insert((*group, side), is_open).unwrap_or(false);
                         assert!(is_open || !was, "seed {seed}: group {group} was shut again");
                         assert!(is_open || now < listed_at + gap + PATIENCE, "seed {seed}");
-                        if let Way::Paced { bears: start, most, .. } = way {
+                        if let AdmissionMode::Paced { bears: start, most, .. } = way {
                             assert!(*start > 0.0 && start <= most, "seed {seed}: {way:?}");
                         }
                     }
@@ -370,7 +373,7 @@
             |primary, bore| Seen { primary, bore, proven: true, age: Some(TimeDelta::ZERO), ..host(1) };
         let stand =
             order.next(&view(TimeDelta::ZERO, vec![cold(true, 20.0), cold(false, 20.0), cold(false, 0.0)]));
-        let [Way::Paced { bears: start, most, .. }, Way::Paced { bears: reads, .. }] =
+        let [AdmissionMode::Paced { bears: start, most, .. }, AdmissionMode::Paced { bears: reads, .. }] =
             stand.terms.unwrap().groups[&GroupId(1)]
         else {
             panic!("no pace");
@@ -381,7 +384,7 @@
         let silent = Seen { bore: 50.0, ..host(1) };
         let early =
             order.next(&view(TimeDelta::from_micros(1), vec![cold(true, 20.0), cold(false, 20.0), silent]));
-        let [_, Way::Paced { bears: early, .. }] = early.terms.unwrap().groups[&GroupId(1)] else {
+        let [_, AdmissionMode::Paced { bears: early, .. }] = early.terms.unwrap().groups[&GroupId(1)] else {
             panic!("no pace")
         };
         assert!((early - 20.0 * 0.25 / 3.0).abs() < 1e-9);
@@ -389,7 +392,8 @@
         let mut order = Order::new(COLD);
         order.next(&view(TimeDelta::ZERO, vec![]));
         let unknown = view(PATIENCE, vec![cold(false, 20.0), cold(false, 12.0)]);
-        let [Way::Paced { bears: start, .. }, _] = order.next(&unknown).terms.unwrap().groups[&GroupId(1)]
+        let [AdmissionMode::Paced { bears: start, .. }, _] =
+            order.next(&unknown).terms.unwrap().groups[&GroupId(1)]
         else {
             panic!("no pace");
         };
--- a/src/fleet/recovery/restart_detector.rs
+++ b/src/fleet/recovery/restart_detector.rs
@@ -5,7 +5,7 @@
 //! bear. What is not known yet waits: hosts of one group are heard one after the other, also when all lost their power.
 
 use super::phases::Cold;
-use crate::engine::observations::JITTER;
+use crate::engine::observations::START_TIME_TOLERANCE;
 use crate::ids::GroupId;
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,7 +66,8 @@
             let Some(known) = all.get(host.as_str()) else { continue };
             let Some(started) = known.started else { continue };
             let before = self.told(&host).max(known.listed);
-            if now - started >= cold.warm_up || before.is_some_and(|at| started <= at + JITTER) {
+            if now - started >= cold.warm_up || before.is_some_and(|at| started <= at + START_TIME_TOLERANCE)
+            {
                 continue;
             }
             match warm_beside(now, cold, &host, started, known.group, all) {
--- a/src/fleet/runtime.rs
+++ b/src/fleet/runtime.rs
@@ -5,7 +5,7 @@
 use super::gossip::{Count, Learned};
 use super::membership::{Next, View, Wish, Word};
 use super::message::{Beat, Frame};
-use super::peer_link::{PATH, PROTOCOL, Way, may_meet};
+use super::peer_link::{PATH, PROTOCOL, PeerLink, may_meet};
 use super::pending_drains::Marks;
 use super::recovery::first_election::Lead;
 use super::recovery::phases::{Cold, Order, Seen, Stand as Service, Step, UNLISTED};
@@ -14,19 +14,19 @@
 use super::zoning::{self, Leaving, Zoning};
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::engine::admission::Terms;
-use crate::engine::endpoints::{Listed, Listing, id_of};
-use crate::engine::log_rollback::{Break, Breaks};
-use crate::engine::observations::{Fact, JITTER};
-use crate::engine::{Told, Turns};
+use crate::engine::admission::AdmissionPolicy;
+use crate::engine::endpoints::{EndpointRecord, EndpointUpdate, id_of};
+use crate::engine::log_rollback::{LogRollback, LogRollbacks};
+use crate::engine::observations::{Observation, START_TIME_TOLERANCE};
+use crate::engine::{PeerObservation, PollParticipants};
 use crate::ids::NodeId;
 use crate::ids::{GroupId, ZoneId};
 use crate::inventory::Inventory;
 use crate::net::buffer::Buffer;
-use crate::net::connection::Link;
+use crate::net::connection::ClientConnection;
 use crate::net::http::server::{self, Request};
 use crate::net::until;
-use crate::primary_hint::Hint;
+use crate::primary_hint::PrimaryHint;
 use crate::routing::{Availability, EndpointId};
 use crate::store::raft_node::{Applied, What};
 use crate::store::records::{self, FleetId, HostRecord, Letter};
@@ -61,7 +61,7 @@
 }
 
 /// What of the learned state lies on the disk: whose words, and what groups have lost.
-type Kept = (Vec<(NodeId, Count)>, Vec<Break>);
+type Kept = (Vec<(NodeId, Count)>, Vec<LogRollback>);
 
 /// Who this daemon is to the others.
 #[derive(Clone, Debug)]
@@ -174,7 +174,7 @@
     executor: Rc<LocalExecutor<'static>>,
     inputs: SyncSender<Input>,
     table: RefCell<Table>,
-    ways: RefCell<BTreeMap<SocketAddr, Rc<Way>>>,
+    ways: RefCell<BTreeMap<SocketAddr, Rc<PeerLink>>>,
     /// Those who wait for what changes.
     waiting: RefCell<Vec<Sender<()>>>,
     /// Changes that were said here and wait for the log.
@@ -191,13 +191,13 @@
     /// What lies on the disk of what was learned.
     kept: RefCell<Kept>,
     /// What groups have lost; the front looks at it.
-    pub breaks: Rc<RefCell<Breaks>>,
+    pub breaks: Rc<RefCell<LogRollbacks>>,
     /// In which order service returns; `None`: it has, or this daemon has no settings yet.
     order: RefCell<Option<Order>>,
     service: RefCell<Returns>,
     restarts: RefCell<Restarts>,
     cold: Cell<Option<Cold>>,
-    told: (Sender<Told>, Receiver<Told>),
+    told: (Sender<PeerObservation>, Receiver<PeerObservation>),
     zoning: RefCell<Zoning>,
     /// Moves of zones that were proposed here a moment ago: by zone, its number and when.
     moving: RefCell<BTreeMap<ZoneId, (u64, Instant)>>,
@@ -228,7 +228,7 @@
 
 /// What became of a change that an operator asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// It is agreed.
     Agreed,
     /// It holds here, and waits for a majority.
@@ -258,7 +258,7 @@
         });
         marks.settle(&state);
         let mut learned = Learned::new(identity.id, clock.now().as_micros().max(0) as u64);
-        let mut breaks = Breaks::default();
+        let mut breaks = LogRollbacks::default();
         if let Some(saved) = kept.and_then(|bytes| records::read::<Saved>(&bytes)) {
             for b in &saved.breaks {
                 breaks.note(*b);
@@ -345,7 +345,7 @@
     }
 
     /// The ways to the others.
-    pub fn ways(&self) -> Vec<Rc<Way>> {
+    pub fn ways(&self) -> Vec<Rc<PeerLink>> {
         self.ways.borrow().values().cloned().collect()
     }
 
@@ -363,7 +363,7 @@
 
     /// What has changed in the list to act on since this was last asked: a host that is drained here is closed,
     /// agreed or not. `None`: nothing, or nothing was agreed yet. The caller keeps the list that it makes.
-    pub fn list_change(&self, kept: &mut BTreeMap<String, Listed>) -> Option<Listing> {
+    pub fn list_change(&self, kept: &mut BTreeMap<String, EndpointRecord>) -> Option<EndpointUpdate> {
         let table = self.table();
         table.state.inventory.as_ref()?;
         let touched = self.touched.replace(Touched::Hosts(BTreeSet::new()));
@@ -376,7 +376,7 @@
             let drained = table.state.is_drained(name) || table.marks.drains(name);
             let listed = table.state.hosts.get(name).map(|host| host.listed(name, drained))?;
             let started_at = listed.started_at.max(self.restarts.borrow().told(name));
-            let host = Listed { started_at, ..listed };
+            let host = EndpointRecord { started_at, ..listed };
             // Where nobody knows the primary each host may be it, but for those that are gone.
             let belief = table.learned.beliefs().get(&host.group);
             let zone = belief.and_then(|b| table.state.hosts.get(&b.host)).map(|h| h.zone);
@@ -399,12 +399,12 @@
                 }
                 (None, Some(_)) => {
                     let old = kept.remove(&name);
-                    entries.extend(old.map(|e| Listed { availability: Availability::Gone, ..e }));
+                    entries.extend(old.map(|e| EndpointRecord { availability: Availability::Gone, ..e }));
                 }
                 _ => {}
             }
         }
-        (!entries.is_empty()).then_some(Listing { index: table.applied, whole, entries })
+        (!entries.is_empty()).then_some(EndpointUpdate { index: table.applied, whole, entries })
     }
 
     /// These hosts may have changed in the list.
@@ -415,7 +415,7 @@
     }
 
     /// The list to act on, once one was agreed.
-    pub fn listing(&self) -> Option<Listing> {
+    pub fn listing(&self) -> Option<EndpointUpdate> {
         let table = self.table();
         table.state.inventory.as_ref()?;
         Some(table.state.listing(table.applied, |host| table.marks.drains(host)))
@@ -471,9 +471,9 @@
 
     /// Daemons that were heard within the last moment.
     fn hears(&self, table: &Table) -> Vec<NodeId> {
-        let recent = |h: &&Heard| h.at.elapsed() < self.limits.beat * 3;
+        let recent = |h: &&Heard| h.at.elapsed() < self.limits.heartbeat_interval * 3;
         let all = table.heard.iter().filter(|(_, h)| recent(h)).map(|(id, _)| *id);
-        all.take(self.limits.members).collect()
+        all.take(self.limits.fleet_nodes).collect()
     }
 
     /// Hands something to the agreement's thread; false: its queue is full, the disk is slow. Whoever still means
@@ -493,7 +493,7 @@
         }
     }
 
-    fn way_to(&self, id: NodeId) -> Option<Rc<Way>> {
+    fn way_to(&self, id: NodeId) -> Option<Rc<PeerLink>> {
         self.ways.borrow().values().find(|w| w.up.get() && w.id() == id).cloned()
     }
 
@@ -743,7 +743,7 @@
         for (key, change) in wanted {
             let token = match proposed.get(&key) {
                 // Said a moment ago: the leader may still have it.
-                Some((_, at)) if now - *at < self.limits.insist => continue,
+                Some((_, at)) if now - *at < self.limits.proposal_retry_interval => continue,
                 Some((token, _)) => *token,
                 None => self.token(),
             };
@@ -754,14 +754,14 @@
 
     /// Drains a host: here and wherever this daemon is heard at once, for good once a majority has it. `None`:
     /// there is no such host.
-    pub async fn drain(&self, host: &str) -> Option<Outcome> {
+    pub async fn drain(&self, host: &str) -> Option<ChangeOutcome> {
         let mark = {
             let mut table = self.change();
             if !table.state.hosts.contains_key(host) {
                 return None;
             }
             if table.state.is_drained(host) {
-                return Some(Outcome::Agreed);
+                return Some(ChangeOutcome::Agreed);
             }
             let (me, now) = (table.identity.id, self.clock.now());
             self.touch([host.to_string()]);
@@ -779,41 +779,41 @@
                 let _ = woken.recv().await;
             }
         };
-        if until(Instant::now() + self.limits.agree, agreed).await.is_some() {
-            return Some(Outcome::Agreed);
+        if until(Instant::now() + self.limits.agreement_timeout, agreed).await.is_some() {
+            return Some(ChangeOutcome::Agreed);
         }
         let saved = async {
             while self.saved.get() < version && self.table().broken.is_none() {
                 let _ = woken.recv().await;
             }
         };
-        until(Instant::now() + self.limits.agree, saved).await;
-        Some(if self.table().state.settled(host, mark) { Outcome::Agreed } else { Outcome::Here })
+        until(Instant::now() + self.limits.agreement_timeout, saved).await;
+        Some(if self.table().state.settled(host, mark) { ChangeOutcome::Agreed } else { ChangeOutcome::Here })
     }
 
     /// Ends the drains of a host that this daemon has heard of, once a majority agrees.
-    pub async fn undrain(&self, host: &str) -> Outcome {
+    pub async fn undrain(&self, host: &str) -> ChangeOutcome {
         let marks: BTreeSet<_> = {
             let table = self.table();
             let agreed = table.state.drains.get(host).into_iter().flatten().copied();
             agreed.chain(table.marks.of(host)).collect()
         };
         if marks.is_empty() {
-            return Outcome::Agreed;
+            return ChangeOutcome::Agreed;
         }
         let change = Change::Undrain { host: host.to_string(), marks: marks.into_iter().collect() };
         self.agree(change).await
     }
 
     /// Has a change agreed, or gives it up in time.
-    async fn agree(&self, change: Change) -> Outcome {
+    async fn agree(&self, change: Change) -> ChangeOutcome {
         let (from, token) = (self.table().identity.id, self.token());
         self.tokens.borrow_mut().insert(token, None);
         let woken = self.watch();
         let work = async {
             loop {
                 self.forward(Proposal { from, token, change: change.clone() });
-                let end = Instant::now() + self.limits.insist;
+                let end = Instant::now() + self.limits.proposal_retry_interval;
                 loop {
                     if let Some(Some(_)) = self.tokens.borrow().get(&token) {
                         return;
@@ -824,13 +824,13 @@
                 }
             }
         };
-        let done = until(Instant::now() + self.limits.agree, work).await;
+        let done = until(Instant::now() + self.limits.agreement_timeout, work).await;
         self.tokens.borrow_mut().remove(&token);
-        if done.is_some() { Outcome::Agreed } else { Outcome::Not }
+        if done.is_some() { ChangeOutcome::Agreed } else { ChangeOutcome::Not }
     }
 
     /// Has a daemon of this name get a vote, or go. `None`: there is none of this name.
-    pub async fn wish(&self, name: &str, wish: Wish) -> Option<Outcome> {
+    pub async fn wish(&self, name: &str, wish: Wish) -> Option<ChangeOutcome> {
         let done = |table: &Table| {
             let mut ids = table.state.members.iter().filter(|(_, m)| m.name == name).map(|(id, _)| id);
             match wish {
@@ -854,16 +854,16 @@
                 {
                     way.send(&Frame::Wish(name.to_string(), wish).bytes());
                 }
-                super::peer_link::rest(self.limits.insist, &woken).await;
+                super::peer_link::rest(self.limits.proposal_retry_interval, &woken).await;
             }
         };
-        let done = until(Instant::now() + self.limits.agree * 2, work).await;
-        Some(if done.is_some() { Outcome::Agreed } else { Outcome::Not })
+        let done = until(Instant::now() + self.limits.agreement_timeout * 2, work).await;
+        Some(if done.is_some() { ChangeOutcome::Agreed } else { ChangeOutcome::Not })
     }
 
     fn wishes(&self, name: String, wish: Wish) {
         let mut table = self.change();
-        if table.wishes.len() < self.limits.members {
+        if table.wishes.len() < self.limits.fleet_nodes {
             table.wishes.insert((name, wish), Instant::now());
         }
     }
@@ -892,7 +892,7 @@
             "this daemon goes on alone from what was agreed up to {last}, as a new fleet; the others come over\n"
         );
         for (id, member) in table.state.members.iter().filter(|(id, _)| **id != me) {
-            let heard = table.heard.get(id).filter(|h| h.at.elapsed() < self.limits.gone);
+            let heard = table.heard.get(id).filter(|h| h.at.elapsed() < self.limits.peer_gone_timeout);
             text += &match heard {
                 Some(h) if h.beat.agreed > last => {
                     format!(
@@ -972,12 +972,12 @@
         if table.status.leader != me || !table.status.part {
             return;
         }
-        let insist = TimeDelta::from(self.limits.insist);
+        let insist = TimeDelta::from(self.limits.proposal_retry_interval);
         let due =
             if table.state.is_complete() { table.marks.due(self.clock.now(), insist) } else { Vec::new() };
         let now = Instant::now();
-        table.wishes.retain(|_, at| now - *at < self.limits.agree);
-        let recent = self.limits.gone;
+        table.wishes.retain(|_, at| now - *at < self.limits.agreement_timeout);
+        let recent = self.limits.peer_gone_timeout;
         table.candidates.retain(|_, (_, at)| now - *at < recent);
         let next = {
             let candidates = table.candidates.iter().map(|(id, (hello, _))| (*id, hello.clone())).collect();
@@ -999,7 +999,7 @@
                 led_for: table.leads.map_or(TimeDelta::ZERO, |at| TimeDelta::from(now - at)),
                 words: &words,
                 wishes: &wishes,
-                gone: TimeDelta::from(self.limits.gone),
+                gone: TimeDelta::from(self.limits.peer_gone_timeout),
             };
             view.next()
         };
@@ -1028,10 +1028,10 @@
         match () {
             // It may have to stand for election.
             _ if self.returns() && table.status.leader == NodeId::NOBODY && table.state.fleet != 0 => {
-                self.limits.tick
+                self.limits.raft_tick
             }
-            _ if waits => self.limits.insist,
-            _ => self.limits.beat,
+            _ if waits => self.limits.proposal_retry_interval,
+            _ => self.limits.heartbeat_interval,
         }
     }
 
@@ -1056,13 +1056,13 @@
         let believed = table.learned.beliefs().values().map(|b| (b.host.clone(), b.at));
         let guessed = table.learned.guesses(&table.state).into_values();
         let all = believed.chain(guessed);
-        all.map(|(host, at)| Hint { member: id_of(&host), at }.write()).collect()
+        all.map(|(host, at)| PrimaryHint { endpoint: id_of(&host), at }.write()).collect()
     }
 
     /// Does for ever what has to be done now and then.
     pub async fn go_on(self: &Rc<Fleet>) {
         let mut beat = Instant::now();
-        let mut keep = Instant::now() + self.limits.keep;
+        let mut keep = Instant::now() + self.limits.gossip_save_interval;
         let woken = self.watch();
         loop {
             self.found();
@@ -1073,11 +1073,11 @@
             self.reconcile();
             self.save();
             if Instant::now() >= keep {
-                keep = Instant::now() + self.limits.keep;
+                keep = Instant::now() + self.limits.gossip_save_interval;
                 self.keep();
             }
             if Instant::now() >= beat {
-                beat = Instant::now() + self.limits.beat;
+                beat = Instant::now() + self.limits.heartbeat_interval;
                 self.spread(&self.beat());
                 let now = self.clock.now();
                 {
@@ -1092,7 +1092,7 @@
                 if !digest.is_empty() {
                     self.spread(&Frame::Digest(digest));
                 }
-                let recent: Vec<Break> = self
+                let recent: Vec<LogRollback> = self
                     .breaks
                     .borrow()
                     .all()
@@ -1100,10 +1100,12 @@
                     .filter(|b| now - b.to.commit_time(Timestamp::ZERO) < LATELY)
                     .collect();
                 if !recent.is_empty() {
-                    self.spread(&Frame::Breaks(recent));
+                    self.spread(&Frame::LogRollbacks(recent));
                 }
                 let recent = Instant::now();
-                self.change().candidates.retain(|_, (_, at)| recent - *at < self.limits.gone * 5);
+                self.change()
+                    .candidates
+                    .retain(|_, (_, at)| recent - *at < self.limits.peer_gone_timeout * 5);
             }
             if super::peer_link::rest(self.pause(), &woken).await {
                 // Many changes in a row are worked off together.
@@ -1141,16 +1143,16 @@
             wanted.contains_key(at)
         });
         for (at, named) in wanted {
-            if ways.contains_key(&at) || ways.len() >= self.limits.members {
+            if ways.contains_key(&at) || ways.len() >= self.limits.fleet_nodes {
                 continue;
             }
-            let way = Rc::new(Way::new(at, named, &self.limits));
+            let way = Rc::new(PeerLink::new(at, named, &self.limits));
             ways.insert(at, way.clone());
             let fleet = self.clone();
             let task = async move {
-                let judged = |way: &Way, verdict, other| fleet.judged(way, verdict, other);
-                let opened = |way: &Way| fleet.opened(way);
-                let broke = |way: &Way| fleet.broke(way);
+                let judged = |way: &PeerLink, verdict, other| fleet.judged(way, verdict, other);
+                let opened = |way: &PeerLink| fleet.opened(way);
+                let broke = |way: &PeerLink| fleet.broke(way);
                 way.keep(&fleet.limits, || fleet.hello(), judged, opened, broke).await;
             };
             self.executor.spawn(task).detach();
@@ -1158,7 +1160,7 @@
     }
 
     /// The other daemon has said what it makes of this one; whether frames may go.
-    fn judged(&self, way: &Way, verdict: Verdict, other: Hello) -> bool {
+    fn judged(&self, way: &PeerLink, verdict: Verdict, other: Hello) -> bool {
         let mut table = self.change();
         let first = !table.heard.contains_key(&other.id);
         let (fleet, me) = (table.state.fleet, table.identity.id);
@@ -1183,7 +1185,7 @@
             }
             Verdict::Candidate(members) => {
                 let more = members.into_iter().filter(|(name, _)| *name != self.me.name);
-                table.told = more.map(|(name, at)| (at, name)).take(self.limits.members).collect();
+                table.told = more.map(|(name, at)| (at, name)).take(self.limits.fleet_nodes).collect();
                 true
             }
             Verdict::Older if table.state.members.contains_key(&other.id) => {
@@ -1209,7 +1211,7 @@
                 let Table { marks, state, .. } = &mut *table;
                 let drains =
                     state.drains.iter().flat_map(|(host, m)| m.iter().map(move |m| (host.clone(), *m)));
-                marks.hear(drains.collect(), &State::default(), self.limits.marks);
+                marks.hear(drains.collect(), &State::default(), self.limits.pending_drains);
                 drop(table);
                 self.tell(Input::Renounce("recovered"));
                 return false;
@@ -1225,7 +1227,7 @@
     }
 
     /// What is not agreed, and how things stand, is said at once to whoever comes back.
-    fn opened(&self, way: &Way) {
+    fn opened(&self, way: &PeerLink) {
         way.send(&self.beat().bytes());
         if self.table().leads.is_some() {
             self.tell(Input::Ping);
@@ -1233,7 +1235,7 @@
         way.send(&Frame::Digest(self.table().learned.digest()).bytes());
         let breaks = self.breaks.borrow().all();
         if !breaks.is_empty() {
-            way.send(&Frame::Breaks(breaks).bytes());
+            way.send(&Frame::LogRollbacks(breaks).bytes());
         }
         let marks = self.table().marks.all();
         if !marks.is_empty() {
@@ -1242,7 +1244,7 @@
     }
 
     /// A way has broken: what was said there no longer counts for the forming of a fleet.
-    fn broke(&self, way: &Way) {
+    fn broke(&self, way: &PeerLink) {
         self.change().met.remove(&way.address);
         self.tell(Input::Unreachable(way.id()));
     }
@@ -1253,20 +1255,23 @@
     }
 
     /// Hears another daemon on its connection until that ends.
-    pub async fn serve(&self, mut link: Link, mut buffer: Buffer) {
+    pub async fn serve(&self, mut link: ClientConnection, mut buffer: Buffer) {
         let upgrade = server::answer_head(101, &[("Connection", "Upgrade"), ("Upgrade", PROTOCOL)]);
         if link.write(&upgrade).await.is_err() {
             return;
         }
-        let first =
-            until(Instant::now() + self.limits.startup, self.next_frame(&mut link, &mut buffer)).await;
+        let first = until(
+            Instant::now() + self.limits.first_request_timeout,
+            self.next_frame(&mut link, &mut buffer),
+        )
+        .await;
         let Some(Some(Frame::Hello(hello))) = first else { return };
         let verdict = {
             let mut table = self.change();
             let known = table.status.witnesses.get(&hello.id).copied();
             let verdict = bootstrap::judge(&table.state, known.as_ref(), &hello);
             match &verdict {
-                Verdict::Candidate(_) if table.candidates.len() < self.limits.members => {
+                Verdict::Candidate(_) if table.candidates.len() < self.limits.fleet_nodes => {
                     table.candidates.insert(hello.id, (hello.clone(), Instant::now()));
                 }
                 Verdict::Stranger | Verdict::Older | Verdict::Recovered => {
@@ -1302,9 +1307,9 @@
         or(or(ends, self.silence(hello.id)), hear).await;
     }
 
-    async fn next_frame(&self, link: &mut Link, buffer: &mut Buffer) -> Option<Frame> {
+    async fn next_frame(&self, link: &mut ClientConnection, buffer: &mut Buffer) -> Option<Frame> {
         loop {
-            match Frame::read(buffer.unread(), self.limits.frame) {
+            match Frame::read(buffer.unread(), self.limits.peer_message_bytes) {
                 Ok(Some((frame, used))) => {
                     buffer.consume(used);
                     return Some(frame);
@@ -1325,7 +1330,7 @@
     async fn silence(&self, id: NodeId) {
         let mut last = Instant::now();
         loop {
-            Timer::at(last + self.limits.stall).await;
+            Timer::at(last + self.limits.backend_stall_timeout).await;
             match self.table().heard.get(&id) {
                 Some(heard) if heard.at > last => last = heard.at,
                 _ => return,
@@ -1355,7 +1360,7 @@
                 if let Some((_, at)) = table.candidates.get_mut(&from.id) {
                     *at = Instant::now();
                 } else if !table.state.members.contains_key(&from.id)
-                    && table.candidates.len() < self.limits.members
+                    && table.candidates.len() < self.limits.fleet_nodes
                 {
                     table.candidates.insert(from.id, (from.clone(), Instant::now()));
                 }
@@ -1411,7 +1416,12 @@
                     let table = self.table();
                     let hears = table.heard.get(&from.id).map_or(&[][..], |h| &h.beat.hears[..]);
                     let hears = |id| hears.contains(&id);
-                    table.learned.lacks(self.clock.now(), &digest, hears, self.limits.facts)
+                    table.learned.lacks(
+                        self.clock.now(),
+                        &digest,
+                        hears,
+                        self.limits.observations_per_message,
+                    )
                 };
                 if !words.is_empty()
                     && let Some(way) = self.way_to(from.id)
@@ -1419,7 +1429,7 @@
                     way.send(&Frame::Words(words).bytes());
                 }
             }
-            Frame::Breaks(breaks) => self.broken_off(breaks, &from.name),
+            Frame::LogRollbacks(breaks) => self.broken_off(breaks, &from.name),
             Frame::Sights(sights) => self.hear_sights(from.id, sights),
             Frame::Words(words) => {
                 let now = self.clock.now();
@@ -1440,16 +1450,16 @@
                         "fleet: group {group}: another daemon has heard that {} is primary",
                         belief.host
                     );
-                    let hint = Hint { member: id_of(&belief.host), at: belief.at };
+                    let hint = PrimaryHint { endpoint: id_of(&belief.host), at: belief.at };
                     let _ = self.hints.0.try_send(hint.write());
                 }
             }
-            Frame::Hint([a, b, c, d, e, f], age) if age >= TimeDelta::ZERO => {
-                let member = EndpointId { ip: [a, b, c, d], port: u16::from_be_bytes([e, f]) };
-                let hint = Hint { member, at: self.clock.now() - age };
+            Frame::PrimaryHint([a, b, c, d, e, f], age) if age >= TimeDelta::ZERO => {
+                let endpoint = EndpointId { ip: [a, b, c, d], port: u16::from_be_bytes([e, f]) };
+                let hint = PrimaryHint { endpoint, at: self.clock.now() - age };
                 let _ = self.hints.0.try_send(hint.write());
             }
-            Frame::Hello(_) | Frame::Verdict(..) | Frame::Forward(_) | Frame::Hint(..) => {
+            Frame::Hello(_) | Frame::Verdict(..) | Frame::Forward(_) | Frame::PrimaryHint(..) => {
                 self.pass_over("out of place");
                 return false;
             }
@@ -1457,12 +1467,12 @@
         true
     }
 
-    fn hear_marks(&self, marks: Vec<(String, crate::store::state_machine::Mark)>) {
+    fn hear_marks(&self, marks: Vec<(String, crate::store::state_machine::DrainMark)>) {
         let new = {
             let mut table = self.change();
             self.touch(marks.iter().map(|(host, _)| host.clone()));
             let Table { marks: own, state, .. } = &mut *table;
-            own.hear(marks, state, self.limits.marks)
+            own.hear(marks, state, self.limits.pending_drains)
         };
         if new {
             self.wake();
@@ -1474,11 +1484,11 @@
     }
 
     /// Takes in what hosts have told this daemon.
-    pub fn observe(&self, facts: &[Fact]) {
+    pub fn observe(&self, facts: &[Observation]) {
         let now = self.clock.now();
-        let lost: Vec<Break> = {
+        let lost: Vec<LogRollback> = {
             let table = self.table();
-            let lost = |f: &Fact| {
+            let lost = |f: &Observation| {
                 let group = table.state.hosts.get(&f.host)?.group;
                 // One that has only just stepped down says nothing about its group's log.
                 let another = table.learned.beliefs().get(&group).filter(|b| b.host != f.host);
@@ -1491,7 +1501,7 @@
                     .filter(|at| f.position.is_known() && f.position.commit_time(Timestamp::ZERO) < *at)
                     .map(|at| (f.position, at));
                 let (from, to) = f.back.or(started)?;
-                Some(Break { group, from, to: LogPosition::of_commit(to, Timestamp::ZERO) })
+                Some(LogRollback { group, from, to: LogPosition::of_commit(to, Timestamp::ZERO) })
             };
             facts.iter().filter_map(lost).collect()
         };
@@ -1520,7 +1530,7 @@
         let Table { learned, digests, .. } = &mut *table;
         for way in self.ways().iter().filter(|w| w.up.get()) {
             let known = digests.entry(way.id()).or_default();
-            let words = learned.lacks(now, known, |id| id != me, self.limits.facts);
+            let words = learned.lacks(now, known, |id| id != me, self.limits.observations_per_message);
             let Some(last) = words.iter().map(|w| w.count).max() else { continue };
             if way.send(&Frame::Words(words).bytes()) {
                 // Until it says itself what it knows: what was lost on the way is sent again then.
@@ -1550,7 +1560,7 @@
 
     /// What holds now while service returns; `listed`: the core has the list. Once it has returned there are no terms
     /// and no turns.
-    pub fn return_on(&self, listed: bool) -> (Option<Terms>, Option<Turns>) {
+    pub fn return_on(&self, listed: bool) -> (Option<AdmissionPolicy>, Option<PollParticipants>) {
         let now = self.clock.now();
         let mut order = self.order.borrow_mut();
         let Some(own) = order.as_mut() else { return (None, None) };
@@ -1589,12 +1599,12 @@
     }
 
     /// Others that return as well and are heard: hosts are asked in turn with them.
-    fn turns(&self) -> Turns {
+    fn turns(&self) -> PollParticipants {
         let table = self.table();
         let hears = self.hears(&table);
         let returns = |id: &NodeId| table.heard.get(id).is_some_and(|h| h.beat.returns);
         let others = hears.into_iter().filter(returns).filter(|id| table.state.members.contains_key(id));
-        Turns { me: table.identity.id, others: others.collect() }
+        PollParticipants { me: table.identity.id, others: others.collect() }
     }
 
     fn view(&self, now: Timestamp, listed: bool) -> recovery::phases::View {
@@ -1658,7 +1668,7 @@
     }
 
     /// Groups have lost commits, as this daemon or another one has noticed.
-    fn broken_off(&self, breaks: Vec<Break>, by: &str) {
+    fn broken_off(&self, breaks: Vec<LogRollback>, by: &str) {
         let (now, mut new) = (self.clock.now(), Vec::new());
         {
             let (table, mut own) = (self.table(), self.breaks.borrow_mut());
@@ -1667,7 +1677,7 @@
                 // A clock that is far ahead would have whatever is written from now on pass for lost. Most words of it
                 // are repeated: all hosts are looked through only for what is new.
                 if b.from >= LogPosition::UNKNOWN
-                    && b.to.commit_time(Timestamp::ZERO) <= now + JITTER
+                    && b.to.commit_time(Timestamp::ZERO) <= now + START_TIME_TOLERANCE
                     && !own.knows(b)
                     && known(b.group)
                     && own.note(b)
@@ -1685,17 +1695,17 @@
             );
         }
         if !new.is_empty() {
-            self.spread(&Frame::Breaks(new));
+            self.spread(&Frame::LogRollbacks(new));
         }
     }
 
     /// What this daemon knew before its start, for its core.
-    pub fn told_before(&self) -> Vec<Told> {
+    pub fn told_before(&self) -> Vec<PeerObservation> {
         self.table().learned.positions()
     }
 
     /// What others heard of hosts, as it comes in while service returns.
-    pub async fn told(&self) -> Option<Vec<Told>> {
+    pub async fn told(&self) -> Option<Vec<PeerObservation>> {
         let mut all = vec![self.told.1.recv().await.ok()?];
         while let Ok(more) = self.told.1.try_recv() {
             all.push(more);
@@ -1705,10 +1715,10 @@
 
     /// Tells the others' modules what this one's has heard. Times go as ages: clocks may differ.
     pub fn hint(&self, bytes: &[u8]) {
-        let Some(Hint { member, at }) = Hint::read(bytes) else { return };
-        let [a, b, c, d] = member.ip;
-        let [e, f] = member.port.to_be_bytes();
-        self.spread(&Frame::Hint([a, b, c, d, e, f], (self.clock.now() - at).or_zero()));
+        let Some(PrimaryHint { endpoint, at }) = PrimaryHint::read(bytes) else { return };
+        let [a, b, c, d] = endpoint.ip;
+        let [e, f] = endpoint.port.to_be_bytes();
+        self.spread(&Frame::PrimaryHint([a, b, c, d, e, f], (self.clock.now() - at).or_zero()));
     }
 
     /// The next word of another daemon's module.
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -1,7 +1,7 @@
 //! Carries out what is decided on zones: hears and tells sights, has moves agreed, shapes the list.
 
-use super::{Fleet, Frame, Outcome, Proposal, Table};
-use crate::engine::outcome_window::Seen;
+use super::{ChangeOutcome, Fleet, Frame, Proposal, Table};
+use crate::engine::outcome_window::OutcomeCounts;
 use crate::fleet::zones::{Sight, Verdict};
 use crate::fleet::zoning::{self, Order};
 use crate::ids::NodeId;
@@ -20,7 +20,7 @@
 impl Fleet {
     /// Looks at what this daemon saw of hosts within the last moment: tells the others, leaves zones alone, and
     /// decides where this daemon leads. Hosts from which nothing more is to be waited for.
-    pub fn look_at_zones(&self, seen: &BTreeMap<String, Seen>) -> BTreeSet<String> {
+    pub fn look_at_zones(&self, seen: &BTreeMap<String, OutcomeCounts>) -> BTreeSet<String> {
         let now = self.clock.now();
         let urgent = {
             let table = self.table();
@@ -144,7 +144,11 @@
     }
 
     /// An operator's word on a zone. `None`: there is no such zone.
-    pub async fn order_zone(&self, name: &str, order: Order) -> Option<Result<(Share, Outcome), String>> {
+    pub async fn order_zone(
+        &self,
+        name: &str,
+        order: Order,
+    ) -> Option<Result<(Share, ChangeOutcome), String>> {
         let (zone, share) = {
             let table = self.table();
             let zoning = self.zoning.borrow();
@@ -157,7 +161,7 @@
         log::info!("zones: an operator's word on {name}: {order:?}");
         let outcome = self.agree(Change::Zone { zone, share }).await;
         // Another move may have come between.
-        let overtaken = outcome == Outcome::Agreed && self.table().state.share(zone) != share;
+        let overtaken = outcome == ChangeOutcome::Agreed && self.table().state.share(zone) != share;
         Some(if overtaken { Err("it moved meanwhile; say it again".into()) } else { Ok((share, outcome)) })
     }
 
--- a/src/fleet/zones.rs
+++ b/src/fleet/zones.rs
@@ -4,7 +4,7 @@
 //! ([`judge`]) and moves zones by agreed changes with a number ([`Zones::next`]): all that are lost at once, otherwise one
 //! at a time. Every daemon acts on the same ones. A share is the part of its usual reads that a zone gets; writes follow each group's primary.
 
-use crate::engine::outcome_window::Seen;
+use crate::engine::outcome_window::OutcomeCounts;
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
 use crate::store::zone_weights::{Share, WHOLE, Why};
@@ -90,11 +90,11 @@
 
 impl Sight {
     /// Of those hosts of a zone that were tried, of so many.
-    pub fn new<'a>(hosts: impl Iterator<Item = &'a Seen>, of: usize) -> Sight {
+    pub fn new<'a>(hosts: impl Iterator<Item = &'a OutcomeCounts>, of: usize) -> Sight {
         let of = of.min(usize::from(u16::MAX)) as u16;
         let (mut all, mut busy, mut say) = (Sight { of, ..Sight::default() }, 0u32, 0u32);
         for seen in hosts.filter(|seen| seen.ended() > 0) {
-            let Seen { good, late, silent, refused, .. } = *seen;
+            let OutcomeCounts { good, late, silent, refused, .. } = *seen;
             let gone = u16::from(good + late == 0);
             all.add(&Sight { good, late, silent, refused, hosts: 1, gone, ..Sight::default() });
             (busy, say) = (busy + u32::from(seen.busy), say + u32::from(seen.busy > 0));
--- a/src/fleet/zoning.rs
+++ b/src/fleet/zoning.rs
@@ -6,8 +6,8 @@
 //! itself whether it does.
 
 use super::zones::{Alone, Dwell, Load, Sight, Sights, Verdict, Zones, judge};
-use crate::engine::endpoints::Listed;
-use crate::engine::outcome_window::Seen;
+use crate::engine::endpoints::EndpointRecord;
+use crate::engine::outcome_window::OutcomeCounts;
 use crate::ids::NodeId;
 use crate::ids::{GroupId, ZoneId};
 use crate::routing::Availability;
@@ -89,8 +89,12 @@
     }
 
     /// Takes in what this daemon saw of hosts; what it saw of zones, if anybody should hear of it now.
-    pub fn see(&mut self, seen: &BTreeMap<String, Seen>, state: &State) -> Option<BTreeMap<ZoneId, Sight>> {
-        let mut by: BTreeMap<ZoneId, Vec<&Seen>> = BTreeMap::new();
+    pub fn see(
+        &mut self,
+        seen: &BTreeMap<String, OutcomeCounts>,
+        state: &State,
+    ) -> Option<BTreeMap<ZoneId, Sight>> {
+        let mut by: BTreeMap<ZoneId, Vec<&OutcomeCounts>> = BTreeMap::new();
         for (host, seen) in seen {
             if let Some(host) = state.hosts.get(host) {
                 by.entry(host.zone).or_default().push(seen);
@@ -155,7 +159,7 @@
             let busy: Vec<f64> =
                 words.iter().filter(|s| s.busy > 0).map(|s| f64::from(s.busy) / 1000.0).collect();
             let busy = if busy.is_empty() { 0.0 } else { busy.iter().sum::<f64>() / busy.len() as f64 };
-            let rate = served * 1e6 / crate::engine::outcome_window::SPAN.as_micros_f64();
+            let rate = served * 1e6 / crate::engine::outcome_window::WINDOW_LENGTH.as_micros_f64();
             let (known, used) = self.usual.entry(*zone).or_insert((rate, busy));
             *known += (rate - *known) * SMOOTH;
             *used += (busy - *used) * SMOOTH;
@@ -213,7 +217,14 @@
 
     /// A line of the list as it counts here. `primary`: it is believed to be its group's. A group that has no host
     /// elsewhere keeps those that it has: `alone`.
-    pub fn shape(&self, now: Timestamp, listed: Listed, state: &State, primary: bool, alone: bool) -> Listed {
+    pub fn shape(
+        &self,
+        now: Timestamp,
+        listed: EndpointRecord,
+        state: &State,
+        primary: bool,
+        alone: bool,
+    ) -> EndpointRecord {
         let part = self.part(now, listed.zone, state);
         if part == WHOLE || alone {
             return listed;
@@ -221,7 +232,7 @@
         let weight = listed.weight * f64::from(part) / f64::from(WHOLE);
         let open = part > 0 || primary || listed.availability != Availability::Ready;
         let availability = if open { listed.availability } else { Availability::Draining };
-        Listed { weight: weight.max(LITTLE), availability, ..listed }
+        EndpointRecord { weight: weight.max(LITTLE), availability, ..listed }
     }
 
     /// The share that an operator's word gives a zone; an error says why not.
@@ -274,20 +285,21 @@
             (NodeId(id), Member { name: format!("b{id}"), address: ([127, 0, 0, 1], id as u16).into() })
         };
         let host = |group: GroupId, zone: ZoneId| {
-            let listed = Listed { group, zone, ..Listed::plain(&format!("s-{group}-{zone}")) };
+            let listed =
+                EndpointRecord { group, zone, ..EndpointRecord::plain(&format!("s-{group}-{zone}")) };
             (listed.name.clone(), HostRecord::of(&listed))
         };
         let hosts = (0..6).map(|n| host(GroupId(n / 3 + 1), ZoneId((n % 3) as u8))).collect();
         State { hosts, members: (1..=3).map(member).collect(), ..State::default() }
     }
 
-    fn seen(lost: &[u8]) -> BTreeMap<String, Seen> {
+    fn seen(lost: &[u8]) -> BTreeMap<String, OutcomeCounts> {
         let one = |(name, host): (String, HostRecord)| {
             let silent = lost.contains(&host.zone.0);
             let seen = if silent {
-                Seen { silent: 4, ..Seen::default() }
+                OutcomeCounts { silent: 4, ..OutcomeCounts::default() }
             } else {
-                Seen { good: 4, ..Seen::default() }
+                OutcomeCounts { good: 4, ..OutcomeCounts::default() }
             };
             (name, seen)
         };
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -3,7 +3,7 @@
 pub mod yaml;
 
 use crate::config::Limits;
-use crate::engine::endpoints::Listed;
+use crate::engine::endpoints::EndpointRecord;
 use crate::routing::{Availability, GroupId, Timestamp, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Inventory {
     /// The hosts.
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<EndpointRecord>,
     /// The regions of those zones that have one.
     pub regions: Regions,
 }
@@ -59,7 +59,7 @@
 
 /// A host's region is its zone's.
 fn add_region(
-    host: &Listed,
+    host: &EndpointRecord,
     region: &str,
     line: usize,
     in_zone: bool,
@@ -230,7 +230,7 @@
     Ok(())
 }
 
-fn listed(name: String, line: usize, facts: &Facts, zones: &[String]) -> Result<Listed, Fault> {
+fn listed(name: String, line: usize, facts: &Facts, zones: &[String]) -> Result<EndpointRecord, Fault> {
     let fact = |key: &str| facts.get(key).map(|(v, l)| (v.as_str(), *l));
     let wrong =
         |key: &str, v: &str, l: usize| Fault::new(l, format!("host {name:?}: {key} {v:?} is no such value"));
@@ -276,14 +276,14 @@
         }
     };
     // Who is primary is learned from answers alone: an inventory is no proof of it.
-    Ok(Listed { name, address, zone, group, availability, primary: false, weight, started_at })
+    Ok(EndpointRecord { name, address, zone, group, availability, primary: false, weight, started_at })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn read(name: &str, text: &str) -> Result<Vec<Listed>, Fault> {
+    fn read(name: &str, text: &str) -> Result<Vec<EndpointRecord>, Fault> {
         inventory(name, text).map(|all| all.hosts)
     }
 
--- a/src/inventory/yaml.rs
+++ b/src/inventory/yaml.rs
@@ -136,8 +136,12 @@
 
 /// Reads a file of one document.
 pub fn parse(text: &str, limits: &Limits) -> Result<Node, Fault> {
-    let mut reader =
-        Reader { parser: Parser::new_from_str(text), anchors: BTreeMap::new(), nodes: 0, most: limits.yaml };
+    let mut reader = Reader {
+        parser: Parser::new_from_str(text),
+        anchors: BTreeMap::new(),
+        nodes: 0,
+        most: limits.yaml_limits,
+    };
     let mut document = None;
     loop {
         match reader.event()? {
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,6 +1,6 @@
 //! The one place where JSON is read: miniserde, into the few values that the program uses.
 
-use crate::engine::endpoints::{Listed, Listing};
+use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
 use crate::routing::settings_parser;
 use crate::routing::{Availability, GroupId, Settings, TimeDelta, Timestamp, ZoneId};
 use miniserde::json::Value;
@@ -73,7 +73,7 @@
     /// Where operators call.
     pub admin: Option<SocketAddr>,
     /// The list as this pooler last had it.
-    pub known: Option<Listing>,
+    pub known: Option<EndpointUpdate>,
     /// The settings of the service.
     pub settings: Settings,
     /// Names of the classes, by number.
@@ -89,7 +89,7 @@
     text.parse().map_err(|_| format!("{what}: {text:?} is not an address with a port"))
 }
 
-fn listing(raw: RawList, zones: &[String]) -> Result<Listing, String> {
+fn listing(raw: RawList, zones: &[String]) -> Result<EndpointUpdate, String> {
     let one = |e: RawEndpoint| {
         let availability = match e.status.as_str() {
             "active" => Availability::Ready,
@@ -99,7 +99,7 @@
         };
         let zone = e.zone.and_then(|z| zones.iter().position(|known| *known == z));
         let since = e.since_ms.filter(|ms| ms.is_finite() && *ms > 0.0);
-        Ok(Listed {
+        Ok(EndpointRecord {
             address: address(&e.address, &format!("endpoint {}", e.name))?,
             name: e.name,
             zone: ZoneId(zone.unwrap_or(0) as u8),
@@ -111,11 +111,11 @@
         })
     };
     let entries = raw.endpoints.into_iter().map(one).collect::<Result<_, String>>()?;
-    Ok(Listing { index: raw.index, whole: raw.snapshot, entries })
+    Ok(EndpointUpdate { index: raw.index, whole: raw.snapshot, entries })
 }
 
 /// Reads an answer of discovery. Anything out of form refuses it whole.
-pub fn list(text: &str, zones: &[String]) -> Result<Listing, String> {
+pub fn list(text: &str, zones: &[String]) -> Result<EndpointUpdate, String> {
     listing(json::from_str(text).map_err(|_| "the list is not in discovery's form".to_string())?, zones)
 }
 
@@ -249,11 +249,11 @@
         let p = platform(CONFIG).unwrap();
         assert_eq!((p.classes, p.conn_idle, p.sockets), (vec!["read".to_string()], Some(15.0), Some(1024)));
         assert_eq!(
-            (p.seed, p.settings.zero, p.settings.probes),
+            (p.seed, p.settings.zero, p.settings.may_probe),
             (0x8c1f_30d2_7a5b_e964, Some(Timestamp::ZERO), Some(false))
         );
         assert_eq!(
-            (p.settings.classes[0].max_age, p.settings.classes[0].aim),
+            (p.settings.classes[0].max_age, p.settings.classes[0].latency_objective),
             (Some(TimeDelta::from_micros(800_000)), Some(TimeDelta::from_micros(500_000)))
         );
         let host = &p.known.unwrap().entries[0];
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,8 +13,8 @@
 //! use brookpass::Router;
 //!
 //! let write = Class {
-//!     aim: Some(TimeDelta::from_millis(500)),
-//!     repeat: Some(Repeat::Unsafe),
+//!     latency_objective: Some(TimeDelta::from_millis(500)),
+//!     idempotency: Some(Idempotency::NonIdempotent),
 //!     consistency: Some(Consistency::Write),
 //!     ..Class::default()
 //! };
@@ -22,9 +22,9 @@
 //! let mut router = Router::new(settings, 7);
 //! let mut actions = Vec::new();
 //!
-//! let member = EndpointId { ip: [10, 0, 0, 1], port: 5432 };
-//! let entry = Entry {
-//!     member,
+//! let endpoint = EndpointId { ip: [10, 0, 0, 1], port: 5432 };
+//! let entry = EndpointEntry {
+//!     endpoint,
 //!     zone: ZoneId(0),
 //!     group: GroupId(1),
 //!     availability: Availability::Ready,
@@ -33,13 +33,13 @@
 //!     started_at: None,
 //! };
 //! let start = Timestamp::ZERO;
-//! router.handle(start, Event::Members { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//! router.handle(start, Event::EndpointList { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! actions.clear();
 //!
-//! let (id, patience) = (RequestId(42), TimeDelta::from_secs(2));
-//! let ask = Ask { id, class: 0, group: GroupId(1), session: 9, patience, ..Ask::default() };
-//! router.handle(start + TimeDelta::from_millis(5), Event::Request(ask), &mut actions);
-//! let sent = |a: &Action| matches!(a, Action::Send { id: i, member: m, .. } if (*i, *m) == (id, member));
+//! let (id, client_timeout) = (RequestId(42), TimeDelta::from_secs(2));
+//! let request = IncomingRequest { id, class: 0, group: GroupId(1), session: 9, client_timeout, ..IncomingRequest::default() };
+//! router.handle(start + TimeDelta::from_millis(5), Event::Request(request), &mut actions);
+//! let sent = |a: &Action| matches!(a, Action::Send { id: i, endpoint: m, .. } if (*i, *m) == (id, endpoint));
 //! assert!(actions.iter().any(sent));
 //! ```
 
--- a/src/net/admin_server.rs
+++ b/src/net/admin_server.rs
@@ -1,13 +1,13 @@
 //! The operators' door: HTTP/1.1, one call a connection, on an address of its own.
 
 use super::buffer::Buffer;
-use super::connection::Link;
-use super::connection_limiter::{Place, Welcome};
+use super::connection::ClientConnection;
+use super::connection_limiter::{AcceptDecision, ConnectionSlot};
 use super::http::server::{self, Next, Request};
-use super::lifecycle::{Duty, State};
+use super::lifecycle::{Lifecycle, ServingState};
 use super::until;
 use crate::config::Limits;
-use crate::engine::Handle;
+use crate::engine::EngineHandle;
 use crate::engine::metrics::Gauges;
 use async_channel::Receiver;
 use async_io::Async;
@@ -17,10 +17,10 @@
 use std::time::Instant;
 
 /// What all calls share.
-pub struct Door<W, A> {
+pub struct AdminServer<W, A> {
     limits: Rc<Limits>,
-    handle: Handle<W, A>,
-    duty: Rc<Duty>,
+    handle: EngineHandle<W, A>,
+    duty: Rc<Lifecycle>,
     /// Closed once the process can serve.
     ready: Receiver<()>,
     /// What held when the core was asked last.
@@ -55,17 +55,17 @@
     }
 }
 
-impl<W, A> Door<W, A> {
+impl<W, A> AdminServer<W, A> {
     /// A door with limits of its own: calls are few and short.
     pub fn new(
         limits: &Limits,
-        handle: Handle<W, A>,
-        duty: Rc<Duty>,
+        handle: EngineHandle<W, A>,
+        duty: Rc<Lifecycle>,
         ready: Receiver<()>,
         more: impl Fn() -> String + 'static,
-    ) -> Door<W, A> {
+    ) -> AdminServer<W, A> {
         let (limits, more) = (Rc::new(limits.for_door()), Box::new(more));
-        Door { limits, handle, duty, ready, last: Cell::default(), more }
+        AdminServer { limits, handle, duty, ready, last: Cell::default(), more }
     }
 
     /// The limits of its connections.
@@ -74,12 +74,12 @@
     }
 
     /// Serves one connection to its end.
-    pub async fn serve(&self, stream: Async<TcpStream>, place: Place, welcome: Welcome) {
-        let mut link = Link::new(stream, place, self.limits.clone(), self.handle.clock().clone());
+    pub async fn serve(&self, stream: Async<TcpStream>, place: ConnectionSlot, welcome: AcceptDecision) {
+        let mut link = ClientConnection::new(stream, place, self.limits.clone(), self.handle.clock().clone());
         let mut buffer = Buffer::default();
         let answer = match welcome {
-            Welcome::TurnedAway => server::answer(503, &[], "too many calls at once"),
-            Welcome::Served => match server::next(&mut link, &mut buffer, &self.limits).await {
+            AcceptDecision::Rejected => server::answer(503, &[], "too many calls at once"),
+            AcceptDecision::Served => match server::next(&mut link, &mut buffer, &self.limits).await {
                 Next::Over => return,
                 Next::Refused(status, why) => {
                     log::debug!("door: {why}");
@@ -99,16 +99,18 @@
             Err((405, method)) => server::answer(405, &[("Allow", method)], "another method is wanted here"),
             Err((status, _)) => server::answer(status, &[], "nothing is here"),
             Ok(Call::Ready) => match self.duty.state() {
-                State::Ending => text(false, "ending"),
+                ServingState::Ending => text(false, "ending"),
                 _ if !self.ready.is_closed() => text(false, "no list of hosts yet"),
-                State::Drained => text(true, "ready, drained"),
-                State::Serving => text(true, "ready"),
+                ServingState::Drained => text(true, "ready, drained"),
+                ServingState::Serving => text(true, "ready"),
             },
             Ok(Call::Metrics) => {
                 // Late figures are worse than gauges of a moment ago.
-                let gauges = until(Instant::now() + self.limits.ready, self.handle.gauges()).await.flatten();
+                let gauges = until(Instant::now() + self.limits.readiness_timeout, self.handle.gauges())
+                    .await
+                    .flatten();
                 self.last.set(gauges.unwrap_or(self.last.get()));
-                let figures = self.handle.figures().text(self.last.get()) + &(self.more)();
+                let figures = self.handle.metrics().text(self.last.get()) + &(self.more)();
                 server::answer(200, &[], figures.trim_end())
             }
             Ok(Call::Drain) => text(self.duty.drain(), "drained"),
--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -4,8 +4,8 @@
 use super::until;
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::engine::endpoints::Host;
-use crate::engine::{Command, Ended, Handle, Input, Need};
+use crate::engine::endpoints::EndpointChange;
+use crate::engine::{AttemptReport, Command, EngineHandle, Freshness, Input};
 use crate::routing::*;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -20,29 +20,35 @@
 
 /// What came of one exchange with a host.
 #[derive(Clone, Debug)]
-pub struct Exchange<A> {
+pub struct ExchangeResult<A> {
     /// The outcome.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// What the host told about itself.
-    pub mark: Option<Mark>,
+    pub replica_status: Option<ReplicaStatus>,
     /// Its load report.
-    pub report: Report,
+    pub report: LoadReport,
     /// The answer, where it was served.
     pub answer: Option<A>,
     /// The connection may carry another request.
     pub reusable: bool,
 }
 
-impl<A> Exchange<A> {
+impl<A> ExchangeResult<A> {
     /// An outcome about which the host said nothing.
-    pub fn bare(outcome: Outcome) -> Exchange<A> {
-        Exchange { outcome, mark: None, report: Report::default(), answer: None, reusable: false }
+    pub fn bare(outcome: AttemptOutcome) -> ExchangeResult<A> {
+        ExchangeResult {
+            outcome,
+            replica_status: None,
+            report: LoadReport::default(),
+            answer: None,
+            reusable: false,
+        }
     }
 }
 
 /// A protocol that hosts speak.
 #[allow(async_fn_in_trait)]
-pub trait Wire: 'static {
+pub trait BackendProtocol: 'static {
     /// What is sent.
     type Work: Clone + Send + 'static;
     /// What comes back.
@@ -51,7 +57,7 @@
     type Connection: 'static;
 
     /// Makes a new stream ready. An error is the outcome of an attempt that never ran.
-    async fn open(&self, stream: Async<TcpStream>) -> Result<Self::Connection, Outcome>;
+    async fn open(&self, stream: Async<TcpStream>) -> Result<Self::Connection, AttemptOutcome>;
     /// Whether nothing came on a connection since its last answer.
     fn quiet(&self, connection: &Self::Connection) -> bool;
     /// Whether a host is asked about itself before anything else where it is new or a connection to it has failed: it
@@ -60,7 +66,7 @@
         false
     }
     /// Asks a host about itself; `None` where the protocol has no such question, or no answer came.
-    async fn probe(&self, _connection: &mut Self::Connection) -> Option<Report> {
+    async fn probe(&self, _connection: &mut Self::Connection) -> Option<LoadReport> {
         None
     }
     /// One request on a connection.
@@ -68,26 +74,26 @@
         &self,
         connection: &mut Self::Connection,
         work: &Self::Work,
-        trip: &Trip<'_, Self::Work, Self::Answer>,
-    ) -> Exchange<Self::Answer>;
+        trip: &AttemptContext<'_, Self::Work, Self::Answer>,
+    ) -> ExchangeResult<Self::Answer>;
 }
 
 /// One attempt on its way.
-pub struct Trip<'a, W, A> {
+pub struct AttemptContext<'a, W, A> {
     id: RequestId,
     attempt: u8,
-    member: EndpointId,
-    handle: &'a Handle<W, A>,
+    endpoint: EndpointId,
+    handle: &'a EngineHandle<W, A>,
     stop_at: Timestamp,
     send_by: Option<Timestamp>,
     /// How current its answer must be.
-    pub need: Need,
+    pub freshness: Freshness,
     /// The last byte of the request was written: from then on it may have run.
     pub sent: Cell<bool>,
     begun: Cell<bool>,
 }
 
-impl<W, A> Trip<'_, W, A> {
+impl<W, A> AttemptContext<'_, W, A> {
     /// The present.
     pub fn now(&self) -> Timestamp {
         self.handle.clock().now()
@@ -96,7 +102,7 @@
     /// The last byte of the request was written.
     pub fn written(&self) {
         self.sent.set(true);
-        self.handle.figures().dispatched();
+        self.handle.metrics().dispatched();
     }
 
     /// Time until it is abandoned.
@@ -105,20 +111,20 @@
     }
 
     /// Why it may not be sent any more, if so: the time may have passed in which a connection came up. It never ran.
-    fn expired(&self) -> Option<Outcome> {
+    fn expired(&self) -> Option<AttemptOutcome> {
         let now = self.now();
-        (now >= self.stop_at || self.send_by.is_some_and(|at| now >= at)).then_some(Outcome::Moot)
+        (now >= self.stop_at || self.send_by.is_some_and(|at| now >= at)).then_some(AttemptOutcome::NotSent)
     }
 
     /// The answer has begun and is the client's now: the deadline no longer binds.
     pub async fn begin(&self, answer: A) {
         self.begun.set(true);
-        self.handle.input(Input::Started { id: self.id, attempt: self.attempt, answer }).await;
+        self.handle.input(Input::ResponseStarted { id: self.id, attempt: self.attempt, answer }).await;
     }
 
     /// The outcome of an attempt whose connection broke: never run before its last byte was written.
-    pub fn broken(&self) -> Outcome {
-        if self.sent.get() { Outcome::Reset } else { Outcome::ConnectFailed }
+    pub fn broken(&self) -> AttemptOutcome {
+        if self.sent.get() { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }
     }
 }
 
@@ -134,12 +140,12 @@
     peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
 }
 
-struct Known<C> {
+struct PooledEndpoint<C> {
     address: SocketAddr,
     open: bool,
     /// Closed when nothing new may be sent.
     gate: (Sender<()>, Receiver<()>),
-    idle: Vec<(Lease<C>, Instant)>,
+    idle: Vec<(PooledConnection<C>, Instant)>,
     /// It is new, or a connection to it could not be made or broke, and it has not been heard since.
     doubted: bool,
     /// Differs for every restart and move: a connection of an earlier one is not kept.
@@ -147,11 +153,11 @@
 }
 
 /// All hosts with their connections.
-pub struct Hosts<W: Wire> {
+pub struct BackendPool<W: BackendProtocol> {
     wire: W,
     limits: Rc<Limits>,
     clock: Clock,
-    known: RefCell<BTreeMap<String, Known<W::Connection>>>,
+    known: RefCell<BTreeMap<String, PooledEndpoint<W::Connection>>>,
     connections: Rc<Cell<usize>>,
     running: RefCell<BTreeMap<(RequestId, u8), Sender<()>>>,
     /// Counts restarts and moves of all hosts.
@@ -168,16 +174,16 @@
 }
 
 /// A connection with its slot and where it belongs.
-struct Lease<C> {
+struct PooledConnection<C> {
     connection: C,
     _slot: Slot,
     epoch: u64,
 }
 
-impl<W: Wire> Hosts<W> {
+impl<W: BackendProtocol> BackendPool<W> {
     /// No hosts yet.
-    pub fn new(wire: W, limits: Rc<Limits>, clock: Clock) -> Rc<Hosts<W>> {
-        Rc::new(Hosts {
+    pub fn new(wire: W, limits: Rc<Limits>, clock: Clock) -> Rc<BackendPool<W>> {
+        Rc::new(BackendPool {
             wire,
             limits,
             clock,
@@ -198,34 +204,53 @@
         self: &Rc<Self>,
         command: Command<W::Work>,
         executor: &Rc<LocalExecutor<'static>>,
-        handle: &Handle<W::Work, W::Answer>,
+        handle: &EngineHandle<W::Work, W::Answer>,
     ) -> Option<Command<W::Work>> {
         match command {
-            Command::Attempt { id, attempt, member, host, work, until, send_by, need } => {
+            Command::SendAttempt { id, attempt, endpoint, host, work, until, send_by, freshness } => {
                 let (cancel, cancelled) = async_channel::bounded(1);
                 self.running.borrow_mut().insert((id, attempt), cancel);
                 let (hosts, handle) = (self.clone(), handle.clone());
                 let task = async move {
                     let (sent, begun) = (Cell::new(false), Cell::new(false));
                     let (handle, stop_at) = (&handle, until);
-                    let trip = Trip { id, attempt, member, handle, stop_at, send_by, need, sent, begun };
+                    let trip = AttemptContext {
+                        id,
+                        attempt,
+                        endpoint,
+                        handle,
+                        stop_at,
+                        send_by,
+                        freshness,
+                        sent,
+                        begun,
+                    };
                     let done = hosts.attempt(&host, &work, &trip, &cancelled).await;
                     hosts.running.borrow_mut().remove(&(id, attempt));
-                    let Exchange { outcome, mark, report, answer, .. } = done;
+                    let ExchangeResult { outcome, replica_status, report, answer, .. } = done;
                     log::trace!("request {id}: attempt {attempt} at {host}: {outcome:?}");
-                    handle.input(Input::Ended(Ended { id, attempt, outcome, mark, report, answer })).await;
+                    handle
+                        .input(Input::AttemptFinished(AttemptReport {
+                            id,
+                            attempt,
+                            outcome,
+                            replica_status,
+                            report,
+                            answer,
+                        }))
+                        .await;
                 };
                 executor.spawn(task).detach();
                 None
             }
-            Command::Probe { member, host } => {
+            Command::Probe { endpoint, host } => {
                 let (hosts, handle) = (self.clone(), handle.clone());
                 let task = async move {
                     let began = hosts.clock.now();
-                    let end = Instant::now() + hosts.limits.connect;
+                    let end = Instant::now() + hosts.limits.connect_timeout;
                     let report = until(end, hosts.probe(&host)).await.flatten();
                     let took = hosts.clock.now() - began;
-                    handle.input(Input::Probed { member, took, report }).await;
+                    handle.input(Input::ProbeFinished { endpoint, took, report }).await;
                 };
                 executor.spawn(task).detach();
                 None
@@ -235,11 +260,11 @@
                 self.running.borrow_mut().remove(&(id, attempt));
                 None
             }
-            Command::Hosts(changed) => {
+            Command::UpdateEndpoints(changed) => {
                 changed.into_iter().for_each(|h| self.host(h));
                 None
             }
-            Command::Heard(name) => {
+            Command::SkipInitialProbe(name) => {
                 self.doubt(&name, false);
                 None
             }
@@ -253,7 +278,7 @@
         }
     }
 
-    fn host(&self, host: Host) {
+    fn host(&self, host: EndpointChange) {
         let mut all = self.known.borrow_mut();
         if host.gone {
             // Nothing of it is kept; whoever waits for a connection to it is told by its gate.
@@ -263,7 +288,7 @@
             return;
         }
         self.epochs.set(self.epochs.get() + 1);
-        let known = all.entry(host.name).or_insert_with(|| Known {
+        let known = all.entry(host.name).or_insert_with(|| PooledEndpoint {
             address: host.address,
             open: host.open,
             gate: async_channel::bounded(1),
@@ -283,7 +308,7 @@
         known.idle.clear();
     }
 
-    async fn probe(&self, host: &str) -> Option<Report> {
+    async fn probe(&self, host: &str) -> Option<LoadReport> {
         let mut lease = self.lease(host).await.ok()?;
         let report = self.wire.probe(&mut lease.connection).await?;
         self.doubt(host, false);
@@ -296,20 +321,24 @@
         &self,
         host: &str,
         work: &W::Work,
-        trip: &Trip<'_, W::Work, W::Answer>,
+        trip: &AttemptContext<'_, W::Work, W::Answer>,
         cancelled: &Receiver<()>,
-    ) -> Exchange<W::Answer> {
+    ) -> ExchangeResult<W::Answer> {
         let work = self.send(host, work, trip, cancelled);
         let cancel = async {
             while cancelled.recv().await.is_ok() {}
-            Exchange::bare(Outcome::Cancelled)
+            ExchangeResult::bare(AttemptOutcome::Cancelled)
         };
         let time = async {
             Timer::at(self.clock.instant(trip.stop_at)).await;
             if trip.begun.get() {
                 future::pending::<()>().await;
             }
-            Exchange::bare(if trip.sent.get() { Outcome::TimedOut } else { Outcome::Moot })
+            ExchangeResult::bare(if trip.sent.get() {
+                AttemptOutcome::TimedOut
+            } else {
+                AttemptOutcome::NotSent
+            })
         };
         // An outcome that has come counts before a wish to stop waiting for it.
         future::or(work, future::or(cancel, time)).await
@@ -319,45 +348,45 @@
         &self,
         host: &str,
         work: &W::Work,
-        trip: &Trip<'_, W::Work, W::Answer>,
+        trip: &AttemptContext<'_, W::Work, W::Answer>,
         cancelled: &Receiver<()>,
-    ) -> Exchange<W::Answer> {
+    ) -> ExchangeResult<W::Answer> {
         if cancelled.is_closed() {
-            return Exchange::bare(Outcome::Cancelled);
+            return ExchangeResult::bare(AttemptOutcome::Cancelled);
         }
         let mut lease = match self.lease(host).await {
             Ok(lease) => lease,
-            Err(outcome) => return Exchange::bare(outcome),
+            Err(outcome) => return ExchangeResult::bare(outcome),
         };
         if self.wire.asks_first() && self.known.borrow().get(host).is_some_and(|k| k.doubted) {
             let began = self.clock.now();
-            let end = Instant::now() + self.limits.connect;
+            let end = Instant::now() + self.limits.connect_timeout;
             let report = until(end, self.wire.probe(&mut lease.connection)).await.flatten();
             self.doubt(host, false);
             if report.is_none() {
                 // It does not know the question: this is asked once, and its connection may be spoilt.
                 lease = match self.lease(host).await {
                     Ok(lease) => lease,
-                    Err(outcome) => return Exchange::bare(outcome),
+                    Err(outcome) => return ExchangeResult::bare(outcome),
                 };
             } else {
                 // Ahead of whatever this attempt brings: what the host had lost is seen before anything new is there.
                 let took = self.clock.now() - began;
-                trip.handle.input(Input::Probed { member: trip.member, took, report }).await;
+                trip.handle.input(Input::ProbeFinished { endpoint: trip.endpoint, took, report }).await;
             }
         }
         // While the connection came up the host may have begun to drain or begun anew: nothing new goes there, and
         // what a cold one bears is for the module to say. Its client may have gone, and its time may be over.
         if !self.known.borrow().get(host).is_some_and(|k| k.open && k.epoch == lease.epoch) {
-            return Exchange::bare(Outcome::ConnectFailed);
+            return ExchangeResult::bare(AttemptOutcome::ConnectFailed);
         }
-        let stopped = cancelled.is_closed().then_some(Outcome::Cancelled).or_else(|| trip.expired());
+        let stopped = cancelled.is_closed().then_some(AttemptOutcome::Cancelled).or_else(|| trip.expired());
         if let Some(outcome) = stopped {
             self.give_back(host, lease);
-            return Exchange::bare(outcome);
+            return ExchangeResult::bare(outcome);
         }
         let done = self.wire.exchange(&mut lease.connection, work, trip).await;
-        if matches!(done.outcome, Outcome::Reset | Outcome::ConnectFailed) {
+        if matches!(done.outcome, AttemptOutcome::Reset | AttemptOutcome::ConnectFailed) {
             self.doubt(host, true);
         }
         if done.reusable {
@@ -372,21 +401,21 @@
         }
     }
 
-    fn give_back(&self, host: &str, lease: Lease<W::Connection>) {
+    fn give_back(&self, host: &str, lease: PooledConnection<W::Connection>) {
         let mut all = self.known.borrow_mut();
         if let Some(known) = all.get_mut(host).filter(|k| k.open && k.epoch == lease.epoch) {
             known.idle.push((lease, Instant::now()));
         }
     }
 
-    async fn lease(&self, host: &str) -> Result<Lease<W::Connection>, Outcome> {
+    async fn lease(&self, host: &str) -> Result<PooledConnection<W::Connection>, AttemptOutcome> {
         let (address, epoch, gate) = {
             let mut all = self.known.borrow_mut();
-            let known = all.get_mut(host).filter(|k| k.open).ok_or(Outcome::ConnectFailed)?;
+            let known = all.get_mut(host).filter(|k| k.open).ok_or(AttemptOutcome::ConnectFailed)?;
             // The one used last first, so that those that are not needed grow old and end.
             for n in (0..known.idle.len()).rev() {
                 // A second copy of the last answer may be on its way: it must not pass for the next one.
-                if known.idle[n].1.elapsed() < self.limits.settle {
+                if known.idle[n].1.elapsed() < self.limits.connection_settle_time {
                     continue;
                 }
                 let (lease, since) = known.idle.remove(n);
@@ -397,28 +426,30 @@
             }
             (known.address, known.epoch, known.gate.1.clone())
         };
-        let slot = self.slot().ok_or(Outcome::Full)?;
+        let slot = self.slot().ok_or(AttemptOutcome::Overloaded)?;
         let connect = async {
-            let stream = Async::<TcpStream>::connect(address).await.map_err(|_| Outcome::ConnectFailed)?;
-            stream.get_ref().set_nodelay(true).map_err(|_| Outcome::ConnectFailed)?;
+            let stream =
+                Async::<TcpStream>::connect(address).await.map_err(|_| AttemptOutcome::ConnectFailed)?;
+            stream.get_ref().set_nodelay(true).map_err(|_| AttemptOutcome::ConnectFailed)?;
             self.wire.open(stream).await
         };
         let closed = async {
             while gate.recv().await.is_ok() {}
-            Err(Outcome::ConnectFailed)
+            Err(AttemptOutcome::ConnectFailed)
         };
-        let connection = until(Instant::now() + self.limits.connect, future::or(connect, closed)).await;
-        let connection = connection.unwrap_or(Err(Outcome::ConnectFailed));
-        if matches!(connection, Err(Outcome::ConnectFailed)) {
+        let connection =
+            until(Instant::now() + self.limits.connect_timeout, future::or(connect, closed)).await;
+        let connection = connection.unwrap_or(Err(AttemptOutcome::ConnectFailed));
+        if matches!(connection, Err(AttemptOutcome::ConnectFailed)) {
             self.doubt(host, true);
         }
         let connection = connection?;
-        Ok(Lease { connection, _slot: slot, epoch })
+        Ok(PooledConnection { connection, _slot: slot, epoch })
     }
 
     /// A share of the budget; the longest idle connection makes room.
     fn slot(&self) -> Option<Slot> {
-        if self.connections.get() >= self.limits.hosts {
+        if self.connections.get() >= self.limits.backend_connections {
             let mut all = self.known.borrow_mut();
             let longest = all.values_mut().filter(|k| !k.idle.is_empty()).min_by_key(|k| k.idle[0].1)?;
             drop(longest.idle.remove(0));
@@ -430,7 +461,7 @@
     /// Closes connections that have stood idle too long, for ever.
     pub async fn tidy(&self) {
         loop {
-            Timer::after(self.limits.tidy).await;
+            Timer::after(self.limits.pool_sweep_interval).await;
             for known in self.known.borrow_mut().values_mut() {
                 known.idle.retain(|(_, since)| since.elapsed() < self.limits.host_idle);
             }
--- a/src/net/backend_pool/tests.rs
+++ b/src/net/backend_pool/tests.rs
@@ -6,12 +6,12 @@
 /// A protocol in which every connection is ready and quiet.
 struct Plain;
 
-impl Wire for Plain {
+impl BackendProtocol for Plain {
     type Work = ();
     type Answer = ();
     type Connection = Async<TcpStream>;
 
-    async fn open(&self, stream: Async<TcpStream>) -> Result<Async<TcpStream>, Outcome> {
+    async fn open(&self, stream: Async<TcpStream>) -> Result<Async<TcpStream>, AttemptOutcome> {
         Ok(stream)
     }
 
@@ -19,30 +19,37 @@
         true
     }
 
-    async fn exchange(&self, _: &mut Async<TcpStream>, _: &(), _: &Trip<'_, (), ()>) -> Exchange<()> {
-        Exchange::bare(Outcome::Error)
+    async fn exchange(
+        &self,
+        _: &mut Async<TcpStream>,
+        _: &(),
+        _: &AttemptContext<'_, (), ()>,
+    ) -> ExchangeResult<()> {
+        ExchangeResult::bare(AttemptOutcome::Error)
     }
 }
 
-fn hosts(limits: Limits) -> (Rc<Hosts<Plain>>, TcpListener) {
+fn hosts(limits: Limits) -> (Rc<BackendPool<Plain>>, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let hosts = Hosts::new(Plain, Rc::new(limits), Clock::start());
+    let hosts = BackendPool::new(Plain, Rc::new(limits), Clock::start());
     let address = listener.local_addr().unwrap();
-    hosts.host(Host { name: "a".into(), address, open: true, started_at: None, gone: false });
+    hosts.host(EndpointChange { name: "a".into(), address, open: true, started_at: None, gone: false });
     (hosts, listener)
 }
 
 /// Guards against what is kept of hosts that are gone, and against a connection of one that comes back.
 #[test]
 fn a_host_that_is_gone_leaves_nothing_behind() {
-    let (hosts, listener) = hosts(Limits { settle: std::time::Duration::ZERO, ..Limits::for_sockets(64) });
+    let (hosts, listener) =
+        hosts(Limits { connection_settle_time: std::time::Duration::ZERO, ..Limits::for_sockets(64) });
     let address = listener.local_addr().unwrap();
     async_io::block_on(async {
         let old = hosts.lease("a").await.ok().unwrap();
-        let host = |gone: bool| Host { name: "a".into(), address, open: !gone, started_at: None, gone };
+        let host =
+            |gone: bool| EndpointChange { name: "a".into(), address, open: !gone, started_at: None, gone };
         hosts.host(host(true));
         assert!(hosts.known.borrow().is_empty());
-        assert!(matches!(hosts.lease("a").await, Err(Outcome::ConnectFailed)));
+        assert!(matches!(hosts.lease("a").await, Err(AttemptOutcome::ConnectFailed)));
         hosts.host(host(false));
         hosts.give_back("a", old);
         assert_eq!(hosts.connections(), 0, "a connection of its earlier life is not kept");
@@ -52,7 +59,7 @@
 /// Guards against a host that went away, lost what it had, and is trusted again because descriptors were short.
 #[test]
 fn a_host_is_doubted_once_no_connection_was_made_and_not_less_when_there_is_no_room_for_one() {
-    let (hosts, listener) = hosts(Limits { hosts: 1, ..Limits::for_sockets(64) });
+    let (hosts, listener) = hosts(Limits { backend_connections: 1, ..Limits::for_sockets(64) });
     let doubted = || hosts.known.borrow()["a"].doubted;
     async_io::block_on(async {
         assert!(doubted(), "it is new");
@@ -60,9 +67,9 @@
         let held = hosts.lease("a").await.ok().unwrap();
         assert!(!doubted());
         drop((listener, held));
-        assert!(matches!(hosts.lease("a").await, Err(Outcome::ConnectFailed)) && doubted());
+        assert!(matches!(hosts.lease("a").await, Err(AttemptOutcome::ConnectFailed)) && doubted());
         hosts.connections.set(1);
-        assert!(matches!(hosts.lease("a").await, Err(Outcome::Full)) && doubted());
+        assert!(matches!(hosts.lease("a").await, Err(AttemptOutcome::Overloaded)) && doubted());
     });
 }
 
@@ -70,7 +77,7 @@
 #[test]
 fn a_connection_rests_before_it_is_used_again() {
     for (settle, held) in [(std::time::Duration::from_secs(3600), 2), (std::time::Duration::ZERO, 1)] {
-        let (hosts, _listener) = hosts(Limits { settle, ..Limits::for_sockets(64) });
+        let (hosts, _listener) = hosts(Limits { connection_settle_time: settle, ..Limits::for_sockets(64) });
         async_io::block_on(async {
             let first = hosts.lease("a").await.ok().unwrap();
             hosts.give_back("a", first);
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -2,7 +2,7 @@
 //! an end that does not lose the last answer.
 
 use super::buffer::{Buffer, CHUNK};
-use super::connection_limiter::{Place, Standing};
+use super::connection_limiter::{ConnectionSlot, SlotState};
 use super::until;
 use crate::clock::Clock;
 use crate::config::Limits;
@@ -21,7 +21,7 @@
 
 /// What a client did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReadEvent {
     /// Bytes came.
     More,
     /// It has gone.
@@ -37,9 +37,9 @@
 }
 
 /// A client's connection.
-pub struct Link {
+pub struct ClientConnection {
     stream: Async<TcpStream>,
-    place: Place,
+    place: ConnectionSlot,
     limits: Rc<Limits>,
     clock: Clock,
     connected: Instant,
@@ -103,12 +103,17 @@
     }
 }
 
-impl Link {
+impl ClientConnection {
     /// Takes a connection over.
-    pub fn new(stream: Async<TcpStream>, place: Place, limits: Rc<Limits>, clock: Clock) -> Link {
+    pub fn new(
+        stream: Async<TcpStream>,
+        place: ConnectionSlot,
+        limits: Rc<Limits>,
+        clock: Clock,
+    ) -> ClientConnection {
         let connected = Instant::now();
         let (arrivals, awaited) = (Arrivals::default(), Some(connected));
-        Link { stream, place, limits, clock, connected, arrivals, awaited }
+        ClientConnection { stream, place, limits, clock, connected, arrivals, awaited }
     }
 
     /// Whether the connection is to end between requests.
@@ -138,7 +143,7 @@
     /// Whether the client of a request that came at `arrived` has gone meanwhile. It is looked for only where the
     /// request may have waited to be read.
     pub fn has_left_since(&self, arrived: Timestamp) -> bool {
-        let waited = self.clock.now() - arrived >= TimeDelta::from(self.limits.depart);
+        let waited = self.clock.now() - arrived >= TimeDelta::from(self.limits.departure_check_interval);
         (waited || !self.place.has_asked()) && self.departed()
     }
 
@@ -150,7 +155,7 @@
     /// Writes all, within the time a client has to take it.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         let work = self.stream.write_all(bytes);
-        let done = until(Instant::now() + self.limits.write, work).await;
+        let done = until(Instant::now() + self.limits.client_write_timeout, work).await;
         done.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
     }
 
@@ -158,41 +163,41 @@
     /// Whoever has yet to send a whole one has so long for it, and may make room for others meanwhile; so may
     /// who stands between requests. One that is to end may complete what it has begun, and one that has just come
     /// may ask.
-    pub async fn hear(&mut self, partial: bool, held: usize, into: &mut Buffer) -> io::Result<Heard> {
+    pub async fn hear(&mut self, partial: bool, held: usize, into: &mut Buffer) -> io::Result<ReadEvent> {
         if !self.place.hold(held) {
-            return Ok(Heard::Full);
+            return Ok(ReadEvent::Full);
         }
         let now = Instant::now();
         if partial {
             self.awaited.get_or_insert(now);
         }
-        let (standing, since) = self.awaited.map_or((Standing::Idle, now), |at| (Standing::Waiting, at));
+        let (standing, since) = self.awaited.map_or((SlotState::Idle, now), |at| (SlotState::Waiting, at));
         self.place.stands(standing, since);
-        let late = self.awaited.map(|at| at + self.limits.startup);
+        let late = self.awaited.map(|at| at + self.limits.first_request_timeout);
         let (stream, place) = (&self.stream, &self.place);
-        let fresh = (!place.has_asked()).then_some(self.connected + self.limits.grace);
+        let fresh = (!place.has_asked()).then_some(self.connected + self.limits.silent_client_grace);
         let ends = async {
             if partial {
                 place.cut().await;
-                return Ok(Heard::Cut);
+                return Ok(ReadEvent::Cut);
             }
             place.ended().await;
             if let Some(at) = fresh {
                 future::or(place.cut(), async { _ = Timer::at(at).await }).await;
             }
-            Ok(Heard::Ends)
+            Ok(ReadEvent::Ends)
         };
         let late = async {
             match late {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
-            Ok(Heard::Late)
+            Ok(ReadEvent::Late)
         };
         let (arrivals, clock) = (&mut self.arrivals, &self.clock);
         let read = async {
             let n = arrivals.fill(stream, into, clock).await?;
-            Ok(if n > 0 { Heard::More } else { Heard::Gone })
+            Ok(if n > 0 { ReadEvent::More } else { ReadEvent::Gone })
         };
         // What has come is read before the wish to end is heard.
         future::or(read, future::or(ends, late)).await
@@ -201,10 +206,10 @@
     /// Reads once behind requests that are open; false: the client has gone. Once `Limits::ahead` bytes wait it
     /// reads no more, and only looks whether the client is still there.
     pub async fn more(&mut self, into: &mut Buffer) -> bool {
-        if into.unread().len() > self.limits.ahead {
+        if into.unread().len() > self.limits.read_ahead {
             self.arrivals.paused.get_or_insert(self.clock.now());
             while !self.departed() {
-                Timer::after(self.limits.depart).await;
+                Timer::after(self.limits.departure_check_interval).await;
             }
             return false;
         }
@@ -219,9 +224,9 @@
     /// Closes so that what was written arrives: a close over unread bytes would reset the connection. What
     /// comes meanwhile is passed over, not kept, and not for ever.
     pub async fn linger(&mut self) -> io::Result<()> {
-        let (time, mut left) = self.limits.linger;
+        let (time, mut left) = self.limits.close_linger;
         self.place.hold(0);
-        self.place.stands(Standing::Closing, Instant::now());
+        self.place.stands(SlotState::Closing, Instant::now());
         self.stream.get_ref().shutdown(Shutdown::Write)?;
         let (stream, place) = (&self.stream, &self.place);
         let pass = |mut stream: &TcpStream| stream.read(&mut [0; CHUNK]);
--- a/src/net/connection_limiter.rs
+++ b/src/net/connection_limiter.rs
@@ -1,6 +1,6 @@
 //! A front's listener: connections within the limits, and what happens to them at the end.
 
-use super::lifecycle::Duty;
+use super::lifecycle::Lifecycle;
 use crate::config::Limits;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
@@ -14,16 +14,16 @@
 
 /// How a new connection is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Welcome {
+pub enum AcceptDecision {
     /// It is served.
     Served,
     /// It is only told that there are too many.
-    TurnedAway,
+    Rejected,
 }
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum SlotState {
     /// No whole request has come yet, or a part of the next one, or it is being closed.
     Waiting,
     /// Between requests.
@@ -39,7 +39,7 @@
 
 struct Seat {
     /// Where it stands, since when.
-    stands: Cell<(Standing, Instant)>,
+    stands: Cell<(SlotState, Instant)>,
     /// Whole requests that came on it.
     asked: Cell<u32>,
     /// Closed: the connection is to end between two requests.
@@ -55,7 +55,7 @@
     }
 
     fn is_closing(&self) -> bool {
-        self.stands.get().0 == Standing::Closing && !self.cut.is_closed()
+        self.stands.get().0 == SlotState::Closing && !self.cut.is_closed()
     }
 }
 
@@ -65,9 +65,9 @@
 }
 
 /// The connections of one front.
-pub struct Seats {
+pub struct ConnectionLimiter {
     limits: Rc<Limits>,
-    duty: Rc<Duty>,
+    duty: Rc<Lifecycle>,
     next: Cell<u64>,
     taken: RefCell<BTreeMap<u64, Rc<Seat>>>,
     /// Connections that are only told that there are too many.
@@ -79,20 +79,20 @@
 }
 
 /// A connection's place among them; given up when dropped.
-pub struct Place {
-    seats: Rc<Seats>,
+pub struct ConnectionSlot {
+    seats: Rc<ConnectionLimiter>,
     number: u64,
     seat: Rc<Seat>,
-    welcome: Welcome,
+    welcome: AcceptDecision,
     held: usize,
     end: Receiver<()>,
     cut: Receiver<()>,
 }
 
-impl Seats {
+impl ConnectionLimiter {
     /// No connections yet.
-    pub fn new(limits: Rc<Limits>, duty: Rc<Duty>) -> Rc<Seats> {
-        Rc::new(Seats {
+    pub fn new(limits: Rc<Limits>, duty: Rc<Lifecycle>) -> Rc<ConnectionLimiter> {
+        Rc::new(ConnectionLimiter {
             limits,
             duty,
             next: Cell::new(0),
@@ -130,7 +130,7 @@
 
     /// Ends every connection that has sent no more than a part of a request.
     pub fn cut_waiting(&self) {
-        for seat in self.taken.borrow().values().filter(|s| s.stands.get().0 == Standing::Waiting) {
+        for seat in self.taken.borrow().values().filter(|s| s.stands.get().0 == SlotState::Waiting) {
             seat.cut();
         }
     }
@@ -146,7 +146,7 @@
         if let Some(seat) = closing {
             seat.cut();
         }
-        if held >= limits.clients + limits.turned_away {
+        if held >= limits.client_connections + limits.rejected_connections {
             return false;
         }
         let longest = |wanted| {
@@ -154,12 +154,14 @@
             // Some ask once and keep their connection for good.
             open.min_by_key(|s| (s.asked.get() > 1, s.stands.get().1))
         };
-        let silent = longest(Standing::Waiting);
-        let ripe = silent.filter(|s| s.stands.get().1.elapsed() >= limits.grace);
-        let goes = ripe.or_else(|| longest(Standing::Idle)).or(silent);
+        let silent = longest(SlotState::Waiting);
+        let ripe = silent.filter(|s| s.stands.get().1.elapsed() >= limits.silent_client_grace);
+        let goes = ripe.or_else(|| longest(SlotState::Idle)).or(silent);
         if let Some(seat) = goes.filter(|_| closing.is_none()) {
             seat.end.close();
-            if seat.stands.get().0 == Standing::Waiting || held >= limits.clients + limits.turned_away / 2 {
+            if seat.stands.get().0 == SlotState::Waiting
+                || held >= limits.client_connections + limits.rejected_connections / 2
+            {
                 seat.cut();
             }
         }
@@ -172,9 +174,9 @@
         for seat in self.taken.borrow().values() {
             let (standing, since) = seat.stands.get();
             match standing {
-                Standing::Idle | Standing::Busy => drop(seat.end.close()),
-                Standing::Waiting if since.elapsed() >= self.limits.startup / 2 => seat.cut(),
-                Standing::Waiting | Standing::Closing => {}
+                SlotState::Idle | SlotState::Busy => drop(seat.end.close()),
+                SlotState::Waiting if since.elapsed() >= self.limits.first_request_timeout / 2 => seat.cut(),
+                SlotState::Waiting | SlotState::Closing => {}
             }
         }
     }
@@ -187,19 +189,19 @@
         let mut once: Vec<&Rc<Seat>> = Vec::new();
         for seat in taken.values().filter(|s| !s.end.is_closed()) {
             let (standing, since) = seat.stands.get();
-            served += usize::from(standing != Standing::Waiting);
-            if standing == Standing::Idle && since.elapsed() >= self.limits.client_idle {
+            served += usize::from(standing != SlotState::Waiting);
+            if standing == SlotState::Idle && since.elapsed() >= self.limits.client_idle {
                 seat.end.close();
                 served -= 1;
-            } else if standing == Standing::Idle
+            } else if standing == SlotState::Idle
                 && seat.asked.get() <= 1
-                && since.elapsed() >= self.limits.grace
+                && since.elapsed() >= self.limits.silent_client_grace
             {
                 once.push(seat);
             }
         }
         once.sort_by_key(|s| s.stands.get().1);
-        let many = served.saturating_sub(self.limits.crowded);
+        let many = served.saturating_sub(self.limits.crowded_clients);
         for seat in once.iter().take(many) {
             seat.end.close();
         }
@@ -208,56 +210,56 @@
     /// Looks for idle connections, for ever.
     pub async fn tidy(&self) {
         loop {
-            Timer::after(self.limits.relief).await;
+            Timer::after(self.limits.idle_check_interval).await;
             self.relieve();
-            if self.duty.drained_for(self.limits.lame) {
+            if self.duty.drained_for(self.limits.shutdown_accept_period) {
                 self.let_go();
             }
         }
     }
 
-    fn seat(self: &Rc<Seats>) -> Option<(Place, Welcome)> {
-        let mut welcome = Welcome::Served;
-        if self.taken() >= self.limits.clients && !self.make_room() {
+    fn seat(self: &Rc<ConnectionLimiter>) -> Option<(ConnectionSlot, AcceptDecision)> {
+        let mut welcome = AcceptDecision::Served;
+        if self.taken() >= self.limits.client_connections && !self.make_room() {
             // A connection that took an idle one's place before that had ended holds a share of these too.
-            if self.held() >= self.limits.clients + self.limits.turned_away {
+            if self.held() >= self.limits.client_connections + self.limits.rejected_connections {
                 if let Some(seat) = longest_closing(&self.turned_away.borrow()) {
                     seat.cut();
                 }
                 return None;
             }
-            welcome = Welcome::TurnedAway;
+            welcome = AcceptDecision::Rejected;
         }
         let ((end, ended), (cut, was_cut)) = (async_channel::bounded(1), async_channel::bounded(1));
-        let stands = Cell::new((Standing::Waiting, Instant::now()));
+        let stands = Cell::new((SlotState::Waiting, Instant::now()));
         let seat = Rc::new(Seat { stands, asked: Cell::new(0), end, cut });
         let number = self.next.get();
         self.next.set(number + 1);
         self.seats(welcome).borrow_mut().insert(number, seat.clone());
         Some((
-            Place { seats: self.clone(), number, seat, welcome, held: 0, end: ended, cut: was_cut },
+            ConnectionSlot { seats: self.clone(), number, seat, welcome, held: 0, end: ended, cut: was_cut },
             welcome,
         ))
     }
 
-    fn seats(&self, welcome: Welcome) -> &RefCell<BTreeMap<u64, Rc<Seat>>> {
+    fn seats(&self, welcome: AcceptDecision) -> &RefCell<BTreeMap<u64, Rc<Seat>>> {
         match welcome {
-            Welcome::Served => &self.taken,
-            Welcome::TurnedAway => &self.turned_away,
+            AcceptDecision::Served => &self.taken,
+            AcceptDecision::Rejected => &self.turned_away,
         }
     }
 }
 
-impl Place {
+impl ConnectionSlot {
     /// Notes where the connection stands, since when.
-    pub fn stands(&self, standing: Standing, since: Instant) {
+    pub fn stands(&self, standing: SlotState, since: Instant) {
         self.seat.stands.set((standing, since));
     }
 
     /// Notes that a whole request has come.
     pub fn asked(&self) {
         self.seat.asked.set(self.seat.asked.get().saturating_add(1));
-        self.stands(Standing::Busy, Instant::now());
+        self.stands(SlotState::Busy, Instant::now());
     }
 
     /// Whether a whole request has come.
@@ -268,9 +270,9 @@
     /// Notes how many bytes of a message it holds; false: there is no room for so many.
     pub fn hold(&mut self, bytes: usize) -> bool {
         let limits = &self.seats.limits;
-        let wanted = if bytes > limits.small { bytes } else { 0 };
+        let wanted = if bytes > limits.unbudgeted_message { bytes } else { 0 };
         let others = self.seats.held.get() - self.held;
-        if wanted > 0 && others + wanted > limits.held {
+        if wanted > 0 && others + wanted > limits.message_budget {
             return false;
         }
         self.seats.held.set(others + wanted);
@@ -294,7 +296,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.hold(0);
         self.seats.seats(self.welcome).borrow_mut().remove(&self.number);
@@ -310,15 +312,15 @@
 
 /// Opens a listener; waits for an address that another process still has, within a bound.
 pub async fn open_when_free(address: SocketAddr, limits: &Limits) -> io::Result<Async<TcpListener>> {
-    let end = Instant::now() + limits.port;
+    let end = Instant::now() + limits.bind_timeout;
     let mut told = false;
     loop {
         match open(address) {
             Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < end => {
                 if !std::mem::replace(&mut told, true) {
-                    log::warn!("{address}: {e}; waiting for it, {:?} at the most", limits.port);
+                    log::warn!("{address}: {e}; waiting for it, {:?} at the most", limits.bind_timeout);
                 }
-                Timer::after(limits.relief).await;
+                Timer::after(limits.idle_check_interval).await;
             }
             opened => return opened,
         }
@@ -329,9 +331,9 @@
 /// then are still served.
 pub async fn accept(
     listener: &Async<TcpListener>,
-    seats: &Rc<Seats>,
+    seats: &Rc<ConnectionLimiter>,
     stop: &Receiver<()>,
-    mut serve: impl FnMut(Async<TcpStream>, Place, Welcome),
+    mut serve: impl FnMut(Async<TcpStream>, ConnectionSlot, AcceptDecision),
 ) {
     let stopped = async {
         if stop.recv().await.is_err() {
@@ -358,7 +360,7 @@
             Some(Err(e)) => {
                 // Out of descriptors or a connection that ended before it was taken: not the end of the front.
                 log::warn!("accept: {e}");
-                Timer::after(seats.limits.accept).await;
+                Timer::after(seats.limits.accept_retry_delay).await;
             }
         }
         if !stop.is_empty() {
--- a/src/net/connection_limiter/tests.rs
+++ b/src/net/connection_limiter/tests.rs
@@ -6,18 +6,18 @@
 /// Guards against a front that runs out of descriptors, and against clients that are shut out by idle ones.
 #[test]
 fn the_longest_idle_makes_room_and_the_rest_are_told() {
-    let limits = Limits { clients: 2, turned_away: 1, ..Limits::for_sockets(64) };
-    let seats = Seats::new(Rc::new(limits), Rc::default());
-    let take = || seats.seat().map(|(place, welcome)| (place, welcome == Welcome::Served));
+    let limits = Limits { client_connections: 2, rejected_connections: 1, ..Limits::for_sockets(64) };
+    let seats = ConnectionLimiter::new(Rc::new(limits), Rc::default());
+    let take = || seats.seat().map(|(place, welcome)| (place, welcome == AcceptDecision::Served));
     let (first, second) = (take().unwrap(), take().unwrap());
-    let busy = |place: &Place| place.stands(Standing::Busy, Instant::now());
+    let busy = |place: &ConnectionSlot| place.stands(SlotState::Busy, Instant::now());
     [&first.0, &second.0].into_iter().for_each(busy);
     assert!(first.1 && second.1);
     let turned_away = take().unwrap();
     assert!(!turned_away.1, "none is idle");
     assert!(take().is_none(), "nor is there room to say so");
     drop(turned_away);
-    second.0.stands(Standing::Idle, Instant::now());
+    second.0.stands(SlotState::Idle, Instant::now());
     let third = take().unwrap();
     busy(&third.0);
     assert!(third.1 && second.0.ends() && !first.0.ends());
@@ -29,22 +29,22 @@
 /// Guards against hundreds of connections that say nothing and shut out those that ask.
 #[test]
 fn those_that_say_nothing_make_room_first() {
-    let limits = Limits { clients: 3, turned_away: 1, ..Limits::for_sockets(64) };
-    let (grace, seats) = (limits.grace, Seats::new(Rc::new(limits), Rc::default()));
+    let limits = Limits { client_connections: 3, rejected_connections: 1, ..Limits::for_sockets(64) };
+    let (grace, seats) = (limits.silent_client_grace, ConnectionLimiter::new(Rc::new(limits), Rc::default()));
     let take = || seats.seat().map(|(place, _)| place).unwrap();
     let (idle, silent, busy) = (take(), take(), take());
     let ago = |span| Instant::now().checked_sub(span).unwrap();
-    idle.stands(Standing::Idle, ago(grace * 9));
-    busy.stands(Standing::Busy, ago(grace * 9));
-    silent.stands(Standing::Waiting, ago(grace * 2));
+    idle.stands(SlotState::Idle, ago(grace * 9));
+    busy.stands(SlotState::Busy, ago(grace * 9));
+    silent.stands(SlotState::Waiting, ago(grace * 2));
     let new = take();
     assert!(silent.ends() && !idle.ends());
     drop(silent);
-    new.stands(Standing::Waiting, Instant::now());
+    new.stands(SlotState::Waiting, Instant::now());
     let newer = take();
     assert!(idle.ends() && !new.ends(), "one that has just come may still ask");
     drop(idle);
-    newer.stands(Standing::Busy, Instant::now());
+    newer.stands(SlotState::Busy, Instant::now());
     let _newest = take();
     assert!(new.ends() && !busy.ends() && !newer.ends());
 }
@@ -53,15 +53,19 @@
 /// asking would find none.
 #[test]
 fn idle_connections_end_and_in_a_crowd_those_that_asked_once_go_first() {
-    let limits = Limits { clients: 9, crowded: 3, ..Limits::for_sockets(64) };
-    let (grace, long, seats) = (limits.grace, limits.client_idle, Seats::new(Rc::new(limits), Rc::default()));
+    let limits = Limits { client_connections: 9, crowded_clients: 3, ..Limits::for_sockets(64) };
+    let (grace, long, seats) = (
+        limits.silent_client_grace,
+        limits.client_idle,
+        ConnectionLimiter::new(Rc::new(limits), Rc::default()),
+    );
     let take = |asked: u32, idle: std::time::Duration| {
         let (place, _) = seats.seat().unwrap();
         (0..asked).for_each(|_| place.asked());
-        place.stands(Standing::Idle, Instant::now().checked_sub(idle).unwrap());
+        place.stands(SlotState::Idle, Instant::now().checked_sub(idle).unwrap());
         place
     };
-    let ended = |places: &[Place]| places.iter().map(Place::ends).collect::<Vec<_>>();
+    let ended = |places: &[ConnectionSlot]| places.iter().map(ConnectionSlot::ends).collect::<Vec<_>>();
     let mut places = vec![take(5, grace * 3), take(1, grace * 2), take(1, grace * 4)];
     seats.relieve();
     assert_eq!(ended(&places), [false, false, false], "three are no crowd");
@@ -72,7 +76,7 @@
     seats.relieve();
     assert!(places[5].ends() && !places[0].ends() && !places[4].ends());
     let (silent, _) = seats.seat().unwrap();
-    silent.stands(Standing::Waiting, Instant::now().checked_sub(long).unwrap());
+    silent.stands(SlotState::Waiting, Instant::now().checked_sub(long).unwrap());
     seats.relieve();
     assert!(!silent.ends(), "its own time is looked at elsewhere");
 }
@@ -80,8 +84,8 @@
 /// Guards against clients whose long messages together take more memory than there is.
 #[test]
 fn long_messages_share_one_budget() {
-    let limits = Limits { small: 10, held: 100, ..Limits::for_sockets(64) };
-    let seats = Seats::new(Rc::new(limits), Rc::default());
+    let limits = Limits { unbudgeted_message: 10, message_budget: 100, ..Limits::for_sockets(64) };
+    let seats = ConnectionLimiter::new(Rc::new(limits), Rc::default());
     let take = || seats.seat().map(|(place, _)| place).unwrap();
     let (mut one, mut two) = (take(), take());
     assert!(one.hold(60) && two.hold(10) && two.hold(40) && one.hold(50));
@@ -101,15 +105,25 @@
             let l = Limits::on(machine);
             let (door, sockets) = (l.for_door(), machine.sockets);
             if machine.reserved + 16 <= sockets {
-                assert!(l.clients + l.turned_away + l.hosts + machine.reserved <= sockets, "{machine:?}");
+                assert!(
+                    l.client_connections + l.rejected_connections + l.backend_connections + machine.reserved
+                        <= sockets,
+                    "{machine:?}"
+                );
             }
-            assert!(l.clients > 0 && l.turned_away > 0 && l.hosts > 0, "{machine:?}");
-            assert_eq!(door.clients > 0, machine.door, "{machine:?}");
-            assert!(platform.reserved + door.clients + door.turned_away < machine.reserved || !machine.door);
+            assert!(
+                l.client_connections > 0 && l.rejected_connections > 0 && l.backend_connections > 0,
+                "{machine:?}"
+            );
+            assert_eq!(door.client_connections > 0, machine.door, "{machine:?}");
+            assert!(
+                platform.reserved + door.client_connections + door.rejected_connections < machine.reserved
+                    || !machine.door
+            );
             // Clients hold at most a third for requests, and each of these may have an attempt out.
             let third = sockets.saturating_sub(machine.reserved) / 3;
-            assert!(l.clients >= third && l.hosts >= third, "{machine:?}");
-            assert!(l.held * 5 <= (machine.memory_mb * 1024.0 * 1024.0) as usize, "{machine:?}");
+            assert!(l.client_connections >= third && l.backend_connections >= third, "{machine:?}");
+            assert!(l.message_budget * 5 <= (machine.memory_mb * 1024.0 * 1024.0) as usize, "{machine:?}");
         }
     }
 }
@@ -118,21 +132,21 @@
 /// an end that waits for none of them.
 #[test]
 fn those_that_are_being_closed_make_room_first() {
-    let limits = Limits { clients: 2, turned_away: 2, ..Limits::for_sockets(64) };
-    let seats = Seats::new(Rc::new(limits), Rc::default());
+    let limits = Limits { client_connections: 2, rejected_connections: 2, ..Limits::for_sockets(64) };
+    let seats = ConnectionLimiter::new(Rc::new(limits), Rc::default());
     let take = || seats.seat().unwrap();
     let ((idle, _), (closing, _)) = (take(), take());
-    idle.stands(Standing::Idle, Instant::now());
-    closing.stands(Standing::Closing, Instant::now());
+    idle.stands(SlotState::Idle, Instant::now());
+    closing.stands(SlotState::Closing, Instant::now());
     let (new, welcome) = take();
-    assert_eq!((welcome, idle.ends()), (Welcome::Served, false));
+    assert_eq!((welcome, idle.ends()), (AcceptDecision::Served, false));
     assert!(closing.cut.is_closed(), "its descriptor is needed");
-    new.stands(Standing::Busy, Instant::now());
-    idle.stands(Standing::Busy, Instant::now());
+    new.stands(SlotState::Busy, Instant::now());
+    idle.stands(SlotState::Busy, Instant::now());
     let (told, welcome) = take();
-    assert_eq!((welcome, seats.held()), (Welcome::TurnedAway, 4));
+    assert_eq!((welcome, seats.held()), (AcceptDecision::Rejected, 4));
     assert!(!told.ends() && !told.cut.is_closed(), "it has time to read why");
-    told.stands(Standing::Closing, Instant::now());
+    told.stands(SlotState::Closing, Instant::now());
     assert!(seats.seat().is_none() && told.cut.is_closed(), "and makes room for the next");
     drop((idle, closing, new));
     assert_eq!((seats.taken(), seats.held()), (0, 1), "one that is turned away is waited for at the end");
@@ -141,7 +155,7 @@
 /// Guards against half a request that is cut off where no room is needed, and one that is kept where it is.
 #[test]
 fn a_part_of_a_request_ends_only_for_room_or_at_the_very_end() {
-    let seats = Seats::new(Rc::new(Limits::for_sockets(64)), Rc::default());
+    let seats = ConnectionLimiter::new(Rc::new(Limits::for_sockets(64)), Rc::default());
     let (part, _) = seats.seat().unwrap();
     seats.close();
     assert!(part.ends() && !part.cut.is_closed());
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,7 +3,7 @@
 use super::http::client::Client;
 use super::until;
 use crate::config::Limits;
-use crate::engine::endpoints::Listing;
+use crate::engine::endpoints::EndpointUpdate;
 use crate::json;
 use async_channel::Receiver;
 use fastrand::Rng;
@@ -26,40 +26,46 @@
     pause: Duration,
     /// How long the next call may take to be answered, beyond what it asks discovery to wait; `None`: none has
     /// failed since the last answer.
-    patience: Option<Duration>,
+    client_timeout: Option<Duration>,
 }
 
 impl<'a> Pace<'a> {
     fn new(limits: &'a Limits, seed: u64) -> Pace<'a> {
-        Pace { rng: Rng::with_seed(seed), limits, pause: limits.pause.0, patience: None }
+        Pace { rng: Rng::with_seed(seed), limits, pause: limits.discovery_backoff.0, client_timeout: None }
     }
 
     fn succeeded(&mut self) {
-        self.pause = self.limits.pause.0;
-        self.patience = None;
+        self.pause = self.limits.discovery_backoff.0;
+        self.client_timeout = None;
     }
 
     /// How long the next call asks discovery to wait for a change, and how long it may take in all. After a failure
     /// an answer is wanted at once: what discovery has to tell counts whether or not a watch is open, and the time
     /// in which a call says nothing is lost. It may take longer each time, since it may have others to answer.
     fn next(&self, is_watch: bool) -> (Duration, Duration) {
-        let Limits { watch, discovery, recheck, first_list, .. } = *self.limits;
-        match (is_watch, self.patience) {
+        let Limits {
+            discovery_watch: watch,
+            discovery_timeout: discovery,
+            discovery_recheck: recheck,
+            discovery_timeout_after_failure: first_list,
+            ..
+        } = *self.limits;
+        match (is_watch, self.client_timeout) {
             (true, None) => (watch, watch + discovery),
-            (true, Some(patience)) => (recheck, recheck + patience),
+            (true, Some(client_timeout)) => (recheck, recheck + client_timeout),
             (false, _) => (Duration::ZERO, first_list),
         }
     }
 
     fn failed(&mut self, e: &io::Error) -> Duration {
         let pause = self.pause.mul_f64(0.5 + self.rng.f64());
-        self.pause = (self.pause * 2).min(self.limits.pause.1);
-        let patience = self.patience.map_or(self.limits.discovery, |p| p * 2);
-        self.patience = Some(patience.min(self.limits.first_list));
+        self.pause = (self.pause * 2).min(self.limits.discovery_backoff.1);
+        let client_timeout = self.client_timeout.map_or(self.limits.discovery_timeout, |p| p * 2);
+        self.client_timeout = Some(client_timeout.min(self.limits.discovery_timeout_after_failure));
         // It has no room for a call: what waits there is what keeps the others out, so that the poolers of a
         // tier together must call less often than it answers.
         let busy = e.kind() == io::ErrorKind::ResourceBusy;
-        if busy { pause.max(self.limits.overbooked.mul_f64(self.rng.f64())) } else { pause }
+        if busy { pause.max(self.limits.discovery_spread.mul_f64(self.rng.f64())) } else { pause }
     }
 }
 
@@ -90,7 +96,7 @@
 
 /// A list that can be added to what is held. Changes to an older list than that one are changes to something else:
 /// discovery has begun anew, and has to be asked for all.
-fn follows(held: Option<u64>, list: Listing) -> io::Result<Listing> {
+fn follows(held: Option<u64>, list: EndpointUpdate) -> io::Result<EndpointUpdate> {
     match held {
         Some(held) if !list.whole && list.index < held => {
             let why = format!("the index went back from {held} to {}", list.index);
@@ -110,7 +116,7 @@
     limits: &Limits,
     seed: u64,
     fetch: &Receiver<()>,
-    deliver: impl Fn(Listing) -> F,
+    deliver: impl Fn(EndpointUpdate) -> F,
 ) {
     let asked = async || match fetch.recv().await {
         Ok(()) => Some(()),
@@ -146,8 +152,8 @@
                     deliver(list).await;
                 }
                 // One that does not wait must not be called without a pause.
-                if !is_new && began.elapsed() < limits.pause.0 {
-                    let pause = until(Instant::now() + limits.pause.0, asked());
+                if !is_new && began.elapsed() < limits.discovery_backoff.0 {
+                    let pause = until(Instant::now() + limits.discovery_backoff.0, asked());
                     if pause.await.is_some() {
                         index = None;
                     }
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -15,11 +15,11 @@
     let mut at = calls(&limits, &busy);
     at.sort();
     // A tenth of the time in which discovery must have been asked again.
-    let moment = limits.overbooked / 10;
+    let moment = limits.discovery_spread / 10;
     let most = at.iter().map(|a| at.iter().filter(|b| **b >= *a && **b < *a + moment).count());
     assert!(most.max().unwrap() <= 25, "{at:?}");
     let mean = at.iter().sum::<Duration>() / 100;
-    let share = mean.as_secs_f64() / limits.overbooked.as_secs_f64();
+    let share = mean.as_secs_f64() / limits.discovery_spread.as_secs_f64();
     assert!((0.4..0.6).contains(&share), "{mean:?}");
     // One that is silent or noisy is called again soon, but not by all in the same moment.
     let silent = io::Error::from(io::ErrorKind::TimedOut);
@@ -30,7 +30,7 @@
     assert!(calls(&limits, &busy).iter().max().unwrap() <= &Duration::from_millis(200), "nobody else calls");
     limits.tier(Some(60_000));
     assert!(
-        limits.overbooked + limits.discovery <= Duration::from_secs(6),
+        limits.discovery_spread + limits.discovery_timeout <= Duration::from_secs(6),
         "within the time in which it must have been asked again and have answered"
     );
 }
@@ -42,19 +42,24 @@
     let limits = Limits::for_sockets(64);
     let mut pace = Pace::new(&limits, 1);
     let silent = io::Error::from(io::ErrorKind::TimedOut);
-    assert_eq!(pace.next(true), (limits.watch, limits.watch + limits.discovery));
+    assert_eq!(pace.next(true), (limits.discovery_watch, limits.discovery_watch + limits.discovery_timeout));
     // The whole list may wait behind the calls of others.
-    assert_eq!(pace.next(false).1, limits.first_list);
+    assert_eq!(pace.next(false).1, limits.discovery_timeout_after_failure);
     let times: Vec<Duration> = (0..4)
         .map(|_| {
             pace.failed(&silent);
             let (wait, time) = pace.next(true);
-            assert_eq!(wait, limits.recheck);
+            assert_eq!(wait, limits.discovery_recheck);
             time - wait
         })
         .collect();
-    assert!(times.is_sorted() && times[0] == limits.discovery && times[3] == limits.first_list, "{times:?}");
+    assert!(
+        times.is_sorted()
+            && times[0] == limits.discovery_timeout
+            && times[3] == limits.discovery_timeout_after_failure,
+        "{times:?}"
+    );
     pace.succeeded();
-    assert_eq!(pace.next(true).0, limits.watch);
-    assert!(pace.failed(&silent) < limits.pause.0 * 2, "the pause begins anew");
+    assert_eq!(pace.next(true).0, limits.discovery_watch);
+    assert!(pace.failed(&silent) < limits.discovery_backoff.0 * 2, "the pause begins anew");
 }
--- a/src/net/gossip_socket.rs
+++ b/src/net/gossip_socket.rs
@@ -1,7 +1,7 @@
 //! Datagrams between poolers: at most `Limits::datagram` bytes, late or not at all.
 
 use crate::config::Limits;
-use crate::primary_hint::Hint;
+use crate::primary_hint::PrimaryHint;
 use async_io::Async;
 use std::cell::{Cell, OnceCell};
 use std::future::Future;
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, UdpSocket};
 
 /// The socket and the addresses of the tier.
-pub struct Peers {
+pub struct GossipSocket {
     /// None where nothing is listened to, or another process still has the address.
     socket: OnceCell<Async<UdpSocket>>,
     each: Vec<SocketAddr>,
@@ -19,10 +19,16 @@
     dropped: Cell<u64>,
 }
 
-impl Peers {
+impl GossipSocket {
     /// The tier, not heard yet.
-    pub fn new(each: Vec<SocketAddr>, all: Option<SocketAddr>, limits: &Limits) -> Peers {
-        Peers { socket: OnceCell::new(), each, all, most: limits.datagram, dropped: Cell::default() }
+    pub fn new(each: Vec<SocketAddr>, all: Option<SocketAddr>, limits: &Limits) -> GossipSocket {
+        GossipSocket {
+            socket: OnceCell::new(),
+            each,
+            all,
+            most: limits.datagram_bytes,
+            dropped: Cell::default(),
+        }
     }
 
     /// Listens for the tier's datagrams, if it does not yet.
@@ -56,7 +62,7 @@
                 Ok((n, _)) if n > self.most => self.pass_over("too long"),
                 Ok((n, from)) => match self.each.iter().position(|a| *a == from) {
                     None => self.pass_over("from a stranger"),
-                    Some(_) if Hint::read(&bytes[..n]).is_none() => self.pass_over("unreadable"),
+                    Some(_) if PrimaryHint::read(&bytes[..n]).is_none() => self.pass_over("unreadable"),
                     Some(number) => deliver(number as u16, bytes[..n].to_vec()).await,
                 },
                 // A peer that is down shows as a refused datagram; the socket itself is sound.
@@ -93,11 +99,11 @@
         let (peer, stranger) = (bind(), bind());
         let limits = Limits::for_sockets(64);
         let each = vec![peer.local_addr().unwrap()];
-        let own = Peers::new(each, None, &limits);
+        let own = GossipSocket::new(each, None, &limits);
         async_io::block_on(own.tell(Some(0), b"from nowhere"));
         own.open(([127, 0, 0, 1], 0).into()).unwrap();
         let at = own.socket.get().unwrap().get_ref().local_addr().unwrap();
-        assert!(Peers::new(Vec::new(), None, &limits).open(at).is_err(), "it is taken");
+        assert!(GossipSocket::new(Vec::new(), None, &limits).open(at).is_err(), "it is taken");
         async_io::block_on(async {
             own.tell(Some(0), &[7; 257]).await;
             own.tell(None, b"nobody").await;
@@ -106,7 +112,8 @@
         let mut bytes = [0; 512];
         assert_eq!(peer.recv(&mut bytes).unwrap(), 256, "the longer one never left");
         let hint =
-            Hint { member: EndpointId { ip: [1, 2, 3, 4], port: 5 }, at: Timestamp::from_micros(6) }.write();
+            PrimaryHint { endpoint: EndpointId { ip: [1, 2, 3, 4], port: 5 }, at: Timestamp::from_micros(6) }
+                .write();
         stranger.send_to(&hint, at).unwrap();
         for bad in [&hint[..hint.len() - 1], b"", b"noise", &[1; 257], &[1; 2000]] {
             peer.send_to(bad, at).unwrap();
--- a/src/net/gossip_socket/golden_tests.rs
+++ b/src/net/gossip_socket/golden_tests.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_datagram_is_the_message_alone_both_ways() {
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let own = Peers::new(vec![peer.local_addr().unwrap()], None, &Limits::for_sockets(64));
+    let own = GossipSocket::new(vec![peer.local_addr().unwrap()], None, &Limits::for_sockets(64));
     own.open(([127, 0, 0, 1], 0).into()).unwrap();
     let at = own.socket.get().unwrap().get_ref().local_addr().unwrap();
     async_io::block_on(own.tell(Some(0), &GOLDEN));
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -131,7 +131,7 @@
         let mut framing = Body::of(&head, true)?;
         let keeps = head.keeps_open(&head.line[0]) && framing != Body::UntilEnd;
         let mut body = Vec::new();
-        while !self.part(&mut framing, &mut body, limits.list).await? {}
+        while !self.part(&mut framing, &mut body, limits.discovery_answer).await? {}
         Ok((head, body, keeps))
     }
 }
--- a/src/net/http/codec.rs
+++ b/src/net/http/codec.rs
@@ -61,9 +61,9 @@
 /// Reads a head once it is whole: the head and the bytes that it took.
 pub fn head(bytes: &[u8], limits: &Limits) -> Result<Option<(Head, usize)>, Malformed> {
     let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return if bytes.len() > limits.head { Err(Malformed::TooLarge) } else { Ok(None) };
+        return if bytes.len() > limits.http_head { Err(Malformed::TooLarge) } else { Ok(None) };
     };
-    if end > limits.head {
+    if end > limits.http_head {
         return Err(Malformed::TooLarge);
     }
     let text = std::str::from_utf8(&bytes[..end]).map_err(|_| Malformed::Form("the head is not UTF-8"))?;
@@ -82,7 +82,7 @@
             return Err(Malformed::Form("a header is out of form"));
         }
         headers.push((name.to_string(), value.trim().to_string()));
-        if headers.len() > limits.headers {
+        if headers.len() > limits.http_headers {
             return Err(Malformed::TooLarge);
         }
     }
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -3,7 +3,7 @@
 use super::codec::{Body, Head, Malformed, head};
 use crate::config::Limits;
 use crate::net::buffer::Buffer;
-use crate::net::connection::{Heard, Link};
+use crate::net::connection::{ClientConnection, ReadEvent};
 
 /// A request that came whole.
 #[derive(Clone, Debug)]
@@ -95,7 +95,7 @@
 }
 
 /// Waits for the next request of a connection.
-pub async fn next(link: &mut Link, buffer: &mut Buffer, limits: &Limits) -> Next {
+pub async fn next(link: &mut ClientConnection, buffer: &mut Buffer, limits: &Limits) -> Next {
     while buffer.unread().is_empty() {
         if let Err(over) = hear(link, false, 0, buffer).await {
             return over;
@@ -109,17 +109,22 @@
 }
 
 /// Waits for more, or tells how it is over. What has begun must be whole within its time.
-async fn hear(link: &mut Link, partial: bool, held: usize, buffer: &mut Buffer) -> Result<(), Next> {
+async fn hear(
+    link: &mut ClientConnection,
+    partial: bool,
+    held: usize,
+    buffer: &mut Buffer,
+) -> Result<(), Next> {
     match link.hear(partial, held, buffer).await {
-        Ok(Heard::More) => Ok(()),
-        Ok(Heard::Late) => Err(Next::Refused(408, "no whole request came in time".into())),
-        Ok(Heard::Full) => Err(Next::Refused(503, "no room for a message of this length".into())),
-        Ok(Heard::Cut) => Err(Next::Refused(503, "no room for a request that is not whole".into())),
-        Ok(Heard::Gone | Heard::Ends) | Err(_) => Err(Next::Over),
+        Ok(ReadEvent::More) => Ok(()),
+        Ok(ReadEvent::Late) => Err(Next::Refused(408, "no whole request came in time".into())),
+        Ok(ReadEvent::Full) => Err(Next::Refused(503, "no room for a message of this length".into())),
+        Ok(ReadEvent::Cut) => Err(Next::Refused(503, "no room for a request that is not whole".into())),
+        Ok(ReadEvent::Gone | ReadEvent::Ends) | Err(_) => Err(Next::Over),
     }
 }
 
-async fn whole(link: &mut Link, buffer: &mut Buffer, limits: &Limits) -> Next {
+async fn whole(link: &mut ClientConnection, buffer: &mut Buffer, limits: &Limits) -> Next {
     let head = loop {
         match head(buffer.unread(), limits) {
             Ok(Some((head, used))) => {
@@ -148,7 +153,7 @@
     }
     let mut body = Vec::new();
     loop {
-        match framing.take(buffer.unread(), &mut body, limits.message) {
+        match framing.take(buffer.unread(), &mut body, limits.client_message) {
             Ok(used) => buffer.consume(used),
             Err(why) => return refused(&why, 413),
         }
@@ -156,7 +161,7 @@
             return Next::Request(Box::new(Request { head, body }));
         }
         // A stated length over the limit is refused before all of it has come.
-        if matches!(framing, Body::Length(n) | Body::Chunk(n) if n > limits.message) {
+        if matches!(framing, Body::Length(n) | Body::Chunk(n) if n > limits.client_message) {
             return refused(&Malformed::TooLarge, 413);
         }
         if let Err(over) = hear(link, true, body.len() + buffer.unread().len(), buffer).await {
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -5,7 +5,7 @@
 
 /// Where the pooler stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ServingState {
     /// At work.
     Serving,
     /// Clients are sent away, until an operator has it back at work.
@@ -16,50 +16,50 @@
 
 /// The state, and since when.
 #[derive(Debug)]
-pub struct Duty(Cell<(State, Instant)>);
+pub struct Lifecycle(Cell<(ServingState, Instant)>);
 
-impl Default for Duty {
-    fn default() -> Duty {
-        Duty(Cell::new((State::Serving, Instant::now())))
+impl Default for Lifecycle {
+    fn default() -> Lifecycle {
+        Lifecycle(Cell::new((ServingState::Serving, Instant::now())))
     }
 }
 
-impl Duty {
+impl Lifecycle {
     /// Where it stands.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> ServingState {
         self.0.get().0
     }
 
     /// Goes from one state to another. A call that is repeated, or that comes after the end has begun, changes
     /// nothing; false: the wish cannot be met any more.
-    fn turn(&self, to: State) -> bool {
+    fn turn(&self, to: ServingState) -> bool {
         let from = self.state();
-        if from != to && from != State::Ending {
+        if from != to && from != ServingState::Ending {
             log::info!("duty: {from:?}, now {to:?}");
             self.0.set((to, Instant::now()));
         }
-        from != State::Ending || to != State::Serving
+        from != ServingState::Ending || to != ServingState::Serving
     }
 
     /// Sends clients away. One that ends does so already.
     pub fn drain(&self) -> bool {
-        self.turn(State::Drained)
+        self.turn(ServingState::Drained)
     }
 
     /// Back to work.
     pub fn activate(&self) -> bool {
-        self.turn(State::Serving)
+        self.turn(ServingState::Serving)
     }
 
     /// The end begins.
     pub fn end(&self) {
-        self.turn(State::Ending);
+        self.turn(ServingState::Ending);
     }
 
     /// Whether it has been drained for so long.
     pub fn drained_for(&self, span: Duration) -> bool {
         let (state, since) = self.0.get();
-        state == State::Drained && since.elapsed() >= span
+        state == ServingState::Drained && since.elapsed() >= span
     }
 }
 
@@ -76,22 +76,22 @@
         let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
         let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[4; 32]);
         let check = |calls: Vec<u8>| {
-            let (duty, mut wish, mut since) = (Duty::default(), State::Serving, None);
+            let (duty, mut wish, mut since) = (Lifecycle::default(), ServingState::Serving, None);
             for call in calls {
-                let ended = wish == State::Ending;
+                let ended = wish == ServingState::Ending;
                 let (to, done) = match call % 5 {
-                    0 | 1 => (State::Drained, duty.drain()),
-                    2 | 3 => (State::Serving, duty.activate()),
-                    _ => (State::Ending, {
+                    0 | 1 => (ServingState::Drained, duty.drain()),
+                    2 | 3 => (ServingState::Serving, duty.activate()),
+                    _ => (ServingState::Ending, {
                         duty.end();
                         true
                     }),
                 };
-                prop_assert_eq!(done, !ended || to != State::Serving);
+                prop_assert_eq!(done, !ended || to != ServingState::Serving);
                 let kept = wish == to || ended;
                 wish = if ended { wish } else { to };
                 prop_assert_eq!(duty.state(), wish);
-                prop_assert_eq!(duty.drained_for(Duration::ZERO), wish == State::Drained);
+                prop_assert_eq!(duty.drained_for(Duration::ZERO), wish == ServingState::Drained);
                 prop_assert!(!kept || since.is_none_or(|at| at == duty.0.get().1));
                 since = Some(duty.0.get().1);
             }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Everything that speaks on sockets. It reaches the module only through [`crate::core::Handle`].
+//! Everything that speaks on sockets. It reaches the module only through [`crate::core::EngineHandle`].
 
 pub mod admin_server;
 pub mod backend_pool;
--- a/src/net/postgres/front.rs
+++ b/src/net/postgres/front.rs
@@ -6,10 +6,10 @@
 use super::statement::{self, Statement};
 use crate::config::Limits;
 use crate::engine::classes::Classes;
-use crate::engine::{Final, Handle, Input};
-use crate::net::connection::{Heard, Link};
-use crate::net::connection_limiter::{Place, Welcome};
-use crate::net::lifecycle::{Duty, State as Stands};
+use crate::engine::{EngineHandle, FinalAnswer, Input};
+use crate::net::connection::{ClientConnection, ReadEvent};
+use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
+use crate::net::lifecycle::{Lifecycle, ServingState as Stands};
 use crate::net::{fingerprint, until};
 use crate::routing::*;
 use async_channel::Receiver;
@@ -28,13 +28,13 @@
     /// The limits.
     pub limits: Rc<Limits>,
     /// The way to the core.
-    pub handle: Handle<Arc<Statement>, Answer>,
+    pub handle: EngineHandle<Arc<Statement>, Answer>,
     /// The classes by name.
     pub classes: Classes,
     /// Closed once the first list is there.
     pub ready: Receiver<()>,
     /// Whether the pooler is at work.
-    pub duty: Rc<Duty>,
+    pub duty: Rc<Lifecycle>,
     /// Ids of the requests that are open.
     pub open: OpenIds,
 }
@@ -61,7 +61,7 @@
 
 struct Client<'a> {
     front: &'a Front,
-    link: Link,
+    link: ClientConnection,
     session: Session,
     /// What is owed, in the order of the commands.
     due: VecDeque<Due>,
@@ -82,7 +82,7 @@
 /// A request that is open.
 struct Open {
     id: RequestId,
-    reply: Receiver<Final<Answer>>,
+    reply: Receiver<FinalAnswer<Answer>>,
     /// Bytes of its statement.
     length: usize,
     _id: OpenId,
@@ -90,13 +90,13 @@
 
 impl Front {
     /// Serves one connection to its end.
-    pub async fn serve(&self, stream: Async<TcpStream>, place: Place, welcome: Welcome) {
+    pub async fn serve(&self, stream: Async<TcpStream>, place: ConnectionSlot, welcome: AcceptDecision) {
         let session = Session::new(&self.limits);
-        let link = Link::new(stream, place, self.limits.clone(), self.handle.clock().clone());
+        let link = ClientConnection::new(stream, place, self.limits.clone(), self.handle.clock().clone());
         let mut client = Client { front: self, link, session, due: VecDeque::new() };
         let served = match welcome {
-            Welcome::Served => client.run().await,
-            Welcome::TurnedAway => client.turn_away().await,
+            AcceptDecision::Served => client.run().await,
+            AcceptDecision::Rejected => client.turn_away().await,
         };
         if let Err(e) = served {
             log::debug!("client: {e}");
@@ -104,23 +104,23 @@
         // Nobody waits any more for what is still open.
         for due in client.due {
             if let Due::Last(open) = due {
-                self.handle.input(Input::Lapsed(open.id)).await;
+                self.handle.input(Input::RequestCancelled(open.id)).await;
             }
         }
     }
 
-    fn ask(&self, s: &Statement) -> Option<Ask> {
+    fn ask(&self, s: &Statement) -> Option<IncomingRequest> {
         let class = self.classes.find(&s.class, s.keyed)?;
         let now = self.handle.clock().now();
         // The module wants the age of the session's last commit; a clock a little ahead makes it no older.
-        let token_age = s.after.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
-        Some(Ask {
+        let last_commit_age = s.after.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
+        Some(IncomingRequest {
             class,
             group: s.group,
-            token_age,
+            last_commit_age,
             session: fingerprint(&s.key),
             repeated: s.repeated,
-            ..Ask::default()
+            ..IncomingRequest::default()
         })
     }
 }
@@ -140,24 +140,24 @@
 }
 
 /// The bytes of a final answer, or the parts in which it is still to come.
-fn answer(last: Final<Answer>) -> Result<Vec<u8>, Receiver<Vec<u8>>> {
+fn answer(last: FinalAnswer<Answer>) -> Result<Vec<u8>, Receiver<Vec<u8>>> {
     Ok(match last {
-        Final::Served(Answer::Parts(parts)) => return Err(parts),
-        Final::Served(Answer::Whole(mut rows)) => {
+        FinalAnswer::Served(Answer::Parts(parts)) => return Err(parts),
+        FinalAnswer::Served(Answer::Whole(mut rows)) => {
             codec::ready(&mut rows);
             rows
         }
-        Final::Refused { retry_in, .. } => {
-            refusal("no score host can take this now", retry_in.map(|t| t.as_millis().max(1)))
+        FinalAnswer::Rejected { retry_after, .. } => {
+            refusal("no score host can take this now", retry_after.map(|t| t.as_millis().max(1)))
         }
-        Final::Failed { overdue: true } => failure("57014", "no answer came in time"),
-        Final::Failed { overdue: false } => failure("58000", "the request failed"),
-        Final::UnknownGroup => failure("42704", "no list names this group"),
+        FinalAnswer::Failed { overdue: true } => failure("57014", "no answer came in time"),
+        FinalAnswer::Failed { overdue: false } => failure("58000", "the request failed"),
+        FinalAnswer::UnknownGroup => failure("42704", "no list names this group"),
     })
 }
 
 impl Client<'_> {
-    async fn hear(&mut self) -> io::Result<Heard> {
+    async fn hear(&mut self) -> io::Result<ReadEvent> {
         let held = self.session.input().unread().len();
         self.link.hear(held > 0, held, self.session.input()).await
     }
@@ -169,12 +169,16 @@
             self.take().await?;
             match self.due.front() {
                 None => match self.hear().await? {
-                    Heard::More => {}
-                    Heard::Gone => return Ok(()),
-                    Heard::Ends => return self.link.linger().await,
-                    Heard::Cut => return self.end("57P03", "no room for a request that is not whole").await,
-                    Heard::Late => return self.end("57P05", "no whole request came in time").await,
-                    Heard::Full => return self.end("53200", "no room for a message of this length").await,
+                    ReadEvent::More => {}
+                    ReadEvent::Gone => return Ok(()),
+                    ReadEvent::Ends => return self.link.linger().await,
+                    ReadEvent::Cut => {
+                        return self.end("57P03", "no room for a request that is not whole").await;
+                    }
+                    ReadEvent::Late => return self.end("57P05", "no whole request came in time").await,
+                    ReadEvent::Full => {
+                        return self.end("53200", "no room for a message of this length").await;
+                    }
                 },
                 Some(Due::Bytes(bytes)) => {
                     self.link.write(bytes).await?;
@@ -190,7 +194,7 @@
                         link.gone(input).await;
                         false
                     };
-                    let end = Instant::now() + self.front.limits.ready;
+                    let end = Instant::now() + self.front.limits.readiness_timeout;
                     if until(end, future::or(ready, gone)).await == Some(false) {
                         return Ok(());
                     }
@@ -208,7 +212,7 @@
                     // An answer that has come is written before more is read.
                     match future::or(last, more).await {
                         Ok(last) => {
-                            let last = last.unwrap_or(Final::Failed { overdue: false });
+                            let last = last.unwrap_or(FinalAnswer::Failed { overdue: false });
                             match answer(last) {
                                 Ok(bytes) => self.answer(&bytes).await?,
                                 Err(parts) => self.pass_on(parts).await?,
@@ -264,8 +268,8 @@
         loop {
             let long = |due: &Due| if let Due::Last(open) = due { open.length } else { 0 };
             // Answers to bad input are many and short; those of requests are bounded by the session.
-            if self.due.iter().map(long).sum::<usize>() > self.front.limits.ahead
-                || self.due.len() > self.front.limits.pipeline * 2
+            if self.due.iter().map(long).sum::<usize>() > self.front.limits.read_ahead
+                || self.due.len() > self.front.limits.pipelined_requests * 2
             {
                 return Ok(());
             }
@@ -320,17 +324,17 @@
             return Err(failure("42710", "a request with this id is open"));
         };
         let limits = &self.front.limits;
-        let margin = TimeDelta::from(limits.margin);
-        let deadline = arrived + (statement.patience - margin).or_zero();
+        let margin = TimeDelta::from(limits.answer_margin);
+        let deadline = arrived + (statement.client_timeout - margin).or_zero();
         let submitted = self.front.handle.submit(ask, deadline, Arc::new(statement)).await;
-        let again = || refusal("the pooler is ending", Some(limits.again.as_millis() as i64));
+        let again = || refusal("the pooler is ending", Some(limits.front_retry_after.as_millis() as i64));
         let (id, reply) = submitted.ok_or_else(again)?;
         Ok(Open { id, reply, length: text.len(), _id: own })
     }
 
     /// Tells a client that there are too many connections: a refusal, so that it may come again.
     async fn turn_away(&mut self) -> io::Result<()> {
-        let end = Instant::now() + self.front.limits.linger.0;
+        let end = Instant::now() + self.front.limits.close_linger.0;
         while self.session.state() == State::Startup {
             match self.session.step() {
                 Step::Write(bytes) if self.session.state() == State::Startup => {
@@ -349,7 +353,7 @@
             true,
             "53300",
             "too many connections",
-            Some(&self.front.limits.again.as_millis().to_string()),
+            Some(&self.front.limits.front_retry_after.as_millis().to_string()),
         );
         self.link.write(&out).await?;
         self.link.linger().await
--- a/src/net/postgres/host.rs
+++ b/src/net/postgres/host.rs
@@ -4,7 +4,7 @@
 use super::reply::Reply;
 use super::statement::Statement;
 use crate::config::Limits;
-use crate::net::backend_pool::{Exchange, Trip, Wire, silent};
+use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult, silent};
 use crate::net::buffer::Buffer;
 use crate::net::until;
 use crate::routing::*;
@@ -52,10 +52,11 @@
     ) -> Result<(Reply, Option<Sender<Vec<u8>>>), Broken> {
         let mut parts: Option<Sender<Vec<u8>>> = None;
         loop {
-            let used = reply.take(c.buffer.unread(), self.limits.row).map_err(|Malformed(why)| {
-                log::debug!("host: {why}");
-                Broken::Spoilt
-            })?;
+            let used =
+                reply.take(c.buffer.unread(), self.limits.postgres_row).map_err(|Malformed(why)| {
+                    log::debug!("host: {why}");
+                    Broken::Spoilt
+                })?;
             c.buffer.consume(used);
             if reply.passes() && !reply.rows.is_empty() {
                 let part = std::mem::take(&mut reply.rows);
@@ -74,7 +75,11 @@
             // What has begun comes whole: a host that stops in the midst of an answer has spoilt it.
             let begun = reply.begun() || !c.buffer.unread().is_empty();
             let more = c.buffer.fill(&c.stream);
-            let stall = if parts.is_some() { self.limits.stall } else { self.limits.answer_stall };
+            let stall = if parts.is_some() {
+                self.limits.backend_stall_timeout
+            } else {
+                self.limits.buffered_answer_stall_timeout
+            };
             let more = match begun {
                 true => until(Instant::now() + stall, more).await.ok_or(Broken::Spoilt)?,
                 false => more.await,
@@ -99,21 +104,24 @@
     Left,
 }
 
-impl Wire for Pg {
+impl BackendProtocol for Pg {
     type Work = Arc<Statement>;
     type Answer = Answer;
     type Connection = Connection;
 
-    async fn open(&self, stream: Async<TcpStream>) -> Result<Connection, Outcome> {
+    async fn open(&self, stream: Async<TcpStream>) -> Result<Connection, AttemptOutcome> {
         let mut c = Connection { stream, buffer: Buffer::default() };
-        c.stream.write_all(&codec::hello("web", "orders")).await.map_err(|_| Outcome::ConnectFailed)?;
+        c.stream
+            .write_all(&codec::hello("web", "orders"))
+            .await
+            .map_err(|_| AttemptOutcome::ConnectFailed)?;
         let nowhere = async || async_channel::bounded(1).0;
         let reply = self.reply(&mut c, Reply::to_startup(), nowhere).await;
-        let (reply, _) = reply.map_err(|_| Outcome::ConnectFailed)?;
+        let (reply, _) = reply.map_err(|_| AttemptOutcome::ConnectFailed)?;
         match reply.error.as_deref() {
             None if reply.idle() => Ok(c),
-            Some("53300" | "57P03") => Err(Outcome::Full),
-            _ => Err(Outcome::ConnectFailed),
+            Some("53300" | "57P03") => Err(AttemptOutcome::Overloaded),
+            _ => Err(AttemptOutcome::ConnectFailed),
         }
     }
 
@@ -125,36 +133,37 @@
         &self,
         c: &mut Connection,
         work: &Arc<Statement>,
-        trip: &Trip<'_, Arc<Statement>, Answer>,
-    ) -> Exchange<Answer> {
+        trip: &AttemptContext<'_, Arc<Statement>, Answer>,
+    ) -> ExchangeResult<Answer> {
         if c.stream.write_all(&codec::query(&work.with_wait(trip.left()))).await.is_err() {
-            return Exchange::bare(trip.broken());
+            return ExchangeResult::bare(trip.broken());
         }
         trip.written();
         // A long value is the client's from its first bytes on, and cannot be repeated any more.
         let begin = async || {
-            let (to, parts) = async_channel::bounded(self.limits.parts);
+            let (to, parts) = async_channel::bounded(self.limits.answer_chunks);
             trip.begin(Answer::Parts(parts)).await;
             to
         };
-        let (reply, parts) = match self.reply(c, Reply::to_query(self.limits.whole), begin).await {
-            Ok(replied) => replied,
-            Err(Broken::Left) => return Exchange::bare(Outcome::Cancelled),
-            Err(Broken::Off) => return Exchange::bare(trip.broken()),
-            // It has run, or may have: as with an error of the host's own. Nothing that it told is believed.
-            Err(Broken::Spoilt) => return Exchange::bare(Outcome::Error),
-        };
+        let (reply, parts) =
+            match self.reply(c, Reply::to_query(self.limits.postgres_row_buffer), begin).await {
+                Ok(replied) => replied,
+                Err(Broken::Left) => return ExchangeResult::bare(AttemptOutcome::Cancelled),
+                Err(Broken::Off) => return ExchangeResult::bare(trip.broken()),
+                // It has run, or may have: as with an error of the host's own. Nothing that it told is believed.
+                Err(Broken::Spoilt) => return ExchangeResult::bare(AttemptOutcome::Error),
+            };
         let outcome = reply.outcome();
-        if let Some(to) = parts.filter(|_| outcome == Outcome::Ok) {
+        if let Some(to) = parts.filter(|_| outcome == AttemptOutcome::Served) {
             // Its end is told only where it came whole.
             let _ = to.send(Vec::new()).await;
         }
-        Exchange {
+        ExchangeResult {
             outcome,
-            mark: reply.mark(),
+            replica_status: reply.replica_status(),
             report: reply.report(&self.report_fields),
             reusable: reply.idle() && c.buffer.unread().is_empty(),
-            answer: (outcome == Outcome::Ok).then_some(Answer::Whole(reply.rows)),
+            answer: (outcome == AttemptOutcome::Served).then_some(Answer::Whole(reply.rows)),
         }
     }
 }
--- a/src/net/postgres/reply.rs
+++ b/src/net/postgres/reply.rs
@@ -204,22 +204,22 @@
     }
 
     /// What it means for the attempt.
-    pub fn outcome(&self) -> Outcome {
+    pub fn outcome(&self) -> AttemptOutcome {
         match self.error.as_deref() {
-            None if self.row => Outcome::Ok,
-            Some("25006" | "72000") => Outcome::Miss,
-            Some("53300" | "57P03") => Outcome::Full,
-            _ => Outcome::Error,
+            None if self.row => AttemptOutcome::Served,
+            Some("25006" | "72000") => AttemptOutcome::Misdirected,
+            Some("53300" | "57P03") => AttemptOutcome::Overloaded,
+            _ => AttemptOutcome::Error,
         }
     }
 
     /// Role and position of the host.
-    pub fn mark(&self) -> Option<Mark> {
-        Some(Mark { primary: self.role?, position: self.position.unwrap_or(LogPosition::UNKNOWN) })
+    pub fn replica_status(&self) -> Option<ReplicaStatus> {
+        Some(ReplicaStatus { primary: self.role?, position: self.position.unwrap_or(LogPosition::UNKNOWN) })
     }
 
     /// Its load report.
-    pub fn report(&self, fields: &[String]) -> Report {
+    pub fn report(&self, fields: &[String]) -> LoadReport {
         report_of(fields, |name| figure(self.vitals.as_deref().unwrap_or(""), name))
     }
 }
--- a/src/net/postgres/reply/tests.rs
+++ b/src/net/postgres/reply/tests.rs
@@ -72,8 +72,11 @@
         let whole = good(&value);
         let (reply, used) = read(&[&whole[..], b"T\0\0"].concat(), piece);
         prop_assert_eq!(used, Ok(whole.len()));
-        prop_assert!(reply.finished() && reply.idle() && reply.outcome() == Outcome::Ok);
-        prop_assert_eq!(reply.mark(), Some(Mark { primary: false, position: LogPosition::UNKNOWN }));
+        prop_assert!(reply.finished() && reply.idle() && reply.outcome() == AttemptOutcome::Served);
+        prop_assert_eq!(
+            reply.replica_status(),
+            Some(ReplicaStatus { primary: false, position: LogPosition::UNKNOWN })
+        );
         prop_assert_eq!(reply.report(&["x0".to_string()]).count, 0);
         let (first, served) = (33, reply.rows.clone());
         prop_assert_eq!(&served[first + 11..first + 11 + value.len()], &value[..]);
@@ -81,12 +84,12 @@
         let n = usize::from(at) % whole.len();
         spoilt[n] = byte;
         let (reply, used) = read(&spoilt, piece);
-        if used.is_ok() && reply.finished() && reply.outcome() == Outcome::Ok {
+        if used.is_ok() && reply.finished() && reply.outcome() == AttemptOutcome::Served {
             prop_assert_eq!(reply.rows.len(), served.len());
         }
         // Noise alone is refused at once or has no row in it.
         let (noise, _) = read(&value, piece);
-        prop_assert!(noise.outcome() != Outcome::Ok);
+        prop_assert!(noise.outcome() != AttemptOutcome::Served);
         Ok(())
     };
     TestRunner::new_with_rng(config, rng).run(&parts, check).unwrap();
--- a/src/net/postgres/session.rs
+++ b/src/net/postgres/session.rs
@@ -46,7 +46,12 @@
 impl Session {
     /// A connection that was just taken.
     pub fn new(limits: &Limits) -> Session {
-        let Limits { message: most, startup_message: startup, pipeline: most_open, .. } = *limits;
+        let Limits {
+            client_message: most,
+            startup_message_bytes: startup,
+            pipelined_requests: most_open,
+            ..
+        } = *limits;
         Session { state: State::Startup, buffer: Buffer::default(), most, startup, open: 0, most_open }
     }
 
--- a/src/net/postgres/statement.rs
+++ b/src/net/postgres/statement.rs
@@ -14,7 +14,7 @@
     /// Name of the class.
     pub class: String,
     /// How long the client waits.
-    pub patience: TimeDelta,
+    pub client_timeout: TimeDelta,
     /// The group.
     pub group: GroupId,
     /// The position that a read has to see, as Unix time.
@@ -79,7 +79,7 @@
         wait,
         id,
         class: class.ok_or("the comment names no class")?,
-        patience: TimeDelta::from_millis(ms),
+        client_timeout: TimeDelta::from_millis(ms),
         group: group.ok_or("the comment names no group")?,
         after,
         repeated,
@@ -107,7 +107,7 @@
     fn only_the_wait_changes_on_the_way() {
         let s = parse(READ).unwrap();
         assert_eq!(
-            (s.class.as_str(), s.patience, s.group),
+            (s.class.as_str(), s.client_timeout, s.group),
             ("basket", TimeDelta::from_micros(480_000), GroupId(2))
         );
         assert_eq!(
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -6,13 +6,13 @@
 use crate::clock::Clock;
 use crate::config::Limits;
 use crate::engine::classes::Classes;
-use crate::engine::log_rollback::Breaks;
-use crate::engine::{Final, Handle, Input};
+use crate::engine::log_rollback::LogRollbacks;
+use crate::engine::{EngineHandle, FinalAnswer, Input};
 use crate::net::buffer::Buffer;
-use crate::net::connection::Link;
-use crate::net::connection_limiter::{Place, Welcome};
+use crate::net::connection::ClientConnection;
+use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
 use crate::net::http::server::{self, Next, Request};
-use crate::net::lifecycle::{Duty, State};
+use crate::net::lifecycle::{Lifecycle, ServingState};
 use crate::routing::*;
 use async_channel::Receiver;
 use async_io::Async;
@@ -43,7 +43,7 @@
     /// The limits.
     pub limits: Rc<Limits>,
     /// The way to the core.
-    pub handle: Handle<Arc<Operation>, Answer>,
+    pub handle: EngineHandle<Arc<Operation>, Answer>,
     /// The classes by name.
     pub classes: Classes,
     /// What the operator says.
@@ -51,21 +51,21 @@
     /// Closed once all groups are served.
     pub ready: Receiver<()>,
     /// Whether the pooler is at work.
-    pub duty: Rc<Duty>,
+    pub duty: Rc<Lifecycle>,
     /// What groups have lost.
-    pub breaks: Rc<RefCell<Breaks>>,
+    pub breaks: Rc<RefCell<LogRollbacks>>,
 }
 
 /// Serves a connection while nothing can be served yet: whatever is asked is refused at once, with `again` as the
 /// time to come back, which may differ from call to call. One answer a connection: the next one may find more.
 pub async fn serve_early(
     stream: Async<TcpStream>,
-    place: Place,
+    place: ConnectionSlot,
     limits: Rc<Limits>,
     clock: Clock,
     again: impl Fn() -> TimeDelta,
 ) {
-    let mut link = Link::new(stream, place, limits.clone(), clock);
+    let mut link = ClientConnection::new(stream, place, limits.clone(), clock);
     let mut buffer = Buffer::default();
     let answer = match server::next(&mut link, &mut buffer, &limits).await {
         Next::Over => return,
@@ -87,8 +87,8 @@
     Cut,
 }
 
-fn refusal(retry_in: Option<TimeDelta>, text: &str) -> Vec<u8> {
-    let ms = retry_in.unwrap_or(TimeDelta::from_secs(1)).or_zero().as_millis();
+fn refusal(retry_after: Option<TimeDelta>, text: &str) -> Vec<u8> {
+    let ms = retry_after.unwrap_or(TimeDelta::from_secs(1)).or_zero().as_millis();
     // The standard header counts in seconds: rounded up, so that nobody comes too early by it.
     let seconds = ((ms + 999) / 1000).max(1).to_string();
     server::answer(503, &[("Retry-After", &seconds), (COME_BACK, &ms.max(1).to_string())], text)
@@ -96,10 +96,10 @@
 
 impl Front {
     /// Serves one connection to its end.
-    pub async fn serve(&self, stream: Async<TcpStream>, place: Place, welcome: Welcome) {
-        let mut link = Link::new(stream, place, self.limits.clone(), self.handle.clock().clone());
-        if welcome == Welcome::TurnedAway {
-            let again = Some(TimeDelta::from(self.limits.again));
+    pub async fn serve(&self, stream: Async<TcpStream>, place: ConnectionSlot, welcome: AcceptDecision) {
+        let mut link = ClientConnection::new(stream, place, self.limits.clone(), self.handle.clock().clone());
+        if welcome == AcceptDecision::Rejected {
+            let again = Some(TimeDelta::from(self.limits.front_retry_after));
             let _ = link.write(&refusal(again, "too many connections")).await;
             let _ = link.linger().await;
             return;
@@ -127,12 +127,17 @@
     }
 
     /// Answers one request.
-    async fn request(&self, link: &mut Link, buffer: &mut Buffer, request: &Request) -> io::Result<After> {
+    async fn request(
+        &self,
+        link: &mut ClientConnection,
+        buffer: &mut Buffer,
+        request: &Request,
+    ) -> io::Result<After> {
         let (path, _) = request.target();
         let ends = !request.keeps_open() || link.ends();
         if path == "/-/ready" {
             let (status, text) = match self.ready.is_closed() {
-                _ if self.duty.state() == State::Drained => (503, "drained"),
+                _ if self.duty.state() == ServingState::Drained => (503, "drained"),
                 true => (200, "ready"),
                 false => (503, "not all groups are served yet"),
             };
@@ -141,7 +146,7 @@
         if path != self.service.path {
             return reply(link, ends, server::answer(404, &[], "nothing is here")).await;
         }
-        let (ask, patience, operation) = match operation::read(request).and_then(|o| self.ask(o)) {
+        let (ask, client_timeout, operation) = match operation::read(request).and_then(|o| self.ask(o)) {
             Ok(asked) => asked,
             Err(Refusal(status, why)) => {
                 log::warn!("client: {why}");
@@ -154,34 +159,34 @@
         if let Some(position) = commit.and_then(|at| self.breaks.borrow().lost(ask.group, at)) {
             return serve(link, buffer, request, lost(position)).await;
         }
-        let margin = TimeDelta::from(self.limits.margin);
+        let margin = TimeDelta::from(self.limits.answer_margin);
         let arrived = link.arrived(buffer.unread().len());
         if link.departed() {
             return Ok(After::Cut);
         }
-        let deadline = arrived + (patience - margin).or_zero();
+        let deadline = arrived + (client_timeout - margin).or_zero();
         let Some((id, reply)) = self.handle.submit(ask, deadline, Arc::new(operation)).await else {
-            let again = Some(TimeDelta::from(self.limits.again));
+            let again = Some(TimeDelta::from(self.limits.front_retry_after));
             return reply(link, true, refusal(again, "the pooler is ending")).await;
         };
-        let last = async { Some(reply.recv().await.unwrap_or(Final::Failed { overdue: false })) };
+        let last = async { Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { overdue: false })) };
         let gone = async {
             link.gone(buffer).await;
             None
         };
         let Some(last) = future::or(last, gone).await else {
-            self.handle.input(Input::Lapsed(id)).await;
+            self.handle.input(Input::RequestCancelled(id)).await;
             return Ok(After::Cut);
         };
         let written = self.answer(link, buffer, request, last).await;
         if !matches!(written, Ok(After::Open | After::Close)) {
             // Whatever is still on its way for this client ends now.
-            self.handle.input(Input::Lapsed(id)).await;
+            self.handle.input(Input::RequestCancelled(id)).await;
         }
         written
     }
 
-    fn ask(&self, operation: Operation) -> Result<(Ask, TimeDelta, Operation), Refusal> {
+    fn ask(&self, operation: Operation) -> Result<(IncomingRequest, TimeDelta, Operation), Refusal> {
         let s = &self.service;
         let query = s.session.as_ref().filter(|_| operation.position.is_some()).unwrap_or(&s.query);
         let name = operation.class.as_ref().unwrap_or(if operation.update { &s.update } else { query });
@@ -199,41 +204,54 @@
         let group =
             group.ok_or_else(|| Refusal(400, format!("{GROUP} names no group, and there is no default")))?;
         let now = self.handle.clock().now();
-        let token_age = operation.position.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
+        let last_commit_age = operation.position.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
         let session = operation.session.as_deref().map_or(0, crate::net::fingerprint);
-        let patience = operation.patience.or(self.classes.deadline(name));
-        let patience = patience.unwrap_or(TimeDelta::from(self.limits.patience));
-        Ok((Ask { class, group, token_age, session, ..Ask::default() }, patience, operation))
+        let client_timeout = operation.client_timeout.or(self.classes.deadline(name));
+        let client_timeout = client_timeout.unwrap_or(TimeDelta::from(self.limits.default_client_timeout));
+        Ok((
+            IncomingRequest { class, group, last_commit_age, session, ..IncomingRequest::default() },
+            client_timeout,
+            operation,
+        ))
     }
 
     /// Writes the final answer.
     async fn answer(
         &self,
-        link: &mut Link,
+        link: &mut ClientConnection,
         buffer: &mut Buffer,
         request: &Request,
-        last: Final<Answer>,
+        last: FinalAnswer<Answer>,
     ) -> io::Result<After> {
         let bytes = match last {
-            Final::Served(answer) => return serve(link, buffer, request, answer).await,
-            Final::Refused { overdue: true, .. } | Final::Failed { overdue: true } => {
+            FinalAnswer::Served(answer) => return serve(link, buffer, request, answer).await,
+            FinalAnswer::Rejected { overdue: true, .. } | FinalAnswer::Failed { overdue: true } => {
                 server::answer(504, &[], "no answer came in time")
             }
-            Final::Refused { retry_in, .. } => refusal(retry_in, "no score host can take this now"),
-            Final::Failed { .. } => server::answer(502, &[], "the request failed; it may have had an effect"),
-            Final::UnknownGroup => server::answer(404, &[], "no list names this group"),
+            FinalAnswer::Rejected { retry_after, .. } => {
+                refusal(retry_after, "no score host can take this now")
+            }
+            FinalAnswer::Failed { .. } => {
+                server::answer(502, &[], "the request failed; it may have had an effect")
+            }
+            FinalAnswer::UnknownGroup => server::answer(404, &[], "no list names this group"),
         };
         reply(link, !request.keeps_open() || link.ends(), bytes).await
     }
 }
 
 /// Writes a whole answer, and with it whether the connection ends.
-async fn reply(link: &mut Link, ends: bool, answer: Vec<u8>) -> io::Result<After> {
+async fn reply(link: &mut ClientConnection, ends: bool, answer: Vec<u8>) -> io::Result<After> {
     link.write(&server::with_end(answer, ends)).await?;
     Ok(if ends { After::Close } else { After::Open })
 }
 
-async fn serve(link: &mut Link, buffer: &mut Buffer, request: &Request, answer: Answer) -> io::Result<After> {
+async fn serve(
+    link: &mut ClientConnection,
+    buffer: &mut Buffer,
+    request: &Request,
+    answer: Answer,
+) -> io::Result<After> {
     let Answer { status, headers, content } = answer;
     let mut headers: Vec<(&str, &str)> = headers.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
     match content {
--- a/src/net/sparql/host.rs
+++ b/src/net/sparql/host.rs
@@ -3,9 +3,9 @@
 use super::operation::Operation;
 use super::{LOAD, POSITION, ROLE};
 use crate::config::Limits;
-use crate::engine::Need;
+use crate::engine::Freshness;
 use crate::engine::load_report::report_of;
-use crate::net::backend_pool::{Exchange, Trip, Wire, figure};
+use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult, figure};
 use crate::net::http::client::Client;
 use crate::net::http::codec::{Body, Head};
 use crate::net::until;
@@ -48,22 +48,25 @@
     report_fields: Vec<String>,
 }
 
-type OwnTrip<'a> = Trip<'a, Arc<Operation>, Answer>;
+type OwnTrip<'a> = AttemptContext<'a, Arc<Operation>, Answer>;
 
 /// What a host's answer says about the host.
-fn mark(head: &Head) -> Option<Mark> {
+fn replica_status(head: &Head) -> Option<ReplicaStatus> {
     let primary = match head.get(ROLE)? {
         "primary" => true,
         "replica" => false,
         _ => return None,
     };
     let position = head.get(POSITION).and_then(|p| p.parse().ok()).and_then(LogPosition::try_from_millis);
-    Some(Mark { primary, position: position.unwrap_or(LogPosition::UNKNOWN).max(LogPosition::UNKNOWN) })
+    Some(ReplicaStatus {
+        primary,
+        position: position.unwrap_or(LogPosition::UNKNOWN).max(LogPosition::UNKNOWN),
+    })
 }
 
 /// A load report made of the headers: `x0` and `x1` are the position in seconds and the role, as elsewhere.
-fn report(head: &Head, fields: &[String]) -> Report {
-    let told = mark(head);
+fn report(head: &Head, fields: &[String]) -> LoadReport {
+    let told = replica_status(head);
     report_of(fields, |name| match name {
         "x0" => told.map(|m| m.position.as_micros() as f64 / 1e6),
         "x1" => told.map(|m| f64::from(u8::from(m.primary))),
@@ -73,29 +76,31 @@
 
 /// What a status means for the attempt. An answer about the operation itself (a query that does not parse,
 /// a type that is not offered) is the client's.
-fn outcome(status: u16) -> Outcome {
+fn outcome(status: u16) -> AttemptOutcome {
     match status {
-        412 | 421 => Outcome::Miss,
-        429 | 503 => Outcome::Full,
-        200..=299 | 400..=407 | 409..=499 => Outcome::Ok,
-        _ => Outcome::Error,
+        412 | 421 => AttemptOutcome::Misdirected,
+        429 | 503 => AttemptOutcome::Overloaded,
+        200..=299 | 400..=407 | 409..=499 => AttemptOutcome::Served,
+        _ => AttemptOutcome::Error,
     }
 }
 
 /// Whether an answer's data is as current as it must be. A primary is at the present; from a replica only a
 /// position that it told with this very answer counts.
-fn current(mark: Option<Mark>, since: Option<LogPosition>) -> bool {
-    match (since, mark) {
+fn current(replica_status: Option<ReplicaStatus>, since: Option<LogPosition>) -> bool {
+    match (since, replica_status) {
         (None, _) => true,
         (Some(_), None) => false,
-        (Some(since), Some(mark)) => mark.primary || mark.position.is_known() && mark.position >= since,
+        (Some(since), Some(replica_status)) => {
+            replica_status.primary || replica_status.position.is_known() && replica_status.position >= since
+        }
     }
 }
 
 /// The position up to which a primary has the log, where it lacks what the session of a read has written.
-fn lacks(mark: Option<Mark>, commit: Option<LogPosition>) -> Option<LogPosition> {
-    let mark = mark.filter(|m| m.primary && m.position.is_known())?;
-    (mark.position < commit?).then_some(mark.position)
+fn lacks(replica_status: Option<ReplicaStatus>, commit: Option<LogPosition>) -> Option<LogPosition> {
+    let replica_status = replica_status.filter(|m| m.primary && m.position.is_known())?;
+    (replica_status.position < commit?).then_some(replica_status.position)
 }
 
 /// The answer to a read whose session has written what its group has lost: older data would pass for its own.
@@ -135,34 +140,35 @@
         c: &mut Client,
         operation: &Operation,
         trip: &OwnTrip<'_>,
-    ) -> io::Result<Exchange<Answer>> {
+    ) -> io::Result<ExchangeResult<Answer>> {
         // The bound counts from the send: what the host must have is fixed before it has the request.
-        let since = match trip.need {
-            Need::Any => None,
-            Need::Age(age) => Some(trip.now() - age),
-            Need::Since(at) => Some(at),
+        let since = match trip.freshness {
+            Freshness::Any => None,
+            Freshness::MaxAge(age) => Some(trip.now() - age),
+            Freshness::CommittedSince(at) => Some(at),
         };
         let since = since.map(|at| LogPosition::of_commit(at, Timestamp::ZERO));
         c.send(&operation.request(c.address(), &self.path, &self.via, trip.left(), since)).await?;
         trip.written();
         let head = c.head(&self.limits).await?;
         let status = head.line[1].parse().unwrap_or(0);
-        let (mark, report) = (mark(&head), report(&head, &self.report_fields));
+        let (replica_status, report) = (replica_status(&head), report(&head, &self.report_fields));
         let mut framing = Body::of(&head, true)?;
         let keeps = head.keeps_open(&head.line[0]) && framing != Body::UntilEnd;
         let mut result = outcome(status);
-        if result == Outcome::Ok && status < 300 && !current(mark, since) {
+        if result == AttemptOutcome::Served && status < 300 && !current(replica_status, since) {
             log::warn!("a host's answer is older than its read allows; it is dropped");
-            result = Outcome::Miss;
+            result = AttemptOutcome::Misdirected;
         }
-        if framing == Body::UntilEnd && result == Outcome::Ok {
+        if framing == Body::UntilEnd && result == AttemptOutcome::Served {
             // Nobody could tell such an answer from one that was cut short.
             log::warn!("a host's answer states neither a length nor chunks; it is dropped");
-            result = Outcome::Error;
+            result = AttemptOutcome::Error;
         }
-        let done = |outcome, answer, reusable| Exchange { outcome, mark, report, answer, reusable };
+        let done =
+            |outcome, answer, reusable| ExchangeResult { outcome, replica_status, report, answer, reusable };
         let headers = || head.headers.iter().filter(|(n, _)| passes(n)).cloned().collect();
-        let missing = lacks(mark, operation.position.filter(|_| !operation.update && status < 300));
+        let missing = lacks(replica_status, operation.position.filter(|_| !operation.update && status < 300));
         let mut body = Vec::new();
         loop {
             let whole = c.part(&mut framing, &mut body, usize::MAX).await?;
@@ -171,45 +177,45 @@
                     Some(position) => lost(position),
                     None => Answer { status, headers: headers(), content: Content::Whole(body) },
                 };
-                return Ok(done(result, (result == Outcome::Ok).then_some(answer), keeps));
+                return Ok(done(result, (result == AttemptOutcome::Served).then_some(answer), keeps));
             }
-            if body.len() > self.limits.answer {
+            if body.len() > self.limits.http_answer_buffer {
                 break;
             }
         }
-        if let Some(position) = missing.filter(|_| result == Outcome::Ok) {
+        if let Some(position) = missing.filter(|_| result == AttemptOutcome::Served) {
             return Ok(done(result, Some(lost(position)), false));
         }
-        if result != Outcome::Ok {
+        if result != AttemptOutcome::Served {
             return Ok(done(result, None, false));
         }
         // Longer than is held back: from here on it is the client's, and cannot be repeated.
-        let (parts, rest) = async_channel::bounded(self.limits.parts);
+        let (parts, rest) = async_channel::bounded(self.limits.answer_chunks);
         trip.begin(Answer { status, headers: headers(), content: Content::Parts(rest) }).await;
         loop {
             if !body.is_empty() && parts.send(std::mem::take(&mut body)).await.is_err() {
-                return Ok(done(Outcome::Cancelled, None, false));
+                return Ok(done(AttemptOutcome::Cancelled, None, false));
             }
             let part = c.part(&mut framing, &mut body, usize::MAX);
-            match until(Instant::now() + self.limits.stall, part).await {
+            match until(Instant::now() + self.limits.backend_stall_timeout, part).await {
                 Some(Ok(true)) => break,
                 Some(Ok(false)) => {}
-                _ => return Ok(done(Outcome::Reset, None, false)),
+                _ => return Ok(done(AttemptOutcome::Reset, None, false)),
             }
         }
         for last in [body, Vec::new()] {
             let _ = parts.send(last).await;
         }
-        Ok(done(Outcome::Ok, None, keeps))
+        Ok(done(AttemptOutcome::Served, None, keeps))
     }
 }
 
-impl Wire for Sparql {
+impl BackendProtocol for Sparql {
     type Work = Arc<Operation>;
     type Answer = Answer;
     type Connection = Client;
 
-    async fn open(&self, stream: Async<TcpStream>) -> Result<Client, Outcome> {
+    async fn open(&self, stream: Async<TcpStream>) -> Result<Client, AttemptOutcome> {
         Ok(Client::new(stream))
     }
 
@@ -221,7 +227,7 @@
         true
     }
 
-    async fn probe(&self, c: &mut Client) -> Option<Report> {
+    async fn probe(&self, c: &mut Client) -> Option<LoadReport> {
         let request = format!(
             "GET {}?query=ASK%20%7B%7D HTTP/1.1\r\nHost: {}\r\nVia: {}\r\n\r\n",
             self.path,
@@ -233,12 +239,17 @@
         (keeps && report.count >= 2).then_some(report)
     }
 
-    async fn exchange(&self, c: &mut Client, work: &Arc<Operation>, trip: &OwnTrip<'_>) -> Exchange<Answer> {
+    async fn exchange(
+        &self,
+        c: &mut Client,
+        work: &Arc<Operation>,
+        trip: &OwnTrip<'_>,
+    ) -> ExchangeResult<Answer> {
         self.answer(c, work, trip).await.unwrap_or_else(|e| {
             log::debug!("host: {e}");
             // An answer out of form has run, or may have; the connection itself is not what broke.
             let spoilt = trip.sent.get() && e.kind() == io::ErrorKind::InvalidData;
-            Exchange::bare(if spoilt { Outcome::Error } else { trip.broken() })
+            ExchangeResult::bare(if spoilt { AttemptOutcome::Error } else { trip.broken() })
         })
     }
 }
@@ -251,7 +262,7 @@
     #[test]
     fn only_a_position_told_with_the_answer_proves_it_current() {
         let at = LogPosition::from_micros;
-        let told = |primary, position| Some(Mark { primary, position: at(position) });
+        let told = |primary, position| Some(ReplicaStatus { primary, position: at(position) });
         assert!(current(None, None));
         assert!(!current(None, Some(at(5))));
         assert!(current(told(true, 0), Some(at(5))));
@@ -264,7 +275,7 @@
     #[test]
     fn a_primary_that_lacks_a_sessions_write_is_seen() {
         let at = LogPosition::from_micros;
-        let told = |primary, position| Some(Mark { primary, position: at(position) });
+        let told = |primary, position| Some(ReplicaStatus { primary, position: at(position) });
         assert_eq!(lacks(told(true, 4_000), Some(at(5_000))), Some(at(4_000)));
         assert_eq!(lacks(told(true, 5_000), Some(at(5_000))), None);
         assert_eq!(lacks(told(true, 4_000), None), None);
@@ -286,17 +297,17 @@
     #[test]
     fn each_status_has_its_outcome() {
         for (status, wanted) in [
-            (200, Outcome::Ok),
-            (204, Outcome::Ok),
-            (400, Outcome::Ok),
-            (406, Outcome::Ok),
-            (408, Outcome::Error),
-            (412, Outcome::Miss),
-            (421, Outcome::Miss),
-            (429, Outcome::Full),
-            (503, Outcome::Full),
-            (500, Outcome::Error),
-            (301, Outcome::Error),
+            (200, AttemptOutcome::Served),
+            (204, AttemptOutcome::Served),
+            (400, AttemptOutcome::Served),
+            (406, AttemptOutcome::Served),
+            (408, AttemptOutcome::Error),
+            (412, AttemptOutcome::Misdirected),
+            (421, AttemptOutcome::Misdirected),
+            (429, AttemptOutcome::Overloaded),
+            (503, AttemptOutcome::Overloaded),
+            (500, AttemptOutcome::Error),
+            (301, AttemptOutcome::Error),
         ] {
             assert_eq!(outcome(status), wanted, "{status}");
         }
--- a/src/net/sparql/operation.rs
+++ b/src/net/sparql/operation.rs
@@ -33,7 +33,7 @@
     /// Its key.
     pub key: Option<String>,
     /// How long the client waits.
-    pub patience: Option<TimeDelta>,
+    pub client_timeout: Option<TimeDelta>,
     /// The position that it has to see, as Unix time.
     pub position: Option<LogPosition>,
 }
@@ -107,7 +107,7 @@
         group: number(head, GROUP, u32::MAX.into())?.map(|g| GroupId(g as u32)),
         session: word(head, SESSION)?,
         key: word(head, KEY)?,
-        patience: number(head, TIME_LEFT, 86_400_000)?.map(TimeDelta::from_millis),
+        client_timeout: number(head, TIME_LEFT, 86_400_000)?.map(TimeDelta::from_millis),
         position: number(head, POSITION, i64::MAX / 1000)?.and_then(LogPosition::try_from_millis),
     })
 }
--- a/src/primary_hint.rs
+++ b/src/primary_hint.rs
@@ -8,31 +8,31 @@
 
 /// A member said of itself that it is the primary of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hint {
+pub struct PrimaryHint {
     /// The member.
-    pub member: EndpointId,
+    pub endpoint: EndpointId,
     /// When its answer came, on the clock that all machines share.
     pub at: Timestamp,
 }
 
-impl Hint {
+impl PrimaryHint {
     /// As it goes out.
     pub fn write(self) -> Vec<u8> {
         let mut bytes = vec![SEEN_PRIMARY];
-        bytes.extend(self.member.ip);
-        bytes.extend(self.member.port.to_be_bytes());
+        bytes.extend(self.endpoint.ip);
+        bytes.extend(self.endpoint.port.to_be_bytes());
         bytes.extend(self.at.as_micros().to_be_bytes());
         bytes
     }
 
     /// As it came in; `None` where it is cut off, too long or of another form.
-    pub fn read(bytes: &[u8]) -> Option<Hint> {
+    pub fn read(bytes: &[u8]) -> Option<PrimaryHint> {
         let [SEEN_PRIMARY, rest @ ..] = bytes else { return None };
         let (ip, rest) = rest.split_first_chunk::<4>()?;
         let (port, at) = rest.split_first_chunk::<2>()?;
-        let member = EndpointId { ip: *ip, port: u16::from_be_bytes(*port) };
+        let endpoint = EndpointId { ip: *ip, port: u16::from_be_bytes(*port) };
         let at = Timestamp::from_micros(i64::from_be_bytes(at.try_into().ok()?));
-        Some(Hint { member, at })
+        Some(PrimaryHint { endpoint, at })
     }
 }
 
@@ -46,14 +46,14 @@
     /// Guards against a datagram that is truncated, too long or not ours and is taken for news.
     #[test]
     fn only_whole_messages_of_this_form_are_read() {
-        let member = EndpointId { ip: [9, 8, 7, 6], port: 54321 };
-        let hint = Hint { member, at: Timestamp::from_micros(1_796_158_648_224_123) };
+        let endpoint = EndpointId { ip: [9, 8, 7, 6], port: 54321 };
+        let hint = PrimaryHint { endpoint, at: Timestamp::from_micros(1_796_158_648_224_123) };
         let bytes = hint.write();
-        assert_eq!((Hint::read(&bytes), bytes.len()), (Some(hint), 15));
+        assert_eq!((PrimaryHint::read(&bytes), bytes.len()), (Some(hint), 15));
         for n in 0..bytes.len() {
-            assert_eq!(Hint::read(&bytes[..n]), None, "{n} bytes");
+            assert_eq!(PrimaryHint::read(&bytes[..n]), None, "{n} bytes");
         }
-        assert_eq!(Hint::read(&[&bytes[..], &[0]].concat()), None);
-        assert_eq!(Hint::read(&[&[2], &bytes[1..]].concat()), None);
+        assert_eq!(PrimaryHint::read(&[&bytes[..], &[0]].concat()), None);
+        assert_eq!(PrimaryHint::read(&[&[2], &bytes[1..]].concat()), None);
     }
 }
--- a/src/primary_hint/golden_tests.rs
+++ b/src/primary_hint/golden_tests.rs
@@ -9,12 +9,12 @@
 /// Guards against a datagram that poolers of the version before take for noise, or for another host's.
 #[test]
 fn the_datagram_is_written_and_read_as_its_golden_bytes() {
-    let hint = Hint {
-        member: EndpointId { ip: [9, 8, 7, 6], port: 54321 },
+    let hint = PrimaryHint {
+        endpoint: EndpointId { ip: [9, 8, 7, 6], port: 54321 },
         at: Timestamp::from_micros(0x0006_6197_2570_697b),
     };
-    assert_eq!((hint.write(), Hint::read(&GOLDEN)), (GOLDEN.to_vec(), Some(hint)));
-    let before = Hint { at: Timestamp::from_micros(-2), ..hint };
+    assert_eq!((hint.write(), PrimaryHint::read(&GOLDEN)), (GOLDEN.to_vec(), Some(hint)));
+    let before = PrimaryHint { at: Timestamp::from_micros(-2), ..hint };
     let bytes = [&GOLDEN[..7], &[0xff; 7], &[0xfe]].concat();
-    assert_eq!((before.write(), Hint::read(&bytes)), (bytes, Some(before)), "the time has a sign");
+    assert_eq!((before.write(), PrimaryHint::read(&bytes)), (bytes, Some(before)), "the time has a sign");
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -28,40 +28,40 @@
 
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// Safe to repeat.
-    Safe,
+    Idempotent,
     /// Carries a key by which repeats are dropped for a while.
     Keyed,
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Where repeats of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyGroup {
+pub enum KeyScope {
     /// By every member.
-    All,
+    AllEndpoints,
     /// By the members of the request's own group.
-    Cell,
+    Group,
     /// By the members in one zone.
     Zone,
 }
 
 /// What a member does with a read that it lags too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behind {
+pub enum ReplicationLagPolicy {
     /// It answers from whatever it holds.
-    Answers,
+    ServeStale,
     /// It turns the read away untouched.
-    Misses,
+    Reject,
     /// It waits a while to catch up, then turns it away.
-    Waits,
+    WaitThenReject,
 }
 
 /// How a session read's need is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SessionMarks {
+pub enum SessionTracking {
     /// The read carries the age of the session's last commit.
     Carried,
     /// The router remembers the writes it saw answered.
@@ -72,19 +72,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Class {
     /// Answers within this time are worth most.
-    pub aim: Option<TimeDelta>,
+    pub latency_objective: Option<TimeDelta>,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: Option<f64>,
+    pub latency_objective_per_work: Option<f64>,
     /// A client waits this long over all its tries.
     pub deadline: Option<TimeDelta>,
     /// Worth of an answer in time.
-    pub worth: Option<f64>,
+    pub priority_weight: Option<f64>,
     /// Share of the worth left after the aim.
-    pub late_worth: Option<f64>,
+    pub late_priority_weight: Option<f64>,
     /// Whether it may be repeated.
-    pub repeat: Option<Repeat>,
+    pub idempotency: Option<Idempotency>,
     /// Who drops its repeats.
-    pub key_group: Option<KeyGroup>,
+    pub key_scope: Option<KeyScope>,
     /// How long repeats are dropped, from the first send that may have run.
     pub key_window: Option<TimeDelta>,
     /// How current its data must be.
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Drivers that share the members.
-    pub drivers: Option<u32>,
+    pub pooler_count: Option<u32>,
     /// This driver's number among them.
     pub me: Option<u16>,
     /// This driver's zone.
@@ -116,21 +116,21 @@
     /// Tenants, by number.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, against one within.
-    pub over_share_worth: Option<f64>,
+    pub over_quota_priority_weight: Option<f64>,
     /// The member list must be asked for.
     pub must_subscribe: Option<bool>,
     /// Without a subscription or a call for this long, the driver counts as told.
-    pub must_ask_in: Option<TimeDelta>,
+    pub list_request_interval: Option<TimeDelta>,
     /// Two attempts of one request may be out at once.
-    pub second_copies: Option<bool>,
+    pub may_hedge: Option<bool>,
     /// Attempts may be cancelled.
     pub may_cancel: Option<bool>,
     /// Members may be probed.
-    pub probes: Option<bool>,
+    pub may_probe: Option<bool>,
     /// Drivers may send each other messages.
     pub peer_messages: Option<bool>,
     /// Clients are told when to come back.
-    pub retry_after: Option<bool>,
+    pub may_send_retry_after: Option<bool>,
     /// The longest wait a client honours.
     pub max_retry_after: Option<TimeDelta>,
     /// Attempts for one request.
@@ -138,40 +138,40 @@
     /// A connection not made by then has failed.
     pub connect_timeout: Option<TimeDelta>,
     /// Slack after a client's deadline in which a final answer still counts.
-    pub grace_to_answer: Option<TimeDelta>,
+    pub answer_grace: Option<TimeDelta>,
     /// Sends to a draining or gone member must stop within this.
-    pub stop_sending_within: Option<TimeDelta>,
+    pub drain_grace: Option<TimeDelta>,
     /// Only an entry that says draining binds.
-    pub drain_binds_alone: Option<bool>,
+    pub only_stated_drain_binds: Option<bool>,
     /// A member starts with at least this share of its capacity.
-    pub cold_share: Option<f64>,
+    pub cold_capacity: Option<f64>,
     /// And is warm within this.
     pub warm_up: Option<TimeDelta>,
     /// A cold member falls over above this multiple of its present capacity.
-    pub fall_multiple: Option<f64>,
+    pub overload_multiple: Option<f64>,
     /// When that lasts this long.
-    pub tip_after: Option<TimeDelta>,
+    pub overload_window: Option<TimeDelta>,
     /// What a member does with a read it lags too far behind for.
-    pub behind: Option<Behind>,
+    pub replication_lag_policy: Option<ReplicationLagPolicy>,
     /// How long it waits first.
-    pub holds_for: Option<TimeDelta>,
+    pub catch_up_timeout: Option<TimeDelta>,
     /// How a session read's need is known.
-    pub session_marks: Option<SessionMarks>,
+    pub session_tracking: Option<SessionTracking>,
     /// Clock time from which positions count.
     pub zero: Option<Timestamp>,
     /// Names of the values in a load report, in order.
     pub report_fields: Vec<String>,
     /// Points lost for each attempt that crosses zones, per first try.
-    pub cross_zone_fee: Option<f64>,
+    pub cross_zone_cost: Option<f64>,
     /// Points lost for each probe, per first try.
-    pub probe_fee: Option<f64>,
+    pub probe_cost: Option<f64>,
     /// Points lost for wasted member work, as a share of the work offered.
-    pub waste_fee: Option<f64>,
+    pub waste_cost: Option<f64>,
 }
 
 /// What a member answered about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct ReplicaStatus {
     /// It is the primary.
     pub primary: bool,
     /// How far it has applied the log, after `Settings::zero`; for a write its commit. 0: untold.
@@ -180,7 +180,7 @@
 
 /// Values of a load report, in the order of `Settings::report_fields`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// How many values there are.
     pub count: u8,
     /// The values.
@@ -201,9 +201,9 @@
 
 /// A line of the member list.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// The member.
-    pub member: EndpointId,
+    pub endpoint: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its group.
@@ -233,13 +233,13 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Served.
-    Ok,
+    Served,
     /// An error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Overloaded,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it never ran.
@@ -249,21 +249,27 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Turned away untouched: not the primary, or too far behind.
-    Miss,
+    Misdirected,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether the attempt may have had an effect though it was not served: a repeat of it has to be permitted.
     pub fn may_have_run(self) -> bool {
-        matches!(self, Outcome::Error | Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+        matches!(
+            self,
+            AttemptOutcome::Error
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::Reset
+                | AttemptOutcome::Cancelled
+        )
     }
 }
 
 /// A client's request.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct IncomingRequest {
     /// Its number.
     pub id: RequestId,
     /// Its class.
@@ -273,84 +279,84 @@
     /// Its tenant.
     pub tenant: usize,
     /// Its work, where a hint came with it.
-    pub effort: Option<TimeDelta>,
+    pub work_hint: Option<TimeDelta>,
     /// Age of the session's last commit; `None` where there is none.
-    pub token_age: Option<TimeDelta>,
+    pub last_commit_age: Option<TimeDelta>,
     /// The session; 0 is none.
     pub session: u64,
     /// The client marks it as its own repeat.
     pub repeated: bool,
     /// Time until the client gives this try up.
-    pub patience: TimeDelta,
+    pub client_timeout: TimeDelta,
 }
 
 /// How an attempt ended, and what came with it.
 #[derive(Clone, Debug)]
-pub struct Settled {
+pub struct AttemptFinished {
     /// The request.
     pub id: RequestId,
     /// The attempt.
     pub attempt: u8,
     /// Where it was sent.
-    pub member: EndpointId,
+    pub endpoint: EndpointId,
     /// Time since it was sent.
     pub took: TimeDelta,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// The request is finished.
     pub finished: bool,
     /// What the member answered about itself.
-    pub mark: Option<Mark>,
+    pub replica_status: Option<ReplicaStatus>,
     /// Its load report.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// Something that happened.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A list of members.
-    Members {
+    EndpointList {
         /// What kind of list.
         kind: ListKind,
         /// Its lines.
-        entries: Vec<Entry>,
+        entries: Vec<EndpointEntry>,
     },
     /// A client's request.
-    Request(Ask),
+    Request(IncomingRequest),
     /// An answer has begun; the attempt is the client's now.
-    Started {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: u8,
         /// Who answers.
-        member: EndpointId,
+        endpoint: EndpointId,
     },
     /// An attempt has ended.
-    Settled(Settled),
+    AttemptFinished(AttemptFinished),
     /// The client left, or the answer is overdue; nothing more is owed.
-    Lapsed {
+    RequestCancelled {
         /// The request.
         id: RequestId,
     },
     /// A timer is due.
-    Wake {
+    TimerFired {
         /// As the module set it.
         timer: u64,
     },
     /// A probe came back.
-    Probed {
+    ProbeFinished {
         /// The member.
-        member: EndpointId,
+        endpoint: EndpointId,
         /// It answered.
         ok: bool,
         /// Time since it was sent.
         took: TimeDelta,
         /// Its load report.
-        report: Report,
+        report: LoadReport,
     },
     /// A message from another driver.
-    Peer {
+    PeerMessage {
         /// Its number.
         from: u16,
         /// The message.
@@ -366,16 +372,16 @@
         /// The request.
         id: RequestId,
         /// Where to.
-        member: EndpointId,
+        endpoint: EndpointId,
         /// When to abandon it; `None`: when the client does.
         stop_at: Option<Timestamp>,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// When to come back.
-        retry_in: Option<TimeDelta>,
+        retry_after: Option<TimeDelta>,
     },
     /// Final answer: failed; nothing is promised.
     Fail {
@@ -390,7 +396,7 @@
         attempt: u8,
     },
     /// Ask for a `Wake`.
-    WakeIn {
+    SetTimer {
         /// From now.
         span: TimeDelta,
         /// Handed back.
@@ -399,7 +405,7 @@
     /// Probe a member.
     Probe {
         /// The member.
-        member: EndpointId,
+        endpoint: EndpointId,
     },
     /// Subscribe to list changes, or stop.
     Subscribe {
@@ -411,10 +417,10 @@
     /// Close idle connections to a member.
     CloseIdle {
         /// The member.
-        member: EndpointId,
+        endpoint: EndpointId,
     },
     /// A message to another driver, or to all of them.
-    Tell {
+    SendToPeers {
         /// Its number; `None`: all.
         to: Option<u16>,
         /// The message, 256 bytes at most.
