--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -6,7 +6,7 @@
 //! round of misses, and the companion draw for reads among replicas known to be fresh enough.
 
 use super::*;
-use crate::primary_hint::Hint;
+use crate::primary_hint::PrimaryHint;
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -52,12 +52,12 @@
 /// Weight in the draw of a member in another zone, against one in this driver's own.
 const FAR: f64 = 0.6;
 /// Aim of a class and attempts for a request where the settings do not say.
-const AIM: TimeDelta = TimeDelta::from_secs(1);
+const DEFAULT_LATENCY_OBJECTIVE: TimeDelta = TimeDelta::from_secs(1);
 const ATTEMPTS: u32 = 4;
 
 /// What the router keeps of a member.
 #[derive(Default)]
-struct Member {
+struct EndpointState {
     group: GroupId,
     zone: ZoneId,
     availability: Availability,
@@ -103,7 +103,7 @@
 /// What the router keeps of a group.
 #[derive(Default)]
 struct Group {
-    members: BTreeSet<EndpointId>,
+    endpoints: BTreeSet<EndpointId>,
     /// The believed primary.
     primary: Option<EndpointId>,
     /// A round of misses found no primary: writes are held.
@@ -152,7 +152,7 @@
 }
 
 struct Attempt {
-    member: EndpointId,
+    endpoint: EndpointId,
     sent: Timestamp,
     open: bool,
     /// Its member has had it whole, or may have.
@@ -169,7 +169,7 @@
     kind: Option<Consistency>,
     /// It goes the way of writes.
     writes: bool,
-    aim: TimeDelta,
+    latency_objective: TimeDelta,
     group: GroupId,
     arrived: Timestamp,
     aim_at: Timestamp,
@@ -212,7 +212,7 @@
     /// The least window: this driver's part of `LEAST_TOGETHER`.
     least: f64,
     rng: Rng,
-    members: BTreeMap<EndpointId, Member>,
+    endpoints: BTreeMap<EndpointId, EndpointState>,
     groups: BTreeMap<GroupId, Group>,
     requests: BTreeMap<RequestId, Request>,
     /// Smoothed latency of each class over all members.
@@ -235,12 +235,15 @@
 impl Router {
     /// A router that knows nothing but its settings; `seed` feeds its draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let latency =
-            settings.classes.iter().map(|c| c.aim.unwrap_or(AIM).as_micros_f64() * FIRST_LATENCY).collect();
-        let drivers = f64::from(settings.drivers.unwrap_or(1).max(1));
+        let latency = settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE).as_micros_f64() * FIRST_LATENCY)
+            .collect();
+        let pooler_count = f64::from(settings.pooler_count.unwrap_or(1).max(1));
         Router {
-            least: (LEAST_TOGETHER / drivers).min(1.0),
-            span: settings.tip_after.unwrap_or(HOLD_TIMER * 4),
+            least: (LEAST_TOGETHER / pooler_count).min(1.0),
+            span: settings.overload_window.unwrap_or(HOLD_TIMER * 4),
             settings,
             rng: Rng::with_seed(seed),
             latency,
@@ -251,22 +254,28 @@
     /// Takes one event at time `now` and appends what is to be done.
     pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Members { kind, entries } => self.list(now, kind, &entries, out),
+            Event::EndpointList { kind, entries } => self.list(now, kind, &entries, out),
             Event::Request(ask) => self.take(now, &ask, out),
-            Event::Started { id, member, .. } => {
-                self.heard(now, member);
+            Event::ResponseStarted { id, endpoint, .. } => {
+                self.heard(now, endpoint);
                 self.requests.entry(id).and_modify(|r| r.streaming = true);
             }
-            Event::Settled(end) => {
-                self.learn(now, end.member, end.mark, &end.report, out);
+            Event::AttemptFinished(end) => {
+                self.learn(now, end.endpoint, end.replica_status, &end.report, out);
                 self.settled(now, &end, out);
             }
             // Nobody waits for what is still out: impatient clients would pile dead work on the members.
-            Event::Lapsed { id } => self.finish(id, out),
-            Event::Probed { member, ok: true, report, .. } => self.learn(now, member, None, &report, out),
-            Event::Probed { .. } => {}
-            Event::Peer { bytes, .. } => drop(Hint::read(&bytes).and_then(|hint| self.hinted(now, hint))),
-            Event::Wake { .. } => {
+            Event::RequestCancelled { id } => self.finish(id, out),
+            Event::ProbeFinished { endpoint, ok: true, report, .. } => {
+                self.learn(now, endpoint, None, &report, out)
+            }
+            Event::ProbeFinished { .. } => {}
+            Event::PeerMessage { bytes, .. } => {
+                if let Some(hint) = PrimaryHint::read(&bytes) {
+                    self.hinted(now, hint);
+                }
+            }
+            Event::TimerFired { .. } => {
                 // Wakes cannot be called off: one that was overtaken must not arm another.
                 self.armed = self.armed.filter(|at| *at > now);
                 self.due(now, out);
@@ -279,13 +288,13 @@
             && self.armed.is_none_or(|armed| at < armed)
         {
             self.armed = Some(at);
-            out.push(Action::WakeIn { span: (at - now).or_zero(), timer: 0 });
+            out.push(Action::SetTimer { span: (at - now).or_zero(), timer: 0 });
         }
     }
 
     // ---- learn ----
 
-    fn list(&mut self, now: Timestamp, kind: ListKind, entries: &[Entry], out: &mut Vec<Action>) {
+    fn list(&mut self, now: Timestamp, kind: ListKind, entries: &[EndpointEntry], out: &mut Vec<Action>) {
         if kind == ListKind::Failed {
             // All drivers fail at once where the list is overloaded: they must not come back at once.
             let wait = HOLD_TIMER << self.list_failures.min(MAX_DOUBLINGS);
@@ -296,11 +305,11 @@
         }
         self.list_failures *= u32::from(kind == ListKind::Cached);
         if kind != ListKind::Delta {
-            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.member).collect();
-            let binds = self.settings.drain_binds_alone != Some(true);
-            for (id, m) in self.members.iter_mut().filter(|(id, _)| binds && !named.contains(id)) {
+            let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
+            let binds = self.settings.only_stated_drain_binds != Some(true);
+            for (id, m) in self.endpoints.iter_mut().filter(|(id, _)| binds && !named.contains(id)) {
                 m.availability = Availability::Gone;
-                self.groups.entry(m.group).or_default().members.remove(id);
+                self.groups.entry(m.group).or_default().endpoints.remove(id);
             }
         }
         for e in entries {
@@ -312,17 +321,17 @@
             let subscribes = self.settings.must_subscribe == Some(true);
             out.extend(subscribes.then_some(Action::Subscribe { on: true }));
             // The design's one probe of each replica by a fresh router.
-            let first = self.members.iter().filter(|_| self.settings.probes == Some(true));
+            let first = self.endpoints.iter().filter(|_| self.settings.may_probe == Some(true));
             let ready = first.filter(|(_, m)| m.availability == Availability::Ready);
-            out.extend(ready.map(|(&member, _)| Action::Probe { member }));
+            out.extend(ready.map(|(&endpoint, _)| Action::Probe { endpoint }));
         }
     }
 
     /// Members are replaced for as long as the router runs: what is gone for good is not kept.
     fn forget(&mut self, now: Timestamp) {
-        let old = |m: &Member| m.out.is_empty() && m.heard.is_none_or(|t| now - t > FORGET);
-        self.members.retain(|_, m| m.availability != Availability::Gone || !old(m));
-        let used = |g: &Group| !(g.members.is_empty() && g.held.iter().all(BTreeSet::is_empty));
+        let old = |m: &EndpointState| m.out.is_empty() && m.heard.is_none_or(|t| now - t > FORGET);
+        self.endpoints.retain(|_, m| m.availability != Availability::Gone || !old(m));
+        let used = |g: &Group| !(g.endpoints.is_empty() && g.held.iter().all(BTreeSet::is_empty));
         self.groups.retain(|_, g| used(g) || g.scout.is_some());
     }
 
@@ -339,28 +348,29 @@
         }
     }
 
-    fn listed(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().filter(|m| m.availability != Availability::Gone)
+    fn listed(&self) -> impl Iterator<Item = &EndpointState> {
+        self.endpoints.values().filter(|m| m.availability != Availability::Gone)
     }
 
     /// How many members are on the list, and how many of these get nothing new now.
     pub fn avoids(&self, now: Timestamp) -> (usize, usize) {
-        let off =
-            |m: &&Member| m.suspect || m.availability != Availability::Ready || Some(now) < m.shunned_until;
+        let off = |m: &&EndpointState| {
+            m.suspect || m.availability != Availability::Ready || Some(now) < m.shunned_until
+        };
         (self.listed().count(), self.listed().filter(off).count())
     }
 
     /// How many members, groups, requests and sessions it keeps.
     pub fn kept(&self) -> [usize; 4] {
-        [self.members.len(), self.groups.len(), self.requests.len(), self.sessions.len()]
+        [self.endpoints.len(), self.groups.len(), self.requests.len(), self.sessions.len()]
     }
 
-    fn entry(&mut self, now: Timestamp, e: &Entry) {
-        let m = self.members.entry(e.member).or_insert_with(|| Member {
+    fn entry(&mut self, now: Timestamp, e: &EndpointEntry) {
+        let m = self.endpoints.entry(e.endpoint).or_insert_with(|| EndpointState {
             group: e.group,
             started_at: Some(Timestamp::MIN),
             window: (FIRST_WINDOW * self.least).max(1.0),
-            ..Member::default()
+            ..EndpointState::default()
         });
         if m.started_at != e.started_at {
             // Another process: it is cold, holds no role, and what was held against the old one is void.
@@ -372,19 +382,19 @@
         m.listed_primary = e.primary;
         (m.zone, m.units) = (e.zone, if e.units > 0.01 { e.units.min(100.0) } else { 0.01 });
         // Where only a stated drain binds, `Gone` says nothing about a member that an earlier list named.
-        let alone = self.settings.drain_binds_alone == Some(true);
+        let alone = self.settings.only_stated_drain_binds == Some(true);
         if !(alone && e.availability == Availability::Gone && m.availability == Availability::Ready) {
             m.availability = e.availability;
         }
         let gone = m.availability == Availability::Gone;
         let unheard = m.role_at.is_none_or(|t| now - t > HOLD_TIMER);
         let before = std::mem::replace(&mut m.group, e.group);
-        self.groups.entry(before).or_default().members.remove(&e.member);
+        self.groups.entry(before).or_default().endpoints.remove(&e.endpoint);
         let g = self.groups.entry(e.group).or_default();
-        g.members.extend((!gone).then_some(e.member));
+        g.endpoints.extend((!gone).then_some(e.endpoint));
         // The list trails by seconds: it counts only for a member that has not answered lately.
         if newly_named && unheard && !gone {
-            g.primary = Some(e.member);
+            g.primary = Some(e.endpoint);
             (g.holding, g.scout) = (false, None);
         }
         self.dirty.insert(e.group);
@@ -395,8 +405,8 @@
         &mut self,
         now: Timestamp,
         id: EndpointId,
-        mark: Option<Mark>,
-        report: &Report,
+        replica_status: Option<ReplicaStatus>,
+        report: &LoadReport,
         out: &mut Vec<Action>,
     ) {
         let zero = self.settings.zero.unwrap_or(Timestamp::ZERO);
@@ -404,7 +414,7 @@
             let n = self.settings.report_fields.iter().position(|f| f == name)?;
             (n < usize::from(report.count)).then(|| report.values[n])
         };
-        let Some(m) = self.members.get_mut(&id) else { return };
+        let Some(m) = self.endpoints.get_mut(&id) else { return };
         let mut role = None;
         if let Some(seconds) = field("x0") {
             let position = zero + TimeDelta::from_micros_f64(seconds * 1e6);
@@ -414,10 +424,10 @@
                 role = field("x1").map(|v| v >= 0.5);
             }
         }
-        if let Some(mark) = mark {
-            (role, m.role_at) = (Some(mark.primary), Some(now));
-            if mark.position.is_known() {
-                let position = mark.position.commit_time(zero);
+        if let Some(replica_status) = replica_status {
+            (role, m.role_at) = (Some(replica_status.primary), Some(now));
+            if replica_status.position.is_known() {
+                let position = replica_status.position.commit_time(zero);
                 m.lag = (now - position).or_zero();
                 m.position = m.position.max(Some(position));
             }
@@ -429,31 +439,34 @@
             g.primary = Some(id);
             (g.holding, g.scout) = (false, None);
             // One of many drivers meets a group seldom: without a word each would look for itself, and miss.
-            if mark.is_some() && self.settings.peer_messages == Some(true) {
-                out.push(Action::Tell { to: None, bytes: Hint { member: id, at: now }.write() });
+            if replica_status.is_some() && self.settings.peer_messages == Some(true) {
+                out.push(Action::SendToPeers {
+                    to: None,
+                    bytes: PrimaryHint { endpoint: id, at: now }.write(),
+                });
             }
         }
-        if mark.is_some() {
+        if replica_status.is_some() {
             self.heard(now, id);
         }
     }
 
     /// What a peer saw of a primary is a hint: it counts where it is newer than what that member and the
     /// believed primary said themselves, names nobody that the list has not in service, and proves no data.
-    fn hinted(&mut self, now: Timestamp, hint: Hint) -> Option<()> {
-        let m = self.members.get(&hint.member).filter(|m| m.availability == Availability::Ready)?;
+    fn hinted(&mut self, now: Timestamp, hint: PrimaryHint) -> Option<()> {
+        let m = self.endpoints.get(&hint.endpoint).filter(|m| m.availability == Availability::Ready)?;
         let (g, at) = (self.groups.get_mut(&m.group)?, Some(hint.at.min(now)));
-        let believed = g.primary.and_then(|p| self.members.get(&p)).filter(|p| p.role != Some(false));
+        let believed = g.primary.and_then(|p| self.endpoints.get(&p)).filter(|p| p.role != Some(false));
         if at > m.role_at && at > believed.and_then(|p| p.role_at) {
-            (g.primary, g.holding, g.scout) = (Some(hint.member), false, None);
+            (g.primary, g.holding, g.scout) = (Some(hint.endpoint), false, None);
             self.dirty.insert(m.group);
-            self.members.entry(hint.member).and_modify(|m| (m.role, m.role_at) = (None, at));
+            self.endpoints.entry(hint.endpoint).and_modify(|m| (m.role, m.role_at) = (None, at));
         }
         Some(())
     }
 
     fn heard(&mut self, now: Timestamp, id: EndpointId) {
-        let Some(m) = self.members.get_mut(&id) else { return };
+        let Some(m) = self.endpoints.get_mut(&id) else { return };
         (m.heard, m.suspect, m.unreachable, m.shunned_until) = (Some(now), false, false, None);
         self.dirty.insert(m.group);
     }
@@ -461,7 +474,7 @@
     /// A member failed, by no connection or by turning work away: left alone for a while, longer each time
     /// in a row. One that fails fast looks idle and would draw all reads to itself.
     fn shun(&mut self, now: Timestamp, id: EndpointId, base: TimeDelta) {
-        let Some(m) = self.members.get_mut(&id) else { return };
+        let Some(m) = self.endpoints.get_mut(&id) else { return };
         m.shunned_until = Some(now + (base << m.strikes.min(MAX_DOUBLINGS)));
         m.strikes += 1;
     }
@@ -476,15 +489,15 @@
             return None;
         }
         if g.scout.is_none() {
-            let first = g.primary.or(g.members.first().copied())?;
+            let first = g.primary.or(g.endpoints.first().copied())?;
             g.primary = Some(first);
-            let m = self.members.get(&first);
+            let m = self.endpoints.get(&first);
             if m.is_some_and(|m| m.suspect) {
                 // It takes work and answers nothing: unreachable for new writes until it answers.
                 self.hold_group(now, group);
                 return None;
             }
-            let reached = |m: &&Member| !m.unreachable || Some(now) >= m.shunned_until;
+            let reached = |m: &&EndpointState| !m.unreachable || Some(now) >= m.shunned_until;
             if m.filter(reached)
                 .is_some_and(|m| m.availability == Availability::Ready && m.role != Some(false))
             {
@@ -507,9 +520,9 @@
     fn next_in_ring(&self, now: Timestamp, group: GroupId) -> Option<EndpointId> {
         let g = self.groups.get(&group)?;
         let from = g.primary?;
-        let mut ring = g.members.range(from..).chain(g.members.range(..from));
+        let mut ring = g.endpoints.range(from..).chain(g.endpoints.range(..from));
         let open = |id: &&EndpointId| {
-            let m = &self.members[id];
+            let m = &self.endpoints[id];
             m.availability == Availability::Ready
                 // A suspect is asked one thing at a time, or nobody would learn that it is well.
                 && (!m.suspect || m.out.is_empty())
@@ -543,15 +556,15 @@
             self.groups.entry(group).or_default().walked.clear();
             next = self.next_in_ring(now, group);
         }
-        if let Some(member) = next {
-            self.groups.entry(group).or_default().walked.insert(member);
-            self.send(now, scout, member, out);
+        if let Some(endpoint) = next {
+            self.groups.entry(group).or_default().walked.insert(endpoint);
+            self.send(now, scout, endpoint, out);
         }
     }
 
     /// Members turn away what they may not answer. Else no read of the present may walk the ring.
     fn checks(&self) -> bool {
-        self.settings.behind.is_some_and(|b| b != Behind::Answers)
+        self.settings.replication_lag_policy.is_some_and(|b| b != ReplicationLagPolicy::ServeStale)
     }
 
     // ---- read path ----
@@ -564,44 +577,45 @@
         let g = self.groups.get(&r.group)?;
         // A member that turned this read away is tried again only on later news of it.
         let tried = |id: &EndpointId| {
-            let news = |t| self.members[id].heard > Some(t);
-            r.attempts.iter().any(|a| a.member == *id && (a.open || a.missed_at.is_some_and(|t| !news(t))))
+            let news = |t| self.endpoints[id].heard > Some(t);
+            r.attempts.iter().any(|a| a.endpoint == *id && (a.open || a.missed_at.is_some_and(|t| !news(t))))
         };
         // The believed primary is no reader, unless its role has yet to be heard: it is asked like the rest.
-        let unheard = |m: &Member| m.role.is_none() && !m.listed_primary && !self.checks();
-        let reads = |id: &EndpointId| Some(*id) != g.primary || unheard(&self.members[id]);
+        let unheard = |m: &EndpointState| m.role.is_none() && !m.listed_primary && !self.checks();
+        let reads = |id: &EndpointId| Some(*id) != g.primary || unheard(&self.endpoints[id]);
         let open = |id: &&EndpointId| reads(id) && !tried(id) && self.takes(now, **id);
-        let replicas = g.members.iter().filter(open).map(|id| {
-            let m = &self.members[id];
+        let replicas = g.endpoints.iter().filter(open).map(|id| {
+            let m = &self.endpoints[id];
             let near = if self.settings.zone.is_none_or(|z| z == m.zone) { 1.0 } else { FAR };
             (*id, near * m.units * self.warmth(now, m) / (m.slow * (1.0 + m.out.len() as f64)))
         });
         let (known, unknown): (Vec<_>, Vec<_>) =
-            replicas.partition(|(id, _)| self.fresh(now, r, &self.members[id]));
+            replicas.partition(|(id, _)| self.fresh(now, r, &self.endpoints[id]));
         if !known.is_empty() {
             return draw(&mut self.rng, &known);
         }
         // A driver that sends little has no recent answer from anyone. Reads that find a probe under way wait
         // for it too; each read waits once, and no longer than a probe of a sound member takes.
         let recent = |t: &Timestamp| now - *t < PROBE_WAIT;
-        let probes = self.settings.probes == Some(true) && !self.checks();
+        let probes = self.settings.may_probe == Some(true) && !self.checks();
         let probes = probes && r.kind.is_some_and(|k| k != Consistency::Strong);
         if probes && r.probed.as_ref().is_none_or(recent) && !unknown.is_empty() {
-            let waits = unknown.iter().any(|(id, _)| self.members[id].probed_at.as_ref().is_some_and(recent));
+            let waits =
+                unknown.iter().any(|(id, _)| self.endpoints[id].probed_at.as_ref().is_some_and(recent));
             if waits || r.probed.is_none() {
                 self.requests.get_mut(&id)?.probed.get_or_insert(now);
                 if !waits {
-                    let member = draw(&mut self.rng, &unknown)?;
-                    let m = self.members.get_mut(&member)?;
+                    let endpoint = draw(&mut self.rng, &unknown)?;
+                    let m = self.endpoints.get_mut(&endpoint)?;
                     m.probed_at = Some(now);
                     self.agenda.insert((now + PROBE_WAIT, Due::Pump(m.group)));
-                    out.push(Action::Probe { member });
+                    out.push(Action::Probe { endpoint });
                 }
                 return None;
             }
         }
-        let primary = g.primary.filter(|p| !r.attempts.iter().any(|a| a.member == *p && a.open))?;
-        let m = self.members.get(&primary)?;
+        let primary = g.primary.filter(|p| !r.attempts.iter().any(|a| a.endpoint == *p && a.open))?;
+        let m = self.endpoints.get(&primary)?;
         // Where members answer from whatever they hold, only one that is known to have been primary is safe.
         let proven = m.role == Some(true) || m.role.is_none() && (self.checks() || m.listed_primary);
         // Reads may take half of what the primary bears, none while it answers late or writes wait for it.
@@ -611,14 +625,14 @@
 
     /// In service, not failing (a suspect is asked one thing at a time), with room and within its budget.
     fn takes(&self, now: Timestamp, id: EndpointId) -> bool {
-        let m = &self.members[&id];
+        let m = &self.endpoints[&id];
         let room = (m.out.len() as f64) < m.window && (!m.suspect || m.out.is_empty());
         m.availability == Availability::Ready && room && now >= self.opens_at(now, m)
     }
 
     /// From when on a member may take more, as far as that is a matter of time: it is shunned, its cold
     /// budget fills, or a window below one leaves pauses, measured in usual latencies of the first class.
-    fn opens_at(&self, now: Timestamp, m: &Member) -> Timestamp {
+    fn opens_at(&self, now: Timestamp, m: &EndpointState) -> Timestamp {
         let usual = self.latency.first().filter(|_| m.window < 1.0);
         let rest = usual.map_or(TimeDelta::ZERO, |l| TimeDelta::from_micros_f64(l / m.window));
         let step = HOLD_TIMER / 8;
@@ -627,7 +641,7 @@
         (m.sent_at + rest).max(fills).max(m.shunned_until.unwrap_or(Timestamp::ZERO))
     }
 
-    fn fresh(&self, now: Timestamp, r: &Request, m: &Member) -> bool {
+    fn fresh(&self, now: Timestamp, r: &Request, m: &EndpointState) -> bool {
         let need = match r.kind {
             Some(Consistency::Session) => match r.commit {
                 Some(commit) => commit + ROUNDING,
@@ -651,8 +665,10 @@
     }
 
     /// The share of its full capacity that a member has for certain.
-    fn warmth(&self, now: Timestamp, m: &Member) -> f64 {
-        let (Some(share), Some(span)) = (self.settings.cold_share, self.settings.warm_up) else { return 1.0 };
+    fn warmth(&self, now: Timestamp, m: &EndpointState) -> f64 {
+        let (Some(share), Some(span)) = (self.settings.cold_capacity, self.settings.warm_up) else {
+            return 1.0;
+        };
         let Some(started) = m.started_at else { return 1.0 };
         let age = (now - started).or_zero().as_micros_f64() / span.as_micros_f64().max(1.0);
         (share + (1.0 - share) * age).min(1.0)
@@ -660,30 +676,34 @@
 
     // ---- attempts and answers ----
 
-    fn take(&mut self, now: Timestamp, ask: &Ask, out: &mut Vec<Action>) {
-        let &Ask { id, class, group, effort, token_age, session, patience, .. } = ask;
+    fn take(&mut self, now: Timestamp, ask: &IncomingRequest, out: &mut Vec<Action>) {
+        let &IncomingRequest {
+            id, class, group, work_hint, last_commit_age, session, client_timeout, ..
+        } = ask;
         if class >= self.settings.classes.len() {
             out.push(Action::Fail { id });
             return;
         }
         let c = &self.settings.classes[class];
-        let stretch = c.aim_stretch.unwrap_or(0.0) * effort.unwrap_or(TimeDelta::ZERO).as_micros_f64();
-        let (aim, deadline) = (c.aim.unwrap_or(AIM), now + patience.or_zero());
-        let aim_at = now + aim + TimeDelta::from_micros_f64(stretch);
+        let stretch = c.latency_objective_per_work.unwrap_or(0.0)
+            * work_hint.unwrap_or(TimeDelta::ZERO).as_micros_f64();
+        let (latency_objective, deadline) =
+            (c.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE), now + client_timeout.or_zero());
+        let aim_at = now + latency_objective + TimeDelta::from_micros_f64(stretch);
         let present = matches!(c.consistency, None | Some(Consistency::Strong));
         let r = Request {
             class,
             kind: c.consistency,
             writes: c.consistency == Some(Consistency::Write) || present && self.checks(),
-            aim,
+            latency_objective,
             group,
             arrived: now,
             aim_at,
-            end: if c.late_worth > Some(0.0) { deadline } else { aim_at.min(deadline) },
+            end: if c.late_priority_weight > Some(0.0) { deadline } else { aim_at.min(deadline) },
             deadline,
-            commit: match self.settings.session_marks {
-                Some(SessionMarks::Remembered) => self.sessions.get(&session).copied().or(self.forgotten),
-                _ => token_age.map(|age| now - age),
+            commit: match self.settings.session_tracking {
+                Some(SessionTracking::Remembered) => self.sessions.get(&session).copied().or(self.forgotten),
+                _ => last_commit_age.map(|age| now - age),
             },
             session,
             ..Request::default()
@@ -699,7 +719,7 @@
     fn route(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Action>) {
         let writes = self.requests[&id].writes;
         match if writes { self.pick_primary(now, id) } else { self.pick_reader(now, id, out) } {
-            Some(member) => self.send(now, id, member, out),
+            Some(endpoint) => self.send(now, id, endpoint, out),
             None if self.hopeless(now, id) => self.give_up(id, out),
             None => self.hold(now, id),
         }
@@ -714,7 +734,7 @@
         let (group, tried) = (r.group, !r.attempts.is_empty());
         self.groups.entry(group).or_default().held[usize::from(r.writes)].insert(rank);
         // Where few requests come, nothing else may happen to the group in time once a member opens.
-        let opens = self.groups[&group].members.iter().map(|id| self.opens_at(now, &self.members[id]));
+        let opens = self.groups[&group].endpoints.iter().map(|id| self.opens_at(now, &self.endpoints[id]));
         self.agenda.extend(opens.filter(|at| *at > now).min().map(|at| (at, Due::Pump(group))));
         // Its guard may have been left to the deadline while an attempt was out.
         let last = self.last_call(&self.requests[&id]);
@@ -737,31 +757,34 @@
         g.held[READS].len() as f64 / g.rate.per_us(now, self.span).max(f64::MIN_POSITIVE) > spare / 4.0
     }
 
-    fn send(&mut self, now: Timestamp, id: RequestId, member: EndpointId, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Timestamp, id: RequestId, endpoint: EndpointId, out: &mut Vec<Action>) {
         self.release(id);
-        let has = self.members.get(&member).map_or(0.0, |m| self.allowance(now, m));
+        let has = self.endpoints.get(&endpoint).map_or(0.0, |m| self.allowance(now, m));
         // The budget is one of work: a light class uses less of it than the heaviest.
         let heaviest = self.latency.iter().copied().fold(1.0, f64::max);
-        let (Some(r), Some(m)) = (self.requests.get_mut(&id), self.members.get_mut(&member)) else { return };
+        let (Some(r), Some(m)) = (self.requests.get_mut(&id), self.endpoints.get_mut(&endpoint)) else {
+            return;
+        };
         let number = r.attempts.len() as u8;
         let overtaken_at = m.answered + m.out.len() as u64 + OVERTAKEN;
-        let attempt = Attempt { member, sent: now, open: true, written: true, overtaken_at, missed_at: None };
+        let attempt =
+            Attempt { endpoint, sent: now, open: true, written: true, overtaken_at, missed_at: None };
         r.attempts.push(attempt);
         m.out.insert((id, number), now);
         (m.gap, m.sent_at) = (now - m.sent_at, now);
         (m.budget, m.budget_at) = (has - self.latency[r.class] / heaviest, now);
         self.groups.entry(r.group).or_default().rate.add(now, self.span);
-        self.agenda.insert((now + r.aim / 2, Due::Check(id, number)));
+        self.agenda.insert((now + r.latency_objective / 2, Due::Check(id, number)));
         let usual = self.latency[r.class] * m.slow.max(1.0);
         self.agenda.insert((now + TimeDelta::from_micros_f64(usual * LOST), Due::Lost(id, number)));
-        out.push(Action::Send { id, member, stop_at: None });
+        out.push(Action::Send { id, endpoint, stop_at: None });
     }
 
-    fn settled(&mut self, now: Timestamp, end: &Settled, out: &mut Vec<Action>) {
-        let &Settled { id, attempt, member, took, outcome, finished, mark, .. } = end;
-        let Some(m) = self.members.get_mut(&member) else { return };
+    fn settled(&mut self, now: Timestamp, end: &AttemptFinished, out: &mut Vec<Action>) {
+        let &AttemptFinished { id, attempt, endpoint, took, outcome, finished, replica_status, .. } = end;
+        let Some(m) = self.endpoints.get_mut(&endpoint) else { return };
         m.out.remove(&(id, attempt));
-        if matches!(outcome, Outcome::Ok | Outcome::Miss) {
+        if matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Misdirected) {
             (m.strikes, m.errors) = (0, 0);
             m.answered += 1;
         }
@@ -770,44 +793,45 @@
         let overtaken = a.is_some_and(|a| m.answered >= a.overtaken_at);
         match outcome {
             // Its member is well: it was the connection that fell silent.
-            Outcome::TimedOut | Outcome::Cancelled if overtaken => {}
-            Outcome::Ok | Outcome::TimedOut | Outcome::Cancelled => {
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if overtaken => {}
+            AttemptOutcome::Served | AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
                 if let Some(class) = class {
-                    self.measure(now, class, member, took, outcome == Outcome::Ok);
+                    self.measure(now, class, endpoint, took, outcome == AttemptOutcome::Served);
                 }
             }
             // Errors between good answers, or on what erred elsewhere, follow the request, key or tenant.
-            Outcome::Error if erred || m.errors + 1 < ERRORS => m.errors += u32::from(!erred),
+            AttemptOutcome::Error if erred || m.errors + 1 < ERRORS => m.errors += u32::from(!erred),
             // One broken connection says little of its member: if that is down, the next attempt finds none.
-            Outcome::Reset if m.errors + 1 < ERRORS => m.errors += 1,
-            Outcome::Full | Outcome::Error => {
-                self.shrink(now, member, class.map(|c| self.latency[c]));
+            AttemptOutcome::Reset if m.errors + 1 < ERRORS => m.errors += 1,
+            AttemptOutcome::Overloaded | AttemptOutcome::Error => {
+                self.shrink(now, endpoint, class.map(|c| self.latency[c]));
                 self.shun(
                     now,
-                    member,
+                    endpoint,
                     class.map_or(HOLD_TIMER, |c| TimeDelta::from_micros_f64(self.latency[c])),
                 );
             }
-            Outcome::ConnectFailed | Outcome::Reset => {
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
                 m.unreachable = true;
-                self.shun(now, member, HOLD_TIMER);
+                self.shun(now, endpoint, HOLD_TIMER);
             }
             _ => {}
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
         if let Some(a) = r.attempts.get_mut(usize::from(attempt)) {
-            (a.open, a.written) = (false, outcome != Outcome::ConnectFailed);
-            a.missed_at = (outcome != Outcome::Full).then_some(now);
+            (a.open, a.written) = (false, outcome != AttemptOutcome::ConnectFailed);
+            a.missed_at = (outcome != AttemptOutcome::Overloaded).then_some(now);
             if outcome.may_have_run() {
                 r.first_ran = Some(r.first_ran.map_or(a.sent, |t| t.min(a.sent)));
             }
-            r.errors += u32::from(outcome == Outcome::Error);
+            r.errors += u32::from(outcome == AttemptOutcome::Error);
         }
         if finished {
-            let remembers = r.writes && self.settings.session_marks == Some(SessionMarks::Remembered);
-            if let (Outcome::Ok, Some(mark), true) = (outcome, mark, remembers) {
+            let remembers = r.writes && self.settings.session_tracking == Some(SessionTracking::Remembered);
+            if let (AttemptOutcome::Served, Some(replica_status), true) = (outcome, replica_status, remembers)
+            {
                 let zero = self.settings.zero.unwrap_or(Timestamp::ZERO);
-                let (session, commit) = (r.session, mark.position.commit_time(zero));
+                let (session, commit) = (r.session, replica_status.position.commit_time(zero));
                 self.remember(session, commit);
             }
             self.finish(id, out);
@@ -816,9 +840,9 @@
         if r.attempts.iter().any(|a| a.open) {
             return;
         }
-        if !self.may_resend(now, id) || outcome == Outcome::Moot {
+        if !self.may_resend(now, id) || outcome == AttemptOutcome::NotSent {
             self.give_up(id, out);
-        } else if outcome == Outcome::Full {
+        } else if outcome == AttemptOutcome::Overloaded {
             self.hold(now, id);
         } else {
             self.route(now, id, out);
@@ -826,31 +850,32 @@
     }
 
     /// Smooths latencies and moves the member's window: up while answers are well in time, down when late.
-    fn measure(&mut self, now: Timestamp, class: usize, member: EndpointId, took: TimeDelta, served: bool) {
-        let aim = self.settings.classes[class].aim.unwrap_or(AIM);
-        let Some(m) = self.members.get_mut(&member) else { return };
+    fn measure(&mut self, now: Timestamp, class: usize, endpoint: EndpointId, took: TimeDelta, served: bool) {
+        let latency_objective =
+            self.settings.classes[class].latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
+        let Some(m) = self.endpoints.get_mut(&endpoint) else { return };
         let ratio = took.as_micros_f64() / self.latency[class].max(1.0);
         if served || ratio > m.slow {
             m.slow = (m.slow + (ratio.min(20.0) - m.slow) * SMOOTHING).max(0.05);
         }
         if served {
             self.latency[class] += (took.as_micros_f64() - self.latency[class]) * SMOOTHING / 4.0;
-            if took < aim / 3 && (m.out.len() + 1) as f64 > m.window / 2.0 {
+            if took < latency_objective / 3 && (m.out.len() + 1) as f64 > m.window / 2.0 {
                 m.window += m.window.min(1.0 / m.window);
             }
             self.served.add(now, self.span * 4);
             let each = self.served.per_us(now, self.span * 4) / self.units.max(0.01);
             self.peak = self.peak.max(each);
         }
-        if took > aim * 2 / 3 {
-            self.shrink(now, member, (!served).then_some(self.latency[class]));
+        if took > latency_objective * 2 / 3 {
+            self.shrink(now, endpoint, (!served).then_some(self.latency[class]));
         }
     }
 
     /// Closes the window against what was in use: after an attempt that was not served (`unserved`: the usual
     /// latency) against the share of time in use. Its member is buried in work that nobody waits for.
-    fn shrink(&mut self, now: Timestamp, member: EndpointId, unserved: Option<f64>) {
-        let Some(m) = self.members.get_mut(&member) else { return };
+    fn shrink(&mut self, now: Timestamp, endpoint: EndpointId, unserved: Option<f64>) {
+        let Some(m) = self.endpoints.get_mut(&endpoint) else { return };
         if now - m.shrunk_at > HOLD_TIMER / 2 {
             let share =
                 unserved.filter(|_| m.out.is_empty()).map(|usual| usual / m.gap.as_micros_f64().max(1.0));
@@ -865,12 +890,13 @@
         let Some(r) = self.requests.get(&id) else { return };
         let c = &self.settings.classes[r.class];
         let ran = r.first_ran.is_some() || r.attempts.iter().any(|a| a.open);
-        let keyed = c.repeat == Some(Repeat::Keyed) && c.key_group == Some(KeyGroup::All);
-        if !ran || keyed || c.repeat == Some(Repeat::Safe) {
+        let keyed = c.idempotency == Some(Idempotency::Keyed) && c.key_scope == Some(KeyScope::AllEndpoints);
+        if !ran || keyed || c.idempotency == Some(Idempotency::Idempotent) {
             // What is in the way outlasts a service time: who comes back at once meets it again.
-            let wait = (HINT * r.aim).min(self.settings.max_retry_after.unwrap_or(TimeDelta::MAX));
-            let retry_in = (self.settings.retry_after == Some(true)).then_some(wait);
-            out.push(Action::Refuse { id, retry_in });
+            let wait =
+                (HINT * r.latency_objective).min(self.settings.max_retry_after.unwrap_or(TimeDelta::MAX));
+            let retry_after = (self.settings.may_send_retry_after == Some(true)).then_some(wait);
+            out.push(Action::Reject { id, retry_after });
         } else {
             out.push(Action::Fail { id });
         }
@@ -922,12 +948,14 @@
     /// The same where the first attempt that may have run was sent at `ran`: rule 2, attempt limit, deadline.
     fn may_repeat(&self, now: Timestamp, r: &Request, ran: Option<Timestamp>) -> bool {
         let c = &self.settings.classes[r.class];
-        let harmless = match (c.repeat.unwrap_or(Repeat::Unsafe), ran) {
-            (Repeat::Safe, _) | (_, None) => true,
+        let harmless = match (c.idempotency.unwrap_or(Idempotency::NonIdempotent), ran) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
             // Where a key is known in one zone only, the group's next primary may stand in another.
-            (Repeat::Keyed, Some(_)) if c.key_group == Some(KeyGroup::Zone) => false,
-            (Repeat::Keyed, Some(first)) => now < first + c.key_window.unwrap_or(TimeDelta::ZERO) - ROUNDING,
-            (Repeat::Unsafe, Some(_)) => false,
+            (Idempotency::Keyed, Some(_)) if c.key_scope == Some(KeyScope::Zone) => false,
+            (Idempotency::Keyed, Some(first)) => {
+                now < first + c.key_window.unwrap_or(TimeDelta::ZERO) - ROUNDING
+            }
+            (Idempotency::NonIdempotent, Some(_)) => false,
         };
         let left = (r.attempts.len() as u32) < self.settings.max_attempts.unwrap_or(ATTEMPTS);
         harmless && left && now < r.end && !r.streaming && r.errors < BAD
@@ -938,16 +966,16 @@
     /// multiple. With many drivers that is less than one send in a warm-up: each starts at its own point, and
     /// a saved-up send lapses after what counts as chance, 2 root of N + 2, or most of the time between two
     /// requests for the group. What was sent just now is no pace: where all are cold it follows demand.
-    fn allowance(&self, now: Timestamp, m: &Member) -> f64 {
+    fn allowance(&self, now: Timestamp, m: &EndpointState) -> f64 {
         let warmth = self.warmth(now, m);
-        let (Some(multiple), true) = (self.settings.fall_multiple, warmth < 1.0) else { return f64::MAX };
+        let (Some(multiple), true) = (self.settings.overload_multiple, warmth < 1.0) else { return f64::MAX };
         let rate = self.peak * m.units * warmth * multiple * BUDGET;
         let (saved, most) =
             (m.budget + rate * (now - m.budget_at).as_micros_f64(), rate * self.span.as_micros_f64() / 4.0);
         let bears = most * 4.0 * LEAST_TOGETHER / (self.least * BUDGET);
         let kept = most * (1.0 + 4.0 * (2.0 / bears.sqrt() + 2.0 / bears) / BUDGET);
-        let members = self.groups.get(&m.group).map_or(1, |g| g.members.len()) as f64;
-        let kept = kept.max(warmth * multiple * BUDGET * BUDGET / members);
+        let endpoints = self.groups.get(&m.group).map_or(1, |g| g.endpoints.len()) as f64;
+        let kept = kept.max(warmth * multiple * BUDGET * BUDGET / endpoints);
         let lapsing = saved.fract() + f64::from(u8::from(saved.fract() <= kept));
         if saved >= 1.0 && most < 1.0 { lapsing } else { saved.min(most.max(1.0)) }
     }
@@ -996,13 +1024,13 @@
         let Some(a) = r.attempts.get(usize::from(attempt)).filter(|a| a.open) else { return };
         let usual = TimeDelta::from_micros_f64(self.latency[r.class]);
         let c = &self.settings.classes[r.class];
-        let known =
-            c.repeat == Some(Repeat::Safe) || now < a.sent + c.key_window.unwrap_or(TimeDelta::ZERO) / 2;
+        let known = c.idempotency == Some(Idempotency::Idempotent)
+            || now < a.sent + c.key_window.unwrap_or(TimeDelta::ZERO) / 2;
         let again = known && self.may_repeat(now + usual, r, r.first_ran.or(Some(a.sent)));
         if !again || self.settings.may_cancel != Some(true) {
             return;
         }
-        if self.members.get(&a.member).is_some_and(|m| m.answered >= a.overtaken_at) {
+        if self.endpoints.get(&a.endpoint).is_some_and(|m| m.answered >= a.overtaken_at) {
             self.requests.entry(id).and_modify(|r| r.moved = true);
             out.push(Action::Cancel { id, attempt });
         } else {
@@ -1015,7 +1043,7 @@
     fn check(&mut self, id: RequestId, attempt: u8) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.streaming) else { return };
         let Some(a) = r.attempts.get(usize::from(attempt)).filter(|a| a.open) else { return };
-        let (sent, Some(m)) = (a.sent, self.members.get_mut(&a.member)) else { return };
+        let (sent, Some(m)) = (a.sent, self.endpoints.get_mut(&a.endpoint)) else { return };
         let overdue = m.out.values().filter(|s| **s <= sent).count();
         if m.heard < Some(sent) && overdue >= 2 && !m.suspect {
             m.suspect = true;
--- a/src/routing/settings_parser.rs
+++ b/src/routing/settings_parser.rs
@@ -67,18 +67,22 @@
         let at = |key: &str| format!("services.{n}.{key}");
         let age = max_age.get(n).map(|v| v.parse::<f64>()).transpose();
         classes.push(Class {
-            aim: t.span(&at("target"))?,
-            aim_stretch: t.number(&at("aim-stretch"))?,
+            latency_objective: t.span(&at("target"))?,
+            latency_objective_per_work: t.number(&at("aim-stretch"))?,
             deadline: t.span(&at("deadline"))?,
-            worth: t.number(&at("worth"))?,
-            late_worth: t.number(&at("late-worth"))?,
-            repeat: t.word(
+            priority_weight: t.number(&at("worth"))?,
+            late_priority_weight: t.number(&at("late-worth"))?,
+            idempotency: t.word(
                 &at("repeat"),
-                &[("repeatable", Repeat::Safe), ("by_key", Repeat::Keyed), ("once", Repeat::Unsafe)],
+                &[
+                    ("repeatable", Idempotency::Idempotent),
+                    ("by_key", Idempotency::Keyed),
+                    ("once", Idempotency::NonIdempotent),
+                ],
             ),
-            key_group: t.word(
+            key_scope: t.word(
                 &at("group"),
-                &[("all", KeyGroup::All), ("cell", KeyGroup::Cell), ("zone", KeyGroup::Zone)],
+                &[("all", KeyScope::AllEndpoints), ("cell", KeyScope::Group), ("zone", KeyScope::Zone)],
             ),
             key_window: t.span(&at("dedup-window"))?,
             consistency: consistency.get(n).and_then(|v| {
@@ -102,44 +106,48 @@
         .map(|n| Ok(Tenant { quota_per_s: t.number(&format!("tenants.{n}.quota-per-s"))? }))
         .collect::<Result<Vec<_>, String>>()?;
     Ok(Settings {
-        drivers: t.get("balancers")?,
+        pooler_count: t.get("balancers")?,
         me: t.get("me")?,
         zone: t.get("zone")?,
         step: t.span("step")?,
         classes,
         tenants,
-        over_share_worth: t.number("over-share-worth")?,
+        over_quota_priority_weight: t.number("over-share-worth")?,
         must_subscribe: t.word("discovery", &[("subscribe", true), ("automatic", false)]),
-        must_ask_in: t.span("guarantees.must-ask-in")?,
-        second_copies: t.get("limits.second-copies")?,
+        list_request_interval: t.span("guarantees.must-ask-in")?,
+        may_hedge: t.get("limits.second-copies")?,
         may_cancel: t.get("limits.may-cancel")?,
-        probes: t.get("limits.probes")?,
+        may_probe: t.get("limits.probes")?,
         peer_messages: t.get("limits.peer-messages")?,
-        retry_after: t.get("limits.retry-after")?,
+        may_send_retry_after: t.get("limits.retry-after")?,
         max_retry_after: t.span("limits.max-retry-after")?,
         max_attempts: t.get("limits.max-attempts")?,
         connect_timeout: t.span("limits.connect-timeout")?,
-        grace_to_answer: t.span("guarantees.grace-to-answer")?,
-        stop_sending_within: t.span("guarantees.stop-sending-within")?,
-        drain_binds_alone: t.get("guarantees.drain-binds-alone")?,
-        cold_share: t.number("guarantees.cold-share")?,
+        answer_grace: t.span("guarantees.grace-to-answer")?,
+        drain_grace: t.span("guarantees.stop-sending-within")?,
+        only_stated_drain_binds: t.get("guarantees.drain-binds-alone")?,
+        cold_capacity: t.number("guarantees.cold-share")?,
         warm_up: t.span("guarantees.warm-up")?,
-        fall_multiple: t.number("guarantees.fall-multiple")?,
-        tip_after: t.span("guarantees.tip-after")?,
-        behind: t.word(
+        overload_multiple: t.number("guarantees.fall-multiple")?,
+        overload_window: t.span("guarantees.tip-after")?,
+        replication_lag_policy: t.word(
             "family-info.behind",
-            &[("none", Behind::Answers), ("bounce", Behind::Misses), ("await", Behind::Waits)],
+            &[
+                ("none", ReplicationLagPolicy::ServeStale),
+                ("bounce", ReplicationLagPolicy::Reject),
+                ("await", ReplicationLagPolicy::WaitThenReject),
+            ],
         ),
-        holds_for: t.span("family-info.holds-for")?,
-        session_marks: t.word(
+        catch_up_timeout: t.span("family-info.holds-for")?,
+        session_tracking: t.word(
             "family-info.session-marks",
-            &[("brought", SessionMarks::Carried), ("kept", SessionMarks::Remembered)],
+            &[("brought", SessionTracking::Carried), ("kept", SessionTracking::Remembered)],
         ),
         zero: t.number("family-info.zero")?.map(Timestamp::from_secs_f64),
         report_fields: t.list("report.fields").iter().map(|f| f.to_string()).collect(),
-        cross_zone_fee: t.number("fees.cross-zone")?,
-        probe_fee: t.number("fees.probe")?,
-        waste_fee: t.number("fees.waste")?,
+        cross_zone_cost: t.number("fees.cross-zone")?,
+        probe_cost: t.number("fees.probe")?,
+        waste_cost: t.number("fees.waste")?,
     })
 }
 
@@ -154,13 +162,13 @@
              family-info.consistency=lag_bound,mutate\nfamily-info.max-age=0.5,0.0\nsome.new-key=7\n",
         )
         .unwrap();
-        assert_eq!(s.classes[0].aim, Some(TimeDelta::from_millis(250)));
+        assert_eq!(s.classes[0].latency_objective, Some(TimeDelta::from_millis(250)));
         assert_eq!(s.classes[0].max_age, Some(TimeDelta::from_millis(500)));
         assert_eq!(s.classes[0].consistency, Some(Consistency::Bounded));
-        assert_eq!(s.classes[1].repeat, Some(Repeat::Keyed));
-        assert_eq!(s.classes[1].key_group, Some(KeyGroup::Cell));
-        assert_eq!(s.classes[1].aim, None);
-        assert_eq!(s.probes, None);
+        assert_eq!(s.classes[1].idempotency, Some(Idempotency::Keyed));
+        assert_eq!(s.classes[1].key_scope, Some(KeyScope::Group));
+        assert_eq!(s.classes[1].latency_objective, None);
+        assert_eq!(s.may_probe, None);
     }
 
     #[test]
--- a/src/store/raft_node/tests.rs
+++ b/src/store/raft_node/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::store::records::Step;
-use crate::store::state_machine::{Change, Mark, Member};
+use crate::store::state_machine::{Change, DrainMark, Member};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn image(voters: &[NodeId]) -> Image {
@@ -23,8 +23,8 @@
     /// What every index was first seen to be, by check sum.
     history: BTreeMap<u64, u32>,
     /// Drains that were answered as agreed, and undrains.
-    drained: BTreeSet<(String, Mark)>,
-    undone: BTreeSet<Mark>,
+    drained: BTreeSet<(String, DrainMark)>,
+    undone: BTreeSet<DrainMark>,
     said: u64,
     /// Log bounds: small, so that snapshots are sent.
     bounds: (usize, usize),
@@ -110,11 +110,11 @@
         self.said += 1;
         let host = format!("s-{}", self.rng.u8(..5));
         let node = self.nodes.get_mut(&id).unwrap();
-        let known: Vec<Mark> = node.state().drains.get(&host).into_iter().flatten().copied().collect();
+        let known: Vec<DrainMark> = node.state().drains.get(&host).into_iter().flatten().copied().collect();
         let change = if !known.is_empty() && self.rng.bool() {
             Change::Undrain { host, marks: known }
         } else {
-            Change::Drain { host, mark: Mark { by: id, number: self.said } }
+            Change::Drain { host, mark: DrainMark { by: id, number: self.said } }
         };
         node.propose(&Proposal { from: id, token: self.said, change });
         self.settle(id, 0);
@@ -220,7 +220,7 @@
     world.heal(30);
     world.history.insert(world.nodes[&NodeId(1)].applied() + 1, 1);
     let leader = world.leader().unwrap();
-    let change = Change::Drain { host: "x".into(), mark: Mark { by: leader, number: 1 } };
+    let change = Change::Drain { host: "x".into(), mark: DrainMark { by: leader, number: 1 } };
     world.nodes.get_mut(&leader).unwrap().propose(&Proposal { from: leader, token: 1, change });
     world.heal(5);
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -3,7 +3,7 @@
 //! The consensus library keeps its messages in protobuf types. They are made here from parts that were read in
 //! our own form; bytes from a socket or a disk are never parsed by protobuf.
 
-use crate::engine::endpoints::Listed;
+use crate::engine::endpoints::EndpointRecord;
 use crate::ids::NodeId;
 use crate::ids::{GroupId, ZoneId};
 use crate::routing::Availability;
@@ -66,7 +66,7 @@
 
 impl HostRecord {
     /// Of a line of a list.
-    pub fn of(listed: &Listed) -> HostRecord {
+    pub fn of(listed: &EndpointRecord) -> HostRecord {
         HostRecord {
             address: listed.address,
             group: listed.group,
@@ -78,9 +78,9 @@
     }
 
     /// As a line of a list.
-    pub fn listed(&self, name: &str, drained: bool) -> Listed {
+    pub fn listed(&self, name: &str, drained: bool) -> EndpointRecord {
         let closed = drained || self.leaving;
-        Listed {
+        EndpointRecord {
             name: name.to_string(),
             address: self.address,
             zone: self.zone,
--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -3,7 +3,7 @@
 
 use super::records::{self, FleetId, HostRecord, Step};
 use super::zone_weights::Share;
-use crate::engine::endpoints::{Listed, Listing};
+use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
 use crate::time::Timestamp;
@@ -20,7 +20,7 @@
 /// One drain that was said: who said it, and that daemon's count of what it said. It is undone only by whoever
 /// had heard of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct DrainMark {
     /// The daemon.
     pub by: NodeId,
     /// Its count.
@@ -44,14 +44,14 @@
         /// The host's name.
         host: String,
         /// Which drain this is.
-        mark: Mark,
+        mark: DrainMark,
     },
     /// These drains of a host end; others of it stay.
     Undrain {
         /// The host's name.
         host: String,
         /// The drains that the one who says it had heard of.
-        marks: Vec<Mark>,
+        marks: Vec<DrainMark>,
     },
     /// What an inventory file says differently from the agreed one.
     Inventory {
@@ -149,9 +149,9 @@
     /// Its hosts.
     pub hosts: BTreeMap<String, HostRecord>,
     /// Drains in force, by host.
-    pub drains: BTreeMap<String, BTreeSet<Mark>>,
+    pub drains: BTreeMap<String, BTreeSet<DrainMark>>,
     /// Drains that were undone, each with its place in the log: one that comes late stays undone.
-    pub undone: BTreeMap<Mark, u64>,
+    pub undone: BTreeMap<DrainMark, u64>,
     /// Fleets that this one goes on from, on an operator's word: whoever is still of one of them comes over.
     pub former: BTreeSet<FleetId>,
     /// A check sum over all that was agreed: alike at two daemons only where both took in the same sequence.
@@ -218,7 +218,7 @@
     }
 
     /// Whether the log has said all that there is to say of a mark.
-    pub fn settled(&self, host: &str, mark: Mark) -> bool {
+    pub fn settled(&self, host: &str, mark: DrainMark) -> bool {
         self.undone.contains_key(&mark) || self.drains.get(host).is_some_and(|m| m.contains(&mark))
     }
 
@@ -324,7 +324,7 @@
     fn forget(&mut self) {
         let more = self.undone.len().saturating_sub(REMEMBERED);
         if more > 0 {
-            let mut oldest: Vec<(u64, Mark)> = self.undone.iter().map(|(m, at)| (*at, *m)).collect();
+            let mut oldest: Vec<(u64, DrainMark)> = self.undone.iter().map(|(m, at)| (*at, *m)).collect();
             oldest.sort_unstable();
             oldest.iter().take(more).for_each(|(_, mark)| {
                 self.undone.remove(mark);
@@ -333,10 +333,10 @@
     }
 
     /// The list as it is agreed, with hosts closed that `also` names: drains that are not agreed yet.
-    pub fn listing(&self, index: u64, also: impl Fn(&str) -> bool) -> Listing {
+    pub fn listing(&self, index: u64, also: impl Fn(&str) -> bool) -> EndpointUpdate {
         let one =
             |(name, host): (&String, &HostRecord)| host.listed(name, self.is_drained(name) || also(name));
-        Listing { index, whole: true, entries: self.hosts.iter().map(one).collect() }
+        EndpointUpdate { index, whole: true, entries: self.hosts.iter().map(one).collect() }
     }
 
     /// What a file's hosts change in the agreed inventory; `None`: the agreed one is as new, or says the same.
@@ -345,7 +345,7 @@
     pub fn inventory_change(
         &self,
         by: &str,
-        hosts: &[Listed],
+        hosts: &[EndpointRecord],
         changed: Timestamp,
         now: Timestamp,
     ) -> Option<Change> {
@@ -374,7 +374,7 @@
     }
 
     /// How a file's hosts differ from the agreed ones: added, changed, missing.
-    pub fn differs(&self, hosts: &[Listed]) -> (usize, usize, usize) {
+    pub fn differs(&self, hosts: &[EndpointRecord]) -> (usize, usize, usize) {
         let (mut added, mut changed) = (0, 0);
         for listed in hosts {
             match self.hosts.get(&listed.name) {
@@ -396,12 +396,12 @@
     use super::*;
     use crate::routing::Availability;
 
-    fn host(name: &str, port: u16) -> Listed {
-        Listed { address: ([127, 0, 0, 1], port).into(), ..Listed::plain(name) }
+    fn host(name: &str, port: u16) -> EndpointRecord {
+        EndpointRecord { address: ([127, 0, 0, 1], port).into(), ..EndpointRecord::plain(name) }
     }
 
-    fn mark(by: u64, number: u64) -> Mark {
-        Mark { by: NodeId(by), number }
+    fn mark(by: u64, number: u64) -> DrainMark {
+        DrainMark { by: NodeId(by), number }
     }
 
     /// The time of a change, as a small number.
@@ -409,7 +409,7 @@
         Timestamp::from_micros(micros)
     }
 
-    fn read(state: &mut State, index: u64, hosts: &[Listed], changed: i64) -> Option<Effect> {
+    fn read(state: &mut State, index: u64, hosts: &[EndpointRecord], changed: i64) -> Option<Effect> {
         let change = state.inventory_change("a", hosts, at(changed), at(1_000_000 * changed))?;
         Some(state.apply(index, &change))
     }
@@ -512,7 +512,7 @@
         use crate::store::zone_weights::Why;
         let mut s = State::default();
         let before = records::write(&s);
-        let there = |zone| HostRecord::of(&Listed { zone, ..host("x", 1) });
+        let there = |zone| HostRecord::of(&EndpointRecord { zone, ..host("x", 1) });
         s.hosts = [3, 4].map(|zone| (format!("s-{zone}"), there(ZoneId(zone)))).into();
         let first = s.share(ZoneId(3)).then(0, Why::Lost);
         assert_eq!(s.apply(1, &Change::Zone { zone: ZoneId(3), share: first }), Effect::Done);
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -4,7 +4,7 @@
 use super::legacy;
 use super::raft_node::{Image, Write};
 use super::records::{self, Hard, LogEntry, SnapshotRecord};
-use super::state_machine::Mark;
+use super::state_machine::DrainMark;
 use crate::ids::NodeId;
 use redb::backends::InMemoryBackend;
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
@@ -61,7 +61,7 @@
 }
 
 /// Drains that are not agreed yet, with their hosts.
-pub type Marks = Vec<(String, Mark)>;
+pub type Marks = Vec<(String, DrainMark)>;
 
 /// What the disk held at the start.
 #[derive(Clone, Debug, Default)]
--- a/src/store/store_thread.rs
+++ b/src/store/store_thread.rs
@@ -143,7 +143,7 @@
     held: Held,
     limits: &Limits,
 ) -> Result<(Opened, SyncSender<Input>, Receiver<Output>), String> {
-    let (inputs, queue) = mpsc::sync_channel(limits.queue);
+    let (inputs, queue) = mpsc::sync_channel(limits.input_queue);
     // The sockets' thread takes what comes as it comes, and drops what it cannot send.
     let (out, outputs) = async_channel::unbounded();
     let Held { image, marks, witnesses, learned, legacy, .. } = held;
@@ -190,14 +190,14 @@
 
 impl Owner {
     fn run(mut self, queue: &mpsc::Receiver<Input>) {
-        let mut next = Instant::now() + self.limits.tick;
+        let mut next = Instant::now() + self.limits.raft_tick;
         self.settle();
         loop {
             match queue.recv_timeout(next.saturating_duration_since(Instant::now())) {
                 Ok(input) => {
                     self.input(input);
                     // One write for all that waits.
-                    for _ in 0..self.limits.queue {
+                    for _ in 0..self.limits.input_queue {
                         let Ok(input) = queue.try_recv() else { break };
                         self.input(input);
                     }
@@ -208,7 +208,7 @@
             let now = Instant::now();
             if now >= next {
                 // A process that stood still has not waited for a leader all that time.
-                next = now + self.limits.tick;
+                next = now + self.limits.raft_tick;
                 self.tick();
             }
             if !self.settle() {
@@ -363,7 +363,7 @@
         if proposal.change.restricts() {
             self.put(proposal);
         } else if !self.waiting.values().any(|w| (w.proposal.from, w.proposal.token) == key)
-            && self.waiting.len() < self.limits.members
+            && self.waiting.len() < self.limits.fleet_nodes
         {
             self.next += 1;
             let number = self.next;
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -15,14 +15,14 @@
 
 fn tier() -> Settings {
     Settings {
-        drivers: Some(DRIVERS),
+        pooler_count: Some(DRIVERS),
         // All requests are of one kind: each is of mean work.
         classes: vec![settings().classes[ANY].clone()],
-        second_copies: Some(false),
-        cold_share: Some(COLD_SHARE),
+        may_hedge: Some(false),
+        cold_capacity: Some(COLD_SHARE),
         warm_up: Some(WARM_UP),
-        fall_multiple: Some(MULTIPLE),
-        tip_after: Some(WINDOW),
+        overload_multiple: Some(MULTIPLE),
+        overload_window: Some(WINDOW),
         ..settings()
     }
 }
@@ -37,12 +37,12 @@
         let (id, sent) = rig.ask(0, 2_000 * MS, None);
         let to = sends(&sent, id)[0];
         rig.pass(20 * MS);
-        rig.answer(id, 0, to.ip[3], Outcome::Ok, Some(to == member(1)), FRESH);
+        rig.answer(id, 0, to.ip[3], AttemptOutcome::Served, Some(to == endpoint(1)), FRESH);
         rig.pass(980 * MS);
     }
     let started = rig.now;
-    let leaves = Entry { availability: Availability::Draining, ..entry(1) };
-    rig.list(ListKind::Delta, vec![leaves, Entry { started_at: Some(started), ..entry(2) }]);
+    let leaves = EndpointEntry { availability: Availability::Draining, ..entry(1) };
+    rig.list(ListKind::Delta, vec![leaves, EndpointEntry { started_at: Some(started), ..entry(2) }]);
     rig.pass(idle);
     let from = rig.log.len();
     let mut times = Vec::new();
@@ -54,8 +54,8 @@
         }
         rig.pass(5 * MS);
         for action in rig.log[seen..].iter().cloned() {
-            if let Action::Send { id, member: to, .. } = action {
-                assert_eq!(to, member(2), "nobody else is in service");
+            if let Action::Send { id, endpoint: to, .. } = action {
+                assert_eq!(to, endpoint(2), "nobody else is in service");
                 times.push(rig.now - started);
                 out.push((rig.now + 20 * MS, id, 0));
             }
@@ -64,7 +64,7 @@
         let (due, rest) = out.into_iter().partition(|(at, ..)| *at <= rig.now);
         out = rest;
         for (_, id, attempt) in due {
-            rig.answer(id, attempt, 2, Outcome::Ok, Some(false), FRESH);
+            rig.answer(id, attempt, 2, AttemptOutcome::Served, Some(false), FRESH);
         }
         seen = seen.min(rig.log.len());
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -21,18 +21,18 @@
     next: RequestId,
 }
 
-pub fn member(n: u8) -> EndpointId {
+pub fn endpoint(n: u8) -> EndpointId {
     EndpointId { ip: [10, 0, 0, n], port: 5432 }
 }
 
-fn class(consistency: Consistency, repeat: Repeat) -> Class {
+fn class(consistency: Consistency, repeat: Idempotency) -> Class {
     Class {
-        aim: Some(500 * MS),
+        latency_objective: Some(500 * MS),
         deadline: Some(5_000 * MS),
-        worth: Some(1.0),
-        late_worth: Some(0.5),
-        repeat: Some(repeat),
-        key_group: Some(KeyGroup::Cell),
+        priority_weight: Some(1.0),
+        late_priority_weight: Some(0.5),
+        idempotency: Some(repeat),
+        key_scope: Some(KeyScope::Group),
         key_window: Some(3_000 * MS),
         consistency: Some(consistency),
         max_age: Some(300 * MS),
@@ -43,33 +43,33 @@
 /// Four classes: a bounded read, a session read, an unsafe write, an eventual read.
 pub fn settings() -> Settings {
     Settings {
-        drivers: Some(3),
+        pooler_count: Some(3),
         classes: vec![
-            class(Consistency::Bounded, Repeat::Safe),
-            class(Consistency::Session, Repeat::Safe),
-            class(Consistency::Write, Repeat::Unsafe),
-            class(Consistency::Eventual, Repeat::Safe),
+            class(Consistency::Bounded, Idempotency::Idempotent),
+            class(Consistency::Session, Idempotency::Idempotent),
+            class(Consistency::Write, Idempotency::NonIdempotent),
+            class(Consistency::Eventual, Idempotency::Idempotent),
         ],
-        second_copies: Some(true),
+        may_hedge: Some(true),
         may_cancel: Some(true),
-        retry_after: Some(true),
+        may_send_retry_after: Some(true),
         max_retry_after: Some(2_000 * MS),
         max_attempts: Some(8),
-        cold_share: Some(0.16),
+        cold_capacity: Some(0.16),
         warm_up: Some(15_000 * MS),
-        fall_multiple: Some(2.5),
-        tip_after: Some(3_000 * MS),
-        behind: Some(Behind::Answers),
-        session_marks: Some(SessionMarks::Carried),
+        overload_multiple: Some(2.5),
+        overload_window: Some(3_000 * MS),
+        replication_lag_policy: Some(ReplicationLagPolicy::ServeStale),
+        session_tracking: Some(SessionTracking::Carried),
         zero: Some(Timestamp::ZERO),
         report_fields: vec!["x0".into(), "x1".into()],
         ..Settings::default()
     }
 }
 
-pub fn entry(n: u8) -> Entry {
-    Entry {
-        member: member(n),
+pub fn entry(n: u8) -> EndpointEntry {
+    EndpointEntry {
+        endpoint: endpoint(n),
         zone: ZoneId(0),
         group: GroupId(1),
         availability: Availability::Ready,
@@ -80,12 +80,12 @@
 }
 
 impl Rig {
-    /// A router with a group of `members`, the first of them named primary by the list.
-    pub fn new(settings: Settings, members: u8) -> Rig {
-        Rig::seeded(settings, members, 1)
+    /// A router with a group of `endpoints`, the first of them named primary by the list.
+    pub fn new(settings: Settings, endpoints: u8) -> Rig {
+        Rig::seeded(settings, endpoints, 1)
     }
 
-    pub fn seeded(settings: Settings, members: u8, seed: u64) -> Rig {
+    pub fn seeded(settings: Settings, endpoints: u8, seed: u64) -> Rig {
         let mut rig = Rig {
             router: Router::new(settings, seed),
             now: Timestamp::ZERO + 10_000 * MS,
@@ -93,7 +93,7 @@
             took: 20 * MS,
             next: RequestId(1),
         };
-        let entries = (1..=members).map(|n| Entry { primary: n == 1, ..entry(n) }).collect();
+        let entries = (1..=endpoints).map(|n| EndpointEntry { primary: n == 1, ..entry(n) }).collect();
         rig.list(ListKind::Full, entries);
         rig
     }
@@ -105,8 +105,8 @@
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<Entry>) -> Vec<Action> {
-        self.event(Event::Members { kind, entries })
+    pub fn list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
+        self.event(Event::EndpointList { kind, entries })
     }
 
     /// Lets time pass, with every timer handed back when due.
@@ -114,21 +114,29 @@
         let (end, from) = (self.now + span, self.log.len());
         while self.now < end {
             self.now = (self.now + 5 * MS).min(end);
-            self.event(Event::Wake { timer: 0 });
+            self.event(Event::TimerFired { timer: 0 });
         }
         self.log[from..].to_vec()
     }
 
-    /// A request of `class` with the client waiting `patience`; its number and what was done.
+    /// A request of `class` with the client waiting `client_timeout`; its number and what was done.
     pub fn ask(
         &mut self,
         class: usize,
-        patience: TimeDelta,
-        token_age: Option<TimeDelta>,
+        client_timeout: TimeDelta,
+        last_commit_age: Option<TimeDelta>,
     ) -> (RequestId, Vec<Action>) {
         let id = self.next;
         self.next.0 += 1;
-        let ask = Ask { id, class, group: GroupId(1), token_age, session: 7, patience, ..Ask::default() };
+        let ask = IncomingRequest {
+            id,
+            class,
+            group: GroupId(1),
+            last_commit_age,
+            session: 7,
+            client_timeout,
+            ..IncomingRequest::default()
+        };
         (id, self.event(Event::Request(ask)))
     }
 
@@ -138,21 +146,21 @@
         id: RequestId,
         attempt: u8,
         from: u8,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         role: Option<bool>,
         age: TimeDelta,
     ) -> Vec<Action> {
         let position = LogPosition::of_commit(self.now - age, Timestamp::ZERO);
-        let mark = role.map(|primary| Mark { primary, position });
-        self.event(Event::Settled(Settled {
+        let replica_status = role.map(|primary| ReplicaStatus { primary, position });
+        self.event(Event::AttemptFinished(AttemptFinished {
             id,
             attempt,
-            member: member(from),
+            endpoint: endpoint(from),
             took: self.took,
             outcome,
-            finished: outcome == Outcome::Ok,
-            mark,
-            report: Report::default(),
+            finished: outcome == AttemptOutcome::Served,
+            replica_status,
+            report: LoadReport::default(),
         }))
     }
 
@@ -162,7 +170,7 @@
             let (id, sent) = self.ask(class, 2_000 * MS, None);
             let to = sends(&sent, id)[0];
             self.pass(10 * MS);
-            self.answer(id, 0, to.ip[3], Outcome::Ok, Some(to == member(1)), FRESH);
+            self.answer(id, 0, to.ip[3], AttemptOutcome::Served, Some(to == endpoint(1)), FRESH);
             to
         };
         (0..count).map(one).collect()
@@ -170,25 +178,25 @@
 
     /// Makes member `n` known by a probe's report: its role, and data `age` old.
     pub fn introduce(&mut self, n: u8, primary: bool, age: TimeDelta) {
-        let report = Report {
+        let report = LoadReport {
             count: 2,
             values: [(self.now - age).as_secs_f64(), f64::from(u8::from(primary)), 0.0, 0.0],
         };
-        self.event(Event::Probed { member: member(n), ok: true, took: MS, report });
+        self.event(Event::ProbeFinished { endpoint: endpoint(n), ok: true, took: MS, report });
     }
 }
 
 /// The members that `actions` send `id` to.
 pub fn sends(actions: &[Action], id: RequestId) -> Vec<EndpointId> {
     let to = |a: &Action| match a {
-        Action::Send { id: i, member, .. } if *i == id => Some(*member),
+        Action::Send { id: i, endpoint, .. } if *i == id => Some(*endpoint),
         _ => None,
     };
     actions.iter().filter_map(to).collect()
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if *i == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
--- a/tests/fleet_recovery.rs
+++ b/tests/fleet_recovery.rs
@@ -53,7 +53,7 @@
     let lab = &mut lab(Setup { daemons: 3, hosts: (6, 3), ..Setup::default() });
     // Whoever the list's order would try first is no primary anywhere.
     let primary = |group: u32| {
-        let mut members = brookpass::engine::endpoints::Members::default();
+        let mut members = brookpass::engine::endpoints::EndpointRegistry::default();
         let mut names: Vec<String> = (0..3).map(|n| format!("s-{group}-{n}")).collect();
         names.sort_by_key(|name| members.id(name));
         names.pop().unwrap()
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -3,7 +3,7 @@
 
 use brookpass::config::Limits;
 use brookpass::daemon::file::{self, Operator, StoreConfig};
-use brookpass::engine::endpoints::{Listed, Listing};
+use brookpass::engine::endpoints::{EndpointRecord, EndpointUpdate};
 use brookpass::fleet::zones::Dwell;
 use brookpass::fleet::zoning::Leaving;
 use brookpass::inventory::{self, Inventory};
@@ -39,79 +39,97 @@
 #[test]
 fn every_settings_key_is_read_into_its_field() {
     let Settings {
-        drivers,
+        pooler_count,
         me,
         zone,
         step,
         classes,
         tenants,
-        over_share_worth,
+        over_quota_priority_weight,
         must_subscribe,
-        must_ask_in,
-        second_copies,
+        list_request_interval,
+        may_hedge,
         may_cancel,
-        probes,
+        may_probe,
         peer_messages,
-        retry_after,
+        may_send_retry_after,
         max_retry_after,
         max_attempts,
         connect_timeout,
-        grace_to_answer,
-        stop_sending_within,
-        drain_binds_alone,
-        cold_share,
+        answer_grace,
+        drain_grace,
+        only_stated_drain_binds,
+        cold_capacity,
         warm_up,
-        fall_multiple,
-        tip_after,
-        behind,
-        holds_for,
-        session_marks,
+        overload_multiple,
+        overload_window,
+        replication_lag_policy,
+        catch_up_timeout,
+        session_tracking,
         zero,
         report_fields,
-        cross_zone_fee,
-        probe_fee,
-        waste_fee,
+        cross_zone_cost,
+        probe_cost,
+        waste_cost,
     } = settings_parser::parse(SETTINGS).unwrap();
-    assert_eq!((drivers, me, zone, step), (Some(3), Some(2), Some(ZoneId(1)), micros(5_000)));
-    assert_eq!((over_share_worth, must_subscribe, must_ask_in), (Some(0.3), Some(true), micros(30_000_000)));
-    assert_eq!((second_copies, may_cancel, probes), (Some(true), Some(false), Some(true)));
-    assert_eq!((peer_messages, retry_after, max_retry_after), (Some(false), Some(true), micros(1_100_000)));
-    assert_eq!((max_attempts, connect_timeout, grace_to_answer), (Some(8), micros(220_000), micros(50_000)));
-    assert_eq!((stop_sending_within, drain_binds_alone), (micros(150_000), Some(true)));
-    assert_eq!((cold_share, warm_up), (Some(0.35), micros(16_000_000)));
-    assert_eq!((fall_multiple, tip_after), (Some(4.0), micros(1_750_000)));
-    assert_eq!((behind, holds_for), (Some(Behind::Waits), micros(450_000)));
+    assert_eq!((pooler_count, me, zone, step), (Some(3), Some(2), Some(ZoneId(1)), micros(5_000)));
     assert_eq!(
-        (session_marks, zero),
-        (Some(SessionMarks::Carried), Some(Timestamp::from_micros(12_500_000)))
+        (over_quota_priority_weight, must_subscribe, list_request_interval),
+        (Some(0.3), Some(true), micros(30_000_000))
+    );
+    assert_eq!((may_hedge, may_cancel, may_probe), (Some(true), Some(false), Some(true)));
+    assert_eq!(
+        (peer_messages, may_send_retry_after, max_retry_after),
+        (Some(false), Some(true), micros(1_100_000))
+    );
+    assert_eq!((max_attempts, connect_timeout, answer_grace), (Some(8), micros(220_000), micros(50_000)));
+    assert_eq!((drain_grace, only_stated_drain_binds), (micros(150_000), Some(true)));
+    assert_eq!((cold_capacity, warm_up), (Some(0.35), micros(16_000_000)));
+    assert_eq!((overload_multiple, overload_window), (Some(4.0), micros(1_750_000)));
+    assert_eq!(
+        (replication_lag_policy, catch_up_timeout),
+        (Some(ReplicationLagPolicy::WaitThenReject), micros(450_000))
+    );
+    assert_eq!(
+        (session_tracking, zero),
+        (Some(SessionTracking::Carried), Some(Timestamp::from_micros(12_500_000)))
     );
     assert_eq!(report_fields, ["x0", "x1", "up", "util"]);
-    assert_eq!((cross_zone_fee, probe_fee, waste_fee), (Some(0.01), Some(0.02), Some(0.03)));
+    assert_eq!((cross_zone_cost, probe_cost, waste_cost), (Some(0.01), Some(0.02), Some(0.03)));
     let quotas: Vec<_> = tenants.into_iter().map(|Tenant { quota_per_s }| quota_per_s).collect();
     assert_eq!(quotas, [Some(40.0), Some(41.5)]);
     let [read, write] = <[Class; 2]>::try_from(classes).unwrap();
     let Class {
-        aim,
-        aim_stretch,
+        latency_objective,
+        latency_objective_per_work,
         deadline,
-        worth,
-        late_worth,
-        repeat,
-        key_group,
+        priority_weight,
+        late_priority_weight,
+        idempotency,
+        key_scope,
         key_window,
         consistency,
         max_age,
     } = read;
-    assert_eq!((aim, aim_stretch, deadline), (micros(250_000), Some(1.5), micros(2_500_000)));
-    assert_eq!((worth, late_worth, repeat), (Some(3.0), Some(0.2), Some(Repeat::Safe)));
-    assert_eq!((key_group, key_window), (Some(KeyGroup::All), micros(1_200_000)));
+    assert_eq!(
+        (latency_objective, latency_objective_per_work, deadline),
+        (micros(250_000), Some(1.5), micros(2_500_000))
+    );
+    assert_eq!(
+        (priority_weight, late_priority_weight, idempotency),
+        (Some(3.0), Some(0.2), Some(Idempotency::Idempotent))
+    );
+    assert_eq!((key_scope, key_window), (Some(KeyScope::AllEndpoints), micros(1_200_000)));
     assert_eq!((consistency, max_age), (Some(Consistency::Bounded), micros(800_000)));
     assert_eq!(
-        (write.aim, write.aim_stretch, write.deadline),
+        (write.latency_objective, write.latency_objective_per_work, write.deadline),
         (micros(600_000), Some(2.5), micros(2_750_000))
     );
-    assert_eq!((write.worth, write.late_worth, write.repeat), (Some(6.0), Some(0.5), Some(Repeat::Keyed)));
-    assert_eq!((write.key_group, write.key_window), (Some(KeyGroup::Cell), micros(1_250_000)));
+    assert_eq!(
+        (write.priority_weight, write.late_priority_weight, write.idempotency),
+        (Some(6.0), Some(0.5), Some(Idempotency::Keyed))
+    );
+    assert_eq!((write.key_scope, write.key_window), (Some(KeyScope::Group), micros(1_250_000)));
     assert_eq!((write.consistency, write.max_age), (Some(Consistency::Write), micros(900_000)));
 }
 
@@ -133,13 +151,18 @@
 fn every_word_of_a_setting_means_what_it_meant() {
     let class = |line: &str| {
         let class = settings_parser::parse(&format!("services.count=1\n{line}\n")).unwrap().classes.remove(0);
-        (class.repeat, class.key_group, class.consistency)
+        (class.idempotency, class.key_scope, class.consistency)
     };
-    for (word, repeat) in [("repeatable", Repeat::Safe), ("by_key", Repeat::Keyed), ("once", Repeat::Unsafe)]
-    {
-        assert_eq!(class(&format!("services.0.repeat={word}")), (Some(repeat), None, None));
+    for (word, idempotency) in [
+        ("repeatable", Idempotency::Idempotent),
+        ("by_key", Idempotency::Keyed),
+        ("once", Idempotency::NonIdempotent),
+    ] {
+        assert_eq!(class(&format!("services.0.repeat={word}")), (Some(idempotency), None, None));
     }
-    for (word, group) in [("all", KeyGroup::All), ("cell", KeyGroup::Cell), ("zone", KeyGroup::Zone)] {
+    for (word, group) in
+        [("all", KeyScope::AllEndpoints), ("cell", KeyScope::Group), ("zone", KeyScope::Zone)]
+    {
         assert_eq!(class(&format!("services.0.group={word}")), (None, Some(group), None));
     }
     for (word, consistency) in [
@@ -152,11 +175,15 @@
         assert_eq!(class(&format!("family-info.consistency={word}")), (None, None, Some(consistency)));
     }
     let read = |line: &str| settings_parser::parse(line).unwrap();
-    for (word, behind) in [("none", Behind::Answers), ("bounce", Behind::Misses), ("await", Behind::Waits)] {
-        assert_eq!(read(&format!("family-info.behind={word}")).behind, Some(behind));
+    for (word, behind) in [
+        ("none", ReplicationLagPolicy::ServeStale),
+        ("bounce", ReplicationLagPolicy::Reject),
+        ("await", ReplicationLagPolicy::WaitThenReject),
+    ] {
+        assert_eq!(read(&format!("family-info.behind={word}")).replication_lag_policy, Some(behind));
     }
-    for (word, marks) in [("brought", SessionMarks::Carried), ("kept", SessionMarks::Remembered)] {
-        assert_eq!(read(&format!("family-info.session-marks={word}")).session_marks, Some(marks));
+    for (word, marks) in [("brought", SessionTracking::Carried), ("kept", SessionTracking::Remembered)] {
+        assert_eq!(read(&format!("family-info.session-marks={word}")).session_tracking, Some(marks));
     }
     for (word, must) in [("subscribe", true), ("automatic", false)] {
         assert_eq!(read(&format!("discovery={word}")).must_subscribe, Some(must));
@@ -209,7 +236,7 @@
     assert_eq!(text, PAIRS, "the pairs that the store gets:\n{text}");
     let (settings, names, all) = file::read_settings(&text, 3).unwrap();
     assert_eq!(names, ["catalog-read", "own-edit-read", "score-write"]);
-    assert_eq!((settings.drivers, settings.me, settings.probes), (Some(5), Some(3), Some(true)));
+    assert_eq!((settings.pooler_count, settings.me, settings.may_probe), (Some(5), Some(3), Some(true)));
     assert_eq!(all["limits.conn-idle"], "15");
     assert_eq!(all.len(), PAIRS.lines().count() + 9, "and what the daemon itself decides");
     for (key, value) in [
@@ -253,7 +280,7 @@
 /// Guards against a column or a variable of an inventory that is read as something else, in both forms.
 #[test]
 fn every_key_of_an_inventory_is_read_into_its_field() {
-    let first = Listed {
+    let first = EndpointRecord {
         name: "s-1".into(),
         address: at("127.0.0.1:7001"),
         zone: ZoneId(0),
@@ -263,7 +290,7 @@
         weight: 0.5,
         started_at: Some(Timestamp::from_micros(1_767_225_600_123_000)),
     };
-    let second = Listed {
+    let second = EndpointRecord {
         name: "s-2".into(),
         address: at("127.0.0.1:7002"),
         zone: ZoneId(1),
@@ -309,7 +336,7 @@
     assert_eq!((peer_listen, peers_all), (Some(at("127.0.0.1:9103")), Some(at("127.0.0.1:9105"))));
     assert_eq!(peers, [at("127.0.0.1:9103"), at("127.0.0.1:9104")]);
     assert_eq!((passed, admin), (None, Some(at("127.0.0.1:9106"))));
-    let host = |name: &str, port: u16, zone, group, availability, weight, started_at| Listed {
+    let host = |name: &str, port: u16, zone, group, availability, weight, started_at| EndpointRecord {
         name: name.into(),
         address: ([127, 0, 0, 1], port).into(),
         zone,
@@ -332,9 +359,9 @@
         host("s-2", 7002, ZoneId(0), GroupId(4), Availability::Ready, 2.0, None),
         host("s-3", 7003, ZoneId(0), GroupId(5), Availability::Gone, 1.0, None),
     ];
-    assert_eq!(known, Some(Listing { index: 41, whole: false, entries }));
+    assert_eq!(known, Some(EndpointUpdate { index: 41, whole: false, entries }));
     assert_eq!((classes, zones), (vec!["read".into(), "write".into()], vec!["a".into(), "b".into()]));
-    assert_eq!((settings.drivers, settings.me, settings.zone), (Some(2), Some(1), Some(ZoneId(1))));
+    assert_eq!((settings.pooler_count, settings.me, settings.zone), (Some(2), Some(1), Some(ZoneId(1))));
     assert_eq!(
         (settings.must_subscribe, settings.zero),
         (Some(false), Some(Timestamp::ZERO)),
@@ -363,7 +390,10 @@
     assert_eq!(value("build"), r#""cargo build --release --locked""#);
     assert_eq!(value("run"), r#""exec target/release/brookpass""#);
     assert_eq!(value("sim"), r#""exec target/release/brookpass-adapter""#);
-    assert_eq!((value("policy"), value("packages")), (r#"["src/choice.rs"]"#, "[]"));
+    assert_eq!(
+        (value("policy"), value("packages")),
+        (r#"["src/routing/mod.rs", "src/routing/router.rs"]"#, "[]")
+    );
     let programs = [env!("CARGO_BIN_EXE_brookpass"), env!("CARGO_BIN_EXE_brookpass-adapter")];
     for (program, name) in programs.iter().zip(["brookpass", "brookpass-adapter"]) {
         assert_eq!(Path::new(program).file_name().unwrap(), name);
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -15,7 +15,7 @@
     group: GroupId,
     deadline: Timestamp,
     arrived: Timestamp,
-    token_age: Option<TimeDelta>,
+    last_commit_age: Option<TimeDelta>,
     out: BTreeMap<u8, (u8, Timestamp)>,
     sent: u8,
     first_ran: Option<Timestamp>,
@@ -32,7 +32,7 @@
 
 struct World {
     groups: u32,
-    members: u8,
+    endpoints: u8,
     /// Sends to each member that is still cold.
     cold: BTreeMap<u8, u32>,
     settings: Settings,
@@ -60,14 +60,14 @@
 impl World {
     /// Messages come twice or not at all, reports lie about load; roles and positions in them are old but true.
     fn noise(&mut self) {
-        let n = self.rng.u8(..self.members);
+        let n = self.rng.u8(..self.endpoints);
         for _ in 0..self.rng.u8(..3) {
-            self.event(Event::Peer { from: u16::from(n), bytes: vec![n; usize::from(n)] });
+            self.event(Event::PeerMessage { from: u16::from(n), bytes: vec![n; usize::from(n)] });
         }
         let values = [f64::NAN, f64::INFINITY, -1.0, 1e300, 0.5][self.rng.usize(..5)];
-        let report = Report { count: 4, values: [0.0, 0.0, values, values] };
+        let report = LoadReport { count: 4, values: [0.0, 0.0, values, values] };
         let ok = self.rng.bool();
-        self.event(Event::Probed { member: member(n), ok, took: MS, report });
+        self.event(Event::ProbeFinished { endpoint: endpoint(n), ok, took: MS, report });
     }
 
     fn event(&mut self, event: Event) {
@@ -81,8 +81,8 @@
     fn check(&mut self, action: Action) {
         let now = self.now;
         match action {
-            Action::Send { id, member, .. } => {
-                let n = member.ip[3];
+            Action::Send { id, endpoint, .. } => {
+                let n = endpoint.ip[3];
                 let r = self.open.get_mut(&id).expect("a send for a request that is finished or unknown");
                 let (c, seen) = (&self.settings.classes[r.class], &self.seen[usize::from(n)]);
                 assert_eq!(
@@ -91,11 +91,13 @@
                     "a send to a member told to be out of service"
                 );
                 assert_eq!(group_of(n, self.groups), r.group, "a send outside the group");
-                assert!(r.out.is_empty() || self.settings.second_copies == Some(true), "two attempts out");
+                assert!(r.out.is_empty() || self.settings.may_hedge == Some(true), "two attempts out");
                 let may_have_run = r.first_ran.into_iter().chain(r.out.values().map(|(_, sent)| *sent)).min();
-                match (c.repeat.unwrap(), may_have_run) {
-                    (Repeat::Unsafe, Some(_)) => panic!("an unsafe request that may have run was sent again"),
-                    (Repeat::Keyed, Some(first)) => {
+                match (c.idempotency.unwrap(), may_have_run) {
+                    (Idempotency::NonIdempotent, Some(_)) => {
+                        panic!("an unsafe request that may have run was sent again")
+                    }
+                    (Idempotency::Keyed, Some(first)) => {
                         assert!(now < first + c.key_window.unwrap(), "key expired")
                     }
                     _ => {}
@@ -103,11 +105,13 @@
                 assert!(u32::from(r.sent) < self.settings.max_attempts.unwrap(), "too many attempts");
                 let need = match c.consistency.unwrap() {
                     Consistency::Bounded => Some(now - c.max_age.unwrap()),
-                    Consistency::Session => r.token_age.map(|age| r.arrived - age),
+                    Consistency::Session => r.last_commit_age.map(|age| r.arrived - age),
                     _ => None,
                 };
                 let excused = seen.was_primary && seen.told_primary;
-                if let (Some(need), Some(Behind::Answers), false) = (need, self.settings.behind, excused) {
+                if let (Some(need), Some(ReplicationLagPolicy::ServeStale), false) =
+                    (need, self.settings.replication_lag_policy, excused)
+                {
                     assert!(seen.position >= Some(need), "a stale read");
                 }
                 if let Some(sends) = self.cold.get_mut(&n) {
@@ -118,18 +122,21 @@
                 self.ends.insert((end, id, r.sent), n);
                 (r.sent, self.sends) = (r.sent + 1, self.sends + 1);
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let r = self.open.remove(&id).expect("a second final answer");
                 let c = &self.settings.classes[r.class];
                 let ran = r.first_ran.is_some() || !r.out.is_empty();
-                assert!(!ran || c.repeat == Some(Repeat::Safe), "a refusal though it may have run");
+                assert!(
+                    !ran || c.idempotency == Some(Idempotency::Idempotent),
+                    "a refusal though it may have run"
+                );
                 self.finals += 1;
             }
             Action::Fail { id } => {
                 self.open.remove(&id).expect("a second final answer");
                 self.finals += 1;
             }
-            Action::WakeIn { span, .. } => self.wakes.push(now + span),
+            Action::SetTimer { span, .. } => self.wakes.push(now + span),
             Action::Cancel { id, attempt } => {
                 if let Some(at) = self.ends.keys().find(|(_, i, a)| (*i, *a) == (id, attempt)).copied() {
                     let n = self.ends.remove(&at).unwrap();
@@ -141,43 +148,55 @@
     }
 
     fn settle(&mut self, id: RequestId, attempt: u8, n: u8) {
-        use Outcome::*;
+        use AttemptOutcome::*;
         let (mut outcome, mut finished) = (Cancelled, true);
         if let Some(r) = self.open.get_mut(&id) {
             let (_, sent) = r.out.remove(&attempt).unwrap();
-            let any = [Ok, Ok, Ok, Ok, Miss, Miss, ConnectFailed, Error, Reset, Full, TimedOut];
+            let any = [
+                Served,
+                Served,
+                Served,
+                Served,
+                Misdirected,
+                Misdirected,
+                ConnectFailed,
+                Error,
+                Reset,
+                Overloaded,
+                TimedOut,
+            ];
             outcome = if self.now >= r.deadline { TimedOut } else { any[self.rng.usize(..any.len())] };
             if matches!(outcome, Error | Reset | TimedOut | Cancelled) {
                 r.first_ran = Some(r.first_ran.unwrap_or(sent).min(sent));
             }
-            finished = outcome == Ok;
+            finished = outcome == Served;
         }
         if finished && self.open.remove(&id).is_some() {
             self.finals += 1;
         }
-        let tells = matches!(outcome, Ok | Miss | Full | Error);
+        let tells = matches!(outcome, Served | Misdirected | Overloaded | Error);
         let primary = self.rng.u8(..10) == 0;
         let age = length(&mut self.rng, TimeDelta::ZERO..600 * MS);
         let reached = if primary { self.now } else { self.now - age };
         // Told in whole milliseconds, rounded down.
         let position = LogPosition::from_millis(reached.as_millis());
-        let mark = tells.then_some(Mark { primary, position });
+        let replica_status = tells.then_some(ReplicaStatus { primary, position });
         let seen = &mut self.seen[usize::from(n)];
-        if let Some(m) = mark {
+        if let Some(m) = replica_status {
             (seen.told_primary, seen.was_primary) = (m.primary, seen.was_primary || m.primary);
             seen.position = seen.position.max(Some(m.position.commit_time(Timestamp::ZERO)));
         }
-        let end = Settled {
+        let end = AttemptFinished {
             id,
             attempt,
-            member: member(n),
+            endpoint: endpoint(n),
             took: MS,
             outcome,
             finished,
-            mark,
-            report: Report::default(),
+            replica_status,
+            report: LoadReport::default(),
         };
-        self.event(Event::Settled(end));
+        self.event(Event::AttemptFinished(end));
     }
 
     fn step(&mut self) {
@@ -190,47 +209,49 @@
         }
         if self.wakes.iter().any(|at| *at <= self.now) {
             self.wakes.retain(|at| *at > self.now);
-            self.event(Event::Wake { timer: 0 });
+            self.event(Event::TimerFired { timer: 0 });
         }
         match self.rng.u8(..40) {
             0 => {
-                let n = self.rng.u8(..self.members);
+                let n = self.rng.u8(..self.endpoints);
                 use Availability::{Draining, Gone, Ready};
                 let availability = [Ready, Ready, Ready, Draining, Gone][self.rng.usize(..5)];
                 let started_at = (self.rng.u8(..4) == 0).then_some(self.now - 30_000 * MS);
                 self.seen[usize::from(n)].availability = availability;
                 // From here on the list says that it started long ago.
                 self.cold.remove(&n);
-                let line = Entry { availability, group: group_of(n, self.groups), started_at, ..entry(n) };
-                self.event(Event::Members { kind: ListKind::Delta, entries: vec![line] });
+                let line =
+                    EndpointEntry { availability, group: group_of(n, self.groups), started_at, ..entry(n) };
+                self.event(Event::EndpointList { kind: ListKind::Delta, entries: vec![line] });
             }
             1 => {
                 if let Some(&id) = self.open.keys().next() {
                     self.open.remove(&id);
-                    self.event(Event::Lapsed { id });
+                    self.event(Event::RequestCancelled { id });
                 }
             }
             2 => {
-                self.event(Event::Wake { timer: 5 });
+                self.event(Event::TimerFired { timer: 5 });
                 self.noise();
             }
             3..=20 => {
                 let id = self.next;
                 self.next.0 += 1;
                 let class = self.rng.usize(..self.settings.classes.len());
-                let patience = length(&mut self.rng, 50 * MS..3_000 * MS);
-                let token_age = (self.rng.bool()).then(|| length(&mut self.rng, MS..900 * MS));
+                let client_timeout = length(&mut self.rng, 50 * MS..3_000 * MS);
+                let last_commit_age = (self.rng.bool()).then(|| length(&mut self.rng, MS..900 * MS));
                 let group = GroupId(self.rng.u32(..self.groups));
-                let (arrived, deadline) = (self.now, self.now + patience);
-                self.open.insert(id, Open { class, group, deadline, arrived, token_age, ..Open::default() });
-                self.event(Event::Request(Ask {
+                let (arrived, deadline) = (self.now, self.now + client_timeout);
+                self.open
+                    .insert(id, Open { class, group, deadline, arrived, last_commit_age, ..Open::default() });
+                self.event(Event::Request(IncomingRequest {
                     id,
                     class,
                     group,
-                    token_age,
+                    last_commit_age,
                     session: 3,
-                    patience,
-                    ..Ask::default()
+                    client_timeout,
+                    ..IncomingRequest::default()
                 }));
             }
             _ => {}
@@ -242,18 +263,18 @@
 }
 
 /// The world after `steps`; `cold`: all members have just started.
-fn play(seed: u64, s: Settings, groups: u32, members: u8, cold: bool, steps: usize) -> World {
+fn play(seed: u64, s: Settings, groups: u32, endpoints: u8, cold: bool, steps: usize) -> World {
     let seen =
         Seen { availability: Availability::Ready, told_primary: false, was_primary: false, position: None };
     let mut world = World {
         groups,
-        members,
+        endpoints,
         cold: BTreeMap::new(),
         router: Router::new(s.clone(), seed),
         settings: s,
         rng: Rng::with_seed(seed ^ 0x5eed),
         now: Timestamp::ZERO + 1_000 * MS,
-        seen: vec![seen; usize::from(members)],
+        seen: vec![seen; usize::from(endpoints)],
         open: BTreeMap::new(),
         ends: BTreeMap::new(),
         wakes: Vec::new(),
@@ -263,23 +284,24 @@
     };
     let started_at = cold.then_some(world.now);
     if cold {
-        world.cold = (0..members).map(|n| (n, 0)).collect();
+        world.cold = (0..endpoints).map(|n| (n, 0)).collect();
     }
-    let line = |n| Entry { group: group_of(n, groups), started_at, ..entry(n) };
-    world.event(Event::Members { kind: ListKind::Cached, entries: (0..members).map(line).collect() });
+    let line = |n| EndpointEntry { group: group_of(n, groups), started_at, ..entry(n) };
+    world.event(Event::EndpointList { kind: ListKind::Cached, entries: (0..endpoints).map(line).collect() });
     (0..steps).for_each(|_| world.step());
     world
 }
 
 fn varied(seed: u64) -> Settings {
     let mut s = settings();
-    s.second_copies = Some(seed.is_multiple_of(2));
-    s.behind = [Some(Behind::Answers), Some(Behind::Misses)][seed as usize % 2];
+    s.may_hedge = Some(seed.is_multiple_of(2));
+    s.replication_lag_policy =
+        [Some(ReplicationLagPolicy::ServeStale), Some(ReplicationLagPolicy::Reject)][seed as usize % 2];
     s.max_attempts = Some([3, 8][seed as usize / 2 % 2]);
-    s.probes = Some(seed.is_multiple_of(3));
+    s.may_probe = Some(seed.is_multiple_of(3));
     s.peer_messages = Some(true);
     let mut keyed = s.classes[WRITE].clone();
-    (keyed.repeat, keyed.key_window) = (Some(Repeat::Keyed), Some(700 * MS));
+    (keyed.idempotency, keyed.key_window) = (Some(Idempotency::Keyed), Some(700 * MS));
     s.classes.push(keyed);
     s
 }
@@ -295,7 +317,7 @@
 #[test]
 fn the_rules_hold_for_one_of_150_drivers_over_60_members() {
     for seed in 0..6 {
-        let settings = Settings { drivers: Some(150), me: Some(149), ..varied(seed) };
+        let settings = Settings { pooler_count: Some(150), me: Some(149), ..varied(seed) };
         let world = play(seed, settings, 15, 60, false, 8_000);
         assert!(world.sends > 300 && world.finals > 300, "{} sends, {} answers", world.sends, world.finals);
     }
@@ -305,7 +327,7 @@
 #[test]
 fn one_of_150_drivers_sends_an_all_cold_fleet_next_to_nothing() {
     for seed in 0..6 {
-        let settings = Settings { drivers: Some(150), ..varied(seed) };
+        let settings = Settings { pooler_count: Some(150), ..varied(seed) };
         let world = play(seed, settings, 15, 60, true, 400);
         assert!(world.cold.values().all(|sends| *sends <= 1), "{:?}", world.cold);
         assert!(world.finals > 20, "what cannot be served is answered all the same");
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -54,12 +54,12 @@
 /// Guards against a write that runs twice: after its last byte a break means that it may have run.
 #[test]
 fn a_write_that_may_have_run_is_repeated_only_with_a_key() {
-    let (p, r) = pair(|_| Reply::Break);
+    let (p, r) = pair(|_| Reply::LogRollback);
     let s = started(&both(&p, &r));
     let mut client = PgClient::connect(s.address);
     let answer = client.ask(&write("1", 1000, ""));
     assert_eq!((answer.code.as_deref(), p.count()), (Some("58000"), 1));
-    let (p, r) = pair(|_| Reply::Break);
+    let (p, r) = pair(|_| Reply::LogRollback);
     let s = started(&both(&p, &r));
     PgClient::connect(s.address).ask(&write("2", 1900, ",k=9"));
     assert!(p.count() >= 2, "a keyed write is repeated within its window");
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -89,8 +89,11 @@
             wanted.extend(owed);
             state = next;
         }
-        let (mut session, mut done, mut rest) =
-            (Session::new(&Limits { pipeline, ..Limits::for_sockets(64) }), Vec::new(), &all[..]);
+        let (mut session, mut done, mut rest) = (
+            Session::new(&Limits { pipelined_requests: pipeline, ..Limits::for_sockets(64) }),
+            Vec::new(),
+            &all[..],
+        );
         for piece in pieces.iter().cycle() {
             let (now, later) = rest.split_at((*piece).min(rest.len()));
             session.input().push(now);
--- a/tests/shutdown_orders.rs
+++ b/tests/shutdown_orders.rs
@@ -169,7 +169,7 @@
     let host = PgHost::start("source", move |text| {
         let mut sent = counted.lock().unwrap();
         *sent += usize::from(text.contains("id=again,"));
-        if *sent == 1 { Reply::Break } else { Reply::Row(b"second") }
+        if *sent == 1 { Reply::LogRollback } else { Reply::Row(b"second") }
     });
     let mut s = one_of_two(&[endpoint("p", host.address, 1, "active")]);
     let mut client = PgClient::connect(s.address);
--- a/tests/sparql.rs
+++ b/tests/sparql.rs
@@ -15,7 +15,7 @@
     Answer(u16, &'static str, String),
     /// The answer's own position, whatever the host's is.
     AnswerFrom(i64, String),
-    Break,
+    LogRollback,
     Silence,
     /// Begins a long answer; ends it, or breaks off.
     Long(usize, bool),
@@ -69,7 +69,7 @@
                 position = at;
                 (200, "text/plain", body)
             }
-            Does::Break => return None,
+            Does::LogRollback => return None,
             Does::Silence => {
                 let _ = gone.lock().unwrap().send(read_http(&mut reader).is_none());
                 return None;
@@ -379,11 +379,11 @@
 /// Guards against a write that runs twice, and against one that is lost though it never ran.
 #[test]
 fn a_write_without_a_key_is_repeated_only_where_it_never_ran() {
-    let breaks = Host::start(true, 0, |_| Some(Does::Break));
+    let breaks = Host::start(true, 0, |_| Some(Does::LogRollback));
     let running = start(&files("once", &[("p", breaks.address)], &[]));
     assert_eq!(call(running.front, &update("Brookpass-Time-Left-Ms: 1500\r\n")).status(), 502);
     assert_eq!(breaks.count(), 1);
-    let keyed = Host::start(true, 0, |_| Some(Does::Break));
+    let keyed = Host::start(true, 0, |_| Some(Does::LogRollback));
     let running = start(&files("keyed", &[("p", keyed.address)], &[]));
     let answer = call(running.front, &update("Brookpass-Key: k1\r\nBrookpass-Time-Left-Ms: 1900\r\n"));
     assert_ne!(answer.status(), 200);
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -125,7 +125,7 @@
 
 /// Names in the order of the module's ring: a fresh module tries the first one as its primary.
 pub fn names<const N: usize>() -> [String; N] {
-    let mut members = brookpass::engine::endpoints::Members::default();
+    let mut members = brookpass::engine::endpoints::EndpointRegistry::default();
     let mut names = std::array::from_fn(|n| format!("host-{n}"));
     names.sort_by_key(|name| members.id(name));
     names
@@ -174,7 +174,7 @@
 // ---- discovery ----
 
 #[derive(Default)]
-struct Told {
+struct PeerObservation {
     index: u64,
     endpoints: String,
     /// The version after which the last watch asked.
@@ -184,7 +184,7 @@
 
 /// Discovery, as the platform's agent answers.
 pub struct Discovery {
-    told: Arc<(Mutex<Told>, Condvar)>,
+    told: Arc<(Mutex<PeerObservation>, Condvar)>,
     pub address: SocketAddr,
 }
 
@@ -196,7 +196,7 @@
 
 impl Discovery {
     pub fn start() -> Discovery {
-        let told = Arc::new((Mutex::new(Told::default()), Condvar::new()));
+        let told = Arc::new((Mutex::new(PeerObservation::default()), Condvar::new()));
         let shared = told.clone();
         let address = listen(move |stream| {
             let mut writer = stream.try_clone().unwrap();
@@ -212,7 +212,7 @@
                 if let Some(after) = after {
                     told.asked_after = after;
                     changed.notify_all();
-                    let waits = |t: &mut Told| t.index <= after && t.broken.is_none();
+                    let waits = |t: &mut PeerObservation| t.index <= after && t.broken.is_none();
                     told = changed.wait_timeout_while(told, Duration::from_secs(1), waits).unwrap().0;
                 }
                 let fresh = after.is_none_or(|a| told.index > a);
@@ -377,7 +377,7 @@
     /// Says nothing until the other side closes.
     Silence,
     /// Ends the connection.
-    Break,
+    LogRollback,
     /// Answers, then ends the connection.
     RowThenEnd(&'static [u8]),
     /// Exactly these bytes; the connection stays open.
@@ -456,7 +456,7 @@
                 return None;
             }
             Reply::Error(code) => pg_message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
-            Reply::Break => return None,
+            Reply::LogRollback => return None,
             Reply::RawThenSilence(bytes) => {
                 stream.write_all(&bytes).ok()?;
                 let ended = !matches!(stream.read(&mut [0]), Ok(n) if n > 0);
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -1,13 +1,13 @@
 //! Values as stores hold them, and the bytes that commit 029518c wrote for them (`tests/fixtures`).
 #![allow(dead_code)]
 
-use brookpass::engine::log_rollback::Break;
+use brookpass::engine::log_rollback::LogRollback;
 use brookpass::fleet::gossip::{Count, Word};
 use brookpass::fleet::recovery::{Clocks, Saved};
 use brookpass::ids::{GroupId, NodeId, ZoneId};
 use brookpass::store::raft_node::Image;
 use brookpass::store::records::{self, Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
-use brookpass::store::state_machine::{Change, Mark, Member, Membership, Proposal, Source, State};
+use brookpass::store::state_machine::{Change, DrainMark, Member, Membership, Proposal, Source, State};
 use brookpass::store::storage::{Identity, Marks, Witness};
 use brookpass::store::zone_weights::{Share, Why};
 use brookpass::time::{LogPosition, TimeDelta, Timestamp};
@@ -50,8 +50,8 @@
     (0..text.len()).step_by(2).map(|n| u8::from_str_radix(&text[n..n + 2], 16).unwrap()).collect()
 }
 
-pub fn mark(by: NodeId, number: u64) -> Mark {
-    Mark { by, number }
+pub fn mark(by: NodeId, number: u64) -> DrainMark {
+    DrainMark { by, number }
 }
 
 pub fn address(text: &str) -> SocketAddr {
@@ -85,7 +85,7 @@
     Proposal { from, token, change }
 }
 
-pub fn drain(host: &str, mark: Mark) -> Change {
+pub fn drain(host: &str, mark: DrainMark) -> Change {
     Change::Drain { host: host.into(), mark }
 }
 
@@ -286,12 +286,12 @@
             },
         ],
         breaks: vec![
-            Break {
+            LogRollback {
                 group: GroupId(1),
                 from: LogPosition::from_micros(1_780_000_000_100_000),
                 to: LogPosition::from_micros(1_780_000_000_200_000),
             },
-            Break {
+            LogRollback {
                 group: GroupId(2),
                 from: LogPosition::from_micros(1_780_000_000_300_000),
                 to: LogPosition::from_micros(1_780_000_000_400_000),
