--- /dev/null
+++ b/tests/mixed_versions.rs
@@ -0,0 +1,140 @@
+//! Daemons of this build in a fleet with daemons of commit 029518c. The old program cannot run here, so a stand-in that
+//! declares that commit's messages by itself takes its part (tests/old_node).
+
+mod old_node;
+
+use brookpass_lab::process::Process;
+use brookpass_lab::relay::Relay;
+use brookpass_lab::{eventually, http};
+use old_node::OldNode;
+use std::fs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+const SETTINGS: &str = "  services:
+    - {name: catalog-read, consistency: lag_bound, max-age: 0.8, target: 1.0, deadline: 2.5, worth: 3, late-worth: 0.2, repeat: repeatable}
+    - {name: own-edit-read, consistency: causal, target: 0.8, deadline: 2.0, worth: 1, late-worth: 0, repeat: repeatable}
+    - {name: score-write, consistency: mutate, target: 0.6, deadline: 2.0, worth: 6, late-worth: 0.5, repeat: by_key, group: cell, dedup-window: 1.2}
+  limits: {conn-idle: 15, connect-timeout: 0.25, max-attempts: 8, max-retry-after: 1}
+  guarantees: {cold-share: 0.25, warm-up: 16, fall-multiple: 4, tip-after: 1}
+  family-info: {behind: none}
+";
+
+/// Nobody listens there.
+const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
+
+fn folder(test: &str) -> PathBuf {
+    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("mixed-{test}-{}", std::process::id()));
+    let _ = fs::remove_dir_all(&folder);
+    fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+/// A daemon of this build, reached by the others through a relay, so that its address is known before it runs.
+struct NewNode {
+    process: Process,
+    store: SocketAddr,
+}
+
+impl NewNode {
+    fn start(folder: &Path, number: usize, relay: &Relay, peers: &[SocketAddr]) -> NewNode {
+        let folder = folder.join(format!("b{number}"));
+        fs::create_dir_all(&folder).unwrap();
+        let peers: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
+        let text = format!(
+            "name: b{number}\nnumber: {number}\nsparql:\n  listen: 127.0.0.1:0\n  query: catalog-read\n  \
+             session: own-edit-read\n  update: score-write\nstore:\n  listen: 127.0.0.1:0\n  advertise: {}\n  \
+             peers: [{}]\n  snapshot: fleet.store\ninventory: hosts.csv\nzones: [z-0, z-1]\nsockets: 512\n\
+             settings:\n  balancers: 3\n{SETTINGS}",
+            relay.address,
+            peers.join(", ")
+        );
+        fs::write(folder.join("operator.yaml"), text).unwrap();
+        let hosts =
+            "name,address,group,zone\ns-1,127.0.0.1:9,1,z-0\ns-2,127.0.0.1:9,1,z-1\ns-3,127.0.0.1:9,1,z-1\n";
+        fs::write(folder.join("hosts.csv"), hosts).unwrap();
+        let program = Path::new(env!("CARGO_BIN_EXE_brookpass"));
+        let file = folder.join("operator.yaml");
+        let process = Process::start(program, &["--operator", &file.to_string_lossy()], 0);
+        let store = process.address("store at http://");
+        relay.lead_to(store);
+        NewNode { process, store }
+    }
+
+    fn get(&self, path: &str) -> String {
+        http::call(self.store, "GET", path).map_or(String::new(), |answer| answer.text())
+    }
+
+    fn post(&self, path: &str) -> u16 {
+        http::call(self.store, "POST", path).map_or(0, |answer| answer.status())
+    }
+
+    fn wait_for_voters(&self, voters: usize) {
+        eventually("all daemons vote", || {
+            self.get("/fleet")
+                .lines()
+                .filter(|line| line.starts_with("member ") && line.contains(" voter"))
+                .count()
+                == voters
+        });
+    }
+
+    fn wait_for_inventory(&self) {
+        eventually("the inventory is agreed", || self.get("/hosts").lines().count() == 3);
+    }
+
+    fn wait_for_drain(&self, host: &str) {
+        eventually("the host is drained", || {
+            self.get("/hosts")
+                .lines()
+                .any(|line| line.starts_with(&format!("{host} ")) && line.contains(" leaving "))
+        });
+    }
+}
+
+/// Guards against a change of the messages or of the log that daemons of the version before cannot read: the new
+/// daemon leads here, and has no majority without them.
+#[test]
+fn one_new_daemon_and_two_old_ones_agree_on_drains() {
+    let folder = folder("two-old");
+    let old = [OldNode::start(0x0b1, "b1"), OldNode::start(0x0b2, "b2")];
+    let relay = Relay::start(NOWHERE, false);
+    let new = NewNode::start(&folder, 0, &relay, &[old[0].address, old[1].address]);
+    old.iter().for_each(|node| node.link_to(relay.address));
+    new.wait_for_voters(3);
+    new.wait_for_inventory();
+    old.iter().for_each(OldNode::wait_until_it_follows);
+    assert_eq!(new.post("/drain/s-1"), 200, "agreed by a majority");
+    let marks = old.each_ref().map(|node| node.agreed_drain("s-1"));
+    assert_eq!(marks[0], marks[1]);
+    assert!(new.get("/fleet").lines().any(|line| line == "drain s-1"));
+    let mark = old[0].drain("s-2", 7);
+    assert_eq!(old.each_ref().map(|node| node.agreed_drain("s-2")), [mark; 2]);
+    new.wait_for_drain("s-2");
+}
+
+/// Guards against the reverse: an old daemon's drain that new ones do not take in, and a vote of its that does not count.
+#[test]
+fn two_new_daemons_and_an_old_one_agree_on_drains_and_on_a_leader() {
+    let folder = folder("one-old");
+    let old = OldNode::start(0x0b2, "b2");
+    let relays = [Relay::start(NOWHERE, false), Relay::start(NOWHERE, false)];
+    let start = |n: usize| NewNode::start(&folder, n, &relays[n], &[relays[1 - n].address, old.address]);
+    let mut new = [start(0), start(1)];
+    relays.iter().for_each(|relay| old.link_to(relay.address));
+    new.iter().for_each(|node| node.wait_for_voters(3));
+    new.iter().for_each(NewNode::wait_for_inventory);
+    old.wait_until_it_follows();
+    assert_eq!(new[1].post("/drain/s-1"), 200, "agreed by a majority");
+    let mark = old.agreed_drain("s-1");
+    assert_ne!(mark.by, old.id);
+    let mark = old.drain("s-2", 7);
+    assert_eq!(old.agreed_drain("s-2"), mark);
+    new.iter().for_each(|node| node.wait_for_drain("s-2"));
+    // The other new daemon needs the old one's vote now, and its word that an entry is on its disk.
+    let votes = old.votes();
+    new[0].process.kill();
+    assert_eq!(new[1].post("/drain/s-3"), 200, "agreed by the two that are left");
+    old.agreed_drain("s-3");
+    assert!(old.votes() > votes, "it was asked for its vote");
+}
