--- a/src/clock.rs
+++ b/src/clock.rs
@@ -70,19 +70,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::time::Duration;
-
-    /// Guards against a machine that slept: its monotonic clock stood still while the hosts' data went on.
-    #[test]
-    fn it_follows_the_system_forward_and_never_back() {
-        let clock = Clock::start();
-        let before = clock.follow(clock.unix);
-        let hour = TimeDelta::from_secs(3_600);
-        let after = clock.follow(before + hour);
-        assert!(after >= before + hour);
-        assert!(clock.follow(before) >= after, "a system clock that is set back changes nothing");
-        assert!(clock.instant(after) <= Instant::now() + Duration::from_secs(1));
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/json/tests.rs
@@ -0,0 +1,42 @@
+use super::*;
+
+const CONFIG: &str = "{\"name\":\"n3\",\n\"listen\":\"127.0.0.1:1\",\n\"discovery\":\"127.0.0.1:2\",\n\
+    \"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\n\
+    \"known\":{\"index\":41,\"snapshot\":true,\"endpoints\":[{\"name\":\"s-1\",\"address\":\"127.0.0.1:3\",\n\
+    \"zone\":\"b\",\"type\":\"m\",\"group\":3,\"status\":\"leaving\",\"weight\":1,\"since_ms\":1767225600123}]},\n\
+    \"settings\":{\"zones\":[\"a\",\"b\"],\"services\":[{\"name\":\"read\",\"target\":0.5,\"repeat\":\"repeatable\"}],\n\
+    \"family-info\":{\"consistency\":[\"lag_bound\"],\"max-age\":[0.8],\"zero\":471811.9},\n\
+    \"limits\":{\"conn-idle\":15,\"probes\":false},\"more\":null}}";
+
+#[test]
+fn a_configuration_is_read_with_positions_from_the_unix_epoch() {
+    let p = platform(CONFIG).unwrap();
+    assert_eq!((p.classes, p.conn_idle, p.sockets), (vec!["read".to_string()], Some(15.0), Some(1024)));
+    assert_eq!(
+        (p.seed, p.settings.zero, p.settings.may_probe),
+        (0x8c1f_30d2_7a5b_e964, Some(Timestamp::ZERO), Some(false))
+    );
+    assert_eq!(
+        (p.settings.classes[0].max_age, p.settings.classes[0].latency_objective),
+        (Some(TimeDelta::from_micros(800_000)), Some(TimeDelta::from_micros(500_000)))
+    );
+    let host = &p.known.unwrap().entries[0];
+    assert_eq!((host.zone, host.group, host.availability), (ZoneId(1), GroupId(3), Availability::Draining));
+    assert_eq!(host.started_at, Some(Timestamp::from_micros(1_767_225_600_123_000)));
+}
+
+#[test]
+fn a_fault_names_its_line() {
+    for (from, to, wanted) in [
+        ("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"here\"", "line 2: listen"),
+        ("\"discovery\":\"127.0.0.1:2\"", "\"discovery\":7", "line 3: discovery is no text"),
+        ("\"leaving\"", "\"lost\"", "line 5: endpoint s-1"),
+        ("\"target\":0.5", "\"target\":\"soon\"", "line 7: settings: services.0.target"),
+        ("\"probes\":false", "\"probes\":false]", "line 9: not JSON"),
+    ] {
+        let error = platform(&CONFIG.replace(from, to)).map(|p| p.name).unwrap_err();
+        assert!(error.starts_with(wanted), "{to}: {error}");
+    }
+    let error = platform("{\"name\":\"n\"}").map(|p| p.name).unwrap_err();
+    assert_eq!(error, "line 1: there is no listen");
+}
