--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,16 +1,16 @@
 //! How the parts are put together: for the platform, and for an operator's file.
 
-pub mod file;
 pub mod operator;
+pub mod operator_config;
 pub mod platform;
 
 use crate::config::Limits;
 use crate::engine::{Command, Control, EngineHandle};
 use crate::net::admin_server::AdminServer;
 use crate::net::backend_pool::{BackendPool, BackendProtocol};
-use crate::net::connection_limiter::{self, AcceptDecision, ConnectionLimiter, ConnectionSlot};
+use crate::net::connection_limiter::{AcceptDecision, ConnectionLimiter, ConnectionSlot};
 use crate::net::lifecycle::Lifecycle;
-use crate::net::until;
+use crate::net::{listener, until};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -61,16 +61,16 @@
 pub fn carry<W: BackendProtocol>(
     executor: &Executor,
     hosts: &Rc<BackendPool<W>>,
-    commands: Receiver<Command<W::Work>>,
-    handle: &EngineHandle<W::Work, W::Answer>,
-    other: impl AsyncFn(Command<W::Work>) + 'static,
+    commands: Receiver<Command<W::Request>>,
+    handle: &EngineHandle<W::Request, W::Answer>,
+    other: impl AsyncFn(Command<W::Request>) + 'static,
 ) -> Task<()> {
     let (hosts, handle, executor2) = (hosts.clone(), handle.clone(), executor.clone());
     let tidy = hosts.clone();
-    executor.spawn(async move { tidy.tidy().await }).detach();
+    executor.spawn(async move { tidy.sweep_idle().await }).detach();
     executor.spawn(async move {
         while let Ok(command) = commands.recv().await {
-            if let Some(command) = hosts.carry_out(command, &executor2, &handle).await {
+            if let Some(command) = hosts.execute(command, &executor2, &handle).await {
                 other(command).await;
             }
         }
@@ -110,11 +110,11 @@
 ) -> Accepting {
     let (seats, executor2) = (seats.clone(), executor.clone());
     let tidy = seats.clone();
-    executor.spawn(async move { tidy.tidy().await }).detach();
+    executor.spawn(async move { tidy.sweep_idle().await }).detach();
     let (stop, stopped) = async_channel::bounded(1);
     let task = executor.spawn(async move {
         let spawn = |stream, place, welcome| executor2.spawn(serve(stream, place, welcome)).detach();
-        connection_limiter::accept(&listener, &seats, &stopped, spawn).await;
+        listener::accept(&listener, &seats, &stopped, spawn).await;
     });
     Accepting { task, stop }
 }
@@ -145,13 +145,13 @@
             serving.detach();
         }
     };
-    match connection_limiter::open(at) {
+    match listener::bind(at) {
         Ok(listener) => open(listener),
         // Clients are served meanwhile.
         Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
             let limits = limits.clone();
             let task = async move {
-                match connection_limiter::open_when_free(at, &limits).await {
+                match listener::bind_when_free(at, &limits).await {
                     Ok(listener) => open(listener),
                     Err(e) => log::error!("the operators' address {at}: {e}; there is no door"),
                 }
@@ -193,7 +193,7 @@
     let drained = async {
         signalled(&mut ends).await;
         let began = Instant::now();
-        duty.end();
+        duty.terminate();
         let (lame, end) = limits.ending(handle.client_timeout(), leave == Leave::Nobody);
         let end = began + end;
         if leave == Leave::Successor {
@@ -207,13 +207,13 @@
             Timer::at(began + lame).await;
             accepting.finish().await;
         }
-        seats.close();
-        if until(end - limits.final_answer_margin, seats.emptied()).await.is_none() {
+        seats.close_after_request();
+        if until(end - limits.final_answer_margin, seats.wait_until_empty()).await.is_none() {
             handle.control(Control::FinishAll).await;
-            seats.cut_waiting();
-            until(end, seats.emptied()).await;
+            seats.abort_incomplete();
+            until(end, seats.wait_until_empty()).await;
         }
-        log::info!("drained, {} connections left", seats.held());
+        log::info!("drained, {} connections left", seats.open_connections());
         Ok(())
     };
     future::or(over, drained).await
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -1,6 +1,6 @@
 //! With an operator's file: the SPARQL front, with a store of its own that keeps configuration and state.
 
-use super::file::{self, Operator};
+use super::operator_config::{self as file, Operator};
 use super::{Executor, Leave, accept, carry, open_door, signal, signalled, until_drained};
 use crate::clock::Clock;
 use crate::config::{Limits, Machine};
@@ -11,11 +11,11 @@
 use crate::fleet::runtime::{Files, Fleet, Me};
 use crate::net::backend_pool::BackendPool;
 use crate::net::connection::ClientConnection;
-use crate::net::connection_limiter::{self, ConnectionLimiter};
+use crate::net::connection_limiter::{AcceptDecision, ConnectionLimiter};
 use crate::net::lifecycle::Lifecycle;
 use crate::net::sparql::front::{self, Front};
 use crate::net::sparql::host::Sparql;
-use crate::net::until;
+use crate::net::{listener, until};
 use crate::routing::{Settings, TimeDelta};
 use crate::store::storage::{Disk, Held};
 use crate::store::store_thread;
@@ -151,11 +151,11 @@
     }
     let (disk, held) = open_store(&operator)?;
     let at = operator.store.listen;
-    let store_listener = connection_limiter::open(at).map_err(|e| format!("{at}: {e}"))?;
+    let store_listener = listener::bind(at).map_err(|e| format!("{at}: {e}"))?;
     let at = store_listener.get_ref().local_addr().unwrap_or(at);
     log::info!("{}: store at http://{at}", operator.name);
     let listener =
-        connection_limiter::open(operator.listen).map_err(|e| format!("{}: {e}", operator.listen))?;
+        listener::bind(operator.listen).map_err(|e| format!("{}: {e}", operator.listen))?;
     let (opened, inputs, outputs) = store_thread::start(disk, held, &limits)?;
     let me = Me {
         name: operator.name.clone(),
@@ -181,7 +181,7 @@
         accept(&executor, store_listener, &store_seats, move |stream, place, welcome| {
             let (fleet, few, clock) = (fleet.clone(), few.clone(), clock.clone());
             async move {
-                if welcome == connection_limiter::AcceptDecision::Served {
+                if welcome == AcceptDecision::Serve {
                     admin_api::serve(fleet, ClientConnection::new(stream, place, few, clock)).await;
                 }
             }
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -6,13 +6,14 @@
 use crate::engine::classes::Classes;
 use crate::engine::endpoints::{EndpointCatalog, EndpointUpdate};
 use crate::engine::{self, Command, Control, Input};
-use crate::json::{self, Platform};
 use crate::net::backend_pool::BackendPool;
 use crate::net::gossip_socket::GossipSocket;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::postgres::front::Front;
 use crate::net::postgres::host::Pg;
-use crate::net::{connection_limiter, discovery as watcher, inherited_socket};
+use crate::net::connection_limiter::ConnectionLimiter;
+use crate::net::{discovery, inherited_socket, listener};
+use crate::platform_config::{self as json, Platform};
 use crate::time::TimeDelta;
 use async_channel::Sender;
 use async_io::{Async, Timer};
@@ -95,17 +96,17 @@
     let succeeds = platform.passed.is_some();
     let listener = match &platform.passed {
         Some(number) => {
-            Async::new(inherited_socket::listener(number)?).map_err(|e| format!("GW_PASSED_SOCKET: {e}"))?
+            Async::new(inherited_socket::from_descriptor(number)?).map_err(|e| format!("GW_PASSED_SOCKET: {e}"))?
         }
         None => {
-            let opened = connection_limiter::open_when_free(platform.listen, &limits);
+            let opened = listener::bind_when_free(platform.listen, &limits);
             let Some(opened) = unless_signalled(&mut ends, opened).await else { return ended_early() };
             opened.map_err(|e| format!("{}: {e}", platform.listen))?
         }
     };
     let peers = Rc::new(GossipSocket::new(platform.peers, platform.peers_all, &limits));
     if let Some(at) = platform.peer_listen {
-        match peers.open(at) {
+        match peers.bind(at) {
             // A process that this one follows still has it.
             Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
                 log::info!("{at}: {e}; once it is free")
@@ -114,10 +115,10 @@
         }
         let (peers, handle, period) = (peers.clone(), handle.clone(), limits.file_check_interval);
         let task = async move {
-            while peers.open(at).is_err() {
+            while peers.bind(at).is_err() {
                 Timer::after(period).await;
             }
-            peers.listen(|from, bytes| handle.input(Input::PeerMessage { from, bytes })).await;
+            peers.receive(|from, bytes| handle.input(Input::PeerMessage { from, bytes })).await;
         };
         executor.spawn(task).detach();
     }
@@ -170,14 +171,14 @@
                     listed.close();
                 }
             };
-            watcher::watch(&discovery, &zones, &limits, seed, &asked, deliver).await;
+            discovery::watch(&discovery, &zones, &limits, seed, &asked, deliver).await;
         };
         executor.spawn(task).detach();
     }
     let hosts = BackendPool::new(Pg::new(limits.clone(), fields), limits.clone(), clock);
     let carrying = carry(&executor, &hosts, commands, &handle, async move |command| match command {
         Command::SendToPeers { to, bytes } => {
-            peers.tell(to, &bytes).await;
+            peers.send(to, &bytes).await;
         }
         Command::FetchList => drop(fetch.try_send(())),
         _ => {}
@@ -198,7 +199,7 @@
         duty: duty.clone(),
         open: Default::default(),
     });
-    let seats = connection_limiter::ConnectionLimiter::new(limits.clone(), duty.clone());
+    let seats = ConnectionLimiter::new(limits.clone(), duty.clone());
     let accepting = accept(&executor, listener, &seats, move |stream, place, welcome| {
         let front = front.clone();
         async move { front.serve(stream, place, welcome).await }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The daemon's program.
 
 use brookpass::config::Limits;
-use brookpass::daemon::{self, file, operator, platform};
+use brookpass::daemon::{self, operator, operator_config as file, platform};
 use brookpass::logger;
 use brookpass::net::http::client::Client;
 use std::net::SocketAddr;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -4,7 +4,7 @@
 use super::until;
 use crate::config::Limits;
 use crate::engine::endpoints::EndpointUpdate;
-use crate::json;
+use crate::platform_config as json;
 use async_channel::Receiver;
 use fastrand::Rng;
 use futures_lite::future;
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -2,13 +2,13 @@
 //! fields in the program may change, the keys and what they mean may not.
 
 use brookpass::config::Limits;
-use brookpass::daemon::file::{self, Operator, StoreConfig};
+use brookpass::daemon::operator_config::{self as file, Operator, StoreConfig};
 use brookpass::engine::endpoints::{EndpointRecord, EndpointUpdate};
 use brookpass::fleet::zones::Dwell;
 use brookpass::fleet::zoning::Leaving;
 use brookpass::inventory::{self, Inventory};
-use brookpass::json::{self, Platform};
 use brookpass::net::sparql::front::Service;
+use brookpass::platform_config::{self as json, Platform};
 use brookpass::routing::settings_parser;
 use brookpass::routing::*;
 use std::collections::BTreeMap;
