--- a/src/net/admin_server.rs
+++ b/src/net/admin_server.rs
@@ -78,8 +78,8 @@
         let mut link = ClientConnection::new(stream, place, self.limits.clone(), self.handle.clock().clone());
         let mut buffer = Buffer::default();
         let answer = match welcome {
-            AcceptDecision::Rejected => server::answer(503, &[], "too many calls at once"),
-            AcceptDecision::Served => match server::next(&mut link, &mut buffer, &self.limits).await {
+            AcceptDecision::Reject => server::answer(503, &[], "too many calls at once"),
+            AcceptDecision::Serve => match server::next(&mut link, &mut buffer, &self.limits).await {
                 Next::Over => return,
                 Next::Refused(status, why) => {
                     log::debug!("door: {why}");
@@ -99,7 +99,7 @@
             Err((405, method)) => server::answer(405, &[("Allow", method)], "another method is wanted here"),
             Err((status, _)) => server::answer(status, &[], "nothing is here"),
             Ok(Call::Ready) => match self.duty.state() {
-                ServingState::Ending => text(false, "ending"),
+                ServingState::Terminating => text(false, "ending"),
                 _ if !self.ready.is_closed() => text(false, "no list of hosts yet"),
                 ServingState::Drained => text(true, "ready, drained"),
                 ServingState::Serving => text(true, "ready"),
--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -13,7 +13,6 @@
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Instant;
@@ -35,7 +34,7 @@
 
 impl<A> ExchangeResult<A> {
     /// An outcome about which the host said nothing.
-    pub fn bare(outcome: AttemptOutcome) -> ExchangeResult<A> {
+    pub fn outcome_only(outcome: AttemptOutcome) -> ExchangeResult<A> {
         ExchangeResult {
             outcome,
             replica_status: None,
@@ -50,19 +49,19 @@
 #[allow(async_fn_in_trait)]
 pub trait BackendProtocol: 'static {
     /// What is sent.
-    type Work: Clone + Send + 'static;
+    type Request: Clone + Send + 'static;
     /// What comes back.
     type Answer: Send + 'static;
     /// A connection that is ready for a request.
     type Connection: 'static;
 
     /// Makes a new stream ready. An error is the outcome of an attempt that never ran.
-    async fn open(&self, stream: Async<TcpStream>) -> Result<Self::Connection, AttemptOutcome>;
+    async fn handshake(&self, stream: Async<TcpStream>) -> Result<Self::Connection, AttemptOutcome>;
     /// Whether nothing came on a connection since its last answer.
-    fn quiet(&self, connection: &Self::Connection) -> bool;
+    fn is_silent(&self, connection: &Self::Connection) -> bool;
     /// Whether a host is asked about itself before anything else where it is new or a connection to it has failed: it
     /// may have begun anew, and lost what it had.
-    fn asks_first(&self) -> bool {
+    fn probes_before_first_use(&self) -> bool {
         false
     }
     /// Asks a host about itself; `None` where the protocol has no such question, or no answer came.
@@ -73,8 +72,8 @@
     async fn exchange(
         &self,
         connection: &mut Self::Connection,
-        work: &Self::Work,
-        trip: &AttemptContext<'_, Self::Work, Self::Answer>,
+        work: &Self::Request,
+        trip: &AttemptContext<'_, Self::Request, Self::Answer>,
     ) -> ExchangeResult<Self::Answer>;
 }
 
@@ -89,7 +88,7 @@
     /// How current its answer must be.
     pub freshness: Freshness,
     /// The last byte of the request was written: from then on it may have run.
-    pub sent: Cell<bool>,
+    sent: Cell<bool>,
     begun: Cell<bool>,
 }
 
@@ -99,14 +98,19 @@
         self.handle.clock().now()
     }
 
+    /// Whether the last byte of the request was written.
+    pub fn was_sent(&self) -> bool {
+        self.sent.get()
+    }
+
     /// The last byte of the request was written.
-    pub fn written(&self) {
+    pub fn mark_sent(&self) {
         self.sent.set(true);
         self.handle.metrics().dispatched();
     }
 
     /// Time until it is abandoned.
-    pub fn left(&self) -> TimeDelta {
+    pub fn time_left(&self) -> TimeDelta {
         (self.stop_at - self.now()).or_zero()
     }
 
@@ -117,29 +121,23 @@
     }
 
     /// The answer has begun and is the client's now: the deadline no longer binds.
-    pub async fn begin(&self, answer: A) {
+    pub async fn start_response(&self, answer: A) {
         self.begun.set(true);
         self.handle.input(Input::ResponseStarted { id: self.id, attempt: self.attempt, answer }).await;
     }
 
     /// The outcome of an attempt whose connection broke: never run before its last byte was written.
-    pub fn broken(&self) -> AttemptOutcome {
+    pub fn connection_lost(&self) -> AttemptOutcome {
         if self.sent.get() { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }
     }
 }
 
 /// A figure out of a load report's text, as in `inflight=7,util=0.61`.
-pub fn figure(text: &str, name: &str) -> Option<f64> {
+pub fn load_report_value(text: &str, name: &str) -> Option<f64> {
     let mut pairs = text.split(',').filter_map(|p| p.trim().split_once('='));
     pairs.find(|(n, _)| *n == name).and_then(|(_, v)| v.parse().ok()).filter(|v: &f64| v.is_finite())
 }
 
-/// Whether a stream has neither bytes to read nor an end.
-pub fn silent(stream: &Async<TcpStream>) -> bool {
-    let peeked = stream.get_ref().peek(&mut [0]);
-    peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
-}
-
 struct PooledEndpoint<C> {
     address: SocketAddr,
     open: bool,
@@ -195,17 +193,17 @@
     }
 
     /// Connections held now.
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.get()
     }
 
     /// Carries out an attempt's or a host's command; others are handed back.
-    pub async fn carry_out(
+    pub async fn execute(
         self: &Rc<Self>,
-        command: Command<W::Work>,
+        command: Command<W::Request>,
         executor: &Rc<LocalExecutor<'static>>,
-        handle: &EngineHandle<W::Work, W::Answer>,
-    ) -> Option<Command<W::Work>> {
+        handle: &EngineHandle<W::Request, W::Answer>,
+    ) -> Option<Command<W::Request>> {
         match command {
             Command::SendAttempt { id, attempt, endpoint, host, work, until, send_by, freshness } => {
                 let (cancel, cancelled) = async_channel::bounded(1);
@@ -320,21 +318,21 @@
     async fn attempt(
         &self,
         host: &str,
-        work: &W::Work,
-        trip: &AttemptContext<'_, W::Work, W::Answer>,
+        work: &W::Request,
+        trip: &AttemptContext<'_, W::Request, W::Answer>,
         cancelled: &Receiver<()>,
     ) -> ExchangeResult<W::Answer> {
         let work = self.send(host, work, trip, cancelled);
         let cancel = async {
             while cancelled.recv().await.is_ok() {}
-            ExchangeResult::bare(AttemptOutcome::Cancelled)
+            ExchangeResult::outcome_only(AttemptOutcome::Cancelled)
         };
         let time = async {
             Timer::at(self.clock.instant(trip.stop_at)).await;
             if trip.begun.get() {
                 future::pending::<()>().await;
             }
-            ExchangeResult::bare(if trip.sent.get() {
+            ExchangeResult::outcome_only(if trip.was_sent() {
                 AttemptOutcome::TimedOut
             } else {
                 AttemptOutcome::NotSent
@@ -347,18 +345,18 @@
     async fn send(
         &self,
         host: &str,
-        work: &W::Work,
-        trip: &AttemptContext<'_, W::Work, W::Answer>,
+        work: &W::Request,
+        trip: &AttemptContext<'_, W::Request, W::Answer>,
         cancelled: &Receiver<()>,
     ) -> ExchangeResult<W::Answer> {
         if cancelled.is_closed() {
-            return ExchangeResult::bare(AttemptOutcome::Cancelled);
+            return ExchangeResult::outcome_only(AttemptOutcome::Cancelled);
         }
         let mut lease = match self.lease(host).await {
             Ok(lease) => lease,
-            Err(outcome) => return ExchangeResult::bare(outcome),
+            Err(outcome) => return ExchangeResult::outcome_only(outcome),
         };
-        if self.wire.asks_first() && self.known.borrow().get(host).is_some_and(|k| k.doubted) {
+        if self.wire.probes_before_first_use() && self.known.borrow().get(host).is_some_and(|k| k.doubted) {
             let began = self.clock.now();
             let end = Instant::now() + self.limits.connect_timeout;
             let report = until(end, self.wire.probe(&mut lease.connection)).await.flatten();
@@ -367,7 +365,7 @@
                 // It does not know the question: this is asked once, and its connection may be spoilt.
                 lease = match self.lease(host).await {
                     Ok(lease) => lease,
-                    Err(outcome) => return ExchangeResult::bare(outcome),
+                    Err(outcome) => return ExchangeResult::outcome_only(outcome),
                 };
             } else {
                 // Ahead of whatever this attempt brings: what the host had lost is seen before anything new is there.
@@ -378,12 +376,12 @@
         // While the connection came up the host may have begun to drain or begun anew: nothing new goes there, and
         // what a cold one bears is for the module to say. Its client may have gone, and its time may be over.
         if !self.known.borrow().get(host).is_some_and(|k| k.open && k.epoch == lease.epoch) {
-            return ExchangeResult::bare(AttemptOutcome::ConnectFailed);
+            return ExchangeResult::outcome_only(AttemptOutcome::ConnectFailed);
         }
         let stopped = cancelled.is_closed().then_some(AttemptOutcome::Cancelled).or_else(|| trip.expired());
         if let Some(outcome) = stopped {
             self.give_back(host, lease);
-            return ExchangeResult::bare(outcome);
+            return ExchangeResult::outcome_only(outcome);
         }
         let done = self.wire.exchange(&mut lease.connection, work, trip).await;
         if matches!(done.outcome, AttemptOutcome::Reset | AttemptOutcome::ConnectFailed) {
@@ -420,7 +418,7 @@
                 }
                 let (lease, since) = known.idle.remove(n);
                 // The host closes idle connections: a request on one that it has closed may have run.
-                if since.elapsed() < self.limits.host_idle && self.wire.quiet(&lease.connection) {
+                if since.elapsed() < self.limits.host_idle && self.wire.is_silent(&lease.connection) {
                     return Ok(lease);
                 }
             }
@@ -431,7 +429,7 @@
             let stream =
                 Async::<TcpStream>::connect(address).await.map_err(|_| AttemptOutcome::ConnectFailed)?;
             stream.get_ref().set_nodelay(true).map_err(|_| AttemptOutcome::ConnectFailed)?;
-            self.wire.open(stream).await
+            self.wire.handshake(stream).await
         };
         let closed = async {
             while gate.recv().await.is_ok() {}
@@ -459,7 +457,7 @@
     }
 
     /// Closes connections that have stood idle too long, for ever.
-    pub async fn tidy(&self) {
+    pub async fn sweep_idle(&self) {
         loop {
             Timer::after(self.limits.pool_sweep_interval).await;
             for known in self.known.borrow_mut().values_mut() {
--- a/src/net/backend_pool/tests.rs
+++ b/src/net/backend_pool/tests.rs
@@ -7,15 +7,15 @@
 struct Plain;
 
 impl BackendProtocol for Plain {
-    type Work = ();
+    type Request = ();
     type Answer = ();
     type Connection = Async<TcpStream>;
 
-    async fn open(&self, stream: Async<TcpStream>) -> Result<Async<TcpStream>, AttemptOutcome> {
+    async fn handshake(&self, stream: Async<TcpStream>) -> Result<Async<TcpStream>, AttemptOutcome> {
         Ok(stream)
     }
 
-    fn quiet(&self, _: &Async<TcpStream>) -> bool {
+    fn is_silent(&self, _: &Async<TcpStream>) -> bool {
         true
     }
 
@@ -25,7 +25,7 @@
         _: &(),
         _: &AttemptContext<'_, (), ()>,
     ) -> ExchangeResult<()> {
-        ExchangeResult::bare(AttemptOutcome::Error)
+        ExchangeResult::outcome_only(AttemptOutcome::Error)
     }
 }
 
@@ -52,7 +52,7 @@
         assert!(matches!(hosts.lease("a").await, Err(AttemptOutcome::ConnectFailed)));
         hosts.host(host(false));
         hosts.give_back("a", old);
-        assert_eq!(hosts.connections(), 0, "a connection of its earlier life is not kept");
+        assert_eq!(hosts.connection_count(), 0, "a connection of its earlier life is not kept");
     });
 }
 
@@ -82,7 +82,7 @@
             let first = hosts.lease("a").await.ok().unwrap();
             hosts.give_back("a", first);
             let second = hosts.lease("a").await.ok().unwrap();
-            assert_eq!(hosts.connections(), held);
+            assert_eq!(hosts.connection_count(), held);
             drop(second);
         });
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -23,17 +23,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEvent {
     /// Bytes came.
-    More,
+    Data,
     /// It has gone.
-    Gone,
+    Closed,
     /// It did nothing, and the connection is to end.
-    Ends,
+    CloseRequested,
     /// A part of a request has come, and its descriptor is needed at once.
-    Cut,
+    Evicted,
     /// It has not sent a whole request in time.
-    Late,
+    TimedOut,
     /// There is no room for what it sends.
-    Full,
+    OverBudget,
 }
 
 /// A client's connection.
@@ -118,22 +118,22 @@
 
     /// Whether the connection is to end between requests.
     pub fn ends(&self) -> bool {
-        self.place.ends()
+        self.place.must_close()
     }
 
     /// A whole request has come.
-    pub fn taken(&mut self) {
+    pub fn request_received(&mut self) {
         self.awaited = None;
-        self.place.asked();
+        self.place.request_received();
     }
 
     /// When the last byte of the request came that was just taken, where so many bytes are not used yet.
-    pub fn arrived(&mut self, unread: usize) -> Timestamp {
+    pub fn arrival_time(&mut self, unread: usize) -> Timestamp {
         self.arrivals.of_used(unread).unwrap_or_else(|| self.clock.now())
     }
 
     /// Whether the client has closed its connection, though bytes of it may be unread.
-    pub fn departed(&self) -> bool {
+    pub fn has_departed(&self) -> bool {
         let mut polled = [PollFd::new(&self.stream, PollFlags::RDHUP)];
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
         let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
@@ -142,9 +142,9 @@
 
     /// Whether the client of a request that came at `arrived` has gone meanwhile. It is looked for only where the
     /// request may have waited to be read.
-    pub fn has_left_since(&self, arrived: Timestamp) -> bool {
+    pub fn has_departed_since(&self, arrived: Timestamp) -> bool {
         let waited = self.clock.now() - arrived >= TimeDelta::from(self.limits.departure_check_interval);
-        (waited || !self.place.has_asked()) && self.departed()
+        (waited || !self.place.has_received_request()) && self.has_departed()
     }
 
     /// Reads once; 0 at the end of the stream.
@@ -163,41 +163,48 @@
     /// Whoever has yet to send a whole one has so long for it, and may make room for others meanwhile; so may
     /// who stands between requests. One that is to end may complete what it has begun, and one that has just come
     /// may ask.
-    pub async fn hear(&mut self, partial: bool, held: usize, into: &mut Buffer) -> io::Result<ReadEvent> {
-        if !self.place.hold(held) {
-            return Ok(ReadEvent::Full);
+    pub async fn wait_for_input(
+        &mut self,
+        partial: bool,
+        held: usize,
+        into: &mut Buffer,
+    ) -> io::Result<ReadEvent> {
+        if !self.place.reserve_message_bytes(held) {
+            return Ok(ReadEvent::OverBudget);
         }
         let now = Instant::now();
         if partial {
             self.awaited.get_or_insert(now);
         }
-        let (standing, since) = self.awaited.map_or((SlotState::Idle, now), |at| (SlotState::Waiting, at));
-        self.place.stands(standing, since);
+        let (standing, since) =
+            self.awaited.map_or((SlotState::Idle, now), |at| (SlotState::AwaitingRequest, at));
+        self.place.set_state(standing, since);
         let late = self.awaited.map(|at| at + self.limits.first_request_timeout);
         let (stream, place) = (&self.stream, &self.place);
-        let fresh = (!place.has_asked()).then_some(self.connected + self.limits.silent_client_grace);
+        let fresh =
+            (!place.has_received_request()).then_some(self.connected + self.limits.silent_client_grace);
         let ends = async {
             if partial {
-                place.cut().await;
-                return Ok(ReadEvent::Cut);
+                place.evicted().await;
+                return Ok(ReadEvent::Evicted);
             }
-            place.ended().await;
+            place.close_requested().await;
             if let Some(at) = fresh {
-                future::or(place.cut(), async { _ = Timer::at(at).await }).await;
+                future::or(place.evicted(), async { _ = Timer::at(at).await }).await;
             }
-            Ok(ReadEvent::Ends)
+            Ok(ReadEvent::CloseRequested)
         };
         let late = async {
             match late {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
-            Ok(ReadEvent::Late)
+            Ok(ReadEvent::TimedOut)
         };
         let (arrivals, clock) = (&mut self.arrivals, &self.clock);
         let read = async {
             let n = arrivals.fill(stream, into, clock).await?;
-            Ok(if n > 0 { ReadEvent::More } else { ReadEvent::Gone })
+            Ok(if n > 0 { ReadEvent::Data } else { ReadEvent::Closed })
         };
         // What has come is read before the wish to end is heard.
         future::or(read, future::or(ends, late)).await
@@ -205,10 +212,10 @@
 
     /// Reads once behind requests that are open; false: the client has gone. Once `Limits::ahead` bytes wait it
     /// reads no more, and only looks whether the client is still there.
-    pub async fn more(&mut self, into: &mut Buffer) -> bool {
+    pub async fn read_ahead(&mut self, into: &mut Buffer) -> bool {
         if into.unread().len() > self.limits.read_ahead {
             self.arrivals.paused.get_or_insert(self.clock.now());
-            while !self.departed() {
+            while !self.has_departed() {
                 Timer::after(self.limits.departure_check_interval).await;
             }
             return false;
@@ -217,16 +224,16 @@
     }
 
     /// Comes back when the client has gone. What it sends meanwhile is kept, up to `Limits::ahead`.
-    pub async fn gone(&mut self, into: &mut Buffer) {
-        while self.more(into).await {}
+    pub async fn wait_for_departure(&mut self, into: &mut Buffer) {
+        while self.read_ahead(into).await {}
     }
 
     /// Closes so that what was written arrives: a close over unread bytes would reset the connection. What
     /// comes meanwhile is passed over, not kept, and not for ever.
     pub async fn linger(&mut self) -> io::Result<()> {
         let (time, mut left) = self.limits.close_linger;
-        self.place.hold(0);
-        self.place.stands(SlotState::Closing, Instant::now());
+        self.place.reserve_message_bytes(0);
+        self.place.set_state(SlotState::Closing, Instant::now());
         self.stream.get_ref().shutdown(Shutdown::Write)?;
         let (stream, place) = (&self.stream, &self.place);
         let pass = |mut stream: &TcpStream| stream.read(&mut [0; CHUNK]);
@@ -238,7 +245,7 @@
                 left -= n;
             }
         };
-        until(Instant::now() + time, future::or(read, place.cut())).await;
+        until(Instant::now() + time, future::or(read, place.evicted())).await;
         Ok(())
     }
 }
--- a/src/net/connection_limiter.rs
+++ b/src/net/connection_limiter.rs
@@ -1,14 +1,11 @@
-//! A front's listener: connections within the limits, and what happens to them at the end.
+//! A front's connections within the limits, and what happens to them at the end.
 
 use super::lifecycle::Lifecycle;
 use crate::config::Limits;
 use async_channel::{Receiver, Sender};
-use async_io::{Async, Timer};
-use futures_lite::future;
+use async_io::Timer;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::io;
-use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Instant;
 
@@ -16,16 +13,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptDecision {
     /// It is served.
-    Served,
+    Serve,
     /// It is only told that there are too many.
-    Rejected,
+    Reject,
 }
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotState {
     /// No whole request has come yet, or a part of the next one, or it is being closed.
-    Waiting,
+    AwaitingRequest,
     /// Between requests.
     Idle,
     /// A request is open.
@@ -34,9 +31,6 @@
     Closing,
 }
 
-/// Connections that may still be taken from the kernel's queue once the listener closes: as many as it holds.
-const BACKLOG: usize = 128;
-
 struct Seat {
     /// Where it stands, since when.
     stands: Cell<(SlotState, Instant)>,
@@ -104,33 +98,33 @@
     }
 
     /// Connections that are served now.
-    pub fn taken(&self) -> usize {
+    pub fn active_connections(&self) -> usize {
         self.taken.borrow().len()
     }
 
     /// Connections that are held now, those that are turned away included.
-    pub fn held(&self) -> usize {
-        self.taken() + self.turned_away.borrow().len()
+    pub fn open_connections(&self) -> usize {
+        self.active_connections() + self.turned_away.borrow().len()
     }
 
     /// Comes back when no connection is held: one that is told that there are too many is owed that answer.
-    pub async fn emptied(&self) {
-        while self.held() > 0 {
+    pub async fn wait_until_empty(&self) {
+        while self.open_connections() > 0 {
             let _ = self.left.1.recv().await;
         }
     }
 
     /// Asks every connection to end as soon as it stands between requests. One that has sent a part of a request
     /// may complete it.
-    pub fn close(&self) {
+    pub fn close_after_request(&self) {
         for seat in self.taken.borrow().values() {
             seat.end.close();
         }
     }
 
     /// Ends every connection that has sent no more than a part of a request.
-    pub fn cut_waiting(&self) {
-        for seat in self.taken.borrow().values().filter(|s| s.stands.get().0 == SlotState::Waiting) {
+    pub fn abort_incomplete(&self) {
+        for seat in self.taken.borrow().values().filter(|s| s.stands.get().0 == SlotState::AwaitingRequest) {
             seat.cut();
         }
     }
@@ -154,12 +148,12 @@
             // Some ask once and keep their connection for good.
             open.min_by_key(|s| (s.asked.get() > 1, s.stands.get().1))
         };
-        let silent = longest(SlotState::Waiting);
+        let silent = longest(SlotState::AwaitingRequest);
         let ripe = silent.filter(|s| s.stands.get().1.elapsed() >= limits.silent_client_grace);
         let goes = ripe.or_else(|| longest(SlotState::Idle)).or(silent);
         if let Some(seat) = goes.filter(|_| closing.is_none()) {
             seat.end.close();
-            if seat.stands.get().0 == SlotState::Waiting
+            if seat.stands.get().0 == SlotState::AwaitingRequest
                 || held >= limits.client_connections + limits.rejected_connections / 2
             {
                 seat.cut();
@@ -175,8 +169,10 @@
             let (standing, since) = seat.stands.get();
             match standing {
                 SlotState::Idle | SlotState::Busy => drop(seat.end.close()),
-                SlotState::Waiting if since.elapsed() >= self.limits.first_request_timeout / 2 => seat.cut(),
-                SlotState::Waiting | SlotState::Closing => {}
+                SlotState::AwaitingRequest if since.elapsed() >= self.limits.first_request_timeout / 2 => {
+                    seat.cut()
+                }
+                SlotState::AwaitingRequest | SlotState::Closing => {}
             }
         }
     }
@@ -189,7 +185,7 @@
         let mut once: Vec<&Rc<Seat>> = Vec::new();
         for seat in taken.values().filter(|s| !s.end.is_closed()) {
             let (standing, since) = seat.stands.get();
-            served += usize::from(standing != SlotState::Waiting);
+            served += usize::from(standing != SlotState::AwaitingRequest);
             if standing == SlotState::Idle && since.elapsed() >= self.limits.client_idle {
                 seat.end.close();
                 served -= 1;
@@ -208,7 +204,7 @@
     }
 
     /// Looks for idle connections, for ever.
-    pub async fn tidy(&self) {
+    pub async fn sweep_idle(&self) {
         loop {
             Timer::after(self.limits.idle_check_interval).await;
             self.relieve();
@@ -218,20 +214,20 @@
         }
     }
 
-    fn seat(self: &Rc<ConnectionLimiter>) -> Option<(ConnectionSlot, AcceptDecision)> {
-        let mut welcome = AcceptDecision::Served;
-        if self.taken() >= self.limits.client_connections && !self.make_room() {
+    pub(super) fn admit(self: &Rc<ConnectionLimiter>) -> Option<(ConnectionSlot, AcceptDecision)> {
+        let mut welcome = AcceptDecision::Serve;
+        if self.active_connections() >= self.limits.client_connections && !self.make_room() {
             // A connection that took an idle one's place before that had ended holds a share of these too.
-            if self.held() >= self.limits.client_connections + self.limits.rejected_connections {
+            if self.open_connections() >= self.limits.client_connections + self.limits.rejected_connections {
                 if let Some(seat) = longest_closing(&self.turned_away.borrow()) {
                     seat.cut();
                 }
                 return None;
             }
-            welcome = AcceptDecision::Rejected;
+            welcome = AcceptDecision::Reject;
         }
         let ((end, ended), (cut, was_cut)) = (async_channel::bounded(1), async_channel::bounded(1));
-        let stands = Cell::new((SlotState::Waiting, Instant::now()));
+        let stands = Cell::new((SlotState::AwaitingRequest, Instant::now()));
         let seat = Rc::new(Seat { stands, asked: Cell::new(0), end, cut });
         let number = self.next.get();
         self.next.set(number + 1);
@@ -242,33 +238,37 @@
         ))
     }
 
+    pub(super) fn limits(&self) -> &Limits {
+        &self.limits
+    }
+
     fn seats(&self, welcome: AcceptDecision) -> &RefCell<BTreeMap<u64, Rc<Seat>>> {
         match welcome {
-            AcceptDecision::Served => &self.taken,
-            AcceptDecision::Rejected => &self.turned_away,
+            AcceptDecision::Serve => &self.taken,
+            AcceptDecision::Reject => &self.turned_away,
         }
     }
 }
 
 impl ConnectionSlot {
     /// Notes where the connection stands, since when.
-    pub fn stands(&self, standing: SlotState, since: Instant) {
+    pub fn set_state(&self, standing: SlotState, since: Instant) {
         self.seat.stands.set((standing, since));
     }
 
     /// Notes that a whole request has come.
-    pub fn asked(&self) {
+    pub fn request_received(&self) {
         self.seat.asked.set(self.seat.asked.get().saturating_add(1));
-        self.stands(SlotState::Busy, Instant::now());
+        self.set_state(SlotState::Busy, Instant::now());
     }
 
     /// Whether a whole request has come.
-    pub fn has_asked(&self) -> bool {
+    pub fn has_received_request(&self) -> bool {
         self.seat.asked.get() > 0
     }
 
     /// Notes how many bytes of a message it holds; false: there is no room for so many.
-    pub fn hold(&mut self, bytes: usize) -> bool {
+    pub fn reserve_message_bytes(&mut self, bytes: usize) -> bool {
         let limits = &self.seats.limits;
         let wanted = if bytes > limits.unbudgeted_message { bytes } else { 0 };
         let others = self.seats.held.get() - self.held;
@@ -281,96 +281,29 @@
     }
 
     /// Whether it is to end between requests.
-    pub fn ends(&self) -> bool {
+    pub fn must_close(&self) -> bool {
         self.end.is_closed()
     }
 
     /// Comes back when it is to end between requests.
-    pub async fn ended(&self) {
+    pub async fn close_requested(&self) {
         while self.end.recv().await.is_ok() {}
     }
 
     /// Comes back when its descriptor is needed at once.
-    pub async fn cut(&self) {
+    pub async fn evicted(&self) {
         while self.cut.recv().await.is_ok() {}
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.hold(0);
+        self.reserve_message_bytes(0);
         self.seats.seats(self.welcome).borrow_mut().remove(&self.number);
         // One message is enough for whoever waits.
         let _ = self.seats.left.0.try_send(());
     }
 }
 
-/// Opens a listener.
-pub fn open(address: SocketAddr) -> io::Result<Async<TcpListener>> {
-    Async::<TcpListener>::bind(address)
-}
-
-/// Opens a listener; waits for an address that another process still has, within a bound.
-pub async fn open_when_free(address: SocketAddr, limits: &Limits) -> io::Result<Async<TcpListener>> {
-    let end = Instant::now() + limits.bind_timeout;
-    let mut told = false;
-    loop {
-        match open(address) {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse && Instant::now() < end => {
-                if !std::mem::replace(&mut told, true) {
-                    log::warn!("{address}: {e}; waiting for it, {:?} at the most", limits.bind_timeout);
-                }
-                Timer::after(limits.idle_check_interval).await;
-            }
-            opened => return opened,
-        }
-    }
-}
-
-/// Takes connections, each within its place, until there is a message on `stop`; those that the kernel has taken by
-/// then are still served.
-pub async fn accept(
-    listener: &Async<TcpListener>,
-    seats: &Rc<ConnectionLimiter>,
-    stop: &Receiver<()>,
-    mut serve: impl FnMut(Async<TcpStream>, ConnectionSlot, AcceptDecision),
-) {
-    let stopped = async {
-        if stop.recv().await.is_err() {
-            future::pending::<()>().await;
-        }
-        None
-    };
-    futures_lite::pin!(stopped);
-    let mut last = BACKLOG;
-    loop {
-        // The kernel's queue is looked at before the wish to stop.
-        let taken = async { Some(listener.accept().await) };
-        match future::or(taken, &mut stopped).await {
-            None => return,
-            Some(Ok((stream, _))) => {
-                let _ = stream.get_ref().set_nodelay(true);
-                match seats.seat() {
-                    Some((place, welcome)) => serve(stream, place, welcome),
-                    None => log::warn!("too many connections, and too many that are told so"),
-                }
-                // Those that were just taken are read, and those that make room end, before the next is taken.
-                future::yield_now().await;
-            }
-            Some(Err(e)) => {
-                // Out of descriptors or a connection that ended before it was taken: not the end of the front.
-                log::warn!("accept: {e}");
-                Timer::after(seats.limits.accept_retry_delay).await;
-            }
-        }
-        if !stop.is_empty() {
-            last -= 1;
-            if last == 0 {
-                return;
-            }
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/net/connection_limiter/tests.rs
+++ b/src/net/connection_limiter/tests.rs
@@ -8,22 +8,22 @@
 fn the_longest_idle_makes_room_and_the_rest_are_told() {
     let limits = Limits { client_connections: 2, rejected_connections: 1, ..Limits::for_sockets(64) };
     let seats = ConnectionLimiter::new(Rc::new(limits), Rc::default());
-    let take = || seats.seat().map(|(place, welcome)| (place, welcome == AcceptDecision::Served));
+    let take = || seats.admit().map(|(place, welcome)| (place, welcome == AcceptDecision::Serve));
     let (first, second) = (take().unwrap(), take().unwrap());
-    let busy = |place: &ConnectionSlot| place.stands(SlotState::Busy, Instant::now());
+    let busy = |place: &ConnectionSlot| place.set_state(SlotState::Busy, Instant::now());
     [&first.0, &second.0].into_iter().for_each(busy);
     assert!(first.1 && second.1);
     let turned_away = take().unwrap();
     assert!(!turned_away.1, "none is idle");
     assert!(take().is_none(), "nor is there room to say so");
     drop(turned_away);
-    second.0.stands(SlotState::Idle, Instant::now());
+    second.0.set_state(SlotState::Idle, Instant::now());
     let third = take().unwrap();
     busy(&third.0);
-    assert!(third.1 && second.0.ends() && !first.0.ends());
+    assert!(third.1 && second.0.must_close() && !first.0.must_close());
     assert!(take().is_none(), "the idle one has not ended yet");
     drop(second);
-    assert_eq!(seats.taken(), 2);
+    assert_eq!(seats.active_connections(), 2);
 }
 
 /// Guards against hundreds of connections that say nothing and shut out those that ask.
@@ -31,22 +31,22 @@
 fn those_that_say_nothing_make_room_first() {
     let limits = Limits { client_connections: 3, rejected_connections: 1, ..Limits::for_sockets(64) };
     let (grace, seats) = (limits.silent_client_grace, ConnectionLimiter::new(Rc::new(limits), Rc::default()));
-    let take = || seats.seat().map(|(place, _)| place).unwrap();
+    let take = || seats.admit().map(|(place, _)| place).unwrap();
     let (idle, silent, busy) = (take(), take(), take());
     let ago = |span| Instant::now().checked_sub(span).unwrap();
-    idle.stands(SlotState::Idle, ago(grace * 9));
-    busy.stands(SlotState::Busy, ago(grace * 9));
-    silent.stands(SlotState::Waiting, ago(grace * 2));
+    idle.set_state(SlotState::Idle, ago(grace * 9));
+    busy.set_state(SlotState::Busy, ago(grace * 9));
+    silent.set_state(SlotState::AwaitingRequest, ago(grace * 2));
     let new = take();
-    assert!(silent.ends() && !idle.ends());
+    assert!(silent.must_close() && !idle.must_close());
     drop(silent);
-    new.stands(SlotState::Waiting, Instant::now());
+    new.set_state(SlotState::AwaitingRequest, Instant::now());
     let newer = take();
-    assert!(idle.ends() && !new.ends(), "one that has just come may still ask");
+    assert!(idle.must_close() && !new.must_close(), "one that has just come may still ask");
     drop(idle);
-    newer.stands(SlotState::Busy, Instant::now());
+    newer.set_state(SlotState::Busy, Instant::now());
     let _newest = take();
-    assert!(new.ends() && !busy.ends() && !newer.ends());
+    assert!(new.must_close() && !busy.must_close() && !newer.must_close());
 }
 
 /// Guards against those that ask once and stay: clients hold only so many connections, and those that go on
@@ -60,12 +60,12 @@
         ConnectionLimiter::new(Rc::new(limits), Rc::default()),
     );
     let take = |asked: u32, idle: std::time::Duration| {
-        let (place, _) = seats.seat().unwrap();
-        (0..asked).for_each(|_| place.asked());
-        place.stands(SlotState::Idle, Instant::now().checked_sub(idle).unwrap());
+        let (place, _) = seats.admit().unwrap();
+        (0..asked).for_each(|_| place.request_received());
+        place.set_state(SlotState::Idle, Instant::now().checked_sub(idle).unwrap());
         place
     };
-    let ended = |places: &[ConnectionSlot]| places.iter().map(ConnectionSlot::ends).collect::<Vec<_>>();
+    let ended = |places: &[ConnectionSlot]| places.iter().map(ConnectionSlot::must_close).collect::<Vec<_>>();
     let mut places = vec![take(5, grace * 3), take(1, grace * 2), take(1, grace * 4)];
     seats.relieve();
     assert_eq!(ended(&places), [false, false, false], "three are no crowd");
@@ -74,11 +74,11 @@
     assert_eq!(ended(&places), [false, true, true, false, false], "all that asked once a while ago");
     places.push(take(7, long));
     seats.relieve();
-    assert!(places[5].ends() && !places[0].ends() && !places[4].ends());
-    let (silent, _) = seats.seat().unwrap();
-    silent.stands(SlotState::Waiting, Instant::now().checked_sub(long).unwrap());
+    assert!(places[5].must_close() && !places[0].must_close() && !places[4].must_close());
+    let (silent, _) = seats.admit().unwrap();
+    silent.set_state(SlotState::AwaitingRequest, Instant::now().checked_sub(long).unwrap());
     seats.relieve();
-    assert!(!silent.ends(), "its own time is looked at elsewhere");
+    assert!(!silent.must_close(), "its own time is looked at elsewhere");
 }
 
 /// Guards against clients whose long messages together take more memory than there is.
@@ -86,13 +86,18 @@
 fn long_messages_share_one_budget() {
     let limits = Limits { unbudgeted_message: 10, message_budget: 100, ..Limits::for_sockets(64) };
     let seats = ConnectionLimiter::new(Rc::new(limits), Rc::default());
-    let take = || seats.seat().map(|(place, _)| place).unwrap();
+    let take = || seats.admit().map(|(place, _)| place).unwrap();
     let (mut one, mut two) = (take(), take());
-    assert!(one.hold(60) && two.hold(10) && two.hold(40) && one.hold(50));
-    assert!(!two.hold(51), "there is room for 50");
+    assert!(
+        one.reserve_message_bytes(60)
+            && two.reserve_message_bytes(10)
+            && two.reserve_message_bytes(40)
+            && one.reserve_message_bytes(50)
+    );
+    assert!(!two.reserve_message_bytes(51), "there is room for 50");
     drop(one);
-    assert!(two.hold(100));
-    assert!(two.hold(0));
+    assert!(two.reserve_message_bytes(100));
+    assert!(two.reserve_message_bytes(0));
     assert_eq!(seats.held.get(), 0);
 }
 
@@ -134,31 +139,35 @@
 fn those_that_are_being_closed_make_room_first() {
     let limits = Limits { client_connections: 2, rejected_connections: 2, ..Limits::for_sockets(64) };
     let seats = ConnectionLimiter::new(Rc::new(limits), Rc::default());
-    let take = || seats.seat().unwrap();
+    let take = || seats.admit().unwrap();
     let ((idle, _), (closing, _)) = (take(), take());
-    idle.stands(SlotState::Idle, Instant::now());
-    closing.stands(SlotState::Closing, Instant::now());
+    idle.set_state(SlotState::Idle, Instant::now());
+    closing.set_state(SlotState::Closing, Instant::now());
     let (new, welcome) = take();
-    assert_eq!((welcome, idle.ends()), (AcceptDecision::Served, false));
+    assert_eq!((welcome, idle.must_close()), (AcceptDecision::Serve, false));
     assert!(closing.cut.is_closed(), "its descriptor is needed");
-    new.stands(SlotState::Busy, Instant::now());
-    idle.stands(SlotState::Busy, Instant::now());
+    new.set_state(SlotState::Busy, Instant::now());
+    idle.set_state(SlotState::Busy, Instant::now());
     let (told, welcome) = take();
-    assert_eq!((welcome, seats.held()), (AcceptDecision::Rejected, 4));
-    assert!(!told.ends() && !told.cut.is_closed(), "it has time to read why");
-    told.stands(SlotState::Closing, Instant::now());
-    assert!(seats.seat().is_none() && told.cut.is_closed(), "and makes room for the next");
+    assert_eq!((welcome, seats.open_connections()), (AcceptDecision::Reject, 4));
+    assert!(!told.must_close() && !told.cut.is_closed(), "it has time to read why");
+    told.set_state(SlotState::Closing, Instant::now());
+    assert!(seats.admit().is_none() && told.cut.is_closed(), "and makes room for the next");
     drop((idle, closing, new));
-    assert_eq!((seats.taken(), seats.held()), (0, 1), "one that is turned away is waited for at the end");
+    assert_eq!(
+        (seats.active_connections(), seats.open_connections()),
+        (0, 1),
+        "one that is turned away is waited for at the end"
+    );
 }
 
 /// Guards against half a request that is cut off where no room is needed, and one that is kept where it is.
 #[test]
 fn a_part_of_a_request_ends_only_for_room_or_at_the_very_end() {
     let seats = ConnectionLimiter::new(Rc::new(Limits::for_sockets(64)), Rc::default());
-    let (part, _) = seats.seat().unwrap();
-    seats.close();
-    assert!(part.ends() && !part.cut.is_closed());
-    seats.cut_waiting();
+    let (part, _) = seats.admit().unwrap();
+    seats.close_after_request();
+    assert!(part.must_close() && !part.cut.is_closed());
+    seats.abort_incomplete();
     assert!(part.cut.is_closed());
 }
--- a/src/net/gossip_socket.rs
+++ b/src/net/gossip_socket.rs
@@ -32,7 +32,7 @@
     }
 
     /// Listens for the tier's datagrams, if it does not yet.
-    pub fn open(&self, listen: SocketAddr) -> io::Result<()> {
+    pub fn bind(&self, listen: SocketAddr) -> io::Result<()> {
         if self.socket.get().is_none() {
             let _ = self.socket.set(Async::<UdpSocket>::bind(listen)?);
         }
@@ -40,7 +40,7 @@
     }
 
     /// Sends to one peer, or to all. One that is too long is not sent: it would void the run.
-    pub async fn tell(&self, to: Option<u16>, bytes: &[u8]) {
+    pub async fn send(&self, to: Option<u16>, bytes: &[u8]) {
         let address = to.map_or(self.all, |n| self.each.get(usize::from(n)).copied());
         // Peers know a pooler by its address: from any other they would not hear it.
         let Some(socket) = self.socket.get() else { return };
@@ -54,7 +54,7 @@
 
     /// Hands on what arrives, with the sender's number. What is too long, unreadable or from a stranger is
     /// dropped and counted.
-    pub async fn listen<F: Future<Output = ()>>(&self, deliver: impl Fn(u16, Vec<u8>) -> F) {
+    pub async fn receive<F: Future<Output = ()>>(&self, deliver: impl Fn(u16, Vec<u8>) -> F) {
         let mut bytes = vec![0; self.most + 1];
         let Some(socket) = self.socket.get() else { return };
         loop {
@@ -100,14 +100,14 @@
         let limits = Limits::for_sockets(64);
         let each = vec![peer.local_addr().unwrap()];
         let own = GossipSocket::new(each, None, &limits);
-        async_io::block_on(own.tell(Some(0), b"from nowhere"));
-        own.open(([127, 0, 0, 1], 0).into()).unwrap();
+        async_io::block_on(own.send(Some(0), b"from nowhere"));
+        own.bind(([127, 0, 0, 1], 0).into()).unwrap();
         let at = own.socket.get().unwrap().get_ref().local_addr().unwrap();
-        assert!(GossipSocket::new(Vec::new(), None, &limits).open(at).is_err(), "it is taken");
+        assert!(GossipSocket::new(Vec::new(), None, &limits).bind(at).is_err(), "it is taken");
         async_io::block_on(async {
-            own.tell(Some(0), &[7; 257]).await;
-            own.tell(None, b"nobody").await;
-            own.tell(Some(0), &[7; 256]).await;
+            own.send(Some(0), &[7; 257]).await;
+            own.send(None, b"nobody").await;
+            own.send(Some(0), &[7; 256]).await;
         });
         let mut bytes = [0; 512];
         assert_eq!(peer.recv(&mut bytes).unwrap(), 256, "the longer one never left");
@@ -120,7 +120,7 @@
         }
         peer.send_to(&hint, at).unwrap();
         let (heard, messages) = unbounded();
-        let listen = own.listen(|from, bytes| {
+        let listen = own.receive(|from, bytes| {
             let heard = heard.clone();
             async move { heard.send((from, bytes)).await.unwrap() }
         });
--- a/src/net/gossip_socket/golden_tests.rs
+++ b/src/net/gossip_socket/golden_tests.rs
@@ -12,15 +12,15 @@
 fn a_datagram_is_the_message_alone_both_ways() {
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = GossipSocket::new(vec![peer.local_addr().unwrap()], None, &Limits::for_sockets(64));
-    own.open(([127, 0, 0, 1], 0).into()).unwrap();
+    own.bind(([127, 0, 0, 1], 0).into()).unwrap();
     let at = own.socket.get().unwrap().get_ref().local_addr().unwrap();
-    async_io::block_on(own.tell(Some(0), &GOLDEN));
+    async_io::block_on(own.send(Some(0), &GOLDEN));
     let mut bytes = [0; 64];
     let (length, from) = peer.recv_from(&mut bytes).unwrap();
     assert_eq!((&bytes[..length], from), (&GOLDEN[..], at));
     peer.send_to(&GOLDEN, at).unwrap();
     let (heard, messages) = unbounded();
-    let listen = own.listen(|from, bytes| {
+    let listen = own.receive(|from, bytes| {
         let heard = heard.clone();
         async move { heard.send((from, bytes)).await.unwrap() }
     });
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -41,8 +41,8 @@
     }
 
     /// Whether nothing came since the last answer.
-    pub fn quiet(&self) -> bool {
-        self.buffer.unread().is_empty() && crate::net::backend_pool::silent(&self.stream)
+    pub fn is_silent(&self) -> bool {
+        self.buffer.unread().is_empty() && crate::net::is_silent(&self.stream)
     }
 
     /// Writes a request.
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -103,7 +103,7 @@
     }
     let next = whole(link, buffer, limits).await;
     if matches!(next, Next::Request(_)) {
-        link.taken();
+        link.request_received();
     }
     next
 }
@@ -115,12 +115,12 @@
     held: usize,
     buffer: &mut Buffer,
 ) -> Result<(), Next> {
-    match link.hear(partial, held, buffer).await {
-        Ok(ReadEvent::More) => Ok(()),
-        Ok(ReadEvent::Late) => Err(Next::Refused(408, "no whole request came in time".into())),
-        Ok(ReadEvent::Full) => Err(Next::Refused(503, "no room for a message of this length".into())),
-        Ok(ReadEvent::Cut) => Err(Next::Refused(503, "no room for a request that is not whole".into())),
-        Ok(ReadEvent::Gone | ReadEvent::Ends) | Err(_) => Err(Next::Over),
+    match link.wait_for_input(partial, held, buffer).await {
+        Ok(ReadEvent::Data) => Ok(()),
+        Ok(ReadEvent::TimedOut) => Err(Next::Refused(408, "no whole request came in time".into())),
+        Ok(ReadEvent::OverBudget) => Err(Next::Refused(503, "no room for a message of this length".into())),
+        Ok(ReadEvent::Evicted) => Err(Next::Refused(503, "no room for a request that is not whole".into())),
+        Ok(ReadEvent::Closed | ReadEvent::CloseRequested) | Err(_) => Err(Next::Over),
     }
 }
 
--- a/src/net/inherited_socket.rs
+++ b/src/net/inherited_socket.rs
@@ -7,7 +7,7 @@
 /// The listening socket that every process inherits as the descriptor of this number. A descriptor that is only
 /// known by its number has no owner in this process, and to take it as it is would not be safe; the kernel hands
 /// out a copy of it, which has one.
-pub fn listener(number: &str) -> Result<TcpListener, String> {
+pub fn from_descriptor(number: &str) -> Result<TcpListener, String> {
     let bad = |why: &str| format!("GW_PASSED_SOCKET={number}: {why}");
     let parsed = number.trim().parse().ok().filter(|n| *n >= 0);
     let descriptor = parsed.ok_or_else(|| bad("not the number of a descriptor"))?;
@@ -33,7 +33,7 @@
     #[test]
     fn only_a_listening_socket_is_taken_and_it_is_the_same_one() {
         let held = TcpListener::bind("127.0.0.1:0").unwrap();
-        let taken = listener(&held.as_raw_fd().to_string()).unwrap();
+        let taken = from_descriptor(&held.as_raw_fd().to_string()).unwrap();
         assert_eq!(taken.local_addr().unwrap(), held.local_addr().unwrap());
         let client = TcpStream::connect(held.local_addr().unwrap()).unwrap();
         assert_eq!(taken.accept().unwrap().1, client.local_addr().unwrap());
@@ -50,7 +50,7 @@
             ("three".into(), "not the number"),
             (String::new(), "not the number"),
         ] {
-            let error = listener(&number).unwrap_err();
+            let error = from_descriptor(&number).unwrap_err();
             assert!(error.starts_with("GW_PASSED_SOCKET=") && error.contains(why), "{error}");
         }
     }
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -11,7 +11,7 @@
     /// Clients are sent away, until an operator has it back at work.
     Drained,
     /// It ends; nothing leads back from here.
-    Ending,
+    Terminating,
 }
 
 /// The state, and since when.
@@ -34,11 +34,11 @@
     /// nothing; false: the wish cannot be met any more.
     fn turn(&self, to: ServingState) -> bool {
         let from = self.state();
-        if from != to && from != ServingState::Ending {
+        if from != to && from != ServingState::Terminating {
             log::info!("duty: {from:?}, now {to:?}");
             self.0.set((to, Instant::now()));
         }
-        from != ServingState::Ending || to != ServingState::Serving
+        from != ServingState::Terminating || to != ServingState::Serving
     }
 
     /// Sends clients away. One that ends does so already.
@@ -52,8 +52,8 @@
     }
 
     /// The end begins.
-    pub fn end(&self) {
-        self.turn(ServingState::Ending);
+    pub fn terminate(&self) {
+        self.turn(ServingState::Terminating);
     }
 
     /// Whether it has been drained for so long.
@@ -78,12 +78,12 @@
         let check = |calls: Vec<u8>| {
             let (duty, mut wish, mut since) = (Lifecycle::default(), ServingState::Serving, None);
             for call in calls {
-                let ended = wish == ServingState::Ending;
+                let ended = wish == ServingState::Terminating;
                 let (to, done) = match call % 5 {
                     0 | 1 => (ServingState::Drained, duty.drain()),
                     2 | 3 => (ServingState::Serving, duty.activate()),
-                    _ => (ServingState::Ending, {
-                        duty.end();
+                    _ => (ServingState::Terminating, {
+                        duty.terminate();
                         true
                     }),
                 };
--- a/src/net/postgres/front.rs
+++ b/src/net/postgres/front.rs
@@ -10,7 +10,7 @@
 use crate::net::connection::{ClientConnection, ReadEvent};
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
 use crate::net::lifecycle::{Lifecycle, ServingState as Stands};
-use crate::net::{fingerprint, until};
+use crate::net::{session_hash, until};
 use crate::routing::*;
 use async_channel::Receiver;
 use async_io::Async;
@@ -95,8 +95,8 @@
         let link = ClientConnection::new(stream, place, self.limits.clone(), self.handle.clock().clone());
         let mut client = Client { front: self, link, session, due: VecDeque::new() };
         let served = match welcome {
-            AcceptDecision::Served => client.run().await,
-            AcceptDecision::Rejected => client.turn_away().await,
+            AcceptDecision::Serve => client.run().await,
+            AcceptDecision::Reject => client.turn_away().await,
         };
         if let Err(e) = served {
             log::debug!("client: {e}");
@@ -118,7 +118,7 @@
             class,
             group: s.group,
             last_commit_age,
-            session: fingerprint(&s.key),
+            session: session_hash(&s.key),
             repeated: s.repeated,
             ..IncomingRequest::default()
         })
@@ -159,7 +159,7 @@
 impl Client<'_> {
     async fn hear(&mut self) -> io::Result<ReadEvent> {
         let held = self.session.input().unread().len();
-        self.link.hear(held > 0, held, self.session.input()).await
+        self.link.wait_for_input(held > 0, held, self.session.input()).await
     }
 
     /// Takes commands as they come and answers them in their order. Several may be open at once: what a client
@@ -169,14 +169,14 @@
             self.take().await?;
             match self.due.front() {
                 None => match self.hear().await? {
-                    ReadEvent::More => {}
-                    ReadEvent::Gone => return Ok(()),
-                    ReadEvent::Ends => return self.link.linger().await,
-                    ReadEvent::Cut => {
+                    ReadEvent::Data => {}
+                    ReadEvent::Closed => return Ok(()),
+                    ReadEvent::CloseRequested => return self.link.linger().await,
+                    ReadEvent::Evicted => {
                         return self.end("57P03", "no room for a request that is not whole").await;
                     }
-                    ReadEvent::Late => return self.end("57P05", "no whole request came in time").await,
-                    ReadEvent::Full => {
+                    ReadEvent::TimedOut => return self.end("57P05", "no whole request came in time").await,
+                    ReadEvent::OverBudget => {
                         return self.end("53200", "no room for a message of this length").await;
                     }
                 },
@@ -191,7 +191,7 @@
                     };
                     let (link, input) = (&mut self.link, self.session.input());
                     let gone = async {
-                        link.gone(input).await;
+                        link.wait_for_departure(input).await;
                         false
                     };
                     let end = Instant::now() + self.front.limits.readiness_timeout;
@@ -208,7 +208,7 @@
                 Some(Due::Last(open)) => {
                     let last = async { Ok(open.reply.recv().await) };
                     let (link, input) = (&mut self.link, self.session.input());
-                    let more = async { Err(link.more(input).await) };
+                    let more = async { Err(link.read_ahead(input).await) };
                     // An answer that has come is written before more is read.
                     match future::or(last, more).await {
                         Ok(last) => {
@@ -236,7 +236,7 @@
         loop {
             let next = async { Ok(parts.recv().await) };
             let (link, input) = (&mut self.link, self.session.input());
-            let more = async { Err(link.more(input).await) };
+            let more = async { Err(link.read_ahead(input).await) };
             match future::or(next, more).await {
                 Ok(Ok(part)) if part.is_empty() => {
                     let mut end = Vec::new();
@@ -278,15 +278,15 @@
                 Step::Write(bytes) => Due::Bytes(bytes),
                 Step::Close(bytes) => Due::End(bytes),
                 Step::Ready => {
-                    self.link.taken();
+                    self.link.request_received();
                     Due::Ready
                 }
                 Step::Query(text) => {
-                    let arrived = self.link.arrived(self.session.input().unread().len());
-                    if self.link.has_left_since(arrived) {
+                    let arrived = self.link.arrival_time(self.session.input().unread().len());
+                    if self.link.has_departed_since(arrived) {
                         return Err(io::ErrorKind::ConnectionAborted.into());
                     }
-                    self.link.taken();
+                    self.link.request_received();
                     match self.query(&text, arrived).await {
                         Ok(open) => Due::Last(open),
                         Err(bytes) => {
--- a/src/net/postgres/host.rs
+++ b/src/net/postgres/host.rs
@@ -4,9 +4,9 @@
 use super::reply::Reply;
 use super::statement::Statement;
 use crate::config::Limits;
-use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult, silent};
+use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult};
 use crate::net::buffer::Buffer;
-use crate::net::until;
+use crate::net::{is_silent, until};
 use crate::routing::*;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
@@ -105,11 +105,11 @@
 }
 
 impl BackendProtocol for Pg {
-    type Work = Arc<Statement>;
+    type Request = Arc<Statement>;
     type Answer = Answer;
     type Connection = Connection;
 
-    async fn open(&self, stream: Async<TcpStream>) -> Result<Connection, AttemptOutcome> {
+    async fn handshake(&self, stream: Async<TcpStream>) -> Result<Connection, AttemptOutcome> {
         let mut c = Connection { stream, buffer: Buffer::default() };
         c.stream
             .write_all(&codec::hello("web", "orders"))
@@ -125,8 +125,8 @@
         }
     }
 
-    fn quiet(&self, c: &Connection) -> bool {
-        c.buffer.unread().is_empty() && silent(&c.stream)
+    fn is_silent(&self, c: &Connection) -> bool {
+        c.buffer.unread().is_empty() && is_silent(&c.stream)
     }
 
     async fn exchange(
@@ -135,23 +135,23 @@
         work: &Arc<Statement>,
         trip: &AttemptContext<'_, Arc<Statement>, Answer>,
     ) -> ExchangeResult<Answer> {
-        if c.stream.write_all(&codec::query(&work.with_wait(trip.left()))).await.is_err() {
-            return ExchangeResult::bare(trip.broken());
+        if c.stream.write_all(&codec::query(&work.with_wait(trip.time_left()))).await.is_err() {
+            return ExchangeResult::outcome_only(trip.connection_lost());
         }
-        trip.written();
+        trip.mark_sent();
         // A long value is the client's from its first bytes on, and cannot be repeated any more.
         let begin = async || {
             let (to, parts) = async_channel::bounded(self.limits.answer_chunks);
-            trip.begin(Answer::Parts(parts)).await;
+            trip.start_response(Answer::Parts(parts)).await;
             to
         };
         let (reply, parts) =
             match self.reply(c, Reply::to_query(self.limits.postgres_row_buffer), begin).await {
                 Ok(replied) => replied,
-                Err(Broken::Left) => return ExchangeResult::bare(AttemptOutcome::Cancelled),
-                Err(Broken::Off) => return ExchangeResult::bare(trip.broken()),
+                Err(Broken::Left) => return ExchangeResult::outcome_only(AttemptOutcome::Cancelled),
+                Err(Broken::Off) => return ExchangeResult::outcome_only(trip.connection_lost()),
                 // It has run, or may have: as with an error of the host's own. Nothing that it told is believed.
-                Err(Broken::Spoilt) => return ExchangeResult::bare(AttemptOutcome::Error),
+                Err(Broken::Spoilt) => return ExchangeResult::outcome_only(AttemptOutcome::Error),
             };
         let outcome = reply.outcome();
         if let Some(to) = parts.filter(|_| outcome == AttemptOutcome::Served) {
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -98,7 +98,7 @@
     /// Serves one connection to its end.
     pub async fn serve(&self, stream: Async<TcpStream>, place: ConnectionSlot, welcome: AcceptDecision) {
         let mut link = ClientConnection::new(stream, place, self.limits.clone(), self.handle.clock().clone());
-        if welcome == AcceptDecision::Rejected {
+        if welcome == AcceptDecision::Reject {
             let again = Some(TimeDelta::from(self.limits.front_retry_after));
             let _ = link.write(&refusal(again, "too many connections")).await;
             let _ = link.linger().await;
@@ -160,8 +160,8 @@
             return serve(link, buffer, request, lost(position)).await;
         }
         let margin = TimeDelta::from(self.limits.answer_margin);
-        let arrived = link.arrived(buffer.unread().len());
-        if link.departed() {
+        let arrived = link.arrival_time(buffer.unread().len());
+        if link.has_departed() {
             return Ok(After::Cut);
         }
         let deadline = arrived + (client_timeout - margin).or_zero();
@@ -171,7 +171,7 @@
         };
         let last = async { Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { overdue: false })) };
         let gone = async {
-            link.gone(buffer).await;
+            link.wait_for_departure(buffer).await;
             None
         };
         let Some(last) = future::or(last, gone).await else {
@@ -205,7 +205,7 @@
             group.ok_or_else(|| Refusal(400, format!("{GROUP} names no group, and there is no default")))?;
         let now = self.handle.clock().now();
         let last_commit_age = operation.position.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
-        let session = operation.session.as_deref().map_or(0, crate::net::fingerprint);
+        let session = operation.session.as_deref().map_or(0, crate::net::session_hash);
         let client_timeout = operation.client_timeout.or(self.classes.deadline(name));
         let client_timeout = client_timeout.unwrap_or(TimeDelta::from(self.limits.default_client_timeout));
         Ok((
@@ -274,7 +274,7 @@
             link.write(&server::answer_head(status, &headers)).await?;
             loop {
                 let next = async { Ok(parts.recv().await) };
-                let more = async { Err(link.more(buffer).await) };
+                let more = async { Err(link.read_ahead(buffer).await) };
                 let part = match future::or(next, more).await {
                     Ok(Ok(part)) => part,
                     Ok(Err(_)) => break,
--- a/src/net/sparql/host.rs
+++ b/src/net/sparql/host.rs
@@ -5,7 +5,7 @@
 use crate::config::Limits;
 use crate::engine::Freshness;
 use crate::engine::load_report::report_of;
-use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult, figure};
+use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult, load_report_value};
 use crate::net::http::client::Client;
 use crate::net::http::codec::{Body, Head};
 use crate::net::until;
@@ -70,7 +70,7 @@
     report_of(fields, |name| match name {
         "x0" => told.map(|m| m.position.as_micros() as f64 / 1e6),
         "x1" => told.map(|m| f64::from(u8::from(m.primary))),
-        name => figure(head.get(LOAD).unwrap_or(""), name),
+        name => load_report_value(head.get(LOAD).unwrap_or(""), name),
     })
 }
 
@@ -148,8 +148,8 @@
             Freshness::CommittedSince(at) => Some(at),
         };
         let since = since.map(|at| LogPosition::of_commit(at, Timestamp::ZERO));
-        c.send(&operation.request(c.address(), &self.path, &self.via, trip.left(), since)).await?;
-        trip.written();
+        c.send(&operation.request(c.address(), &self.path, &self.via, trip.time_left(), since)).await?;
+        trip.mark_sent();
         let head = c.head(&self.limits).await?;
         let status = head.line[1].parse().unwrap_or(0);
         let (replica_status, report) = (replica_status(&head), report(&head, &self.report_fields));
@@ -191,7 +191,7 @@
         }
         // Longer than is held back: from here on it is the client's, and cannot be repeated.
         let (parts, rest) = async_channel::bounded(self.limits.answer_chunks);
-        trip.begin(Answer { status, headers: headers(), content: Content::Parts(rest) }).await;
+        trip.start_response(Answer { status, headers: headers(), content: Content::Parts(rest) }).await;
         loop {
             if !body.is_empty() && parts.send(std::mem::take(&mut body)).await.is_err() {
                 return Ok(done(AttemptOutcome::Cancelled, None, false));
@@ -211,19 +211,19 @@
 }
 
 impl BackendProtocol for Sparql {
-    type Work = Arc<Operation>;
+    type Request = Arc<Operation>;
     type Answer = Answer;
     type Connection = Client;
 
-    async fn open(&self, stream: Async<TcpStream>) -> Result<Client, AttemptOutcome> {
+    async fn handshake(&self, stream: Async<TcpStream>) -> Result<Client, AttemptOutcome> {
         Ok(Client::new(stream))
     }
 
-    fn quiet(&self, c: &Client) -> bool {
-        c.quiet()
+    fn is_silent(&self, c: &Client) -> bool {
+        c.is_silent()
     }
 
-    fn asks_first(&self) -> bool {
+    fn probes_before_first_use(&self) -> bool {
         true
     }
 
@@ -248,8 +248,8 @@
         self.answer(c, work, trip).await.unwrap_or_else(|e| {
             log::debug!("host: {e}");
             // An answer out of form has run, or may have; the connection itself is not what broke.
-            let spoilt = trip.sent.get() && e.kind() == io::ErrorKind::InvalidData;
-            ExchangeResult::bare(if spoilt { AttemptOutcome::Error } else { trip.broken() })
+            let spoilt = trip.was_sent() && e.kind() == io::ErrorKind::InvalidData;
+            ExchangeResult::outcome_only(if spoilt { AttemptOutcome::Error } else { trip.connection_lost() })
         })
     }
 }
