--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,254 +1,272 @@
-//! A client's connection as every front uses it: reads, writes within a time, waits between requests, and
-//! an end that does not lose the last answer.
+//! A client's connection as every front uses it: reads with arrival times, writes within a time limit, waits between
+//! requests, and a close that does not lose the last answer.
 
-use super::buffer::{Buffer, CHUNK};
+mod arrival_times;
+
+use super::buffer::{Buffer, READ_CHUNK_BYTES};
 use super::connection_limiter::{ConnectionSlot, SlotState};
 use super::until;
 use crate::clock::Clock;
-use crate::config::Limits;
+use crate::config::{CloseLinger, Limits};
 use crate::time::{TimeDelta, Timestamp};
+use arrival_times::ArrivalTimes;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, future};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
-use std::collections::VecDeque;
 use std::io::{self, Read};
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Reads whose times are kept for a connection.
-const READS: usize = 64;
+/// How much of the next request is buffered while a connection waits for input.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestProgress {
+    /// Nothing of it has come.
+    NotStarted,
+    /// A part of it has come.
+    Partial {
+        /// Bytes of it that are buffered; they count against the budget of all connections.
+        bytes: usize,
+    },
+}
+
+impl RequestProgress {
+    /// Progress of a request of which `bytes` are buffered; none: it has not started.
+    pub fn of_buffered(bytes: usize) -> RequestProgress {
+        if bytes > 0 { RequestProgress::Partial { bytes } } else { RequestProgress::NotStarted }
+    }
+
+    fn buffered_bytes(self) -> usize {
+        match self {
+            RequestProgress::NotStarted => 0,
+            RequestProgress::Partial { bytes } => bytes,
+        }
+    }
+}
 
-/// What a client did.
+/// What ended a wait for input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEvent {
-    /// Bytes came.
+    /// Bytes were read.
     Data,
-    /// It has gone.
+    /// The client closed the connection.
     Closed,
-    /// It did nothing, and the connection is to end.
+    /// The client sent nothing, and the connection is to be closed.
     CloseRequested,
-    /// A part of a request has come, and its descriptor is needed at once.
+    /// A part of a request has come, and the connection's descriptor is needed at once.
     Evicted,
-    /// It has not sent a whole request in time.
+    /// The client did not send a whole request in time.
     TimedOut,
-    /// There is no room for what it sends.
+    /// The message budget of all connections has no room for this request.
     OverBudget,
 }
 
+/// What came of reading behind open requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReadAhead {
+    /// Bytes were read.
+    Received,
+    /// The client has closed the connection, or it broke.
+    Departed,
+}
+
 /// A client's connection.
 pub struct ClientConnection {
     stream: Async<TcpStream>,
-    place: ConnectionSlot,
+    slot: ConnectionSlot,
     limits: Rc<Limits>,
     clock: Clock,
-    connected: Instant,
-    arrivals: Arrivals,
-    /// Since when a request is awaited: from the connection for the first, from its first byte for others.
-    awaited: Option<Instant>,
-}
-
-/// When the bytes of a connection came: a request that waits behind others in the buffer has its own time.
-#[derive(Default)]
-struct Arrivals {
-    /// Bytes that were read so far.
-    total: u64,
-    /// Up to which byte was read at which time, for what is not used yet.
-    reads: VecDeque<(u64, Timestamp)>,
-    /// Since when nothing was read, though bytes may have come.
-    paused: Option<Timestamp>,
-}
-
-impl Arrivals {
-    /// Reads once into a buffer; 0 at the end of the stream.
-    async fn fill(
-        &mut self,
-        stream: &Async<TcpStream>,
-        into: &mut Buffer,
-        clock: &Clock,
-    ) -> io::Result<usize> {
-        let unread = into.unread().len();
-        let n = into.fill(stream).await?;
-        self.read(unread, n, clock.now());
-        Ok(n)
-    }
-
-    /// Notes a read behind so many bytes that are not used yet. What comes after a pause may have waited for as long
-    /// as that, until less than a full read is there.
-    fn read(&mut self, unread: usize, bytes: usize, now: Timestamp) {
-        let used = self.total.saturating_sub(unread as u64);
-        while self.reads.front().is_some_and(|(end, _)| *end <= used) {
-            self.reads.pop_front();
-        }
-        if self.reads.len() >= READS
-            && let Some((end, _)) = self.reads.remove(1)
-        {
-            // What comes in many pieces is taken to have come earlier rather than later.
-            self.reads[0].0 = end;
-        }
-        self.total += bytes as u64;
-        self.reads.push_back((self.total, self.paused.unwrap_or(now)));
-        if bytes < CHUNK {
-            self.paused = None;
-        }
-    }
-
-    /// When the last byte came that was used, where so many bytes are not used yet.
-    fn of_used(&mut self, unread: usize) -> Option<Timestamp> {
-        let used = self.total.saturating_sub(unread as u64);
-        while self.reads.len() > 1 && self.reads.front().is_some_and(|(end, _)| *end < used) {
-            self.reads.pop_front();
-        }
-        self.reads.front().map(|(_, at)| *at)
-    }
+    connected_at: Instant,
+    arrival_times: ArrivalTimes,
+    /// Since when a request is awaited: the first one since the connection was accepted, others since their first
+    /// byte; `None` between requests.
+    request_awaited_since: Option<Instant>,
 }
 
 impl ClientConnection {
-    /// Takes a connection over.
+    /// A connection that was just accepted.
     pub fn new(
         stream: Async<TcpStream>,
-        place: ConnectionSlot,
+        slot: ConnectionSlot,
         limits: Rc<Limits>,
         clock: Clock,
     ) -> ClientConnection {
-        let connected = Instant::now();
-        let (arrivals, awaited) = (Arrivals::default(), Some(connected));
-        ClientConnection { stream, place, limits, clock, connected, arrivals, awaited }
+        let connected_at = Instant::now();
+        ClientConnection {
+            stream,
+            slot,
+            limits,
+            clock,
+            connected_at,
+            arrival_times: ArrivalTimes::default(),
+            request_awaited_since: Some(connected_at),
+        }
     }
 
-    /// Whether the connection is to end between requests.
+    /// Whether the connection is to be closed once no request is open.
     pub fn ends(&self) -> bool {
-        self.place.must_close()
+        self.slot.must_close()
     }
 
-    /// A whole request has come.
+    /// Records that a whole request was taken out of the buffer.
     pub fn request_received(&mut self) {
-        self.awaited = None;
-        self.place.request_received();
+        self.request_awaited_since = None;
+        self.slot.request_received();
     }
 
-    /// When the last byte of the request came that was just taken, where so many bytes are not used yet.
+    /// When the last byte of the request arrived that was just taken, where `unread` bytes are buffered behind it.
     pub fn arrival_time(&mut self, unread: usize) -> Timestamp {
-        self.arrivals.of_used(unread).unwrap_or_else(|| self.clock.now())
+        self.arrival_times.of_last_consumed(unread).unwrap_or_else(|| self.clock.now())
     }
 
     /// Whether the client has closed its connection, though bytes of it may be unread.
     pub fn has_departed(&self) -> bool {
         let mut polled = [PollFd::new(&self.stream, PollFlags::RDHUP)];
-        let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        poll(&mut polled, Some(&at_once)).is_ok_and(|n| n > 0 && polled[0].revents().intersects(over))
+        let without_waiting = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+        poll(&mut polled, Some(&without_waiting))
+            .is_ok_and(|n| n > 0 && polled[0].revents().intersects(closed))
     }
 
-    /// Whether the client of a request that came at `arrived` has gone meanwhile. It is looked for only where the
-    /// request may have waited to be read.
-    pub fn has_departed_since(&self, arrived: Timestamp) -> bool {
-        let waited = self.clock.now() - arrived >= TimeDelta::from(self.limits.departure_check_interval);
-        (waited || !self.place.has_received_request()) && self.has_departed()
+    /// Whether the client of a request that arrived at `arrived_at` has closed its connection meanwhile.
+    ///
+    /// Costs a system call, and so is looked for only where the request may have waited to be read: at a connection's
+    /// first request, and after `Limits::departure_check_interval` in the buffer.
+    pub fn has_departed_since(&self, arrived_at: Timestamp) -> bool {
+        let check_interval = TimeDelta::from(self.limits.departure_check_interval);
+        let waited = self.clock.now() - arrived_at >= check_interval;
+        (waited || !self.slot.has_received_request()) && self.has_departed()
     }
 
     /// Reads once; 0 at the end of the stream.
+    ///
+    /// # Errors
+    /// The error of the read: the connection is broken.
     pub async fn read(&mut self, into: &mut Buffer) -> io::Result<usize> {
-        self.arrivals.fill(&self.stream, into, &self.clock).await
+        self.arrival_times.fill(&self.stream, into, &self.clock).await
     }
 
-    /// Writes all, within the time a client has to take it.
+    /// Writes all bytes.
+    ///
+    /// # Errors
+    /// The error of the write, or `TimedOut` where the client does not take them within
+    /// `Limits::client_write_timeout`.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let work = self.stream.write_all(bytes);
-        let done = until(Instant::now() + self.limits.client_write_timeout, work).await;
-        done.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
+        let deadline = Instant::now() + self.limits.client_write_timeout;
+        let written = until(deadline, self.stream.write_all(bytes)).await;
+        written.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Waits for bytes where no request is open. With `partial` a part of one has come, `held` bytes of it.
-    /// Whoever has yet to send a whole one has so long for it, and may make room for others meanwhile; so may
-    /// who stands between requests. One that is to end may complete what it has begun, and one that has just come
-    /// may ask.
+    /// Waits for input while no request is open.
+    ///
+    /// The first whole request, and the rest of any that has started, must come within
+    /// `Limits::first_request_timeout`. A connection that is to be closed may complete a request that has started,
+    /// and one that was just accepted keeps `Limits::silent_client_grace` to send its first, unless it is evicted.
+    ///
+    /// # Errors
+    /// The error of the read: the connection is broken.
     pub async fn wait_for_input(
         &mut self,
-        partial: bool,
-        held: usize,
+        progress: RequestProgress,
         into: &mut Buffer,
     ) -> io::Result<ReadEvent> {
-        if !self.place.reserve_message_bytes(held) {
+        if !self.slot.try_reserve_message_bytes(progress.buffered_bytes()) {
             return Ok(ReadEvent::OverBudget);
         }
         let now = Instant::now();
-        if partial {
-            self.awaited.get_or_insert(now);
+        if progress != RequestProgress::NotStarted {
+            self.request_awaited_since.get_or_insert(now);
         }
-        let (standing, since) =
-            self.awaited.map_or((SlotState::Idle, now), |at| (SlotState::AwaitingRequest, at));
-        self.place.set_state(standing, since);
-        let late = self.awaited.map(|at| at + self.limits.first_request_timeout);
-        let (stream, place) = (&self.stream, &self.place);
-        let fresh =
-            (!place.has_received_request()).then_some(self.connected + self.limits.silent_client_grace);
-        let ends = async {
-            if partial {
-                place.evicted().await;
-                return Ok(ReadEvent::Evicted);
-            }
-            place.close_requested().await;
-            if let Some(at) = fresh {
-                future::or(place.evicted(), async { _ = Timer::at(at).await }).await;
-            }
-            Ok(ReadEvent::CloseRequested)
-        };
-        let late = async {
-            match late {
-                Some(at) => drop(Timer::at(at).await),
-                None => future::pending().await,
-            }
-            Ok(ReadEvent::TimedOut)
+        match self.request_awaited_since {
+            Some(since) => self.slot.set_state(SlotState::AwaitingRequest, since),
+            None => self.slot.set_state(SlotState::Idle, now),
+        }
+        let request_deadline =
+            self.request_awaited_since.map(|since| since + self.limits.first_request_timeout);
+        let grace_end = match self.slot.has_received_request() {
+            true => None,
+            false => Some(self.connected_at + self.limits.silent_client_grace),
         };
-        let (arrivals, clock) = (&mut self.arrivals, &self.clock);
+        let closed = async { Ok(wait_for_close(&self.slot, progress, grace_end).await) };
+        let timed_out = async { Ok(wait_for_timeout(request_deadline).await) };
         let read = async {
-            let n = arrivals.fill(stream, into, clock).await?;
-            Ok(if n > 0 { ReadEvent::Data } else { ReadEvent::Closed })
+            let count = self.arrival_times.fill(&self.stream, into, &self.clock).await?;
+            Ok(if count > 0 { ReadEvent::Data } else { ReadEvent::Closed })
         };
-        // What has come is read before the wish to end is heard.
-        future::or(read, future::or(ends, late)).await
+        // Input that has come is read before a request to close is looked at.
+        future::or(read, future::or(closed, timed_out)).await
     }
 
-    /// Reads once behind requests that are open; false: the client has gone. Once `Limits::ahead` bytes wait it
-    /// reads no more, and only looks whether the client is still there.
-    pub async fn read_ahead(&mut self, into: &mut Buffer) -> bool {
+    /// Reads once behind open requests. Once more than `Limits::read_ahead` bytes are buffered it reads nothing, and
+    /// only waits until the client closes the connection.
+    pub async fn read_ahead(&mut self, into: &mut Buffer) -> ReadAhead {
         if into.unread().len() > self.limits.read_ahead {
-            self.arrivals.paused.get_or_insert(self.clock.now());
+            self.arrival_times.pause(self.clock.now());
             while !self.has_departed() {
                 Timer::after(self.limits.departure_check_interval).await;
             }
-            return false;
+            return ReadAhead::Departed;
+        }
+        match self.read(into).await {
+            Ok(count) if count > 0 => ReadAhead::Received,
+            _ => ReadAhead::Departed,
         }
-        matches!(self.read(into).await, Ok(n) if n > 0)
     }
 
-    /// Comes back when the client has gone. What it sends meanwhile is kept, up to `Limits::ahead`.
+    /// Waits until the client closes the connection. Input that comes meanwhile is buffered, up to
+    /// `Limits::read_ahead`.
     pub async fn wait_for_departure(&mut self, into: &mut Buffer) {
-        while self.read_ahead(into).await {}
+        while self.read_ahead(into).await == ReadAhead::Received {}
     }
 
-    /// Closes so that what was written arrives: a close over unread bytes would reset the connection. What
-    /// comes meanwhile is passed over, not kept, and not for ever.
+    /// Closes the connection so that what was written arrives: a close with unread input would reset the connection
+    /// (RFC 1122, 4.2.2.13), and the client could lose the last answer. Input is read and dropped until the client
+    /// closes, up to the time and the bytes of `Limits::close_linger`.
+    ///
+    /// # Errors
+    /// The error of the shutdown: the connection is already broken.
     pub async fn linger(&mut self) -> io::Result<()> {
-        let (time, mut left) = self.limits.close_linger;
-        self.place.reserve_message_bytes(0);
-        self.place.set_state(SlotState::Closing, Instant::now());
+        let CloseLinger { timeout, bytes: mut bytes_left } = self.limits.close_linger;
+        self.slot.release_message_bytes();
+        self.slot.set_state(SlotState::Closing, Instant::now());
         self.stream.get_ref().shutdown(Shutdown::Write)?;
-        let (stream, place) = (&self.stream, &self.place);
-        let pass = |mut stream: &TcpStream| stream.read(&mut [0; CHUNK]);
-        let read = async {
-            while let Ok(n) = stream.read_with(pass).await
-                && n > 0
-                && n < left
+        let read_chunk = |mut stream: &TcpStream| stream.read(&mut [0; READ_CHUNK_BYTES]);
+        let drain = async {
+            while let Ok(count) = self.stream.read_with(read_chunk).await
+                && count > 0
+                && count < bytes_left
             {
-                left -= n;
+                bytes_left -= count;
             }
         };
-        until(Instant::now() + time, future::or(read, place.evicted())).await;
+        until(Instant::now() + timeout, future::or(drain, self.slot.evicted())).await;
         Ok(())
     }
 }
 
-#[cfg(test)]
-mod tests;
+/// Waits until the connection has to give way: one with a partial request only to eviction, any other to a request to
+/// close. A new one keeps until `grace_end` to send its first request.
+async fn wait_for_close(
+    slot: &ConnectionSlot,
+    progress: RequestProgress,
+    grace_end: Option<Instant>,
+) -> ReadEvent {
+    if progress != RequestProgress::NotStarted {
+        slot.evicted().await;
+        return ReadEvent::Evicted;
+    }
+    slot.close_requested().await;
+    if let Some(grace_end) = grace_end {
+        until(grace_end, slot.evicted()).await;
+    }
+    ReadEvent::CloseRequested
+}
+
+/// Waits until `deadline`; without one, for ever.
+async fn wait_for_timeout(deadline: Option<Instant>) -> ReadEvent {
+    match deadline {
+        Some(deadline) => drop(Timer::at(deadline).await),
+        None => future::pending().await,
+    }
+    ReadEvent::TimedOut
+}
--- a/src/net/connection_limiter.rs
+++ b/src/net/connection_limiter.rs
@@ -268,7 +268,7 @@
     }
 
     /// Notes how many bytes of a message it holds; false: there is no room for so many.
-    pub fn reserve_message_bytes(&mut self, bytes: usize) -> bool {
+    pub fn try_reserve_message_bytes(&mut self, bytes: usize) -> bool {
         let limits = &self.seats.limits;
         let wanted = if bytes > limits.unbudgeted_message { bytes } else { 0 };
         let others = self.seats.held.get() - self.held;
@@ -280,6 +280,11 @@
         true
     }
 
+    /// Gives the bytes of a message back.
+    pub fn release_message_bytes(&mut self) {
+        self.try_reserve_message_bytes(0);
+    }
+
     /// Whether it is to end between requests.
     pub fn must_close(&self) -> bool {
         self.end.is_closed()
@@ -298,7 +303,7 @@
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.reserve_message_bytes(0);
+        self.release_message_bytes();
         self.seats.seats(self.welcome).borrow_mut().remove(&self.number);
         // One message is enough for whoever waits.
         let _ = self.seats.left.0.try_send(());
--- a/src/net/connection_limiter/tests.rs
+++ b/src/net/connection_limiter/tests.rs
@@ -89,15 +89,15 @@
     let take = || seats.admit().map(|(place, _)| place).unwrap();
     let (mut one, mut two) = (take(), take());
     assert!(
-        one.reserve_message_bytes(60)
-            && two.reserve_message_bytes(10)
-            && two.reserve_message_bytes(40)
-            && one.reserve_message_bytes(50)
+        one.try_reserve_message_bytes(60)
+            && two.try_reserve_message_bytes(10)
+            && two.try_reserve_message_bytes(40)
+            && one.try_reserve_message_bytes(50)
     );
-    assert!(!two.reserve_message_bytes(51), "there is room for 50");
+    assert!(!two.try_reserve_message_bytes(51), "there is room for 50");
     drop(one);
-    assert!(two.reserve_message_bytes(100));
-    assert!(two.reserve_message_bytes(0));
+    assert!(two.try_reserve_message_bytes(100));
+    assert!(two.try_reserve_message_bytes(0));
     assert_eq!(seats.held.get(), 0);
 }
 
@@ -105,10 +105,10 @@
 fn the_limits_add_up_to_what_the_process_may_hold() {
     for sockets in [64, 256, 384, 1024, 20_000] {
         let platform = Machine::platform(Some(sockets), Some(32.0));
-        let half = platform.half().with_door();
-        for machine in [Machine::operator(sockets), platform, platform.with_door(), half] {
+        let half = platform.half().with_admin_server();
+        for machine in [Machine::operator(sockets), platform, platform.with_admin_server(), half] {
             let l = Limits::on(machine);
-            let (door, sockets) = (l.for_door(), machine.sockets);
+            let (door, sockets) = (l.for_admin_server(), machine.sockets);
             if machine.reserved + 16 <= sockets {
                 assert!(
                     l.client_connections + l.rejected_connections + l.backend_connections + machine.reserved
@@ -120,10 +120,10 @@
                 l.client_connections > 0 && l.rejected_connections > 0 && l.backend_connections > 0,
                 "{machine:?}"
             );
-            assert_eq!(door.client_connections > 0, machine.door, "{machine:?}");
+            assert_eq!(door.client_connections > 0, machine.has_admin_server, "{machine:?}");
             assert!(
                 platform.reserved + door.client_connections + door.rejected_connections < machine.reserved
-                    || !machine.door
+                    || !machine.has_admin_server
             );
             // Clients hold at most a third for requests, and each of these may have an attempt out.
             let third = sockets.saturating_sub(machine.reserved) / 3;
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -3,7 +3,7 @@
 use super::codec::{Body, Head, Malformed, head};
 use crate::config::Limits;
 use crate::net::buffer::Buffer;
-use crate::net::connection::{ClientConnection, ReadEvent};
+use crate::net::connection::{ClientConnection, ReadEvent, RequestProgress};
 
 /// A request that came whole.
 #[derive(Clone, Debug)]
@@ -97,7 +97,7 @@
 /// Waits for the next request of a connection.
 pub async fn next(link: &mut ClientConnection, buffer: &mut Buffer, limits: &Limits) -> Next {
     while buffer.unread().is_empty() {
-        if let Err(over) = hear(link, false, 0, buffer).await {
+        if let Err(over) = hear(link, RequestProgress::NotStarted, buffer).await {
             return over;
         }
     }
@@ -111,11 +111,10 @@
 /// Waits for more, or tells how it is over. What has begun must be whole within its time.
 async fn hear(
     link: &mut ClientConnection,
-    partial: bool,
-    held: usize,
+    progress: RequestProgress,
     buffer: &mut Buffer,
 ) -> Result<(), Next> {
-    match link.wait_for_input(partial, held, buffer).await {
+    match link.wait_for_input(progress, buffer).await {
         Ok(ReadEvent::Data) => Ok(()),
         Ok(ReadEvent::TimedOut) => Err(Next::Refused(408, "no whole request came in time".into())),
         Ok(ReadEvent::OverBudget) => Err(Next::Refused(503, "no room for a message of this length".into())),
@@ -133,7 +132,7 @@
             }
             Ok(None) => {
                 let held = buffer.unread().len();
-                if let Err(over) = hear(link, true, held, buffer).await {
+                if let Err(over) = hear(link, RequestProgress::Partial { bytes: held }, buffer).await {
                     return over;
                 }
             }
@@ -164,7 +163,8 @@
         if matches!(framing, Body::Length(n) | Body::Chunk(n) if n > limits.client_message) {
             return refused(&Malformed::TooLarge, 413);
         }
-        if let Err(over) = hear(link, true, body.len() + buffer.unread().len(), buffer).await {
+        let held = body.len() + buffer.unread().len();
+        if let Err(over) = hear(link, RequestProgress::Partial { bytes: held }, buffer).await {
             return over;
         }
     }
--- a/src/net/postgres/front.rs
+++ b/src/net/postgres/front.rs
@@ -7,7 +7,7 @@
 use crate::config::Limits;
 use crate::engine::classes::Classes;
 use crate::engine::{EngineHandle, FinalAnswer, Input};
-use crate::net::connection::{ClientConnection, ReadEvent};
+use crate::net::connection::{ClientConnection, ReadAhead, ReadEvent, RequestProgress};
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
 use crate::net::lifecycle::{Lifecycle, ServingState as Stands};
 use crate::net::{session_hash, until};
@@ -158,8 +158,8 @@
 
 impl Client<'_> {
     async fn hear(&mut self) -> io::Result<ReadEvent> {
-        let held = self.session.input().unread().len();
-        self.link.wait_for_input(held > 0, held, self.session.input()).await
+        let progress = RequestProgress::of_buffered(self.session.input().unread().len());
+        self.link.wait_for_input(progress, self.session.input()).await
     }
 
     /// Takes commands as they come and answers them in their order. Several may be open at once: what a client
@@ -218,8 +218,8 @@
                                 Err(parts) => self.pass_on(parts).await?,
                             }
                         }
-                        Err(true) => {}
-                        Err(false) => return Ok(()),
+                        Err(ReadAhead::Received) => {}
+                        Err(ReadAhead::Departed) => return Ok(()),
                     }
                 }
                 Some(Due::End(bytes)) => {
@@ -248,9 +248,9 @@
                     let why = "a host broke off in the midst of an answer";
                     return Err(io::Error::new(io::ErrorKind::UnexpectedEof, why));
                 }
-                Err(true) => {}
+                Err(ReadAhead::Received) => {}
                 // A host that stalls must not hold an attempt for a client that has gone.
-                Err(false) => return Err(io::ErrorKind::ConnectionAborted.into()),
+                Err(ReadAhead::Departed) => return Err(io::ErrorKind::ConnectionAborted.into()),
             }
         }
     }
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -9,7 +9,7 @@
 use crate::engine::log_rollback::LogRollbacks;
 use crate::engine::{EngineHandle, FinalAnswer, Input};
 use crate::net::buffer::Buffer;
-use crate::net::connection::ClientConnection;
+use crate::net::connection::{ClientConnection, ReadAhead};
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
 use crate::net::http::server::{self, Next, Request};
 use crate::net::lifecycle::{Lifecycle, ServingState};
@@ -278,9 +278,9 @@
                 let part = match future::or(next, more).await {
                     Ok(Ok(part)) => part,
                     Ok(Err(_)) => break,
-                    Err(true) => continue,
+                    Err(ReadAhead::Received) => continue,
                     // A host that stalls must not hold an attempt for a client that has gone.
-                    Err(false) => return Ok(After::Cut),
+                    Err(ReadAhead::Departed) => return Ok(After::Cut),
                 };
                 if part.is_empty() {
                     link.write(b"0\r\n\r\n").await?;
