--- a/src/config.rs
+++ b/src/config.rs
@@ -1,299 +1,324 @@
-//! Limits of the program, filled once at start and handed down.
+//! Limits of the program: every size, count and time that bounds what it does.
+//!
+//! [`Limits`] are computed once at the start from what the process may use ([`Machine`]) and handed down; the values that
+//! depend on no machine stand with their reasons in [`defaults`].
+
+mod defaults;
 
 use crate::routing::Class;
 use crate::time::TimeDelta;
+use defaults::DEFAULTS;
 use std::time::Duration;
 
-/// Every size, count and time that bounds what the program does.
+/// Descriptors that a process may hold where nothing else is stated.
+pub const DEFAULT_SOCKETS: usize = 1024;
+/// Memory that a process may use where nothing else is stated, in MB.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+/// Concurrent connections to the administration server. Some of them send nothing for seconds.
+const MAX_ADMIN_CONNECTIONS: usize = 16;
+/// Connections beyond these that are only told so.
+const MAX_REJECTED_ADMIN_CONNECTIONS: usize = MAX_ADMIN_CONNECTIONS / 4;
+/// Descriptors of a process on the platform that are neither a client's nor a backend's connection: standard streams,
+/// the reactor's three, signals, the listener, two calls to discovery, the peers' socket, and a file that is read.
+const PLATFORM_RESERVED_SOCKETS: usize = 20;
+/// Descriptors of an operator's daemon for the same, and for the store with its clients and peers.
+const OPERATOR_RESERVED_SOCKETS: usize = 40;
+/// Connections that are left to a process whose descriptors are all reserved.
+const MIN_FREE_SOCKETS: usize = 16;
+/// Time that an overloaded discovery was measured to take for one call.
+const DISCOVERY_CALL_COST: Duration = Duration::from_millis(200);
+/// Poolers of a tier beyond which the spread of their calls no longer grows.
+const MAX_SPREAD_POOLERS: u32 = 10_000;
+/// Bounds the spread of calls that discovery rejected. A change must take effect within 6 s after discovery could be
+/// reached: after the rejection come this pause and one more call of up to `discovery_timeout`.
+const MAX_DISCOVERY_SPREAD: Duration = Duration::from_secs(5);
+/// A pooler without peers accepts nothing new for this long before it ends, so that it can answer what it has.
+const LAST_ACCEPT_MARGIN: Duration = Duration::from_millis(250);
+/// Time from a client's last deadline to the end of the process. SIGKILL follows the longest deadline by 0.7 s.
+const EXIT_MARGIN: Duration = Duration::from_millis(550);
+/// Idle time of a client whose connection slots are shared with others, see [`Limits::share_client_connections`].
+const SHARED_CLIENT_IDLE: Duration = Duration::from_secs(2);
+/// Backend idle timeouts from this on are taken for a mistake in the settings, and the default holds.
+const MAX_BACKEND_IDLE_SECS: f64 = 86_400.0;
+
+/// Bounds of what the program does.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Client connections held at once.
+    // Connections of clients.
+    /// Concurrent client connections that are served.
     pub client_connections: usize,
-    /// Connections to hosts held at once, idle ones included.
-    pub backend_connections: usize,
-    /// Connections that are only told that there are too many.
+    /// Concurrent client connections beyond these, which are only told that there are too many.
     pub rejected_connections: usize,
-    /// Connections of operators.
-    pub admin_connections: usize,
-    /// Requests open at once.
-    pub open_requests: usize,
-    /// Inputs that wait for the module's owner.
-    pub input_queue: usize,
-    /// Connections of clients that have asked something, beyond which those that asked once make room.
+    /// Client connections that have sent a request; beyond this number the ones that sent only one are evicted first.
     pub crowded_clients: usize,
-    /// A client's connection that stood idle for so long ends.
+    /// A client connection that is idle for this long is closed.
     pub client_idle: Duration,
-    /// Time between two looks for such connections.
+    /// Interval between two sweeps for idle client connections.
     pub idle_check_interval: Duration,
-    /// Bytes of its message that a client may have held without asking for room.
+    /// Time for a client to send its first request completely, counted from its connection; for any further one,
+    /// counted from the request's first byte.
+    pub first_request_timeout: Duration,
+    /// A client that has sent no complete request for this long may be evicted in favour of one that has.
+    pub silent_client_grace: Duration,
+    /// A request that waited in the buffer for this long is forwarded only if its client is still connected. Also the
+    /// interval of that check for a client whose input is not read.
+    pub departure_check_interval: Duration,
+    /// Time for a client to accept its answer.
+    pub client_write_timeout: Duration,
+    /// Bounds of reading from a connection that is closed.
+    pub close_linger: CloseLinger,
+    /// Pause after a connection could not be accepted.
+    pub accept_retry_delay: Duration,
+    /// Time to wait for a listening address that another process still has.
+    pub bind_timeout: Duration,
+
+    // Messages of clients.
+    /// Longest startup message of a client.
+    pub startup_message_bytes: usize,
+    /// Longest message of a client.
+    pub client_message: usize,
+    /// Bytes of its message that a client may have buffered without a reservation of `message_budget`.
     pub unbudgeted_message: usize,
-    /// Bytes that the longer messages of all clients may hold together.
+    /// Bytes that the longer messages of all clients may have buffered together.
     pub message_budget: usize,
-    /// Bytes that are read of what a client sends behind requests that are still open, and the length of these
-    /// from which on no further one is taken.
+    /// Bytes that are read of what a client sends behind its open requests. Also the length of these requests from
+    /// which on no further one is accepted.
     pub read_ahead: usize,
-    /// Requests of one connection that may be open at once.
+    /// Open requests of one connection.
     pub pipelined_requests: usize,
-    /// The longest startup message of a client.
-    pub startup_message_bytes: usize,
-    /// The longest message of a client.
-    pub client_message: usize,
-    /// Answers of an HTTP host up to this are held until they are whole.
-    pub http_answer_buffer: usize,
-    /// Rows of a PostgreSQL host up to this are held until they are whole, and asked for again if they are not.
-    pub postgres_row_buffer: usize,
-    /// The longest row of a PostgreSQL host.
-    pub postgres_row: usize,
-    /// The longest head of an HTTP message.
+    /// Longest head of an HTTP message.
     pub http_head: usize,
     /// Headers of an HTTP message.
     pub http_headers: usize,
-    /// The longest list of discovery.
-    pub discovery_answer: usize,
-    /// The longest datagram to a peer.
-    pub datagram_bytes: usize,
-    /// Time for a connection to a host to be ready.
+
+    // The engine.
+    /// Concurrent open requests.
+    pub open_requests: usize,
+    /// Inputs queued for the engine's thread.
+    pub input_queue: usize,
+    /// The engine answers a request at its deadline; one that it has not answered this long after fails without it.
+    pub deadline_grace: Duration,
+    /// Timeout of a request whose client states none.
+    pub default_client_timeout: Duration,
+    /// The answer is sent this long before the client's timeout.
+    pub answer_margin: Duration,
+    /// Retry-after hint of a rejection that a front decides by itself.
+    pub front_retry_after: Duration,
+
+    // Connections to backends.
+    /// Concurrent connections to backends, idle ones included.
+    pub backend_connections: usize,
+    /// Time for a backend connection to be established.
     pub connect_timeout: Duration,
-    /// An idle connection to a host is closed after this, before the host would.
+    /// An idle backend connection is closed after this, before the backend would close it.
     pub host_idle: Duration,
-    /// Time for a client to send its first request whole from its connection, any other from its first byte.
-    pub first_request_timeout: Duration,
-    /// A client that has sent no whole request for so long makes room before one that has.
-    pub silent_client_grace: Duration,
-    /// A request that has waited for so long in the buffer is sent on only if its client is still there; whether
-    /// one that is not read is still there is looked at as often.
-    pub departure_check_interval: Duration,
-    /// Time for a client to take its answer.
-    pub client_write_timeout: Duration,
-    /// How long discovery may hold a watch.
+    /// Interval between two sweeps for idle backend connections.
+    pub pool_sweep_interval: Duration,
+    /// A backend connection rests for this long after an answer before it is used again: bytes that belong to no answer
+    /// arrive right behind one and must be noticed.
+    pub connection_settle_time: Duration,
+    /// A backend that sends nothing for this long within a streamed answer has failed.
+    pub backend_stall_timeout: Duration,
+    /// A backend that sends nothing for this long within a buffered answer has failed.
+    pub buffered_answer_stall_timeout: Duration,
+    /// Chunks of a streamed answer that are queued for the client.
+    pub answer_chunks: usize,
+    /// Answers of an HTTP backend up to this length are buffered until they are complete.
+    pub http_answer_buffer: usize,
+    /// Rows of a PostgreSQL backend up to this length are buffered until they are complete, and requested again if the
+    /// backend fails before.
+    pub postgres_row_buffer: usize,
+    /// Longest row of a PostgreSQL backend.
+    pub postgres_row: usize,
+
+    // Discovery and peers of the platform.
+    /// Longest answer of discovery.
+    pub discovery_answer: usize,
+    /// How long discovery may hold a watch until the list changes.
     pub discovery_watch: Duration,
-    /// How long discovery may take beyond that.
+    /// How long discovery may take to answer beyond that.
     pub discovery_timeout: Duration,
     /// How long discovery may hold the call after one that failed.
     pub discovery_recheck: Duration,
-    /// How long discovery may take at the longest, after calls that failed: it may have those of others to answer
-    /// first.
+    /// Bounds the growth of `discovery_timeout` after failed calls: discovery may have to answer other poolers first.
     pub discovery_timeout_after_failure: Duration,
-    /// A process that has a list from before uses it when discovery has said nothing for so long.
-    pub cached_list_delay: Duration,
-    /// Calls that discovery had no room for are spread over so long.
+    /// Calls that discovery rejected for lack of capacity are repeated within this time, at random.
     pub discovery_spread: Duration,
-    /// First and longest pause after a failed call to discovery.
+    /// Shortest and longest backoff after a failed call to discovery; also of connections to peers of a fleet.
     pub discovery_backoff: (Duration, Duration),
-    /// The answer goes out this long before the client stops waiting.
-    pub answer_margin: Duration,
-    /// A connection that is closed is read for so long, or its last answer may be lost with a reset, and for no
-    /// more bytes than these.
-    pub close_linger: (Duration, usize),
-    /// A host that sends nothing for so long in the midst of an answer has broken off.
-    pub backend_stall_timeout: Duration,
-    /// A host that sends nothing for so long in the midst of an answer that is held back has spoilt it.
-    pub buffered_answer_stall_timeout: Duration,
-    /// What belongs to no answer comes right behind one: a connection rests for so long before it is used
-    /// again, so that it is seen.
-    pub connection_settle_time: Duration,
-    /// How long a client waits that does not say so.
-    pub default_client_timeout: Duration,
-    /// Parts of a long answer that wait for the client.
-    pub answer_chunks: usize,
-    /// The longest file that is read.
+    /// A process that starts with a cached list uses it if discovery has sent none for this long.
+    pub cached_list_delay: Duration,
+    /// Longest time that an answer to the readiness query waits for the first list.
+    pub readiness_timeout: Duration,
+    /// Longest datagram to a peer.
+    pub datagram_bytes: usize,
+
+    // Files.
+    /// Longest file that is read.
     pub file_bytes: u64,
-    /// Parts of a YAML file, its aliases followed, and levels in it.
-    pub yaml_limits: (usize, usize),
-    /// Refusals of a front itself ask to come back after this.
-    pub front_retry_after: Duration,
-    /// The module answers at a deadline; a request that it has not answered so long after fails without it.
-    pub deadline_grace: Duration,
-    /// Time between two looks for idle connections.
-    pub pool_sweep_interval: Duration,
-    /// A listener's address that another process still has is waited for so long.
-    pub bind_timeout: Duration,
-    /// Pause after a connection could not be taken.
-    pub accept_retry_delay: Duration,
-    /// Time between two looks at files, and between two exchanges with a peer of the store.
+    /// Bounds of a YAML file.
+    pub yaml_limits: YamlLimits,
+    /// Interval between two checks of a file for changes.
     pub file_check_interval: Duration,
-    /// Between two looks at how far service has returned, until it has.
-    pub recovery_check_interval: Duration,
-    /// Between two looks at zones, while hosts are asked.
-    pub zone_check_interval: Duration,
-    /// After SIGTERM connections are taken, and those that stand idle kept, for this long.
+
+    // The administration server.
+    /// Concurrent connections to it.
+    pub admin_connections: usize,
+
+    // The end of the process.
+    /// After SIGTERM connections are accepted, and idle ones kept open, for this long.
     pub shutdown_accept_period: Duration,
-    /// Longer deadlines of clients are not waited for after SIGTERM.
+    /// Bounds the deadline of a client that is waited for after SIGTERM.
     pub shutdown_deadline: Duration,
-    /// So long before that what is still open gets its final answer all the same.
+    /// Requests that are open this long before the end get their final answer then.
     pub final_answer_margin: Duration,
-    /// Between two ticks of the agreement. An election comes after 10 to 20 without a word of a leader.
+
+    // The store and the fleet.
+    /// Raft tick. An election starts after 10 to 20 ticks without a heartbeat of a leader.
     pub raft_tick: Duration,
-    /// Between two words that a daemon has for each other one, also where there is nothing new.
+    /// Interval between two heartbeats to each peer, also where there is nothing new.
     pub heartbeat_interval: Duration,
-    /// A call that changes what is agreed waits for a majority for so long.
+    /// Time that a call that changes agreed state waits for a majority.
     pub agreement_timeout: Duration,
-    /// What was not agreed is said again after this.
+    /// A proposal that was not agreed is repeated after this.
     pub proposal_retry_interval: Duration,
-    /// What was learned of the hosts is written to the disk no more often than this.
+    /// Shortest interval between two writes of gossiped observations to the disk.
     pub gossip_save_interval: Duration,
-    /// A daemon that said nothing for so long counts as gone where another of its name has come.
+    /// A peer that was silent for this long counts as gone where another one of its name has come.
     pub peer_gone_timeout: Duration,
-    /// Bytes and entries of the agreed log, beyond which its older half goes.
+    /// Bytes of the replicated log, beyond which its older half is compacted.
     pub log_bytes: usize,
-    /// See `log_bytes`.
+    /// Entries of the replicated log, beyond which its older half is compacted.
     pub log_entries: usize,
-    /// Daemons of a fleet, and changes that wait for a majority.
+    /// Nodes of a fleet; also changes that wait for a majority.
     pub fleet_nodes: usize,
-    /// The longest frame between daemons.
+    /// Longest message between peers.
     pub peer_message_bytes: usize,
-    /// Frames that wait for one daemon, and their bytes; what comes then is dropped.
+    /// Messages queued for one peer, and their bytes; further ones are dropped.
     pub peer_queue: (usize, usize),
     /// Drains that wait for a majority.
     pub pending_drains: usize,
-    /// Facts about hosts that go into one frame.
+    /// Observations of endpoints in one message.
     pub observations_per_message: usize,
-    /// An answer to the readiness query waits at most this long for the first list.
-    pub readiness_timeout: Duration,
+    /// Interval between two steps of recovery, until it is complete.
+    pub recovery_check_interval: Duration,
+    /// Interval between two runs of the zones' failure detector, while there are requests.
+    pub zone_check_interval: Duration,
+}
+
+/// A closed connection is read until the client closes it too, or its last answer may be lost with a reset. Bounds of
+/// that reading.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CloseLinger {
+    /// Longest time.
+    pub timeout: Duration,
+    /// Most bytes.
+    pub bytes: usize,
 }
 
-/// What the program may use of its machine.
+/// Bounds of a YAML file, with its aliases expanded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct YamlLimits {
+    /// Nodes in all.
+    pub nodes: usize,
+    /// Nested levels.
+    pub depth: usize,
+}
+
+/// What the process may use of its machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
     /// Descriptors that it may hold.
     pub sockets: usize,
-    /// Descriptors out of them for all that is no connection of a client or to a host.
+    /// Descriptors out of them that are neither a client's nor a backend's connection.
     pub reserved: usize,
     /// Memory that it may use, in MB.
     pub memory_mb: f64,
-    /// Operators have a door of their own.
-    pub door: bool,
+    /// Whether there is an administration server.
+    pub has_admin_server: bool,
 }
 
 impl Machine {
-    /// On the platform: standard streams, the reactor's three, signals, the listener, two calls to discovery,
-    /// peers, and a file that is read.
+    /// A process on the platform; `None` stands for the defaults.
     pub fn platform(sockets: Option<usize>, memory_mb: Option<f64>) -> Machine {
-        let memory_mb = memory_mb.filter(|mb| *mb >= 1.0).unwrap_or(MEMORY_MB);
-        Machine { sockets: sockets.unwrap_or(1024), reserved: 20, memory_mb, door: false }
+        Machine {
+            sockets: sockets.unwrap_or(DEFAULT_SOCKETS),
+            reserved: PLATFORM_RESERVED_SOCKETS,
+            memory_mb: memory_mb.filter(|mb| *mb >= 1.0).unwrap_or(DEFAULT_MEMORY_MB),
+            has_admin_server: false,
+        }
     }
 
-    /// The same with a door for operators: its connections are nobody else's.
-    pub fn with_door(self) -> Machine {
-        Machine { reserved: self.reserved + DOOR + DOOR / 4 + 1, door: true, ..self }
+    /// A daemon with an operator's file.
+    pub fn operator(sockets: usize) -> Machine {
+        Machine {
+            sockets,
+            reserved: OPERATOR_RESERVED_SOCKETS,
+            memory_mb: DEFAULT_MEMORY_MB,
+            has_admin_server: false,
+        }
     }
 
-    /// Half of it, where a process runs beside the one that it replaces: the two count as one.
-    pub fn half(self) -> Machine {
-        Machine { sockets: self.sockets / 2, memory_mb: self.memory_mb / 2.0, ..self }
+    /// The same with an administration server: its listener and its connections are reserved.
+    pub fn with_admin_server(self) -> Machine {
+        let reserved = self.reserved + MAX_ADMIN_CONNECTIONS + MAX_REJECTED_ADMIN_CONNECTIONS + 1;
+        Machine { reserved, has_admin_server: true, ..self }
     }
 
-    /// With an operator's file: the same, and the store with its clients and peers.
-    pub fn operator(sockets: usize) -> Machine {
-        Machine { sockets, reserved: 40, memory_mb: MEMORY_MB, door: false }
+    /// Half of it, where a process runs beside the one that it replaces: the two together may use the whole.
+    pub fn half(self) -> Machine {
+        Machine { sockets: self.sockets / 2, memory_mb: self.memory_mb / 2.0, ..self }
     }
 }
 
-/// Memory where nothing is said of it.
-const MEMORY_MB: f64 = 192.0;
-/// Connections of operators at once: some say nothing for seconds.
-const DOOR: usize = 16;
-/// What an overbooked discovery was seen to take for a call.
-const CALL: Duration = Duration::from_millis(200);
-/// A change counts as told 6 s after discovery had it and could be reached, whatever became of a call before. From
-/// the moment at which it had no room, a pause passes and another call is answered.
-const ASK_AGAIN: Duration = Duration::from_secs(5);
-/// A pooler that is alone takes nothing new for so long before its end.
-const LAST_CALL: Duration = Duration::from_millis(250);
-/// The longest value.
-const VALUE: usize = 64 * 1024;
+/// Times of the end of a process, counted from SIGTERM.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct DrainTimes {
+    /// Connections are accepted, and idle ones kept open, for this long.
+    pub accept_period: Duration,
+    /// The process ends after this.
+    pub total: Duration,
+}
 
 impl Limits {
-    /// Limits for an operator's daemon that may hold `sockets` descriptors.
+    /// Limits of an operator's daemon that may hold `sockets` descriptors.
     pub fn for_sockets(sockets: usize) -> Limits {
         Limits::on(Machine::operator(sockets))
     }
-    /// Limits for a process on such a machine.
+
+    /// Limits of a process on such a machine.
     pub fn on(machine: Machine) -> Limits {
-        let Machine { sockets, reserved, memory_mb, door } = machine;
-        let free = sockets.saturating_sub(reserved).max(16);
-        // An open request needs one connection on each side; idle and silent ones pile up on the clients'.
-        let (clients, rejected) = (free / 2, free / 16);
-        let eighth = (memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
+        let free_sockets = machine.sockets.saturating_sub(machine.reserved).max(MIN_FREE_SOCKETS);
+        // An open request needs a connection on each side, and clients hold further ones that are idle or silent.
+        let clients = free_sockets / 2;
+        let rejected = free_sockets / 16;
+        // A long statement exists up to five times on its way: read, parsed, numbered, written.
+        let message_budget = (machine.memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
         Limits {
             client_connections: clients,
             rejected_connections: rejected,
-            backend_connections: free - clients - rejected,
-            admin_connections: if door { DOOR } else { 0 },
-            open_requests: 4096,
             crowded_clients: clients,
-            client_idle: Duration::from_secs(60),
-            idle_check_interval: Duration::from_millis(50),
-            // A long statement is held up to five times on its way: read, taken, numbered, written out.
-            unbudgeted_message: 16 * 1024,
-            message_budget: eighth,
-            read_ahead: (eighth / clients).clamp(8 * 1024, 64 * 1024),
-            pipelined_requests: 64,
-            input_queue: 1024,
-            startup_message_bytes: 10_000,
-            // Values hold 64 KiB at the most; in a statement each byte takes two digits.
-            client_message: 2 * VALUE + 4 * 1024,
-            http_answer_buffer: 1024 * 1024,
-            postgres_row_buffer: VALUE,
-            // Values run to 4 MiB.
-            postgres_row: 4 * 1024 * 1024 + 1024,
-            http_head: 16 * 1024,
-            http_headers: 100,
-            discovery_answer: 4 * 1024 * 1024,
-            datagram_bytes: 256,
-            connect_timeout: Duration::from_millis(250),
-            host_idle: Duration::from_secs(14),
-            first_request_timeout: Duration::from_millis(2_500),
-            silent_client_grace: Duration::from_millis(100),
-            departure_check_interval: Duration::from_millis(25),
-            client_write_timeout: Duration::from_secs(5),
-            // A watch that fell silent must be noticed before what it has to tell counts as told all the same.
-            discovery_watch: Duration::from_secs(2),
-            discovery_timeout: Duration::from_secs(1),
-            discovery_recheck: Duration::from_millis(100),
-            discovery_timeout_after_failure: Duration::from_millis(2_500),
-            cached_list_delay: Duration::from_millis(100),
-            discovery_spread: CALL,
-            discovery_backoff: (Duration::from_millis(50), Duration::from_secs(1)),
-            answer_margin: Duration::from_millis(4),
-            close_linger: (Duration::from_millis(500), 1024 * 1024),
-            backend_stall_timeout: Duration::from_secs(10),
-            buffered_answer_stall_timeout: Duration::from_millis(120),
-            connection_settle_time: Duration::from_millis(1),
-            default_client_timeout: Duration::from_secs(30),
-            answer_chunks: 4,
-            file_bytes: 4 * 1024 * 1024,
-            yaml_limits: (200_000, 64),
-            front_retry_after: Duration::from_millis(200),
-            deadline_grace: Duration::from_millis(10),
-            pool_sweep_interval: Duration::from_millis(500),
-            accept_retry_delay: Duration::from_millis(5),
-            bind_timeout: Duration::from_secs(20),
-            file_check_interval: Duration::from_millis(500),
-            recovery_check_interval: Duration::from_millis(20),
-            zone_check_interval: Duration::from_millis(100),
-            shutdown_accept_period: Duration::from_millis(450),
-            shutdown_deadline: Duration::from_secs(3),
-            final_answer_margin: Duration::from_millis(100),
-            raft_tick: Duration::from_millis(50),
-            heartbeat_interval: Duration::from_millis(500),
-            agreement_timeout: Duration::from_secs(2),
-            proposal_retry_interval: Duration::from_millis(250),
-            gossip_save_interval: Duration::from_secs(5),
-            peer_gone_timeout: Duration::from_secs(2),
-            // Ten thousand changes of one host each are caught up by differences.
-            log_bytes: 4 * 1024 * 1024,
-            log_entries: 16 * 1024,
-            fleet_nodes: 32,
-            peer_message_bytes: 8 * 1024 * 1024,
-            peer_queue: (512, 16 * 1024 * 1024),
-            pending_drains: 10_000,
-            observations_per_message: 512,
-            readiness_timeout: Duration::from_millis(500),
+            backend_connections: free_sockets - clients - rejected,
+            admin_connections: if machine.has_admin_server { MAX_ADMIN_CONNECTIONS } else { 0 },
+            message_budget,
+            read_ahead: (message_budget / clients).clamp(8 * 1024, 64 * 1024),
+            ..DEFAULTS
+        }
+    }
+
+    /// Limits of an operator's daemon. Its client connections are many, but none is evicted in haste: sweeps for idle
+    /// ones may be rare.
+    pub fn for_operator_daemon(machine: Machine) -> Limits {
+        let limits = Limits::on(machine);
+        Limits {
+            idle_check_interval: limits.file_check_interval,
+            pool_sweep_interval: limits.file_check_interval * 4,
+            ..limits
         }
     }
-    /// Limits of the operators' door: calls are few and short, and share nothing with clients.
-    pub fn for_door(&self) -> Limits {
+
+    /// Limits of the administration server's connections: calls are few and short, and share nothing with clients.
+    pub fn for_admin_server(&self) -> Limits {
         Limits {
             client_connections: self.admin_connections,
             rejected_connections: self.admin_connections / 4,
@@ -305,47 +330,54 @@
             ..self.clone()
         }
     }
-    /// All clients together hold at most so many connections for requests: those that lie idle are taken from
-    /// those that ask, and end soon.
-    pub fn clients_hold(&mut self, most: usize) {
-        self.crowded_clients = (most * 5 / 8).clamp(1, self.client_connections);
-        self.client_idle = Duration::from_secs(2);
+
+    /// All clients together use at most `connections` for requests, and open more: connections that are idle are taken
+    /// from those that send requests, and closed soon.
+    pub fn share_client_connections(&mut self, connections: usize) {
+        self.crowded_clients = (connections * 5 / 8).clamp(1, self.client_connections);
+        self.client_idle = SHARED_CLIENT_IDLE;
     }
-    /// So many poolers share discovery.
-    pub fn tier(&mut self, poolers: Option<u32>) {
-        self.discovery_spread = (CALL * poolers.unwrap_or(1).clamp(1, 10_000)).min(ASK_AGAIN);
+
+    /// Spreads repeated calls to discovery by the number of poolers that share it.
+    pub fn spread_discovery_calls(&mut self, pooler_count: Option<u32>) {
+        let poolers = pooler_count.unwrap_or(1).clamp(1, MAX_SPREAD_POOLERS);
+        self.discovery_spread = (DISCOVERY_CALL_COST * poolers).min(MAX_DISCOVERY_SPREAD);
     }
-    /// How long after SIGTERM connections are taken and idle ones kept, and when the program ends, where no
-    /// client has given a request longer than `client_timeout`. One that is `alone` has nobody to leave its clients
-    /// to: it serves those that it has for as long as what they ask can still be answered.
-    pub fn ending(&self, client_timeout: Option<TimeDelta>, alone: bool) -> (Duration, Duration) {
-        let client_timeout =
-            client_timeout.unwrap_or(TimeDelta::ZERO).to_duration().min(self.shutdown_deadline);
-        // Killed no sooner than the longest deadline and 0.7 s more after SIGTERM.
-        let end = client_timeout.max(self.shutdown_accept_period) + Duration::from_millis(550);
-        (
-            if alone {
-                self.shutdown_accept_period.max(end.saturating_sub(LAST_CALL))
-            } else {
-                self.shutdown_accept_period
-            },
-            end,
-        )
+
+    /// Backends close connections that were idle for `seconds`; this process closes its own well before: a request that
+    /// crosses the backend's close may have been executed.
+    pub fn set_backend_idle_timeout(&mut self, seconds: Option<f64>) {
+        if let Some(seconds) = seconds.filter(|seconds| *seconds > 0.0 && *seconds < MAX_BACKEND_IDLE_SECS) {
+            self.host_idle = Duration::from_secs_f64((seconds - 1.0).max(seconds / 2.0));
+        }
     }
-    /// The longest deadline of these classes is waited for after SIGTERM, whatever a client claims: the platform's
-    /// SIGKILL follows that.
-    pub fn deadlines_at_most(&mut self, classes: &[Class]) {
-        let longest = classes.iter().map(|c| c.deadline).reduce(|a, b| Some(a?.max(b?))).flatten();
-        if let Some(longest) = longest {
+
+    /// Bounds the wait for open requests after SIGTERM by the longest deadline of the classes, if all of them state one,
+    /// whatever timeouts clients claim: SIGKILL follows that deadline.
+    pub fn bound_shutdown_by_deadlines(&mut self, classes: &[Class]) {
+        let mut longest = TimeDelta::ZERO;
+        for class in classes {
+            let Some(deadline) = class.deadline else { return };
+            longest = longest.max(deadline);
+        }
+        if !classes.is_empty() {
             self.shutdown_deadline = self.shutdown_deadline.min(longest.to_duration());
         }
     }
-    /// Hosts close connections that stood idle for so many seconds; ours go well before: a request that
-    /// crosses such a close may have run.
-    pub fn hosts_idle_for(&mut self, seconds: Option<f64>) {
-        if let Some(s) = seconds.filter(|s| *s > 0.0 && *s < 86_400.0) {
-            self.host_idle = Duration::from_secs_f64((s - 1.0).max(s / 2.0));
-        }
+
+    /// Times of the end of a process whose clients find other poolers, where no client has given a request longer than
+    /// `client_timeout`.
+    pub fn drain_times(&self, client_timeout: Option<TimeDelta>) -> DrainTimes {
+        let client_timeout = client_timeout.unwrap_or(TimeDelta::ZERO).to_duration();
+        let longest_request = client_timeout.min(self.shutdown_deadline).max(self.shutdown_accept_period);
+        DrainTimes { accept_period: self.shutdown_accept_period, total: longest_request + EXIT_MARGIN }
+    }
+
+    /// The same for a pooler without peers: it serves its clients for as long as their requests can be answered.
+    pub fn drain_times_without_peers(&self, client_timeout: Option<TimeDelta>) -> DrainTimes {
+        let times = self.drain_times(client_timeout);
+        let until_last_accept = times.total.saturating_sub(LAST_ACCEPT_MARGIN);
+        DrainTimes { accept_period: times.accept_period.max(until_last_accept), ..times }
     }
 }
 
--- /dev/null
+++ b/src/config/defaults.rs
@@ -0,0 +1,101 @@
+//! The limits that depend on no machine, with the reasons for their values.
+//!
+//! Those that do depend on one (connections, `message_budget`, `read_ahead`) are set by [`Limits::on`] and stand here
+//! as zero.
+
+use super::{CloseLinger, DISCOVERY_CALL_COST, Limits, YamlLimits};
+use std::time::Duration;
+
+const KIB: usize = 1024;
+const MIB: usize = 1024 * KIB;
+/// Longest value that a client may write.
+const MAX_VALUE_BYTES: usize = 64 * KIB;
+/// Longest value that a backend returns.
+const MAX_STORED_VALUE_BYTES: usize = 4 * MIB;
+
+pub const DEFAULTS: Limits = Limits {
+    client_connections: 0,
+    rejected_connections: 0,
+    crowded_clients: 0,
+    client_idle: Duration::from_secs(60),
+    idle_check_interval: Duration::from_millis(50),
+    first_request_timeout: Duration::from_millis(2_500),
+    silent_client_grace: Duration::from_millis(100),
+    departure_check_interval: Duration::from_millis(25),
+    client_write_timeout: Duration::from_secs(5),
+    close_linger: CloseLinger { timeout: Duration::from_millis(500), bytes: MIB },
+    accept_retry_delay: Duration::from_millis(5),
+    bind_timeout: Duration::from_secs(20),
+
+    startup_message_bytes: 10_000,
+    // Each byte of a value takes two digits in a statement.
+    client_message: 2 * MAX_VALUE_BYTES + 4 * KIB,
+    unbudgeted_message: 16 * KIB,
+    message_budget: 0,
+    read_ahead: 0,
+    pipelined_requests: 64,
+    http_head: 16 * KIB,
+    http_headers: 100,
+
+    open_requests: 4096,
+    input_queue: 1024,
+    deadline_grace: Duration::from_millis(10),
+    default_client_timeout: Duration::from_secs(30),
+    answer_margin: Duration::from_millis(4),
+    front_retry_after: Duration::from_millis(200),
+
+    backend_connections: 0,
+    connect_timeout: Duration::from_millis(250),
+    // What `set_backend_idle_timeout` gives for 15 s, which the deployed settings state.
+    host_idle: Duration::from_secs(14),
+    pool_sweep_interval: Duration::from_millis(500),
+    connection_settle_time: Duration::from_millis(1),
+    backend_stall_timeout: Duration::from_secs(10),
+    buffered_answer_stall_timeout: Duration::from_millis(120),
+    answer_chunks: 4,
+    http_answer_buffer: MIB,
+    postgres_row_buffer: MAX_VALUE_BYTES,
+    postgres_row: MAX_STORED_VALUE_BYTES + KIB,
+
+    discovery_answer: 4 * MIB,
+    // A watch that fell silent must be noticed before a change counts as announced, 6 s after discovery had it: one
+    // watch, its timeout, the first backoff and another timeout pass until then.
+    discovery_watch: Duration::from_secs(2),
+    discovery_timeout: Duration::from_secs(1),
+    // Short: what discovery has to announce counts whether or not a watch is open.
+    discovery_recheck: Duration::from_millis(100),
+    // With the longest backoff and another timeout still within the 6 s.
+    discovery_timeout_after_failure: Duration::from_millis(2_500),
+    discovery_spread: DISCOVERY_CALL_COST,
+    discovery_backoff: (Duration::from_millis(50), Duration::from_secs(1)),
+    cached_list_delay: Duration::from_millis(100),
+    readiness_timeout: Duration::from_millis(500),
+    datagram_bytes: 256,
+
+    file_bytes: 4 * MIB as u64,
+    yaml_limits: YamlLimits { nodes: 200_000, depth: 64 },
+    file_check_interval: Duration::from_millis(500),
+
+    admin_connections: 0,
+
+    shutdown_accept_period: Duration::from_millis(450),
+    shutdown_deadline: Duration::from_secs(3),
+    final_answer_margin: Duration::from_millis(100),
+
+    raft_tick: Duration::from_millis(50),
+    heartbeat_interval: Duration::from_millis(500),
+    agreement_timeout: Duration::from_secs(2),
+    proposal_retry_interval: Duration::from_millis(250),
+    gossip_save_interval: Duration::from_secs(5),
+    peer_gone_timeout: Duration::from_secs(2),
+    // A peer that missed ten thousand changes of one endpoint each catches up by log entries, without a snapshot.
+    log_bytes: 4 * MIB,
+    log_entries: 16 * 1024,
+    fleet_nodes: 32,
+    peer_message_bytes: 8 * MIB,
+    peer_queue: (512, 16 * MIB),
+    pending_drains: 10_000,
+    observations_per_message: 512,
+    recovery_check_interval: Duration::from_millis(20),
+    zone_check_interval: Duration::from_millis(100),
+};
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,34 +1,36 @@
-//! Times that have to fit together.
+//! Limits that have to fit together.
 
 use super::*;
 
-/// Guards against an end that comes after SIGKILL, and against one that leaves clients alone for nothing.
+/// Guards against a drain that SIGKILL cuts off, and against one that leaves clients without a pooler too early.
 #[test]
-fn the_end_comes_before_the_kill_and_only_one_that_is_alone_serves_on() {
+fn the_drain_ends_before_sigkill_and_only_a_pooler_without_peers_serves_longer() {
     let limits = Limits::for_sockets(64);
     let micros = [-5, 1, 400_000, 930_000, 2_500_000, i64::MAX].map(|n| Some(TimeDelta::from_micros(n)));
     for client_timeout in std::iter::once(None).chain(micros) {
-        let (lame, end) = limits.ending(client_timeout, true);
-        let (least, most) = (TimeDelta::from_millis(450), TimeDelta::from_secs(3));
-        let deadline = client_timeout.unwrap_or(TimeDelta::ZERO).clamp(least, most).to_duration();
-        assert!(end < deadline + Duration::from_millis(700), "{client_timeout:?}");
+        let DrainTimes { accept_period, total } = limits.drain_times_without_peers(client_timeout);
+        let (shortest, longest) = (TimeDelta::from_millis(450), TimeDelta::from_secs(3));
+        let deadline = client_timeout.unwrap_or(TimeDelta::ZERO).clamp(shortest, longest).to_duration();
+        assert!(total < deadline + Duration::from_millis(700), "{client_timeout:?}");
         assert!(
-            lame >= limits.shutdown_accept_period && lame + limits.final_answer_margin < end,
+            accept_period >= limits.shutdown_accept_period
+                && accept_period + limits.final_answer_margin < total,
             "{client_timeout:?}"
         );
         assert_eq!(
-            limits.ending(client_timeout, false),
-            (limits.shutdown_accept_period, end),
+            limits.drain_times(client_timeout),
+            DrainTimes { accept_period: limits.shutdown_accept_period, total },
             "{client_timeout:?}"
         );
     }
-    assert!(limits.ending(Some(TimeDelta::from_millis(2_500)), true).0 > Duration::from_secs(2));
+    let long_request = Some(TimeDelta::from_millis(2_500));
+    assert!(limits.drain_times_without_peers(long_request).accept_period > Duration::from_secs(2));
 }
 
-/// Guards against sends to a host that drains, where the watch that had to tell it fell silent: whatever
-/// discovery has to tell counts as told 6 s later.
+/// Guards against attempts on a draining endpoint where the watch that had to announce the drain fell silent: what
+/// discovery has to announce counts as known 6 s later.
 #[test]
-fn a_watch_that_fell_silent_is_noticed_in_time() {
+fn a_silent_watch_is_noticed_within_five_seconds() {
     let limits = Limits::for_sockets(64);
     let noticed = limits.discovery_watch
         + limits.discovery_timeout
@@ -37,35 +39,35 @@
     assert!(noticed < Duration::from_secs(5), "{noticed:?}");
 }
 
-/// Guards against a drain that counts as told while the pooler still waits to call again: a call may just have
-/// begun when discovery can be reached once more, is given up, and the longest pause follows.
+/// Guards against a drain that counts as known while the pooler still waits to repeat its call: a call may just have
+/// begun when discovery can be reached again, times out, and the longest backoff follows.
 #[test]
-fn a_change_is_heard_within_six_seconds_of_any_call_that_failed() {
+fn a_change_is_received_within_six_seconds_of_any_failed_call() {
     let mut limits = Limits::for_sockets(64);
     for poolers in [None, Some(1), Some(30), Some(300), Some(u32::MAX)] {
-        limits.tier(poolers);
-        let given_up = (limits.discovery_watch + limits.discovery_timeout)
+        limits.spread_discovery_calls(poolers);
+        let timed_out = (limits.discovery_watch + limits.discovery_timeout)
             .max(limits.discovery_timeout_after_failure)
             + limits.discovery_backoff.1 * 3 / 2;
-        // A call that is refused is over when discovery has no room: it could not be reached before.
-        let refused = limits.discovery_spread.max(limits.discovery_backoff.1 * 3 / 2);
-        let heard = given_up.max(refused) + limits.discovery_timeout;
-        assert!(heard <= Duration::from_secs(6), "{poolers:?}: {heard:?}");
+        // A rejected call ends at once: discovery could not be reached before it had no capacity.
+        let rejected = limits.discovery_spread.max(limits.discovery_backoff.1 * 3 / 2);
+        let received = timed_out.max(rejected) + limits.discovery_timeout;
+        assert!(received <= Duration::from_secs(6), "{poolers:?}: {received:?}");
     }
 }
 
-/// Guards against an end that follows what a client claims, where the settings say how long any may wait.
+/// Guards against a drain that follows the timeout that a client claims, where the settings bound all deadlines.
 #[test]
-fn the_longest_deadline_of_the_classes_bounds_the_end() {
+fn the_longest_deadline_of_the_classes_bounds_the_drain() {
     let class = |ms: Option<i64>| Class { deadline: ms.map(TimeDelta::from_millis), ..Class::default() };
     let drain = |classes: &[Class]| {
         let mut limits = Limits::for_sockets(64);
-        limits.deadlines_at_most(classes);
+        limits.bound_shutdown_by_deadlines(classes);
         limits.shutdown_deadline
     };
-    let usual = Limits::for_sockets(64).shutdown_deadline;
+    let default = Limits::for_sockets(64).shutdown_deadline;
     assert_eq!(drain(&[class(Some(500)), class(Some(700))]), Duration::from_millis(700));
-    assert_eq!(drain(&[class(Some(60_000))]), usual);
-    assert_eq!(drain(&[class(Some(500)), class(None)]), usual, "one does not say");
-    assert_eq!(drain(&[]), usual);
+    assert_eq!(drain(&[class(Some(60_000))]), default);
+    assert_eq!(drain(&[class(Some(500)), class(None)]), default, "one class states none");
+    assert_eq!(drain(&[]), default);
 }
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -1,351 +1,133 @@
-//! With an operator's file: the SPARQL front, with a store of its own that keeps configuration and state.
+//! The daemon of an operator's file: the SPARQL front, with a store and a fleet that keep configuration and state.
+//!
+//! The start has a fixed order, see [`serve`]. [`fleet_startup`] opens the store and joins the fleet, [`client_front`]
+//! accepts clients from the first moment on, [`agreed_settings`] waits for the settings that the fleet has agreed on,
+//! [`engine_feeds`] carries what the fleet knows to the engine and back, and [`inventory_reload`] follows the
+//! inventory's file.
 
-use super::operator_config::{self as file, Operator};
-use super::{Executor, Leave, accept, carry, open_door, signal, signalled, until_drained};
+mod agreed_settings;
+mod client_front;
+mod engine_feeds;
+mod fleet_startup;
+mod inventory_reload;
+
+use super::commands::execute_commands;
+use super::listeners::serve_admin;
+use super::operator_config::OperatorConfig;
+use super::shutdown::{Handover, RunningDaemon};
+use super::signals::{Signal, SignalStream};
+use super::{DaemonError, Executor};
 use crate::clock::Clock;
 use crate::config::{Limits, Machine};
-use crate::engine::classes::Classes;
-use crate::engine::{self, Command, Control, EngineHandle, Input};
+use crate::engine::{self, Command, EngineHandle};
 use crate::fleet::admin_api;
-use crate::fleet::recovery::phases::{Cold, Step};
-use crate::fleet::runtime::{Files, Fleet, Me};
+use crate::fleet::runtime::Fleet;
+use crate::net::admin_server::AdminServer;
 use crate::net::backend_pool::BackendPool;
-use crate::net::connection::ClientConnection;
-use crate::net::connection_limiter::{AcceptDecision, ConnectionLimiter};
 use crate::net::lifecycle::Lifecycle;
-use crate::net::sparql::front::{self, Front};
+use crate::net::listener;
+use crate::net::sparql::front::Front;
 use crate::net::sparql::host::Sparql;
-use crate::net::{listener, until};
-use crate::routing::{Settings, TimeDelta};
-use crate::store::storage::{Disk, Held};
-use crate::store::store_thread;
-use async_io::{Async, Timer};
-use std::cell::RefCell;
-use std::collections::BTreeMap;
-use std::os::unix::net::UnixStream;
-use std::path::Path;
+use agreed_settings::AgreedSettings;
+use async_channel::Receiver;
+use client_front::ClientFront;
+use engine_feeds::EngineFeeds;
+use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime};
-
-/// Opens the store's file, or one that lasts as long as the process.
-fn open_store(operator: &Operator) -> Result<(Disk, Held), String> {
-    let (disk, held) = match &operator.store.snapshot {
-        Some(path) => Disk::open(path)?,
-        None => Disk::in_memory()?,
-    };
-    held.notes.iter().for_each(|note| log::warn!("{note}"));
-    Ok((disk, held))
-}
 
-/// Reads the inventory whenever its file changes, and on SIGHUP. One that is out of form is refused whole:
-/// what was last good stays.
-async fn reload(mut hangup: Async<UnixStream>, operator: &Operator, fleet: &Fleet, limits: &Limits) {
-    // What was read at the start is read once more: the file may have changed since.
-    let mut seen = None;
-    loop {
-        let asked =
-            until(Instant::now() + limits.file_check_interval, signalled(&mut hangup)).await.is_some();
-        let Some(path) = &operator.inventory else { continue };
-        let now = stamp(path);
-        if now == seen && !asked {
-            continue;
-        }
-        seen = now;
-        match file::inventory(path, &operator.zones, limits) {
-            Ok(hosts) => fleet.read_files(|files| files.hosts = Some(hosts)),
-            Err(e) => log::error!("{e}; the last good inventory stays"),
-        }
-    }
-}
-
-/// What tells a file's versions apart without reading it.
-fn stamp(path: &Path) -> Option<(SystemTime, u64)> {
-    let meta = std::fs::metadata(path).ok()?;
-    Some((meta.modified().ok()?, meta.len()))
-}
+/// Serves until SIGTERM.
+///
+/// The order of the start matters: the store's listener and the fleet come first, since a drain that other daemons
+/// know of must be known here before the first request is sent; clients are accepted next and told to retry; the
+/// engine starts once settings are agreed and this daemon has caught up with the fleet's log.
+///
+/// # Errors
+/// [`DaemonError`] where a file, an address, the store or the settings cannot be used, or the engine ends.
+pub async fn serve(config: OperatorConfig, executor: Executor) -> Result<(), DaemonError> {
+    // Before anything else: without a handler this signal would end the process, which may wait for a peer below.
+    let hangup = SignalStream::subscribe(Signal::Hangup)?;
+    let clock = Clock::start();
+    let mut limits = daemon_limits(&config);
+    let local_files = fleet_startup::read_local_files(&config, &limits)?;
+    let store = fleet_startup::open_store(&config)?;
+    let client_listener = bind(config.listen)?;
+    let fleet = fleet_startup::start(&config, store, local_files, &limits, &clock, &executor)?;
+    let config = Rc::new(config);
+    let lifecycle = Rc::new(Lifecycle::default());
+    let client_front = ClientFront::start(&config, client_listener, &limits, &lifecycle, &clock, &executor);
 
-/// Hands each list that is agreed to the core, with what is drained here, and says when the settings are no longer
-/// those that run: a module keeps those that it was started with.
-async fn follow<W, A>(
-    fleet: &Fleet,
-    handle: &EngineHandle<W, A>,
-    ready: async_channel::Sender<()>,
-    mut settings: String,
-) {
-    let mut list = BTreeMap::new();
-    let changed = fleet.watch();
-    loop {
-        if let Some(newer) = fleet.settings().filter(|t| *t != settings) {
-            log::warn!("other settings are agreed now; they count from the next start");
-            settings = newer;
-        }
-        if let Some(list) = fleet.list_change(&mut list) {
-            handle.control(Control::EndpointList { list, cached: false }).await;
-            ready.close();
-        }
-        let _ = changed.recv().await;
-    }
-}
+    let agreed = agreed_settings::wait(&fleet, &limits).await;
+    agreed_settings::wait_until_current(&fleet, &limits).await;
+    let agreed = AgreedSettings::parse(agreed, &config)?;
+    fleet.returns_by(agreed.cold_start_policy());
+    agreed.adjust(&mut limits);
+    let limits = Rc::new(limits);
+    let AgreedSettings { text: settings_text, settings, classes, .. } = agreed;
 
-/// The settings to run with, once some are agreed.
-async fn settings(fleet: &Fleet, limits: &Limits) -> String {
-    let changed = fleet.watch();
-    let began = Instant::now();
-    let mut told = false;
-    loop {
-        if let Some(text) = fleet.settings() {
-            return text;
-        }
-        if !told && began.elapsed() > limits.file_check_interval * 4 {
-            told = true;
-            log::warn!("not ready: no settings are agreed yet; {}", fleet.table().stand.0);
-        }
-        let _ = until(Instant::now() + limits.file_check_interval, changed.recv()).await;
-    }
-}
+    let report_fields = settings.report_fields.clone();
+    let seed = clock.now().as_micros() as u64;
+    let (engine, commands) =
+        engine::start(settings, &classes, seed, &limits, clock.clone()).map_err(DaemonError::EngineStart)?;
+    inventory_reload::spawn(&executor, hangup, &config, &fleet, &limits);
+    let feeds = EngineFeeds::start(&executor, &fleet, &engine, &limits, settings_text).await;
 
-/// Waits until this daemon has taken in what the others have agreed on, or for as long as a list may be late: what
-/// was drained while it was down must not be sent anything.
-async fn catch_up(fleet: &Fleet, limits: &Limits) {
-    let changed = fleet.watch();
-    let wait = async {
-        while !fleet.is_current() {
-            let _ = changed.recv().await;
-        }
+    let protocol = Sparql::new(limits.clone(), config.host_path.clone(), &config.name, report_fields);
+    let backends = BackendPool::new(protocol, limits.clone(), clock);
+    let fleet_for_hints = fleet.clone();
+    let observations_pending = feeds.observations_pending;
+    let command_task =
+        execute_commands(&executor, &backends, commands, &engine, async move |command| match command {
+            Command::SendToPeers { bytes, .. } => fleet_for_hints.hint(&bytes),
+            // A full channel already holds a notification that has not been read.
+            Command::ObservationsPending => drop(observations_pending.try_send(())),
+            _ => {}
+        });
+    let all_groups_served = feeds.all_groups_served;
+    if let Some(address) = config.admin {
+        let server = admin_server(&fleet, &limits, &engine, &lifecycle, &all_groups_served);
+        serve_admin(&executor, address, &config.name, &limits, server)?;
+    }
+    client_front.begin_serving(Front {
+        limits: limits.clone(),
+        handle: engine.clone(),
+        classes,
+        service: config.service.clone(),
+        ready: all_groups_served,
+        duty: lifecycle.clone(),
+        breaks: fleet.breaks.clone(),
+    });
+    let terminate = SignalStream::subscribe(Signal::Terminate)?;
+    let ClientFront { limiter, acceptor, .. } = client_front;
+    let daemon = RunningDaemon {
+        limits,
+        limiter,
+        lifecycle,
+        engine,
+        handover: Handover::Tier,
+        acceptor,
+        command_task,
     };
-    if until(Instant::now() + limits.discovery_timeout * 2, wait).await.is_none() {
-        log::warn!("fleet: no majority is known; serving with what was last agreed");
-    }
+    daemon.run(terminate).await
 }
 
-/// How cold hosts behave, by the settings; without a word of it they are warm from the start.
-fn cold(settings: &Settings) -> Cold {
-    Cold {
-        share: settings.cold_capacity.unwrap_or(1.0),
-        warm_up: settings.warm_up.unwrap_or(TimeDelta::ZERO),
-        multiple: settings.overload_multiple.unwrap_or(1.0).max(1.0),
-    }
+fn daemon_limits(config: &OperatorConfig) -> Limits {
+    let machine = Machine::operator(config.sockets);
+    let machine = if config.admin.is_some() { machine.with_admin_server() } else { machine };
+    Limits::for_operator_daemon(machine)
 }
 
-/// Has service return as far as it can now; whether all groups are served.
-async fn return_on<W, A>(fleet: &Fleet, handle: &EngineHandle<W, A>, listed: bool) -> bool {
-    let (terms, turns) = fleet.return_on(listed);
-    handle.control(Control::SetPollParticipants(turns)).await;
-    handle.control(Control::SetAdmission(terms)).await;
-    fleet.service().step >= Step::Rest
+fn bind(address: SocketAddr) -> Result<async_io::Async<std::net::TcpListener>, DaemonError> {
+    listener::bind(address).map_err(|source| DaemonError::Listen { address, source })
 }
 
-/// Serves until SIGTERM.
-pub async fn serve(operator: Operator, executor: Executor) -> Result<(), String> {
-    // First of all: without a handler this signal would end the program, which may wait for a peer below.
-    let hangup = signal(signal_hook::consts::SIGHUP)?;
-    let clock = Clock::start();
-    let machine = Machine::operator(operator.sockets);
-    let mut limits = Limits::on(if operator.admin.is_some() { machine.with_door() } else { machine });
-    // Here connections are many but none makes room in haste: idle ones may be looked for at leisure.
-    limits.idle_check_interval = limits.file_check_interval;
-    limits.pool_sweep_interval = limits.file_check_interval * 4;
-    let mut files = Files { settings: operator.settings.clone().map(|s| (s, operator.changed)), hosts: None };
-    if let Some(path) = &operator.inventory {
-        files.hosts = Some(file::inventory(path, &operator.zones, &limits)?);
-    }
-    let (disk, held) = open_store(&operator)?;
-    let at = operator.store.listen;
-    let store_listener = listener::bind(at).map_err(|e| format!("{at}: {e}"))?;
-    let at = store_listener.get_ref().local_addr().unwrap_or(at);
-    log::info!("{}: store at http://{at}", operator.name);
-    let listener =
-        listener::bind(operator.listen).map_err(|e| format!("{}: {e}", operator.listen))?;
-    let (opened, inputs, outputs) = store_thread::start(disk, held, &limits)?;
-    let me = Me {
-        name: operator.name.clone(),
-        address: operator.store.advertise.unwrap_or(at),
-        named: operator.store.peers.clone(),
-        leaving: operator.leaving.clone(),
-    };
-    // A connection for each daemon, and some for operators.
-    let few = Rc::new(Limits {
-        client_connections: limits.fleet_nodes + 16,
-        rejected_connections: 4,
-        idle_check_interval: limits.file_check_interval,
-        ..limits.clone()
-    });
-    let fleet = Fleet::new(me, few.clone(), clock.clone(), executor.clone(), opened, inputs);
-    fleet.read_files(|own| *own = files);
-    let operator = Rc::new(operator);
-
-    // The store first: whoever is drained elsewhere must not be sent anything here.
-    let store_seats = ConnectionLimiter::new(few.clone(), Rc::default());
-    let serving = {
-        let (fleet, clock) = (fleet.clone(), clock.clone());
-        accept(&executor, store_listener, &store_seats, move |stream, place, welcome| {
-            let (fleet, few, clock) = (fleet.clone(), few.clone(), clock.clone());
-            async move {
-                if welcome == AcceptDecision::Serve {
-                    admin_api::serve(fleet, ClientConnection::new(stream, place, few, clock)).await;
-                }
-            }
-        })
-    };
-    serving.detach();
-    {
-        let (hears, goes) = (fleet.clone(), fleet.clone());
-        executor.spawn(async move { hears.hear_store(&outputs).await }).detach();
-        executor.spawn(async move { goes.go_on().await }).detach();
-    }
-    // Clients that come before anything can be served are told when to come back.
-    let at = listener.get_ref().local_addr().unwrap_or(operator.listen);
-    log::info!("{}: SPARQL at http://{at}{}", operator.name, operator.service.path);
-    let duty = Rc::new(Lifecycle::default());
-    let early = Rc::new(limits.clone());
-    let seats = ConnectionLimiter::new(early.clone(), duty.clone());
-    let slot: Rc<RefCell<Option<Rc<Front>>>> = Rc::default();
-    let accepting = {
-        let (slot, clock) = (slot.clone(), clock.clone());
-        let again = TimeDelta::from(early.front_retry_after).as_micros();
-        accept(&executor, listener, &seats, move |stream, place, welcome| {
-            let (front, early, clock) = (slot.borrow().clone(), early.clone(), clock.clone());
-            async move {
-                match front {
-                    Some(front) => front.serve(stream, place, welcome).await,
-                    // Not all at one time: what they come back to has just begun.
-                    None => {
-                        let again = || TimeDelta::from_micros(fastrand::i64(again..2 * again));
-                        front::serve_early(stream, place, early, clock, again).await
-                    }
-                }
-            }
-        })
-    };
-    let text = settings(&fleet, &limits).await;
-    catch_up(&fleet, &limits).await;
-    let (mut settings, names, all) = file::read_settings(&text, operator.number)?;
-    file::own_fields(&mut settings);
-    fleet.returns_by(cold(&settings));
-    let seconds = |key: &str| all.get(key).and_then(|v| v.parse::<f64>().ok());
-    limits.hosts_idle_for(seconds("limits.conn-idle"));
-    if let Some(s) = seconds("limits.connect-timeout").filter(|s| *s > 0.0 && *s < 3600.0) {
-        limits.connect_timeout = Duration::from_secs_f64(s);
-    }
-    let limits = Rc::new(limits);
-    let classes = Classes::new(names, &mut settings);
-    for class in
-        [Some(&operator.service.query), operator.service.session.as_ref(), Some(&operator.service.update)]
-    {
-        if let Some(name) = class.filter(|name| classes.find(name, true).is_none()) {
-            return Err(format!("{}: the settings name no service {name:?}", operator.path.display()));
-        }
-    }
-    let fields = settings.report_fields.clone();
-    let seed = clock.now().as_micros() as u64;
-    let (handle, commands) = engine::start(settings, &classes, seed, &limits, clock.clone())
-        .map_err(|e| format!("module: {e}"))?;
-
-    {
-        let (operator, fleet, limits) = (operator.clone(), fleet.clone(), limits.clone());
-        let task = async move {
-            reload(hangup, &operator, &fleet, &limits).await;
-        };
-        executor.spawn(task).detach();
-    }
-    let (listed, ready) = async_channel::bounded::<()>(1);
-    // Before the first list: nothing is let in and no host is asked but in turn.
-    return_on(&fleet, &handle, false).await;
-    {
-        let (fleet, handle) = (fleet.clone(), handle.clone());
-        executor.spawn(async move { follow(&fleet, &handle, listed, text).await }).detach();
-    }
-    let hosts = BackendPool::new(
-        Sparql::new(limits.clone(), operator.host_path.clone(), &operator.name, fields),
-        limits.clone(),
-        clock,
-    );
-    // Ready is a daemon that serves all groups; those that are open before are served before.
-    let (opened, open) = async_channel::bounded::<()>(1);
-    let (tell, news) = async_channel::bounded::<()>(1);
-    // Nothing is let in before the module knows what the fleet knows of primaries.
-    let (hinted, knows) = async_channel::bounded::<()>(1);
-    {
-        let (fleet, handle, limits) = (fleet.clone(), handle.clone(), limits.clone());
-        let task = async move {
-            while let Some(facts) = handle.observations().await {
-                fleet.observe(&facts);
-                if fleet.returns() && return_on(&fleet, &handle, knows.is_closed()).await {
-                    opened.close();
-                }
-                let pause =
-                    if fleet.returns() { limits.recovery_check_interval } else { limits.file_check_interval };
-                let _ = until(Instant::now() + pause, news.recv()).await;
-            }
-        };
-        executor.spawn(task).detach();
-    }
-    {
-        let (fleet, handle, limits, ready) = (fleet.clone(), handle.clone(), limits.clone(), ready.clone());
-        let task = async move {
-            while ready.recv().await.is_ok() {}
-            while let Some(seen) = handle.outcome_counts().await {
-                let left = fleet.look_at_zones(&seen);
-                if !left.is_empty() {
-                    handle.control(Control::CancelOverdueReads(left)).await;
-                }
-                // Where nothing is asked nothing can be seen.
-                Timer::after(if seen.is_empty() {
-                    limits.file_check_interval
-                } else {
-                    limits.zone_check_interval
-                })
-                .await;
-            }
-        };
-        executor.spawn(task).detach();
-    }
-    {
-        let (fleet, handle, ready) = (fleet.clone(), handle.clone(), ready.clone());
-        let task = async move {
-            while ready.recv().await.is_ok() {}
-            handle.control(Control::PeerObservations(fleet.told_before())).await;
-            while let Some(told) = fleet.told().await {
-                handle.control(Control::PeerObservations(told)).await;
-            }
-        };
-        executor.spawn(task).detach();
-    }
-    {
-        // What other daemons' modules have heard of a host is a hint to this one's.
-        let (fleet, handle, ready) = (fleet.clone(), handle.clone(), ready.clone());
-        let task = async move {
-            // A hint about a host that the module's list has not yet would be lost.
-            while ready.recv().await.is_ok() {}
-            for bytes in fleet.first_hints() {
-                handle.input(Input::PeerMessage { from: 0, bytes }).await;
-            }
-            hinted.close();
-            while let Some(bytes) = fleet.hinted().await {
-                handle.input(Input::PeerMessage { from: 0, bytes }).await;
-            }
-        };
-        executor.spawn(task).detach();
-    }
-    let told = fleet.clone();
-    let carrying = carry(&executor, &hosts, commands, &handle, async move |command| {
-        match command {
-            Command::SendToPeers { bytes, .. } => fleet.hint(&bytes),
-            // Full: it is read in a moment.
-            Command::ObservationsPending => drop(tell.try_send(())),
-            _ => {}
-        }
-    });
-    let service = operator.service.clone();
-    let ending = handle.clone();
-    if let Some(at) = operator.admin {
-        let fleet = told.clone();
-        let more = move || admin_api::figures(&fleet);
-        open_door(&executor, at, &operator.name, &limits, &handle, &duty, &open, more)?;
-    }
-    let (breaks, limits2) = (told.breaks.clone(), limits.clone());
-    let front = Front { limits: limits2, handle, classes, service, ready: open, duty: duty.clone(), breaks };
-    *slot.borrow_mut() = Some(Rc::new(front));
-    let ends = signal(signal_hook::consts::SIGTERM)?;
-    until_drained(ends, &limits, &seats, &duty, &ending, Leave::Others, accepting, carrying).await
+fn admin_server<W: Send + 'static, A: Send + 'static>(
+    fleet: &Rc<Fleet>,
+    limits: &Limits,
+    engine: &EngineHandle<W, A>,
+    lifecycle: &Rc<Lifecycle>,
+    ready: &Receiver<()>,
+) -> AdminServer<W, A> {
+    let fleet = fleet.clone();
+    let fleet_metrics = move || admin_api::figures(&fleet);
+    AdminServer::new(limits, engine.clone(), lifecycle.clone(), ready.clone(), fleet_metrics)
 }
--- /dev/null
+++ b/src/daemon/operator/fleet_startup.rs
@@ -0,0 +1,131 @@
+//! Opens the store and starts this daemon's part of the fleet.
+
+use super::bind;
+use crate::clock::Clock;
+use crate::config::Limits;
+use crate::daemon::listeners::Acceptor;
+use crate::daemon::operator_config::{self, OperatorConfig};
+use crate::daemon::{DaemonError, Executor};
+use crate::fleet::admin_api;
+use crate::fleet::runtime::{Files, Fleet, Me};
+use crate::net::connection::ClientConnection;
+use crate::net::connection_limiter::{AcceptDecision, ConnectionLimiter};
+use crate::store::storage::{Disk, Held};
+use crate::store::store_thread;
+use async_io::Async;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+
+/// Connections of operators' commands to the store, beside one of each node.
+const OPERATOR_CONNECTIONS: usize = 16;
+/// Connections to the store beyond that, which are only told that there are too many.
+const REJECTED_CONNECTIONS: usize = 4;
+
+/// The store's file and its listener, before the store runs.
+pub struct OpenedStore {
+    disk: Disk,
+    held: Held,
+    listener: Async<TcpListener>,
+    /// The listener's address, with the port that the system chose if the file says 0.
+    address: SocketAddr,
+}
+
+/// What this daemon's own files say: settings and inventory, to be proposed to the fleet.
+///
+/// # Errors
+/// [`DaemonError::Config`] where the inventory cannot be used.
+pub fn read_local_files(config: &OperatorConfig, limits: &Limits) -> Result<Files, DaemonError> {
+    let settings = config.settings.clone().map(|text| (text, config.modified_at));
+    let mut files = Files { settings, hosts: None };
+    if let Some(path) = &config.inventory {
+        let read = operator_config::load_inventory(path, &config.zones, limits)?;
+        files.hosts = Some((read.inventory, read.modified_at));
+    }
+    Ok(files)
+}
+
+/// Opens the store's file, or a store in memory where the configuration names none, and its listener.
+///
+/// # Errors
+/// [`DaemonError::Store`] and [`DaemonError::Listen`].
+pub fn open_store(config: &OperatorConfig) -> Result<OpenedStore, DaemonError> {
+    let opened = match &config.store.snapshot {
+        Some(path) => Disk::open(path),
+        None => Disk::in_memory(),
+    };
+    let (disk, held) = opened.map_err(|error| DaemonError::Store(error.to_string()))?;
+    for note in &held.notes {
+        log::warn!("{note}");
+    }
+    let listener = bind(config.store.listen)?;
+    let address = listener.get_ref().local_addr().unwrap_or(config.store.listen);
+    log::info!("{}: store at http://{address}", config.name);
+    Ok(OpenedStore { disk, held, listener, address })
+}
+
+/// Starts the store's thread, the fleet's tasks, and the listener for peers and operators' commands.
+///
+/// # Errors
+/// [`DaemonError::Store`] where the store does not start.
+pub fn start(
+    config: &OperatorConfig,
+    store: OpenedStore,
+    local_files: Files,
+    limits: &Limits,
+    clock: &Clock,
+    executor: &Executor,
+) -> Result<Rc<Fleet>, DaemonError> {
+    let OpenedStore { disk, held, listener, address } = store;
+    let (opened, inputs, outputs) =
+        store_thread::start(disk, held, limits).map_err(|error| DaemonError::Store(error.to_string()))?;
+    let me = Me {
+        name: config.name.clone(),
+        address: config.store.advertise.unwrap_or(address),
+        named: config.store.peers.clone(),
+        leaving: config.leaving.clone(),
+    };
+    let limits = Rc::new(store_limits(limits));
+    let fleet = Fleet::new(me, limits.clone(), clock.clone(), executor.clone(), opened, inputs);
+    fleet.read_files(|files| *files = local_files);
+
+    accept_peers(executor, listener, &fleet, &limits, clock);
+    let store_events = fleet.clone();
+    executor.spawn(async move { store_events.hear_store(&outputs).await }).detach();
+    let event_loop = fleet.clone();
+    executor.spawn(async move { event_loop.go_on().await }).detach();
+    Ok(fleet)
+}
+
+/// A connection for each node, and some for operators' commands.
+fn store_limits(limits: &Limits) -> Limits {
+    Limits {
+        client_connections: limits.fleet_nodes + OPERATOR_CONNECTIONS,
+        rejected_connections: REJECTED_CONNECTIONS,
+        idle_check_interval: limits.file_check_interval,
+        ..limits.clone()
+    }
+}
+
+fn accept_peers(
+    executor: &Executor,
+    listener: Async<TcpListener>,
+    fleet: &Rc<Fleet>,
+    limits: &Rc<Limits>,
+    clock: &Clock,
+) {
+    let limiter = ConnectionLimiter::new(limits.clone(), Rc::default());
+    let fleet = fleet.clone();
+    let limits = limits.clone();
+    let clock = clock.clone();
+    let acceptor = Acceptor::start(executor, listener, &limiter, move |stream, slot, decision| {
+        let fleet = fleet.clone();
+        let limits = limits.clone();
+        let clock = clock.clone();
+        async move {
+            if decision == AcceptDecision::Serve {
+                admin_api::serve(fleet, ClientConnection::new(stream, slot, limits, clock)).await;
+            }
+        }
+    });
+    acceptor.detach();
+}
--- a/src/daemon/operator_config/tests.rs
+++ b/src/daemon/operator_config/tests.rs
@@ -1,15 +1,19 @@
+//! The example files of the deployment are read, and errors name their lines.
+
+use super::reader::parse;
 use super::*;
 
 const FILE: &str = include_str!("../../../deploy/operator.yaml");
 
 #[test]
 fn the_example_file_is_read() {
-    let operator =
+    let config =
         parse(Path::new("deploy/operator.yaml"), FILE, Timestamp::from_micros(7), &Limits::for_sockets(0))
             .unwrap();
-    assert_eq!(operator.inventory, Some(PathBuf::from("deploy/inventory.yaml")));
-    let (settings, names, _) = read_settings(operator.settings.as_deref().unwrap(), 1).unwrap();
-    assert_eq!(names, ["catalog-read", "own-edit-read", "score-write"]);
+    assert_eq!(config.inventory, Some(PathBuf::from("deploy/inventory.yaml")));
+    let ParsedSettings { settings, class_names, .. } =
+        parse_settings(config.settings.as_deref().unwrap(), 1).unwrap();
+    assert_eq!(class_names, ["catalog-read", "own-edit-read", "score-write"]);
     assert_eq!(settings.classes[0].max_age, Some(TimeDelta::from_micros(800_000)));
     assert_eq!(settings.me, Some(1));
 }
@@ -24,7 +28,7 @@
 }
 
 #[test]
-fn a_fault_names_its_line() {
+fn an_error_names_its_line() {
     for (from, to, why) in [
         ("name: b1", "nome: b1", "unknown"),
         ("127.0.0.1:8890", "0.0.0.0:8890", "not loopback"),
@@ -38,10 +42,10 @@
         ("dwell: 3", "dwel: 3", "unknown in leaving"),
     ] {
         let line = FILE.lines().position(|l| l.contains(from)).map(|n| n + 1).expect(from);
-        let fault =
+        let error =
             parse(Path::new("f"), &FILE.replacen(from, to, 1), Timestamp::ZERO, &Limits::for_sockets(0))
                 .unwrap_err();
-        assert!(fault.text.contains(why), "{to}: {fault}");
-        assert_eq!(fault.line, line, "{to}: {fault}");
+        assert!(error.problem.to_string().contains(why), "{to}: {error}");
+        assert_eq!(error.line, line, "{to}: {error}");
     }
 }
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -1,213 +1,166 @@
-//! On the platform: the PostgreSQL front, with what `GW_CONFIG` names. The SPARQL front is off here.
+//! The daemon of the platform: the PostgreSQL front, with the configuration that `GW_CONFIG` names.
+//!
+//! There is no store and no fleet here: the endpoint list comes from discovery ([`endpoint_lists`]) and is kept in
+//! memory, and peers exchange primary hints in datagrams ([`gossip`]). A new process may take over the listening socket
+//! of the one that it replaces ([`client_socket`]).
 
-use super::{Executor, Leave, accept, carry, open_door, signal, signalled, unless_signalled, until_drained};
+mod client_socket;
+mod endpoint_lists;
+mod gossip;
+
+use super::commands::execute_commands;
+use super::listeners::{Acceptor, serve_admin};
+use super::milestone::reached;
+use super::shutdown::{Handover, RunningDaemon};
+use super::signals::{Signal, SignalStream};
+use super::{ConfigError, DaemonError, Executor};
+use crate::address::parse_address;
 use crate::clock::Clock;
-use crate::config::{Limits, Machine};
+use crate::config::{DEFAULT_SOCKETS, Limits, Machine};
 use crate::engine::classes::Classes;
-use crate::engine::endpoints::{EndpointCatalog, EndpointUpdate};
-use crate::engine::{self, Command, Control, Input};
+use crate::engine::{self, Command};
+use crate::net::admin_server::AdminServer;
 use crate::net::backend_pool::BackendPool;
-use crate::net::gossip_socket::GossipSocket;
+use crate::net::connection_limiter::ConnectionLimiter;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::postgres::front::Front;
-use crate::net::postgres::host::Pg;
-use crate::net::connection_limiter::ConnectionLimiter;
-use crate::net::{discovery, inherited_socket, listener};
-use crate::platform_config::{self as json, Platform};
+use crate::net::postgres::host::PostgresBackend;
+use crate::platform_config::{self, PlatformConfig};
 use crate::time::TimeDelta;
-use async_channel::Sender;
-use async_io::{Async, Timer};
-use std::cell::{Cell, RefCell};
-use std::io;
-use std::net::SocketAddr;
-use std::os::unix::net::UnixStream;
+use async_io::Async;
+use endpoint_lists::{Discovery, EndpointLists};
+use std::net::TcpListener;
+use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Reads the configuration; errors name file and line.
-pub fn load(path: &str) -> Result<Platform, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    let mut platform = json::platform(&text).map_err(|e| format!("{path}: {e}"))?;
-    if platform.admin.is_none()
-        && let Some(at) = std::env::var("GW_ADMIN_ADDR").ok().filter(|at| !at.is_empty())
+/// Reads the configuration from its file and the environment.
+///
+/// # Errors
+/// [`ConfigError`] with the file, and the line where its content is at fault.
+pub fn load(path: &str) -> Result<PlatformConfig, ConfigError> {
+    let file = PathBuf::from(path);
+    let text =
+        std::fs::read_to_string(path).map_err(|source| ConfigError::Read { path: file.clone(), source })?;
+    let mut config =
+        platform_config::parse(&text).map_err(|source| ConfigError::Platform { path: file, source })?;
+    if config.admin.is_none()
+        && let Some(address) = std::env::var("GW_ADMIN_ADDR").ok().filter(|text| !text.is_empty())
     {
-        platform.admin = Some(json::address(&at, "GW_ADMIN_ADDR")?);
+        config.admin = Some(parse_address(&address, "GW_ADMIN_ADDR")?);
     }
-    platform.passed = std::env::var("GW_PASSED_SOCKET").ok();
-    Ok(platform)
+    config.inherited_socket = std::env::var("GW_PASSED_SOCKET").ok();
+    Ok(config)
 }
 
-fn limits(platform: &Platform) -> Limits {
-    let machine = Machine::platform(platform.sockets, platform.memory_mb);
-    let machine = if platform.passed.is_some() { machine.half() } else { machine };
-    let mut limits = Limits::on(if platform.admin.is_some() { machine.with_door() } else { machine });
-    limits.clients_hold(platform.sockets.unwrap_or(1024) / 3);
-    limits.tier(platform.settings.pooler_count);
-    limits.hosts_idle_for(platform.conn_idle);
-    limits.deadlines_at_most(&platform.settings.classes);
-    if let Some(connect) = platform.settings.connect_timeout {
-        limits.connect_timeout = connect.max(TimeDelta::from_micros(1)).to_duration();
+/// Serves until SIGTERM; `path` is the file that `config` was read from, and is read again on SIGHUP.
+///
+/// # Errors
+/// [`DaemonError`] where an address or the inherited socket cannot be used, or the engine ends.
+pub async fn serve(path: String, config: PlatformConfig, executor: Executor) -> Result<(), DaemonError> {
+    // Before anything else: without handlers these signals would end the process with accepted requests unanswered.
+    let hangup = SignalStream::subscribe(Signal::Hangup)?;
+    let mut terminate = SignalStream::subscribe(Signal::Terminate)?;
+    let limits = Rc::new(limits(&config));
+    let handover = handover(&config);
+    let clock = Clock::start();
+    let mut settings = config.settings.clone();
+    let classes = Classes::new(config.classes.clone(), &mut settings);
+    let report_fields = settings.report_fields.clone();
+    let (engine, commands) = engine::start(settings, &classes, config.seed, &limits, clock.clone())
+        .map_err(DaemonError::EngineStart)?;
+    let lists = EndpointLists::new(config.cached_list.clone());
+
+    let opened = client_socket::open(&config, &limits, &mut terminate).await?;
+    let Some(listener) = opened else { return terminated_early() };
+    let peers = gossip::start(&config, &engine, &limits, &executor)?;
+    log_start(&config, &listener, &limits);
+
+    let discovery = Discovery::new(config.discovery);
+    discovery.follow_configuration(&executor, path, hangup);
+    let first_list = lists.first_list();
+    if config.cached_list.is_some() {
+        lists.serve_cached_if_discovery_is_silent(&executor, &engine, &limits);
     }
-    limits
-}
+    let lifecycle = Rc::new(Lifecycle::default());
+    if let Some(address) = config.admin {
+        let server =
+            AdminServer::new(&limits, engine.clone(), lifecycle.clone(), first_list.clone(), String::new);
+        serve_admin(&executor, address, &config.name, &limits, server)?;
+    }
+    let fetch_requests = discovery.fetch_requests();
+    discovery.watch(&executor, &config, lists, &engine, &limits);
 
-/// Reads the configuration anew at each SIGHUP. Discovery moves to the address that it names, at once and
-/// without touching what is open; what else has changed counts from the next start. One that is out of form
-/// is refused whole: what was last good stays.
-async fn reload(path: &str, mut hangup: Async<UnixStream>, discovery: &Cell<SocketAddr>, fetch: &Sender<()>) {
-    loop {
-        signalled(&mut hangup).await;
-        match load(path) {
-            Ok(new) => {
-                log::info!("SIGHUP: discovery at {} (before: {})", new.discovery, discovery.get());
-                discovery.set(new.discovery);
-                // A message that still waits to be heard will do: the address is read after it.
-                let _ = fetch.try_send(());
-            }
-            Err(e) => log::error!("SIGHUP: {e}; the last good configuration stays"),
+    let backends =
+        BackendPool::new(PostgresBackend::new(limits.clone(), report_fields), limits.clone(), clock);
+    let command_task =
+        execute_commands(&executor, &backends, commands, &engine, async move |command| match command {
+            Command::SendToPeers { to, bytes } => peers.send(to, &bytes).await,
+            // A full channel already holds a request that has not been read.
+            Command::FetchList => drop(fetch_requests.try_send(())),
+            _ => {}
+        });
+    if handover == Handover::Successor {
+        // Until this process can serve, all clients on the shared socket are its predecessor's.
+        if terminate.unless_received(reached(&first_list)).await.is_none() {
+            return terminated_early();
         }
     }
+    let front = Rc::new(Front {
+        limits: limits.clone(),
+        handle: engine.clone(),
+        classes,
+        ready: first_list,
+        lifecycle: lifecycle.clone(),
+        open_requests: Default::default(),
+    });
+    let limiter = ConnectionLimiter::new(limits.clone(), lifecycle.clone());
+    let acceptor = Acceptor::start(&executor, listener, &limiter, move |stream, slot, decision| {
+        let front = front.clone();
+        async move { front.serve(stream, slot, decision).await }
+    });
+    let daemon = RunningDaemon { limits, limiter, lifecycle, engine, handover, acceptor, command_task };
+    daemon.run(terminate).await
 }
 
-/// SIGTERM came before any connection could be taken.
-fn ended_early() -> Result<(), String> {
-    log::info!("SIGTERM before the first connection");
-    Ok(())
+fn limits(config: &PlatformConfig) -> Limits {
+    let machine = Machine::platform(config.sockets, config.memory_mb);
+    let machine = if config.inherited_socket.is_some() { machine.half() } else { machine };
+    let machine = if config.admin.is_some() { machine.with_admin_server() } else { machine };
+    let mut limits = Limits::on(machine);
+    limits.share_client_connections(config.sockets.unwrap_or(DEFAULT_SOCKETS) / 3);
+    limits.spread_discovery_calls(config.settings.pooler_count);
+    limits.set_backend_idle_timeout(config.backend_idle_secs);
+    limits.bound_shutdown_by_deadlines(&config.settings.classes);
+    if let Some(timeout) = config.settings.connect_timeout {
+        limits.connect_timeout = timeout.max(TimeDelta::from_micros(1)).to_duration();
+    }
+    limits
 }
 
-/// Serves until SIGTERM; `path` is the file that `platform` was read from.
-pub async fn serve(path: String, platform: Platform, executor: Executor) -> Result<(), String> {
-    // First of all: without a handler these signals would end the program in the midst of what it has taken.
-    let hangup = signal(signal_hook::consts::SIGHUP)?;
-    let mut ends = signal(signal_hook::consts::SIGTERM)?;
-    let limits = Rc::new(limits(&platform));
-    let clock = Clock::start();
-    let mut settings = platform.settings;
-    let alone = settings.pooler_count == Some(1);
-    let classes = Classes::new(platform.classes, &mut settings);
-    let fields = settings.report_fields.clone();
-    let (handle, commands) = engine::start(settings, &classes, platform.seed, &limits, clock.clone())
-        .map_err(|e| format!("module: {e}"))?;
-    // Here there is no store: the last known list is kept in memory, fed by discovery.
-    let hosts_known = Rc::new(RefCell::new(EndpointCatalog::default()));
-    let known = platform.known.is_some();
-    if let Some(known) = platform.known {
-        hosts_known.borrow_mut().take(&EndpointUpdate { whole: true, ..known });
+/// A process on an inherited socket is followed by another one on it.
+fn handover(config: &PlatformConfig) -> Handover {
+    if config.inherited_socket.is_some() {
+        Handover::Successor
+    } else if config.settings.pooler_count == Some(1) {
+        Handover::Nobody
+    } else {
+        Handover::Tier
     }
-    let succeeds = platform.passed.is_some();
-    let listener = match &platform.passed {
-        Some(number) => {
-            Async::new(inherited_socket::from_descriptor(number)?).map_err(|e| format!("GW_PASSED_SOCKET: {e}"))?
-        }
-        None => {
-            let opened = listener::bind_when_free(platform.listen, &limits);
-            let Some(opened) = unless_signalled(&mut ends, opened).await else { return ended_early() };
-            opened.map_err(|e| format!("{}: {e}", platform.listen))?
-        }
-    };
-    let peers = Rc::new(GossipSocket::new(platform.peers, platform.peers_all, &limits));
-    if let Some(at) = platform.peer_listen {
-        match peers.bind(at) {
-            // A process that this one follows still has it.
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
-                log::info!("{at}: {e}; once it is free")
-            }
-            opened => opened.map_err(|e| format!("{at}: {e}"))?,
-        }
-        let (peers, handle, period) = (peers.clone(), handle.clone(), limits.file_check_interval);
-        let task = async move {
-            while peers.bind(at).is_err() {
-                Timer::after(period).await;
-            }
-            peers.receive(|from, bytes| handle.input(Input::PeerMessage { from, bytes })).await;
-        };
-        executor.spawn(task).detach();
-    }
-    let at = listener.get_ref().local_addr().unwrap_or(platform.listen);
-    log::info!("{}: clients at {at}, discovery at {}", platform.name, platform.discovery);
+}
+
+fn log_start(config: &PlatformConfig, listener: &Async<TcpListener>, limits: &Limits) {
+    let address = listener.get_ref().local_addr().unwrap_or(config.listen);
+    log::info!("{}: clients at {address}, discovery at {}", config.name, config.discovery);
     log::info!(
-        "at most {} clients, {} connections to hosts, {} KiB of long messages",
+        "at most {} clients, {} connections to backends, {} KiB of long messages",
         limits.client_connections,
         limits.backend_connections,
         limits.message_budget / 1024
     );
+}
 
-    let (fetch, asked) = async_channel::bounded(1);
-    let discovery = Rc::new(Cell::new(platform.discovery));
-    {
-        let (discovery, fetch) = (discovery.clone(), fetch.clone());
-        executor.spawn(async move { reload(&path, hangup, &discovery, &fetch).await }).detach();
-    }
-    let (listed, ready) = async_channel::bounded::<()>(1);
-    if known {
-        // What discovery has to tell counts from the first moment: the list from before serves only while it is
-        // silent, when to wait for a newer one would serve nobody. Until then what comes is held.
-        let (listed, handle, known) = (listed.clone(), handle.clone(), hosts_known.clone());
-        let (wait, ready) = (limits.cached_list_delay, limits.readiness_timeout);
-        let task = async move {
-            Timer::after(wait).await;
-            if !listed.is_closed() {
-                let list = known.borrow().listing();
-                handle.control(Control::EndpointList { list, cached: true }).await;
-            }
-            Timer::after(ready.saturating_sub(wait)).await;
-            listed.close();
-        };
-        executor.spawn(task).detach();
-    }
-    let duty = Rc::new(Lifecycle::default());
-    if let Some(at) = platform.admin {
-        open_door(&executor, at, &platform.name, &limits, &handle, &duty, &ready, String::new)?;
-    }
-    {
-        let (limits, handle) = (limits.clone(), handle.clone());
-        let (zones, seed) = (platform.zones, platform.seed);
-        let task = async move {
-            let deliver = |list: EndpointUpdate| {
-                let (handle, listed, known) = (&handle, &listed, &hosts_known);
-                async move {
-                    known.borrow_mut().take(&list);
-                    let list = known.borrow().listing();
-                    handle.control(Control::EndpointList { list, cached: false }).await;
-                    listed.close();
-                }
-            };
-            discovery::watch(&discovery, &zones, &limits, seed, &asked, deliver).await;
-        };
-        executor.spawn(task).detach();
-    }
-    let hosts = BackendPool::new(Pg::new(limits.clone(), fields), limits.clone(), clock);
-    let carrying = carry(&executor, &hosts, commands, &handle, async move |command| match command {
-        Command::SendToPeers { to, bytes } => {
-            peers.send(to, &bytes).await;
-        }
-        Command::FetchList => drop(fetch.try_send(())),
-        _ => {}
-    });
-    if succeeds {
-        // Until this process can serve, all clients are the other one's.
-        let can_serve = async { while ready.recv().await.is_ok() {} };
-        if unless_signalled(&mut ends, can_serve).await.is_none() {
-            return ended_early();
-        }
-    }
-    let ending = handle.clone();
-    let front = Rc::new(Front {
-        limits: limits.clone(),
-        handle,
-        classes,
-        ready,
-        duty: duty.clone(),
-        open: Default::default(),
-    });
-    let seats = ConnectionLimiter::new(limits.clone(), duty.clone());
-    let accepting = accept(&executor, listener, &seats, move |stream, place, welcome| {
-        let front = front.clone();
-        async move { front.serve(stream, place, welcome).await }
-    });
-    let leave = match alone {
-        _ if succeeds => Leave::Successor,
-        true => Leave::Nobody,
-        false => Leave::Others,
-    };
-    until_drained(ends, &limits, &seats, &duty, &ending, leave, accepting, carrying).await
+/// SIGTERM came before any connection was accepted.
+fn terminated_early() -> Result<(), DaemonError> {
+    log::info!("SIGTERM before the first connection");
+    Ok(())
 }
--- /dev/null
+++ b/src/daemon/platform/client_socket.rs
@@ -0,0 +1,32 @@
+//! The clients' listening socket: opened here, or inherited from the platform.
+
+use crate::config::Limits;
+use crate::daemon::DaemonError;
+use crate::daemon::signals::SignalStream;
+use crate::net::{inherited_socket, listener};
+use crate::platform_config::PlatformConfig;
+use async_io::Async;
+use std::net::TcpListener;
+
+/// The socket that the platform passes on, or a new one, once its address is free. `None`: SIGTERM came first.
+///
+/// # Errors
+/// [`DaemonError::InheritedSocket`], [`DaemonError::InheritedSocketIo`] or [`DaemonError::Listen`].
+pub async fn open(
+    config: &PlatformConfig,
+    limits: &Limits,
+    terminate: &mut SignalStream,
+) -> Result<Option<Async<TcpListener>>, DaemonError> {
+    if let Some(descriptor) = &config.inherited_socket {
+        return inherit(descriptor).map(Some);
+    }
+    let address = config.listen;
+    let opened = terminate.unless_received(listener::bind_when_free(address, limits)).await;
+    opened.transpose().map_err(|source| DaemonError::Listen { address, source })
+}
+
+fn inherit(descriptor: &str) -> Result<Async<TcpListener>, DaemonError> {
+    let socket = inherited_socket::from_descriptor(descriptor)
+        .map_err(|error| DaemonError::InheritedSocket(error.to_string()))?;
+    Async::new(socket).map_err(DaemonError::InheritedSocketIo)
+}
--- /dev/null
+++ b/src/daemon/platform/gossip.rs
@@ -0,0 +1,56 @@
+//! Starts the exchange of primary hints with the other poolers of the tier.
+
+use crate::config::Limits;
+use crate::daemon::{DaemonError, Executor};
+use crate::engine::{EngineHandle, Input};
+use crate::net::gossip_socket::GossipSocket;
+use crate::platform_config::PlatformConfig;
+use async_io::Timer;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Opens the datagram socket, if the configuration names an address, and hands what arrives to the engine. Where the
+/// process that this one replaces still has the address, it is opened once it is free.
+///
+/// # Errors
+/// [`DaemonError::Listen`] where the address cannot be bound for another reason.
+pub fn start<W, A>(
+    config: &PlatformConfig,
+    engine: &EngineHandle<W, A>,
+    limits: &Limits,
+    executor: &Executor,
+) -> Result<Rc<GossipSocket>, DaemonError>
+where
+    W: Send + 'static,
+    A: Send + 'static,
+{
+    let socket = Rc::new(GossipSocket::new(config.peers.clone(), config.peers_all, limits));
+    let Some(address) = config.peer_listen else { return Ok(socket) };
+    match socket.bind(address) {
+        Ok(()) => {}
+        Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
+            log::info!("{address}: {error}; binding it once it is free");
+        }
+        Err(source) => return Err(DaemonError::Listen { address, source }),
+    }
+    let receiver = socket.clone();
+    let engine = engine.clone();
+    let retry_interval = limits.file_check_interval;
+    let task = async move { receive(&receiver, address, retry_interval, &engine).await };
+    executor.spawn(task).detach();
+    Ok(socket)
+}
+
+async fn receive<W, A>(
+    socket: &GossipSocket,
+    address: SocketAddr,
+    retry_interval: Duration,
+    engine: &EngineHandle<W, A>,
+) {
+    while socket.bind(address).is_err() {
+        Timer::after(retry_interval).await;
+    }
+    socket.receive(|from, bytes| engine.input(Input::PeerMessage { from, bytes })).await;
+}
--- /dev/null
+++ b/src/inventory/record.rs
@@ -0,0 +1,136 @@
+//! Checks what a file states of an endpoint, and makes a record of it.
+
+use super::{Entry, Fact, InventoryError, InventoryProblem, Regions};
+use crate::engine::endpoints::EndpointRecord;
+use crate::routing::{Availability, GroupId, ZoneId};
+use crate::time::Timestamp;
+use std::net::SocketAddr;
+
+const MAX_REGION_NAME_BYTES: usize = 64;
+/// Weights are relative; a larger one is taken for a mistake.
+const MAX_WEIGHT: f64 = 100.0;
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// The record of an endpoint.
+///
+/// # Errors
+/// [`InventoryError`] with the line of the value at fault, or of the endpoint where one is missing.
+pub fn check(entry: &Entry, zones: &[String]) -> Result<EndpointRecord, InventoryError> {
+    // A separator of the store's records, or a line end, in a name would forge another record.
+    if !is_name(&entry.name) {
+        return Err(entry.error(InventoryProblem::Name(entry.name.clone())));
+    }
+    let address = address(entry)?;
+    Ok(EndpointRecord {
+        name: entry.name.clone(),
+        address,
+        group: group(entry)?,
+        availability: availability(entry)?,
+        zone: zone(entry, zones)?,
+        weight: weight(entry)?,
+        started_at: started_at(entry)?,
+        // Roles are learned from answers alone: an inventory proves none.
+        primary: false,
+    })
+}
+
+/// Notes the region of an endpoint's zone.
+///
+/// # Errors
+/// [`InventoryError`] where the name is not allowed, the endpoint states no zone, or the zone has another region.
+pub fn add_region(entry: &Entry, zone: ZoneId, regions: &mut Regions) -> Result<(), InventoryError> {
+    let Some(region) = entry.facts.get("region") else { return Ok(()) };
+    let endpoint = entry.name.clone();
+    if !entry.facts.contains_key("zone") {
+        let problem = InventoryProblem::RegionWithoutZone { endpoint, region: region.text.clone() };
+        return Err(InventoryError::new(region.line, problem));
+    }
+    if region.text.len() > MAX_REGION_NAME_BYTES || !is_name(&region.text) {
+        return Err(entry.invalid("region", region));
+    }
+    let known = regions.entry(zone).or_insert_with(|| region.text.clone());
+    if *known != region.text {
+        let problem = InventoryProblem::ConflictingRegion {
+            endpoint,
+            known: known.clone(),
+            region: region.text.clone(),
+        };
+        return Err(InventoryError::new(region.line, problem));
+    }
+    Ok(())
+}
+
+/// Whether a text has the characters of a name and no others.
+fn is_name(text: &str) -> bool {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
+    !text.is_empty() && text.bytes().all(is_allowed)
+}
+
+/// The address, with the port from a fact of its own where it states none; without an address the name is taken for it.
+fn address(entry: &Entry) -> Result<SocketAddr, InventoryError> {
+    let stated = entry.facts.get("address");
+    let text = stated.map_or(entry.name.as_str(), |fact| fact.text.as_str());
+    let line = stated.map_or(entry.line, |fact| fact.line);
+    let parsed = match entry.facts.get("port") {
+        Some(port) if !text.contains(':') => format!("{text}:{}", port.text).parse(),
+        _ => text.parse(),
+    };
+    let endpoint = entry.name.clone();
+    let Ok(address) = parsed else {
+        let problem = InventoryProblem::Address { endpoint, text: text.to_string() };
+        return Err(InventoryError::new(line, problem));
+    };
+    let address: SocketAddr = address;
+    if !address.ip().is_loopback() {
+        return Err(InventoryError::new(line, InventoryProblem::NotLoopback { endpoint, address }));
+    }
+    Ok(address)
+}
+
+fn group(entry: &Entry) -> Result<GroupId, InventoryError> {
+    let Some(fact) = entry.facts.get("group") else {
+        return Err(entry.error(InventoryProblem::NoGroup(entry.name.clone())));
+    };
+    fact.text.parse().map(GroupId).map_err(|_| entry.invalid("group", fact))
+}
+
+fn availability(entry: &Entry) -> Result<Availability, InventoryError> {
+    let Some(fact) = entry.facts.get("status") else { return Ok(Availability::Ready) };
+    match fact.text.as_str() {
+        "active" => Ok(Availability::Ready),
+        "leaving" => Ok(Availability::Draining),
+        _ => Err(entry.invalid("status", fact)),
+    }
+}
+
+fn zone(entry: &Entry, zones: &[String]) -> Result<ZoneId, InventoryError> {
+    let Some(fact) = entry.facts.get("zone") else { return Ok(ZoneId(0)) };
+    let number = zones.iter().position(|name| *name == fact.text);
+    number.map(|number| ZoneId(number as u8)).ok_or_else(|| entry.invalid("zone", fact))
+}
+
+fn weight(entry: &Entry) -> Result<f64, InventoryError> {
+    let Some(fact) = entry.facts.get("weight") else { return Ok(DEFAULT_WEIGHT) };
+    let is_allowed = |weight: &f64| *weight > 0.0 && *weight <= MAX_WEIGHT;
+    fact.text.parse().ok().filter(is_allowed).ok_or_else(|| entry.invalid("weight", fact))
+}
+
+/// When the endpoint was started, in milliseconds of Unix time; 0: unknown.
+fn started_at(entry: &Entry) -> Result<Option<Timestamp>, InventoryError> {
+    let Some(fact) = entry.facts.get("since_ms").filter(|fact| fact.text != "0") else { return Ok(None) };
+    let millis = fact.text.parse::<i64>().ok().filter(|millis| *millis > 0);
+    let started_at = millis.and_then(Timestamp::try_from_millis);
+    started_at.map(Some).ok_or_else(|| entry.invalid("since_ms", fact))
+}
+
+impl Entry {
+    fn error(&self, problem: InventoryProblem) -> InventoryError {
+        InventoryError::new(self.line, problem)
+    }
+
+    fn invalid(&self, name: &'static str, fact: &Fact) -> InventoryError {
+        let problem =
+            InventoryProblem::Value { endpoint: self.name.clone(), fact: name, value: fact.text.clone() };
+        InventoryError::new(fact.line, problem)
+    }
+}
--- a/src/inventory/tests.rs
+++ b/src/inventory/tests.rs
@@ -1,10 +1,13 @@
+//! Both forms of an inventory, and the lines of their errors.
+
 use super::*;
+use crate::routing::{Availability, GroupId};
 
-fn read(name: &str, text: &str) -> Result<Vec<EndpointRecord>, Fault> {
-    inventory(name, text).map(|all| all.hosts)
+fn read(name: &str, text: &str) -> Result<Vec<EndpointRecord>, InventoryError> {
+    inventory(name, text).map(|inventory| inventory.hosts)
 }
 
-fn inventory(name: &str, text: &str) -> Result<Inventory, Fault> {
+fn inventory(name: &str, text: &str) -> Result<Inventory, InventoryError> {
     parse(Path::new(name), text, &["a".to_string(), "b".to_string()], &Limits::for_sockets(64))
 }
 
@@ -20,11 +23,11 @@
     assert_eq!(inventory("i.yml", &yaml).unwrap().regions, wanted);
     let second = csv + "s-3,127.0.0.1:7003,1,a,1,active,";
     for (row, why) in [("south", "in region \"north\""), ("no/name", "no such value")] {
-        let fault = inventory("i.csv", &format!("{second}{row}\n")).unwrap_err();
-        assert!(fault.line == 5 && fault.text.contains(why), "{fault}");
+        let error = inventory("i.csv", &format!("{second}{row}\n")).unwrap_err();
+        assert!(error.line == 5 && error.problem.to_string().contains(why), "{error}");
     }
-    let fault = inventory("i.csv", &second.replace("1,a,1,active,north", "1,,1,active,north")).unwrap_err();
-    assert!(fault.line == 2 && fault.text.contains("without a zone"), "{fault}");
+    let error = inventory("i.csv", &second.replace("1,a,1,active,north", "1,,1,active,north")).unwrap_err();
+    assert!(error.line == 2 && error.problem.to_string().contains("without a zone"), "{error}");
 }
 
 const CSV: &str = "name,address,group,zone,weight,status\n\
@@ -46,7 +49,7 @@
 }
 
 #[test]
-fn a_fault_refuses_the_whole_file_and_names_its_line() {
+fn an_error_rejects_the_whole_file_and_names_its_line() {
     for (name, from, to, line, why) in [
         ("i.csv", "name,address", "host,address", 1, "no column \"name\""),
         ("i.csv", "s-2,127", "s-1,127", 4, "stands twice"),
@@ -61,8 +64,8 @@
         ("i.txt", "all", "all", 1, "is a .csv"),
     ] {
         let text = if name == "i.csv" { CSV } else { YAML }.replacen(from, to, 1);
-        let fault = read(name, &text).unwrap_err();
-        assert!(fault.text.contains(why), "{name} {to:?}: {fault}");
-        assert_eq!(fault.line, line, "{name} {to:?}: {fault}");
+        let error = read(name, &text).unwrap_err();
+        assert!(error.problem.to_string().contains(why), "{name} {to:?}: {error}");
+        assert_eq!(error.line, line, "{name} {to:?}: {error}");
     }
 }
--- a/src/inventory/yaml/tests.rs
+++ b/src/inventory/yaml/tests.rs
@@ -1,20 +1,30 @@
+//! Lines of YAML errors, and bounds of the tree.
+
 use super::*;
+use crate::config::Limits;
 
-fn parse(text: &str) -> Result<Node, Fault> {
+fn parse(text: &str) -> Result<Node, YamlError> {
     super::parse(text, &Limits::for_sockets(64))
 }
 
 #[test]
-fn every_fault_names_its_line() {
-    assert_eq!(parse("a: 1\nb: 2\na: 3\n").unwrap_err(), Fault::new(3, "\"a\" stands twice"));
+fn every_error_names_its_line() {
+    assert_eq!(
+        parse("a: 1\nb: 2\na: 3\n").unwrap_err(),
+        YamlError::new(3, YamlProblem::DuplicateKey("a".into()))
+    );
+    let duplicate = parse("a: 1\nb: 2\na: 3\n").unwrap_err();
+    assert_eq!(duplicate.to_string(), "line 3: \"a\" stands twice");
     assert_eq!(parse("a: [1, 2\nb: }\n").unwrap_err().line, 2);
     assert_eq!(parse("a: 1\n---\nb: 1\n").unwrap_err().line, 2);
     let tree = parse("a:\n  b: x\n").unwrap();
     let b = tree.get("a").and_then(|a| a.get("b")).unwrap();
-    assert_eq!(b.parsed::<u32>("b").unwrap_err(), Fault::new(2, "b: \"x\" is no such value"));
+    let error = b.parsed::<u32>("b").unwrap_err();
+    assert_eq!(error, YamlError::new(2, YamlProblem::Value { what: "b".into(), text: "x".into() }));
+    assert_eq!(error.to_string(), "line 2: b: \"x\" is no such value");
 }
 
-/// Guards against a small file of nested aliases that would fill the memory.
+/// Guards against a small file of nested aliases that would exhaust the memory.
 #[test]
 fn aliases_cannot_grow_without_bound() {
     let mut text = "a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n".to_string();
@@ -22,6 +32,6 @@
         let last = format!("*a{}", n - 1);
         text += &format!("a{n}: &a{n} [{}]\n", vec![last; 10].join(", "));
     }
-    assert!(parse(&text).unwrap_err().text.contains("too much"));
-    assert_eq!(parse("a: &x 1\nb: *x\n").unwrap().get("b").unwrap().value("b"), Ok("1"));
+    assert!(parse(&text).unwrap_err().problem.to_string().contains("too much"));
+    assert_eq!(parse("a: &x 1\nb: *x\n").unwrap().get("b").unwrap().scalar("b"), Ok("1"));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -43,13 +43,16 @@
 //! assert!(actions.iter().any(sent));
 //! ```
 
+pub mod address;
 pub mod clock;
 pub mod config;
 pub mod daemon;
+pub mod endpoint_list_json;
 pub mod engine;
 pub mod fleet;
 pub mod ids;
 pub mod inventory;
+pub mod line_error;
 pub mod logger;
 pub mod net;
 pub mod platform_config;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,11 +1,14 @@
-//! The daemon's program.
+//! The program: reads the command line and runs what it asks for.
 
 use brookpass::config::Limits;
-use brookpass::daemon::{self, operator, operator_config as file, platform};
+use brookpass::daemon::{self, ConfigError, DaemonError, operator, operator_config, platform};
 use brookpass::logger;
 use brookpass::net::http::client::Client;
+use std::io;
 use std::net::SocketAddr;
+use std::path::Path;
 use std::process::ExitCode;
+use thiserror::Error;
 
 const USAGE: &str = "usage: brookpass                   serve the platform; GW_CONFIG names the configuration
        brookpass --operator FILE   serve SPARQL as an operator's file says
@@ -15,75 +18,139 @@
                                    --yes it only says what would be lost
        brookpass --version";
 
-fn check(path: &str) -> Result<(), String> {
-    let operator = file::load(path.as_ref())?;
-    let hosts = match &operator.inventory {
-        Some(inventory) => {
-            file::inventory(inventory, &operator.zones, &Limits::for_sockets(operator.sockets))?.0.hosts
-        }
-        None => Vec::new(),
-    };
-    println!("{path}: in order, {} hosts", hosts.len());
-    Ok(())
-}
+/// Names the configuration of the platform's daemon.
+const CONFIG_VARIABLE: &str = "GW_CONFIG";
 
-/// Has a daemon go on alone, or says what that would lose.
-fn recover(address: &str, yes: bool) -> Result<(), String> {
-    let at: SocketAddr = address.parse().map_err(|_| format!("{address}: no address with a port"))?;
-    let call = async {
-        let mut client = Client::connect(at).await?;
-        let method = if yes { "POST" } else { "GET" };
-        let request = format!("{method} /fleet/recover HTTP/1.1\r\nHost: {at}\r\nContent-Length: 0\r\n\r\n");
-        client.call(request.as_bytes(), &Limits::for_sockets(0)).await
-    };
-    let (head, body, _) = async_io::block_on(call).map_err(|e| format!("{at}: {e}"))?;
-    let text = String::from_utf8_lossy(&body);
-    if head.line[1] != "200" {
-        return Err(format!("{at}: {text}"));
-    }
-    println!("{text}");
-    println!("{}", if yes { "done" } else { "nothing was done; say it again with --yes to have it so" });
-    Ok(())
+/// What the command line asks for.
+#[derive(Debug, PartialEq, Eq)]
+enum Command<'a> {
+    /// Run the platform's daemon.
+    ServePlatform,
+    /// Run the daemon of an operator's file.
+    ServeOperator {
+        file: &'a str,
+    },
+    /// Check an operator's file and its inventory.
+    Check {
+        file: &'a str,
+    },
+    /// Report what a fleet would lose if this daemon went on alone.
+    PreviewRecovery {
+        store: &'a str,
+    },
+    /// Have this daemon go on alone.
+    Recover {
+        store: &'a str,
+    },
+    Version,
+    Help,
 }
 
-fn start() -> Result<(), String> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    match words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        [] => {
-            let path = std::env::var("GW_CONFIG").map_err(|_| USAGE.to_string())?;
-            let config = platform::load(&path)?;
-            daemon::run(|executor| platform::serve(path, config, executor))
-        }
-        ["--operator", path] => {
-            let config = file::load(path.as_ref())?;
-            daemon::run(|executor| operator::serve(config, executor))
-        }
-        ["--check", path] => check(path),
-        ["fleet", "recover", address] => recover(address, false),
-        ["fleet", "recover", address, "--yes"] => recover(address, true),
-        ["--version"] => {
-            println!("brookpass {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
+impl<'a> Command<'a> {
+    fn parse(arguments: &[&'a str]) -> Option<Command<'a>> {
+        match arguments {
+            [] => Some(Command::ServePlatform),
+            ["--operator", file] => Some(Command::ServeOperator { file }),
+            ["--check", file] => Some(Command::Check { file }),
+            ["fleet", "recover", store] => Some(Command::PreviewRecovery { store }),
+            ["fleet", "recover", store, "--yes"] => Some(Command::Recover { store }),
+            ["--version"] => Some(Command::Version),
+            ["--help" | "-h"] => Some(Command::Help),
+            _ => None,
         }
-        ["--help" | "-h"] => {
-            println!("{USAGE}");
-            Ok(())
-        }
-        _ => Err(USAGE.to_string()),
     }
 }
 
+/// Why the program ends with an exit code other than 0.
+#[derive(Debug, Error)]
+enum ProgramError {
+    /// The command line or the environment states nothing that can be done.
+    #[error("{USAGE}")]
+    Usage,
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    #[error(transparent)]
+    Daemon(#[from] DaemonError),
+    #[error("{0}: no address with a port")]
+    StoreAddress(String),
+    #[error("{store}: {source}")]
+    Call { store: SocketAddr, source: io::Error },
+    /// The daemon answered that it does not recover; the text says why.
+    #[error("{store}: {answer}")]
+    RecoveryRejected { store: SocketAddr, answer: String },
+}
+
 fn main() -> ExitCode {
     logger::start();
-    match start() {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let result = match Command::parse(&arguments) {
+        Some(command) => run(command),
+        None => Err(ProgramError::Usage),
+    };
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) if e == USAGE => {
+        Err(ProgramError::Usage) => {
             eprintln!("{USAGE}");
             ExitCode::FAILURE
         }
-        Err(e) => {
-            log::error!("{e}");
+        Err(error) => {
+            log::error!("{error}");
             ExitCode::FAILURE
         }
     }
 }
+
+fn run(command: Command<'_>) -> Result<(), ProgramError> {
+    match command {
+        Command::ServePlatform => {
+            let path = std::env::var(CONFIG_VARIABLE).map_err(|_| ProgramError::Usage)?;
+            let config = platform::load(&path)?;
+            daemon::run(|executor| platform::serve(path, config, executor))?;
+        }
+        Command::ServeOperator { file } => {
+            let config = operator_config::load(Path::new(file))?;
+            daemon::run(|executor| operator::serve(config, executor))?;
+        }
+        Command::Check { file } => check(file)?,
+        Command::PreviewRecovery { store } => {
+            println!("{}", call_recovery(store, "GET")?);
+            println!("nothing was done; say it again with --yes to have it so");
+        }
+        Command::Recover { store } => {
+            println!("{}", call_recovery(store, "POST")?);
+            println!("done");
+        }
+        Command::Version => println!("brookpass {}", env!("CARGO_PKG_VERSION")),
+        Command::Help => println!("{USAGE}"),
+    }
+    Ok(())
+}
+
+/// Reads what a daemon with this operator's file would read at its start.
+fn check(file: &str) -> Result<(), ProgramError> {
+    let config = operator_config::load(Path::new(file))?;
+    let limits = Limits::for_sockets(config.sockets);
+    let endpoint_count = match &config.inventory {
+        Some(path) => operator_config::load_inventory(path, &config.zones, &limits)?.inventory.hosts.len(),
+        None => 0,
+    };
+    println!("{file}: in order, {endpoint_count} hosts");
+    Ok(())
+}
+
+/// Calls the recovery of the daemon whose store is at this address, and returns its answer.
+fn call_recovery(store: &str, method: &str) -> Result<String, ProgramError> {
+    let store: SocketAddr = store.parse().map_err(|_| ProgramError::StoreAddress(store.to_string()))?;
+    let request = format!("{method} /fleet/recover HTTP/1.1\r\nHost: {store}\r\nContent-Length: 0\r\n\r\n");
+    let call = async {
+        let mut client = Client::connect(store).await?;
+        client.call(request.as_bytes(), &Limits::for_sockets(0)).await
+    };
+    let (head, body, _) = async_io::block_on(call).map_err(|source| ProgramError::Call { store, source })?;
+    let answer = String::from_utf8_lossy(&body).into_owned();
+    if head.line[1] != "200" {
+        return Err(ProgramError::RecoveryRejected { store, answer });
+    }
+    Ok(answer)
+}
--- a/src/net/admin_server.rs
+++ b/src/net/admin_server.rs
@@ -64,7 +64,7 @@
         ready: Receiver<()>,
         more: impl Fn() -> String + 'static,
     ) -> AdminServer<W, A> {
-        let (limits, more) = (Rc::new(limits.for_door()), Box::new(more));
+        let (limits, more) = (Rc::new(limits.for_admin_server()), Box::new(more));
         AdminServer { limits, handle, duty, ready, last: Cell::default(), more }
     }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,8 +3,8 @@
 use super::http::client::Client;
 use super::until;
 use crate::config::Limits;
+use crate::endpoint_list_json;
 use crate::engine::endpoints::EndpointUpdate;
-use crate::platform_config as json;
 use async_channel::Receiver;
 use fastrand::Rng;
 use futures_lite::future;
@@ -141,7 +141,8 @@
             continue;
         };
         // A list that is out of form must not cost the one that is held: it stays, and the call is repeated.
-        let list = answer.and_then(|text| json::list(&text, zones).map_err(bad));
+        let list = answer
+            .and_then(|text| endpoint_list_json::parse(&text, zones).map_err(|error| bad(error.to_string())));
         match list.and_then(|list| follows(index, list)) {
             Ok(list) => {
                 pace.succeeded();
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -11,7 +11,7 @@
     let calls = |limits: &Limits, e: &io::Error| -> Vec<Duration> {
         (0..100).map(|seed| Pace::new(limits, seed * 7919).failed(e)).collect()
     };
-    limits.tier(Some(100));
+    limits.spread_discovery_calls(Some(100));
     let mut at = calls(&limits, &busy);
     at.sort();
     // A tenth of the time in which discovery must have been asked again.
@@ -26,9 +26,9 @@
     let mut soon = calls(&limits, &silent);
     soon.sort();
     assert!(soon[99] < Duration::from_millis(100) && soon[99] > soon[0] + Duration::from_millis(20));
-    limits.tier(Some(1));
+    limits.spread_discovery_calls(Some(1));
     assert!(calls(&limits, &busy).iter().max().unwrap() <= &Duration::from_millis(200), "nobody else calls");
-    limits.tier(Some(60_000));
+    limits.spread_discovery_calls(Some(60_000));
     assert!(
         limits.discovery_spread + limits.discovery_timeout <= Duration::from_secs(6),
         "within the time in which it must have been asked again and have answered"
--- a/src/platform_config.rs
+++ b/src/platform_config.rs
@@ -1,235 +1,244 @@
-//! The one place where JSON is read: miniserde, into the few values that the program uses.
+//! The platform's configuration of a pooler: one JSON file, named by `GW_CONFIG`.
+//!
+//! Its `settings` are the service's settings as nested objects; [`flatten`] brings them into the `path=value` pairs
+//! that [`settings_parser`] reads. Errors name the line: the JSON parser knows none, so [`line_search`] looks for it.
 
-use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
-use crate::routing::settings_parser;
-use crate::routing::{Availability, GroupId, Settings, TimeDelta, Timestamp, ZoneId};
+mod flatten;
+mod line_search;
+
+use crate::address::{AddressError, parse_address};
+use crate::endpoint_list_json::{EndpointListError, EndpointListJson};
+use crate::engine::endpoints::EndpointUpdate;
+use crate::line_error::LineError;
+use crate::routing::{Settings, settings_parser};
+use crate::time::Timestamp;
+use line_search::{line_of_syntax_error, line_of_value};
 use miniserde::json::Value;
 use miniserde::{Deserialize, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-#[derive(Deserialize)]
-struct RawEndpoint {
-    name: String,
-    address: String,
-    zone: Option<String>,
-    group: u32,
-    status: String,
-    weight: Option<f64>,
-    since_ms: Option<f64>,
-}
-
-#[derive(Deserialize)]
-struct RawList {
-    index: u64,
-    snapshot: bool,
-    endpoints: Vec<RawEndpoint>,
-}
+/// A problem in the platform's configuration, with its line.
+pub type PlatformConfigError = LineError<PlatformConfigProblem>;
 
-#[derive(Deserialize)]
-struct RawLimits {
-    memory_mb: Option<f64>,
-    sockets: Option<u64>,
+/// What is wrong with the platform's configuration.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum PlatformConfigProblem {
+    /// The file does not parse.
+    #[error("not JSON")]
+    NotJson,
+    /// The file is JSON, but no object.
+    #[error("no object")]
+    NotObject,
+    /// A key whose value must be a string.
+    #[error("{0} is no text")]
+    NotText(&'static str),
+    /// A key that must be stated.
+    #[error("there is no {0}")]
+    Missing(&'static str),
+    /// There are no settings.
+    #[error("there are no settings")]
+    MissingSettings,
+    /// Another key has a value of the wrong type.
+    #[error("limits, peers or known are out of form")]
+    WrongType,
+    /// A setting does not parse.
+    #[error("{0}")]
+    Settings(String),
+    /// An address does not parse.
+    #[error(transparent)]
+    Address(#[from] AddressError),
+    /// The cached endpoint list cannot be used.
+    #[error(transparent)]
+    CachedList(#[from] EndpointListError),
 }
 
-#[derive(Deserialize)]
-struct RawConfig {
-    name: String,
-    listen: String,
-    discovery: String,
-    seed: Option<String>,
-    limits: Option<RawLimits>,
-    peer_listen: Option<String>,
-    peers: Option<Vec<String>>,
-    peers_all: Option<String>,
-    known: Option<RawList>,
-    admin_addr: Option<String>,
-    settings: Value,
-}
-
-/// What the platform tells a pooler.
+/// What the platform states for a pooler.
 #[derive(Clone, Debug)]
-pub struct Platform {
+pub struct PlatformConfig {
     /// The pooler's name.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where discovery is.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// Seed of the engine's and discovery's random numbers.
     pub seed: u64,
     /// Descriptors that the process may hold.
     pub sockets: Option<usize>,
-    /// Memory that the process may use.
+    /// Memory that the process may use, in MB.
     pub memory_mb: Option<f64>,
     /// Where peers' datagrams arrive.
     pub peer_listen: Option<SocketAddr>,
     /// The poolers of the tier by number.
     pub peers: Vec<SocketAddr>,
-    /// All poolers of the tier.
+    /// The address that reaches all poolers of the tier.
     pub peers_all: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket, where the platform holds it.
-    pub passed: Option<String>,
-    /// Where operators call.
+    /// Number of the descriptor of the clients' listening socket, where the platform passes one on. From the
+    /// environment, not from the file.
+    pub inherited_socket: Option<String>,
+    /// Where the administration server listens.
     pub admin: Option<SocketAddr>,
-    /// The list as this pooler last had it.
-    pub known: Option<EndpointUpdate>,
+    /// The endpoint list as this pooler last had it.
+    pub cached_list: Option<EndpointUpdate>,
     /// The settings of the service.
     pub settings: Settings,
     /// Names of the classes, by number.
     pub classes: Vec<String>,
     /// Names of the zones, by number.
     pub zones: Vec<String>,
-    /// A connection that stood idle for so many seconds is closed by the host.
-    pub conn_idle: Option<f64>,
+    /// Backends close a connection that was idle for this many seconds.
+    pub backend_idle_secs: Option<f64>,
 }
 
-/// Reads an address; errors name `what`.
-pub fn address(text: &str, what: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{what}: {text:?} is not an address with a port"))
+/// The file's keys and types.
+#[derive(Deserialize)]
+struct ConfigJson {
+    name: String,
+    listen: String,
+    discovery: String,
+    seed: Option<String>,
+    limits: Option<LimitsJson>,
+    peer_listen: Option<String>,
+    peers: Option<Vec<String>>,
+    peers_all: Option<String>,
+    known: Option<EndpointListJson>,
+    admin_addr: Option<String>,
+    settings: Value,
 }
 
-fn listing(raw: RawList, zones: &[String]) -> Result<EndpointUpdate, String> {
-    let one = |e: RawEndpoint| {
-        let availability = match e.status.as_str() {
-            "active" => Availability::Ready,
-            "leaving" => Availability::Draining,
-            "left" => Availability::Gone,
-            other => return Err(format!("endpoint {}: unknown status {other:?}", e.name)),
-        };
-        let zone = e.zone.and_then(|z| zones.iter().position(|known| *known == z));
-        let since = e.since_ms.filter(|ms| ms.is_finite() && *ms > 0.0);
-        Ok(EndpointRecord {
-            address: address(&e.address, &format!("endpoint {}", e.name))?,
-            name: e.name,
-            zone: ZoneId(zone.unwrap_or(0) as u8),
-            group: GroupId(e.group),
-            availability,
-            primary: false,
-            weight: e.weight.filter(|w| w.is_finite()).unwrap_or(1.0),
-            started_at: since.map(|ms| Timestamp::ZERO + TimeDelta::from_micros_f64(ms * 1000.0)),
-        })
-    };
-    let entries = raw.endpoints.into_iter().map(one).collect::<Result<_, String>>()?;
-    Ok(EndpointUpdate { index: raw.index, whole: raw.snapshot, entries })
+#[derive(Deserialize)]
+struct LimitsJson {
+    memory_mb: Option<f64>,
+    sockets: Option<u64>,
 }
 
-/// Reads an answer of discovery. Anything out of form refuses it whole.
-pub fn list(text: &str, zones: &[String]) -> Result<EndpointUpdate, String> {
-    listing(json::from_str(text).map_err(|_| "the list is not in discovery's form".to_string())?, zones)
+/// Reads the platform's configuration.
+///
+/// # Errors
+/// [`PlatformConfigError`] with the line of the first problem.
+pub fn parse(text: &str) -> Result<PlatformConfig, PlatformConfigError> {
+    let value: Value = json::from_str(text)
+        .map_err(|_| LineError::new(line_of_syntax_error(text), PlatformConfigProblem::NotJson))?;
+    let config: ConfigJson = json::from_str(text).map_err(|_| first_wrong_key(text, &value))?;
+    let pairs = flatten::flatten(&config.settings);
+    let names = SettingsNames::read(&pairs);
+    let settings = parse_settings(text, &pairs)?;
+    let source = Source { text };
+    let limits = config.limits.as_ref();
+    Ok(PlatformConfig {
+        listen: source.address("listen", &config.listen)?,
+        discovery: source.address("discovery", &config.discovery)?,
+        name: config.name,
+        seed: config.seed.and_then(|hex| u64::from_str_radix(&hex, 16).ok()).unwrap_or(0),
+        sockets: limits.and_then(|limits| limits.sockets).map(|sockets| sockets as usize),
+        memory_mb: limits.and_then(|limits| limits.memory_mb),
+        peer_listen: source.optional_address("peer_listen", config.peer_listen)?,
+        peers: source.addresses("peers", config.peers)?,
+        peers_all: source.optional_address("peers_all", config.peers_all)?,
+        inherited_socket: None,
+        admin: source.optional_address("admin_addr", config.admin_addr.filter(|text| !text.is_empty()))?,
+        cached_list: source.cached_list(config.known, &names.zones)?,
+        settings,
+        classes: names.classes,
+        zones: names.zones,
+        backend_idle_secs: names.backend_idle_secs,
+    })
 }
 
-/// Flattens nested JSON into `path=value` pairs, as the simulator's wire writes them.
-fn flatten(path: &str, value: &Value, into: &mut BTreeMap<String, String>) {
-    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
-    match value {
-        Value::Null => {}
-        Value::Bool(b) => drop(into.insert(path.to_string(), b.to_string())),
-        Value::Number(n) => drop(into.insert(path.to_string(), n.to_string())),
-        Value::String(s) => drop(into.insert(path.to_string(), s.clone())),
-        Value::Object(o) => o.iter().for_each(|(k, v)| flatten(&below(k), v, into)),
-        Value::Array(a) if a.iter().any(|v| matches!(v, Value::Object(_))) => {
-            into.insert(below("count"), a.len().to_string());
-            a.iter().enumerate().for_each(|(n, v)| flatten(&below(&n.to_string()), v, into));
-        }
-        Value::Array(a) => {
-            let plain = |v: &Value| match v {
-                Value::Bool(b) => b.to_string(),
-                Value::Number(n) => n.to_string(),
-                Value::String(s) => s.clone(),
-                _ => String::new(),
-            };
-            into.insert(path.to_string(), a.iter().map(plain).collect::<Vec<_>>().join(","));
-        }
-    }
+/// What this program reads from the settings itself; the rest is the decision module's.
+struct SettingsNames {
+    classes: Vec<String>,
+    zones: Vec<String>,
+    backend_idle_secs: Option<f64>,
 }
 
-/// Line of the first byte that stops `text` from being JSON: the parser itself names no place.
-fn broken_line(text: &str) -> usize {
-    // Every cut before the fault parses as an unfinished text; a scan for balance finds most faults.
-    let (mut quoted, mut escaped, mut open, mut line) = (false, false, Vec::new(), 1);
-    for c in text.chars() {
-        line += usize::from(c == '\n');
-        match c {
-            _ if escaped => escaped = false,
-            '\\' if quoted => escaped = true,
-            '"' => quoted = !quoted,
-            '\n' if quoted => return line - 1,
-            _ if quoted => {}
-            '{' | '[' => open.push(c),
-            '}' | ']' if open.pop() != Some(if c == '}' { '{' } else { '[' }) => return line,
-            _ => {}
+impl SettingsNames {
+    fn read(pairs: &BTreeMap<String, String>) -> SettingsNames {
+        let zones = pairs.get("zones").map_or("", String::as_str);
+        SettingsNames {
+            classes: (0..).map_while(|class| pairs.get(&format!("services.{class}.name")).cloned()).collect(),
+            zones: zones.split(',').filter(|name| !name.is_empty()).map(str::to_string).collect(),
+            backend_idle_secs: pairs.get("limits.conn-idle").and_then(|value| value.parse().ok()),
         }
     }
-    line
 }
 
-/// The line where a value stands: the first that has both its key and its text, else the first with the key.
-fn line_of(text: &str, key: &str, value: &str) -> usize {
-    let quoted = format!("\"{key}\"");
-    let with = |value: &str| text.lines().position(|l| l.contains(&quoted) && l.contains(value));
-    with(value).or_else(|| with("")).map_or(text.lines().count().max(1), |n| n + 1)
+fn parse_settings(text: &str, pairs: &BTreeMap<String, String>) -> Result<Settings, PlatformConfigError> {
+    let borrowed = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
+    let settings = settings_parser::read(borrowed).map_err(|error| {
+        let message = error.to_string();
+        let line = line_of_setting(text, &message);
+        LineError::new(line, PlatformConfigProblem::Settings(message))
+    })?;
+    // Log positions on the sockets are Unix times, as the program's clock is.
+    Ok(Settings { zero: Some(Timestamp::ZERO), ..settings })
 }
 
-/// What keeps a configuration from being read, though it is JSON: the first value that is always stated and
-/// is missing or of another kind.
-fn lacking(text: &str, config: &Value) -> String {
-    let Value::Object(object) = config else { return "line 1: no object".into() };
+/// The line of the setting that `message` names as `settings: PATH=VALUE …`; the last part of the path is the key.
+fn line_of_setting(text: &str, message: &str) -> usize {
+    let stated = message.split_once(": ").map_or("", |(_, rest)| rest.split(' ').next().unwrap_or(""));
+    let (path, value) = stated.split_once('=').unwrap_or((stated, ""));
+    let key = path.rsplit('.').next().unwrap_or(path);
+    line_of_value(text, key, value)
+}
+
+/// What keeps a configuration from being read though it is JSON: the first key that must be stated and is missing or of
+/// another type.
+fn first_wrong_key(text: &str, config: &Value) -> PlatformConfigError {
+    let Value::Object(object) = config else {
+        return LineError::new(1, PlatformConfigProblem::NotObject);
+    };
     for key in ["name", "listen", "discovery"] {
-        match object.get(key) {
-            Some(Value::String(_)) => {}
-            Some(_) => return format!("line {}: {key} is no text", line_of(text, key, "")),
-            None => return format!("line {}: there is no {key}", line_of(text, key, "")),
-        }
+        let problem = match object.get(key) {
+            Some(Value::String(_)) => continue,
+            Some(_) => PlatformConfigProblem::NotText(key),
+            None => PlatformConfigProblem::Missing(key),
+        };
+        return LineError::new(line_of_value(text, key, ""), problem);
     }
-    match object.get("settings") {
-        None => format!("line {}: there are no settings", line_of(text, "settings", "")),
-        Some(_) => "line 1: limits, peers or known are out of form".into(),
+    if object.get("settings").is_none() {
+        let line = line_of_value(text, "settings", "");
+        return LineError::new(line, PlatformConfigProblem::MissingSettings);
     }
+    LineError::new(1, PlatformConfigProblem::WrongType)
 }
 
-/// Reads the platform's configuration; errors name the line.
-pub fn platform(text: &str) -> Result<Platform, String> {
-    let config: Value = json::from_str(text).map_err(|_| format!("line {}: not JSON", broken_line(text)))?;
-    let raw: RawConfig = json::from_str(text).map_err(|_| lacking(text, &config))?;
-    let at = |key: &str, value: &str, e: String| format!("line {}: {e}", line_of(text, key, value));
-    let mut flat = BTreeMap::new();
-    flatten("", &raw.settings, &mut flat);
-    let pairs: BTreeMap<&str, &str> = flat.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect();
-    let names = |path: &str| -> Vec<String> {
-        let text = pairs.get(path).copied().unwrap_or("");
-        text.split(',').filter(|s| !s.is_empty()).map(str::to_string).collect()
-    };
-    let zones = names("zones");
-    let classes = (0..).map_while(|n| flat.get(&format!("services.{n}.name")).cloned()).collect();
-    let conn_idle = pairs.get("limits.conn-idle").and_then(|v| v.parse().ok());
-    let settings = settings_parser::read(pairs).map_err(|e| {
-        // The reader names a path and its value; the path's last part is the key in the text.
-        let stated = e.split_once(": ").map_or("", |(_, rest)| rest.split(' ').next().unwrap_or(""));
-        let (path, value) = stated.split_once('=').unwrap_or((stated, ""));
-        at(path.rsplit('.').next().unwrap_or(path), value, e.clone())
-    })?;
-    // Positions on sockets are Unix times on every machine's one clock.
-    let settings = Settings { zero: Some(Timestamp::ZERO), ..settings };
-    let place = |key: &str, value: &str| address(value, key).map_err(|e| at(key, value, e));
-    Ok(Platform {
-        listen: place("listen", &raw.listen)?,
-        discovery: place("discovery", &raw.discovery)?,
-        name: raw.name,
-        seed: raw.seed.and_then(|s| u64::from_str_radix(&s, 16).ok()).unwrap_or(0),
-        sockets: raw.limits.as_ref().and_then(|l| l.sockets).map(|n| n as usize),
-        memory_mb: raw.limits.as_ref().and_then(|l| l.memory_mb),
-        peer_listen: raw.peer_listen.map(|a| place("peer_listen", &a)).transpose()?,
-        peers: raw.peers.unwrap_or_default().iter().map(|a| place("peers", a)).collect::<Result<_, _>>()?,
-        peers_all: raw.peers_all.map(|a| place("peers_all", &a)).transpose()?,
-        passed: None,
-        admin: raw.admin_addr.filter(|a| !a.is_empty()).map(|a| place("admin_addr", &a)).transpose()?,
-        known: raw.known.map(|k| listing(k, &zones).map_err(|e| at("known", "", e))).transpose()?,
-        settings,
-        classes,
-        zones,
-        conn_idle,
-    })
+/// The file's text, to find the lines of values that cannot be used.
+struct Source<'a> {
+    text: &'a str,
+}
+
+impl Source<'_> {
+    fn address(&self, key: &str, value: &str) -> Result<SocketAddr, PlatformConfigError> {
+        parse_address(value, key).map_err(|error| LineError::new(line_of_value(self.text, key, value), error))
+    }
+
+    fn optional_address(
+        &self,
+        key: &str,
+        value: Option<String>,
+    ) -> Result<Option<SocketAddr>, PlatformConfigError> {
+        value.map(|value| self.address(key, &value)).transpose()
+    }
+
+    fn addresses(
+        &self,
+        key: &str,
+        values: Option<Vec<String>>,
+    ) -> Result<Vec<SocketAddr>, PlatformConfigError> {
+        values.unwrap_or_default().iter().map(|value| self.address(key, value)).collect()
+    }
+
+    fn cached_list(
+        &self,
+        list: Option<EndpointListJson>,
+        zones: &[String],
+    ) -> Result<Option<EndpointUpdate>, PlatformConfigError> {
+        let list = list.map(|list| list.into_update(zones)).transpose();
+        list.map_err(|error| LineError::new(line_of_value(self.text, "known", ""), error))
+    }
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/src/platform_config/flatten.rs
@@ -0,0 +1,49 @@
+//! Nested settings as `path=value` pairs, in the form that the simulator's protocol writes them in.
+
+use miniserde::json::Value;
+use std::collections::BTreeMap;
+
+/// All values below `settings` by their path. A list of objects becomes a `count` and an element each
+/// (`services.0.name`), any other list one value with commas.
+pub fn flatten(settings: &Value) -> BTreeMap<String, String> {
+    let mut pairs = BTreeMap::new();
+    add("", settings, &mut pairs);
+    pairs
+}
+
+fn add(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
+    match value {
+        Value::Null => {}
+        Value::Object(object) => {
+            for (key, value) in object {
+                add(&join(path, key), value, pairs);
+            }
+        }
+        Value::Array(elements) if elements.iter().any(|element| matches!(element, Value::Object(_))) => {
+            pairs.insert(join(path, "count"), elements.len().to_string());
+            for (index, element) in elements.iter().enumerate() {
+                add(&join(path, &index.to_string()), element, pairs);
+            }
+        }
+        Value::Array(elements) => {
+            let texts: Vec<String> = elements.iter().map(scalar_text).collect();
+            pairs.insert(path.to_string(), texts.join(","));
+        }
+        Value::Bool(_) | Value::Number(_) | Value::String(_) => {
+            pairs.insert(path.to_string(), scalar_text(value));
+        }
+    }
+}
+
+fn join(path: &str, key: &str) -> String {
+    if path.is_empty() { key.to_string() } else { format!("{path}.{key}") }
+}
+
+fn scalar_text(value: &Value) -> String {
+    match value {
+        Value::Bool(flag) => flag.to_string(),
+        Value::Number(number) => number.to_string(),
+        Value::String(text) => text.clone(),
+        Value::Null | Value::Array(_) | Value::Object(_) => String::new(),
+    }
+}
--- a/src/platform_config/tests.rs
+++ b/src/platform_config/tests.rs
@@ -1,4 +1,8 @@
+//! The platform's configuration and the lines of its errors.
+
 use super::*;
+use crate::routing::{Availability, GroupId, ZoneId};
+use crate::time::TimeDelta;
 
 const CONFIG: &str = "{\"name\":\"n3\",\n\"listen\":\"127.0.0.1:1\",\n\"discovery\":\"127.0.0.1:2\",\n\
     \"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},\n\
@@ -10,23 +14,29 @@
 
 #[test]
 fn a_configuration_is_read_with_positions_from_the_unix_epoch() {
-    let p = platform(CONFIG).unwrap();
-    assert_eq!((p.classes, p.conn_idle, p.sockets), (vec!["read".to_string()], Some(15.0), Some(1024)));
+    let config = parse(CONFIG).unwrap();
+    assert_eq!(
+        (config.classes, config.backend_idle_secs, config.sockets),
+        (vec!["read".to_string()], Some(15.0), Some(1024))
+    );
     assert_eq!(
-        (p.seed, p.settings.zero, p.settings.may_probe),
+        (config.seed, config.settings.zero, config.settings.may_probe),
         (0x8c1f_30d2_7a5b_e964, Some(Timestamp::ZERO), Some(false))
     );
     assert_eq!(
-        (p.settings.classes[0].max_age, p.settings.classes[0].latency_objective),
+        (config.settings.classes[0].max_age, config.settings.classes[0].latency_objective),
         (Some(TimeDelta::from_micros(800_000)), Some(TimeDelta::from_micros(500_000)))
     );
-    let host = &p.known.unwrap().entries[0];
-    assert_eq!((host.zone, host.group, host.availability), (ZoneId(1), GroupId(3), Availability::Draining));
-    assert_eq!(host.started_at, Some(Timestamp::from_micros(1_767_225_600_123_000)));
+    let endpoint = &config.cached_list.unwrap().entries[0];
+    assert_eq!(
+        (endpoint.zone, endpoint.group, endpoint.availability),
+        (ZoneId(1), GroupId(3), Availability::Draining)
+    );
+    assert_eq!(endpoint.started_at, Some(Timestamp::from_micros(1_767_225_600_123_000)));
 }
 
 #[test]
-fn a_fault_names_its_line() {
+fn an_error_names_its_line() {
     for (from, to, wanted) in [
         ("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"here\"", "line 2: listen"),
         ("\"discovery\":\"127.0.0.1:2\"", "\"discovery\":7", "line 3: discovery is no text"),
@@ -34,9 +44,9 @@
         ("\"target\":0.5", "\"target\":\"soon\"", "line 7: settings: services.0.target"),
         ("\"probes\":false", "\"probes\":false]", "line 9: not JSON"),
     ] {
-        let error = platform(&CONFIG.replace(from, to)).map(|p| p.name).unwrap_err();
+        let error = parse(&CONFIG.replace(from, to)).map(|config| config.name).unwrap_err().to_string();
         assert!(error.starts_with(wanted), "{to}: {error}");
     }
-    let error = platform("{\"name\":\"n\"}").map(|p| p.name).unwrap_err();
+    let error = parse("{\"name\":\"n\"}").map(|config| config.name).unwrap_err().to_string();
     assert_eq!(error, "line 1: there is no listen");
 }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -2,13 +2,13 @@
 //! fields in the program may change, the keys and what they mean may not.
 
 use brookpass::config::Limits;
-use brookpass::daemon::operator_config::{self as file, Operator, StoreConfig};
+use brookpass::daemon::operator_config::{self, OperatorConfig, ParsedSettings, StoreConfig};
 use brookpass::engine::endpoints::{EndpointRecord, EndpointUpdate};
 use brookpass::fleet::zones::Dwell;
 use brookpass::fleet::zoning::Leaving;
 use brookpass::inventory::{self, Inventory};
 use brookpass::net::sparql::front::Service;
-use brookpass::platform_config::{self as json, Platform};
+use brookpass::platform_config::{self, PlatformConfig};
 use brookpass::routing::settings_parser;
 use brookpass::routing::*;
 use std::collections::BTreeMap;
@@ -195,7 +195,7 @@
 #[test]
 fn every_key_of_the_operators_file_is_read_into_its_field() {
     let path = fixture("operator-every-key.yaml");
-    let Operator {
+    let OperatorConfig {
         path: own,
         name,
         number,
@@ -209,8 +209,8 @@
         leaving,
         sockets,
         settings,
-        changed,
-    } = file::load(&path).unwrap();
+        modified_at,
+    } = operator_config::load(&path).unwrap();
     assert_eq!((own, name.as_str(), number, sockets), (path, "b7", 3, 2048));
     assert_eq!((listen, admin), (at("127.0.0.1:9001"), Some(at("127.0.0.1:9006"))));
     let Service { path, query, session, update, group } = service;
@@ -231,14 +231,14 @@
             Dwell { least: TimeDelta::from_micros(4_500_000), longest: TimeDelta::from_micros(90_000_000) }
         )
     );
-    assert!(changed > Timestamp::from_micros(0));
+    assert!(modified_at > Timestamp::from_micros(0));
     let text = settings.unwrap();
     assert_eq!(text, PAIRS, "the pairs that the store gets:\n{text}");
-    let (settings, names, all) = file::read_settings(&text, 3).unwrap();
-    assert_eq!(names, ["catalog-read", "own-edit-read", "score-write"]);
+    let ParsedSettings { settings, class_names, pairs } = operator_config::parse_settings(&text, 3).unwrap();
+    assert_eq!(class_names, ["catalog-read", "own-edit-read", "score-write"]);
     assert_eq!((settings.pooler_count, settings.me, settings.may_probe), (Some(5), Some(3), Some(true)));
-    assert_eq!(all["limits.conn-idle"], "15");
-    assert_eq!(all.len(), PAIRS.lines().count() + 9, "and what the daemon itself decides");
+    assert_eq!(pairs["limits.conn-idle"], "15");
+    assert_eq!(pairs.len(), PAIRS.lines().count() + 9, "and what the daemon itself decides");
     for (key, value) in [
         ("me", "3"),
         ("discovery", "automatic"),
@@ -250,7 +250,7 @@
         ("family-info.zero", "0"),
         ("report.fields", "x0,x1,up,util"),
     ] {
-        assert_eq!(all.get(key).map(String::as_str), Some(value), "{key}");
+        assert_eq!(pairs.get(key).map(String::as_str), Some(value), "{key}");
     }
 }
 
@@ -263,7 +263,7 @@
     let least =
         "name: b1\nsparql:\n  listen: 127.0.0.1:1\n  query: q\n  update: u\nstore:\n  listen: 127.0.0.1:2\n";
     std::fs::write(&path, least).unwrap();
-    let o = file::load(&path).unwrap();
+    let o = operator_config::load(&path).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!((o.number, o.admin, o.sockets), (0, None, 1024));
     assert_eq!((o.host_path.as_str(), o.service.path.as_str()), ("/sparql", "/sparql"));
@@ -312,7 +312,7 @@
 /// Guards against a key of the platform's configuration that is read into another field.
 #[test]
 fn every_key_of_the_platforms_configuration_is_read_into_its_field() {
-    let Platform {
+    let PlatformConfig {
         name,
         listen,
         discovery,
@@ -322,20 +322,20 @@
         peer_listen,
         peers,
         peers_all,
-        passed,
+        inherited_socket,
         admin,
-        known,
+        cached_list,
         settings,
         classes,
         zones,
-        conn_idle,
-    } = json::platform(PLATFORM).unwrap();
+        backend_idle_secs,
+    } = platform_config::parse(PLATFORM).unwrap();
     assert_eq!((name.as_str(), seed), ("n3", 0x8c1f_30d2_7a5b_e964));
     assert_eq!((listen, discovery), (at("127.0.0.1:9101"), at("127.0.0.1:9102")));
-    assert_eq!((sockets, memory_mb, conn_idle), (Some(1024), Some(192.0), Some(15.0)));
+    assert_eq!((sockets, memory_mb, backend_idle_secs), (Some(1024), Some(192.0), Some(15.0)));
     assert_eq!((peer_listen, peers_all), (Some(at("127.0.0.1:9103")), Some(at("127.0.0.1:9105"))));
     assert_eq!(peers, [at("127.0.0.1:9103"), at("127.0.0.1:9104")]);
-    assert_eq!((passed, admin), (None, Some(at("127.0.0.1:9106"))));
+    assert_eq!((inherited_socket, admin), (None, Some(at("127.0.0.1:9106"))));
     let host = |name: &str, port: u16, zone, group, availability, weight, started_at| EndpointRecord {
         name: name.into(),
         address: ([127, 0, 0, 1], port).into(),
@@ -359,7 +359,7 @@
         host("s-2", 7002, ZoneId(0), GroupId(4), Availability::Ready, 2.0, None),
         host("s-3", 7003, ZoneId(0), GroupId(5), Availability::Gone, 1.0, None),
     ];
-    assert_eq!(known, Some(EndpointUpdate { index: 41, whole: false, entries }));
+    assert_eq!(cached_list, Some(EndpointUpdate { index: 41, whole: false, entries }));
     assert_eq!((classes, zones), (vec!["read".into(), "write".into()], vec!["a".into(), "b".into()]));
     assert_eq!((settings.pooler_count, settings.me, settings.zone), (Some(2), Some(1), Some(ZoneId(1))));
     assert_eq!(
