--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,6 +1,7 @@
 //! Everything that speaks on sockets. It reaches the module only through [`crate::core::EngineHandle`].
 
 pub mod admin_server;
+pub mod answer_stream;
 pub mod backend_pool;
 pub mod buffer;
 pub mod connection;
--- a/src/net/postgres/codec.rs
+++ b/src/net/postgres/codec.rs
@@ -1,148 +1,332 @@
-//! Messages of the protocol, from bytes and to bytes. No I/O.
+//! Encoding and decoding of messages of PostgreSQL's frontend/backend protocol, version 3. No I/O.
+//!
+//! A message is a type byte, a length in four bytes that counts itself but not the type byte, and the body. The
+//! first packet of a connection has no type byte. Numbers are big-endian, strings end with a zero byte.
 
-/// What begins a connection.
+use super::sqlstate::SqlState;
+use crate::time::TimeDelta;
+use std::fmt::{self, Write};
+use thiserror::Error;
+
+/// Bytes of a length field.
+const LENGTH_BYTES: usize = 4;
+/// Bytes before the body of a message: type byte and length.
+const HEADER_BYTES: usize = 1 + LENGTH_BYTES;
+/// Bytes of a startup packet before its body: length and version or request code.
+const STARTUP_HEADER_BYTES: usize = 2 * LENGTH_BYTES;
+
+/// Version 3.0: the major version in the upper two bytes.
+const PROTOCOL_VERSION_3_0: u32 = 3 << 16;
+/// The request code of a CancelRequest in place of a version.
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+/// The request code of an SSLRequest.
+const SSL_REQUEST_CODE: u32 = 80_877_103;
+/// The request code of a GSSENCRequest.
+const GSSENC_REQUEST_CODE: u32 = 80_877_104;
+
+/// ParameterStatus messages that follow AuthenticationOk, as clients of PostgreSQL 15 expect them.
+const STARTUP_PARAMETERS: [(&str, &str); 6] = [
+    ("server_version", "15.0"),
+    ("server_encoding", "UTF8"),
+    ("client_encoding", "UTF8"),
+    ("DateStyle", "ISO, MDY"),
+    ("integer_datetimes", "on"),
+    ("standard_conforming_strings", "on"),
+];
+
+/// Types of backend messages: those that a server sends.
+pub mod backend {
+    /// Authentication requests; all zeros in its body: AuthenticationOk.
+    pub const AUTHENTICATION: u8 = b'R';
+    /// BackendKeyData.
+    pub const BACKEND_KEY_DATA: u8 = b'K';
+    /// CommandComplete.
+    pub const COMMAND_COMPLETE: u8 = b'C';
+    /// DataRow.
+    pub const DATA_ROW: u8 = b'D';
+    /// EmptyQueryResponse.
+    pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
+    /// ErrorResponse.
+    pub const ERROR_RESPONSE: u8 = b'E';
+    /// NoticeResponse.
+    pub const NOTICE_RESPONSE: u8 = b'N';
+    /// ParameterStatus.
+    pub const PARAMETER_STATUS: u8 = b'S';
+    /// ReadyForQuery.
+    pub const READY_FOR_QUERY: u8 = b'Z';
+    /// RowDescription.
+    pub const ROW_DESCRIPTION: u8 = b'T';
+}
+
+/// Types of frontend messages: those that a client sends.
+pub mod frontend {
+    /// Query: a simple query.
+    pub const QUERY: u8 = b'Q';
+    /// Sync: ends a series of the extended query protocol.
+    pub const SYNC: u8 = b'S';
+    /// Terminate.
+    pub const TERMINATE: u8 = b'X';
+    /// FunctionCall; answered with ReadyForQuery at once, unlike the extended query protocol.
+    pub const FUNCTION_CALL: u8 = b'F';
+    /// Parse, of the extended query protocol.
+    pub const PARSE: u8 = b'P';
+    /// Bind, of the extended query protocol.
+    pub const BIND: u8 = b'B';
+    /// Describe, of the extended query protocol.
+    pub const DESCRIBE: u8 = b'D';
+    /// Execute, of the extended query protocol.
+    pub const EXECUTE: u8 = b'E';
+    /// Close, of the extended query protocol.
+    pub const CLOSE: u8 = b'C';
+    /// Flush, of the extended query protocol.
+    pub const FLUSH: u8 = b'H';
+}
+
+/// Fields of an ErrorResponse or NoticeResponse.
+pub mod error_field {
+    /// Severity, which a server may translate.
+    pub const SEVERITY: u8 = b'S';
+    /// Severity, never translated.
+    pub const SEVERITY_NONLOCALIZED: u8 = b'V';
+    /// The SQLSTATE.
+    pub const CODE: u8 = b'C';
+    /// The message.
+    pub const MESSAGE: u8 = b'M';
+    /// The detail: here the retry-after hint in milliseconds.
+    pub const DETAIL: u8 = b'D';
+}
+
+/// Bytes that are no message of the protocol. The texts reach clients.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ProtocolViolation {
+    /// The length of the startup packet is below its header or above the limit.
+    #[error("the startup message has an impossible length")]
+    StartupLength,
+    /// The startup message lacks the zero byte at its end.
+    #[error("the startup message does not end")]
+    StartupNotTerminated,
+    /// The startup packet names another major version.
+    #[error("only version 3 of the protocol is spoken")]
+    UnsupportedVersion,
+    /// The length of a message does not even count itself.
+    #[error("a message has an impossible length")]
+    MessageLength,
+    /// A message is longer than its limit.
+    #[error("a message is too long")]
+    MessageTooLong,
+    /// A query lacks the zero byte at its end.
+    #[error("a query does not end")]
+    QueryNotTerminated,
+    /// A query holds a zero byte before its end.
+    #[error("a query has a zero byte inside")]
+    QueryContainsZeroByte,
+    /// A query is not UTF-8.
+    #[error("a query is not UTF-8")]
+    QueryNotUtf8,
+    /// A client sent a message of a type that clients do not send.
+    #[error("a message of an unknown kind")]
+    UnknownMessageType,
+}
+
+/// How severe an ErrorResponse is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Severity {
+    /// The query failed; the connection goes on.
+    Error,
+    /// The connection ends.
+    Fatal,
+}
+
+impl Severity {
+    fn as_str(self) -> &'static str {
+        match self {
+            Severity::Error => "ERROR",
+            Severity::Fatal => "FATAL",
+        }
+    }
+}
+
+/// What the first packet of a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Startup {
-    /// A startup message, version 3.
-    Plain,
-    /// The client asks for encryption.
+pub enum StartupKind {
+    /// A StartupMessage of version 3.
+    Startup,
+    /// An SSLRequest or GSSENCRequest: the client asks for encryption.
     Encryption,
-    /// The client wants another connection's request cancelled.
+    /// A CancelRequest for a query of another connection.
     Cancel,
 }
 
-/// Out of form, with the reason in words.
+/// The first packet of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
+pub struct StartupPacket {
+    /// What it is.
+    pub kind: StartupKind,
+    /// Its bytes, header included.
+    pub length: usize,
+}
 
-fn u32_at(b: &[u8], at: usize) -> Option<u32> {
-    b.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes)
+/// A complete message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Message<'a> {
+    /// Its type byte, see [`backend`] and [`frontend`].
+    pub message_type: u8,
+    /// Its body.
+    pub body: &'a [u8],
+    /// Its bytes, header included.
+    pub length: usize,
 }
 
-/// Reads the first message of a connection once it is whole: what it is and its length.
-pub fn startup(bytes: &[u8], most: usize) -> Result<Option<(Startup, usize)>, Malformed> {
-    let (Some(length), version) = (u32_at(bytes, 0), u32_at(bytes, 4)) else { return Ok(None) };
+fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
+    let field = bytes.get(offset..offset + LENGTH_BYTES)?;
+    field.try_into().ok().map(u32::from_be_bytes)
+}
+
+/// Decodes the first packet of a connection; `None` while it is incomplete.
+///
+/// # Errors
+/// A length above `max_bytes`, another version than 3, or a StartupMessage without its end.
+pub fn decode_startup(bytes: &[u8], max_bytes: usize) -> Result<Option<StartupPacket>, ProtocolViolation> {
+    let Some(length) = read_u32(bytes, 0) else { return Ok(None) };
     let length = length as usize;
-    if !(8..=most).contains(&length) {
-        return Err(Malformed("the startup message has an impossible length"));
+    if !(STARTUP_HEADER_BYTES..=max_bytes).contains(&length) {
+        return Err(ProtocolViolation::StartupLength);
     }
-    let Some(body) = bytes.get(8..length) else { return Ok(None) };
-    let kind = match version {
-        Some(80_877_102) => Startup::Cancel,
-        Some(80_877_103 | 80_877_104) => Startup::Encryption,
-        Some(v) if v >> 16 == 3 && body.last() == Some(&0) => Startup::Plain,
-        Some(v) if v >> 16 == 3 => return Err(Malformed("the startup message does not end")),
-        _ => return Err(Malformed("only version 3 of the protocol is spoken")),
+    let Some(body) = bytes.get(STARTUP_HEADER_BYTES..length) else { return Ok(None) };
+    let Some(code) = read_u32(bytes, LENGTH_BYTES) else { return Ok(None) };
+    let kind = match code {
+        CANCEL_REQUEST_CODE => StartupKind::Cancel,
+        SSL_REQUEST_CODE | GSSENC_REQUEST_CODE => StartupKind::Encryption,
+        version if version >> 16 != PROTOCOL_VERSION_3_0 >> 16 => {
+            return Err(ProtocolViolation::UnsupportedVersion);
+        }
+        _ if body.last() != Some(&0) => return Err(ProtocolViolation::StartupNotTerminated),
+        _ => StartupKind::Startup,
     };
-    Ok(Some((kind, length)))
+    Ok(Some(StartupPacket { kind, length }))
 }
 
-/// A message: its kind, its body, and how many bytes it took.
-pub type Message<'a> = (u8, &'a [u8], usize);
-
-/// Reads a message once it is whole.
-pub fn message(bytes: &[u8], most: usize) -> Result<Option<Message<'_>>, Malformed> {
-    let (Some(&kind), Some(length)) = (bytes.first(), u32_at(bytes, 1)) else { return Ok(None) };
+/// Decodes a message; `None` while it is incomplete.
+///
+/// # Errors
+/// A length field below 4 or above `max_length`, seen before the rest of the message has arrived.
+pub fn decode_message(bytes: &[u8], max_length: usize) -> Result<Option<Message<'_>>, ProtocolViolation> {
+    let Some(&message_type) = bytes.first() else { return Ok(None) };
+    let Some(length) = read_u32(bytes, 1) else { return Ok(None) };
     let length = length as usize;
-    if length < 4 {
-        return Err(Malformed("a message has an impossible length"));
+    if length < LENGTH_BYTES {
+        return Err(ProtocolViolation::MessageLength);
     }
-    if length > most {
-        return Err(Malformed("a message is too long"));
+    if length > max_length {
+        return Err(ProtocolViolation::MessageTooLong);
     }
-    Ok(bytes.get(5..=length).map(|body| (kind, body, length + 1)))
-}
-
-/// Appends a message.
-pub fn put(out: &mut Vec<u8>, kind: u8, body: &[&[u8]]) {
-    let length: usize = body.iter().map(|b| b.len()).sum();
-    out.push(kind);
-    out.extend_from_slice(&(length as u32 + 4).to_be_bytes());
-    body.iter().for_each(|b| out.extend_from_slice(b));
-}
-
-/// ReadyForQuery, idle.
-pub fn ready(out: &mut Vec<u8>) {
-    put(out, b'Z', &[b"I"]);
-}
-
-/// What a server says after a startup message.
-pub fn welcome(out: &mut Vec<u8>) {
-    put(out, b'R', &[&[0; 4]]);
-    for (name, value) in [
-        ("server_version", "15.0"),
-        ("server_encoding", "UTF8"),
-        ("client_encoding", "UTF8"),
-        ("DateStyle", "ISO, MDY"),
-        ("integer_datetimes", "on"),
-        ("standard_conforming_strings", "on"),
-    ] {
-        parameter(out, name, value);
+    let body = bytes.get(HEADER_BYTES..=length);
+    Ok(body.map(|body| Message { message_type, body, length: length + 1 }))
+}
+
+/// Appends a message whose body consists of `parts`.
+pub fn put_message(out: &mut Vec<u8>, message_type: u8, parts: &[&[u8]]) {
+    let body_bytes: usize = parts.iter().map(|part| part.len()).sum();
+    out.push(message_type);
+    out.extend_from_slice(&((body_bytes + LENGTH_BYTES) as u32).to_be_bytes());
+    for part in parts {
+        out.extend_from_slice(part);
     }
-    ready(out);
 }
 
-/// ParameterStatus.
-pub fn parameter(out: &mut Vec<u8>, name: &str, value: &str) {
-    put(out, b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
+/// Appends ReadyForQuery, outside of a transaction.
+pub fn put_ready_for_query(out: &mut Vec<u8>) {
+    put_message(out, backend::READY_FOR_QUERY, &[b"I"]);
 }
 
-/// ErrorResponse.
-pub fn error(out: &mut Vec<u8>, fatal: bool, code: &str, text: &str, detail: Option<&str>) {
-    let severity: &[u8] = if fatal { b"FATAL\0" } else { b"ERROR\0" };
-    let mut body = Vec::new();
-    for (field, value) in [(b'S', severity), (b'V', severity)] {
-        body.push(field);
-        body.extend_from_slice(value);
+/// Appends the answer to a StartupMessage: AuthenticationOk, the parameters and ReadyForQuery.
+pub fn put_startup_answer(out: &mut Vec<u8>) {
+    put_message(out, backend::AUTHENTICATION, &[&[0; 4]]);
+    for (name, value) in STARTUP_PARAMETERS {
+        put_message(out, backend::PARAMETER_STATUS, &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"]);
     }
-    for (field, value) in [(b'C', Some(code)), (b'M', Some(text)), (b'D', detail)] {
-        if let Some(value) = value {
-            body.push(field);
-            body.extend(value.bytes().filter(|b| *b != 0));
-            body.push(0);
-        }
+    put_ready_for_query(out);
+}
+
+/// Writes text without its zero bytes: one would end the string early.
+struct ZeroFreeText<'a>(&'a mut Vec<u8>);
+
+impl Write for ZeroFreeText<'_> {
+    fn write_str(&mut self, text: &str) -> fmt::Result {
+        self.0.extend(text.bytes().filter(|byte| *byte != 0));
+        Ok(())
+    }
+}
+
+fn put_error_field(body: &mut Vec<u8>, field: u8, value: fmt::Arguments<'_>) {
+    body.push(field);
+    // Writing to memory does not fail, and the Display of errors does not either.
+    let _ = ZeroFreeText(body).write_fmt(value);
+    body.push(0);
+}
+
+/// Appends ErrorResponse. The retry-after hint stands in the field for details, in milliseconds.
+pub fn put_error_response(
+    out: &mut Vec<u8>,
+    severity: Severity,
+    code: SqlState,
+    message: &dyn fmt::Display,
+    retry_after: Option<TimeDelta>,
+) {
+    let mut body = Vec::new();
+    put_error_field(&mut body, error_field::SEVERITY, format_args!("{}", severity.as_str()));
+    put_error_field(&mut body, error_field::SEVERITY_NONLOCALIZED, format_args!("{}", severity.as_str()));
+    put_error_field(&mut body, error_field::CODE, format_args!("{code}"));
+    put_error_field(&mut body, error_field::MESSAGE, format_args!("{message}"));
+    if let Some(hint) = retry_after {
+        put_error_field(&mut body, error_field::DETAIL, format_args!("{}", hint.as_millis()));
     }
-    put(out, b'E', &[&body, b"\0"]);
+    put_message(out, backend::ERROR_RESPONSE, &[&body, b"\0"]);
 }
 
-/// A field of an ErrorResponse.
-pub fn field(body: &[u8], name: u8) -> Option<&str> {
-    let mut fields = body.split(|b| *b == 0);
-    let found = fields.find(|f| f.first() == Some(&name))?;
+/// The value of a field of an ErrorResponse; `None` where it is missing or not UTF-8.
+pub fn error_response_field(body: &[u8], field: u8) -> Option<&str> {
+    let mut fields = body.split(|byte| *byte == 0);
+    let found = fields.find(|candidate| candidate.first() == Some(&field))?;
     std::str::from_utf8(&found[1..]).ok()
 }
 
-/// Name and value of a ParameterStatus.
-pub fn status(body: &[u8]) -> Option<(&str, &str)> {
-    let mut parts = body.split(|b| *b == 0);
-    let mut part = || parts.next().and_then(|p| std::str::from_utf8(p).ok());
-    Some((part()?, part()?))
+/// Name and value of a ParameterStatus; `None` where one is missing or not UTF-8.
+pub fn decode_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
+    let mut strings = body.split(|byte| *byte == 0);
+    let name = std::str::from_utf8(strings.next()?).ok()?;
+    let value = std::str::from_utf8(strings.next()?).ok()?;
+    Some((name, value))
 }
 
-/// A startup message.
-pub fn hello(user: &str, database: &str) -> Vec<u8> {
-    let mut body = 196_608u32.to_be_bytes().to_vec();
-    for word in ["user", user, "database", database, ""] {
-        body.extend_from_slice(word.as_bytes());
+/// A StartupMessage.
+pub fn encode_startup_message(user: &str, database: &str) -> Vec<u8> {
+    let mut body = PROTOCOL_VERSION_3_0.to_be_bytes().to_vec();
+    // Names and values in turn, an empty name at the end.
+    for string in ["user", user, "database", database, ""] {
+        body.extend_from_slice(string.as_bytes());
         body.push(0);
     }
-    let mut out = (body.len() as u32 + 4).to_be_bytes().to_vec();
+    let mut out = ((body.len() + LENGTH_BYTES) as u32).to_be_bytes().to_vec();
     out.extend_from_slice(&body);
     out
 }
 
-/// A simple query.
-pub fn query(text: &str) -> Vec<u8> {
-    let mut out = Vec::with_capacity(text.len() + 6);
-    put(&mut out, b'Q', &[text.as_bytes(), b"\0"]);
+/// A Query message.
+pub fn encode_query(text: &str) -> Vec<u8> {
+    let mut out = Vec::with_capacity(HEADER_BYTES + text.len() + 1);
+    put_message(&mut out, frontend::QUERY, &[text.as_bytes(), b"\0"]);
     out
 }
 
-/// The text of a simple query's body.
-pub fn query_text(body: &[u8]) -> Result<&str, Malformed> {
-    let Some((0, text)) = body.split_last() else { return Err(Malformed("a query does not end")) };
+/// The text of a Query message's body.
+///
+/// # Errors
+/// No zero byte at its end, one before its end, or bytes that are not UTF-8.
+pub fn decode_query(body: &[u8]) -> Result<&str, ProtocolViolation> {
+    let Some((0, text)) = body.split_last() else { return Err(ProtocolViolation::QueryNotTerminated) };
     if text.contains(&0) {
-        return Err(Malformed("a query has a zero byte inside"));
+        return Err(ProtocolViolation::QueryContainsZeroByte);
     }
-    std::str::from_utf8(text).map_err(|_| Malformed("a query is not UTF-8"))
+    std::str::from_utf8(text).map_err(|_| ProtocolViolation::QueryNotUtf8)
 }
--- a/src/net/postgres/front.rs
+++ b/src/net/postgres/front.rs
@@ -1,361 +1,80 @@
-//! The clients' side: connections that carry one request at a time, and what they are answered.
-
-use super::codec;
-use super::host::Answer;
-use super::session::{Session, State, Step};
-use super::statement::{self, Statement};
+//! The front for PostgreSQL clients: what its connections share, and how one connection is served.
+//!
+//! - `client`: the loop of one connection, which writes answers in the order of the commands
+//! - `submission`: commands that have arrived, handed to the engine
+//! - `open_requests`: the ids of requests that have no answer yet
+
+mod client;
+mod open_requests;
+mod submission;
+
+use super::host::QueryAnswer;
+use super::statement::Statement;
 use crate::config::Limits;
+use crate::engine::EngineHandle;
 use crate::engine::classes::Classes;
-use crate::engine::{EngineHandle, FinalAnswer, Input};
-use crate::net::connection::{ClientConnection, ReadAhead, ReadEvent, RequestProgress};
+use crate::net::connection::ClientConnection;
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
-use crate::net::lifecycle::{Lifecycle, ServingState as Stands};
-use crate::net::{session_hash, until};
-use crate::routing::*;
+use crate::net::lifecycle::Lifecycle;
+use crate::net::session_hash;
+use crate::routing::IncomingRequest;
+use crate::time::Timestamp;
 use async_channel::Receiver;
 use async_io::Async;
-use futures_lite::future;
-use std::cell::RefCell;
-use std::collections::{BTreeSet, VecDeque};
-use std::io;
+use client::ClientHandler;
+pub use open_requests::OpenRequestIds;
 use std::net::TcpStream;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::Instant;
 
 /// What all connections of the front share.
 pub struct Front {
-    /// The limits.
+    /// Limits of connections, messages and times.
     pub limits: Rc<Limits>,
-    /// The way to the core.
-    pub handle: EngineHandle<Arc<Statement>, Answer>,
+    /// Submits requests to the engine.
+    pub handle: EngineHandle<Arc<Statement>, QueryAnswer>,
     /// The classes by name.
     pub classes: Classes,
-    /// Closed once the first list is there.
+    /// Closed once the first endpoint list has arrived.
     pub ready: Receiver<()>,
-    /// Whether the pooler is at work.
-    pub duty: Rc<Lifecycle>,
-    /// Ids of the requests that are open.
-    pub open: OpenIds,
-}
-
-/// The ids of open requests. A host knows a request by its id: a second one of the same id would pass for
-/// another attempt of the first, and get its answer.
-#[derive(Clone, Default)]
-pub struct OpenIds(Rc<RefCell<BTreeSet<String>>>);
-
-/// An id as long as its request is open.
-struct OpenId(OpenIds, String);
-
-impl OpenIds {
-    fn take(&self, id: &str) -> Option<OpenId> {
-        self.0.borrow_mut().insert(id.to_string()).then(|| OpenId(self.clone(), id.to_string()))
-    }
-}
-
-impl Drop for OpenId {
-    fn drop(&mut self) {
-        self.0.0.borrow_mut().remove(&self.1);
-    }
-}
-
-struct Client<'a> {
-    front: &'a Front,
-    link: ClientConnection,
-    session: Session,
-    /// What is owed, in the order of the commands.
-    due: VecDeque<Due>,
-}
-
-/// An answer that is owed.
-enum Due {
-    /// These bytes.
-    Bytes(Vec<u8>),
-    /// The answer to the readiness query.
-    Ready,
-    /// A request's final answer, once it is there.
-    Last(Open),
-    /// These bytes, then the end.
-    End(Vec<u8>),
-}
-
-/// A request that is open.
-struct Open {
-    id: RequestId,
-    reply: Receiver<FinalAnswer<Answer>>,
-    /// Bytes of its statement.
-    length: usize,
-    _id: OpenId,
+    /// Whether the process serves, is drained or terminates.
+    pub lifecycle: Rc<Lifecycle>,
+    /// Ids of the requests that have no answer yet.
+    pub open_requests: OpenRequestIds,
 }
 
 impl Front {
     /// Serves one connection to its end.
-    pub async fn serve(&self, stream: Async<TcpStream>, place: ConnectionSlot, welcome: AcceptDecision) {
-        let session = Session::new(&self.limits);
-        let link = ClientConnection::new(stream, place, self.limits.clone(), self.handle.clock().clone());
-        let mut client = Client { front: self, link, session, due: VecDeque::new() };
-        let served = match welcome {
+    pub async fn serve(&self, stream: Async<TcpStream>, slot: ConnectionSlot, decision: AcceptDecision) {
+        let clock = self.handle.clock().clone();
+        let connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
+        let mut client = ClientHandler::new(self, connection);
+        let served = match decision {
             AcceptDecision::Serve => client.run().await,
-            AcceptDecision::Reject => client.turn_away().await,
+            AcceptDecision::Reject => client.reject().await,
         };
-        if let Err(e) = served {
-            log::debug!("client: {e}");
-        }
-        // Nobody waits any more for what is still open.
-        for due in client.due {
-            if let Due::Last(open) = due {
-                self.handle.input(Input::RequestCancelled(open.id)).await;
-            }
+        if let Err(error) = served {
+            log::debug!("client: connection ended: {error}");
         }
+        client.cancel_open_requests().await;
     }
 
-    fn ask(&self, s: &Statement) -> Option<IncomingRequest> {
-        let class = self.classes.find(&s.class, s.keyed)?;
+    /// What the engine has to know of a statement; `None` where its class is unknown.
+    fn incoming_request(&self, statement: &Statement) -> Option<IncomingRequest> {
+        let class = self.classes.find(&statement.class, statement.has_idempotency_key)?;
         let now = self.handle.clock().now();
-        // The module wants the age of the session's last commit; a clock a little ahead makes it no older.
-        let last_commit_age = s.after.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
+        // The decision module wants the age of the session's last commit; a client's clock that is a little ahead
+        // makes it zero, not negative.
+        let last_commit_age = statement
+            .required_position
+            .map(|position| (now - position.commit_time(Timestamp::ZERO)).or_zero());
         Some(IncomingRequest {
             class,
-            group: s.group,
+            group: statement.group,
             last_commit_age,
-            session: session_hash(&s.key),
-            repeated: s.repeated,
+            session: session_hash(&statement.session_key),
+            repeated: statement.is_client_retry,
             ..IncomingRequest::default()
         })
     }
 }
-
-fn refusal(text: &str, retry_ms: Option<i64>) -> Vec<u8> {
-    let mut out = Vec::new();
-    codec::error(&mut out, false, "53300", text, retry_ms.map(|ms| ms.to_string()).as_deref());
-    codec::ready(&mut out);
-    out
-}
-
-fn failure(code: &str, text: &str) -> Vec<u8> {
-    let mut out = Vec::new();
-    codec::error(&mut out, false, code, text, None);
-    codec::ready(&mut out);
-    out
-}
-
-/// The bytes of a final answer, or the parts in which it is still to come.
-fn answer(last: FinalAnswer<Answer>) -> Result<Vec<u8>, Receiver<Vec<u8>>> {
-    Ok(match last {
-        FinalAnswer::Served(Answer::Parts(parts)) => return Err(parts),
-        FinalAnswer::Served(Answer::Whole(mut rows)) => {
-            codec::ready(&mut rows);
-            rows
-        }
-        FinalAnswer::Rejected { retry_after, .. } => {
-            refusal("no score host can take this now", retry_after.map(|t| t.as_millis().max(1)))
-        }
-        FinalAnswer::Failed { overdue: true } => failure("57014", "no answer came in time"),
-        FinalAnswer::Failed { overdue: false } => failure("58000", "the request failed"),
-        FinalAnswer::UnknownGroup => failure("42704", "no list names this group"),
-    })
-}
-
-impl Client<'_> {
-    async fn hear(&mut self) -> io::Result<ReadEvent> {
-        let progress = RequestProgress::of_buffered(self.session.input().unread().len());
-        self.link.wait_for_input(progress, self.session.input()).await
-    }
-
-    /// Takes commands as they come and answers them in their order. Several may be open at once: what a client
-    /// writes behind another request has its own time, and must not lose it in waiting for that one.
-    async fn run(&mut self) -> io::Result<()> {
-        loop {
-            self.take().await?;
-            match self.due.front() {
-                None => match self.hear().await? {
-                    ReadEvent::Data => {}
-                    ReadEvent::Closed => return Ok(()),
-                    ReadEvent::CloseRequested => return self.link.linger().await,
-                    ReadEvent::Evicted => {
-                        return self.end("57P03", "no room for a request that is not whole").await;
-                    }
-                    ReadEvent::TimedOut => return self.end("57P05", "no whole request came in time").await,
-                    ReadEvent::OverBudget => {
-                        return self.end("53200", "no room for a message of this length").await;
-                    }
-                },
-                Some(Due::Bytes(bytes)) => {
-                    self.link.write(bytes).await?;
-                    self.due.pop_front();
-                }
-                Some(Due::Ready) => {
-                    let ready = async {
-                        while self.front.ready.recv().await.is_ok() {}
-                        true
-                    };
-                    let (link, input) = (&mut self.link, self.session.input());
-                    let gone = async {
-                        link.wait_for_departure(input).await;
-                        false
-                    };
-                    let end = Instant::now() + self.front.limits.readiness_timeout;
-                    if until(end, future::or(ready, gone)).await == Some(false) {
-                        return Ok(());
-                    }
-                    // To one that is drained the front layer must bring no one new.
-                    let bytes = match self.front.duty.state() {
-                        Stands::Drained => failure("57P03", "drained: clients are to go elsewhere"),
-                        _ => Session::empty(),
-                    };
-                    self.answer(&bytes).await?;
-                }
-                Some(Due::Last(open)) => {
-                    let last = async { Ok(open.reply.recv().await) };
-                    let (link, input) = (&mut self.link, self.session.input());
-                    let more = async { Err(link.read_ahead(input).await) };
-                    // An answer that has come is written before more is read.
-                    match future::or(last, more).await {
-                        Ok(last) => {
-                            let last = last.unwrap_or(FinalAnswer::Failed { overdue: false });
-                            match answer(last) {
-                                Ok(bytes) => self.answer(&bytes).await?,
-                                Err(parts) => self.pass_on(parts).await?,
-                            }
-                        }
-                        Err(ReadAhead::Received) => {}
-                        Err(ReadAhead::Departed) => return Ok(()),
-                    }
-                }
-                Some(Due::End(bytes)) => {
-                    self.link.write(bytes).await?;
-                    return self.link.linger().await;
-                }
-            }
-        }
-    }
-
-    /// Answers the oldest open request with what is still to come. Where that breaks off the connection ends
-    /// with it, so that the client can tell.
-    async fn pass_on(&mut self, parts: Receiver<Vec<u8>>) -> io::Result<()> {
-        loop {
-            let next = async { Ok(parts.recv().await) };
-            let (link, input) = (&mut self.link, self.session.input());
-            let more = async { Err(link.read_ahead(input).await) };
-            match future::or(next, more).await {
-                Ok(Ok(part)) if part.is_empty() => {
-                    let mut end = Vec::new();
-                    codec::ready(&mut end);
-                    return self.answer(&end).await;
-                }
-                Ok(Ok(part)) => self.link.write(&part).await?,
-                Ok(Err(_)) => {
-                    let why = "a host broke off in the midst of an answer";
-                    return Err(io::Error::new(io::ErrorKind::UnexpectedEof, why));
-                }
-                Err(ReadAhead::Received) => {}
-                // A host that stalls must not hold an attempt for a client that has gone.
-                Err(ReadAhead::Departed) => return Err(io::ErrorKind::ConnectionAborted.into()),
-            }
-        }
-    }
-
-    /// Answers the oldest open request.
-    async fn answer(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.link.write(bytes).await?;
-        self.due.pop_front();
-        self.session.answered();
-        Ok(())
-    }
-
-    /// Takes what has come whole, within the limits of a connection. An error: its client has gone.
-    async fn take(&mut self) -> io::Result<()> {
-        loop {
-            let long = |due: &Due| if let Due::Last(open) = due { open.length } else { 0 };
-            // Answers to bad input are many and short; those of requests are bounded by the session.
-            if self.due.iter().map(long).sum::<usize>() > self.front.limits.read_ahead
-                || self.due.len() > self.front.limits.pipelined_requests * 2
-            {
-                return Ok(());
-            }
-            let due = match self.session.step() {
-                Step::Wait => return Ok(()),
-                Step::Write(bytes) => Due::Bytes(bytes),
-                Step::Close(bytes) => Due::End(bytes),
-                Step::Ready => {
-                    self.link.request_received();
-                    Due::Ready
-                }
-                Step::Query(text) => {
-                    let arrived = self.link.arrival_time(self.session.input().unread().len());
-                    if self.link.has_departed_since(arrived) {
-                        return Err(io::ErrorKind::ConnectionAborted.into());
-                    }
-                    self.link.request_received();
-                    match self.query(&text, arrived).await {
-                        Ok(open) => Due::Last(open),
-                        Err(bytes) => {
-                            self.session.answered();
-                            Due::Bytes(bytes)
-                        }
-                    }
-                }
-            };
-            self.due.push_back(due);
-        }
-    }
-
-    /// Says why, and ends.
-    async fn end(&mut self, code: &str, why: &str) -> io::Result<()> {
-        log::debug!("client: {why}");
-        let mut out = Vec::new();
-        codec::error(&mut out, true, code, why, None);
-        self.link.write(&out).await?;
-        self.link.linger().await
-    }
-
-    /// Hands in a statement that came at `arrived`; the error is its answer at once.
-    async fn query(&self, text: &str, arrived: Timestamp) -> Result<Open, Vec<u8>> {
-        let statement = statement::parse(text).map_err(|why| {
-            log::warn!("client: {why}");
-            failure("42601", &why)
-        })?;
-        let Some(ask) = self.front.ask(&statement) else {
-            log::warn!("client: unknown class {:?}", statement.class);
-            return Err(failure("22023", "unknown class"));
-        };
-        let Some(own) = self.front.open.take(&statement.id) else {
-            log::warn!("client: the id of another open request");
-            return Err(failure("42710", "a request with this id is open"));
-        };
-        let limits = &self.front.limits;
-        let margin = TimeDelta::from(limits.answer_margin);
-        let deadline = arrived + (statement.client_timeout - margin).or_zero();
-        let submitted = self.front.handle.submit(ask, deadline, Arc::new(statement)).await;
-        let again = || refusal("the pooler is ending", Some(limits.front_retry_after.as_millis() as i64));
-        let (id, reply) = submitted.ok_or_else(again)?;
-        Ok(Open { id, reply, length: text.len(), _id: own })
-    }
-
-    /// Tells a client that there are too many connections: a refusal, so that it may come again.
-    async fn turn_away(&mut self) -> io::Result<()> {
-        let end = Instant::now() + self.front.limits.close_linger.0;
-        while self.session.state() == State::Startup {
-            match self.session.step() {
-                Step::Write(bytes) if self.session.state() == State::Startup => {
-                    self.link.write(&bytes).await?
-                }
-                Step::Wait => match until(end, self.link.read(self.session.input())).await {
-                    Some(Ok(n)) if n > 0 => {}
-                    _ => return Ok(()),
-                },
-                _ => break,
-            }
-        }
-        let mut out = Vec::new();
-        codec::error(
-            &mut out,
-            true,
-            "53300",
-            "too many connections",
-            Some(&self.front.limits.front_retry_after.as_millis().to_string()),
-        );
-        self.link.write(&out).await?;
-        self.link.linger().await
-    }
-}
--- a/src/net/postgres/statement.rs
+++ b/src/net/postgres/statement.rs
@@ -1,14 +1,74 @@
-//! The comment in front of a statement: what a client says about its request.
+//! A client's statement and the comment in front of it, which says how the request is to be routed.
+//!
+//! The comment holds pairs, as in `/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT …`:
+//!
+//! | key | value |
+//! | --- | --- |
+//! | `id` | the request's id, at most 64 bytes |
+//! | `c` | name of the class |
+//! | `d` | how long the client waits, in milliseconds |
+//! | `cluster` | number of the group |
+//! | `after` | position that a read has to include, in Unix milliseconds; optional |
+//! | `r` | `1`: the client itself repeats a request; optional |
+//! | `k` | not empty: the write carries an idempotency key; optional |
+//!
+//! Other keys pass through to the host unread.
 
-use crate::routing::{GroupId, LogPosition, TimeDelta};
+use crate::ids::GroupId;
+use crate::time::{LogPosition, TimeDelta};
 use std::ops::Range;
+use std::str::FromStr;
+use thiserror::Error;
 
-/// A statement as it came, with what its comment says.
+/// The longest timeout that a client may state: a day. A bound keeps sums of times from overflowing.
+const MAX_CLIENT_TIMEOUT_MILLIS: i64 = 86_400_000;
+
+/// The longest id: ids are kept while their requests are open.
+const MAX_ID_BYTES: usize = 64;
+
+/// Why a statement cannot be routed. The texts reach clients.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum StatementError {
+    /// The statement does not begin with a comment.
+    #[error("the statement has no comment in front")]
+    MissingComment,
+    /// The comment has no end.
+    #[error("the comment does not end")]
+    UnterminatedComment,
+    /// A part of the comment is no `key=value`.
+    #[error("{0:?} in the comment has no value")]
+    MissingValue(String),
+    /// The value of a key is out of form or out of range.
+    #[error("{key}={value:?} in the comment is no such value")]
+    InvalidValue {
+        /// The key.
+        key: &'static str,
+        /// The value as it was sent.
+        value: String,
+    },
+    /// No id, or one that is empty or too long.
+    #[error("the comment has no id")]
+    MissingId,
+    /// No `d`.
+    #[error("the comment does not say how long the client waits")]
+    MissingClientTimeout,
+    /// Nothing follows the comment.
+    #[error("there is no statement after the comment")]
+    MissingStatement,
+    /// No `c`.
+    #[error("the comment names no class")]
+    MissingClass,
+    /// No `cluster`.
+    #[error("the comment names no group")]
+    MissingGroup,
+}
+
+/// A statement with what its comment says. Parsed from the text that a client sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     text: String,
-    /// Where the digits of `d` stand.
-    wait: Range<usize>,
+    /// Where the digits of `d` are in `text`.
+    timeout_digits: Range<usize>,
     /// The request's id.
     pub id: String,
     /// Name of the class.
@@ -17,82 +77,125 @@
     pub client_timeout: TimeDelta,
     /// The group.
     pub group: GroupId,
-    /// The position that a read has to see, as Unix time.
-    pub after: Option<LogPosition>,
-    /// The client marks it as its own repeat.
-    pub repeated: bool,
+    /// The position that a read has to include, in Unix time.
+    pub required_position: Option<LogPosition>,
+    /// The client itself repeats an earlier request.
+    pub is_client_retry: bool,
     /// It carries an idempotency key.
-    pub keyed: bool,
-    /// The quoted key, which names the session in classes that have sessions.
-    pub key: String,
+    pub has_idempotency_key: bool,
+    /// The first quoted string, which identifies the session in classes that have sessions; empty without one.
+    pub session_key: String,
 }
 
-/// The longest wait that is taken at its word: a day.
-const LONGEST_MS: i64 = 86_400_000;
-
-/// The longest id that is taken.
-const LONGEST_ID: usize = 64;
-
-fn number<T: std::str::FromStr>(text: &str) -> Option<T> {
-    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+/// What a comment says, before it is known to be complete.
+#[derive(Default)]
+struct Comment<'a> {
+    id: Option<&'a str>,
+    class: Option<&'a str>,
+    client_timeout: Option<TimeDelta>,
+    timeout_digits: Range<usize>,
+    group: Option<GroupId>,
+    required_position: Option<LogPosition>,
+    is_client_retry: bool,
+    has_idempotency_key: bool,
 }
 
-/// Reads a statement; the error says what is wrong with it.
-pub fn parse(text: &str) -> Result<Statement, String> {
-    let start = text.find("/*").filter(|at| text[..*at].trim().is_empty());
-    let start = start.ok_or("the statement has no comment in front")? + 2;
-    let length = text[start..].find("*/").ok_or("the comment does not end")?;
-    let (comment, body) = (&text[start..start + length], &text[start + length + 2..]);
-    let (mut id, mut class, mut group, mut after, mut wait) = (None, None, None, None, None);
-    let (mut repeated, mut keyed) = (false, false);
-    let mut at = start;
-    for part in comment.split(',') {
-        let pair = part.trim();
-        let (name, value) =
-            pair.split_once('=').ok_or_else(|| format!("{pair:?} in the comment has no value"))?;
-        let wrong = || format!("{name}={value:?} in the comment is no such value");
-        match name {
-            "id" => id = Some(value).filter(|v| (1..=LONGEST_ID).contains(&v.len())),
-            "c" => class = Some(value.to_string()),
+impl<'a> Comment<'a> {
+    /// Reads the comment that is at `offset` of its statement.
+    fn parse(comment: &'a str, offset: usize) -> Result<Comment<'a>, StatementError> {
+        let mut parsed = Comment::default();
+        let mut part_offset = offset;
+        for part in comment.split(',') {
+            let pair = part.trim();
+            let Some((key, value)) = pair.split_once('=') else {
+                return Err(StatementError::MissingValue(pair.to_string()));
+            };
+            let leading_spaces = part.len() - part.trim_start().len();
+            let value_offset = part_offset + leading_spaces + key.len() + 1;
+            parsed.set(key, value, value_offset)?;
+            part_offset += part.len() + 1;
+        }
+        Ok(parsed)
+    }
+
+    fn set(&mut self, key: &str, value: &'a str, value_offset: usize) -> Result<(), StatementError> {
+        match key {
+            "id" => self.id = Some(value).filter(|id| (1..=MAX_ID_BYTES).contains(&id.len())),
+            "c" => self.class = Some(value),
             "d" => {
-                let ms: i64 = number(value).filter(|ms| *ms <= LONGEST_MS).ok_or_else(wrong)?;
-                let from = at + part.find(pair).unwrap_or(0) + 2;
-                wait = Some((ms, from..from + value.len()));
+                let millis = parse_digits(value).filter(|millis| *millis <= MAX_CLIENT_TIMEOUT_MILLIS);
+                let millis = millis.ok_or_else(|| invalid("d", value))?;
+                self.client_timeout = Some(TimeDelta::from_millis(millis));
+                self.timeout_digits = value_offset..value_offset + value.len();
+            }
+            "cluster" => {
+                let number = parse_digits(value).ok_or_else(|| invalid("cluster", value))?;
+                self.group = Some(GroupId(number));
             }
-            "cluster" => group = Some(GroupId(number(value).ok_or_else(wrong)?)),
-            "after" => after = Some(number(value).and_then(LogPosition::try_from_millis).ok_or_else(wrong)?),
-            "r" => repeated = value == "1",
-            "k" => keyed = !value.is_empty(),
-            // Whatever else a client says goes to the host as it stands.
+            "after" => {
+                let position = parse_digits(value).and_then(LogPosition::try_from_millis);
+                self.required_position = Some(position.ok_or_else(|| invalid("after", value))?);
+            }
+            "r" => self.is_client_retry = value == "1",
+            "k" => self.has_idempotency_key = !value.is_empty(),
+            // Other keys are for the host, which gets the comment as it is.
             _ => {}
         }
-        at += part.len() + 1;
+        Ok(())
+    }
+}
+
+fn invalid(key: &'static str, value: &str) -> StatementError {
+    StatementError::InvalidValue { key, value: value.to_string() }
+}
+
+/// A number of digits alone: no sign, no spaces.
+fn parse_digits<T: FromStr>(text: &str) -> Option<T> {
+    if !text.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
     }
-    let id = id.ok_or("the comment has no id")?.to_string();
-    let (ms, wait) = wait.ok_or("the comment does not say how long the client waits")?;
-    let key = body.split('\'').nth(1).unwrap_or("").to_string();
-    if body.trim().is_empty() {
-        return Err("there is no statement after the comment".into());
+    text.parse().ok()
+}
+
+impl FromStr for Statement {
+    type Err = StatementError;
+
+    fn from_str(text: &str) -> Result<Statement, StatementError> {
+        let comment_start = text.find("/*").filter(|start| text[..*start].trim().is_empty());
+        let comment_start = comment_start.ok_or(StatementError::MissingComment)? + 2;
+        let comment_length = text[comment_start..].find("*/").ok_or(StatementError::UnterminatedComment)?;
+        let comment_end = comment_start + comment_length;
+        let body = &text[comment_end + 2..];
+        let comment = Comment::parse(&text[comment_start..comment_end], comment_start)?;
+        let id = comment.id.ok_or(StatementError::MissingId)?;
+        let client_timeout = comment.client_timeout.ok_or(StatementError::MissingClientTimeout)?;
+        if body.trim().is_empty() {
+            return Err(StatementError::MissingStatement);
+        }
+        let class = comment.class.ok_or(StatementError::MissingClass)?;
+        let group = comment.group.ok_or(StatementError::MissingGroup)?;
+        Ok(Statement {
+            text: text.to_string(),
+            timeout_digits: comment.timeout_digits,
+            id: id.to_string(),
+            class: class.to_string(),
+            client_timeout,
+            group,
+            required_position: comment.required_position,
+            is_client_retry: comment.is_client_retry,
+            has_idempotency_key: comment.has_idempotency_key,
+            session_key: body.split('\'').nth(1).unwrap_or("").to_string(),
+        })
     }
-    Ok(Statement {
-        text: text.to_string(),
-        wait,
-        id,
-        class: class.ok_or("the comment names no class")?,
-        client_timeout: TimeDelta::from_millis(ms),
-        group: group.ok_or("the comment names no group")?,
-        after,
-        repeated,
-        keyed,
-        key,
-    })
 }
 
 impl Statement {
-    /// The statement as a host gets it: unchanged, but for how long is waited.
-    pub fn with_wait(&self, left: TimeDelta) -> String {
-        let ms = left.as_millis().max(1);
-        format!("{}{ms}{}", &self.text[..self.wait.start], &self.text[self.wait.end..])
+    /// The statement as a host gets it: unchanged but for `d`, which becomes the time that is left, at least 1 ms.
+    pub fn with_timeout(&self, time_left: TimeDelta) -> String {
+        let millis = time_left.as_millis().max(1);
+        let before = &self.text[..self.timeout_digits.start];
+        let after = &self.text[self.timeout_digits.end..];
+        format!("{before}{millis}{after}")
     }
 }
 
