--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -1,11 +1,13 @@
+//! The clock against steps of the system's clock.
+
 use super::*;
 use std::time::Duration;
 
-/// Guards against a machine that slept: its monotonic clock stood still while the hosts' data went on.
+/// Guards against a machine that slept: its monotonic clock stood still while the data of the backends went on.
 #[test]
-fn it_follows_the_system_forward_and_never_back() {
+fn it_follows_the_system_clock_forward_and_never_back() {
     let clock = Clock::start();
-    let before = clock.follow(clock.unix);
+    let before = clock.follow(clock.unix_at_start);
     let hour = TimeDelta::from_secs(3_600);
     let after = clock.follow(before + hour);
     assert!(after >= before + hour);
--- a/src/config.rs
+++ b/src/config.rs
@@ -5,7 +5,6 @@
 
 mod defaults;
 
-use crate::routing::Class;
 use crate::time::TimeDelta;
 use defaults::DEFAULTS;
 use std::time::Duration;
@@ -52,7 +51,7 @@
     /// Client connections that have sent a request; beyond this number the ones that sent only one are evicted first.
     pub crowded_clients: usize,
     /// A client connection that is idle for this long is closed.
-    pub client_idle: Duration,
+    pub client_idle_timeout: Duration,
     /// Interval between two sweeps for idle client connections.
     pub idle_check_interval: Duration,
     /// Time for a client to send its first request completely, counted from its connection; for any further one,
@@ -76,18 +75,18 @@
     /// Longest startup message of a client.
     pub startup_message_bytes: usize,
     /// Longest message of a client.
-    pub client_message: usize,
-    /// Bytes of its message that a client may have buffered without a reservation of `message_budget`.
-    pub unbudgeted_message: usize,
+    pub client_message_bytes: usize,
+    /// Bytes of its message that a client may have buffered without a reservation of `message_budget_bytes`.
+    pub unbudgeted_message_bytes: usize,
     /// Bytes that the longer messages of all clients may have buffered together.
-    pub message_budget: usize,
+    pub message_budget_bytes: usize,
     /// Bytes that are read of what a client sends behind its open requests. Also the length of these requests from
     /// which on no further one is accepted.
-    pub read_ahead: usize,
+    pub read_ahead_bytes: usize,
     /// Open requests of one connection.
     pub pipelined_requests: usize,
     /// Longest head of an HTTP message.
-    pub http_head: usize,
+    pub http_head_bytes: usize,
     /// Headers of an HTTP message.
     pub http_headers: usize,
 
@@ -111,7 +110,7 @@
     /// Time for a backend connection to be established.
     pub connect_timeout: Duration,
     /// An idle backend connection is closed after this, before the backend would close it.
-    pub host_idle: Duration,
+    pub backend_idle_timeout: Duration,
     /// Interval between two sweeps for idle backend connections.
     pub pool_sweep_interval: Duration,
     /// A backend connection rests for this long after an answer before it is used again: bytes that belong to no answer
@@ -124,22 +123,22 @@
     /// Chunks of a streamed answer that are queued for the client.
     pub answer_chunks: usize,
     /// Answers of an HTTP backend up to this length are buffered until they are complete.
-    pub http_answer_buffer: usize,
+    pub http_answer_buffer_bytes: usize,
     /// Rows of a PostgreSQL backend up to this length are buffered until they are complete, and requested again if the
     /// backend fails before.
-    pub postgres_row_buffer: usize,
+    pub postgres_row_buffer_bytes: usize,
     /// Longest row of a PostgreSQL backend.
-    pub postgres_row: usize,
+    pub postgres_row_bytes: usize,
 
     // Discovery and peers of the platform.
     /// Longest answer of discovery.
-    pub discovery_answer: usize,
+    pub discovery_answer_bytes: usize,
     /// How long discovery may hold a watch until the list changes.
-    pub discovery_watch: Duration,
+    pub discovery_watch_timeout: Duration,
     /// How long discovery may take to answer beyond that.
     pub discovery_timeout: Duration,
     /// How long discovery may hold the call after one that failed.
-    pub discovery_recheck: Duration,
+    pub discovery_recheck_timeout: Duration,
     /// Bounds the growth of `discovery_timeout` after failed calls: discovery may have to answer other poolers first.
     pub discovery_timeout_after_failure: Duration,
     /// Calls that discovery rejected for lack of capacity are repeated within this time, at random.
@@ -293,15 +292,15 @@
         let clients = free_sockets / 2;
         let rejected = free_sockets / 16;
         // A long statement exists up to five times on its way: read, parsed, numbered, written.
-        let message_budget = (machine.memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
+        let message_budget_bytes = (machine.memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
         Limits {
             client_connections: clients,
             rejected_connections: rejected,
             crowded_clients: clients,
             backend_connections: free_sockets - clients - rejected,
             admin_connections: if machine.has_admin_server { MAX_ADMIN_CONNECTIONS } else { 0 },
-            message_budget,
-            read_ahead: (message_budget / clients).clamp(8 * 1024, 64 * 1024),
+            message_budget_bytes,
+            read_ahead_bytes: (message_budget_bytes / clients).clamp(8 * 1024, 64 * 1024),
             ..DEFAULTS
         }
     }
@@ -323,10 +322,10 @@
             client_connections: self.admin_connections,
             rejected_connections: self.admin_connections / 4,
             crowded_clients: self.admin_connections,
-            client_idle: self.first_request_timeout,
+            client_idle_timeout: self.first_request_timeout,
             idle_check_interval: self.file_check_interval,
-            client_message: 4 * 1024,
-            http_head: 4 * 1024,
+            client_message_bytes: 4 * 1024,
+            http_head_bytes: 4 * 1024,
             ..self.clone()
         }
     }
@@ -335,7 +334,7 @@
     /// from those that send requests, and closed soon.
     pub fn share_client_connections(&mut self, connections: usize) {
         self.crowded_clients = (connections * 5 / 8).clamp(1, self.client_connections);
-        self.client_idle = SHARED_CLIENT_IDLE;
+        self.client_idle_timeout = SHARED_CLIENT_IDLE;
     }
 
     /// Spreads repeated calls to discovery by the number of poolers that share it.
@@ -348,19 +347,19 @@
     /// crosses the backend's close may have been executed.
     pub fn set_backend_idle_timeout(&mut self, seconds: Option<f64>) {
         if let Some(seconds) = seconds.filter(|seconds| *seconds > 0.0 && *seconds < MAX_BACKEND_IDLE_SECS) {
-            self.host_idle = Duration::from_secs_f64((seconds - 1.0).max(seconds / 2.0));
+            self.backend_idle_timeout = Duration::from_secs_f64((seconds - 1.0).max(seconds / 2.0));
         }
     }
 
-    /// Bounds the wait for open requests after SIGTERM by the longest deadline of the classes, if all of them state one,
-    /// whatever timeouts clients claim: SIGKILL follows that deadline.
-    pub fn bound_shutdown_by_deadlines(&mut self, classes: &[Class]) {
-        let mut longest = TimeDelta::ZERO;
-        for class in classes {
-            let Some(deadline) = class.deadline else { return };
-            longest = longest.max(deadline);
+    /// Bounds the wait for open requests after SIGTERM by the longest of the classes' deadlines, if all classes state
+    /// one, whatever timeouts clients claim: SIGKILL follows that deadline.
+    pub fn bound_shutdown_by_deadlines(&mut self, deadlines: impl IntoIterator<Item = Option<TimeDelta>>) {
+        let mut longest = None;
+        for deadline in deadlines {
+            let Some(deadline) = deadline else { return };
+            longest = longest.max(Some(deadline));
         }
-        if !classes.is_empty() {
+        if let Some(longest) = longest {
             self.shutdown_deadline = self.shutdown_deadline.min(longest.to_duration());
         }
     }
--- a/src/config/defaults.rs
+++ b/src/config/defaults.rs
@@ -1,7 +1,7 @@
 //! The limits that depend on no machine, with the reasons for their values.
 //!
-//! Those that do depend on one (connections, `message_budget`, `read_ahead`) are set by [`Limits::on`] and stand here
-//! as zero.
+//! Those that do depend on one (connections, `message_budget_bytes`, `read_ahead_bytes`) are set by [`Limits::on`] and stand
+//! here as zero.
 
 use super::{CloseLinger, DISCOVERY_CALL_COST, Limits, YamlLimits};
 use std::time::Duration;
@@ -17,7 +17,7 @@
     client_connections: 0,
     rejected_connections: 0,
     crowded_clients: 0,
-    client_idle: Duration::from_secs(60),
+    client_idle_timeout: Duration::from_secs(60),
     idle_check_interval: Duration::from_millis(50),
     first_request_timeout: Duration::from_millis(2_500),
     silent_client_grace: Duration::from_millis(100),
@@ -29,12 +29,12 @@
 
     startup_message_bytes: 10_000,
     // Each byte of a value takes two digits in a statement.
-    client_message: 2 * MAX_VALUE_BYTES + 4 * KIB,
-    unbudgeted_message: 16 * KIB,
-    message_budget: 0,
-    read_ahead: 0,
+    client_message_bytes: 2 * MAX_VALUE_BYTES + 4 * KIB,
+    unbudgeted_message_bytes: 16 * KIB,
+    message_budget_bytes: 0,
+    read_ahead_bytes: 0,
     pipelined_requests: 64,
-    http_head: 16 * KIB,
+    http_head_bytes: 16 * KIB,
     http_headers: 100,
 
     open_requests: 4096,
@@ -47,23 +47,23 @@
     backend_connections: 0,
     connect_timeout: Duration::from_millis(250),
     // What `set_backend_idle_timeout` gives for 15 s, which the deployed settings state.
-    host_idle: Duration::from_secs(14),
+    backend_idle_timeout: Duration::from_secs(14),
     pool_sweep_interval: Duration::from_millis(500),
     connection_settle_time: Duration::from_millis(1),
     backend_stall_timeout: Duration::from_secs(10),
     buffered_answer_stall_timeout: Duration::from_millis(120),
     answer_chunks: 4,
-    http_answer_buffer: MIB,
-    postgres_row_buffer: MAX_VALUE_BYTES,
-    postgres_row: MAX_STORED_VALUE_BYTES + KIB,
+    http_answer_buffer_bytes: MIB,
+    postgres_row_buffer_bytes: MAX_VALUE_BYTES,
+    postgres_row_bytes: MAX_STORED_VALUE_BYTES + KIB,
 
-    discovery_answer: 4 * MIB,
+    discovery_answer_bytes: 4 * MIB,
     // A watch that fell silent must be noticed before a change counts as announced, 6 s after discovery had it: one
     // watch, its timeout, the first backoff and another timeout pass until then.
-    discovery_watch: Duration::from_secs(2),
+    discovery_watch_timeout: Duration::from_secs(2),
     discovery_timeout: Duration::from_secs(1),
     // Short: what discovery has to announce counts whether or not a watch is open.
-    discovery_recheck: Duration::from_millis(100),
+    discovery_recheck_timeout: Duration::from_millis(100),
     // With the longest backoff and another timeout still within the 6 s.
     discovery_timeout_after_failure: Duration::from_millis(2_500),
     discovery_spread: DISCOVERY_CALL_COST,
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -32,7 +32,7 @@
 #[test]
 fn a_silent_watch_is_noticed_within_five_seconds() {
     let limits = Limits::for_sockets(64);
-    let noticed = limits.discovery_watch
+    let noticed = limits.discovery_watch_timeout
         + limits.discovery_timeout
         + limits.discovery_backoff.0
         + limits.discovery_timeout;
@@ -46,7 +46,7 @@
     let mut limits = Limits::for_sockets(64);
     for poolers in [None, Some(1), Some(30), Some(300), Some(u32::MAX)] {
         limits.spread_discovery_calls(poolers);
-        let timed_out = (limits.discovery_watch + limits.discovery_timeout)
+        let timed_out = (limits.discovery_watch_timeout + limits.discovery_timeout)
             .max(limits.discovery_timeout_after_failure)
             + limits.discovery_backoff.1 * 3 / 2;
         // A rejected call ends at once: discovery could not be reached before it had no capacity.
@@ -59,15 +59,15 @@
 /// Guards against a drain that follows the timeout that a client claims, where the settings bound all deadlines.
 #[test]
 fn the_longest_deadline_of_the_classes_bounds_the_drain() {
-    let class = |ms: Option<i64>| Class { deadline: ms.map(TimeDelta::from_millis), ..Class::default() };
-    let drain = |classes: &[Class]| {
+    let millis = |millis: i64| Some(TimeDelta::from_millis(millis));
+    let shutdown_deadline = |deadlines: &[Option<TimeDelta>]| {
         let mut limits = Limits::for_sockets(64);
-        limits.bound_shutdown_by_deadlines(classes);
+        limits.bound_shutdown_by_deadlines(deadlines.iter().copied());
         limits.shutdown_deadline
     };
     let default = Limits::for_sockets(64).shutdown_deadline;
-    assert_eq!(drain(&[class(Some(500)), class(Some(700))]), Duration::from_millis(700));
-    assert_eq!(drain(&[class(Some(60_000))]), default);
-    assert_eq!(drain(&[class(Some(500)), class(None)]), default, "one class states none");
-    assert_eq!(drain(&[]), default);
+    assert_eq!(shutdown_deadline(&[millis(500), millis(700)]), Duration::from_millis(700));
+    assert_eq!(shutdown_deadline(&[millis(60_000)]), default);
+    assert_eq!(shutdown_deadline(&[millis(500), None]), default, "one class states none");
+    assert_eq!(shutdown_deadline(&[]), default);
 }
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,6 +1,6 @@
 //! Why a daemon could not start or had to end.
 
-use super::operator_config::SettingsError;
+use super::operator_config::{OperatorConfigError, SettingsError};
 use crate::address::AddressError;
 use crate::inventory::InventoryError;
 use crate::platform_config::PlatformConfigError;
@@ -33,7 +33,7 @@
         /// The file.
         path: PathBuf,
         /// Line and problem.
-        source: super::operator_config::OperatorConfigError,
+        source: Box<OperatorConfigError>,
     },
     /// The content of an inventory.
     #[error("{}: {source}", path.display())]
@@ -41,7 +41,7 @@
         /// The file.
         path: PathBuf,
         /// Line and problem.
-        source: InventoryError,
+        source: Box<InventoryError>,
     },
     /// The content of the platform's configuration.
     #[error("{}: {source}", path.display())]
@@ -49,7 +49,7 @@
         /// The file.
         path: PathBuf,
         /// Line and problem.
-        source: PlatformConfigError,
+        source: Box<PlatformConfigError>,
     },
     /// An environment variable that should hold an address.
     #[error(transparent)]
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -23,18 +23,24 @@
 use crate::fleet::admin_api;
 use crate::fleet::runtime::Fleet;
 use crate::net::admin_server::AdminServer;
-use crate::net::backend_pool::BackendPool;
+use crate::net::backend_pool::{BackendPool, BackendProtocol};
 use crate::net::lifecycle::Lifecycle;
 use crate::net::listener;
 use crate::net::sparql::front::Front;
 use crate::net::sparql::host::Sparql;
 use agreed_settings::AgreedSettings;
-use async_channel::Receiver;
+use async_channel::{Receiver, Sender};
+use async_executor::Task;
+use async_io::Async;
 use client_front::ClientFront;
 use engine_feeds::EngineFeeds;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
+/// The engine of SPARQL operations.
+type Engine = EngineHandle<<Sparql as BackendProtocol>::Request, <Sparql as BackendProtocol>::Answer>;
+type EngineCommand = Command<<Sparql as BackendProtocol>::Request>;
+
 /// Serves until SIGTERM.
 ///
 /// The order of the start matters: the store's listener and the fleet come first, since a drain that other daemons
@@ -56,58 +62,93 @@
     let lifecycle = Rc::new(Lifecycle::default());
     let client_front = ClientFront::start(&config, client_listener, &limits, &lifecycle, &clock, &executor);
 
-    let agreed = agreed_settings::wait(&fleet, &limits).await;
+    let settings_text = agreed_settings::wait(&fleet, &limits).await;
     agreed_settings::wait_until_current(&fleet, &limits).await;
-    let agreed = AgreedSettings::parse(agreed, &config)?;
+    let agreed = AgreedSettings::parse(settings_text, &config)?;
     fleet.returns_by(agreed.cold_start_policy());
     agreed.adjust(&mut limits);
-    let limits = Rc::new(limits);
-    let AgreedSettings { text: settings_text, settings, classes, .. } = agreed;
+    let daemon = OperatorDaemon { config, fleet, limits: Rc::new(limits), lifecycle, clock, executor };
+    daemon.run(agreed, client_front, hangup).await
+}
+
+/// A daemon that takes part in its fleet and has settings to serve with.
+struct OperatorDaemon {
+    config: Rc<OperatorConfig>,
+    fleet: Rc<Fleet>,
+    limits: Rc<Limits>,
+    lifecycle: Rc<Lifecycle>,
+    clock: Clock,
+    executor: Executor,
+}
 
-    let report_fields = settings.report_fields.clone();
-    let seed = clock.now().as_micros() as u64;
-    let (engine, commands) =
-        engine::start(settings, &classes, seed, &limits, clock.clone()).map_err(DaemonError::EngineStart)?;
-    inventory_reload::spawn(&executor, hangup, &config, &fleet, &limits);
-    let feeds = EngineFeeds::start(&executor, &fleet, &engine, &limits, settings_text).await;
+impl OperatorDaemon {
+    async fn run(
+        self,
+        agreed: AgreedSettings,
+        client_front: ClientFront,
+        hangup: SignalStream,
+    ) -> Result<(), DaemonError> {
+        let AgreedSettings { text: settings_text, settings, classes, .. } = agreed;
+        let report_fields = settings.report_fields.clone();
+        let seed = self.clock.now().as_micros() as u64;
+        let (engine, commands) = engine::start(settings, &classes, seed, &self.limits, self.clock.clone())
+            .map_err(DaemonError::EngineStart)?;
+        inventory_reload::spawn(&self.executor, hangup, &self.config, &self.fleet, &self.limits);
+        let feeds =
+            EngineFeeds::start(&self.executor, &self.fleet, &engine, &self.limits, settings_text).await;
+        let command_task =
+            self.execute_commands(&engine, commands, report_fields, feeds.observations_pending);
+        self.start_admin_server(&engine, &feeds.all_groups_served)?;
+        client_front.begin_serving(Front {
+            limits: self.limits.clone(),
+            handle: engine.clone(),
+            classes,
+            service: self.config.service.clone(),
+            ready: feeds.all_groups_served,
+            duty: self.lifecycle.clone(),
+            breaks: self.fleet.breaks.clone(),
+        });
+        let terminate = SignalStream::subscribe(Signal::Terminate)?;
+        let ClientFront { limiter, acceptor, .. } = client_front;
+        let handover = Handover::Tier;
+        let OperatorDaemon { limits, lifecycle, .. } = self;
+        let daemon = RunningDaemon { limits, limiter, lifecycle, engine, handover, acceptor, command_task };
+        daemon.run(terminate).await
+    }
 
-    let protocol = Sparql::new(limits.clone(), config.host_path.clone(), &config.name, report_fields);
-    let backends = BackendPool::new(protocol, limits.clone(), clock);
-    let fleet_for_hints = fleet.clone();
-    let observations_pending = feeds.observations_pending;
-    let command_task =
-        execute_commands(&executor, &backends, commands, &engine, async move |command| match command {
-            Command::SendToPeers { bytes, .. } => fleet_for_hints.hint(&bytes),
+    fn execute_commands(
+        &self,
+        engine: &Engine,
+        commands: Receiver<EngineCommand>,
+        report_fields: Vec<String>,
+        observations_pending: Sender<()>,
+    ) -> Task<()> {
+        let host_path = self.config.host_path.clone();
+        let protocol = Sparql::new(self.limits.clone(), host_path, &self.config.name, report_fields);
+        let backends = BackendPool::new(protocol, self.limits.clone(), self.clock.clone());
+        let fleet = self.fleet.clone();
+        let execute_other = async move |command| match command {
+            Command::SendToPeers { bytes, .. } => fleet.hint(&bytes),
             // A full channel already holds a notification that has not been read.
             Command::ObservationsPending => drop(observations_pending.try_send(())),
             _ => {}
-        });
-    let all_groups_served = feeds.all_groups_served;
-    if let Some(address) = config.admin {
-        let server = admin_server(&fleet, &limits, &engine, &lifecycle, &all_groups_served);
-        serve_admin(&executor, address, &config.name, &limits, server)?;
+        };
+        execute_commands(&self.executor, &backends, commands, engine, execute_other)
+    }
+
+    fn start_admin_server(&self, engine: &Engine, ready: &Receiver<()>) -> Result<(), DaemonError> {
+        let Some(address) = self.config.admin else { return Ok(()) };
+        let fleet = self.fleet.clone();
+        let fleet_metrics = move || admin_api::figures(&fleet);
+        let server = AdminServer::new(
+            &self.limits,
+            engine.clone(),
+            self.lifecycle.clone(),
+            ready.clone(),
+            fleet_metrics,
+        );
+        serve_admin(&self.executor, address, &self.config.name, &self.limits, server)
     }
-    client_front.begin_serving(Front {
-        limits: limits.clone(),
-        handle: engine.clone(),
-        classes,
-        service: config.service.clone(),
-        ready: all_groups_served,
-        duty: lifecycle.clone(),
-        breaks: fleet.breaks.clone(),
-    });
-    let terminate = SignalStream::subscribe(Signal::Terminate)?;
-    let ClientFront { limiter, acceptor, .. } = client_front;
-    let daemon = RunningDaemon {
-        limits,
-        limiter,
-        lifecycle,
-        engine,
-        handover: Handover::Tier,
-        acceptor,
-        command_task,
-    };
-    daemon.run(terminate).await
 }
 
 fn daemon_limits(config: &OperatorConfig) -> Limits {
@@ -116,18 +157,6 @@
     Limits::for_operator_daemon(machine)
 }
 
-fn bind(address: SocketAddr) -> Result<async_io::Async<std::net::TcpListener>, DaemonError> {
+fn bind(address: SocketAddr) -> Result<Async<TcpListener>, DaemonError> {
     listener::bind(address).map_err(|source| DaemonError::Listen { address, source })
 }
-
-fn admin_server<W: Send + 'static, A: Send + 'static>(
-    fleet: &Rc<Fleet>,
-    limits: &Limits,
-    engine: &EngineHandle<W, A>,
-    lifecycle: &Rc<Lifecycle>,
-    ready: &Receiver<()>,
-) -> AdminServer<W, A> {
-    let fleet = fleet.clone();
-    let fleet_metrics = move || admin_api::figures(&fleet);
-    AdminServer::new(limits, engine.clone(), lifecycle.clone(), ready.clone(), fleet_metrics)
-}
--- a/src/daemon/operator_config.rs
+++ b/src/daemon/operator_config.rs
@@ -83,7 +83,7 @@
     let limits = Limits::for_sockets(0);
     let file = TextFile::read(path, limits.file_bytes)?;
     reader::parse(path, &file.text, file.modified_at, &limits)
-        .map_err(|source| ConfigError::Operator { path: path.to_path_buf(), source })
+        .map_err(|error| ConfigError::Operator { path: path.to_path_buf(), source: Box::new(error) })
 }
 
 /// Reads an inventory. `zones` are the names of the zones by number.
@@ -93,7 +93,7 @@
 pub fn load_inventory(path: &Path, zones: &[String], limits: &Limits) -> Result<InventoryFile, ConfigError> {
     let file = TextFile::read(path, limits.file_bytes)?;
     let inventory = inventory::parse(path, &file.text, zones, limits)
-        .map_err(|source| ConfigError::Inventory { path: path.to_path_buf(), source })?;
+        .map_err(|error| ConfigError::Inventory { path: path.to_path_buf(), source: Box::new(error) })?;
     Ok(InventoryFile { inventory, modified_at: file.modified_at })
 }
 
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -18,21 +18,34 @@
 use crate::clock::Clock;
 use crate::config::{DEFAULT_SOCKETS, Limits, Machine};
 use crate::engine::classes::Classes;
-use crate::engine::{self, Command};
+use crate::engine::{self, Command, EngineHandle};
 use crate::net::admin_server::AdminServer;
-use crate::net::backend_pool::BackendPool;
+use crate::net::backend_pool::{BackendPool, BackendProtocol};
 use crate::net::connection_limiter::ConnectionLimiter;
+use crate::net::gossip_socket::GossipSocket;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::postgres::front::Front;
 use crate::net::postgres::host::PostgresBackend;
 use crate::platform_config::{self, PlatformConfig};
 use crate::time::TimeDelta;
+use async_channel::Receiver;
+use async_executor::Task;
 use async_io::Async;
 use endpoint_lists::{Discovery, EndpointLists};
 use std::net::TcpListener;
 use std::path::PathBuf;
 use std::rc::Rc;
 
+/// Names the administration server's address where the configuration's file states none.
+const ADMIN_VARIABLE: &str = "GW_ADMIN_ADDR";
+/// Names the descriptor of the clients' listening socket where the platform passes one on.
+const INHERITED_SOCKET_VARIABLE: &str = "GW_PASSED_SOCKET";
+
+/// The engine of PostgreSQL statements.
+type Engine =
+    EngineHandle<<PostgresBackend as BackendProtocol>::Request, <PostgresBackend as BackendProtocol>::Answer>;
+type EngineCommand = Command<<PostgresBackend as BackendProtocol>::Request>;
+
 /// Reads the configuration from its file and the environment.
 ///
 /// # Errors
@@ -41,14 +54,15 @@
     let file = PathBuf::from(path);
     let text =
         std::fs::read_to_string(path).map_err(|source| ConfigError::Read { path: file.clone(), source })?;
-    let mut config =
-        platform_config::parse(&text).map_err(|source| ConfigError::Platform { path: file, source })?;
+    let mut config = platform_config::parse(&text)
+        .map_err(|error| ConfigError::Platform { path: file, source: Box::new(error) })?;
+    let admin_variable = std::env::var(ADMIN_VARIABLE).ok().filter(|address| !address.is_empty());
     if config.admin.is_none()
-        && let Some(address) = std::env::var("GW_ADMIN_ADDR").ok().filter(|text| !text.is_empty())
+        && let Some(address) = admin_variable
     {
-        config.admin = Some(parse_address(&address, "GW_ADMIN_ADDR")?);
+        config.admin = Some(parse_address(&address, ADMIN_VARIABLE)?);
     }
-    config.inherited_socket = std::env::var("GW_PASSED_SOCKET").ok();
+    config.inherited_socket = std::env::var(INHERITED_SOCKET_VARIABLE).ok();
     Ok(config)
 }
 
@@ -59,67 +73,128 @@
 pub async fn serve(path: String, config: PlatformConfig, executor: Executor) -> Result<(), DaemonError> {
     // Before anything else: without handlers these signals would end the process with accepted requests unanswered.
     let hangup = SignalStream::subscribe(Signal::Hangup)?;
-    let mut terminate = SignalStream::subscribe(Signal::Terminate)?;
+    let terminate = SignalStream::subscribe(Signal::Terminate)?;
     let limits = Rc::new(limits(&config));
-    let handover = handover(&config);
     let clock = Clock::start();
     let mut settings = config.settings.clone();
     let classes = Classes::new(config.classes.clone(), &mut settings);
     let report_fields = settings.report_fields.clone();
     let (engine, commands) = engine::start(settings, &classes, config.seed, &limits, clock.clone())
         .map_err(DaemonError::EngineStart)?;
-    let lists = EndpointLists::new(config.cached_list.clone());
-
-    let opened = client_socket::open(&config, &limits, &mut terminate).await?;
-    let Some(listener) = opened else { return terminated_early() };
-    let peers = gossip::start(&config, &engine, &limits, &executor)?;
-    log_start(&config, &listener, &limits);
-
-    let discovery = Discovery::new(config.discovery);
-    discovery.follow_configuration(&executor, path, hangup);
-    let first_list = lists.first_list();
-    if config.cached_list.is_some() {
-        lists.serve_cached_if_discovery_is_silent(&executor, &engine, &limits);
+    let protocol = PostgresBackend::new(limits.clone(), report_fields);
+    let backends = BackendPool::new(protocol, limits.clone(), clock);
+    let daemon = PlatformDaemon {
+        lists: EndpointLists::new(config.cached_list.clone()),
+        discovery: Discovery::new(config.discovery),
+        lifecycle: Rc::default(),
+        path,
+        config,
+        limits,
+        classes,
+        engine,
+        backends,
+        executor,
+    };
+    daemon.run(commands, hangup, terminate).await
+}
+
+/// A daemon whose engine runs and that has no sockets yet.
+struct PlatformDaemon {
+    /// The file that `config` was read from.
+    path: String,
+    config: PlatformConfig,
+    limits: Rc<Limits>,
+    classes: Classes,
+    engine: Engine,
+    backends: Rc<BackendPool<PostgresBackend>>,
+    lists: EndpointLists,
+    discovery: Discovery,
+    lifecycle: Rc<Lifecycle>,
+    executor: Executor,
+}
+
+impl PlatformDaemon {
+    async fn run(
+        self,
+        commands: Receiver<EngineCommand>,
+        hangup: SignalStream,
+        mut terminate: SignalStream,
+    ) -> Result<(), DaemonError> {
+        let opened = client_socket::open(&self.config, &self.limits, &mut terminate).await?;
+        let Some(listener) = opened else { return terminated_early() };
+        let peers = gossip::start(&self.config, &self.engine, &self.limits, &self.executor)?;
+        log_start(&self.config, &listener, &self.limits);
+        self.start_lists(hangup);
+        let first_list = self.lists.first_list();
+        self.start_admin_server(&first_list)?;
+        self.discovery.watch(&self.executor, &self.config, &self.lists, &self.engine, &self.limits);
+        let command_task = self.execute_commands(commands, peers);
+
+        let handover = handover(&self.config);
+        if handover == Handover::Successor {
+            // Until this process can serve, all clients on the shared socket are its predecessor's.
+            if terminate.unless_received(reached(&first_list)).await.is_none() {
+                return terminated_early();
+            }
+        }
+        let limiter = ConnectionLimiter::new(self.limits.clone(), self.lifecycle.clone());
+        let front = Front {
+            limits: self.limits.clone(),
+            handle: self.engine.clone(),
+            classes: self.classes,
+            ready: first_list,
+            lifecycle: self.lifecycle.clone(),
+            open_requests: Default::default(),
+        };
+        let acceptor = accept_clients(&self.executor, listener, &limiter, front);
+        let PlatformDaemon { limits, lifecycle, engine, .. } = self;
+        let daemon = RunningDaemon { limits, limiter, lifecycle, engine, handover, acceptor, command_task };
+        daemon.run(terminate).await
     }
-    let lifecycle = Rc::new(Lifecycle::default());
-    if let Some(address) = config.admin {
-        let server =
-            AdminServer::new(&limits, engine.clone(), lifecycle.clone(), first_list.clone(), String::new);
-        serve_admin(&executor, address, &config.name, &limits, server)?;
+
+    /// Follows the configuration's file, and starts with the cached list if discovery is silent.
+    fn start_lists(&self, hangup: SignalStream) {
+        self.discovery.follow_configuration(&self.executor, self.path.clone(), hangup);
+        if self.config.cached_list.is_some() {
+            self.lists.serve_cached_if_discovery_is_silent(&self.executor, &self.engine, &self.limits);
+        }
+    }
+
+    fn start_admin_server(&self, first_list: &Receiver<()>) -> Result<(), DaemonError> {
+        let Some(address) = self.config.admin else { return Ok(()) };
+        let server = AdminServer::new(
+            &self.limits,
+            self.engine.clone(),
+            self.lifecycle.clone(),
+            first_list.clone(),
+            String::new,
+        );
+        serve_admin(&self.executor, address, &self.config.name, &self.limits, server)
     }
-    let fetch_requests = discovery.fetch_requests();
-    discovery.watch(&executor, &config, lists, &engine, &limits);
 
-    let backends =
-        BackendPool::new(PostgresBackend::new(limits.clone(), report_fields), limits.clone(), clock);
-    let command_task =
-        execute_commands(&executor, &backends, commands, &engine, async move |command| match command {
+    fn execute_commands(&self, commands: Receiver<EngineCommand>, peers: Rc<GossipSocket>) -> Task<()> {
+        let fetch_requests = self.discovery.fetch_requests();
+        let execute_other = async move |command| match command {
             Command::SendToPeers { to, bytes } => peers.send(to, &bytes).await,
             // A full channel already holds a request that has not been read.
             Command::FetchList => drop(fetch_requests.try_send(())),
             _ => {}
-        });
-    if handover == Handover::Successor {
-        // Until this process can serve, all clients on the shared socket are its predecessor's.
-        if terminate.unless_received(reached(&first_list)).await.is_none() {
-            return terminated_early();
-        }
+        };
+        execute_commands(&self.executor, &self.backends, commands, &self.engine, execute_other)
     }
-    let front = Rc::new(Front {
-        limits: limits.clone(),
-        handle: engine.clone(),
-        classes,
-        ready: first_list,
-        lifecycle: lifecycle.clone(),
-        open_requests: Default::default(),
-    });
-    let limiter = ConnectionLimiter::new(limits.clone(), lifecycle.clone());
-    let acceptor = Acceptor::start(&executor, listener, &limiter, move |stream, slot, decision| {
+}
+
+fn accept_clients(
+    executor: &Executor,
+    listener: Async<TcpListener>,
+    limiter: &Rc<ConnectionLimiter>,
+    front: Front,
+) -> Acceptor {
+    let front = Rc::new(front);
+    Acceptor::start(executor, listener, limiter, move |stream, slot, decision| {
         let front = front.clone();
         async move { front.serve(stream, slot, decision).await }
-    });
-    let daemon = RunningDaemon { limits, limiter, lifecycle, engine, handover, acceptor, command_task };
-    daemon.run(terminate).await
+    })
 }
 
 fn limits(config: &PlatformConfig) -> Limits {
@@ -130,7 +205,7 @@
     limits.share_client_connections(config.sockets.unwrap_or(DEFAULT_SOCKETS) / 3);
     limits.spread_discovery_calls(config.settings.pooler_count);
     limits.set_backend_idle_timeout(config.backend_idle_secs);
-    limits.bound_shutdown_by_deadlines(&config.settings.classes);
+    limits.bound_shutdown_by_deadlines(config.settings.classes.iter().map(|class| class.deadline));
     if let Some(timeout) = config.settings.connect_timeout {
         limits.connect_timeout = timeout.max(TimeDelta::from_micros(1)).to_duration();
     }
@@ -155,7 +230,7 @@
         "at most {} clients, {} connections to backends, {} KiB of long messages",
         limits.client_connections,
         limits.backend_connections,
-        limits.message_budget / 1024
+        limits.message_budget_bytes / 1024
     );
 }
 
--- a/src/daemon/platform/endpoint_lists.rs
+++ b/src/daemon/platform/endpoint_lists.rs
@@ -14,7 +14,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The current list. There is no store on the platform: it is kept in memory.
+/// The current list. There is no store on the platform: it is kept in memory. Clones share it.
+#[derive(Clone)]
 pub struct EndpointLists {
     catalog: Rc<RefCell<EndpointCatalog>>,
     first_list_sent: Milestone,
@@ -122,7 +123,7 @@
         &self,
         executor: &Executor,
         config: &PlatformConfig,
-        lists: EndpointLists,
+        lists: &EndpointLists,
         engine: &EngineHandle<W, A>,
         limits: &Rc<Limits>,
     ) where
@@ -133,6 +134,7 @@
         let fetch_requests = self.fetch_receiver.clone();
         let zones = config.zones.clone();
         let seed = config.seed;
+        let lists = lists.clone();
         let engine = engine.clone();
         let limits = limits.clone();
         let task = async move {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,37 @@
-//! brookpass: a pooler that routes requests to replicated score hosts.
+//! brookpass: a pooler that routes requests from clients to replicated backends.
 //!
-//! `routing` is the decision module, without any I/O; `engine` owns one such module and knows
-//! no wire; `net` holds the fronts and the host sides. `docs/architecture.md` tells how they fit.
+//! # Where to start reading
 //!
-//! A driver feeds [`Router::handle`] with events and carries out the actions it gets back. One
-//! mechanism decides the ordinary path (see `docs/design.md`): each group's believed primary, a ring
-//! of its other members, holding of writes while there is no primary, and a weighted draw for reads
-//! among the replicas known to be fresh enough.
+//! `docs/architecture.md` describes the program as a whole, `docs/design.md` the routing decisions. In the code, follow a
+//! request: a front accepts it ([`net`]), the engine ([`engine`]) hands it to the decision module ([`routing`]) and
+//! executes the actions that come back, and a pool of backend connections ([`net::backend_pool`]) carries the attempts
+//! out. [`daemon`] shows how these parts are put together.
+//!
+//! # Layers
+//!
+//! Each module uses only modules of the layers below its own:
+//!
+//! | layer | modules | what they are |
+//! | --- | --- | --- |
+//! | program | `main.rs`, [`logger`] | the command line; log records on standard error |
+//! | daemon | [`daemon`], [`platform_config`] | the two kinds of daemon, and their configuration |
+//! | fleet | [`fleet`] | daemons that agree on configuration: peers, recovery, zones, gossip |
+//! | inventory | [`inventory`] | the endpoints as an operator writes them down |
+//! | store | [`store`] | the replicated log and its state on the disk |
+//! | net | [`net`], [`endpoint_list_json`] | everything that speaks on sockets; discovery's list |
+//! | engine | [`engine`] | the thread that owns the decision module, and the table of open requests |
+//! | routing | [`routing`] | the decision module, without any I/O |
+//! | base | [`config`], [`clock`], [`primary_hint`], [`line_error`], [`address`], [`time`], [`ids`] | limits and values |
+//!
+//! # The decision module alone
+//!
+//! A driver feeds [`Router::handle`] with events and carries out the actions that it gets back. One mechanism decides
+//! the ordinary path (see `docs/design.md`): each group's believed primary, a ring of its other endpoints, queueing of
+//! writes while there is no primary, and a weighted draw for reads among the replicas known to be fresh enough.
 //!
 //! ```
-//! use brookpass::routing::*;
 //! use brookpass::Router;
+//! use brookpass::routing::*;
 //!
 //! let write = Class {
 //!     latency_objective: Some(TimeDelta::from_millis(500)),
@@ -36,11 +57,19 @@
 //! router.handle(start, Event::EndpointList { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
 //! actions.clear();
 //!
-//! let (id, client_timeout) = (RequestId(42), TimeDelta::from_secs(2));
-//! let request = IncomingRequest { id, class: 0, group: GroupId(1), session: 9, client_timeout, ..IncomingRequest::default() };
+//! let request = IncomingRequest {
+//!     id: RequestId(42),
+//!     class: 0,
+//!     group: GroupId(1),
+//!     session: 9,
+//!     client_timeout: TimeDelta::from_secs(2),
+//!     ..IncomingRequest::default()
+//! };
 //! router.handle(start + TimeDelta::from_millis(5), Event::Request(request), &mut actions);
-//! let sent = |a: &Action| matches!(a, Action::Send { id: i, endpoint: m, .. } if (*i, *m) == (id, endpoint));
-//! assert!(actions.iter().any(sent));
+//! let is_sent_to_endpoint = |action: &Action| {
+//!     matches!(action, Action::Send { id: RequestId(42), endpoint: chosen, .. } if *chosen == endpoint)
+//! };
+//! assert!(actions.iter().any(is_sent_to_endpoint));
 //! ```
 
 pub mod address;
--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -418,7 +418,9 @@
                 }
                 let (lease, since) = known.idle.remove(n);
                 // The host closes idle connections: a request on one that it has closed may have run.
-                if since.elapsed() < self.limits.host_idle && self.wire.is_silent(&lease.connection) {
+                if since.elapsed() < self.limits.backend_idle_timeout
+                    && self.wire.is_silent(&lease.connection)
+                {
                     return Ok(lease);
                 }
             }
@@ -461,7 +463,7 @@
         loop {
             Timer::after(self.limits.pool_sweep_interval).await;
             for known in self.known.borrow_mut().values_mut() {
-                known.idle.retain(|(_, since)| since.elapsed() < self.limits.host_idle);
+                known.idle.retain(|(_, since)| since.elapsed() < self.limits.backend_idle_timeout);
             }
         }
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -197,10 +197,10 @@
         future::or(read, future::or(closed, timed_out)).await
     }
 
-    /// Reads once behind open requests. Once more than `Limits::read_ahead` bytes are buffered it reads nothing, and
+    /// Reads once behind open requests. Once more than `Limits::read_ahead_bytes` bytes are buffered it reads nothing, and
     /// only waits until the client closes the connection.
     pub async fn read_ahead(&mut self, into: &mut Buffer) -> ReadAhead {
-        if into.unread().len() > self.limits.read_ahead {
+        if into.unread().len() > self.limits.read_ahead_bytes {
             self.arrival_times.pause(self.clock.now());
             while !self.has_departed() {
                 Timer::after(self.limits.departure_check_interval).await;
@@ -214,7 +214,7 @@
     }
 
     /// Waits until the client closes the connection. Input that comes meanwhile is buffered, up to
-    /// `Limits::read_ahead`.
+    /// `Limits::read_ahead_bytes`.
     pub async fn wait_for_departure(&mut self, into: &mut Buffer) {
         while self.read_ahead(into).await == ReadAhead::Received {}
     }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -44,9 +44,9 @@
     /// in which a call says nothing is lost. It may take longer each time, since it may have others to answer.
     fn next(&self, is_watch: bool) -> (Duration, Duration) {
         let Limits {
-            discovery_watch: watch,
+            discovery_watch_timeout: watch,
             discovery_timeout: discovery,
-            discovery_recheck: recheck,
+            discovery_recheck_timeout: recheck,
             discovery_timeout_after_failure: first_list,
             ..
         } = *self.limits;
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -42,14 +42,17 @@
     let limits = Limits::for_sockets(64);
     let mut pace = Pace::new(&limits, 1);
     let silent = io::Error::from(io::ErrorKind::TimedOut);
-    assert_eq!(pace.next(true), (limits.discovery_watch, limits.discovery_watch + limits.discovery_timeout));
+    assert_eq!(
+        pace.next(true),
+        (limits.discovery_watch_timeout, limits.discovery_watch_timeout + limits.discovery_timeout)
+    );
     // The whole list may wait behind the calls of others.
     assert_eq!(pace.next(false).1, limits.discovery_timeout_after_failure);
     let times: Vec<Duration> = (0..4)
         .map(|_| {
             pace.failed(&silent);
             let (wait, time) = pace.next(true);
-            assert_eq!(wait, limits.discovery_recheck);
+            assert_eq!(wait, limits.discovery_recheck_timeout);
             time - wait
         })
         .collect();
@@ -60,6 +63,6 @@
         "{times:?}"
     );
     pace.succeeded();
-    assert_eq!(pace.next(true).0, limits.discovery_watch);
+    assert_eq!(pace.next(true).0, limits.discovery_watch_timeout);
     assert!(pace.failed(&silent) < limits.discovery_backoff.0 * 2, "the pause begins anew");
 }
--- a/src/net/postgres/front/submission.rs
+++ b/src/net/postgres/front/submission.rs
@@ -57,7 +57,7 @@
                 statement_bytes += request.statement_bytes;
             }
         }
-        statement_bytes > limits.read_ahead
+        statement_bytes > limits.read_ahead_bytes
             || self.pending.len() > limits.pipelined_requests * MAX_PENDING_PER_PIPELINED_REQUEST
     }
 
--- a/src/net/postgres/host.rs
+++ b/src/net/postgres/host.rs
@@ -180,8 +180,8 @@
             stream
         };
         let row_limits = RowLimits {
-            max_bytes: self.limits.postgres_row,
-            stream_above_bytes: Some(self.limits.postgres_row_buffer),
+            max_bytes: self.limits.postgres_row_bytes,
+            stream_above_bytes: Some(self.limits.postgres_row_buffer_bytes),
         };
         let response = BackendResponse::to_query(row_limits);
         let received = match self.receive(connection, response, open_stream).await {
--- a/src/net/postgres/session.rs
+++ b/src/net/postgres/session.rs
@@ -68,7 +68,7 @@
         Session {
             state: SessionState::Startup,
             buffer: Buffer::default(),
-            max_message_bytes: limits.client_message,
+            max_message_bytes: limits.client_message_bytes,
             max_startup_bytes: limits.startup_message_bytes,
             pending_queries: 0,
             max_pending_queries: limits.pipelined_requests,
--- a/src/net/sparql/host.rs
+++ b/src/net/sparql/host.rs
@@ -179,7 +179,7 @@
                 };
                 return Ok(done(result, (result == AttemptOutcome::Served).then_some(answer), keeps));
             }
-            if body.len() > self.limits.http_answer_buffer {
+            if body.len() > self.limits.http_answer_buffer_bytes {
                 break;
             }
         }
