--- a/src/net/connection_limiter/tests.rs
+++ b/src/net/connection_limiter/tests.rs
@@ -1,173 +1,181 @@
-//! Places of connections, and who makes room for whom.
+//! Slots of connections, and which connection closes for another one.
 
 use super::*;
 use crate::config::Machine;
+use std::time::{Duration, Instant};
 
-/// Guards against a front that runs out of descriptors, and against clients that are shut out by idle ones.
+fn limiter(limits: Limits) -> Rc<ConnectionLimiter> {
+    ConnectionLimiter::new(Rc::new(limits), Rc::default())
+}
+
+fn ago(time: Duration) -> Instant {
+    Instant::now().checked_sub(time).unwrap()
+}
+
+fn close_idle(limiter: &ConnectionLimiter) {
+    eviction::close_idle(&limiter.active.borrow(), &limiter.limits);
+}
+
+/// Guards against a front that runs out of descriptors, and against clients that are locked out by idle connections.
 #[test]
-fn the_longest_idle_makes_room_and_the_rest_are_told() {
+fn the_longest_idle_connection_makes_room_and_further_ones_are_rejected() {
     let limits = Limits { client_connections: 2, rejected_connections: 1, ..Limits::for_sockets(64) };
-    let seats = ConnectionLimiter::new(Rc::new(limits), Rc::default());
-    let take = || seats.admit().map(|(place, welcome)| (place, welcome == AcceptDecision::Serve));
-    let (first, second) = (take().unwrap(), take().unwrap());
-    let busy = |place: &ConnectionSlot| place.set_state(SlotState::Busy, Instant::now());
-    [&first.0, &second.0].into_iter().for_each(busy);
-    assert!(first.1 && second.1);
-    let turned_away = take().unwrap();
-    assert!(!turned_away.1, "none is idle");
-    assert!(take().is_none(), "nor is there room to say so");
-    drop(turned_away);
-    second.0.set_state(SlotState::Idle, Instant::now());
-    let third = take().unwrap();
-    busy(&third.0);
-    assert!(third.1 && second.0.must_close() && !first.0.must_close());
-    assert!(take().is_none(), "the idle one has not ended yet");
+    let limiter = limiter(limits);
+    let is_served = |slot: &ConnectionSlot| slot.decision() == AcceptDecision::Serve;
+    let set_busy = |slot: &ConnectionSlot| slot.set_state(SlotState::Busy, Instant::now());
+    let (first, second) = (limiter.admit().unwrap(), limiter.admit().unwrap());
+    [&first, &second].into_iter().for_each(set_busy);
+    assert!(is_served(&first) && is_served(&second));
+    let rejected = limiter.admit().unwrap();
+    assert!(!is_served(&rejected), "none is idle");
+    assert!(limiter.admit().is_none(), "nor is there room to reject it");
+    drop(rejected);
+    second.set_state(SlotState::Idle, Instant::now());
+    let third = limiter.admit().unwrap();
+    set_busy(&third);
+    assert!(is_served(&third) && second.must_close() && !first.must_close());
+    assert!(limiter.admit().is_none(), "the idle one has not closed yet");
     drop(second);
-    assert_eq!(seats.active_connections(), 2);
+    assert_eq!(limiter.active_connections(), 2);
 }
 
-/// Guards against hundreds of connections that say nothing and shut out those that ask.
+/// Guards against hundreds of connections that send nothing and lock out those that send requests.
 #[test]
-fn those_that_say_nothing_make_room_first() {
+fn silent_connections_make_room_before_idle_ones() {
     let limits = Limits { client_connections: 3, rejected_connections: 1, ..Limits::for_sockets(64) };
-    let (grace, seats) = (limits.silent_client_grace, ConnectionLimiter::new(Rc::new(limits), Rc::default()));
-    let take = || seats.admit().map(|(place, _)| place).unwrap();
-    let (idle, silent, busy) = (take(), take(), take());
-    let ago = |span| Instant::now().checked_sub(span).unwrap();
+    let grace = limits.silent_client_grace;
+    let limiter = limiter(limits);
+    let admit = || limiter.admit().unwrap();
+    let (idle, silent, busy) = (admit(), admit(), admit());
     idle.set_state(SlotState::Idle, ago(grace * 9));
     busy.set_state(SlotState::Busy, ago(grace * 9));
     silent.set_state(SlotState::AwaitingRequest, ago(grace * 2));
-    let new = take();
+    let new = admit();
     assert!(silent.must_close() && !idle.must_close());
     drop(silent);
     new.set_state(SlotState::AwaitingRequest, Instant::now());
-    let newer = take();
-    assert!(idle.must_close() && !new.must_close(), "one that has just come may still ask");
+    let newer = admit();
+    assert!(idle.must_close() && !new.must_close(), "one that was just accepted may still send a request");
     drop(idle);
     newer.set_state(SlotState::Busy, Instant::now());
-    let _newest = take();
+    let _newest = admit();
     assert!(new.must_close() && !busy.must_close() && !newer.must_close());
 }
 
-/// Guards against those that ask once and stay: clients hold only so many connections, and those that go on
-/// asking would find none.
+/// Guards against clients that send one request and stay connected: connections are limited, and clients that go on
+/// sending requests would find none.
 #[test]
-fn idle_connections_end_and_in_a_crowd_those_that_asked_once_go_first() {
+fn idle_connections_close_and_in_a_crowd_those_used_once_close_first() {
     let limits = Limits { client_connections: 9, crowded_clients: 3, ..Limits::for_sockets(64) };
-    let (grace, long, seats) = (
-        limits.silent_client_grace,
-        limits.client_idle,
-        ConnectionLimiter::new(Rc::new(limits), Rc::default()),
-    );
-    let take = |asked: u32, idle: std::time::Duration| {
-        let (place, _) = seats.admit().unwrap();
-        (0..asked).for_each(|_| place.request_received());
-        place.set_state(SlotState::Idle, Instant::now().checked_sub(idle).unwrap());
-        place
+    let (grace, max_idle) = (limits.silent_client_grace, limits.client_idle_timeout);
+    let limiter = limiter(limits);
+    let admit = |requests: u32, idle_time: Duration| {
+        let slot = limiter.admit().unwrap();
+        (0..requests).for_each(|_| slot.request_received());
+        slot.set_state(SlotState::Idle, ago(idle_time));
+        slot
     };
-    let ended = |places: &[ConnectionSlot]| places.iter().map(ConnectionSlot::must_close).collect::<Vec<_>>();
-    let mut places = vec![take(5, grace * 3), take(1, grace * 2), take(1, grace * 4)];
-    seats.relieve();
-    assert_eq!(ended(&places), [false, false, false], "three are no crowd");
-    places.extend([take(1, grace / 9), take(2, grace * 5)]);
-    seats.relieve();
-    assert_eq!(ended(&places), [false, true, true, false, false], "all that asked once a while ago");
-    places.push(take(7, long));
-    seats.relieve();
-    assert!(places[5].must_close() && !places[0].must_close() && !places[4].must_close());
-    let (silent, _) = seats.admit().unwrap();
-    silent.set_state(SlotState::AwaitingRequest, Instant::now().checked_sub(long).unwrap());
-    seats.relieve();
-    assert!(!silent.must_close(), "its own time is looked at elsewhere");
+    let closing = |slots: &[ConnectionSlot]| slots.iter().map(ConnectionSlot::must_close).collect::<Vec<_>>();
+    let mut slots = vec![admit(5, grace * 3), admit(1, grace * 2), admit(1, grace * 4)];
+    close_idle(&limiter);
+    assert_eq!(closing(&slots), [false, false, false], "three are not too many");
+    slots.extend([admit(1, grace / 9), admit(2, grace * 5)]);
+    close_idle(&limiter);
+    assert_eq!(closing(&slots), [false, true, true, false, false], "all that were used once, past the grace");
+    slots.push(admit(7, max_idle));
+    close_idle(&limiter);
+    assert!(slots[5].must_close() && !slots[0].must_close() && !slots[4].must_close());
+    let silent = limiter.admit().unwrap();
+    silent.set_state(SlotState::AwaitingRequest, ago(max_idle));
+    close_idle(&limiter);
+    assert!(!silent.must_close(), "its time to send a request is bounded elsewhere");
 }
 
-/// Guards against clients whose long messages together take more memory than there is.
+/// Guards against clients whose long messages together use more memory than there is.
 #[test]
 fn long_messages_share_one_budget() {
-    let limits = Limits { unbudgeted_message: 10, message_budget: 100, ..Limits::for_sockets(64) };
-    let seats = ConnectionLimiter::new(Rc::new(limits), Rc::default());
-    let take = || seats.admit().map(|(place, _)| place).unwrap();
-    let (mut one, mut two) = (take(), take());
-    assert!(
-        one.try_reserve_message_bytes(60)
-            && two.try_reserve_message_bytes(10)
-            && two.try_reserve_message_bytes(40)
-            && one.try_reserve_message_bytes(50)
-    );
+    let limits =
+        Limits { unbudgeted_message_bytes: 10, message_budget_bytes: 100, ..Limits::for_sockets(64) };
+    let limiter = limiter(limits);
+    let (mut one, mut two) = (limiter.admit().unwrap(), limiter.admit().unwrap());
+    assert!(one.try_reserve_message_bytes(60));
+    assert!(two.try_reserve_message_bytes(10));
+    assert!(two.try_reserve_message_bytes(40));
+    assert!(one.try_reserve_message_bytes(50));
     assert!(!two.try_reserve_message_bytes(51), "there is room for 50");
     drop(one);
     assert!(two.try_reserve_message_bytes(100));
     assert!(two.try_reserve_message_bytes(0));
-    assert_eq!(seats.held.get(), 0);
+    assert_eq!(limiter.reserved_message_bytes.get(), 0);
 }
 
+/// Guards against limits that add up to more descriptors or memory than the process may use.
 #[test]
-fn the_limits_add_up_to_what_the_process_may_hold() {
+fn the_limits_add_up_to_what_the_process_may_use() {
     for sockets in [64, 256, 384, 1024, 20_000] {
         let platform = Machine::platform(Some(sockets), Some(32.0));
         let half = platform.half().with_admin_server();
         for machine in [Machine::operator(sockets), platform, platform.with_admin_server(), half] {
-            let l = Limits::on(machine);
-            let (door, sockets) = (l.for_admin_server(), machine.sockets);
+            let limits = Limits::on(machine);
+            let (admin, sockets) = (limits.for_admin_server(), machine.sockets);
+            let (clients, backends) = (limits.client_connections, limits.backend_connections);
+            let rejected = limits.rejected_connections;
             if machine.reserved + 16 <= sockets {
-                assert!(
-                    l.client_connections + l.rejected_connections + l.backend_connections + machine.reserved
-                        <= sockets,
-                    "{machine:?}"
-                );
+                assert!(clients + rejected + backends + machine.reserved <= sockets, "{machine:?}");
             }
+            assert!(clients > 0 && rejected > 0 && backends > 0, "{machine:?}");
+            assert_eq!(admin.client_connections > 0, machine.has_admin_server, "{machine:?}");
             assert!(
-                l.client_connections > 0 && l.rejected_connections > 0 && l.backend_connections > 0,
-                "{machine:?}"
-            );
-            assert_eq!(door.client_connections > 0, machine.has_admin_server, "{machine:?}");
-            assert!(
-                platform.reserved + door.client_connections + door.rejected_connections < machine.reserved
+                platform.reserved + admin.client_connections + admin.rejected_connections < machine.reserved
                     || !machine.has_admin_server
             );
-            // Clients hold at most a third for requests, and each of these may have an attempt out.
+            // Clients use at most a third for requests, and each of these may have an attempt in flight.
             let third = sockets.saturating_sub(machine.reserved) / 3;
-            assert!(l.client_connections >= third && l.backend_connections >= third, "{machine:?}");
-            assert!(l.message_budget * 5 <= (machine.memory_mb * 1024.0 * 1024.0) as usize, "{machine:?}");
+            assert!(clients >= third && backends >= third, "{machine:?}");
+            assert!(
+                limits.message_budget_bytes * 5 <= (machine.memory_mb * 1024.0 * 1024.0) as usize,
+                "{machine:?}"
+            );
         }
     }
 }
 
-/// Guards against connections that are closed in good order for so long that no room is left for new ones, and against
-/// an end that waits for none of them.
+/// Guards against orderly closes that leave no room for new connections, and against a shutdown that does not wait for
+/// rejected connections.
 #[test]
-fn those_that_are_being_closed_make_room_first() {
+fn closing_connections_make_room_first() {
     let limits = Limits { client_connections: 2, rejected_connections: 2, ..Limits::for_sockets(64) };
-    let seats = ConnectionLimiter::new(Rc::new(limits), Rc::default());
-    let take = || seats.admit().unwrap();
-    let ((idle, _), (closing, _)) = (take(), take());
+    let limiter = limiter(limits);
+    let admit = || limiter.admit().unwrap();
+    let (idle, closing) = (admit(), admit());
     idle.set_state(SlotState::Idle, Instant::now());
     closing.set_state(SlotState::Closing, Instant::now());
-    let (new, welcome) = take();
-    assert_eq!((welcome, idle.must_close()), (AcceptDecision::Serve, false));
-    assert!(closing.cut.is_closed(), "its descriptor is needed");
+    let new = admit();
+    assert_eq!((new.decision(), idle.must_close()), (AcceptDecision::Serve, false));
+    assert!(closing.is_evicted(), "its descriptor is needed");
     new.set_state(SlotState::Busy, Instant::now());
     idle.set_state(SlotState::Busy, Instant::now());
-    let (told, welcome) = take();
-    assert_eq!((welcome, seats.open_connections()), (AcceptDecision::Reject, 4));
-    assert!(!told.must_close() && !told.cut.is_closed(), "it has time to read why");
-    told.set_state(SlotState::Closing, Instant::now());
-    assert!(seats.admit().is_none() && told.cut.is_closed(), "and makes room for the next");
+    let rejected = admit();
+    assert_eq!((rejected.decision(), limiter.open_connections()), (AcceptDecision::Reject, 4));
+    assert!(!rejected.must_close() && !rejected.is_evicted(), "it has time to read why");
+    rejected.set_state(SlotState::Closing, Instant::now());
+    assert!(limiter.admit().is_none() && rejected.is_evicted(), "and makes room for the next");
     drop((idle, closing, new));
     assert_eq!(
-        (seats.active_connections(), seats.open_connections()),
+        (limiter.active_connections(), limiter.open_connections()),
         (0, 1),
-        "one that is turned away is waited for at the end"
+        "a rejected one is waited for at shutdown"
     );
 }
 
-/// Guards against half a request that is cut off where no room is needed, and one that is kept where it is.
+/// Guards against a partial request that is dropped though no room is needed, and against one that outlasts the
+/// shutdown.
 #[test]
-fn a_part_of_a_request_ends_only_for_room_or_at_the_very_end() {
-    let seats = ConnectionLimiter::new(Rc::new(Limits::for_sockets(64)), Rc::default());
-    let (part, _) = seats.admit().unwrap();
-    seats.close_after_request();
-    assert!(part.must_close() && !part.cut.is_closed());
-    seats.abort_incomplete();
-    assert!(part.cut.is_closed());
+fn a_partial_request_is_dropped_only_for_room_or_at_the_end_of_the_shutdown() {
+    let limiter = limiter(Limits::for_sockets(64));
+    let partial = limiter.admit().unwrap();
+    limiter.close_after_request();
+    assert!(partial.must_close() && !partial.is_evicted());
+    limiter.abort_incomplete();
+    assert!(partial.is_evicted());
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,6 +3,7 @@
 pub mod admin_server;
 pub mod answer_stream;
 pub mod backend_pool;
+mod bind_retry;
 pub mod buffer;
 pub mod connection;
 pub mod connection_limiter;
@@ -10,6 +11,7 @@
 pub mod gossip_socket;
 pub mod http;
 pub mod inherited_socket;
+pub mod latch;
 pub mod lifecycle;
 pub mod listener;
 pub mod postgres;
