--- a/src/fleet/admin_api.rs
+++ b/src/fleet/admin_api.rs
@@ -20,7 +20,9 @@
     loop {
         let (bytes, keeps) = match server::next(&mut link, &mut buffer, &fleet.limits).await {
             Next::Over => break,
-            Next::Refused(status, why) => (server::answer(status, &[("Connection", "close")], &why), false),
+            Next::Refused(error) => {
+                (server::answer(error.status(), &[("Connection", "close")], &error.to_string()), false)
+            }
             Next::Request(request) if Fleet::is_link(&request) => return fleet.serve(link, buffer).await,
             Next::Request(request) => {
                 let (status, text) = answer(&fleet, &request).await;
--- a/src/main.rs
+++ b/src/main.rs
@@ -147,9 +147,9 @@
         let mut client = Client::connect(store).await?;
         client.call(request.as_bytes(), &Limits::for_sockets(0)).await
     };
-    let (head, body, _) = async_io::block_on(call).map_err(|source| ProgramError::Call { store, source })?;
-    let answer = String::from_utf8_lossy(&body).into_owned();
-    if head.line[1] != "200" {
+    let response = async_io::block_on(call).map_err(|source| ProgramError::Call { store, source })?;
+    let answer = String::from_utf8_lossy(&response.body).into_owned();
+    if response.head.status_text() != "200" {
         return Err(ProgramError::RecoveryRejected { store, answer });
     }
     Ok(answer)
--- a/src/net/admin_server.rs
+++ b/src/net/admin_server.rs
@@ -4,12 +4,12 @@
 use super::connection::ClientConnection;
 use super::connection_limiter::{AcceptDecision, ConnectionSlot};
 use super::http::server::{self, Next, Request};
+use super::latch::Latch;
 use super::lifecycle::{Lifecycle, ServingState};
 use super::until;
 use crate::config::Limits;
 use crate::engine::EngineHandle;
 use crate::engine::metrics::Gauges;
-use async_channel::Receiver;
 use async_io::Async;
 use std::cell::Cell;
 use std::net::TcpStream;
@@ -21,8 +21,8 @@
     limits: Rc<Limits>,
     handle: EngineHandle<W, A>,
     duty: Rc<Lifecycle>,
-    /// Closed once the process can serve.
-    ready: Receiver<()>,
+    /// Set once the process can serve.
+    ready: Latch,
     /// What held when the core was asked last.
     last: Cell<Gauges>,
     /// Figures of other parts, a line each.
@@ -61,7 +61,7 @@
         limits: &Limits,
         handle: EngineHandle<W, A>,
         duty: Rc<Lifecycle>,
-        ready: Receiver<()>,
+        ready: Latch,
         more: impl Fn() -> String + 'static,
     ) -> AdminServer<W, A> {
         let (limits, more) = (Rc::new(limits.for_admin_server()), Box::new(more));
@@ -81,14 +81,14 @@
             AcceptDecision::Reject => server::answer(503, &[], "too many calls at once"),
             AcceptDecision::Serve => match server::next(&mut link, &mut buffer, &self.limits).await {
                 Next::Over => return,
-                Next::Refused(status, why) => {
-                    log::debug!("door: {why}");
-                    server::answer(status, &[], &why)
+                Next::Refused(error) => {
+                    log::debug!("door: {error}");
+                    server::answer(error.status(), &[], &error.to_string())
                 }
                 Next::Request(request) => self.answer(&request).await,
             },
         };
-        if link.write(&server::with_end(answer, true)).await.is_ok() {
+        if link.write(&server::with_connection_close(answer)).await.is_ok() {
             let _ = link.linger().await;
         }
     }
@@ -100,7 +100,7 @@
             Err((status, _)) => server::answer(status, &[], "nothing is here"),
             Ok(Call::Ready) => match self.duty.state() {
                 ServingState::Terminating => text(false, "ending"),
-                _ if !self.ready.is_closed() => text(false, "no list of hosts yet"),
+                _ if !self.ready.is_set() => text(false, "no list of hosts yet"),
                 ServingState::Drained => text(true, "ready, drained"),
                 ServingState::Serving => text(true, "ready"),
             },
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,6 +1,6 @@
 //! Watches discovery and hands every list to the core at once.
 
-use super::http::client::Client;
+use super::http::client::{Client, Response};
 use super::until;
 use crate::config::Limits;
 use crate::endpoint_list_json;
@@ -82,8 +82,8 @@
             None => Client::connect(address).await?,
         };
         let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
-        let (head, body, keeps) = client.call(request.as_bytes(), limits).await?;
-        *kept = keeps.then_some(client);
+        let Response { head, body, is_reusable } = client.call(request.as_bytes(), limits).await?;
+        *kept = is_reusable.then_some(client);
         if head.line[1] != "200" {
             let busy = matches!(head.line[1].as_str(), "429" | "503");
             let kind = if busy { io::ErrorKind::ResourceBusy } else { io::ErrorKind::InvalidData };
--- /dev/null
+++ b/src/net/http/body/tests.rs
@@ -0,0 +1,60 @@
+//! Bodies in pieces of any size, cut short and out of form.
+
+use super::*;
+use crate::config::Limits;
+
+/// Decodes the body of a response that arrives in pieces: its data, and whether it is complete.
+fn decode(text: &str, piece: usize) -> Result<(Vec<u8>, bool), MessageError> {
+    let received = Head::decode(text.as_bytes(), &Limits::for_sockets(64))?.expect("the head is complete");
+    let mut body = Body::of_response(&received.head)?;
+    let mut data = Vec::new();
+    let mut buffer = Vec::new();
+    for bytes in text.as_bytes()[received.length..].chunks(piece) {
+        buffer.extend_from_slice(bytes);
+        let used = body.decode(&buffer, &mut data, 4096)?;
+        buffer.drain(..used);
+    }
+    Ok((data, body.is_complete()))
+}
+
+#[test]
+fn a_chunked_body_is_the_same_in_pieces_of_any_size() {
+    let text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n6;x=y\r\n world\r\n0\r\nA: b\r\n\r\n";
+    for piece in 1..text.len() {
+        assert_eq!(decode(text, piece), Ok((b"hello world".to_vec(), true)), "in pieces of {piece}");
+    }
+}
+
+/// Guards against passing on an answer that was cut short as if it were complete.
+#[test]
+fn a_truncated_body_is_not_complete() {
+    let cut = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhello";
+    assert_eq!(decode(cut, 100), Ok((b"hello".to_vec(), false)));
+    let cut = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n";
+    assert_eq!(decode(cut, 100), Ok((b"hello".to_vec(), false)));
+}
+
+/// Guards against smuggled requests: a message with contradictory framings is rejected.
+#[test]
+fn contradictory_framings_are_rejected() {
+    for headers in [
+        "Content-Length: 3\r\nTransfer-Encoding: chunked",
+        "Content-Length: 3\r\nContent-Length: 4",
+        "Content-Length: +3",
+        "Transfer-Encoding: gzip, chunked",
+    ] {
+        let text = format!("HTTP/1.1 200 OK\r\n{headers}\r\n\r\nabc");
+        assert!(decode(&text, 100).is_err(), "{headers}");
+    }
+}
+
+/// Guards against trailer sections that never end: neither a length nor a deadline bounds a response that has begun.
+#[test]
+fn endless_trailer_sections_are_rejected() {
+    let trailers = |lines: usize| {
+        let begun = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n";
+        decode(&format!("{begun}{}\r\n", "A: bcdefgh\r\n".repeat(lines)), 4096)
+    };
+    assert_eq!(trailers(100), Ok((b"x".to_vec(), true)));
+    assert_eq!(trailers(2_000), Err(MessageError::TooLarge));
+}
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -1,6 +1,8 @@
-//! The calling side: one connection, one exchange at a time.
+//! The client side of HTTP/1.1: one connection, one exchange at a time.
 
-use super::codec::{Body, Head, Malformed, head};
+use super::body::Body;
+use super::head::{Head, ReceivedHead};
+use super::status;
 use crate::config::Limits;
 use crate::net::buffer::Buffer;
 use async_io::Async;
@@ -15,123 +17,165 @@
     buffer: Buffer,
 }
 
-impl From<Malformed> for io::Error {
-    fn from(why: Malformed) -> io::Error {
-        io::Error::new(io::ErrorKind::InvalidData, why.to_string())
-    }
+/// A response that was read completely.
+#[derive(Clone, Debug)]
+pub struct Response {
+    /// Its head.
+    pub head: Head,
+    /// Its body.
+    pub body: Vec<u8>,
+    /// Whether the connection may carry another request.
+    pub is_reusable: bool,
+}
+
+/// How far a body has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BodyProgress {
+    /// More is to come.
+    Partial,
+    /// The body is complete.
+    Complete,
+}
+
+fn unexpected_end<T>() -> io::Result<T> {
+    Err(io::ErrorKind::UnexpectedEof.into())
 }
 
 impl Client {
     /// Takes a stream over.
     pub fn new(stream: Async<TcpStream>) -> Client {
-        let address = stream.get_ref().peer_addr().map_or_else(|_| "host".into(), |a| a.to_string());
+        let address = stream.get_ref().peer_addr().map_or_else(|_| "host".into(), |peer| peer.to_string());
         Client { address, stream, buffer: Buffer::default() }
     }
 
-    /// Where it leads, as a `Host` header says it.
+    /// The server's address, as a `Host` header states it.
     pub fn address(&self) -> &str {
         &self.address
     }
 
     /// Opens a connection.
+    ///
+    /// # Errors
+    /// The connection cannot be made.
     pub async fn connect(address: SocketAddr) -> io::Result<Client> {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
         Ok(Client::new(stream))
     }
 
-    /// Whether nothing came since the last answer.
+    /// Whether nothing has come since the last response: neither bytes nor the end of the stream.
     pub fn is_silent(&self) -> bool {
         self.buffer.unread().is_empty() && crate::net::is_silent(&self.stream)
     }
 
     /// Writes a request.
+    ///
+    /// # Errors
+    /// The connection broke.
     pub async fn send(&mut self, request: &[u8]) -> io::Result<()> {
         self.stream.write_all(request).await
     }
 
-    /// Reads the head of the answer; interim answers are passed over.
-    pub async fn head(&mut self, limits: &Limits) -> io::Result<Head> {
+    /// Reads the head of the final response; interim responses (1xx) are skipped.
+    ///
+    /// # Errors
+    /// The connection broke or ended, or the head is out of form ([`io::ErrorKind::InvalidData`]).
+    pub async fn read_head(&mut self, limits: &Limits) -> io::Result<Head> {
         loop {
-            if let Some((head, used)) = head(self.buffer.unread(), limits)? {
-                self.buffer.consume(used);
-                let code = head.line[1].as_str();
-                if head.line[0].starts_with("HTTP/1.")
-                    && code.len() == 3
-                    && code.bytes().all(|b| b.is_ascii_digit())
-                {
-                    if code.starts_with('1') {
-                        continue;
-                    }
-                    return Ok(head);
-                }
-                return Err(Malformed::Form("the status line is out of form").into());
+            let head = self.next_head(limits).await?;
+            let is_interim = (100..200).contains(&head.status()?);
+            if !is_interim {
+                return Ok(head);
             }
-            if self.buffer.fill(&self.stream).await? == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
+        }
+    }
+
+    async fn next_head(&mut self, limits: &Limits) -> io::Result<Head> {
+        loop {
+            if let Some(ReceivedHead { head, length }) = Head::decode(self.buffer.unread(), limits)? {
+                self.buffer.consume(length);
+                return Ok(head);
+            }
+            if self.more().await? == 0 {
+                return unexpected_end();
             }
         }
     }
 
-    /// Reads the next part of a body, into at most `most` bytes; true once it is whole.
-    pub async fn part(&mut self, body: &mut Body, into: &mut Vec<u8>, most: usize) -> io::Result<bool> {
-        let used = body.take(self.buffer.unread(), into, most)?;
+    /// Decodes what has come of a body and reads once more where it is not complete; the data is appended to `into`,
+    /// up to `max_bytes`.
+    ///
+    /// # Errors
+    /// The connection broke, the body was cut short, or it is out of form ([`io::ErrorKind::InvalidData`]).
+    pub async fn read_body_part(
+        &mut self,
+        body: &mut Body,
+        into: &mut Vec<u8>,
+        max_bytes: usize,
+    ) -> io::Result<BodyProgress> {
+        let used = body.decode(self.buffer.unread(), into, max_bytes)?;
         self.buffer.consume(used);
-        if *body == Body::Done {
-            return Ok(true);
+        if body.is_complete() {
+            return Ok(BodyProgress::Complete);
         }
-        if self.buffer.fill(&self.stream).await? == 0 {
-            // Only a body that lasts until the end may end so; any other was cut short.
-            return if *body == Body::UntilEnd { Ok(true) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+        if self.more().await? > 0 {
+            return Ok(BodyProgress::Partial);
         }
-        Ok(false)
+        // Only a body that lasts until the end of the stream may end so; any other was cut short.
+        if body.ends_with_stream() { Ok(BodyProgress::Complete) } else { unexpected_end() }
     }
 
-    /// Reads the answer to an upgrade: from here on the connection speaks something else.
+    /// Reads the response to an upgrade: from here on the connection carries another protocol.
+    ///
+    /// # Errors
+    /// The connection broke or ended, the head is out of form, or the server refused the upgrade.
     pub async fn upgraded(&mut self, limits: &Limits) -> io::Result<()> {
-        loop {
-            if let Some((head, used)) = head(self.buffer.unread(), limits)? {
-                self.buffer.consume(used);
-                return if head.line[1] == "101" {
-                    Ok(())
-                } else {
-                    Err(io::Error::other(format!("status {}", head.line[1])))
-                };
-            }
-            if self.more().await? == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
-            }
+        let head = self.next_head(limits).await?;
+        if head.status_text() == status::SWITCHING_PROTOCOLS.to_string() {
+            return Ok(());
         }
+        Err(io::Error::other(format!("status {}", head.status_text())))
     }
 
-    /// What came and was not used.
+    /// Bytes that were received but not used.
     pub fn unread(&self) -> &[u8] {
         self.buffer.unread()
     }
 
-    /// Uses so many bytes of it.
-    pub fn consume(&mut self, n: usize) {
-        self.buffer.consume(n);
+    /// Uses `count` of the received bytes.
+    pub fn consume(&mut self, count: usize) {
+        self.buffer.consume(count);
     }
 
-    /// Reads once more; 0 at the end of the stream.
+    /// Reads once; 0 at the end of the stream.
+    ///
+    /// # Errors
+    /// The connection broke.
     pub async fn more(&mut self) -> io::Result<usize> {
         self.buffer.fill(&self.stream).await
     }
 
     /// Reads once into another buffer; 0 at the end of the stream.
+    ///
+    /// # Errors
+    /// The connection broke.
     pub async fn more_of(&self, into: &mut Buffer) -> io::Result<usize> {
         into.fill(&self.stream).await
     }
 
-    /// Sends a request and reads the whole answer; the second value: the connection may be used again.
-    pub async fn call(&mut self, request: &[u8], limits: &Limits) -> io::Result<(Head, Vec<u8>, bool)> {
+    /// Sends a request and reads the complete response.
+    ///
+    /// # Errors
+    /// The connection broke or ended, or the response is out of form or too large ([`io::ErrorKind::InvalidData`]).
+    pub async fn call(&mut self, request: &[u8], limits: &Limits) -> io::Result<Response> {
         self.send(request).await?;
-        let head = self.head(limits).await?;
-        let mut framing = Body::of(&head, true)?;
-        let keeps = head.keeps_open(&head.line[0]) && framing != Body::UntilEnd;
+        let head = self.read_head(limits).await?;
+        let mut framing = Body::of_response(&head)?;
+        let is_reusable = head.response_keeps_open() && !framing.ends_with_stream();
         let mut body = Vec::new();
-        while !self.part(&mut framing, &mut body, limits.discovery_answer).await? {}
-        Ok((head, body, keeps))
+        while self.read_body_part(&mut framing, &mut body, limits.discovery_answer_bytes).await?
+            != BodyProgress::Complete
+        {}
+        Ok(Response { head, body, is_reusable })
     }
 }
--- a/src/net/http/form.rs
+++ b/src/net/http/form.rs
@@ -1,29 +1,43 @@
-//! Query strings and urlencoded forms.
+//! Query strings and bodies of type `application/x-www-form-urlencoded`.
 
-use super::codec::Malformed;
+use super::error::FormError;
 
-/// Decodes one name or value.
-fn decode(text: &str) -> Result<String, Malformed> {
-    let (mut out, mut bytes) = (Vec::with_capacity(text.len()), text.bytes());
-    while let Some(b) = bytes.next() {
-        out.push(match b {
-            b'+' => b' ',
+/// The parameters of a query string or a form, decoded, in order.
+///
+/// # Errors
+/// A percent sign without its two digits, or a parameter that is not UTF-8.
+pub fn decode_parameters(text: &str) -> Result<Vec<(String, String)>, FormError> {
+    let mut parameters = Vec::new();
+    for parameter in text.split('&') {
+        if parameter.is_empty() {
+            continue;
+        }
+        let (name, value) = parameter.split_once('=').unwrap_or((parameter, ""));
+        parameters.push((percent_decode(name)?, percent_decode(value)?));
+    }
+    Ok(parameters)
+}
+
+/// Decodes a name or a value: `+` is a space, `%XX` a byte.
+fn percent_decode(text: &str) -> Result<String, FormError> {
+    let mut decoded = Vec::with_capacity(text.len());
+    let mut bytes = text.bytes();
+    while let Some(byte) = bytes.next() {
+        match byte {
+            b'+' => decoded.push(b' '),
             b'%' => {
-                let mut digit = || bytes.next().and_then(|d| char::from(d).to_digit(16));
-                let pair = digit().zip(digit()).ok_or(Malformed::Form("a broken percent escape"))?;
-                (pair.0 * 16 + pair.1) as u8
+                let high = hex_digit(bytes.next())?;
+                let low = hex_digit(bytes.next())?;
+                decoded.push(high * 16 + low);
             }
-            b => b,
-        });
+            other => decoded.push(other),
+        }
     }
-    String::from_utf8(out).map_err(|_| Malformed::Form("a parameter is not UTF-8"))
+    String::from_utf8(decoded).map_err(|_| FormError::NotUtf8)
 }
 
-/// The pairs of a query string or form.
-pub fn pairs(text: &str) -> Result<Vec<(String, String)>, Malformed> {
-    let part = |p: &str| {
-        let (name, value) = p.split_once('=').unwrap_or((p, ""));
-        Ok((decode(name)?, decode(value)?))
-    };
-    text.split('&').filter(|p| !p.is_empty()).map(part).collect()
+fn hex_digit(byte: Option<u8>) -> Result<u8, FormError> {
+    let digit = byte.and_then(|byte| char::from(byte).to_digit(16));
+    let digit = digit.and_then(|digit| u8::try_from(digit).ok());
+    digit.ok_or(FormError::InvalidPercentEncoding)
 }
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -1,11 +1,17 @@
-//! The answering side: requests that are read whole, and answers.
+//! The server side of HTTP/1.1: requests that are read completely, and responses.
 
-use super::codec::{Body, Head, Malformed, head};
+use super::body::Body;
+use super::error::{MessageError, RequestError};
+use super::head::{Head, ReceivedHead};
+use super::status;
 use crate::config::Limits;
 use crate::net::buffer::Buffer;
 use crate::net::connection::{ClientConnection, ReadEvent, RequestProgress};
 
-/// A request that came whole.
+/// The interim response to a request that expects one before it sends its body.
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// A request that was read completely.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its head.
@@ -17,12 +23,13 @@
 impl Request {
     /// Path and query string of its target.
     pub fn target(&self) -> (&str, &str) {
-        self.head.line[1].split_once('?').unwrap_or((&self.head.line[1], ""))
+        let target = self.head.request_target();
+        target.split_once('?').unwrap_or((target, ""))
     }
 
-    /// Whether the connection stays open after its answer.
+    /// Whether the connection persists after its response.
     pub fn keeps_open(&self) -> bool {
-        self.head.keeps_open(&self.head.line[2])
+        self.head.request_keeps_open()
     }
 }
 
@@ -30,142 +37,139 @@
 pub enum Next {
     /// A request.
     Request(Box<Request>),
-    /// The connection is over.
+    /// The connection is over; nobody waits for a response.
     Over,
-    /// Something that is no request: a status to close with.
-    Refused(u16, String),
+    /// What came is no request that can be served: the response is an error, and the connection ends after it.
+    Refused(RequestError),
+}
+
+/// Why a request was not read.
+enum ReadFailure {
+    ConnectionOver,
+    Refused(RequestError),
 }
 
-/// Words for a status.
-pub fn reason(status: u16) -> &'static str {
-    match status {
-        200 => "OK",
-        204 => "No Content",
-        400 => "Bad Request",
-        403 => "Forbidden",
-        404 => "Not Found",
-        405 => "Method Not Allowed",
-        408 => "Request Timeout",
-        409 => "Conflict",
-        413 => "Content Too Large",
-        415 => "Unsupported Media Type",
-        431 => "Request Header Fields Too Large",
-        501 => "Not Implemented",
-        502 => "Bad Gateway",
-        503 => "Service Unavailable",
-        504 => "Gateway Timeout",
-        505 => "HTTP Version Not Supported",
-        _ => "Other",
+impl From<RequestError> for ReadFailure {
+    fn from(error: RequestError) -> ReadFailure {
+        ReadFailure::Refused(error)
     }
 }
 
-/// Adds to an answer that the connection ends after it, where it does.
-pub fn with_end(mut answer: Vec<u8>, ends: bool) -> Vec<u8> {
-    let line = answer.windows(2).position(|w| w == b"\r\n").filter(|_| ends);
-    if let Some(at) = line {
-        answer.splice(at..at, *b"\r\nConnection: close");
+/// Adds to a response that the connection closes after it.
+pub fn with_connection_close(mut response: Vec<u8>) -> Vec<u8> {
+    let status_line_end = response.windows(2).position(|window| window == b"\r\n");
+    if let Some(end) = status_line_end {
+        response.splice(end..end, *b"\r\nConnection: close");
     }
-    answer
+    response
 }
 
-/// The bytes of an answer's head.
+/// The head of a response.
 pub fn answer_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
-    let mut out = format!("HTTP/1.1 {status} {}\r\n", reason(status));
+    let mut head = format!("HTTP/1.1 {status} {}\r\n", status::reason_phrase(status));
     for (name, value) in headers {
-        out += &format!("{name}: {value}\r\n");
+        for part in [name, ": ", value, "\r\n"] {
+            head.push_str(part);
+        }
     }
-    out += "\r\n";
-    out.into_bytes()
+    head.push_str("\r\n");
+    head.into_bytes()
 }
 
-/// A whole answer in plain text.
+/// A complete response in plain text; a line feed is appended to the text.
 pub fn answer(status: u16, headers: &[(&str, &str)], text: &str) -> Vec<u8> {
     let length = (text.len() + 1).to_string();
     let mut all = vec![("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", length.as_str())];
     all.extend_from_slice(headers);
-    let mut out = answer_head(status, &all);
-    out.extend_from_slice(text.as_bytes());
-    out.push(b'\n');
-    out
-}
-
-fn refused(why: &Malformed, too_large: u16) -> Next {
-    let status = if *why == Malformed::TooLarge { too_large } else { 400 };
-    Next::Refused(status, why.to_string())
+    let mut response = answer_head(status, &all);
+    response.extend_from_slice(text.as_bytes());
+    response.push(b'\n');
+    response
 }
 
 /// Waits for the next request of a connection.
-pub async fn next(link: &mut ClientConnection, buffer: &mut Buffer, limits: &Limits) -> Next {
-    while buffer.unread().is_empty() {
-        if let Err(over) = hear(link, RequestProgress::NotStarted, buffer).await {
-            return over;
+pub async fn next(connection: &mut ClientConnection, buffer: &mut Buffer, limits: &Limits) -> Next {
+    match read_request(connection, buffer, limits).await {
+        Ok(request) => {
+            connection.request_received();
+            Next::Request(Box::new(request))
         }
+        Err(ReadFailure::ConnectionOver) => Next::Over,
+        Err(ReadFailure::Refused(error)) => Next::Refused(error),
     }
-    let next = whole(link, buffer, limits).await;
-    if matches!(next, Next::Request(_)) {
-        link.request_received();
-    }
-    next
 }
 
-/// Waits for more, or tells how it is over. What has begun must be whole within its time.
-async fn hear(
-    link: &mut ClientConnection,
-    progress: RequestProgress,
+async fn read_request(
+    connection: &mut ClientConnection,
     buffer: &mut Buffer,
-) -> Result<(), Next> {
-    match link.wait_for_input(progress, buffer).await {
-        Ok(ReadEvent::Data) => Ok(()),
-        Ok(ReadEvent::TimedOut) => Err(Next::Refused(408, "no whole request came in time".into())),
-        Ok(ReadEvent::OverBudget) => Err(Next::Refused(503, "no room for a message of this length".into())),
-        Ok(ReadEvent::Evicted) => Err(Next::Refused(503, "no room for a request that is not whole".into())),
-        Ok(ReadEvent::Closed | ReadEvent::CloseRequested) | Err(_) => Err(Next::Over),
+    limits: &Limits,
+) -> Result<Request, ReadFailure> {
+    while buffer.unread().is_empty() {
+        wait_for_input(connection, RequestProgress::NotStarted, buffer).await?;
     }
+    let head = read_head(connection, buffer, limits).await?;
+    if !head.request_version().starts_with("HTTP/1.") {
+        return Err(RequestError::UnsupportedVersion.into());
+    }
+    let framing = Body::of_request(&head).map_err(RequestError::InvalidBody)?;
+    let expects_continue = !framing.is_complete() && head.has("expect", "100-continue");
+    if expects_continue && connection.write(CONTINUE).await.is_err() {
+        return Err(ReadFailure::ConnectionOver);
+    }
+    let body = read_body(connection, buffer, framing, limits.client_message_bytes).await?;
+    Ok(Request { head, body })
 }
 
-async fn whole(link: &mut ClientConnection, buffer: &mut Buffer, limits: &Limits) -> Next {
-    let head = loop {
-        match head(buffer.unread(), limits) {
-            Ok(Some((head, used))) => {
-                buffer.consume(used);
-                break head;
-            }
-            Ok(None) => {
-                let held = buffer.unread().len();
-                if let Err(over) = hear(link, RequestProgress::Partial { bytes: held }, buffer).await {
-                    return over;
-                }
-            }
-            Err(why) => return refused(&why, 431),
+async fn read_head(
+    connection: &mut ClientConnection,
+    buffer: &mut Buffer,
+    limits: &Limits,
+) -> Result<Head, ReadFailure> {
+    loop {
+        let decoded = Head::decode(buffer.unread(), limits).map_err(RequestError::InvalidHead)?;
+        if let Some(ReceivedHead { head, length }) = decoded {
+            buffer.consume(length);
+            return Ok(head);
         }
-    };
-    if !head.line[2].starts_with("HTTP/1.") {
-        return Next::Refused(505, "only HTTP/1.1 is spoken".into());
-    }
-    let mut framing = match Body::of(&head, false) {
-        Ok(framing) => framing,
-        Err(why) => return refused(&why, 413),
-    };
-    let asks = framing != Body::Done && head.has("expect", "100-continue");
-    if asks && link.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.is_err() {
-        return Next::Over;
+        let progress = RequestProgress::Partial { bytes: buffer.unread().len() };
+        wait_for_input(connection, progress, buffer).await?;
     }
+}
+
+async fn read_body(
+    connection: &mut ClientConnection,
+    buffer: &mut Buffer,
+    mut framing: Body,
+    max_bytes: usize,
+) -> Result<Vec<u8>, ReadFailure> {
     let mut body = Vec::new();
     loop {
-        match framing.take(buffer.unread(), &mut body, limits.client_message) {
-            Ok(used) => buffer.consume(used),
-            Err(why) => return refused(&why, 413),
-        }
-        if framing == Body::Done {
-            return Next::Request(Box::new(Request { head, body }));
-        }
-        // A stated length over the limit is refused before all of it has come.
-        if matches!(framing, Body::Length(n) | Body::Chunk(n) if n > limits.client_message) {
-            return refused(&Malformed::TooLarge, 413);
+        let decoded = framing.decode(buffer.unread(), &mut body, max_bytes);
+        let used = decoded.map_err(RequestError::InvalidBody)?;
+        buffer.consume(used);
+        if framing.is_complete() {
+            return Ok(body);
         }
-        let held = body.len() + buffer.unread().len();
-        if let Err(over) = hear(link, RequestProgress::Partial { bytes: held }, buffer).await {
-            return over;
+        // A stated length above the limit is rejected before all of it has come.
+        if framing.announced_bytes() > max_bytes {
+            return Err(RequestError::InvalidBody(MessageError::TooLarge).into());
         }
+        let progress = RequestProgress::Partial { bytes: body.len() + buffer.unread().len() };
+        wait_for_input(connection, progress, buffer).await?;
+    }
+}
+
+/// Waits for more bytes of a request. One that has begun must be complete within its time.
+async fn wait_for_input(
+    connection: &mut ClientConnection,
+    progress: RequestProgress,
+    buffer: &mut Buffer,
+) -> Result<(), ReadFailure> {
+    match connection.wait_for_input(progress, buffer).await {
+        Ok(ReadEvent::Data) => Ok(()),
+        Ok(ReadEvent::TimedOut) => Err(RequestError::Timeout.into()),
+        Ok(ReadEvent::OverBudget) => Err(RequestError::MessageBudgetExhausted.into()),
+        Ok(ReadEvent::Evicted) => Err(RequestError::Evicted.into()),
+        Ok(ReadEvent::Closed | ReadEvent::CloseRequested) | Err(_) => Err(ReadFailure::ConnectionOver),
     }
 }
