--- a/src/net/postgres/front.rs
+++ b/src/net/postgres/front.rs
@@ -15,11 +15,11 @@
 use crate::engine::classes::Classes;
 use crate::net::connection::ClientConnection;
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
+use crate::net::latch::Latch;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::session_hash;
 use crate::routing::IncomingRequest;
 use crate::time::Timestamp;
-use async_channel::Receiver;
 use async_io::Async;
 use client::ClientHandler;
 pub use open_requests::OpenRequestIds;
@@ -35,8 +35,8 @@
     pub handle: EngineHandle<Arc<Statement>, QueryAnswer>,
     /// The classes by name.
     pub classes: Classes,
-    /// Closed once the first endpoint list has arrived.
-    pub ready: Receiver<()>,
+    /// Set once the first endpoint list has arrived.
+    pub ready: Latch,
     /// Whether the process serves, is drained or terminates.
     pub lifecycle: Rc<Lifecycle>,
     /// Ids of the requests that have no answer yet.
--- a/src/net/postgres/front/client.rs
+++ b/src/net/postgres/front/client.rs
@@ -120,7 +120,7 @@
     /// Answers the readiness query once the process is ready, or when the limit of that wait is over.
     async fn answer_empty_query(&mut self) -> io::Result<ControlFlow<()>> {
         let ready = async {
-            while self.front.ready.recv().await.is_ok() {}
+            self.front.ready.wait().await;
             ControlFlow::Continue(())
         };
         let connection = &mut self.connection;
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -1,36 +1,53 @@
-//! The clients' side: HTTP requests in, one final answer each.
+//! The front for SPARQL clients: what its connections share, and how one connection is served.
+//!
+//! - `starting`: connections while nothing can be served yet
+//! - `responder`: responses, complete or streamed
 
-use super::host::{Answer, Content, lost};
-use super::operation::{self, Operation, Refusal};
-use super::{CLASS, COME_BACK, GROUP, POSITION};
-use crate::clock::Clock;
+mod responder;
+mod starting;
+
+use super::client_error::ClientError;
+use super::error::OperationError;
+use super::host::HostAnswer;
+use super::operation::{Operation, OperationKind};
+use super::response_head::lost_commit_answer;
 use crate::config::Limits;
 use crate::engine::classes::Classes;
 use crate::engine::log_rollback::LogRollbacks;
 use crate::engine::{EngineHandle, FinalAnswer, Input};
+use crate::ids::GroupId;
 use crate::net::buffer::Buffer;
-use crate::net::connection::{ClientConnection, ReadAhead};
+use crate::net::connection::ClientConnection;
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
 use crate::net::http::server::{self, Next, Request};
+use crate::net::http::status;
+use crate::net::latch::Latch;
 use crate::net::lifecycle::{Lifecycle, ServingState};
-use crate::routing::*;
+use crate::net::session_hash;
+use crate::routing::IncomingRequest;
+use crate::time::{TimeDelta, Timestamp};
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::future;
+use responder::{AfterResponse, Responder};
+pub use starting::serve_early;
 use std::cell::RefCell;
 use std::io;
 use std::net::TcpStream;
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What the operator says about the front.
+/// The path of the readiness check.
+const READINESS_PATH: &str = "/-/ready";
+
+/// What the operator's file says about the front.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
-    /// Where clients find it.
+    /// The path of the operation endpoint.
     pub path: String,
     /// Class of a query that names none.
     pub query: String,
-    /// Class of a query with a position that names none.
+    /// Class of a query with a position that names none; without one it is that of any query.
     pub session: Option<String>,
     /// Class of an update that names none.
     pub update: String,
@@ -40,259 +57,202 @@
 
 /// What all connections of the front share.
 pub struct Front {
-    /// The limits.
+    /// Limits of connections, messages and times.
     pub limits: Rc<Limits>,
-    /// The way to the core.
-    pub handle: EngineHandle<Arc<Operation>, Answer>,
+    /// Submits requests to the engine.
+    pub handle: EngineHandle<Arc<Operation>, HostAnswer>,
     /// The classes by name.
     pub classes: Classes,
-    /// What the operator says.
+    /// The path, and defaults of requests.
     pub service: Service,
-    /// Closed once all groups are served.
-    pub ready: Receiver<()>,
-    /// Whether the pooler is at work.
-    pub duty: Rc<Lifecycle>,
-    /// What groups have lost.
-    pub breaks: Rc<RefCell<LogRollbacks>>,
-}
-
-/// Serves a connection while nothing can be served yet: whatever is asked is refused at once, with `again` as the
-/// time to come back, which may differ from call to call. One answer a connection: the next one may find more.
-pub async fn serve_early(
-    stream: Async<TcpStream>,
-    place: ConnectionSlot,
-    limits: Rc<Limits>,
-    clock: Clock,
-    again: impl Fn() -> TimeDelta,
-) {
-    let mut link = ClientConnection::new(stream, place, limits.clone(), clock);
-    let mut buffer = Buffer::default();
-    let answer = match server::next(&mut link, &mut buffer, &limits).await {
-        Next::Over => return,
-        Next::Refused(status, why) => server::answer(status, &[], &why),
-        Next::Request(request) if request.target().0 == "/-/ready" => {
-            server::answer(503, &[], "no list of hosts yet")
-        }
-        Next::Request(_) => refusal(Some(again()), "this daemon has just started"),
-    };
-    let _ = reply(&mut link, true, answer).await;
-    let _ = link.linger().await;
-}
-
-/// What becomes of a connection after an answer.
-enum After {
-    Open,
-    Close,
-    /// It ends in the midst of things.
-    Cut,
+    /// Set once all groups are served.
+    pub ready: Latch,
+    /// Whether the process serves, is drained or terminates.
+    pub lifecycle: Rc<Lifecycle>,
+    /// Commits that groups have lost.
+    pub log_rollbacks: Rc<RefCell<LogRollbacks>>,
 }
 
-fn refusal(retry_after: Option<TimeDelta>, text: &str) -> Vec<u8> {
-    let ms = retry_after.unwrap_or(TimeDelta::from_secs(1)).or_zero().as_millis();
-    // The standard header counts in seconds: rounded up, so that nobody comes too early by it.
-    let seconds = ((ms + 999) / 1000).max(1).to_string();
-    server::answer(503, &[("Retry-After", &seconds), (COME_BACK, &ms.max(1).to_string())], text)
+/// An operation that can be submitted.
+struct PreparedOperation {
+    request: IncomingRequest,
+    client_timeout: TimeDelta,
+    operation: Operation,
 }
 
 impl Front {
     /// Serves one connection to its end.
-    pub async fn serve(&self, stream: Async<TcpStream>, place: ConnectionSlot, welcome: AcceptDecision) {
-        let mut link = ClientConnection::new(stream, place, self.limits.clone(), self.handle.clock().clone());
-        if welcome == AcceptDecision::Reject {
-            let again = Some(TimeDelta::from(self.limits.front_retry_after));
-            let _ = link.write(&refusal(again, "too many connections")).await;
-            let _ = link.linger().await;
+    pub async fn serve(&self, stream: Async<TcpStream>, slot: ConnectionSlot, decision: AcceptDecision) {
+        let clock = self.handle.clock().clone();
+        let mut connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
+        if decision == AcceptDecision::Reject {
+            let error = ClientError::TooManyConnections { retry_after: self.retry_after() };
+            let _ = connection.write(&error.to_response()).await;
+            let _ = connection.linger().await;
             return;
         }
         let mut buffer = Buffer::default();
         loop {
-            match server::next(&mut link, &mut buffer, &self.limits).await {
-                Next::Over => break,
-                Next::Refused(status, why) => {
-                    log::warn!("client: {why}");
-                    if link.write(&server::answer(status, &[("Connection", "close")], &why)).await.is_err() {
-                        return;
-                    }
-                    break;
-                }
-                Next::Request(request) => match self.request(&mut link, &mut buffer, &request).await {
-                    Ok(After::Open) if !(link.ends() && buffer.unread().is_empty()) => {}
-                    Ok(After::Open | After::Close) => break,
-                    // Without an end: the client must see that what it has is not whole.
-                    Ok(After::Cut) | Err(_) => return,
-                },
+            match self.serve_request(&mut connection, &mut buffer).await {
+                Ok(AfterResponse::KeepOpen) if !(connection.ends() && buffer.unread().is_empty()) => {}
+                Ok(AfterResponse::KeepOpen | AfterResponse::Close) => break,
+                // No proper end of the connection: the client must see that what it has is not complete.
+                Ok(AfterResponse::Abort) | Err(_) => return,
             }
         }
-        let _ = link.linger().await;
+        let _ = connection.linger().await;
     }
 
-    /// Answers one request.
-    async fn request(
+    /// Waits for a request and answers it.
+    async fn serve_request(
         &self,
-        link: &mut ClientConnection,
+        connection: &mut ClientConnection,
         buffer: &mut Buffer,
-        request: &Request,
-    ) -> io::Result<After> {
+    ) -> io::Result<AfterResponse> {
+        match server::next(connection, buffer, &self.limits).await {
+            Next::Over => Ok(AfterResponse::Close),
+            Next::Refused(error) => {
+                log::warn!("client: request rejected: {error}");
+                let close = [("Connection", "close")];
+                connection.write(&server::answer(error.status(), &close, &error.to_string())).await?;
+                Ok(AfterResponse::Close)
+            }
+            Next::Request(request) => {
+                let mut responder = Responder { connection, buffer, request: &request };
+                self.answer(&request, &mut responder).await
+            }
+        }
+    }
+
+    async fn answer(&self, request: &Request, responder: &mut Responder<'_>) -> io::Result<AfterResponse> {
         let (path, _) = request.target();
-        let ends = !request.keeps_open() || link.ends();
-        if path == "/-/ready" {
-            let (status, text) = match self.ready.is_closed() {
-                _ if self.duty.state() == ServingState::Drained => (503, "drained"),
-                true => (200, "ready"),
-                false => (503, "not all groups are served yet"),
-            };
-            return reply(link, ends, server::answer(status, &[], text)).await;
+        if path == READINESS_PATH {
+            return responder.write(self.readiness()).await;
         }
         if path != self.service.path {
-            return reply(link, ends, server::answer(404, &[], "nothing is here")).await;
+            return responder.write(ClientError::NotFound.to_response()).await;
         }
-        let (ask, client_timeout, operation) = match operation::read(request).and_then(|o| self.ask(o)) {
-            Ok(asked) => asked,
-            Err(Refusal(status, why)) => {
-                log::warn!("client: {why}");
-                let allow = [("Allow", "GET, POST")];
-                let headers = if status == 405 { &allow[..] } else { &[] };
-                return reply(link, ends, server::answer(status, headers, &why)).await;
+        match Operation::parse(request).and_then(|operation| self.prepare(operation)) {
+            Ok(prepared) => self.run(prepared, responder).await,
+            Err(error) => {
+                log::warn!("client: operation rejected: {error}");
+                responder.write(ClientError::from(error).to_response()).await
             }
-        };
-        let commit = operation.position.filter(|_| !operation.update);
-        if let Some(position) = commit.and_then(|at| self.breaks.borrow().lost(ask.group, at)) {
-            return serve(link, buffer, request, lost(position)).await;
         }
-        let margin = TimeDelta::from(self.limits.answer_margin);
-        let arrived = link.arrival_time(buffer.unread().len());
-        if link.has_departed() {
-            return Ok(After::Cut);
+    }
+
+    fn readiness(&self) -> Vec<u8> {
+        if self.lifecycle.state() == ServingState::Drained {
+            return server::answer(status::SERVICE_UNAVAILABLE, &[], "drained");
         }
-        let deadline = arrived + (client_timeout - margin).or_zero();
-        let Some((id, reply)) = self.handle.submit(ask, deadline, Arc::new(operation)).await else {
-            let again = Some(TimeDelta::from(self.limits.front_retry_after));
-            return reply(link, true, refusal(again, "the pooler is ending")).await;
-        };
-        let last = async { Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { overdue: false })) };
-        let gone = async {
-            link.wait_for_departure(buffer).await;
-            None
-        };
-        let Some(last) = future::or(last, gone).await else {
-            self.handle.input(Input::RequestCancelled(id)).await;
-            return Ok(After::Cut);
-        };
-        let written = self.answer(link, buffer, request, last).await;
-        if !matches!(written, Ok(After::Open | After::Close)) {
-            // Whatever is still on its way for this client ends now.
-            self.handle.input(Input::RequestCancelled(id)).await;
+        if !self.ready.is_set() {
+            return server::answer(status::SERVICE_UNAVAILABLE, &[], "not all groups are served yet");
         }
-        written
+        server::answer(status::OK, &[], "ready")
     }
 
-    fn ask(&self, operation: Operation) -> Result<(IncomingRequest, TimeDelta, Operation), Refusal> {
-        let s = &self.service;
-        let query = s.session.as_ref().filter(|_| operation.position.is_some()).unwrap_or(&s.query);
-        let name = operation.class.as_ref().unwrap_or(if operation.update { &s.update } else { query });
-        let class = self.classes.find(name, operation.key.is_some());
-        let class = class.ok_or_else(|| Refusal(400, format!("{CLASS}: no class {name:?}")))?;
-        // An update that goes the way of reads would reach a replica.
-        if operation.update && !self.classes.writes(name) {
-            return Err(Refusal(400, format!("{CLASS}: {name:?} is no class for updates")));
+    /// Completes an operation with the defaults, and checks that its class can serve it.
+    fn prepare(&self, operation: Operation) -> Result<PreparedOperation, OperationError> {
+        let class_name = operation.class.as_deref().unwrap_or_else(|| self.default_class(&operation));
+        let has_key = operation.key.is_some();
+        let Some(class) = self.classes.find(class_name, has_key) else {
+            return Err(OperationError::UnknownClass(class_name.to_string()));
+        };
+        if operation.is_update() && !self.classes.writes(class_name) {
+            return Err(OperationError::ClassNotForUpdates(class_name.to_string()));
         }
-        // A class with a bound looks at its bound alone: the client would take an older answer for a newer one.
-        if operation.position.is_some() && !self.classes.sees_positions(name) {
-            return Err(Refusal(400, format!("{POSITION}: {name:?} is no class that looks at positions")));
+        if operation.position.is_some() && !self.classes.sees_positions(class_name) {
+            return Err(OperationError::ClassIgnoresPositions(class_name.to_string()));
         }
-        let group = operation.group.or(s.group);
-        let group =
-            group.ok_or_else(|| Refusal(400, format!("{GROUP} names no group, and there is no default")))?;
+        let group = operation.group.or(self.service.group).ok_or(OperationError::MissingGroup)?;
         let now = self.handle.clock().now();
-        let last_commit_age = operation.position.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
-        let session = operation.session.as_deref().map_or(0, crate::net::session_hash);
-        let client_timeout = operation.client_timeout.or(self.classes.deadline(name));
+        // A client's clock that is a little ahead makes the age zero, not negative.
+        let last_commit_age =
+            operation.position.map(|position| (now - position.commit_time(Timestamp::ZERO)).or_zero());
+        let session = operation.session.as_deref().map_or(0, session_hash);
+        let client_timeout = operation.client_timeout.or(self.classes.deadline(class_name));
         let client_timeout = client_timeout.unwrap_or(TimeDelta::from(self.limits.default_client_timeout));
-        Ok((
-            IncomingRequest { class, group, last_commit_age, session, ..IncomingRequest::default() },
-            client_timeout,
-            operation,
-        ))
+        let request =
+            IncomingRequest { class, group, last_commit_age, session, ..IncomingRequest::default() };
+        Ok(PreparedOperation { request, client_timeout, operation })
+    }
+
+    /// The class of an operation that names none.
+    fn default_class(&self, operation: &Operation) -> &str {
+        let service = &self.service;
+        match (operation.kind, &service.session) {
+            (OperationKind::Update, _) => &service.update,
+            (OperationKind::Query, Some(session)) if operation.position.is_some() => session,
+            (OperationKind::Query, _) => &service.query,
+        }
     }
 
-    /// Writes the final answer.
-    async fn answer(
+    /// Submits an operation and writes its answer.
+    async fn run(
         &self,
-        link: &mut ClientConnection,
-        buffer: &mut Buffer,
-        request: &Request,
-        last: FinalAnswer<Answer>,
-    ) -> io::Result<After> {
-        let bytes = match last {
-            FinalAnswer::Served(answer) => return serve(link, buffer, request, answer).await,
-            FinalAnswer::Rejected { overdue: true, .. } | FinalAnswer::Failed { overdue: true } => {
-                server::answer(504, &[], "no answer came in time")
-            }
-            FinalAnswer::Rejected { retry_after, .. } => {
-                refusal(retry_after, "no score host can take this now")
-            }
-            FinalAnswer::Failed { .. } => {
-                server::answer(502, &[], "the request failed; it may have had an effect")
-            }
-            FinalAnswer::UnknownGroup => server::answer(404, &[], "no list names this group"),
+        prepared: PreparedOperation,
+        responder: &mut Responder<'_>,
+    ) -> io::Result<AfterResponse> {
+        let PreparedOperation { request, client_timeout, operation } = prepared;
+        let session_commit = operation.position.filter(|_| !operation.is_update());
+        let lost = session_commit.and_then(|commit| self.log_rollbacks.borrow().lost(request.group, commit));
+        if let Some(position) = lost {
+            return responder.write_answer(lost_commit_answer(position)).await;
+        }
+        let arrived = responder.connection.arrival_time(responder.buffer.unread().len());
+        if responder.connection.has_departed() {
+            return Ok(AfterResponse::Abort);
+        }
+        // The answer has to reach the client before it stops waiting.
+        let margin = TimeDelta::from(self.limits.answer_margin);
+        let deadline = arrived + (client_timeout - margin).or_zero();
+        let Some((id, reply)) = self.handle.submit(request, deadline, Arc::new(operation)).await else {
+            let error = ClientError::Terminating { retry_after: self.retry_after() };
+            return responder.write_and_close(error.to_response()).await;
+        };
+        let written = match self.wait_for_answer(&reply, responder).await {
+            Some(answer) => write_final_answer(answer, responder).await,
+            None => Ok(AfterResponse::Abort),
         };
-        reply(link, !request.keeps_open() || link.ends(), bytes).await
+        if !matches!(written, Ok(AfterResponse::KeepOpen | AfterResponse::Close)) {
+            // Whatever is still under way for this client ends now.
+            self.handle.input(Input::RequestCancelled(id)).await;
+        }
+        written
     }
-}
 
-/// Writes a whole answer, and with it whether the connection ends.
-async fn reply(link: &mut ClientConnection, ends: bool, answer: Vec<u8>) -> io::Result<After> {
-    link.write(&server::with_end(answer, ends)).await?;
-    Ok(if ends { After::Close } else { After::Open })
+    /// Waits for the final answer; `None` where the client leaves before.
+    async fn wait_for_answer(
+        &self,
+        reply: &Receiver<FinalAnswer<HostAnswer>>,
+        responder: &mut Responder<'_>,
+    ) -> Option<FinalAnswer<HostAnswer>> {
+        let answered = async { Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { overdue: false })) };
+        let client_left = async {
+            responder.connection.wait_for_departure(responder.buffer).await;
+            None
+        };
+        // An answer that has come is written even if the client has just left.
+        future::or(answered, client_left).await
+    }
+
+    fn retry_after(&self) -> TimeDelta {
+        TimeDelta::from(self.limits.front_retry_after)
+    }
 }
 
-async fn serve(
-    link: &mut ClientConnection,
-    buffer: &mut Buffer,
-    request: &Request,
-    answer: Answer,
-) -> io::Result<After> {
-    let Answer { status, headers, content } = answer;
-    let mut headers: Vec<(&str, &str)> = headers.iter().map(|(n, v)| (n.as_str(), v.as_str())).collect();
-    match content {
-        Content::Whole(body) => {
-            let length = body.len().to_string();
-            if status != 204 {
-                headers.push(("Content-Length", &length));
-            }
-            let mut bytes = server::answer_head(status, &headers);
-            bytes.extend_from_slice(&body);
-            reply(link, !request.keeps_open() || link.ends(), bytes).await
-        }
-        Content::Parts(_) if request.head.line[2] != "HTTP/1.1" => {
-            // Without chunks the end of the connection would be the end of the answer, cut short or not.
-            reply(link, true, server::answer(502, &[], "the answer is too long for HTTP/1.0")).await?;
-            Ok(After::Cut)
-        }
-        Content::Parts(parts) => {
-            headers.push(("Transfer-Encoding", "chunked"));
-            link.write(&server::answer_head(status, &headers)).await?;
-            loop {
-                let next = async { Ok(parts.recv().await) };
-                let more = async { Err(link.read_ahead(buffer).await) };
-                let part = match future::or(next, more).await {
-                    Ok(Ok(part)) => part,
-                    Ok(Err(_)) => break,
-                    Err(ReadAhead::Received) => continue,
-                    // A host that stalls must not hold an attempt for a client that has gone.
-                    Err(ReadAhead::Departed) => return Ok(After::Cut),
-                };
-                if part.is_empty() {
-                    link.write(b"0\r\n\r\n").await?;
-                    return Ok(if request.keeps_open() { After::Open } else { After::Close });
-                }
-                let mut chunk = format!("{:x}\r\n", part.len()).into_bytes();
-                chunk.extend_from_slice(&part);
-                chunk.extend_from_slice(b"\r\n");
-                link.write(&chunk).await?;
-            }
-            log::warn!("a host broke off in the midst of an answer");
-            Ok(After::Cut)
+async fn write_final_answer(
+    answer: FinalAnswer<HostAnswer>,
+    responder: &mut Responder<'_>,
+) -> io::Result<AfterResponse> {
+    let error = match answer {
+        FinalAnswer::Served(answer) => return responder.write_answer(answer).await,
+        FinalAnswer::Rejected { overdue: true, .. } | FinalAnswer::Failed { overdue: true } => {
+            ClientError::DeadlineExceeded
         }
-    }
+        FinalAnswer::Rejected { retry_after, overdue: false } => ClientError::Rejected { retry_after },
+        FinalAnswer::Failed { overdue: false } => ClientError::Failed,
+        FinalAnswer::UnknownGroup => ClientError::UnknownGroup,
+    };
+    responder.write(error.to_response()).await
 }
--- /dev/null
+++ b/src/net/sparql/front/starting.rs
@@ -0,0 +1,38 @@
+//! Connections while the process has just started and nothing can be served yet.
+
+use super::READINESS_PATH;
+use crate::clock::Clock;
+use crate::config::Limits;
+use crate::net::buffer::Buffer;
+use crate::net::connection::ClientConnection;
+use crate::net::connection_limiter::ConnectionSlot;
+use crate::net::http::server::{self, Next};
+use crate::net::http::status;
+use crate::net::sparql::client_error::ClientError;
+use crate::time::TimeDelta;
+use async_io::Async;
+use std::net::TcpStream;
+use std::rc::Rc;
+
+/// Rejects the first request of a connection and closes it: the next connection may find more. `retry_after` gives the
+/// retry-after hint, which may differ from call to call.
+pub async fn serve_early(
+    stream: Async<TcpStream>,
+    slot: ConnectionSlot,
+    limits: Rc<Limits>,
+    clock: Clock,
+    retry_after: impl Fn() -> TimeDelta,
+) {
+    let mut connection = ClientConnection::new(stream, slot, limits.clone(), clock);
+    let mut buffer = Buffer::default();
+    let response = match server::next(&mut connection, &mut buffer, &limits).await {
+        Next::Over => return,
+        Next::Refused(error) => ClientError::from(error).to_response(),
+        Next::Request(request) if request.target().0 == READINESS_PATH => {
+            server::answer(status::SERVICE_UNAVAILABLE, &[], "no list of hosts yet")
+        }
+        Next::Request(_) => ClientError::Starting { retry_after: retry_after() }.to_response(),
+    };
+    let _ = connection.write(&server::with_connection_close(response)).await;
+    let _ = connection.linger().await;
+}
--- a/src/net/sparql/host.rs
+++ b/src/net/sparql/host.rs
@@ -1,16 +1,21 @@
-//! The host side: an operation to a host that speaks SPARQL over HTTP, and what its answer means.
+//! The host side: an operation sent to a host that speaks SPARQL over HTTP, and its response.
 
-use super::operation::Operation;
-use super::{LOAD, POSITION, ROLE};
+use super::operation::{ForwardedTo, Operation};
+use super::response_head::{
+    forwarded_headers, is_recent_enough, load_report, lost_commit, lost_commit_answer, outcome_of,
+    replica_status,
+};
 use crate::config::Limits;
 use crate::engine::Freshness;
-use crate::engine::load_report::report_of;
-use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult, load_report_value};
-use crate::net::http::client::Client;
-use crate::net::http::codec::{Body, Head};
+use crate::net::answer_stream::StreamChunk;
+use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult};
+use crate::net::http::body::Body;
+use crate::net::http::client::{BodyProgress, Client};
+use crate::net::http::head::Head;
 use crate::net::until;
-use crate::routing::*;
-use async_channel::Receiver;
+use crate::routing::{AttemptOutcome, LoadReport, ReplicaStatus};
+use crate::time::{LogPosition, Timestamp};
+use async_channel::{Receiver, Sender};
 use async_io::Async;
 use std::io;
 use std::net::TcpStream;
@@ -18,239 +23,286 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The body of an answer.
+/// Name in `Via` of a daemon whose own name has no character that may stand there.
+const DEFAULT_VIA_NAME: &str = "brookpass";
+
+/// Values without which the response to a probe says too little: role and position.
+const MIN_PROBE_VALUES: u8 = 2;
+
+/// The body of a host's answer.
 #[derive(Clone, Debug)]
-pub enum Content {
-    /// All of it.
-    Whole(Vec<u8>),
-    /// Too long to be held back: parts, then an empty one. A channel that closes without the empty part:
-    /// the host broke off.
-    Parts(Receiver<Vec<u8>>),
+pub enum HostAnswerBody {
+    /// The complete body.
+    Buffered(Vec<u8>),
+    /// A body that is too long to be buffered, as it comes.
+    Streamed(Receiver<StreamChunk>),
 }
 
 /// A host's answer on its way to the client.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct HostAnswer {
     /// The status.
     pub status: u16,
-    /// Headers that pass through.
+    /// Headers that are forwarded.
     pub headers: Vec<(String, String)>,
     /// The body.
-    pub content: Content,
+    pub body: HostAnswerBody,
 }
 
 /// SPARQL over HTTP towards hosts.
-pub struct Sparql {
+pub struct SparqlBackend {
     limits: Rc<Limits>,
     path: String,
-    /// What hosts are told of whom a request came through (RFC 9110, 7.6.3).
+    /// What the `Via` header says (RFC 9110, section 7.6.3).
     via: String,
     report_fields: Vec<String>,
 }
 
-type OwnTrip<'a> = AttemptContext<'a, Arc<Operation>, Answer>;
-
-/// What a host's answer says about the host.
-fn replica_status(head: &Head) -> Option<ReplicaStatus> {
-    let primary = match head.get(ROLE)? {
-        "primary" => true,
-        "replica" => false,
-        _ => return None,
-    };
-    let position = head.get(POSITION).and_then(|p| p.parse().ok()).and_then(LogPosition::try_from_millis);
-    Some(ReplicaStatus {
-        primary,
-        position: position.unwrap_or(LogPosition::UNKNOWN).max(LogPosition::UNKNOWN),
-    })
-}
+type OperationAttempt<'a> = AttemptContext<'a, Arc<Operation>, HostAnswer>;
 
-/// A load report made of the headers: `x0` and `x1` are the position in seconds and the role, as elsewhere.
-fn report(head: &Head, fields: &[String]) -> LoadReport {
-    let told = replica_status(head);
-    report_of(fields, |name| match name {
-        "x0" => told.map(|m| m.position.as_micros() as f64 / 1e6),
-        "x1" => told.map(|m| f64::from(u8::from(m.primary))),
-        name => load_report_value(head.get(LOAD).unwrap_or(""), name),
-    })
+/// A response whose head was read.
+struct PendingResponse {
+    head: Head,
+    status: u16,
+    framing: Body,
+    /// What it means for the attempt, with what the head says about the data.
+    outcome: AttemptOutcome,
+    replica_status: Option<ReplicaStatus>,
+    load_report: LoadReport,
+    /// The position to which its group went back, where that lost a commit of the session.
+    lost_commit: Option<LogPosition>,
+    /// Whether the connection may carry another request once the body is complete.
+    keeps_open: bool,
 }
 
-/// What a status means for the attempt. An answer about the operation itself (a query that does not parse,
-/// a type that is not offered) is the client's.
-fn outcome(status: u16) -> AttemptOutcome {
-    match status {
-        412 | 421 => AttemptOutcome::Misdirected,
-        429 | 503 => AttemptOutcome::Overloaded,
-        200..=299 | 400..=407 | 409..=499 => AttemptOutcome::Served,
-        _ => AttemptOutcome::Error,
+impl PendingResponse {
+    /// The result of the exchange, whose body was read to its end.
+    fn finished(self, answer: Option<HostAnswer>) -> ExchangeResult<HostAnswer> {
+        let reusable = self.keeps_open;
+        ExchangeResult { reusable, ..self.abandoned(answer) }
     }
-}
 
-/// Whether an answer's data is as current as it must be. A primary is at the present; from a replica only a
-/// position that it told with this very answer counts.
-fn current(replica_status: Option<ReplicaStatus>, since: Option<LogPosition>) -> bool {
-    match (since, replica_status) {
-        (None, _) => true,
-        (Some(_), None) => false,
-        (Some(since), Some(replica_status)) => {
-            replica_status.primary || replica_status.position.is_known() && replica_status.position >= since
+    /// The result of the exchange, whose body is not read any further: the connection cannot be reused.
+    fn abandoned(self, answer: Option<HostAnswer>) -> ExchangeResult<HostAnswer> {
+        ExchangeResult {
+            outcome: self.outcome,
+            replica_status: self.replica_status,
+            report: self.load_report,
+            answer,
+            reusable: false,
         }
     }
-}
-
-/// The position up to which a primary has the log, where it lacks what the session of a read has written.
-fn lacks(replica_status: Option<ReplicaStatus>, commit: Option<LogPosition>) -> Option<LogPosition> {
-    let replica_status = replica_status.filter(|m| m.primary && m.position.is_known())?;
-    (replica_status.position < commit?).then_some(replica_status.position)
-}
 
-/// The answer to a read whose session has written what its group has lost: older data would pass for its own.
-pub fn lost(position: LogPosition) -> Answer {
-    let position = position.as_millis().to_string();
-    let text =
-        format!("what this session wrote after position {position} is lost: its group went back to there");
-    Answer {
-        status: 412,
-        headers: vec![(POSITION.into(), position)],
-        content: Content::Whole(text.into_bytes()),
+    /// The answer to the client.
+    fn answer(&self, body: HostAnswerBody) -> HostAnswer {
+        HostAnswer { status: self.status, headers: forwarded_headers(&self.head), body }
     }
-}
 
-fn passes(name: &str) -> bool {
-    let hop = ["connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade", "content-length"];
-    let own = ["brookpass-load", "brookpass-role"];
-    let name = name.to_ascii_lowercase();
-    !hop.contains(&name.as_str()) && !own.contains(&name.as_str()) && !name.starts_with("proxy-")
+    /// The answer to the client, where there is one that does not need the body.
+    fn answer_without_body(&self) -> Option<HostAnswer> {
+        self.lost_commit.filter(|_| self.outcome == AttemptOutcome::Served).map(lost_commit_answer)
+    }
 }
 
-/// How a daemon names itself to hosts: other letters of its name than a header may have are left out.
+/// The value of the `Via` header: characters of the daemon's name that a header may not have are left out.
 fn via(name: &str) -> String {
-    let plain = |c: &char| c.is_ascii_alphanumeric() || "-_.".contains(*c);
-    let name: String = name.chars().filter(plain).collect();
-    format!("1.1 {}", if name.is_empty() { "brookpass" } else { &name })
+    let is_allowed = |c: &char| c.is_ascii_alphanumeric() || "-_.".contains(*c);
+    let name: String = name.chars().filter(is_allowed).collect();
+    format!("1.1 {}", if name.is_empty() { DEFAULT_VIA_NAME } else { &name })
 }
 
-impl Sparql {
-    /// Hosts answer operations at `path`, and hear of a daemon of this name.
-    pub fn new(limits: Rc<Limits>, path: String, name: &str, report_fields: Vec<String>) -> Sparql {
-        Sparql { limits, path, via: via(name), report_fields }
+impl SparqlBackend {
+    /// Hosts serve operations at `path`; `name` is what `Via` calls this daemon.
+    pub fn new(limits: Rc<Limits>, path: String, name: &str, report_fields: Vec<String>) -> SparqlBackend {
+        SparqlBackend { limits, path, via: via(name), report_fields }
     }
 
-    async fn answer(
+    async fn send_and_receive(
         &self,
-        c: &mut Client,
+        client: &mut Client,
         operation: &Operation,
-        trip: &OwnTrip<'_>,
-    ) -> io::Result<ExchangeResult<Answer>> {
-        // The bound counts from the send: what the host must have is fixed before it has the request.
-        let since = match trip.freshness {
-            Freshness::Any => None,
-            Freshness::MaxAge(age) => Some(trip.now() - age),
-            Freshness::CommittedSince(at) => Some(at),
-        };
-        let since = since.map(|at| LogPosition::of_commit(at, Timestamp::ZERO));
-        c.send(&operation.request(c.address(), &self.path, &self.via, trip.time_left(), since)).await?;
-        trip.mark_sent();
-        let head = c.head(&self.limits).await?;
-        let status = head.line[1].parse().unwrap_or(0);
-        let (replica_status, report) = (replica_status(&head), report(&head, &self.report_fields));
-        let mut framing = Body::of(&head, true)?;
-        let keeps = head.keeps_open(&head.line[0]) && framing != Body::UntilEnd;
-        let mut result = outcome(status);
-        if result == AttemptOutcome::Served && status < 300 && !current(replica_status, since) {
-            log::warn!("a host's answer is older than its read allows; it is dropped");
-            result = AttemptOutcome::Misdirected;
-        }
-        if framing == Body::UntilEnd && result == AttemptOutcome::Served {
-            // Nobody could tell such an answer from one that was cut short.
-            log::warn!("a host's answer states neither a length nor chunks; it is dropped");
-            result = AttemptOutcome::Error;
-        }
-        let done =
-            |outcome, answer, reusable| ExchangeResult { outcome, replica_status, report, answer, reusable };
-        let headers = || head.headers.iter().filter(|(n, _)| passes(n)).cloned().collect();
-        let missing = lacks(replica_status, operation.position.filter(|_| !operation.update && status < 300));
+        attempt: &OperationAttempt<'_>,
+    ) -> io::Result<ExchangeResult<HostAnswer>> {
+        let required_position = required_position(attempt);
+        let request = operation.encode(ForwardedTo {
+            host: client.address(),
+            path: &self.path,
+            via: &self.via,
+            time_left: attempt.time_left(),
+            required_position,
+        });
+        client.send(&request).await?;
+        attempt.mark_sent();
+        let mut response = self.read_head(client, operation, required_position).await?;
         let mut body = Vec::new();
-        loop {
-            let whole = c.part(&mut framing, &mut body, usize::MAX).await?;
-            if whole {
-                let answer = match missing {
-                    Some(position) => lost(position),
-                    None => Answer { status, headers: headers(), content: Content::Whole(body) },
-                };
-                return Ok(done(result, (result == AttemptOutcome::Served).then_some(answer), keeps));
-            }
-            if body.len() > self.limits.http_answer_buffer_bytes {
-                break;
+        while body.len() <= self.limits.http_answer_buffer_bytes {
+            let progress = client.read_body_part(&mut response.framing, &mut body, usize::MAX).await?;
+            if progress == BodyProgress::Complete {
+                return Ok(buffered_result(response, body));
             }
         }
-        if let Some(position) = missing.filter(|_| result == AttemptOutcome::Served) {
-            return Ok(done(result, Some(lost(position)), false));
+        if response.outcome != AttemptOutcome::Served {
+            return Ok(response.abandoned(None));
         }
-        if result != AttemptOutcome::Served {
-            return Ok(done(result, None, false));
+        match response.answer_without_body() {
+            Some(answer) => Ok(response.abandoned(Some(answer))),
+            None => self.stream(client, response, body, attempt).await,
         }
-        // Longer than is held back: from here on it is the client's, and cannot be repeated.
-        let (parts, rest) = async_channel::bounded(self.limits.answer_chunks);
-        trip.start_response(Answer { status, headers: headers(), content: Content::Parts(rest) }).await;
+    }
+
+    async fn read_head(
+        &self,
+        client: &mut Client,
+        operation: &Operation,
+        required_position: Option<LogPosition>,
+    ) -> io::Result<PendingResponse> {
+        let head = client.read_head(&self.limits).await?;
+        let status = head.status()?;
+        let replica_status = replica_status(&head);
+        let framing = Body::of_response(&head)?;
+        let is_success = status < 300;
+        let mut outcome = outcome_of(status);
+        if outcome == AttemptOutcome::Served
+            && is_success
+            && !is_recent_enough(replica_status, required_position)
+        {
+            log::warn!("host: answer dropped: its data is older than the read allows");
+            outcome = AttemptOutcome::Misdirected;
+        }
+        if outcome == AttemptOutcome::Served && framing.ends_with_stream() {
+            // Nobody could tell such an answer from one that was cut short.
+            log::warn!("host: answer dropped: it states neither a length nor chunks");
+            outcome = AttemptOutcome::Error;
+        }
+        let session_commit = operation.position.filter(|_| !operation.is_update() && is_success);
+        Ok(PendingResponse {
+            status,
+            outcome,
+            replica_status,
+            load_report: load_report(&head, &self.report_fields),
+            lost_commit: lost_commit(replica_status, session_commit),
+            keeps_open: head.response_keeps_open() && !framing.ends_with_stream(),
+            framing,
+            head,
+        })
+    }
+
+    /// Sends an answer to the client as it comes. From here on it is the client's and cannot be retried.
+    async fn stream(
+        &self,
+        client: &mut Client,
+        mut response: PendingResponse,
+        body: Vec<u8>,
+        attempt: &OperationAttempt<'_>,
+    ) -> io::Result<ExchangeResult<HostAnswer>> {
+        let (chunks, received_chunks) = async_channel::bounded(self.limits.answer_chunks);
+        attempt.start_response(response.answer(HostAnswerBody::Streamed(received_chunks))).await;
+        response.outcome = self.forward_body(client, &mut response.framing, body, &chunks).await;
+        if response.outcome == AttemptOutcome::Served {
+            Ok(response.finished(None))
+        } else {
+            Ok(response.abandoned(None))
+        }
+    }
+
+    /// Forwards a body to its end and says how that ended.
+    async fn forward_body(
+        &self,
+        client: &mut Client,
+        framing: &mut Body,
+        mut body: Vec<u8>,
+        chunks: &Sender<StreamChunk>,
+    ) -> AttemptOutcome {
         loop {
-            if !body.is_empty() && parts.send(std::mem::take(&mut body)).await.is_err() {
-                return Ok(done(AttemptOutcome::Cancelled, None, false));
+            if !body.is_empty() {
+                let data = StreamChunk::Data(std::mem::take(&mut body));
+                if chunks.send(data).await.is_err() {
+                    return AttemptOutcome::Cancelled;
+                }
             }
-            let part = c.part(&mut framing, &mut body, usize::MAX);
-            match until(Instant::now() + self.limits.backend_stall_timeout, part).await {
-                Some(Ok(true)) => break,
-                Some(Ok(false)) => {}
-                _ => return Ok(done(AttemptOutcome::Reset, None, false)),
+            let read = client.read_body_part(framing, &mut body, usize::MAX);
+            match until(Instant::now() + self.limits.backend_stall_timeout, read).await {
+                Some(Ok(BodyProgress::Partial)) => {}
+                Some(Ok(BodyProgress::Complete)) => break,
+                Some(Err(_)) | None => return AttemptOutcome::Reset,
             }
         }
-        for last in [body, Vec::new()] {
-            let _ = parts.send(last).await;
+        // The client may have left meanwhile; the answer was complete all the same.
+        if !body.is_empty() {
+            let _ = chunks.send(StreamChunk::Data(body)).await;
         }
-        Ok(done(AttemptOutcome::Served, None, keeps))
+        let _ = chunks.send(StreamChunk::End).await;
+        AttemptOutcome::Served
+    }
+}
+
+/// The position that the data of an answer must have reached. It is counted from the moment of sending: what the host
+/// must have is fixed before it has the request.
+fn required_position(attempt: &OperationAttempt<'_>) -> Option<LogPosition> {
+    let commit_time = match attempt.freshness {
+        Freshness::Any => return None,
+        Freshness::MaxAge(age) => attempt.now() - age,
+        Freshness::CommittedSince(time) => time,
+    };
+    Some(LogPosition::of_commit(commit_time, Timestamp::ZERO))
+}
+
+/// The result of an exchange whose body was buffered completely.
+fn buffered_result(response: PendingResponse, body: Vec<u8>) -> ExchangeResult<HostAnswer> {
+    if response.outcome != AttemptOutcome::Served {
+        return response.finished(None);
     }
+    let answer = match response.answer_without_body() {
+        Some(answer) => answer,
+        None => response.answer(HostAnswerBody::Buffered(body)),
+    };
+    response.finished(Some(answer))
 }
 
-impl BackendProtocol for Sparql {
+impl BackendProtocol for SparqlBackend {
     type Request = Arc<Operation>;
-    type Answer = Answer;
+    type Answer = HostAnswer;
     type Connection = Client;
 
     async fn handshake(&self, stream: Async<TcpStream>) -> Result<Client, AttemptOutcome> {
         Ok(Client::new(stream))
     }
 
-    fn is_silent(&self, c: &Client) -> bool {
-        c.is_silent()
+    fn is_silent(&self, client: &Client) -> bool {
+        client.is_silent()
     }
 
     fn probes_before_first_use(&self) -> bool {
         true
     }
 
-    async fn probe(&self, c: &mut Client) -> Option<LoadReport> {
+    async fn probe(&self, client: &mut Client) -> Option<LoadReport> {
         let request = format!(
             "GET {}?query=ASK%20%7B%7D HTTP/1.1\r\nHost: {}\r\nVia: {}\r\n\r\n",
             self.path,
-            c.address(),
+            client.address(),
             self.via
         );
-        let (head, _, keeps) = c.call(request.as_bytes(), &self.limits).await.ok()?;
-        let report = report(&head, &self.report_fields);
-        (keeps && report.count >= 2).then_some(report)
+        let response = client.call(request.as_bytes(), &self.limits).await.ok()?;
+        let report = load_report(&response.head, &self.report_fields);
+        (response.is_reusable && report.count >= MIN_PROBE_VALUES).then_some(report)
     }
 
     async fn exchange(
         &self,
-        c: &mut Client,
-        work: &Arc<Operation>,
-        trip: &OwnTrip<'_>,
-    ) -> ExchangeResult<Answer> {
-        self.answer(c, work, trip).await.unwrap_or_else(|e| {
-            log::debug!("host: {e}");
-            // An answer out of form has run, or may have; the connection itself is not what broke.
-            let spoilt = trip.was_sent() && e.kind() == io::ErrorKind::InvalidData;
-            ExchangeResult::outcome_only(if spoilt { AttemptOutcome::Error } else { trip.connection_lost() })
-        })
+        client: &mut Client,
+        operation: &Arc<Operation>,
+        attempt: &OperationAttempt<'_>,
+    ) -> ExchangeResult<HostAnswer> {
+        let error = match self.send_and_receive(client, operation, attempt).await {
+            Ok(result) => return result,
+            Err(error) => error,
+        };
+        log::debug!("host: {error}");
+        // A malformed response: the request has run, or may have; the connection itself is not what failed.
+        let is_malformed = attempt.was_sent() && error.kind() == io::ErrorKind::InvalidData;
+        let outcome = if is_malformed { AttemptOutcome::Error } else { attempt.connection_lost() };
+        ExchangeResult::outcome_only(outcome)
     }
 }
 
--- a/src/net/sparql/operation.rs
+++ b/src/net/sparql/operation.rs
@@ -1,147 +1,267 @@
-//! What a client asks for: a query or an update, as the SPARQL 1.1 Protocol puts them into HTTP.
+//! A client's operation: a query or an update, as the SPARQL 1.1 Protocol (section 2) puts them into HTTP.
 
-use super::{CLASS, GROUP, KEY, POSITION, SESSION, TIME_LEFT};
-use crate::net::http::codec::Head;
-use crate::net::http::form;
+use super::error::OperationError;
+use super::headers::{CLASS, GROUP, KEY, POSITION, SESSION, TIME_LEFT};
+use crate::ids::GroupId;
+use crate::net::http::form::decode_parameters;
+use crate::net::http::head::Head;
 use crate::net::http::server::Request;
-use crate::routing::{GroupId, LogPosition, TimeDelta};
+use crate::time::{LogPosition, TimeDelta};
 
-/// A refusal by the front itself: a status and its reason.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal(pub u16, pub String);
+/// The longest class, session or key.
+const MAX_NAME_BYTES: usize = 256;
+/// The longest time that a client may state: a day. A bound keeps sums of times from overflowing.
+const MAX_TIME_LEFT_MILLIS: i64 = 86_400_000;
+/// The latest position whose microseconds can be counted.
+const MAX_POSITION_MILLIS: i64 = i64::MAX / 1000;
+
+/// The media type of parameters in a body.
+const FORM_TYPE: &str = "application/x-www-form-urlencoded";
+/// The media type of a body that is a query.
+const QUERY_TYPE: &str = "application/sparql-query";
+/// The media type of a body that is an update.
+const UPDATE_TYPE: &str = "application/sparql-update";
+
+/// What an operation does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OperationKind {
+    /// It reads.
+    Query,
+    /// It changes data.
+    Update,
+}
 
-fn bad(why: impl Into<String>) -> Refusal {
-    Refusal(400, why.into())
+/// The method that an operation came by, and is forwarded by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Method {
+    Get,
+    Post,
 }
 
-/// An operation on its way to a host.
+impl Method {
+    fn as_str(self) -> &'static str {
+        match self {
+            Method::Get => "GET",
+            Method::Post => "POST",
+        }
+    }
+}
+
+/// An operation with what its headers say.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// It changes data.
-    pub update: bool,
-    method: &'static str,
-    query: String,
-    /// Headers that pass through: content negotiation and the body's type.
+    /// Whether it changes data.
+    pub kind: OperationKind,
+    method: Method,
+    /// The query string as the client wrote it.
+    query_string: String,
+    /// Headers that pass through: content negotiation, type and coding of the body.
     headers: Vec<(String, String)>,
+    /// The body as the client wrote it.
     body: Vec<u8>,
-    /// The class it names.
+    /// The class that it names.
     pub class: Option<String>,
-    /// The group it names.
+    /// The group that it names.
     pub group: Option<GroupId>,
     /// Its session.
     pub session: Option<String>,
-    /// Its key.
+    /// Its idempotency key.
     pub key: Option<String>,
     /// How long the client waits.
     pub client_timeout: Option<TimeDelta>,
-    /// The position that it has to see, as Unix time.
+    /// The position that its answer has to include, in Unix time.
     pub position: Option<LogPosition>,
 }
 
-fn number(head: &Head, name: &str, most: i64) -> Result<Option<i64>, Refusal> {
-    let Some(text) = head.get(name) else { return Ok(None) };
-    let number =
-        text.parse().ok().filter(|n| (0..=most).contains(n) && text.bytes().all(|b| b.is_ascii_digit()));
-    number.map(Some).ok_or_else(|| bad(format!("{name}: {text:?} is no such value")))
+/// What differs between the attempts of an operation.
+#[derive(Clone, Copy, Debug)]
+pub struct ForwardedTo<'a> {
+    /// Address of the host, for the `Host` header.
+    pub host: &'a str,
+    /// Path of the operation endpoint there.
+    pub path: &'a str,
+    /// The `Via` header: protocol version and name of this daemon.
+    pub via: &'a str,
+    /// How long this daemon waits, stated as at least 1 ms.
+    pub time_left: TimeDelta,
+    /// The position that the host's data must have reached, in Unix time.
+    pub required_position: Option<LogPosition>,
 }
 
-fn word(head: &Head, name: &str) -> Result<Option<String>, Refusal> {
-    match head.get(name) {
-        Some(text) if text.is_empty() || text.len() > 256 => Err(bad(format!("{name}: no such value"))),
-        text => Ok(text.map(str::to_string)),
+impl Operation {
+    /// Reads an operation out of a request to the operation endpoint.
+    ///
+    /// # Errors
+    /// The request is not one of the protocol's forms, or a header is out of form.
+    pub fn parse(request: &Request) -> Result<Operation, OperationError> {
+        let head = &request.head;
+        let (_, query_string) = request.target();
+        let url = OperationParameters::decode(query_string)?;
+        let (method, kind) = match head.method() {
+            "GET" => (Method::Get, url.kind_by_get()?),
+            "POST" => (Method::Post, kind_by_post(request, &url)?),
+            other => return Err(OperationError::MethodNotAllowed(other.to_string())),
+        };
+        let body = match method {
+            Method::Get => Vec::new(),
+            Method::Post => request.body.clone(),
+        };
+        // In this order: of several headers that are out of form, the first one here is reported.
+        let class = parse_name(head, CLASS)?;
+        let group = parse_number(head, GROUP, i64::from(u32::MAX))?;
+        let session = parse_name(head, SESSION)?;
+        let key = parse_name(head, KEY)?;
+        let time_left = parse_number(head, TIME_LEFT, MAX_TIME_LEFT_MILLIS)?;
+        let position = parse_number(head, POSITION, MAX_POSITION_MILLIS)?;
+        Ok(Operation {
+            kind,
+            method,
+            query_string: query_string.to_string(),
+            headers: forwarded_headers(head),
+            body,
+            class,
+            group: group.and_then(|number| u32::try_from(number).ok()).map(GroupId),
+            session,
+            key,
+            client_timeout: time_left.map(TimeDelta::from_millis),
+            position: position.and_then(LogPosition::try_from_millis),
+        })
     }
-}
 
-/// Reads an operation out of a request to the endpoint.
-pub fn read(request: &Request) -> Result<Operation, Refusal> {
-    let head = &request.head;
-    let (_, query) = request.target();
-    let malformed = |e: crate::net::http::codec::Malformed| bad(e.to_string());
-    let in_url = form::pairs(query).map_err(malformed)?;
-    let count = |pairs: &[(String, String)], name: &str| pairs.iter().filter(|(n, _)| n == name).count();
-    let kind =
-        head.get("content-type").unwrap_or("").split(';').next().unwrap_or("").trim().to_ascii_lowercase();
-    let direct = |update| {
-        if count(&in_url, "query") + count(&in_url, "update") > 0 {
-            return Err(bad("an operation in the URL and one in the body"));
-        }
-        let text = std::str::from_utf8(&request.body).map_err(|_| bad("the operation is not UTF-8"))?;
-        if text.trim().is_empty() {
-            return Err(bad("the operation is empty"));
-        }
-        Ok(update)
-    };
-    let (method, update) = match (head.line[0].as_str(), kind.as_str()) {
-        ("GET", _) => match (count(&in_url, "query"), count(&in_url, "update")) {
-            (1, 0) => ("GET", false),
-            (_, 1..) => return Err(bad("an update is not sent by GET")),
-            _ => return Err(bad("a GET has one parameter named query")),
-        },
-        ("POST", "application/x-www-form-urlencoded") => {
-            let text = std::str::from_utf8(&request.body).map_err(|_| bad("the form is not UTF-8"))?;
-            let pairs = form::pairs(text).map_err(malformed)?;
-            if count(&in_url, "query") + count(&in_url, "update") > 0 {
-                return Err(bad("an operation in the URL and one in the body"));
-            }
-            match (count(&pairs, "query"), count(&pairs, "update")) {
-                (1, 0) => ("POST", false),
-                (0, 1) => ("POST", true),
-                _ => return Err(bad("a form has one parameter, query or update")),
-            }
-        }
-        ("POST", "application/sparql-query") => ("POST", direct(false)?),
-        ("POST", "application/sparql-update") => ("POST", direct(true)?),
-        ("POST", other) => return Err(Refusal(415, format!("{other:?} is no form of a SPARQL operation"))),
-        (other, _) => return Err(Refusal(405, format!("{other} is not used here"))),
-    };
-    // A host reads the URL and the body as the client wrote them; nothing is decoded and written anew.
-    let passes = |n: &str| n.starts_with("accept") || matches!(n, "content-type" | "content-encoding");
-    let headers = head.headers.iter().filter(|(n, _)| passes(&n.to_ascii_lowercase())).cloned().collect();
-    Ok(Operation {
-        update,
-        method,
-        query: query.to_string(),
-        headers,
-        body: if method == "GET" { Vec::new() } else { request.body.clone() },
-        class: word(head, CLASS)?,
-        group: number(head, GROUP, u32::MAX.into())?.map(|g| GroupId(g as u32)),
-        session: word(head, SESSION)?,
-        key: word(head, KEY)?,
-        client_timeout: number(head, TIME_LEFT, 86_400_000)?.map(TimeDelta::from_millis),
-        position: number(head, POSITION, i64::MAX / 1000)?.and_then(LogPosition::try_from_millis),
-    })
-}
+    /// Whether it changes data.
+    pub fn is_update(&self) -> bool {
+        self.kind == OperationKind::Update
+    }
 
-impl Operation {
-    /// The request as a host gets it: `since` is the position that its data has to see, as Unix time; `via` is who passes it on.
-    pub fn request(
-        &self,
-        host: &str,
-        path: &str,
-        via: &str,
-        left: TimeDelta,
-        since: Option<LogPosition>,
-    ) -> Vec<u8> {
-        let question = if self.query.is_empty() { "" } else { "?" };
-        let mut out = format!("{} {path}{question}{} HTTP/1.1\r\nHost: {host}\r\n", self.method, self.query);
+    /// The request as a host receives it. URL and body are as the client wrote them: nothing is decoded and encoded
+    /// again.
+    pub fn encode(&self, to: ForwardedTo<'_>) -> Vec<u8> {
+        let ForwardedTo { host, path, via, time_left, required_position } = to;
+        let method = self.method.as_str();
+        let separator = if self.query_string.is_empty() { "" } else { "?" };
+        let mut out = format!("{method} {path}{separator}{} HTTP/1.1\r\nHost: {host}\r\n", self.query_string);
         let mut put = |name: &str, value: &str| out += &format!("{name}: {value}\r\n");
-        self.headers.iter().for_each(|(n, v)| put(n, v));
+        for (name, value) in &self.headers {
+            put(name, value);
+        }
         put("Via", via);
-        put(TIME_LEFT, &left.as_millis().max(1).to_string());
+        put(TIME_LEFT, &time_left.as_millis().max(1).to_string());
         for (name, value) in [(CLASS, &self.class), (SESSION, &self.session), (KEY, &self.key)] {
-            value.iter().for_each(|v| put(name, v));
+            if let Some(value) = value {
+                put(name, value);
+            }
+        }
+        if let Some(group) = self.group {
+            put(GROUP, &group.to_string());
+        }
+        if let Some(position) = required_position {
+            // Rounded up: a host that has applied everything up to there has applied what is required.
+            put(POSITION, &((position.as_micros() + 999) / 1000).to_string());
         }
-        self.group.iter().for_each(|g| put(GROUP, &g.to_string()));
-        // Rounded up: a host that has applied all up to there has applied what is needed.
-        since.iter().for_each(|t| put(POSITION, &((t.as_micros() + 999) / 1000).to_string()));
-        if self.method == "POST" {
+        if self.method == Method::Post {
             put("Content-Length", &self.body.len().to_string());
         }
         out += "\r\n";
-        let mut out = out.into_bytes();
-        out.extend_from_slice(&self.body);
-        out
+        let mut bytes = out.into_bytes();
+        bytes.extend_from_slice(&self.body);
+        bytes
+    }
+}
+
+/// How often a query string or a form holds an operation.
+#[derive(Clone, Copy, Debug)]
+struct OperationParameters {
+    queries: usize,
+    updates: usize,
+}
+
+impl OperationParameters {
+    fn decode(text: &str) -> Result<OperationParameters, OperationError> {
+        let mut counted = OperationParameters { queries: 0, updates: 0 };
+        for (name, _) in decode_parameters(text)? {
+            match name.as_str() {
+                "query" => counted.queries += 1,
+                "update" => counted.updates += 1,
+                _ => {}
+            }
+        }
+        Ok(counted)
+    }
+
+    fn kind_by_get(self) -> Result<OperationKind, OperationError> {
+        match (self.queries, self.updates) {
+            (1, 0) => Ok(OperationKind::Query),
+            (_, 1..) => Err(OperationError::UpdateByGet),
+            _ => Err(OperationError::GetWithoutQuery),
+        }
+    }
+
+    fn kind_by_form(self) -> Result<OperationKind, OperationError> {
+        match (self.queries, self.updates) {
+            (1, 0) => Ok(OperationKind::Query),
+            (0, 1) => Ok(OperationKind::Update),
+            _ => Err(OperationError::FormWithoutOperation),
+        }
+    }
+
+    fn is_absent(self) -> bool {
+        self.queries + self.updates == 0
+    }
+}
+
+fn kind_by_post(request: &Request, url: &OperationParameters) -> Result<OperationKind, OperationError> {
+    let content_type = request.head.get("content-type").unwrap_or("");
+    let media_type = content_type.split(';').next().unwrap_or("").trim().to_ascii_lowercase();
+    match media_type.as_str() {
+        FORM_TYPE => {
+            let text = std::str::from_utf8(&request.body).map_err(|_| OperationError::FormNotUtf8)?;
+            let form = OperationParameters::decode(text)?;
+            check_only_in_body(url)?;
+            form.kind_by_form()
+        }
+        QUERY_TYPE => check_direct_operation(request, url).map(|()| OperationKind::Query),
+        UPDATE_TYPE => check_direct_operation(request, url).map(|()| OperationKind::Update),
+        _ => Err(OperationError::UnsupportedMediaType(media_type)),
+    }
+}
+
+/// Checks a body that is the operation itself.
+fn check_direct_operation(request: &Request, url: &OperationParameters) -> Result<(), OperationError> {
+    check_only_in_body(url)?;
+    let text = std::str::from_utf8(&request.body).map_err(|_| OperationError::OperationNotUtf8)?;
+    if text.trim().is_empty() { Err(OperationError::EmptyOperation) } else { Ok(()) }
+}
+
+fn check_only_in_body(url: &OperationParameters) -> Result<(), OperationError> {
+    if url.is_absent() { Ok(()) } else { Err(OperationError::OperationInUrlAndBody) }
+}
+
+/// The headers of a request that a host receives as they are.
+fn forwarded_headers(head: &Head) -> Vec<(String, String)> {
+    let is_forwarded = |name: &str| {
+        let name = name.to_ascii_lowercase();
+        name.starts_with("accept") || matches!(name.as_str(), "content-type" | "content-encoding")
+    };
+    head.headers.iter().filter(|(name, _)| is_forwarded(name)).cloned().collect()
+}
+
+/// A header that holds a number of digits alone, of `max` at most.
+fn parse_number(head: &Head, header: &'static str, max: i64) -> Result<Option<i64>, OperationError> {
+    let Some(text) = head.get(header) else { return Ok(None) };
+    let has_only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+    match text.parse() {
+        Ok(number) if has_only_digits && number <= max => Ok(Some(number)),
+        _ => Err(OperationError::InvalidNumber { header, value: text.to_string() }),
+    }
+}
+
+/// A header that holds a name.
+fn parse_name(head: &Head, header: &'static str) -> Result<Option<String>, OperationError> {
+    let Some(text) = head.get(header) else { return Ok(None) };
+    if text.is_empty() || text.len() > MAX_NAME_BYTES {
+        return Err(OperationError::InvalidName(header));
     }
+    Ok(Some(text.to_string()))
 }
 
 #[cfg(test)]
--- a/src/net/sparql/operation/tests.rs
+++ b/src/net/sparql/operation/tests.rs
@@ -1,16 +1,17 @@
+//! The protocol's forms of an operation, and requests that are none.
+
 use super::*;
 use crate::config::Limits;
-use crate::net::http::codec::head;
 
 fn request(text: &str) -> Request {
-    let (head, used) = head(text.as_bytes(), &Limits::for_sockets(64)).unwrap().unwrap();
-    Request { head, body: text.as_bytes()[used..].to_vec() }
+    let received = Head::decode(text.as_bytes(), &Limits::for_sockets(64)).unwrap().unwrap();
+    Request { head: received.head, body: text.as_bytes()[received.length..].to_vec() }
 }
 
 #[test]
-fn each_form_of_the_protocol_is_read_and_passed_on_unchanged() {
+fn each_form_of_the_protocol_is_parsed_and_forwarded_unchanged() {
     let form = "Content-Type: application/x-www-form-urlencoded; charset=UTF-8";
-    for (text, update) in [
+    for (text, is_update) in [
         (
             "GET /sparql?query=ASK%20%7B%7D&default-graph-uri=urn:g HTTP/1.1\r\nAccept: text/csv\r\n\r\n"
                 .to_string(),
@@ -26,28 +27,28 @@
         ("POST /sparql HTTP/1.1\r\nContent-Type: application/sparql-update\r\n\r\nCLEAR ALL".into(), true),
     ] {
         let request = request(&text);
-        let operation = read(&request).unwrap();
-        assert_eq!(operation.update, update, "{text}");
-        let sent = String::from_utf8(operation.request(
-            "h:1",
-            "/sparql",
-            "1.1 b1",
-            TimeDelta::from_micros(5_000),
-            Some(LogPosition::from_micros(1_500)),
-        ))
-        .unwrap();
-        let line = text.lines().next().unwrap();
-        assert!(sent.starts_with(&format!("{line}\r\nHost: h:1\r\n")), "{sent}");
+        let operation = Operation::parse(&request).unwrap();
+        assert_eq!(operation.is_update(), is_update, "{text}");
+        let forwarded_to = ForwardedTo {
+            host: "h:1",
+            path: "/sparql",
+            via: "1.1 b1",
+            time_left: TimeDelta::from_micros(5_000),
+            required_position: Some(LogPosition::from_micros(1_500)),
+        };
+        let sent = String::from_utf8(operation.encode(forwarded_to)).unwrap();
+        let request_line = text.lines().next().unwrap();
+        assert!(sent.starts_with(&format!("{request_line}\r\nHost: h:1\r\n")), "{sent}");
         assert!(sent.ends_with(text.split("\r\n\r\n").nth(1).unwrap()), "{sent}");
         assert!(sent.contains("Brookpass-Time-Left-Ms: 5\r\n") && sent.contains("Brookpass-Position: 2\r\n"));
-        for h in ["Accept: text/csv", form] {
-            assert_eq!(sent.contains(h), text.contains(h), "{sent}");
+        for header in ["Accept: text/csv", form] {
+            assert_eq!(sent.contains(header), text.contains(header), "{sent}");
         }
     }
 }
 
 #[test]
-fn what_is_out_of_form_has_its_status() {
+fn malformed_requests_are_rejected_with_their_status() {
     let form = "Content-Type: application/x-www-form-urlencoded\r\n\r\n";
     for (text, status) in [
         ("GET /sparql HTTP/1.1\r\n\r\n".to_string(), 400),
@@ -62,6 +63,7 @@
         ("GET /sparql?query=a HTTP/1.1\r\nBrookpass-Group: two\r\n\r\n".into(), 400),
         ("GET /sparql?query=a HTTP/1.1\r\nBrookpass-Time-Left-Ms: -1\r\n\r\n".into(), 400),
     ] {
-        assert_eq!(read(&request(&text)).map_err(|r| r.0), Err(status), "{text}");
+        let rejected = Operation::parse(&request(&text)).map_err(|error| error.status());
+        assert_eq!(rejected, Err(status), "{text}");
     }
 }
