--- /dev/null
+++ b/src/net/backend_pool/connections.rs
@@ -0,0 +1,143 @@
+//! Reuse, establishment and budget of connections.
+
+use super::endpoint::IdleConnection;
+use super::{BackendPool, BackendProtocol};
+use crate::net::latch::Latch;
+use crate::net::until;
+use crate::routing::AttemptOutcome;
+use async_io::{Async, Timer};
+use futures_lite::future;
+use std::cell::Cell;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::Instant;
+
+/// A connection's share of `Limits::backend_connections`, given back when dropped.
+pub(super) struct ConnectionPermit(Rc<Cell<usize>>);
+
+impl Drop for ConnectionPermit {
+    fn drop(&mut self) {
+        self.0.set(self.0.get().saturating_sub(1));
+    }
+}
+
+/// A connection with its permit and the generation of the endpoint to which it was opened.
+pub(super) struct PooledConnection<C> {
+    pub(super) connection: C,
+    _permit: ConnectionPermit,
+    pub(super) generation: u64,
+}
+
+/// Where a new connection leads.
+struct ConnectTarget {
+    address: SocketAddr,
+    generation: u64,
+    /// Set when the endpoint closes meanwhile.
+    closed: Latch,
+}
+
+impl<P: BackendProtocol> BackendPool<P> {
+    /// A connection that is ready for a request: an idle one, or a new one.
+    ///
+    /// The error is the outcome of an attempt that was never sent: `ConnectFailed`, `Overloaded` where no permit is
+    /// left, or what the handshake says.
+    pub(super) async fn acquire(
+        &self,
+        name: &str,
+    ) -> Result<PooledConnection<P::Connection>, AttemptOutcome> {
+        if let Some(connection) = self.take_idle(name) {
+            return Ok(connection);
+        }
+        let target = self.connect_target(name).ok_or(AttemptOutcome::ConnectFailed)?;
+        let permit = self.take_permit().ok_or(AttemptOutcome::Overloaded)?;
+        let connection = self.connect(&target).await;
+        if matches!(connection, Err(AttemptOutcome::ConnectFailed)) {
+            self.set_needs_probe(name, true);
+        }
+        Ok(PooledConnection { connection: connection?, _permit: permit, generation: target.generation })
+    }
+
+    /// Keeps a connection for the next request, unless its endpoint has closed or changed.
+    pub(super) fn release(&self, name: &str, connection: PooledConnection<P::Connection>) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        if let Some(endpoint) = endpoints.get_mut(name)
+            && endpoint.accepts(connection.generation)
+        {
+            endpoint.idle.push(IdleConnection { connection, since: Instant::now() });
+        }
+    }
+
+    /// The idle connection that was used last, so that those that are not needed reach their idle timeout. Unusable
+    /// ones that are met on the way are closed.
+    fn take_idle(&self, name: &str) -> Option<PooledConnection<P::Connection>> {
+        let mut endpoints = self.endpoints.borrow_mut();
+        let endpoint = endpoints.get_mut(name).filter(|endpoint| endpoint.open)?;
+        for index in (0..endpoint.idle.len()).rev() {
+            // Bytes that belong to no answer may still arrive, and must not pass for the next answer.
+            if endpoint.idle[index].since.elapsed() < self.limits.connection_settle_time {
+                continue;
+            }
+            let IdleConnection { connection, since } = endpoint.idle.remove(index);
+            // The backend closes idle connections: a request that crosses its close may have been executed.
+            if since.elapsed() < self.limits.backend_idle_timeout
+                && self.protocol.is_silent(&connection.connection)
+            {
+                return Some(connection);
+            }
+        }
+        None
+    }
+
+    /// Where a new connection to an endpoint leads; `None` where the endpoint is closed or gone.
+    fn connect_target(&self, name: &str) -> Option<ConnectTarget> {
+        let endpoints = self.endpoints.borrow();
+        let endpoint = endpoints.get(name).filter(|endpoint| endpoint.open)?;
+        Some(ConnectTarget {
+            address: endpoint.address,
+            generation: endpoint.generation,
+            closed: endpoint.closed.clone(),
+        })
+    }
+
+    /// A permit for a new connection. Where none is left, the connection that has been idle for the longest is closed.
+    fn take_permit(&self) -> Option<ConnectionPermit> {
+        if self.open_connections.get() >= self.limits.backend_connections {
+            let mut endpoints = self.endpoints.borrow_mut();
+            let longest_idle = endpoints
+                .values_mut()
+                .filter(|endpoint| !endpoint.idle.is_empty())
+                .min_by_key(|endpoint| endpoint.idle[0].since)?;
+            drop(longest_idle.idle.remove(0));
+        }
+        self.open_connections.set(self.open_connections.get() + 1);
+        Some(ConnectionPermit(self.open_connections.clone()))
+    }
+
+    /// Establishes a connection within `Limits::connect_timeout`, unless the endpoint closes meanwhile.
+    async fn connect(&self, target: &ConnectTarget) -> Result<P::Connection, AttemptOutcome> {
+        let connect = async {
+            let stream = Async::<TcpStream>::connect(target.address)
+                .await
+                .map_err(|_| AttemptOutcome::ConnectFailed)?;
+            stream.get_ref().set_nodelay(true).map_err(|_| AttemptOutcome::ConnectFailed)?;
+            self.protocol.handshake(stream).await
+        };
+        let closed = async {
+            target.closed.wait().await;
+            Err(AttemptOutcome::ConnectFailed)
+        };
+        let deadline = Instant::now() + self.limits.connect_timeout;
+        let connected = until(deadline, future::or(connect, closed)).await;
+        connected.unwrap_or(Err(AttemptOutcome::ConnectFailed))
+    }
+
+    /// Closes connections that reached their idle timeout, every `Limits::pool_sweep_interval`; never returns.
+    pub async fn sweep_idle(&self) {
+        loop {
+            Timer::after(self.limits.pool_sweep_interval).await;
+            for endpoint in self.endpoints.borrow_mut().values_mut() {
+                endpoint.idle.retain(|idle| idle.since.elapsed() < self.limits.backend_idle_timeout);
+            }
+        }
+    }
+}
--- a/src/net/backend_pool/tests.rs
+++ b/src/net/backend_pool/tests.rs
@@ -1,9 +1,12 @@
-//! Kept connections to hosts.
+//! Pooled connections to backends.
 
 use super::*;
-use std::net::TcpListener;
+use crate::routing::AttemptOutcome;
+use async_io::Async;
+use std::net::{TcpListener, TcpStream};
+use std::time::Duration;
 
-/// A protocol in which every connection is ready and quiet.
+/// A protocol in which every connection is ready and silent.
 struct Plain;
 
 impl BackendProtocol for Plain {
@@ -29,60 +32,63 @@
     }
 }
 
-fn hosts(limits: Limits) -> (Rc<BackendPool<Plain>>, TcpListener) {
+/// A pool with the one endpoint `a`, and the endpoint's listener.
+fn pool(limits: Limits) -> (Rc<BackendPool<Plain>>, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let hosts = BackendPool::new(Plain, Rc::new(limits), Clock::start());
+    let pool = BackendPool::new(Plain, Rc::new(limits), Clock::start());
     let address = listener.local_addr().unwrap();
-    hosts.host(EndpointChange { name: "a".into(), address, open: true, started_at: None, gone: false });
-    (hosts, listener)
+    let new = EndpointChange { name: "a".into(), address, open: true, started_at: None, gone: false };
+    pool.update_endpoint(new);
+    (pool, listener)
 }
 
-/// Guards against what is kept of hosts that are gone, and against a connection of one that comes back.
+/// Guards against state that is kept of endpoints that are gone, and against a connection of one that comes back.
 #[test]
-fn a_host_that_is_gone_leaves_nothing_behind() {
-    let (hosts, listener) =
-        hosts(Limits { connection_settle_time: std::time::Duration::ZERO, ..Limits::for_sockets(64) });
+fn an_endpoint_that_is_gone_leaves_nothing_behind() {
+    let (pool, listener) = pool(Limits { connection_settle_time: Duration::ZERO, ..Limits::for_sockets(64) });
     let address = listener.local_addr().unwrap();
     async_io::block_on(async {
-        let old = hosts.lease("a").await.ok().unwrap();
-        let host =
+        let earlier = pool.acquire("a").await.ok().unwrap();
+        let change =
             |gone: bool| EndpointChange { name: "a".into(), address, open: !gone, started_at: None, gone };
-        hosts.host(host(true));
-        assert!(hosts.known.borrow().is_empty());
-        assert!(matches!(hosts.lease("a").await, Err(AttemptOutcome::ConnectFailed)));
-        hosts.host(host(false));
-        hosts.give_back("a", old);
-        assert_eq!(hosts.connection_count(), 0, "a connection of its earlier life is not kept");
+        pool.update_endpoint(change(true));
+        assert!(pool.endpoints.borrow().is_empty());
+        assert!(matches!(pool.acquire("a").await, Err(AttemptOutcome::ConnectFailed)));
+        pool.update_endpoint(change(false));
+        pool.release("a", earlier);
+        assert_eq!(pool.connection_count(), 0, "a connection of an earlier generation is not kept");
     });
 }
 
-/// Guards against a host that went away, lost what it had, and is trusted again because descriptors were short.
+/// Guards against an endpoint that went away, lost a part of its log, and is trusted again because descriptors were
+/// short.
 #[test]
-fn a_host_is_doubted_once_no_connection_was_made_and_not_less_when_there_is_no_room_for_one() {
-    let (hosts, listener) = hosts(Limits { backend_connections: 1, ..Limits::for_sockets(64) });
-    let doubted = || hosts.known.borrow()["a"].doubted;
+fn an_endpoint_needs_a_probe_once_a_connection_failed_and_still_does_without_a_permit() {
+    let (pool, listener) = pool(Limits { backend_connections: 1, ..Limits::for_sockets(64) });
+    let needs_probe = || pool.endpoints.borrow()["a"].needs_probe;
     async_io::block_on(async {
-        assert!(doubted(), "it is new");
-        hosts.doubt("a", false);
-        let held = hosts.lease("a").await.ok().unwrap();
-        assert!(!doubted());
+        assert!(needs_probe(), "it is new");
+        pool.set_needs_probe("a", false);
+        let held = pool.acquire("a").await.ok().unwrap();
+        assert!(!needs_probe());
         drop((listener, held));
-        assert!(matches!(hosts.lease("a").await, Err(AttemptOutcome::ConnectFailed)) && doubted());
-        hosts.connections.set(1);
-        assert!(matches!(hosts.lease("a").await, Err(AttemptOutcome::Overloaded)) && doubted());
+        assert!(matches!(pool.acquire("a").await, Err(AttemptOutcome::ConnectFailed)) && needs_probe());
+        pool.open_connections.set(1);
+        assert!(matches!(pool.acquire("a").await, Err(AttemptOutcome::Overloaded)) && needs_probe());
     });
 }
 
 /// Guards against a second copy of an answer that comes right behind it and passes for the next one.
 #[test]
 fn a_connection_rests_before_it_is_used_again() {
-    for (settle, held) in [(std::time::Duration::from_secs(3600), 2), (std::time::Duration::ZERO, 1)] {
-        let (hosts, _listener) = hosts(Limits { connection_settle_time: settle, ..Limits::for_sockets(64) });
+    for (settle_time, held) in [(Duration::from_secs(3600), 2), (Duration::ZERO, 1)] {
+        let (pool, _listener) =
+            pool(Limits { connection_settle_time: settle_time, ..Limits::for_sockets(64) });
         async_io::block_on(async {
-            let first = hosts.lease("a").await.ok().unwrap();
-            hosts.give_back("a", first);
-            let second = hosts.lease("a").await.ok().unwrap();
-            assert_eq!(hosts.connection_count(), held);
+            let first = pool.acquire("a").await.ok().unwrap();
+            pool.release("a", first);
+            let second = pool.acquire("a").await.ok().unwrap();
+            assert_eq!(pool.connection_count(), held);
             drop(second);
         });
     }
