--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -8,7 +8,6 @@
 pub mod commands;
 mod error;
 pub mod listeners;
-pub mod milestone;
 pub mod operator;
 pub mod operator_config;
 pub mod platform;
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -24,10 +24,11 @@
 use crate::fleet::runtime::Fleet;
 use crate::net::admin_server::AdminServer;
 use crate::net::backend_pool::{BackendPool, BackendProtocol};
+use crate::net::latch::Latch;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::listener;
 use crate::net::sparql::front::Front;
-use crate::net::sparql::host::Sparql;
+use crate::net::sparql::host::SparqlBackend;
 use agreed_settings::AgreedSettings;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
@@ -38,8 +39,9 @@
 use std::rc::Rc;
 
 /// The engine of SPARQL operations.
-type Engine = EngineHandle<<Sparql as BackendProtocol>::Request, <Sparql as BackendProtocol>::Answer>;
-type EngineCommand = Command<<Sparql as BackendProtocol>::Request>;
+type Engine =
+    EngineHandle<<SparqlBackend as BackendProtocol>::Request, <SparqlBackend as BackendProtocol>::Answer>;
+type EngineCommand = Command<<SparqlBackend as BackendProtocol>::Request>;
 
 /// Serves until SIGTERM.
 ///
@@ -105,8 +107,8 @@
             classes,
             service: self.config.service.clone(),
             ready: feeds.all_groups_served,
-            duty: self.lifecycle.clone(),
-            breaks: self.fleet.breaks.clone(),
+            lifecycle: self.lifecycle.clone(),
+            log_rollbacks: self.fleet.breaks.clone(),
         });
         let terminate = SignalStream::subscribe(Signal::Terminate)?;
         let ClientFront { limiter, acceptor, .. } = client_front;
@@ -124,7 +126,7 @@
         observations_pending: Sender<()>,
     ) -> Task<()> {
         let host_path = self.config.host_path.clone();
-        let protocol = Sparql::new(self.limits.clone(), host_path, &self.config.name, report_fields);
+        let protocol = SparqlBackend::new(self.limits.clone(), host_path, &self.config.name, report_fields);
         let backends = BackendPool::new(protocol, self.limits.clone(), self.clock.clone());
         let fleet = self.fleet.clone();
         let execute_other = async move |command| match command {
@@ -136,7 +138,7 @@
         execute_commands(&self.executor, &backends, commands, engine, execute_other)
     }
 
-    fn start_admin_server(&self, engine: &Engine, ready: &Receiver<()>) -> Result<(), DaemonError> {
+    fn start_admin_server(&self, engine: &Engine, ready: &Latch) -> Result<(), DaemonError> {
         let Some(address) = self.config.admin else { return Ok(()) };
         let fleet = self.fleet.clone();
         let fleet_metrics = move || admin_api::figures(&fleet);
--- a/src/daemon/operator/engine_feeds.rs
+++ b/src/daemon/operator/engine_feeds.rs
@@ -2,10 +2,10 @@
 
 use crate::config::Limits;
 use crate::daemon::Executor;
-use crate::daemon::milestone::{Milestone, reached};
 use crate::engine::{Control, EngineHandle, Input};
 use crate::fleet::recovery::phases::Step;
 use crate::fleet::runtime::Fleet;
+use crate::net::latch::Latch;
 use crate::net::until;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
@@ -13,10 +13,10 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The tasks' ends that other parts of the daemon use.
+/// What other parts of the daemon use of the tasks.
 pub struct EngineFeeds {
-    /// Reached once recovery is complete and all groups are served; groups that recover earlier are served earlier.
-    pub all_groups_served: Receiver<()>,
+    /// Set once recovery is complete and all groups are served; groups that recover earlier are served earlier.
+    pub all_groups_served: Latch,
     /// Takes a message when the engine has observations for the fleet.
     pub observations_pending: Sender<()>,
 }
@@ -35,96 +35,63 @@
         W: Send + 'static,
         A: Send + 'static,
     {
-        let (first_list_sent, first_list) = Milestone::new();
-        advance_recovery(fleet, engine, false).await;
-        {
-            let fleet = fleet.clone();
-            let engine = engine.clone();
-            let task = async move { feed_lists(&fleet, &engine, first_list_sent, running_settings).await };
-            executor.spawn(task).detach();
-        }
-        let (recovery_complete, all_groups_served) = Milestone::new();
+        let feed = Rc::new(Feed {
+            fleet: fleet.clone(),
+            engine: engine.clone(),
+            limits: limits.clone(),
+            first_list_sent: Latch::default(),
+            hints_sent: Latch::default(),
+            all_groups_served: Latch::default(),
+        });
         let (observations_pending, pending) = async_channel::bounded(1);
-        // Nothing is admitted before the engine knows what the fleet knows of primaries.
-        let (hints_sent, hints) = Milestone::new();
-        {
-            let feed = RecoveryFeed {
-                fleet: fleet.clone(),
-                engine: engine.clone(),
-                limits: limits.clone(),
-                hints,
-                complete: recovery_complete,
-            };
-            executor.spawn(async move { feed.run(pending).await }).detach();
-        }
-        {
-            let fleet = fleet.clone();
-            let engine = engine.clone();
-            let limits = limits.clone();
-            let first_list = first_list.clone();
-            let task = async move { feed_zones(&fleet, &engine, &limits, &first_list).await };
-            executor.spawn(task).detach();
-        }
-        {
-            let fleet = fleet.clone();
-            let engine = engine.clone();
-            let first_list = first_list.clone();
-            let task = async move { feed_peer_observations(&fleet, &engine, &first_list).await };
-            executor.spawn(task).detach();
-        }
-        {
-            let fleet = fleet.clone();
-            let engine = engine.clone();
-            let task = async move { feed_primary_hints(&fleet, &engine, &first_list, hints_sent).await };
-            executor.spawn(task).detach();
-        }
-        EngineFeeds { all_groups_served, observations_pending }
+        feed.advance_recovery().await;
+        executor.spawn(feed.clone().feed_lists(running_settings)).detach();
+        executor.spawn(feed.clone().feed_recovery(pending)).detach();
+        executor.spawn(feed.clone().feed_zones()).detach();
+        executor.spawn(feed.clone().feed_peer_observations()).detach();
+        executor.spawn(feed.clone().feed_primary_hints()).detach();
+        EngineFeeds { all_groups_served: feed.all_groups_served.clone(), observations_pending }
     }
 }
 
-/// Hands each agreed endpoint list to the engine, with this daemon's own drains. Warns when other settings are agreed
-/// than those in use: an engine keeps the settings that it was started with.
-async fn feed_lists<W, A>(
-    fleet: &Fleet,
-    engine: &EngineHandle<W, A>,
-    first_list_sent: Milestone,
-    mut known_settings: String,
-) {
-    let mut known_list = BTreeMap::new();
-    let changed = fleet.watch();
-    loop {
-        if let Some(newer) = fleet.settings().filter(|text| *text != known_settings) {
-            log::warn!("other settings are agreed now; they take effect at the next start");
-            known_settings = newer;
-        }
-        if let Some(list) = fleet.list_change(&mut known_list) {
-            engine.control(Control::EndpointList { list, cached: false }).await;
-            first_list_sent.reach();
-        }
-        let _ = changed.recv().await;
-    }
-}
-
-/// Carries the engine's observations to the fleet and, until recovery is complete, the fleet's admission policy to
-/// the engine.
-struct RecoveryFeed<W, A> {
+/// Both sides that the tasks connect, and how far the start has come.
+struct Feed<W, A> {
     fleet: Rc<Fleet>,
     engine: EngineHandle<W, A>,
     limits: Rc<Limits>,
-    /// Reached once the engine has what the fleet knows of primaries.
-    hints: Receiver<()>,
-    complete: Milestone,
+    /// Set once the engine has an endpoint list.
+    first_list_sent: Latch,
+    /// Set once the engine has what the fleet knows of primaries: nothing is admitted before.
+    hints_sent: Latch,
+    all_groups_served: Latch,
 }
 
-impl<W, A> RecoveryFeed<W, A> {
-    async fn run(self, observations_pending: Receiver<()>) {
+impl<W, A> Feed<W, A> {
+    /// Hands each agreed endpoint list to the engine, with this daemon's own drains. Warns when other settings are
+    /// agreed than those in use: an engine keeps the settings that it was started with.
+    async fn feed_lists(self: Rc<Self>, mut known_settings: String) {
+        let mut known_list = BTreeMap::new();
+        let changed = self.fleet.watch();
+        loop {
+            if let Some(newer) = self.fleet.settings().filter(|text| *text != known_settings) {
+                log::warn!("other settings are agreed now; they take effect at the next start");
+                known_settings = newer;
+            }
+            if let Some(list) = self.fleet.list_change(&mut known_list) {
+                self.engine.control(Control::EndpointList { list, cached: false }).await;
+                self.first_list_sent.set();
+            }
+            let _ = changed.recv().await;
+        }
+    }
+
+    /// Carries the engine's observations to the fleet and, until recovery is complete, the fleet's admission policy to
+    /// the engine.
+    async fn feed_recovery(self: Rc<Self>, observations_pending: Receiver<()>) {
         while let Some(observations) = self.engine.observations().await {
             self.fleet.observe(&observations);
-            if self.fleet.returns() {
-                let has_hints = self.hints.is_closed();
-                if advance_recovery(&self.fleet, &self.engine, has_hints).await {
-                    self.complete.reach();
-                }
+            if self.fleet.returns() && self.advance_recovery().await {
+                self.all_groups_served.set();
             }
             let pause = if self.fleet.returns() {
                 self.limits.recovery_check_interval
@@ -134,58 +101,53 @@
             let _ = until(Instant::now() + pause, observations_pending.recv()).await;
         }
     }
-}
 
-/// Advances recovery as far as the fleet's state allows; true: all groups are served.
-async fn advance_recovery<W, A>(fleet: &Fleet, engine: &EngineHandle<W, A>, has_hints: bool) -> bool {
-    let (admission, poll_participants) = fleet.return_on(has_hints);
-    engine.control(Control::SetPollParticipants(poll_participants)).await;
-    engine.control(Control::SetAdmission(admission)).await;
-    fleet.service().step >= Step::Rest
-}
+    /// Advances recovery as far as the fleet's state allows; true: all groups are served.
+    async fn advance_recovery(&self) -> bool {
+        let (admission, poll_participants) = self.fleet.return_on(self.hints_sent.is_set());
+        self.engine.control(Control::SetPollParticipants(poll_participants)).await;
+        self.engine.control(Control::SetAdmission(admission)).await;
+        self.fleet.service().step >= Step::Rest
+    }
 
-/// Feeds outcomes per endpoint to the zones' failure detector, and cancels overdue reads in zones that are evacuated.
-async fn feed_zones<W, A>(
-    fleet: &Fleet,
-    engine: &EngineHandle<W, A>,
-    limits: &Limits,
-    first_list: &Receiver<()>,
-) {
-    reached(first_list).await;
-    while let Some(outcomes) = engine.outcome_counts().await {
-        let evacuated = fleet.look_at_zones(&outcomes);
-        if !evacuated.is_empty() {
-            engine.control(Control::CancelOverdueReads(evacuated)).await;
+    /// Feeds outcomes per endpoint to the zones' failure detector, and cancels overdue reads in zones that are
+    /// evacuated.
+    async fn feed_zones(self: Rc<Self>) {
+        self.first_list_sent.wait().await;
+        while let Some(outcomes) = self.engine.outcome_counts().await {
+            let evacuated = self.fleet.look_at_zones(&outcomes);
+            if !evacuated.is_empty() {
+                self.engine.control(Control::CancelOverdueReads(evacuated)).await;
+            }
+            // Without requests there are no outcomes to detect a failure by.
+            let pause = if outcomes.is_empty() {
+                self.limits.file_check_interval
+            } else {
+                self.limits.zone_check_interval
+            };
+            Timer::after(pause).await;
         }
-        // Without requests there are no outcomes to detect a failure by.
-        let pause = if outcomes.is_empty() { limits.file_check_interval } else { limits.zone_check_interval };
-        Timer::after(pause).await;
     }
-}
 
-/// Hands the observations of peers to the engine, those from before the start first.
-async fn feed_peer_observations<W, A>(fleet: &Fleet, engine: &EngineHandle<W, A>, first_list: &Receiver<()>) {
-    reached(first_list).await;
-    engine.control(Control::PeerObservations(fleet.told_before())).await;
-    while let Some(observations) = fleet.told().await {
-        engine.control(Control::PeerObservations(observations)).await;
+    /// Hands the observations of peers to the engine, those from before the start first.
+    async fn feed_peer_observations(self: Rc<Self>) {
+        self.first_list_sent.wait().await;
+        self.engine.control(Control::PeerObservations(self.fleet.told_before())).await;
+        while let Some(observations) = self.fleet.told().await {
+            self.engine.control(Control::PeerObservations(observations)).await;
+        }
     }
-}
 
-/// Hands the primary hints of peers to the engine. It discards hints on endpoints that its list lacks, so that none is
-/// handed over before the first list.
-async fn feed_primary_hints<W, A>(
-    fleet: &Fleet,
-    engine: &EngineHandle<W, A>,
-    first_list: &Receiver<()>,
-    hints_sent: Milestone,
-) {
-    reached(first_list).await;
-    for bytes in fleet.first_hints() {
-        engine.input(Input::PeerMessage { from: 0, bytes }).await;
-    }
-    hints_sent.reach();
-    while let Some(bytes) = fleet.hinted().await {
-        engine.input(Input::PeerMessage { from: 0, bytes }).await;
+    /// Hands the primary hints of peers to the engine. It discards hints on endpoints that its list lacks, so that none
+    /// is handed over before the first list.
+    async fn feed_primary_hints(self: Rc<Self>) {
+        self.first_list_sent.wait().await;
+        for bytes in self.fleet.first_hints() {
+            self.engine.input(Input::PeerMessage { from: 0, bytes }).await;
+        }
+        self.hints_sent.set();
+        while let Some(bytes) = self.fleet.hinted().await {
+            self.engine.input(Input::PeerMessage { from: 0, bytes }).await;
+        }
     }
 }
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -10,7 +10,6 @@
 
 use super::commands::execute_commands;
 use super::listeners::{Acceptor, serve_admin};
-use super::milestone::reached;
 use super::shutdown::{Handover, RunningDaemon};
 use super::signals::{Signal, SignalStream};
 use super::{ConfigError, DaemonError, Executor};
@@ -23,6 +22,7 @@
 use crate::net::backend_pool::{BackendPool, BackendProtocol};
 use crate::net::connection_limiter::ConnectionLimiter;
 use crate::net::gossip_socket::GossipSocket;
+use crate::net::latch::Latch;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::postgres::front::Front;
 use crate::net::postgres::host::PostgresBackend;
@@ -125,15 +125,15 @@
         let peers = gossip::start(&self.config, &self.engine, &self.limits, &self.executor)?;
         log_start(&self.config, &listener, &self.limits);
         self.start_lists(hangup);
-        let first_list = self.lists.first_list();
-        self.start_admin_server(&first_list)?;
+        let first_list_sent = self.lists.first_list_sent();
+        self.start_admin_server(&first_list_sent)?;
         self.discovery.watch(&self.executor, &self.config, &self.lists, &self.engine, &self.limits);
         let command_task = self.execute_commands(commands, peers);
 
         let handover = handover(&self.config);
         if handover == Handover::Successor {
             // Until this process can serve, all clients on the shared socket are its predecessor's.
-            if terminate.unless_received(reached(&first_list)).await.is_none() {
+            if terminate.unless_received(first_list_sent.wait()).await.is_none() {
                 return terminated_early();
             }
         }
@@ -142,7 +142,7 @@
             limits: self.limits.clone(),
             handle: self.engine.clone(),
             classes: self.classes,
-            ready: first_list,
+            ready: first_list_sent,
             lifecycle: self.lifecycle.clone(),
             open_requests: Default::default(),
         };
@@ -160,13 +160,13 @@
         }
     }
 
-    fn start_admin_server(&self, first_list: &Receiver<()>) -> Result<(), DaemonError> {
+    fn start_admin_server(&self, first_list_sent: &Latch) -> Result<(), DaemonError> {
         let Some(address) = self.config.admin else { return Ok(()) };
         let server = AdminServer::new(
             &self.limits,
             self.engine.clone(),
             self.lifecycle.clone(),
-            first_list.clone(),
+            first_list_sent.clone(),
             String::new,
         );
         serve_admin(&self.executor, address, &self.config.name, &self.limits, server)
--- a/src/daemon/platform/endpoint_lists.rs
+++ b/src/daemon/platform/endpoint_lists.rs
@@ -2,11 +2,11 @@
 
 use crate::config::Limits;
 use crate::daemon::Executor;
-use crate::daemon::milestone::Milestone;
 use crate::daemon::signals::SignalStream;
 use crate::engine::endpoints::{EndpointCatalog, EndpointUpdate};
 use crate::engine::{Control, EngineHandle};
 use crate::net::discovery;
+use crate::net::latch::Latch;
 use crate::platform_config::PlatformConfig;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
@@ -18,8 +18,7 @@
 #[derive(Clone)]
 pub struct EndpointLists {
     catalog: Rc<RefCell<EndpointCatalog>>,
-    first_list_sent: Milestone,
-    first_list: Receiver<()>,
+    first_list_sent: Latch,
 }
 
 impl EndpointLists {
@@ -29,13 +28,12 @@
         if let Some(cached) = cached {
             catalog.take(&EndpointUpdate { whole: true, ..cached });
         }
-        let (first_list_sent, first_list) = Milestone::new();
-        EndpointLists { catalog: Rc::new(RefCell::new(catalog)), first_list_sent, first_list }
+        EndpointLists { catalog: Rc::new(RefCell::new(catalog)), first_list_sent: Latch::default() }
     }
 
-    /// Reached once the process can serve: the engine has a list.
-    pub fn first_list(&self) -> Receiver<()> {
-        self.first_list.clone()
+    /// Set once the process can serve: the engine has a list.
+    pub fn first_list_sent(&self) -> Latch {
+        self.first_list_sent.clone()
     }
 
     /// Hands the cached list to the engine if discovery does not answer within `cached_list_delay`; until then requests
@@ -57,12 +55,12 @@
         let ready_after = limits.readiness_timeout;
         let task = async move {
             Timer::after(delay).await;
-            if !first_list_sent.is_reached() {
+            if !first_list_sent.is_set() {
                 let list = catalog.borrow().listing();
                 engine.control(Control::EndpointList { list, cached: true }).await;
             }
             Timer::after(ready_after.saturating_sub(delay)).await;
-            first_list_sent.reach();
+            first_list_sent.set();
         };
         executor.spawn(task).detach();
     }
@@ -72,7 +70,7 @@
         self.catalog.borrow_mut().take(update);
         let list = self.catalog.borrow().listing();
         engine.control(Control::EndpointList { list, cached: false }).await;
-        self.first_list_sent.reach();
+        self.first_list_sent.set();
     }
 }
 
