--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -1,5 +1,5 @@
-//! The files that operators and the platform write: every key, read into the value that it stands for. The names of
-//! fields in the program may change, the keys and what they mean may not.
+//! The files that operators and the platform write: every key is read into the field that it stands for. Names of fields
+//! in the program may change, keys and their meaning may not.
 
 use brookpass::config::Limits;
 use brookpass::daemon::operator_config::{self, OperatorConfig, ParsedSettings, StoreConfig};
@@ -25,17 +25,17 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// A length of so many microseconds, as settings that are stated hold it.
+/// A length of time as an optional setting holds it.
 fn micros(micros: i64) -> Option<TimeDelta> {
     Some(TimeDelta::from_micros(micros))
 }
 
-fn at(text: &str) -> SocketAddr {
+fn address(text: &str) -> SocketAddr {
     text.parse().unwrap()
 }
 
-/// Guards against a setting that is read from another key, into another field or in another unit. A field that is
-/// added fails to compile here until it has a line in the file.
+/// Guards against a setting that is read from another key, into another field or in another unit. The destructuring
+/// without `..` does not compile for a new field until it has a line in the file.
 #[test]
 fn every_settings_key_is_read_into_its_field() {
     let Settings {
@@ -98,6 +98,13 @@
     assert_eq!((cross_zone_cost, probe_cost, waste_cost), (Some(0.01), Some(0.02), Some(0.03)));
     let quotas: Vec<_> = tenants.into_iter().map(|Tenant { quota_per_s }| quota_per_s).collect();
     assert_eq!(quotas, [Some(40.0), Some(41.5)]);
+    assert_eq!(classes.len(), 2);
+}
+
+/// As above, for the keys of a class.
+#[test]
+fn every_class_key_is_read_into_its_field() {
+    let classes = settings_parser::parse(SETTINGS).unwrap().classes;
     let [read, write] = <[Class; 2]>::try_from(classes).unwrap();
     let Class {
         latency_objective,
@@ -133,60 +140,61 @@
     assert_eq!((write.consistency, write.max_age), (Some(Consistency::Write), micros(900_000)));
 }
 
-/// Guards against a line of the file above that nothing reads: without it some field must be another one.
+/// Guards against a line of the file above that nothing reads: without it some field must differ.
 #[test]
-fn every_settings_key_counts() {
-    let whole = format!("{:?}", settings_parser::parse(SETTINGS).unwrap());
-    // Names belong to those who read the pairs; the report says by itself how it comes.
-    let named = |line: &&str| line.contains(".name=");
+fn every_settings_key_changes_a_field() {
+    let complete = format!("{:?}", settings_parser::parse(SETTINGS).unwrap());
+    // Names are read by the callers of the parser, not by itself.
+    let is_name = |line: &&str| line.contains(".name=");
     let lines: Vec<&str> = SETTINGS.lines().collect();
-    for line in lines.iter().filter(|l| !named(l)) {
-        let without: String = lines.iter().filter(|l| *l != line).map(|l| format!("{l}\n")).collect();
-        assert_ne!(format!("{:?}", settings_parser::parse(&without).unwrap()), whole, "{line}");
+    for line in lines.iter().filter(|line| !is_name(line)) {
+        let without: String =
+            lines.iter().filter(|other| *other != line).map(|other| format!("{other}\n")).collect();
+        assert_ne!(format!("{:?}", settings_parser::parse(&without).unwrap()), complete, "{line}");
     }
 }
 
-/// Guards against a word of a setting that means something else.
+/// Guards against a keyword of a setting that changes its meaning.
 #[test]
-fn every_word_of_a_setting_means_what_it_meant() {
+fn every_keyword_of_a_setting_keeps_its_meaning() {
     let class = |line: &str| {
         let class = settings_parser::parse(&format!("services.count=1\n{line}\n")).unwrap().classes.remove(0);
         (class.idempotency, class.key_scope, class.consistency)
     };
-    for (word, idempotency) in [
+    for (keyword, idempotency) in [
         ("repeatable", Idempotency::Idempotent),
         ("by_key", Idempotency::Keyed),
         ("once", Idempotency::NonIdempotent),
     ] {
-        assert_eq!(class(&format!("services.0.repeat={word}")), (Some(idempotency), None, None));
+        assert_eq!(class(&format!("services.0.repeat={keyword}")), (Some(idempotency), None, None));
     }
-    for (word, group) in
+    for (keyword, group) in
         [("all", KeyScope::AllEndpoints), ("cell", KeyScope::Group), ("zone", KeyScope::Zone)]
     {
-        assert_eq!(class(&format!("services.0.group={word}")), (None, Some(group), None));
+        assert_eq!(class(&format!("services.0.group={keyword}")), (None, Some(group), None));
     }
-    for (word, consistency) in [
+    for (keyword, consistency) in [
         ("mutate", Consistency::Write),
         ("strong", Consistency::Strong),
         ("causal", Consistency::Session),
         ("lag_bound", Consistency::Bounded),
         ("eventual", Consistency::Eventual),
     ] {
-        assert_eq!(class(&format!("family-info.consistency={word}")), (None, None, Some(consistency)));
+        assert_eq!(class(&format!("family-info.consistency={keyword}")), (None, None, Some(consistency)));
     }
     let read = |line: &str| settings_parser::parse(line).unwrap();
-    for (word, behind) in [
+    for (keyword, behind) in [
         ("none", ReplicationLagPolicy::ServeStale),
         ("bounce", ReplicationLagPolicy::Reject),
         ("await", ReplicationLagPolicy::WaitThenReject),
     ] {
-        assert_eq!(read(&format!("family-info.behind={word}")).replication_lag_policy, Some(behind));
+        assert_eq!(read(&format!("family-info.behind={keyword}")).replication_lag_policy, Some(behind));
     }
-    for (word, marks) in [("brought", SessionTracking::Carried), ("kept", SessionTracking::Remembered)] {
-        assert_eq!(read(&format!("family-info.session-marks={word}")).session_tracking, Some(marks));
+    for (keyword, marks) in [("brought", SessionTracking::Carried), ("kept", SessionTracking::Remembered)] {
+        assert_eq!(read(&format!("family-info.session-marks={keyword}")).session_tracking, Some(marks));
     }
-    for (word, must) in [("subscribe", true), ("automatic", false)] {
-        assert_eq!(read(&format!("discovery={word}")).must_subscribe, Some(must));
+    for (keyword, must) in [("subscribe", true), ("automatic", false)] {
+        assert_eq!(read(&format!("discovery={keyword}")).must_subscribe, Some(must));
     }
 }
 
@@ -212,14 +220,14 @@
         modified_at,
     } = operator_config::load(&path).unwrap();
     assert_eq!((own, name.as_str(), number, sockets), (path, "b7", 3, 2048));
-    assert_eq!((listen, admin), (at("127.0.0.1:9001"), Some(at("127.0.0.1:9006"))));
+    assert_eq!((listen, admin), (address("127.0.0.1:9001"), Some(address("127.0.0.1:9006"))));
     let Service { path, query, session, update, group } = service;
     assert_eq!((path.as_str(), host_path.as_str()), ("/query", "/host/sparql"));
     assert_eq!((query.as_str(), session.as_deref()), ("catalog-read", Some("own-edit-read")));
     assert_eq!((update.as_str(), group), ("score-write", Some(GroupId(12))));
     let StoreConfig { listen, peers, advertise, snapshot } = store;
-    assert_eq!((listen, advertise), (at("127.0.0.1:9002"), Some(at("127.0.0.1:9003"))));
-    assert_eq!(peers, [at("127.0.0.1:9004"), at("[::1]:9005")]);
+    assert_eq!((listen, advertise), (address("127.0.0.1:9002"), Some(address("127.0.0.1:9003"))));
+    assert_eq!(peers, [address("127.0.0.1:9004"), address("[::1]:9005")]);
     assert_eq!((snapshot, inventory), (Some(fixture("kept/b7.store")), Some(fixture("hosts.csv"))));
     assert_eq!(zones, ["north-1", "south-2"]);
     let Leaving { names, automatic, dwell } = leaving;
@@ -238,7 +246,7 @@
     assert_eq!(class_names, ["catalog-read", "own-edit-read", "score-write"]);
     assert_eq!((settings.pooler_count, settings.me, settings.may_probe), (Some(5), Some(3), Some(true)));
     assert_eq!(pairs["limits.conn-idle"], "15");
-    assert_eq!(pairs.len(), PAIRS.lines().count() + 9, "and what the daemon itself decides");
+    assert_eq!(pairs.len(), PAIRS.lines().count() + 9, "and those that the daemon itself decides");
     for (key, value) in [
         ("me", "3"),
         ("discovery", "automatic"),
@@ -254,25 +262,26 @@
     }
 }
 
-/// Guards against a default that changes for whoever leaves a key out.
+/// Guards against a default that changes for files without the key.
 #[test]
-fn what_an_operators_file_leaves_out_has_its_default() {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-least-{}", std::process::id()));
+fn a_key_that_an_operators_file_lacks_has_its_default() {
+    let folder =
+        Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-minimal-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("operator.yaml");
-    let least =
+    let minimal =
         "name: b1\nsparql:\n  listen: 127.0.0.1:1\n  query: q\n  update: u\nstore:\n  listen: 127.0.0.1:2\n";
-    std::fs::write(&path, least).unwrap();
-    let o = operator_config::load(&path).unwrap();
+    std::fs::write(&path, minimal).unwrap();
+    let config = operator_config::load(&path).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!((o.number, o.admin, o.sockets), (0, None, 1024));
-    assert_eq!((o.host_path.as_str(), o.service.path.as_str()), ("/sparql", "/sparql"));
-    assert_eq!((o.service.session, o.service.group), (None, None));
-    assert_eq!((o.store.advertise, o.store.peers, o.store.snapshot), (None, Vec::new(), None));
-    assert_eq!((o.inventory, o.zones, o.settings), (None, Vec::new(), None));
-    assert_eq!((o.leaving.names, o.leaving.automatic), (Vec::new(), true));
+    assert_eq!((config.number, config.admin, config.sockets), (0, None, 1024));
+    assert_eq!((config.host_path.as_str(), config.service.path.as_str()), ("/sparql", "/sparql"));
+    assert_eq!((config.service.session, config.service.group), (None, None));
+    assert_eq!((config.store.advertise, config.store.peers, config.store.snapshot), (None, Vec::new(), None));
+    assert_eq!((config.inventory, config.zones, config.settings), (None, Vec::new(), None));
+    assert_eq!((config.leaving.names, config.leaving.automatic), (Vec::new(), true));
     assert_eq!(
-        o.leaving.dwell,
+        config.leaving.dwell,
         Dwell { least: TimeDelta::from_micros(3_000_000), longest: TimeDelta::from_micros(60_000_000) }
     );
 }
@@ -282,7 +291,7 @@
 fn every_key_of_an_inventory_is_read_into_its_field() {
     let first = EndpointRecord {
         name: "s-1".into(),
-        address: at("127.0.0.1:7001"),
+        address: address("127.0.0.1:7001"),
         zone: ZoneId(0),
         group: GroupId(1),
         availability: Availability::Ready,
@@ -292,7 +301,7 @@
     };
     let second = EndpointRecord {
         name: "s-2".into(),
-        address: at("127.0.0.1:7002"),
+        address: address("127.0.0.1:7002"),
         zone: ZoneId(1),
         group: GroupId(2),
         availability: Availability::Draining,
@@ -331,12 +340,12 @@
         backend_idle_secs,
     } = platform_config::parse(PLATFORM).unwrap();
     assert_eq!((name.as_str(), seed), ("n3", 0x8c1f_30d2_7a5b_e964));
-    assert_eq!((listen, discovery), (at("127.0.0.1:9101"), at("127.0.0.1:9102")));
+    assert_eq!((listen, discovery), (address("127.0.0.1:9101"), address("127.0.0.1:9102")));
     assert_eq!((sockets, memory_mb, backend_idle_secs), (Some(1024), Some(192.0), Some(15.0)));
-    assert_eq!((peer_listen, peers_all), (Some(at("127.0.0.1:9103")), Some(at("127.0.0.1:9105"))));
-    assert_eq!(peers, [at("127.0.0.1:9103"), at("127.0.0.1:9104")]);
-    assert_eq!((inherited_socket, admin), (None, Some(at("127.0.0.1:9106"))));
-    let host = |name: &str, port: u16, zone, group, availability, weight, started_at| EndpointRecord {
+    assert_eq!((peer_listen, peers_all), (Some(address("127.0.0.1:9103")), Some(address("127.0.0.1:9105"))));
+    assert_eq!(peers, [address("127.0.0.1:9103"), address("127.0.0.1:9104")]);
+    assert_eq!((inherited_socket, admin), (None, Some(address("127.0.0.1:9106"))));
+    let endpoint = |name: &str, port: u16, zone, group, availability, weight, started_at| EndpointRecord {
         name: name.into(),
         address: ([127, 0, 0, 1], port).into(),
         zone,
@@ -347,7 +356,7 @@
         started_at,
     };
     let entries = vec![
-        host(
+        endpoint(
             "s-1",
             7001,
             ZoneId(1),
@@ -356,8 +365,8 @@
             0.5,
             Some(Timestamp::from_micros(1_767_225_600_123_000)),
         ),
-        host("s-2", 7002, ZoneId(0), GroupId(4), Availability::Ready, 2.0, None),
-        host("s-3", 7003, ZoneId(0), GroupId(5), Availability::Gone, 1.0, None),
+        endpoint("s-2", 7002, ZoneId(0), GroupId(4), Availability::Ready, 2.0, None),
+        endpoint("s-3", 7003, ZoneId(0), GroupId(5), Availability::Gone, 1.0, None),
     ];
     assert_eq!(cached_list, Some(EndpointUpdate { index: 41, whole: false, entries }));
     assert_eq!((classes, zones), (vec!["read".into(), "write".into()], vec!["a".into(), "b".into()]));
@@ -365,7 +374,7 @@
     assert_eq!(
         (settings.must_subscribe, settings.zero),
         (Some(false), Some(Timestamp::ZERO)),
-        "positions are Unix times"
+        "log positions are Unix times"
     );
     assert_eq!(settings.tenants[0].quota_per_s, Some(40.0));
     assert_eq!(settings.classes[1].key_window, micros(1_200_000));
@@ -373,20 +382,20 @@
     assert_eq!(settings.report_fields, ["x0", "x1", "util"]);
 }
 
-/// Guards against a build file whose keys or programs are others, and whose parts lists name what has moved.
+/// Guards against a build file with other keys or programs, and with lists of parts that name moved files.
 #[test]
-fn the_build_file_has_its_keys_and_names_what_is_there() {
+fn the_build_file_keeps_its_keys_and_names_existing_files() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
     let pairs: Vec<(&str, &str)> = text
         .lines()
-        .filter(|l| !l.trim().is_empty() && !l.starts_with('#'))
-        .map(|l| l.split('#').next().unwrap().split_once('=').expect("key = value"))
+        .filter(|line| !line.trim().is_empty() && !line.starts_with('#'))
+        .map(|line| line.split('#').next().unwrap().split_once('=').expect("key = value"))
         .map(|(key, value)| (key.trim(), value.trim()))
         .collect();
     let keys: Vec<&str> = pairs.iter().map(|(key, _)| *key).collect();
     assert_eq!(keys, ["build", "run", "sim", "policy", "node", "packages"]);
-    let value = |key: &str| pairs.iter().find(|(k, _)| *k == key).unwrap().1;
+    let value = |key: &str| pairs.iter().find(|(name, _)| *name == key).unwrap().1;
     assert_eq!(value("build"), r#""cargo build --release --locked""#);
     assert_eq!(value("run"), r#""exec target/release/brookpass""#);
     assert_eq!(value("sim"), r#""exec target/release/brookpass-adapter""#);
@@ -400,7 +409,8 @@
         list.map(|path| path.trim().trim_matches('"').to_string()).collect()
     };
     // Every file of the decision module, but for the one that reads its settings from text.
-    let routing = std::fs::read_dir(root.join("src/routing")).unwrap().map(|e| e.unwrap().file_name());
+    let routing =
+        std::fs::read_dir(root.join("src/routing")).unwrap().map(|entry| entry.unwrap().file_name());
     let files = routing.map(|name| format!("src/routing/{}", name.to_str().unwrap()));
     let mut decisions: Vec<String> =
         files.filter(|path| path.ends_with(".rs") && !path.ends_with("/settings_parser.rs")).collect();
--- a/tests/golden_program.rs
+++ b/tests/golden_program.rs
@@ -1,4 +1,4 @@
-//! What the program says on its command line, and its exit codes: scripts and units of operators rest on them.
+//! Output and exit codes of the command line, which operators' scripts and service units depend on.
 
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 
 const USAGE: &str = include_str!("fixtures/usage.txt");
 
-/// A folder of the test's own, gone after it.
+/// A folder of its own for each test, removed at its end.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -32,35 +32,39 @@
 }
 
 /// Exit code, standard output and standard error.
-fn run(words: &[&str], variables: &[(&str, &str)]) -> (Option<i32>, String, String) {
+fn run(arguments: &[&str], variables: &[(&str, &str)]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_brookpass"));
-    command.args(words).env_remove("GW_CONFIG").env_remove("BROOKPASS_LOG").envs(variables.iter().copied());
-    let out = command.output().unwrap();
+    command
+        .args(arguments)
+        .env_remove("GW_CONFIG")
+        .env_remove("BROOKPASS_LOG")
+        .envs(variables.iter().copied());
+    let output = command.output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (out.status.code(), text(out.stdout), text(out.stderr))
+    (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
-/// The one line of an error without its time; more lines or anything on standard output are a fault.
-fn error(words: &[&str], variables: &[(&str, &str)]) -> String {
-    let (code, out, errors) = run(words, variables);
-    assert_eq!((code, out.as_str(), errors.lines().count()), (Some(1), "", 1), "{words:?}: {errors}");
-    let (time, line) = errors.trim_end().split_once(' ').unwrap();
-    assert!(time.bytes().all(|b| b.is_ascii_digit() || b == b'.'), "{errors}");
+/// The one line of an error without its time; fails on further lines or anything on standard output.
+fn error(arguments: &[&str], variables: &[(&str, &str)]) -> String {
+    let (code, stdout, stderr) = run(arguments, variables);
+    assert_eq!((code, stdout.as_str(), stderr.lines().count()), (Some(1), "", 1), "{arguments:?}: {stderr}");
+    let (time, line) = stderr.trim_end().split_once(' ').unwrap();
+    assert!(time.bytes().all(|b| b.is_ascii_digit() || b == b'.'), "{stderr}");
     line.to_string()
 }
 
 const GOOD: &str = include_str!("fixtures/operator-every-key.yaml");
 const HOSTS: &str = include_str!("fixtures/inventory-every-column.csv");
 
-/// Guards against words that scripts use and that are others after an update.
+/// Guards against arguments and output that scripts use and that an update changes.
 #[test]
-fn version_and_usage_are_as_they_were() {
+fn version_and_usage_are_unchanged() {
     let version = format!("brookpass {}\n", env!("CARGO_PKG_VERSION"));
     assert_eq!(run(&["--version"], &[]), (Some(0), version, String::new()));
-    for words in [["--help"], ["-h"]] {
-        assert_eq!(run(&words, &[]), (Some(0), USAGE.to_string(), String::new()), "{words:?}");
+    for arguments in [["--help"], ["-h"]] {
+        assert_eq!(run(&arguments, &[]), (Some(0), USAGE.to_string(), String::new()), "{arguments:?}");
     }
-    for words in [
+    for arguments in [
         &[][..],
         &["--nonsense"],
         &["--operator"],
@@ -71,13 +75,13 @@
         &["fleet", "recover", "127.0.0.1:1", "--no"],
         &["fleet", "join", "127.0.0.1:1"],
     ] {
-        assert_eq!(run(words, &[]), (Some(1), String::new(), USAGE.to_string()), "{words:?}");
+        assert_eq!(run(arguments, &[]), (Some(1), String::new(), USAGE.to_string()), "{arguments:?}");
     }
 }
 
-/// Guards against a check that says yes to what a start refuses, or says no in other words.
+/// Guards against a check that accepts what a start rejects, or reports it in another text.
 #[test]
-fn a_check_says_what_is_in_order_and_names_file_and_line_of_what_is_not() {
+fn a_check_counts_endpoints_or_names_file_and_line_of_the_error() {
     let folder = Folder::new("check");
     let file = folder.write("operator.yaml", GOOD);
     let hosts = folder.write("hosts.csv", HOSTS);
@@ -85,29 +89,29 @@
     assert_eq!(run(&check, &[]), (Some(0), format!("{file}: in order, 2 hosts\n"), String::new()));
     folder.write("operator.yaml", &GOOD.replace("inventory: hosts.csv\n", ""));
     assert_eq!(run(&check, &[]), (Some(0), format!("{file}: in order, 0 hosts\n"), String::new()));
-    for words in [["--check", file.as_str()], ["--operator", file.as_str()]] {
+    for arguments in [["--check", file.as_str()], ["--operator", file.as_str()]] {
         folder.write("operator.yaml", &GOOD.replace("number: 3", "nummer: 3"));
         let line = format!("ERROR {file}: line 3: \"nummer\" is unknown in the operator's file");
-        assert_eq!(error(&words, &[]), line, "{words:?}");
+        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
         folder.write("operator.yaml", &GOOD.replace("warm-up: 16", "warm-up: long"));
         let line = format!("ERROR {file}: line 61: guarantees.warm-up: \"long\" is no such value");
-        assert_eq!(error(&words, &[]), line, "{words:?}");
+        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
         folder.write("operator.yaml", GOOD);
         folder.write("hosts.csv", &HOSTS.replace("leaving", "gone"));
         let line = format!("ERROR {hosts}: line 3: host \"s-2\": status \"gone\" is no such value");
-        assert_eq!(error(&words, &[]), line, "{words:?}");
+        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
         std::fs::remove_file(&hosts).unwrap();
         let line = format!("ERROR {hosts}: No such file or directory (os error 2)");
-        assert_eq!(error(&words, &[]), line, "{words:?}");
+        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
         std::fs::remove_file(&file).unwrap();
         let line = format!("ERROR {file}: No such file or directory (os error 2)");
-        assert_eq!(error(&words, &[]), line, "{words:?}");
+        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
     }
 }
 
-/// Guards against a start on the platform that goes on with half a configuration, or says why in other words.
+/// Guards against a start on the platform with half a configuration, or with another text of the error.
 #[test]
-fn a_platform_configuration_out_of_form_is_one_line_with_file_and_line() {
+fn a_malformed_platform_configuration_is_reported_in_one_line_with_file_and_line() {
     let folder = Folder::new("platform");
     let good = include_str!("fixtures/platform-every-key.json");
     let path = folder.0.join("config.json").to_str().unwrap().to_string();
@@ -137,12 +141,12 @@
     assert_eq!(line, format!("ERROR {path}: No such file or directory (os error 2)"));
 }
 
-/// Guards against a recovery that is taken for done though nobody answered.
+/// Guards against a recovery that is reported as done though no daemon answered.
 #[test]
-fn a_recovery_that_reaches_nobody_says_so() {
+fn a_recovery_without_an_answer_fails() {
     assert_eq!(error(&["fleet", "recover", "here"], &[]), "ERROR here: no address with a port");
     let at = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
-    for words in [&["fleet", "recover", &at][..], &["fleet", "recover", &at, "--yes"]] {
-        assert_eq!(error(words, &[]), format!("ERROR {at}: Connection refused (os error 111)"));
+    for arguments in [&["fleet", "recover", &at][..], &["fleet", "recover", &at, "--yes"]] {
+        assert_eq!(error(arguments, &[]), format!("ERROR {at}: Connection refused (os error 111)"));
     }
 }
