--- a/src/daemon/platform/gossip.rs
+++ b/src/daemon/platform/gossip.rs
@@ -5,7 +5,6 @@
 use crate::engine::{EngineHandle, Input};
 use crate::net::gossip_socket::GossipSocket;
 use crate::platform_config::PlatformConfig;
-use async_io::Timer;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -49,8 +48,6 @@
     retry_interval: Duration,
     engine: &EngineHandle<W, A>,
 ) {
-    while socket.bind(address).is_err() {
-        Timer::after(retry_interval).await;
-    }
+    socket.bind_when_free(address, retry_interval).await;
     socket.receive(|from, bytes| engine.input(Input::PeerMessage { from, bytes })).await;
 }
