--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -3,6 +3,7 @@
 use super::operator_config::{OperatorConfigError, SettingsError};
 use crate::address::AddressError;
 use crate::inventory::InventoryError;
+use crate::net::inherited_socket::InheritedSocketError;
 use crate::platform_config::PlatformConfigError;
 use std::io;
 use std::net::SocketAddr;
@@ -92,9 +93,9 @@
         /// What the system said.
         source: io::Error,
     },
-    /// The listening socket that the platform passes on cannot be used; the text names the variable.
-    #[error("{0}")]
-    InheritedSocket(String),
+    /// The listening socket that the platform passes on cannot be used.
+    #[error(transparent)]
+    InheritedSocket(#[from] InheritedSocketError),
     /// The listening socket that the platform passes on cannot be waited for.
     #[error("GW_PASSED_SOCKET: {0}")]
     InheritedSocketIo(#[source] io::Error),
--- a/src/daemon/platform/client_socket.rs
+++ b/src/daemon/platform/client_socket.rs
@@ -26,7 +26,6 @@
 }
 
 fn inherit(descriptor: &str) -> Result<Async<TcpListener>, DaemonError> {
-    let socket = inherited_socket::from_descriptor(descriptor)
-        .map_err(|error| DaemonError::InheritedSocket(error.to_string()))?;
+    let socket = inherited_socket::from_descriptor(descriptor)?;
     Async::new(socket).map_err(DaemonError::InheritedSocketIo)
 }
