--- a/src/net/admin_server.rs
+++ b/src/net/admin_server.rs
@@ -1,4 +1,5 @@
-//! The operators' door: HTTP/1.1, one call a connection, on an address of its own.
+//! The operators' HTTP/1.1 server, on an address of its own: readiness, metrics, drain and activate. One call a
+//! connection.
 
 use super::buffer::Buffer;
 use super::connection::ClientConnection;
@@ -16,27 +17,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// What all calls share.
-pub struct AdminServer<W, A> {
-    limits: Rc<Limits>,
-    handle: EngineHandle<W, A>,
-    duty: Rc<Lifecycle>,
-    /// Set once the process can serve.
-    ready: Latch,
-    /// What held when the core was asked last.
-    last: Cell<Gauges>,
-    /// Figures of other parts, a line each.
-    more: Box<dyn Fn() -> String>,
-}
-
-/// A path, the method that it takes, and what is called there.
-const CALLS: [(&str, &str, Call); 4] = [
-    ("/v1/readyz", "GET", Call::Ready),
-    ("/v1/metrics", "GET", Call::Metrics),
-    ("/v1/pooler/drain", "PUT", Call::Drain),
-    ("/v1/pooler/activate", "PUT", Call::Activate),
-];
-
+/// What operators can call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
     Ready,
@@ -45,27 +26,76 @@
     Activate,
 }
 
-/// What is called, or the answer to a call that is none, with the methods that there are.
-fn call(request: &Request) -> Result<Call, (u16, &'static str)> {
-    let (path, method) = (request.target().0, request.head.line[0].as_str());
-    match CALLS.iter().find(|(p, ..)| *p == path) {
-        Some((_, m, call)) if *m == method => Ok(*call),
-        Some((_, m, _)) => Err((405, m)),
-        None => Err((404, "")),
+/// Where a call is found.
+struct Route {
+    path: &'static str,
+    method: &'static str,
+    call: Call,
+}
+
+const ROUTES: [Route; 4] = [
+    Route { path: "/v1/readyz", method: "GET", call: Call::Ready },
+    Route { path: "/v1/metrics", method: "GET", call: Call::Metrics },
+    Route { path: "/v1/pooler/drain", method: "PUT", call: Call::Drain },
+    Route { path: "/v1/pooler/activate", method: "PUT", call: Call::Activate },
+];
+
+/// A request that is no call.
+enum RouteError {
+    NotFound,
+    MethodNotAllowed { allowed: &'static str },
+}
+
+impl RouteError {
+    fn response(self) -> Vec<u8> {
+        match self {
+            RouteError::NotFound => server::answer(404, &[], "nothing is here"),
+            RouteError::MethodNotAllowed { allowed } => {
+                server::answer(405, &[("Allow", allowed)], "another method is wanted here")
+            }
+        }
     }
 }
 
+fn find_call(request: &Request) -> Result<Call, RouteError> {
+    let (path, _) = request.target();
+    let route = ROUTES.iter().find(|route| route.path == path).ok_or(RouteError::NotFound)?;
+    if route.method != request.head.method() {
+        return Err(RouteError::MethodNotAllowed { allowed: route.method });
+    }
+    Ok(route.call)
+}
+
+/// What all calls share.
+pub struct AdminServer<W, A> {
+    limits: Rc<Limits>,
+    engine: EngineHandle<W, A>,
+    lifecycle: Rc<Lifecycle>,
+    /// Set once the process can serve clients.
+    ready: Latch,
+    /// The gauges of the last call that the engine answered in time.
+    last_gauges: Cell<Gauges>,
+    /// Metrics of other parts, a line each.
+    other_metrics: Box<dyn Fn() -> String>,
+}
+
 impl<W, A> AdminServer<W, A> {
-    /// A door with limits of its own: calls are few and short.
+    /// A server with limits of its own: calls are few and short. `other_metrics` are appended to the engine's.
     pub fn new(
         limits: &Limits,
-        handle: EngineHandle<W, A>,
-        duty: Rc<Lifecycle>,
+        engine: EngineHandle<W, A>,
+        lifecycle: Rc<Lifecycle>,
         ready: Latch,
-        more: impl Fn() -> String + 'static,
+        other_metrics: impl Fn() -> String + 'static,
     ) -> AdminServer<W, A> {
-        let (limits, more) = (Rc::new(limits.for_admin_server()), Box::new(more));
-        AdminServer { limits, handle, duty, ready, last: Cell::default(), more }
+        AdminServer {
+            limits: Rc::new(limits.for_admin_server()),
+            engine,
+            lifecycle,
+            ready,
+            last_gauges: Cell::default(),
+            other_metrics: Box::new(other_metrics),
+        }
     }
 
     /// The limits of its connections.
@@ -74,48 +104,68 @@
     }
 
     /// Serves one connection to its end.
-    pub async fn serve(&self, stream: Async<TcpStream>, place: ConnectionSlot, welcome: AcceptDecision) {
-        let mut link = ClientConnection::new(stream, place, self.limits.clone(), self.handle.clock().clone());
-        let mut buffer = Buffer::default();
-        let answer = match welcome {
+    pub async fn serve(&self, stream: Async<TcpStream>, slot: ConnectionSlot, decision: AcceptDecision) {
+        let clock = self.engine.clock().clone();
+        let mut connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
+        let response = match decision {
             AcceptDecision::Reject => server::answer(503, &[], "too many calls at once"),
-            AcceptDecision::Serve => match server::next(&mut link, &mut buffer, &self.limits).await {
-                Next::Over => return,
-                Next::Refused(error) => {
-                    log::debug!("door: {error}");
-                    server::answer(error.status(), &[], &error.to_string())
-                }
-                Next::Request(request) => self.answer(&request).await,
+            AcceptDecision::Serve => match self.read_and_answer(&mut connection).await {
+                Some(response) => response,
+                None => return,
             },
         };
-        if link.write(&server::with_connection_close(answer)).await.is_ok() {
-            let _ = link.linger().await;
+        if connection.write(&server::with_connection_close(response)).await.is_ok() {
+            let _ = connection.linger().await;
         }
     }
 
-    async fn answer(&self, request: &Request) -> Vec<u8> {
-        let text = |yes: bool, text: &str| server::answer(if yes { 200 } else { 503 }, &[], text);
-        match call(request) {
-            Err((405, method)) => server::answer(405, &[("Allow", method)], "another method is wanted here"),
-            Err((status, _)) => server::answer(status, &[], "nothing is here"),
-            Ok(Call::Ready) => match self.duty.state() {
-                ServingState::Terminating => text(false, "ending"),
-                _ if !self.ready.is_set() => text(false, "no list of hosts yet"),
-                ServingState::Drained => text(true, "ready, drained"),
-                ServingState::Serving => text(true, "ready"),
-            },
-            Ok(Call::Metrics) => {
-                // Late figures are worse than gauges of a moment ago.
-                let gauges = until(Instant::now() + self.limits.readiness_timeout, self.handle.gauges())
-                    .await
-                    .flatten();
-                self.last.set(gauges.unwrap_or(self.last.get()));
-                let figures = self.handle.metrics().text(self.last.get()) + &(self.more)();
-                server::answer(200, &[], figures.trim_end())
+    /// Reads one request and answers it; `None` where the client has gone.
+    async fn read_and_answer(&self, connection: &mut ClientConnection) -> Option<Vec<u8>> {
+        let mut buffer = Buffer::default();
+        match server::next(connection, &mut buffer, &self.limits).await {
+            Next::Over => None,
+            Next::Refused(error) => {
+                log::debug!("admin: {error}");
+                Some(server::answer(error.status(), &[], &error.to_string()))
             }
-            Ok(Call::Drain) => text(self.duty.drain(), "drained"),
-            Ok(Call::Activate) if self.duty.activate() => text(true, "at work"),
-            Ok(Call::Activate) => server::answer(409, &[], "the pooler is ending"),
+            Next::Request(request) => Some(match find_call(&request) {
+                Ok(call) => self.answer(call).await,
+                Err(error) => error.response(),
+            }),
         }
     }
+
+    async fn answer(&self, call: Call) -> Vec<u8> {
+        match call {
+            Call::Ready => self.readiness(),
+            Call::Metrics => server::answer(200, &[], self.metrics().await.trim_end()),
+            Call::Drain => {
+                self.lifecycle.drain();
+                server::answer(200, &[], "drained")
+            }
+            Call::Activate => match self.lifecycle.activate() {
+                Ok(()) => server::answer(200, &[], "at work"),
+                Err(error) => server::answer(409, &[], &error.to_string()),
+            },
+        }
+    }
+
+    /// Whether the process can serve clients: a drained one can, and so is ready.
+    fn readiness(&self) -> Vec<u8> {
+        match self.lifecycle.state() {
+            ServingState::Terminating => server::answer(503, &[], "ending"),
+            _ if !self.ready.is_set() => server::answer(503, &[], "no list of hosts yet"),
+            ServingState::Drained => server::answer(200, &[], "ready, drained"),
+            ServingState::Serving => server::answer(200, &[], "ready"),
+        }
+    }
+
+    async fn metrics(&self) -> String {
+        let deadline = Instant::now() + self.limits.readiness_timeout;
+        let gauges = until(deadline, self.engine.gauges()).await.flatten();
+        // Late metrics are worse than gauges of a moment ago.
+        let gauges = gauges.unwrap_or(self.last_gauges.get());
+        self.last_gauges.set(gauges);
+        self.engine.metrics().text(gauges) + &(self.other_metrics)()
+    }
 }
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,102 +1,81 @@
-//! Whether the pooler is at work: one state for the operators' calls and for SIGTERM.
+//! Whether the process serves: one state for the operators' calls and for SIGTERM.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// Where the pooler stands.
+/// Whether the process serves clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingState {
-    /// At work.
+    /// It serves.
     Serving,
-    /// Clients are sent away, until an operator has it back at work.
+    /// Clients are sent to other poolers until an operator activates this one.
     Drained,
-    /// It ends; nothing leads back from here.
+    /// It shuts down. This state is final.
     Terminating,
 }
 
-/// The state, and since when.
+/// The process shuts down and cannot serve again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the pooler is ending")]
+pub struct TerminatingError;
+
+/// The serving state of the process, and since when.
 #[derive(Debug)]
-pub struct Lifecycle(Cell<(ServingState, Instant)>);
+pub struct Lifecycle {
+    state: Cell<ServingState>,
+    since: Cell<Instant>,
+}
 
 impl Default for Lifecycle {
     fn default() -> Lifecycle {
-        Lifecycle(Cell::new((ServingState::Serving, Instant::now())))
+        Lifecycle { state: Cell::new(ServingState::Serving), since: Cell::new(Instant::now()) }
     }
 }
 
 impl Lifecycle {
-    /// Where it stands.
+    /// The current state.
     pub fn state(&self) -> ServingState {
-        self.0.get().0
+        self.state.get()
     }
 
-    /// Goes from one state to another. A call that is repeated, or that comes after the end has begun, changes
-    /// nothing; false: the wish cannot be met any more.
-    fn turn(&self, to: ServingState) -> bool {
-        let from = self.state();
-        if from != to && from != ServingState::Terminating {
-            log::info!("duty: {from:?}, now {to:?}");
-            self.0.set((to, Instant::now()));
-        }
-        from != ServingState::Terminating || to != ServingState::Serving
+    /// Drains the process. A repeated call changes nothing; one that shuts down sends its clients away already.
+    pub fn drain(&self) {
+        self.change_to(ServingState::Drained);
     }
 
-    /// Sends clients away. One that ends does so already.
-    pub fn drain(&self) -> bool {
-        self.turn(ServingState::Drained)
+    /// Lets the process serve again. A repeated call changes nothing.
+    ///
+    /// # Errors
+    /// [`TerminatingError`] once the shutdown has begun.
+    pub fn activate(&self) -> Result<(), TerminatingError> {
+        self.change_to(ServingState::Serving);
+        match self.state() {
+            ServingState::Terminating => Err(TerminatingError),
+            ServingState::Serving | ServingState::Drained => Ok(()),
+        }
     }
 
-    /// Back to work.
-    pub fn activate(&self) -> bool {
-        self.turn(ServingState::Serving)
+    /// Begins the shutdown.
+    pub fn terminate(&self) {
+        self.change_to(ServingState::Terminating);
     }
 
-    /// The end begins.
-    pub fn terminate(&self) {
-        self.turn(ServingState::Terminating);
+    /// Whether the process has been drained for `time` or longer.
+    pub fn drained_for(&self, time: Duration) -> bool {
+        self.state() == ServingState::Drained && self.since.get().elapsed() >= time
     }
 
-    /// Whether it has been drained for so long.
-    pub fn drained_for(&self, span: Duration) -> bool {
-        let (state, since) = self.0.get();
-        state == ServingState::Drained && since.elapsed() >= span
+    /// Changes the state, unless it is the same or final.
+    fn change_to(&self, next: ServingState) {
+        let current = self.state();
+        if current != next && current != ServingState::Terminating {
+            log::info!("lifecycle: {current:?} -> {next:?}");
+            self.state.set(next);
+            self.since.set(Instant::now());
+        }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-
-    /// Guards against calls that are repeated or cross each other or SIGTERM: the end is final, the last wish
-    /// before it counts, and a repeated drain does not begin anew.
-    #[test]
-    fn any_order_of_calls_leaves_the_last_wish_and_the_end_is_final() {
-        let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
-        let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[4; 32]);
-        let check = |calls: Vec<u8>| {
-            let (duty, mut wish, mut since) = (Lifecycle::default(), ServingState::Serving, None);
-            for call in calls {
-                let ended = wish == ServingState::Terminating;
-                let (to, done) = match call % 5 {
-                    0 | 1 => (ServingState::Drained, duty.drain()),
-                    2 | 3 => (ServingState::Serving, duty.activate()),
-                    _ => (ServingState::Terminating, {
-                        duty.terminate();
-                        true
-                    }),
-                };
-                prop_assert_eq!(done, !ended || to != ServingState::Serving);
-                let kept = wish == to || ended;
-                wish = if ended { wish } else { to };
-                prop_assert_eq!(duty.state(), wish);
-                prop_assert_eq!(duty.drained_for(Duration::ZERO), wish == ServingState::Drained);
-                prop_assert!(!kept || since.is_none_or(|at| at == duty.0.get().1));
-                since = Some(duty.0.get().1);
-            }
-            Ok(())
-        };
-        TestRunner::new_with_rng(config, rng).run(&prop::collection::vec(any::<u8>(), 0..12), check).unwrap();
-    }
-}
+mod tests;
