--- a/src/net/answer_stream.rs
+++ b/src/net/answer_stream.rs
@@ -21,7 +21,7 @@
 pub enum AnswerEvent<T> {
     /// A message from the engine or the host side.
     Received(T),
-    /// The other end of the channel has gone.
+    /// The sender was dropped before the end of the answer.
     ChannelClosed,
     /// The client has sent more, which was appended to its buffer.
     ClientSentMore,
--- a/src/net/http/body/tests.rs
+++ b/src/net/http/body/tests.rs
@@ -52,8 +52,8 @@
 #[test]
 fn endless_trailer_sections_are_rejected() {
     let trailers = |lines: usize| {
-        let begun = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n";
-        decode(&format!("{begun}{}\r\n", "A: bcdefgh\r\n".repeat(lines)), 4096)
+        let prefix = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n";
+        decode(&format!("{prefix}{}\r\n", "A: bcdefgh\r\n".repeat(lines)), 4096)
     };
     assert_eq!(trailers(100), Ok((b"x".to_vec(), true)));
     assert_eq!(trailers(2_000), Err(MessageError::TooLarge));
--- a/src/net/postgres/response/tests.rs
+++ b/src/net/postgres/response/tests.rs
@@ -36,10 +36,10 @@
 /// Guards against a corrupted answer that is passed on, or whose missing bytes are waited for.
 #[test]
 fn corrupted_answers_are_rejected_at_their_first_wrong_bytes() {
-    let whole = valid_answer(b"value");
-    let row = whole.iter().position(|b| *b == b'D').unwrap();
+    let valid = valid_answer(b"value");
+    let row = valid.iter().position(|b| *b == b'D').unwrap();
     let change = |at: usize, to: &[u8]| {
-        let mut bytes = whole.clone();
+        let mut bytes = valid.clone();
         bytes[at..at + to.len()].copy_from_slice(to);
         bytes
     };
@@ -51,8 +51,8 @@
         (change(row + 5, &[0, 2]), row + 11),
         (change(row, b"x"), row + 1),
         (vec![b'x'; 400], 1),
-        ([&whole[..row], &whole[row + 11..]].concat(), row + 5),
-        ([&whole[..row], &whole[row..row + 16], &whole[row..]].concat(), row + 17),
+        ([&valid[..row], &valid[row + 11..]].concat(), row + 5),
+        ([&valid[..row], &valid[row..row + 16], &valid[row..]].concat(), row + 17),
     ] {
         assert!(parse(&bytes[..rejected_after], 1).1.is_err(), "{:?}", &bytes[row..row + 12]);
     }
@@ -71,9 +71,9 @@
     let config = Config { cases: 600, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
     let check = |(value, piece, at, byte): (Vec<u8>, usize, u16, u8)| {
-        let whole = valid_answer(&value);
-        let (response, used) = parse(&[&whole[..], b"T\0\0"].concat(), piece);
-        prop_assert_eq!(used, Ok(whole.len()));
+        let valid = valid_answer(&value);
+        let (response, used) = parse(&[&valid[..], b"T\0\0"].concat(), piece);
+        prop_assert_eq!(used, Ok(valid.len()));
         prop_assert!(
             response.is_complete() && response.is_idle() && response.outcome() == AttemptOutcome::Served
         );
@@ -84,8 +84,8 @@
         prop_assert_eq!(response.load_report(&["x0".to_string()]).count, 0);
         let (first, served) = (33, response.rows.clone());
         prop_assert_eq!(&served[first + 11..first + 11 + value.len()], &value[..]);
-        let mut corrupted = whole.clone();
-        let n = usize::from(at) % whole.len();
+        let mut corrupted = valid.clone();
+        let n = usize::from(at) % valid.len();
         corrupted[n] = byte;
         let (response, used) = parse(&corrupted, piece);
         if used.is_ok() && response.is_complete() && response.outcome() == AttemptOutcome::Served {
--- a/src/net/sparql/response_head.rs
+++ b/src/net/sparql/response_head.rs
@@ -14,7 +14,7 @@
 /// Field of a load report that the pooler fills in itself: 1 for a primary, 0 for a replica.
 const ROLE_FIELD: &str = "x1";
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and the length, which is stated anew.
+/// Headers that concern one connection only (RFC 9110, section 7.6.1), and the length, which the front states itself.
 const HOP_BY_HOP_HEADERS: [&str; 7] =
     ["connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade", "content-length"];
 /// Headers of hosts that are meant for the pooler alone.
