--- a/src/config/defaults.rs
+++ b/src/config/defaults.rs
@@ -13,6 +13,7 @@
 /// Longest value that a backend returns.
 const MAX_STORED_VALUE_BYTES: usize = 4 * MIB;
 
+/// See the module documentation.
 pub const DEFAULTS: Limits = Limits {
     client_connections: 0,
     rejected_connections: 0,
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -1,8 +1,8 @@
 //! The daemon of an operator's file: the SPARQL front, with a store and a fleet that keep configuration and state.
 //!
-//! The start has a fixed order, see [`serve`]. [`fleet_startup`] opens the store and joins the fleet, [`client_front`]
-//! accepts clients from the first moment on, [`agreed_settings`] waits for the settings that the fleet has agreed on,
-//! [`engine_feeds`] carries what the fleet knows to the engine and back, and [`inventory_reload`] follows the
+//! The start has a fixed order, see [`serve`]. `fleet_startup` opens the store and joins the fleet, `client_front`
+//! accepts clients from the first moment on, `agreed_settings` waits for the settings that the fleet has agreed on,
+//! `engine_feeds` carries what the fleet knows to the engine and back, and `inventory_reload` follows the
 //! inventory's file.
 
 mod agreed_settings;
--- a/src/daemon/operator_config.rs
+++ b/src/daemon/operator_config.rs
@@ -1,6 +1,6 @@
 //! The operator's file: YAML, read and checked completely before anything starts.
 //!
-//! [`reader`] reads its sections, [`settings`] the service's settings in it, which the fleet agrees on and keeps as text.
+//! `reader` reads its sections, `settings` the service's settings in it, which the fleet agrees on and keeps as text.
 
 mod error;
 mod reader;
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -1,8 +1,8 @@
 //! The daemon of the platform: the PostgreSQL front, with the configuration that `GW_CONFIG` names.
 //!
-//! There is no store and no fleet here: the endpoint list comes from discovery ([`endpoint_lists`]) and is kept in
-//! memory, and peers exchange primary hints in datagrams ([`gossip`]). A new process may take over the listening socket
-//! of the one that it replaces ([`client_socket`]).
+//! There is no store and no fleet here: the endpoint list comes from discovery (`endpoint_lists`) and is kept in
+//! memory, and peers exchange primary hints in datagrams (`gossip`). A new process may take over the listening socket
+//! of the one that it replaces (`client_socket`).
 
 mod client_socket;
 mod endpoint_lists;
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -1,7 +1,7 @@
-//! The endpoints as an operator writes them down: CSV with a header row ([`csv_form`]), or YAML in Ansible's inventory
-//! form ([`ansible_form`]).
+//! The endpoints as an operator writes them down: CSV with a header row (`csv_form`), or YAML in Ansible's inventory
+//! form (`ansible_form`).
 //!
-//! Both forms yield the same raw [`Entry`] for each endpoint, from which [`record`] makes a checked record. Every error
+//! Both forms yield the same raw `Entry` for each endpoint, from which `record` makes a checked record. Every error
 //! names the line of the value at fault, and rejects the whole file.
 
 mod ansible_form;
--- a/src/platform_config.rs
+++ b/src/platform_config.rs
@@ -1,7 +1,7 @@
 //! The platform's configuration of a pooler: one JSON file, named by `GW_CONFIG`.
 //!
-//! Its `settings` are the service's settings as nested objects; [`flatten`] brings them into the `path=value` pairs
-//! that [`settings_parser`] reads. Errors name the line: the JSON parser knows none, so [`line_search`] looks for it.
+//! Its `settings` are the service's settings as nested objects; `flatten` brings them into the `path=value` pairs
+//! that [`settings_parser`] reads. Errors name the line: the JSON parser knows none, so `line_search` looks for it.
 
 mod flatten;
 mod line_search;
