--- /dev/null
+++ b/src/net/discovery/backoff/tests.rs
@@ -0,0 +1,72 @@
+//! Pauses and times of calls to discovery.
+
+use super::*;
+
+fn overloaded() -> DiscoveryError {
+    DiscoveryError::Overloaded { status: "503".to_string() }
+}
+
+/// Guards against poolers of a tier that come back together to a discovery without capacity for them, and so keep it
+/// overloaded.
+#[test]
+fn poolers_that_were_rejected_together_spread_their_calls() {
+    let mut limits = Limits::for_sockets(64);
+    let first_pauses = |limits: &Limits, error: &DiscoveryError| -> Vec<Duration> {
+        (0..100).map(|seed| Backoff::new(limits, seed * 7919).failed(error)).collect()
+    };
+    limits.spread_discovery_calls(Some(100));
+    let mut pauses = first_pauses(&limits, &overloaded());
+    pauses.sort();
+    // A tenth of the time in which discovery must have been called again.
+    let tenth = limits.discovery_spread / 10;
+    let calls_within_tenth = pauses
+        .iter()
+        .map(|first| pauses.iter().filter(|other| (*first..*first + tenth).contains(other)).count());
+    assert!(calls_within_tenth.max().unwrap() <= 25, "{pauses:?}");
+    let mean = pauses.iter().sum::<Duration>() / 100;
+    let share = mean.as_secs_f64() / limits.discovery_spread.as_secs_f64();
+    assert!((0.4..0.6).contains(&share), "{mean:?}");
+    // A discovery that does not answer, or not in form, is called again soon, but not by all at once.
+    let mut pauses = first_pauses(&limits, &DiscoveryError::TimedOut);
+    pauses.sort();
+    assert!(pauses[99] < Duration::from_millis(100) && pauses[99] > pauses[0] + Duration::from_millis(20));
+    limits.spread_discovery_calls(Some(1));
+    let alone = first_pauses(&limits, &overloaded());
+    assert!(alone.iter().max().unwrap() <= &Duration::from_millis(200), "nobody else calls");
+    limits.spread_discovery_calls(Some(60_000));
+    assert!(
+        limits.discovery_spread + limits.discovery_timeout <= Duration::from_secs(6),
+        "within the time in which it must have been called again and have answered"
+    );
+}
+
+/// Guards against calls that stay silent for as long as a watch may, while discovery has recovered: after a failure an
+/// answer is wanted at once, and after an answer, or at another address, all is as before.
+#[test]
+fn after_a_failure_watches_are_short_and_timeouts_grow() {
+    let limits = Limits::for_sockets(64);
+    let mut backoff = Backoff::new(&limits, 1);
+    let watch = limits.discovery_watch_timeout;
+    let undisturbed = CallTimes { watch, timeout: watch + limits.discovery_timeout };
+    assert_eq!(backoff.call_times(true), undisturbed);
+    // The whole list may wait behind the calls of others.
+    assert_eq!(backoff.call_times(false).timeout, limits.discovery_timeout_after_failure);
+    let answer_timeouts: Vec<Duration> = (0..4)
+        .map(|_| {
+            backoff.failed(&DiscoveryError::TimedOut);
+            let times = backoff.call_times(true);
+            assert_eq!(times.watch, limits.discovery_recheck_timeout);
+            times.timeout - times.watch
+        })
+        .collect();
+    assert!(
+        answer_timeouts.is_sorted()
+            && answer_timeouts[0] == limits.discovery_timeout
+            && answer_timeouts[3] == limits.discovery_timeout_after_failure,
+        "{answer_timeouts:?}"
+    );
+    backoff.reset();
+    assert_eq!(backoff.call_times(true).watch, limits.discovery_watch_timeout);
+    let (first_pause, _) = limits.discovery_backoff;
+    assert!(backoff.failed(&DiscoveryError::TimedOut) < first_pause * 2, "the pauses start over");
+}
