--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -3,9 +3,9 @@
 //! The engine sends [`Command`]s; [`BackendPool::execute`] carries out those that concern backends, each attempt and probe
 //! in a task of its own, and reports how they ended. A protocol implements [`BackendProtocol`]; start there.
 //!
-//! - [`attempt`]: one attempt from its command to its outcome.
-//! - [`connections`]: reuse, establishment and budget of connections.
-//! - [`endpoint`]: what the pool knows of one endpoint.
+//! - `attempt`: one attempt from its command to its outcome.
+//! - `connections`: reuse, establishment and budget of connections.
+//! - `endpoint`: what the pool knows of one endpoint.
 
 mod attempt;
 mod connections;
--- a/src/net/connection_limiter.rs
+++ b/src/net/connection_limiter.rs
@@ -1,6 +1,6 @@
 //! Bounds the connections of one front: which new ones are served, and which ones are closed to make room.
 //!
-//! A connection holds a [`ConnectionSlot`] for as long as it is open. [`eviction`] decides which connection has to close;
+//! A connection holds a [`ConnectionSlot`] for as long as it is open. `eviction` decides which connection has to close;
 //! the slot tells its connection.
 
 mod eviction;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,7 +1,7 @@
 //! Watches discovery by long polling and delivers every endpoint list at once.
 //!
 //! The first call fetches the whole list, each further one asks for the changes since its index and is held until there
-//! are some. [`call`] is one call, [`backoff`] chooses the pauses after failures.
+//! are some. `call` is one call, `backoff` chooses the pauses after failures.
 
 mod backoff;
 mod call;
