--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -1,212 +1,241 @@
-//! On the platform: the PostgreSQL front, with what `GW_CONFIG` names. The SPARQL front is off here.
+//! The daemon of the platform: the PostgreSQL front, with the configuration that `GW_CONFIG` names.
+//!
+//! There is no store and no fleet here: the endpoint list comes from discovery (`endpoint_lists`) and is kept in
+//! memory, and peers exchange primary hints in datagrams (`gossip`). A new process may take over the listening socket
+//! of the one that it replaces (`client_socket`).
 
-use super::{Executor, Leave, accept, carry, open_door, signal, signalled, unless_signalled, until_drained};
+mod client_socket;
+mod endpoint_lists;
+mod gossip;
+
+use super::commands::execute_commands;
+use super::listeners::{Acceptor, serve_admin};
+use super::shutdown::{Handover, RunningDaemon};
+use super::signals::{Signal, SignalStream};
+use super::{ConfigError, DaemonError, Executor};
+use crate::address::parse_address;
 use crate::clock::Clock;
-use crate::config::{Limits, Machine};
+use crate::config::{DEFAULT_SOCKETS, Limits, Machine};
 use crate::engine::classes::Classes;
-use crate::engine::endpoints::{EndpointCatalog, EndpointUpdate};
-use crate::engine::{self, Command, Control, Input};
-use crate::json::{self, Platform};
-use crate::net::backend_pool::BackendPool;
+use crate::engine::{self, Command, EngineHandle};
+use crate::net::admin_server::AdminServer;
+use crate::net::backend_pool::{BackendPool, BackendProtocol};
+use crate::net::connection_limiter::ConnectionLimiter;
 use crate::net::gossip_socket::GossipSocket;
+use crate::net::latch::Latch;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::postgres::front::Front;
-use crate::net::postgres::host::Pg;
-use crate::net::{connection_limiter, discovery as watcher, inherited_socket};
+use crate::net::postgres::host::PostgresBackend;
+use crate::platform_config::{self, PlatformConfig};
 use crate::time::TimeDelta;
-use async_channel::Sender;
-use async_io::{Async, Timer};
-use std::cell::{Cell, RefCell};
-use std::io;
-use std::net::SocketAddr;
-use std::os::unix::net::UnixStream;
+use async_channel::Receiver;
+use async_executor::Task;
+use async_io::Async;
+use endpoint_lists::{Discovery, EndpointLists};
+use std::net::TcpListener;
+use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Reads the configuration; errors name file and line.
-pub fn load(path: &str) -> Result<Platform, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-    let mut platform = json::platform(&text).map_err(|e| format!("{path}: {e}"))?;
-    if platform.admin.is_none()
-        && let Some(at) = std::env::var("GW_ADMIN_ADDR").ok().filter(|at| !at.is_empty())
+/// Names the administration server's address where the configuration's file states none.
+const ADMIN_VARIABLE: &str = "GW_ADMIN_ADDR";
+/// Names the descriptor of the clients' listening socket where the platform passes one on.
+const INHERITED_SOCKET_VARIABLE: &str = "GW_PASSED_SOCKET";
+
+/// The engine of PostgreSQL statements.
+type Engine =
+    EngineHandle<<PostgresBackend as BackendProtocol>::Request, <PostgresBackend as BackendProtocol>::Answer>;
+type EngineCommand = Command<<PostgresBackend as BackendProtocol>::Request>;
+
+/// Reads the configuration from its file and the environment.
+///
+/// # Errors
+/// [`ConfigError`] with the file, and the line where its content is at fault.
+pub fn load(path: &str) -> Result<PlatformConfig, ConfigError> {
+    let file = PathBuf::from(path);
+    let text =
+        std::fs::read_to_string(path).map_err(|source| ConfigError::Read { path: file.clone(), source })?;
+    let mut config = platform_config::parse(&text)
+        .map_err(|error| ConfigError::Platform { path: file, source: Box::new(error) })?;
+    let admin_variable = std::env::var(ADMIN_VARIABLE).ok().filter(|address| !address.is_empty());
+    if config.admin.is_none()
+        && let Some(address) = admin_variable
     {
-        platform.admin = Some(json::address(&at, "GW_ADMIN_ADDR")?);
+        config.admin = Some(parse_address(&address, ADMIN_VARIABLE)?);
     }
-    platform.passed = std::env::var("GW_PASSED_SOCKET").ok();
-    Ok(platform)
+    config.inherited_socket = std::env::var(INHERITED_SOCKET_VARIABLE).ok();
+    Ok(config)
 }
 
-fn limits(platform: &Platform) -> Limits {
-    let machine = Machine::platform(platform.sockets, platform.memory_mb);
-    let machine = if platform.passed.is_some() { machine.half() } else { machine };
-    let mut limits = Limits::on(if platform.admin.is_some() { machine.with_door() } else { machine });
-    limits.clients_hold(platform.sockets.unwrap_or(1024) / 3);
-    limits.tier(platform.settings.pooler_count);
-    limits.hosts_idle_for(platform.conn_idle);
-    limits.deadlines_at_most(&platform.settings.classes);
-    if let Some(connect) = platform.settings.connect_timeout {
-        limits.connect_timeout = connect.max(TimeDelta::from_micros(1)).to_duration();
-    }
-    limits
+/// Serves until SIGTERM; `path` is the file that `config` was read from, and is read again on SIGHUP.
+///
+/// # Errors
+/// [`DaemonError`] where an address or the inherited socket cannot be used, or the engine ends.
+pub async fn serve(path: String, config: PlatformConfig, executor: Executor) -> Result<(), DaemonError> {
+    // Before anything else: without handlers these signals would end the process with accepted requests unanswered.
+    let hangup = SignalStream::subscribe(Signal::Hangup)?;
+    let terminate = SignalStream::subscribe(Signal::Terminate)?;
+    let limits = Rc::new(limits(&config));
+    let clock = Clock::start();
+    let mut settings = config.settings.clone();
+    let classes = Classes::new(config.classes.clone(), &mut settings);
+    let report_fields = settings.report_fields.clone();
+    let (engine, commands) = engine::start(settings, &classes, config.seed, &limits, clock.clone())
+        .map_err(DaemonError::EngineStart)?;
+    let protocol = PostgresBackend::new(limits.clone(), report_fields);
+    let backends = BackendPool::new(protocol, limits.clone(), clock);
+    let daemon = PlatformDaemon {
+        lists: EndpointLists::new(config.cached_list.clone()),
+        discovery: Discovery::new(config.discovery),
+        lifecycle: Rc::default(),
+        path,
+        config,
+        limits,
+        classes,
+        engine,
+        backends,
+        executor,
+    };
+    daemon.run(commands, hangup, terminate).await
+}
+
+/// A daemon whose engine runs and that has no sockets yet.
+struct PlatformDaemon {
+    /// The file that `config` was read from.
+    path: String,
+    config: PlatformConfig,
+    limits: Rc<Limits>,
+    classes: Classes,
+    engine: Engine,
+    backends: Rc<BackendPool<PostgresBackend>>,
+    lists: EndpointLists,
+    discovery: Discovery,
+    lifecycle: Rc<Lifecycle>,
+    executor: Executor,
 }
 
-/// Reads the configuration anew at each SIGHUP. Discovery moves to the address that it names, at once and
-/// without touching what is open; what else has changed counts from the next start. One that is out of form
-/// is refused whole: what was last good stays.
-async fn reload(path: &str, mut hangup: Async<UnixStream>, discovery: &Cell<SocketAddr>, fetch: &Sender<()>) {
-    loop {
-        signalled(&mut hangup).await;
-        match load(path) {
-            Ok(new) => {
-                log::info!("SIGHUP: discovery at {} (before: {})", new.discovery, discovery.get());
-                discovery.set(new.discovery);
-                // A message that still waits to be heard will do: the address is read after it.
-                let _ = fetch.try_send(());
+impl PlatformDaemon {
+    async fn run(
+        self,
+        commands: Receiver<EngineCommand>,
+        hangup: SignalStream,
+        mut terminate: SignalStream,
+    ) -> Result<(), DaemonError> {
+        let opened = client_socket::open(&self.config, &self.limits, &mut terminate).await?;
+        let Some(listener) = opened else { return terminated_early() };
+        let peers = gossip::start(&self.config, &self.engine, &self.limits, &self.executor)?;
+        log_start(&self.config, &listener, &self.limits);
+        self.start_lists(hangup);
+        let first_list_sent = self.lists.first_list_sent();
+        self.start_admin_server(&first_list_sent)?;
+        self.discovery.watch(&self.executor, &self.config, &self.lists, &self.engine, &self.limits);
+        let command_task = self.execute_commands(commands, peers);
+
+        let handover = handover(&self.config);
+        if handover == Handover::Successor {
+            // Until this process can serve, all clients on the shared socket are its predecessor's.
+            if terminate.unless_received(first_list_sent.wait()).await.is_none() {
+                return terminated_early();
             }
-            Err(e) => log::error!("SIGHUP: {e}; the last good configuration stays"),
         }
+        let limiter = ConnectionLimiter::new(self.limits.clone(), self.lifecycle.clone());
+        let front = Front {
+            limits: self.limits.clone(),
+            handle: self.engine.clone(),
+            classes: self.classes,
+            ready: first_list_sent,
+            lifecycle: self.lifecycle.clone(),
+            open_requests: Default::default(),
+        };
+        let acceptor = accept_clients(&self.executor, listener, &limiter, front);
+        let PlatformDaemon { limits, lifecycle, engine, .. } = self;
+        let daemon = RunningDaemon { limits, limiter, lifecycle, engine, handover, acceptor, command_task };
+        daemon.run(terminate).await
+    }
+
+    /// Follows the configuration's file, and starts with the cached list if discovery is silent.
+    fn start_lists(&self, hangup: SignalStream) {
+        self.discovery.follow_configuration(&self.executor, self.path.clone(), hangup);
+        if self.config.cached_list.is_some() {
+            self.lists.serve_cached_if_discovery_is_silent(&self.executor, &self.engine, &self.limits);
+        }
+    }
+
+    fn start_admin_server(&self, first_list_sent: &Latch) -> Result<(), DaemonError> {
+        let Some(address) = self.config.admin else { return Ok(()) };
+        let server = AdminServer::new(
+            &self.limits,
+            self.engine.clone(),
+            self.lifecycle.clone(),
+            first_list_sent.clone(),
+            String::new,
+        );
+        serve_admin(&self.executor, address, &self.config.name, &self.limits, server)
+    }
+
+    fn execute_commands(&self, commands: Receiver<EngineCommand>, peers: Rc<GossipSocket>) -> Task<()> {
+        let fetch_requests = self.discovery.fetch_requests();
+        let execute_other = async move |command| match command {
+            Command::SendToPeers { to, bytes } => peers.send(to, &bytes).await,
+            // A full channel already holds a request that has not been read.
+            Command::FetchList => drop(fetch_requests.try_send(())),
+            _ => {}
+        };
+        execute_commands(&self.executor, &self.backends, commands, &self.engine, execute_other)
     }
 }
 
-/// SIGTERM came before any connection could be taken.
-fn ended_early() -> Result<(), String> {
-    log::info!("SIGTERM before the first connection");
-    Ok(())
+fn accept_clients(
+    executor: &Executor,
+    listener: Async<TcpListener>,
+    limiter: &Rc<ConnectionLimiter>,
+    front: Front,
+) -> Acceptor {
+    let front = Rc::new(front);
+    Acceptor::start(executor, listener, limiter, move |stream, slot, decision| {
+        let front = front.clone();
+        async move { front.serve(stream, slot, decision).await }
+    })
 }
 
-/// Serves until SIGTERM; `path` is the file that `platform` was read from.
-pub async fn serve(path: String, platform: Platform, executor: Executor) -> Result<(), String> {
-    // First of all: without a handler these signals would end the program in the midst of what it has taken.
-    let hangup = signal(signal_hook::consts::SIGHUP)?;
-    let mut ends = signal(signal_hook::consts::SIGTERM)?;
-    let limits = Rc::new(limits(&platform));
-    let clock = Clock::start();
-    let mut settings = platform.settings;
-    let alone = settings.pooler_count == Some(1);
-    let classes = Classes::new(platform.classes, &mut settings);
-    let fields = settings.report_fields.clone();
-    let (handle, commands) = engine::start(settings, &classes, platform.seed, &limits, clock.clone())
-        .map_err(|e| format!("module: {e}"))?;
-    // Here there is no store: the last known list is kept in memory, fed by discovery.
-    let hosts_known = Rc::new(RefCell::new(EndpointCatalog::default()));
-    let known = platform.known.is_some();
-    if let Some(known) = platform.known {
-        hosts_known.borrow_mut().take(&EndpointUpdate { whole: true, ..known });
+fn limits(config: &PlatformConfig) -> Limits {
+    let machine = Machine::platform(config.sockets, config.memory_mb);
+    let machine = if config.inherited_socket.is_some() { machine.half() } else { machine };
+    let machine = if config.admin.is_some() { machine.with_admin_server() } else { machine };
+    let mut limits = Limits::on(machine);
+    limits.share_client_connections(config.sockets.unwrap_or(DEFAULT_SOCKETS) / 3);
+    limits.spread_discovery_calls(config.settings.pooler_count);
+    limits.set_backend_idle_timeout(config.backend_idle_secs);
+    limits.bound_shutdown_by_deadlines(config.settings.classes.iter().map(|class| class.deadline));
+    if let Some(timeout) = config.settings.connect_timeout {
+        limits.connect_timeout = timeout.max(TimeDelta::from_micros(1)).to_duration();
     }
-    let succeeds = platform.passed.is_some();
-    let listener = match &platform.passed {
-        Some(number) => {
-            Async::new(inherited_socket::listener(number)?).map_err(|e| format!("GW_PASSED_SOCKET: {e}"))?
-        }
-        None => {
-            let opened = connection_limiter::open_when_free(platform.listen, &limits);
-            let Some(opened) = unless_signalled(&mut ends, opened).await else { return ended_early() };
-            opened.map_err(|e| format!("{}: {e}", platform.listen))?
-        }
-    };
-    let peers = Rc::new(GossipSocket::new(platform.peers, platform.peers_all, &limits));
-    if let Some(at) = platform.peer_listen {
-        match peers.open(at) {
-            // A process that this one follows still has it.
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse => {
-                log::info!("{at}: {e}; once it is free")
-            }
-            opened => opened.map_err(|e| format!("{at}: {e}"))?,
-        }
-        let (peers, handle, period) = (peers.clone(), handle.clone(), limits.file_check_interval);
-        let task = async move {
-            while peers.open(at).is_err() {
-                Timer::after(period).await;
-            }
-            peers.listen(|from, bytes| handle.input(Input::PeerMessage { from, bytes })).await;
-        };
-        executor.spawn(task).detach();
+    limits
+}
+
+/// A process on an inherited socket is followed by another one on it.
+fn handover(config: &PlatformConfig) -> Handover {
+    if config.inherited_socket.is_some() {
+        Handover::Successor
+    } else if config.settings.pooler_count == Some(1) {
+        Handover::Nobody
+    } else {
+        Handover::Tier
     }
-    let at = listener.get_ref().local_addr().unwrap_or(platform.listen);
-    log::info!("{}: clients at {at}, discovery at {}", platform.name, platform.discovery);
+}
+
+fn log_start(config: &PlatformConfig, listener: &Async<TcpListener>, limits: &Limits) {
+    let address = listener.get_ref().local_addr().unwrap_or(config.listen);
+    log::info!("{}: clients at {address}, discovery at {}", config.name, config.discovery);
     log::info!(
-        "at most {} clients, {} connections to hosts, {} KiB of long messages",
+        "at most {} clients, {} connections to backends, {} KiB of long messages",
         limits.client_connections,
         limits.backend_connections,
-        limits.message_budget / 1024
+        limits.message_budget_bytes / 1024
     );
+}
 
-    let (fetch, asked) = async_channel::bounded(1);
-    let discovery = Rc::new(Cell::new(platform.discovery));
-    {
-        let (discovery, fetch) = (discovery.clone(), fetch.clone());
-        executor.spawn(async move { reload(&path, hangup, &discovery, &fetch).await }).detach();
-    }
-    let (listed, ready) = async_channel::bounded::<()>(1);
-    if known {
-        // What discovery has to tell counts from the first moment: the list from before serves only while it is
-        // silent, when to wait for a newer one would serve nobody. Until then what comes is held.
-        let (listed, handle, known) = (listed.clone(), handle.clone(), hosts_known.clone());
-        let (wait, ready) = (limits.cached_list_delay, limits.readiness_timeout);
-        let task = async move {
-            Timer::after(wait).await;
-            if !listed.is_closed() {
-                let list = known.borrow().listing();
-                handle.control(Control::EndpointList { list, cached: true }).await;
-            }
-            Timer::after(ready.saturating_sub(wait)).await;
-            listed.close();
-        };
-        executor.spawn(task).detach();
-    }
-    let duty = Rc::new(Lifecycle::default());
-    if let Some(at) = platform.admin {
-        open_door(&executor, at, &platform.name, &limits, &handle, &duty, &ready, String::new)?;
-    }
-    {
-        let (limits, handle) = (limits.clone(), handle.clone());
-        let (zones, seed) = (platform.zones, platform.seed);
-        let task = async move {
-            let deliver = |list: EndpointUpdate| {
-                let (handle, listed, known) = (&handle, &listed, &hosts_known);
-                async move {
-                    known.borrow_mut().take(&list);
-                    let list = known.borrow().listing();
-                    handle.control(Control::EndpointList { list, cached: false }).await;
-                    listed.close();
-                }
-            };
-            watcher::watch(&discovery, &zones, &limits, seed, &asked, deliver).await;
-        };
-        executor.spawn(task).detach();
-    }
-    let hosts = BackendPool::new(Pg::new(limits.clone(), fields), limits.clone(), clock);
-    let carrying = carry(&executor, &hosts, commands, &handle, async move |command| match command {
-        Command::SendToPeers { to, bytes } => {
-            peers.tell(to, &bytes).await;
-        }
-        Command::FetchList => drop(fetch.try_send(())),
-        _ => {}
-    });
-    if succeeds {
-        // Until this process can serve, all clients are the other one's.
-        let can_serve = async { while ready.recv().await.is_ok() {} };
-        if unless_signalled(&mut ends, can_serve).await.is_none() {
-            return ended_early();
-        }
-    }
-    let ending = handle.clone();
-    let front = Rc::new(Front {
-        limits: limits.clone(),
-        handle,
-        classes,
-        ready,
-        duty: duty.clone(),
-        open: Default::default(),
-    });
-    let seats = connection_limiter::ConnectionLimiter::new(limits.clone(), duty.clone());
-    let accepting = accept(&executor, listener, &seats, move |stream, place, welcome| {
-        let front = front.clone();
-        async move { front.serve(stream, place, welcome).await }
-    });
-    let leave = match alone {
-        _ if succeeds => Leave::Successor,
-        true => Leave::Nobody,
-        false => Leave::Others,
-    };
-    until_drained(ends, &limits, &seats, &duty, &ending, leave, accepting, carrying).await
+/// SIGTERM came before any connection was accepted.
+fn terminated_early() -> Result<(), DaemonError> {
+    log::info!("SIGTERM before the first connection");
+    Ok(())
 }
--- /dev/null
+++ b/src/platform_config.rs
@@ -0,0 +1,245 @@
+//! The platform's configuration of a pooler: one JSON file, named by `GW_CONFIG`.
+//!
+//! Its `settings` are the service's settings as nested objects; `flatten` brings them into the `path=value` pairs
+//! that [`settings_parser`] reads. Errors name the line: the JSON parser knows none, so `line_search` looks for it.
+
+mod flatten;
+mod line_search;
+
+use crate::address::{AddressError, parse_address};
+use crate::endpoint_list_json::{EndpointListError, EndpointListJson};
+use crate::engine::endpoints::EndpointUpdate;
+use crate::line_error::LineError;
+use crate::routing::{Settings, settings_parser};
+use crate::time::Timestamp;
+use line_search::{line_of_syntax_error, line_of_value};
+use miniserde::json::Value;
+use miniserde::{Deserialize, json};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use thiserror::Error;
+
+/// A problem in the platform's configuration, with its line.
+pub type PlatformConfigError = LineError<PlatformConfigProblem>;
+
+/// What is wrong with the platform's configuration.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum PlatformConfigProblem {
+    /// The file does not parse.
+    #[error("not JSON")]
+    NotJson,
+    /// The file is JSON, but no object.
+    #[error("no object")]
+    NotObject,
+    /// A key whose value must be a string.
+    #[error("{0} is no text")]
+    NotText(&'static str),
+    /// A key that must be stated.
+    #[error("there is no {0}")]
+    Missing(&'static str),
+    /// There are no settings.
+    #[error("there are no settings")]
+    MissingSettings,
+    /// Another key has a value of the wrong type.
+    #[error("limits, peers or known are out of form")]
+    WrongType,
+    /// A setting does not parse.
+    #[error("{0}")]
+    Settings(String),
+    /// An address does not parse.
+    #[error(transparent)]
+    Address(#[from] AddressError),
+    /// The cached endpoint list cannot be used.
+    #[error(transparent)]
+    CachedList(#[from] EndpointListError),
+}
+
+/// What the platform states for a pooler.
+#[derive(Clone, Debug)]
+pub struct PlatformConfig {
+    /// The pooler's name.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// Where discovery is.
+    pub discovery: SocketAddr,
+    /// Seed of the engine's and discovery's random numbers.
+    pub seed: u64,
+    /// Descriptors that the process may hold.
+    pub sockets: Option<usize>,
+    /// Memory that the process may use, in MB.
+    pub memory_mb: Option<f64>,
+    /// Where peers' datagrams arrive.
+    pub peer_listen: Option<SocketAddr>,
+    /// The poolers of the tier by number.
+    pub peers: Vec<SocketAddr>,
+    /// The address that reaches all poolers of the tier.
+    pub peers_all: Option<SocketAddr>,
+    /// Number of the descriptor of the clients' listening socket, where the platform passes one on. From the
+    /// environment, not from the file.
+    pub inherited_socket: Option<String>,
+    /// Where the administration server listens.
+    pub admin: Option<SocketAddr>,
+    /// The endpoint list as this pooler last had it.
+    pub cached_list: Option<EndpointUpdate>,
+    /// The settings of the service.
+    pub settings: Settings,
+    /// Names of the classes, by number.
+    pub classes: Vec<String>,
+    /// Names of the zones, by number.
+    pub zones: Vec<String>,
+    /// Backends close a connection that was idle for this many seconds.
+    pub backend_idle_secs: Option<f64>,
+}
+
+/// The file's keys and types.
+#[derive(Deserialize)]
+struct ConfigJson {
+    name: String,
+    listen: String,
+    discovery: String,
+    seed: Option<String>,
+    limits: Option<LimitsJson>,
+    peer_listen: Option<String>,
+    peers: Option<Vec<String>>,
+    peers_all: Option<String>,
+    known: Option<EndpointListJson>,
+    admin_addr: Option<String>,
+    settings: Value,
+}
+
+#[derive(Deserialize)]
+struct LimitsJson {
+    memory_mb: Option<f64>,
+    sockets: Option<u64>,
+}
+
+/// Reads the platform's configuration.
+///
+/// # Errors
+/// [`PlatformConfigError`] with the line of the first problem.
+pub fn parse(text: &str) -> Result<PlatformConfig, PlatformConfigError> {
+    let value: Value = json::from_str(text)
+        .map_err(|_| LineError::new(line_of_syntax_error(text), PlatformConfigProblem::NotJson))?;
+    let config: ConfigJson = json::from_str(text).map_err(|_| first_wrong_key(text, &value))?;
+    let pairs = flatten::flatten(&config.settings);
+    let names = SettingsNames::read(&pairs);
+    let settings = parse_settings(text, &pairs)?;
+    let source = Source { text };
+    let limits = config.limits.as_ref();
+    Ok(PlatformConfig {
+        listen: source.address("listen", &config.listen)?,
+        discovery: source.address("discovery", &config.discovery)?,
+        name: config.name,
+        seed: config.seed.and_then(|hex| u64::from_str_radix(&hex, 16).ok()).unwrap_or(0),
+        sockets: limits.and_then(|limits| limits.sockets).map(|sockets| sockets as usize),
+        memory_mb: limits.and_then(|limits| limits.memory_mb),
+        peer_listen: source.optional_address("peer_listen", config.peer_listen)?,
+        peers: source.addresses("peers", config.peers)?,
+        peers_all: source.optional_address("peers_all", config.peers_all)?,
+        inherited_socket: None,
+        admin: source.optional_address("admin_addr", config.admin_addr.filter(|text| !text.is_empty()))?,
+        cached_list: source.cached_list(config.known, &names.zones)?,
+        settings,
+        classes: names.classes,
+        zones: names.zones,
+        backend_idle_secs: names.backend_idle_secs,
+    })
+}
+
+/// What this program reads from the settings itself; the rest is the decision module's.
+struct SettingsNames {
+    classes: Vec<String>,
+    zones: Vec<String>,
+    backend_idle_secs: Option<f64>,
+}
+
+impl SettingsNames {
+    fn read(pairs: &BTreeMap<String, String>) -> SettingsNames {
+        let zones = pairs.get("zones").map_or("", String::as_str);
+        SettingsNames {
+            classes: (0..).map_while(|class| pairs.get(&format!("services.{class}.name")).cloned()).collect(),
+            zones: zones.split(',').filter(|name| !name.is_empty()).map(str::to_string).collect(),
+            backend_idle_secs: pairs.get("limits.conn-idle").and_then(|value| value.parse().ok()),
+        }
+    }
+}
+
+fn parse_settings(text: &str, pairs: &BTreeMap<String, String>) -> Result<Settings, PlatformConfigError> {
+    let borrowed = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
+    let settings = settings_parser::read(borrowed).map_err(|error| {
+        let message = error.to_string();
+        let line = line_of_setting(text, &message);
+        LineError::new(line, PlatformConfigProblem::Settings(message))
+    })?;
+    // Log positions on the sockets are Unix times, as the program's clock is.
+    Ok(Settings { zero: Some(Timestamp::ZERO), ..settings })
+}
+
+/// The line of the setting that `message` names as `settings: PATH=VALUE …`; the last part of the path is the key.
+fn line_of_setting(text: &str, message: &str) -> usize {
+    let stated = message.split_once(": ").map_or("", |(_, rest)| rest.split(' ').next().unwrap_or(""));
+    let (path, value) = stated.split_once('=').unwrap_or((stated, ""));
+    let key = path.rsplit('.').next().unwrap_or(path);
+    line_of_value(text, key, value)
+}
+
+/// What keeps a configuration from being read though it is JSON: the first key that must be stated and is missing or of
+/// another type.
+fn first_wrong_key(text: &str, config: &Value) -> PlatformConfigError {
+    let Value::Object(object) = config else {
+        return LineError::new(1, PlatformConfigProblem::NotObject);
+    };
+    for key in ["name", "listen", "discovery"] {
+        let problem = match object.get(key) {
+            Some(Value::String(_)) => continue,
+            Some(_) => PlatformConfigProblem::NotText(key),
+            None => PlatformConfigProblem::Missing(key),
+        };
+        return LineError::new(line_of_value(text, key, ""), problem);
+    }
+    if object.get("settings").is_none() {
+        let line = line_of_value(text, "settings", "");
+        return LineError::new(line, PlatformConfigProblem::MissingSettings);
+    }
+    LineError::new(1, PlatformConfigProblem::WrongType)
+}
+
+/// The file's text, to find the lines of values that cannot be used.
+struct Source<'a> {
+    text: &'a str,
+}
+
+impl Source<'_> {
+    fn address(&self, key: &str, value: &str) -> Result<SocketAddr, PlatformConfigError> {
+        parse_address(value, key).map_err(|error| LineError::new(line_of_value(self.text, key, value), error))
+    }
+
+    fn optional_address(
+        &self,
+        key: &str,
+        value: Option<String>,
+    ) -> Result<Option<SocketAddr>, PlatformConfigError> {
+        value.map(|value| self.address(key, &value)).transpose()
+    }
+
+    fn addresses(
+        &self,
+        key: &str,
+        values: Option<Vec<String>>,
+    ) -> Result<Vec<SocketAddr>, PlatformConfigError> {
+        values.unwrap_or_default().iter().map(|value| self.address(key, value)).collect()
+    }
+
+    fn cached_list(
+        &self,
+        list: Option<EndpointListJson>,
+        zones: &[String],
+    ) -> Result<Option<EndpointUpdate>, PlatformConfigError> {
+        let list = list.map(|list| list.into_update(zones)).transpose();
+        list.map_err(|error| LineError::new(line_of_value(self.text, "known", ""), error))
+    }
+}
+
+#[cfg(test)]
+mod tests;
