--- a/src/routing/decayed_rate.rs
+++ b/src/routing/decayed_rate.rs
@@ -4,12 +4,12 @@
 
 /// An exponentially decayed count of events, low at first.
 #[derive(Default)]
-pub(super) struct Rate {
+pub(super) struct DecayedRate {
     pub(super) count: f64,
     pub(super) at: Timestamp,
 }
 
-impl Rate {
+impl DecayedRate {
     pub(super) fn per_us(&self, now: Timestamp, span: TimeDelta) -> f64 {
         self.count * (-(now - self.at).as_micros_f64() / span.as_micros_f64()).exp() / span.as_micros_f64()
     }
--- a/src/routing/group.rs
+++ b/src/routing/group.rs
@@ -1,6 +1,6 @@
 //! What the router keeps of a group.
 
-use super::decayed_rate::Rate;
+use super::decayed_rate::DecayedRate;
 use super::*;
 use std::collections::BTreeSet;
 
@@ -11,14 +11,14 @@
     /// The believed primary.
     pub(super) primary: Option<EndpointId>,
     /// A round of misses found no primary: writes are held.
-    pub(super) holding: bool,
+    pub(super) awaiting_primary: bool,
     /// The one write that looks for the primary, and the members tried on this round.
-    pub(super) scout: Option<RequestId>,
-    pub(super) walked: BTreeSet<EndpointId>,
-    pub(super) timer_at: Option<Timestamp>,
-    pub(super) held: [BTreeSet<Rank>; 2],
+    pub(super) discovery_request: Option<RequestId>,
+    pub(super) tried_in_round: BTreeSet<EndpointId>,
+    pub(super) discovery_timer_at: Option<Timestamp>,
+    pub(super) queued: [BTreeSet<QueuePosition>; 2],
     /// Sends of this driver to the group, decayed.
-    pub(super) rate: Rate,
+    pub(super) send_rate: DecayedRate,
 }
 
 /// Places of reads and of writes among what a group holds.
@@ -26,4 +26,4 @@
 pub(super) const WRITES: usize = 1;
 
 /// The order in which held requests go: still in time, most urgent first.
-pub(super) type Rank = (bool, Timestamp, RequestId);
+pub(super) type QueuePosition = (bool, Timestamp, RequestId);
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -4,43 +4,43 @@
 
 /// What is to be looked at when a timer fires.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
-    Subscribe,
-    Group(GroupId),
-    Pump(GroupId),
-    Guard(RequestId),
-    Check(RequestId, u8),
-    Lost(RequestId, u8),
+pub(super) enum Timer {
+    RetrySubscription,
+    PrimaryDiscovery(GroupId),
+    DispatchQueued(GroupId),
+    Request(RequestId),
+    SuspectEndpoint(RequestId, u8),
+    LostAttempt(RequestId, u8),
 }
 
 impl Router {
-    pub(super) fn due(&mut self, now: Timestamp, out: &mut Vec<Action>) {
-        while let Some(&(at, due)) = self.agenda.first()
+    pub(super) fn fire_due_timers(&mut self, now: Timestamp, out: &mut Vec<Action>) {
+        while let Some(&(at, due)) = self.timers.first()
             && at <= now
         {
-            self.agenda.pop_first();
+            self.timers.pop_first();
             match due {
-                Due::Subscribe => out.push(Action::Subscribe { on: true }),
-                Due::Group(group) => self.group_timer(now, group, out),
-                Due::Pump(group) => drop(self.dirty.insert(group)),
-                Due::Guard(id) => self.guard(now, id, out),
-                Due::Check(id, attempt) => self.check(id, attempt),
-                Due::Lost(id, attempt) => self.lost(now, id, attempt, out),
+                Timer::RetrySubscription => out.push(Action::Subscribe { on: true }),
+                Timer::PrimaryDiscovery(group) => self.continue_discovery(now, group, out),
+                Timer::DispatchQueued(group) => drop(self.groups_to_dispatch.insert(group)),
+                Timer::Request(id) => self.request_timer(now, id, out),
+                Timer::SuspectEndpoint(id, attempt) => self.suspect_timer(id, attempt),
+                Timer::LostAttempt(id, attempt) => self.lost_attempt_timer(now, id, attempt, out),
             }
         }
     }
 
     /// The deadline of a request: a held one is given up when hope is gone, any other at the very end.
-    pub(super) fn guard(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.streaming) else { return };
-        let last = self.last_call(r);
+    pub(super) fn request_timer(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Action>) {
+        let Some(r) = self.requests.get(&id).filter(|r| !r.response_started) else { return };
+        let last = self.queue_until(r);
         let at = if r.attempts.iter().any(|a| a.open) { r.deadline } else { last };
         if now >= at {
             return self.give_up(id, out);
         }
-        self.agenda.insert((at, Due::Guard(id)));
-        if r.held.is_some() {
-            self.hold(now, id);
+        self.timers.insert((at, Timer::Request(id)));
+        if r.queue_position.is_some() {
+            self.enqueue(now, id);
         }
     }
 }
