--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -128,8 +128,9 @@
 
     /// What holds now. What is avoided is the module's to tell.
     pub fn gauges(&self, now: Timestamp) -> Gauges {
-        let (targets, disabled) = self.router.avoids(now);
-        Gauges { concurrent: self.open.len() + self.begun.len(), targets, disabled }
+        let endpoints = self.router.avoids(now);
+        let concurrent = self.open.len() + self.begun.len();
+        Gauges { concurrent, targets: endpoints.listed, disabled: endpoints.avoided }
     }
 
     /// What hosts have told since this was last asked.
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,60 +1,111 @@
-//! Attempts and their outcomes.
+//! The life of a request: arrival, attempts, their outcomes, retries, and attempts that are overdue.
+//!
+//! A retry follows the class: an idempotent request may always be repeated, a keyed one while its key is known, any
+//! other only where no attempt may have run.
 
-use super::request::{Attempt, Request};
-use super::router::*;
+use super::endpoints::EndpointState;
+use super::learning::POSITION_RESOLUTION;
+use super::request::{Attempt, AttemptId, Request, RequestPath};
+use super::router::{DEFAULT_LATENCY_OBJECTIVE, Router};
 use super::timers::Timer;
-use super::*;
+use super::{
+    Action, AttemptFinished, AttemptOutcome, Class, Consistency, EndpointId, Idempotency, IncomingRequest,
+    KeyScope, RequestId, SessionTracking, TimeDelta, Timestamp,
+};
+
+/// Attempts of a request where the settings state no limit.
+const DEFAULT_MAX_ATTEMPTS: u32 = 4;
+/// Errors after which a request is given up: a second endpoint that errs on it confirms that it is the request.
+const MAX_ERRORS_PER_REQUEST: u32 = 2;
+/// Errors or broken connections without a good response between them after which an endpoint is ejected: fewer follow
+/// a request, key or tenant, or one connection.
+const ERRORS_BEFORE_EJECTION: u32 = 3;
+/// Ejection of an endpoint that no connection reaches; the shortest time in which it may be back.
+const CONNECTION_FAILURE_EJECTION: TimeDelta = TimeDelta::from_millis(500);
+/// An attempt is taken for lost after this many usual latencies, where its endpoint has answered
+/// [`LOST_AFTER_OVERTAKEN`] attempts that were sent after it. Long work is overtaken too, but seldom by as much.
+const LOST_AFTER_LATENCIES: f64 = 8.0;
+const LOST_AFTER_OVERTAKEN: u64 = 16;
+/// Overdue attempts at a silent endpoint that make it suspected: a single one may be long work.
+const OVERDUE_ATTEMPTS_TO_SUSPECT: usize = 2;
 
 impl Router {
-    pub(super) fn receive_request(&mut self, now: Timestamp, ask: &IncomingRequest, out: &mut Vec<Action>) {
-        let &IncomingRequest {
-            id, class, group, work_hint, last_commit_age, session, client_timeout, ..
-        } = ask;
-        if class >= self.settings.classes.len() {
-            out.push(Action::Fail { id });
+    pub(super) fn receive_request(
+        &mut self,
+        now: Timestamp,
+        incoming: &IncomingRequest,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = incoming.id;
+        let Some(class) = self.settings.classes.get(incoming.class) else {
+            actions.push(Action::Fail { id });
             return;
-        }
-        let c = &self.settings.classes[class];
-        let stretch = c.latency_objective_per_work.unwrap_or(0.0)
-            * work_hint.unwrap_or(TimeDelta::ZERO).as_micros_f64();
-        let (latency_objective, deadline) =
-            (c.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE), now + client_timeout.or_zero());
-        let aim_at = now + latency_objective + TimeDelta::from_micros_f64(stretch);
-        let present = matches!(c.consistency, None | Some(Consistency::Strong));
-        let r = Request {
-            class,
-            consistency: c.consistency,
-            writes: c.consistency == Some(Consistency::Write)
-                || present && self.endpoints_reject_stale_reads(),
+        };
+        let request = self.new_request(now, incoming, class);
+        // It is looked at when it can no longer meet its objective, when its queueing ends, and at its deadline.
+        let usual = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
+        let first_look = (request.objective_at - usual).min(self.queue_until(&request));
+        self.schedule(first_look.clamp(now, request.deadline), Timer::Request(id));
+        self.requests.insert(id, request);
+        self.route(now, id, actions);
+    }
+
+    fn new_request(&self, now: Timestamp, incoming: &IncomingRequest, class: &Class) -> Request {
+        let work_us = incoming.work_hint.unwrap_or(TimeDelta::ZERO).as_micros_f64();
+        let allowed_for_work_us = class.latency_objective_per_work.unwrap_or(0.0) * work_us;
+        let latency_objective = class.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
+        let objective_at = now + latency_objective + TimeDelta::from_micros_f64(allowed_for_work_us);
+        let deadline = now + incoming.client_timeout.or_zero();
+        let late_response_has_value = class.late_priority_weight > Some(0.0);
+        Request {
+            class: incoming.class,
+            consistency: class.consistency,
+            path: self.path_for(class.consistency),
             latency_objective,
-            group,
+            group: incoming.group,
             arrived_at: now,
-            objective_at: aim_at,
-            value_ends_at: if c.late_priority_weight > Some(0.0) { deadline } else { aim_at.min(deadline) },
+            objective_at,
+            value_ends_at: if late_response_has_value { deadline } else { objective_at.min(deadline) },
             deadline,
-            required_commit: match self.settings.session_tracking {
-                Some(SessionTracking::Remembered) => {
-                    self.session_commits.get(&session).copied().or(self.evicted_sessions_commit)
-                }
-                _ => last_commit_age.map(|age| now - age),
-            },
-            session,
-            ..Request::default()
+            required_commit: self.required_commit(now, incoming),
+            session: incoming.session,
+            attempts: Vec::new(),
+            may_have_run_since: None,
+            response_started: false,
+            queue_position: None,
+            waiting_for_probe_since: None,
+            error_outcomes: 0,
+            lost_attempt_cancelled: false,
+        }
+    }
+
+    /// A strong read searches for the primary only where a wrong endpoint would reject it.
+    fn path_for(&self, consistency: Option<Consistency>) -> RequestPath {
+        match consistency {
+            Some(Consistency::Write) => RequestPath::Write,
+            Some(Consistency::Strong) | None if self.endpoints_reject_stale_reads() => RequestPath::Write,
+            _ => RequestPath::Read,
+        }
+    }
+
+    fn required_commit(&self, now: Timestamp, incoming: &IncomingRequest) -> Option<Timestamp> {
+        match self.settings.session_tracking {
+            Some(SessionTracking::Remembered) => {
+                self.session_commits.get(&incoming.session).copied().or(self.evicted_sessions_commit)
+            }
+            _ => incoming.last_commit_age.map(|age| now - age),
+        }
+    }
+
+    /// Sends a request to the endpoint that its path chooses, or queues it, or gives it up.
+    pub(super) fn route(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+        let endpoint = match self.requests[&id].path {
+            RequestPath::Write => self.choose_primary(now, id),
+            RequestPath::Read => self.choose_reader(now, id, actions),
         };
-        // Looked at when it turns late, when hope ends, and at its deadline.
-        let late =
-            (aim_at - TimeDelta::from_micros_f64(self.class_latency_us[class])).min(self.queue_until(&r));
-        self.timers.insert((late.clamp(now, deadline), Timer::Request(id)));
-        self.requests.insert(id, r);
-        self.route(now, id, out);
-    }
-
-    /// Sends a request where the mechanism says, or holds it.
-    pub(super) fn route(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Action>) {
-        let writes = self.requests[&id].writes;
-        match if writes { self.choose_primary(now, id) } else { self.choose_reader(now, id, out) } {
-            Some(endpoint) => self.send(now, id, endpoint, out),
-            None if self.cannot_meet_objective(now, id) => self.give_up(id, out),
+        match endpoint {
+            Some(endpoint) => self.send(now, id, endpoint, actions),
+            None if self.queue_is_too_long(now, id) => self.give_up(id, actions),
             None => self.enqueue(now, id),
         }
     }
@@ -63,178 +114,248 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        endpoint: EndpointId,
-        out: &mut Vec<Action>,
+        endpoint_id: EndpointId,
+        actions: &mut Vec<Action>,
     ) {
         self.dequeue(id);
-        let has = self.endpoints.get(&endpoint).map_or(0.0, |m| self.slow_start_allowance(now, m));
-        // The budget is one of work: a light class uses less of it than the heaviest.
-        let heaviest = self.class_latency_us.iter().copied().fold(1.0, f64::max);
-        let (Some(r), Some(m)) = (self.requests.get_mut(&id), self.endpoints.get_mut(&endpoint)) else {
+        let Some(endpoint) = self.endpoints.get(&endpoint_id) else { return };
+        let allowance = self.slow_start_allowance(now, endpoint);
+        let Some(request) = self.requests.get(&id) else { return };
+        let cost = self.slow_start_cost(request.class);
+
+        let (Some(request), Some(endpoint)) =
+            (self.requests.get_mut(&id), self.endpoints.get_mut(&endpoint_id))
+        else {
             return;
         };
-        let number = r.attempts.len() as u8;
-        let overtaken_at = m.answered_attempts + m.in_flight.len() as u64 + LOST_AFTER_OVERTAKEN;
-        let attempt = Attempt {
-            endpoint,
+        let attempt = AttemptId { request: id, number: request.attempts.len() as u8 };
+        request.attempts.push(Attempt {
+            endpoint: endpoint_id,
             sent_at: now,
             open: true,
             may_have_arrived: true,
-            overtaken_at_count: overtaken_at,
+            overtaken_at_count: endpoint.answered_attempts
+                + endpoint.in_flight.len() as u64
+                + LOST_AFTER_OVERTAKEN,
             unserved_at: None,
-        };
-        r.attempts.push(attempt);
-        m.in_flight.insert((id, number), now);
-        (m.last_send_interval, m.last_sent_at) = (now - m.last_sent_at, now);
-        (m.slow_start_budget, m.slow_start_budget_updated_at) =
-            (has - self.class_latency_us[r.class] / heaviest, now);
-        self.groups.entry(r.group).or_default().send_rate.add(now, self.overload_window);
-        self.timers.insert((now + r.latency_objective / 2, Timer::SuspectEndpoint(id, number)));
-        let usual = self.class_latency_us[r.class] * m.relative_latency.max(1.0);
-        self.timers.insert((
-            now + TimeDelta::from_micros_f64(usual * LOST_AFTER_LATENCIES),
-            Timer::LostAttempt(id, number),
-        ));
-        out.push(Action::Send { id, endpoint, stop_at: None });
-    }
-
-    pub(super) fn attempt_finished(&mut self, now: Timestamp, end: &AttemptFinished, out: &mut Vec<Action>) {
-        let &AttemptFinished { id, attempt, endpoint, took, outcome, finished, replica_status, .. } = end;
-        let Some(m) = self.endpoints.get_mut(&endpoint) else { return };
-        m.in_flight.remove(&(id, attempt));
-        if matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Misdirected) {
-            (m.consecutive_failures, m.errors_since_success) = (0, 0);
-            m.answered_attempts += 1;
-        }
-        let (class, erred) =
-            self.requests.get(&id).map_or((None, false), |r| (Some(r.class), r.error_outcomes > 0));
-        let a = self.requests.get(&id).and_then(|r| r.attempts.get(usize::from(attempt)));
-        let overtaken = a.is_some_and(|a| m.answered_attempts >= a.overtaken_at_count);
-        match outcome {
-            // Its member is well: it was the connection that fell silent.
-            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if overtaken => {}
-            AttemptOutcome::Served | AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
-                if let Some(class) = class {
-                    self.record_latency(now, class, endpoint, took, outcome == AttemptOutcome::Served);
-                }
-            }
-            // Errors between good answers, or on what erred elsewhere, follow the request, key or tenant.
-            AttemptOutcome::Error if erred || m.errors_since_success + 1 < ERRORS_BEFORE_EJECTION => {
-                m.errors_since_success += u32::from(!erred)
-            }
-            // One broken connection says little of its member: if that is down, the next attempt finds none.
-            AttemptOutcome::Reset if m.errors_since_success + 1 < ERRORS_BEFORE_EJECTION => {
-                m.errors_since_success += 1
-            }
-            AttemptOutcome::Overloaded | AttemptOutcome::Error => {
-                self.decrease_concurrency_limit(now, endpoint, class.map(|c| self.class_latency_us[c]));
-                self.eject(
-                    now,
-                    endpoint,
-                    class
-                        .map_or(DISCOVERY_INTERVAL, |c| TimeDelta::from_micros_f64(self.class_latency_us[c])),
-                );
-            }
-            AttemptOutcome::ConnectFailed | AttemptOutcome::Reset => {
-                m.unreachable = true;
-                self.eject(now, endpoint, DISCOVERY_INTERVAL);
-            }
-            _ => {}
-        }
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        if let Some(a) = r.attempts.get_mut(usize::from(attempt)) {
-            (a.open, a.may_have_arrived) = (false, outcome != AttemptOutcome::ConnectFailed);
-            a.unserved_at = (outcome != AttemptOutcome::Overloaded).then_some(now);
-            if outcome.may_have_run() {
-                r.may_have_run_since = Some(r.may_have_run_since.map_or(a.sent_at, |t| t.min(a.sent_at)));
-            }
-            r.error_outcomes += u32::from(outcome == AttemptOutcome::Error);
-        }
-        if finished {
-            let remembers = r.writes && self.settings.session_tracking == Some(SessionTracking::Remembered);
-            if let (AttemptOutcome::Served, Some(replica_status), true) = (outcome, replica_status, remembers)
+        });
+        endpoint.attempt_sent(now, attempt);
+        endpoint.slow_start_budget = allowance - cost;
+        endpoint.slow_start_budget_updated_at = now;
+        self.groups.entry(request.group).or_default().send_rate.record(now, self.overload_window);
+
+        let suspect_at = now + request.latency_objective / 2;
+        let usual_us = self.class_latency_us[request.class] * endpoint.relative_latency.max(1.0);
+        let lost_at = now + TimeDelta::from_micros_f64(usual_us * LOST_AFTER_LATENCIES);
+        self.schedule(suspect_at, Timer::SuspectEndpoint(attempt));
+        self.schedule(lost_at, Timer::LostAttempt(attempt));
+        actions.push(Action::Send { id, endpoint: endpoint_id, stop_at: None });
+    }
+
+    /// An attempt ended. Outcomes for unknown endpoints are ignored; those of finished requests still count for their
+    /// endpoint.
+    pub(super) fn attempt_finished(
+        &mut self,
+        now: Timestamp,
+        finished: &AttemptFinished,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = finished.id;
+        let Some(endpoint) = self.endpoints.get_mut(&finished.endpoint) else { return };
+        endpoint.attempt_ended(AttemptId { request: id, number: finished.attempt }, finished.outcome);
+        self.judge_endpoint(now, finished);
+
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.attempt_ended(now, finished.attempt, finished.outcome);
+        if finished.finished {
+            if let (AttemptOutcome::Served, RequestPath::Write, Some(status)) =
+                (finished.outcome, request.path, finished.replica_status)
             {
-                let zero = self.settings.zero.unwrap_or(Timestamp::ZERO);
-                let (session, commit) = (r.session, replica_status.position.commit_time(zero));
-                self.remember_commit(session, commit);
+                let session = request.session;
+                self.remember_commit(session, status);
             }
-            self.finish_request(id, out);
-            return;
-        }
-        if r.attempts.iter().any(|a| a.open) {
-            return;
+            self.finish_request(id, actions);
+        } else if !request.has_open_attempt() {
+            self.retry_or_give_up(now, id, finished.outcome, actions);
         }
+    }
+
+    fn retry_or_give_up(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        outcome: AttemptOutcome,
+        actions: &mut Vec<Action>,
+    ) {
         if !self.may_retry(now, id) || outcome == AttemptOutcome::NotSent {
-            self.give_up(id, out);
+            self.give_up(id, actions);
         } else if outcome == AttemptOutcome::Overloaded {
             self.enqueue(now, id);
         } else {
-            self.route(now, id, out);
+            self.route(now, id, actions);
         }
     }
 
-    /// Whether another attempt is allowed.
-    pub(super) fn may_retry(&self, now: Timestamp, id: RequestId) -> bool {
-        let r = &self.requests[&id];
-        self.may_retry_given(now, r, r.may_have_run_since)
-    }
-
-    /// The same where the first attempt that may have run was sent at `ran`: rule 2, attempt limit, deadline.
-    pub(super) fn may_retry_given(&self, now: Timestamp, r: &Request, ran: Option<Timestamp>) -> bool {
-        let c = &self.settings.classes[r.class];
-        let harmless = match (c.idempotency.unwrap_or(Idempotency::NonIdempotent), ran) {
-            (Idempotency::Idempotent, _) | (_, None) => true,
-            // Where a key is known in one zone only, the group's next primary may stand in another.
-            (Idempotency::Keyed, Some(_)) if c.key_scope == Some(KeyScope::Zone) => false,
-            (Idempotency::Keyed, Some(first)) => {
-                now < first + c.key_window.unwrap_or(TimeDelta::ZERO) - POSITION_RESOLUTION
+    /// What an attempt's outcome says of its endpoint: its latency, or a failure for which it is ejected.
+    fn judge_endpoint(&mut self, now: Timestamp, finished: &AttemptFinished) {
+        let Some(endpoint) = self.endpoints.get_mut(&finished.endpoint) else { return };
+        let request = self.requests.get(&finished.id);
+        let class = request.map(|request| request.class);
+        let attempt = request.and_then(|request| request.attempt(finished.attempt));
+        let overtaken = attempt.is_some_and(|attempt| endpoint.has_overtaken(attempt));
+        let erred_elsewhere = request.is_some_and(|request| request.error_outcomes > 0);
+        let error_limit_reached = endpoint.errors_since_success + 1 >= ERRORS_BEFORE_EJECTION;
+        match finished.outcome {
+            AttemptOutcome::Served => self.record_attempt_latency(now, class, finished),
+            // An overtaken attempt's endpoint is well: it was the connection that fell silent.
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if overtaken => {}
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
+                self.record_attempt_latency(now, class, finished);
+            }
+            // An error on what erred elsewhere too follows the request, its key or its tenant.
+            AttemptOutcome::Error if erred_elsewhere => {}
+            AttemptOutcome::Error if !error_limit_reached => endpoint.errors_since_success += 1,
+            AttemptOutcome::Error | AttemptOutcome::Overloaded => {
+                self.eject_for_rejected_work(now, finished.endpoint, class);
+            }
+            // One broken connection says little: where the endpoint is down, the next attempt finds no connection.
+            AttemptOutcome::Reset if !error_limit_reached => endpoint.errors_since_success += 1,
+            AttemptOutcome::Reset | AttemptOutcome::ConnectFailed => {
+                endpoint.unreachable = true;
+                self.eject(now, finished.endpoint, CONNECTION_FAILURE_EJECTION);
             }
-            (Idempotency::NonIdempotent, Some(_)) => false,
+            AttemptOutcome::NotSent | AttemptOutcome::Misdirected => {}
+        }
+    }
+
+    fn record_attempt_latency(&mut self, now: Timestamp, class: Option<usize>, finished: &AttemptFinished) {
+        if let Some(class) = class {
+            let served = finished.outcome == AttemptOutcome::Served;
+            self.record_latency(now, class, finished.endpoint, finished.took, served);
+        }
+    }
+
+    /// An endpoint that rejects or fails work is ejected for a usual latency: it may have room again after that.
+    fn eject_for_rejected_work(&mut self, now: Timestamp, endpoint: EndpointId, class: Option<usize>) {
+        let usual_us = class.map(|class| self.class_latency_us[class]);
+        self.decrease_concurrency_limit(now, endpoint, usual_us);
+        let base = usual_us.map_or(CONNECTION_FAILURE_EJECTION, TimeDelta::from_micros_f64);
+        self.eject(now, endpoint, base);
+    }
+
+    /// Whether another attempt of the request is allowed.
+    pub(super) fn may_retry(&self, now: Timestamp, id: RequestId) -> bool {
+        let request = &self.requests[&id];
+        self.may_retry_at(now, request, request.may_have_run_since)
+    }
+
+    /// Whether another attempt is allowed at `at`, where the first one that may have run was sent at `may_have_run_since`:
+    /// by the class's idempotency, the limit of attempts and the time left.
+    fn may_retry_at(&self, at: Timestamp, request: &Request, may_have_run_since: Option<Timestamp>) -> bool {
+        let max_attempts = self.settings.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS);
+        let harmless = match may_have_run_since {
+            None => true,
+            Some(since) => is_repeat_harmless(&self.settings.classes[request.class], at, since),
         };
-        let left = (r.attempts.len() as u32) < self.settings.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS);
         harmless
-            && left
-            && now < r.value_ends_at
-            && !r.response_started
-            && r.error_outcomes < MAX_ERRORS_PER_REQUEST
+            && (request.attempts.len() as u32) < max_attempts
+            && at < request.value_ends_at
+            && !request.response_started
+            && request.error_outcomes < MAX_ERRORS_PER_REQUEST
     }
 
-    /// An attempt on a connection that fell silent, its member answering others, is called off and repeated.
-    pub(super) fn lost_attempt_timer(
-        &mut self,
-        now: Timestamp,
-        id: RequestId,
-        attempt: u8,
-        out: &mut Vec<Action>,
-    ) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.lost_attempt_cancelled) else { return };
-        let Some(a) = r.attempts.get(usize::from(attempt)).filter(|a| a.open) else { return };
-        let usual = TimeDelta::from_micros_f64(self.class_latency_us[r.class]);
-        let c = &self.settings.classes[r.class];
-        let known = c.idempotency == Some(Idempotency::Idempotent)
-            || now < a.sent_at + c.key_window.unwrap_or(TimeDelta::ZERO) / 2;
-        let again = known && self.may_retry_given(now + usual, r, r.may_have_run_since.or(Some(a.sent_at)));
-        if !again || self.settings.may_cancel != Some(true) {
+    /// Cancels an attempt whose connection fell silent while its endpoint answers others; its outcome leads to the
+    /// retry. Where it is not overtaken yet, looks again after a usual latency.
+    pub(super) fn cancel_lost_attempt(&mut self, now: Timestamp, id: AttemptId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(&id.request) else { return };
+        let Some(attempt) = request.attempt(id.number).filter(|attempt| attempt.open) else { return };
+        if request.lost_attempt_cancelled || self.settings.may_cancel != Some(true) {
             return;
         }
-        if self.endpoints.get(&a.endpoint).is_some_and(|m| m.answered_attempts >= a.overtaken_at_count) {
-            self.requests.entry(id).and_modify(|r| r.lost_attempt_cancelled = true);
-            out.push(Action::Cancel { id, attempt });
+        let usual = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
+        let class = &self.settings.classes[request.class];
+        let half_key_window = class.key_window.unwrap_or(TimeDelta::ZERO) / 2;
+        let key_lasts =
+            class.idempotency == Some(Idempotency::Idempotent) || now < attempt.sent_at + half_key_window;
+        let may_have_run_since = request.may_have_run_since.or(Some(attempt.sent_at));
+        if !key_lasts || !self.may_retry_at(now + usual, request, may_have_run_since) {
+            return;
+        }
+        let endpoint = self.endpoints.get(&attempt.endpoint);
+        if endpoint.is_some_and(|endpoint| endpoint.has_overtaken(attempt)) {
+            self.requests.entry(id.request).and_modify(|request| request.lost_attempt_cancelled = true);
+            actions.push(Action::Cancel { id: id.request, attempt: id.number });
         } else {
-            self.timers.insert((now + usual.max(POSITION_RESOLUTION), Timer::LostAttempt(id, attempt)));
+            self.schedule(now + usual.max(POSITION_RESOLUTION), Timer::LostAttempt(id));
         }
     }
 
-    /// An attempt is overdue, not the first at its member, which has been silent since: it is suspect, and
-    /// nothing new goes there. What is out stays: copies and moves add work where all members are slow.
-    pub(super) fn suspect_timer(&mut self, id: RequestId, attempt: u8) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.response_started) else { return };
-        let Some(a) = r.attempts.get(usize::from(attempt)).filter(|a| a.open) else { return };
-        let (sent, Some(m)) = (a.sent_at, self.endpoints.get_mut(&a.endpoint)) else { return };
-        let overdue = m.in_flight.values().filter(|s| **s <= sent).count();
-        if m.last_response_at < Some(sent) && overdue >= 2 && !m.suspected {
-            m.suspected = true;
-            self.groups_to_dispatch.insert(m.group);
+    /// An attempt is overdue. Its endpoint is suspected where that is not the only one and it has been silent since:
+    /// nothing new goes there. Open attempts stay, because copies add work where all endpoints are slow.
+    pub(super) fn suspect_endpoint(&mut self, id: AttemptId) {
+        let Some(request) = self.requests.get(&id.request) else { return };
+        if request.response_started {
+            return;
+        }
+        let Some(attempt) = request.attempt(id.number).filter(|attempt| attempt.open) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
+        let sent_at = attempt.sent_at;
+        let overdue = endpoint.in_flight.values().filter(|other_sent_at| **other_sent_at <= sent_at).count();
+        let silent = endpoint.last_response_at < Some(sent_at);
+        if silent && overdue >= OVERDUE_ATTEMPTS_TO_SUSPECT && !endpoint.suspected {
+            endpoint.suspected = true;
+            self.groups_to_dispatch.insert(endpoint.group);
+        }
+    }
+}
+
+impl EndpointState {
+    fn attempt_sent(&mut self, now: Timestamp, attempt: AttemptId) {
+        self.in_flight.insert(attempt, now);
+        self.last_send_interval = now - self.last_sent_at;
+        self.last_sent_at = now;
+    }
+
+    fn attempt_ended(&mut self, attempt: AttemptId, outcome: AttemptOutcome) {
+        self.in_flight.remove(&attempt);
+        // A misdirected attempt is a good response: the endpoint knows its role.
+        if matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Misdirected) {
+            self.consecutive_failures = 0;
+            self.errors_since_success = 0;
+            self.answered_attempts += 1;
         }
     }
+
+    /// Whether the endpoint has answered so much that was sent after `attempt` that its connection must be broken.
+    fn has_overtaken(&self, attempt: &Attempt) -> bool {
+        self.answered_attempts >= attempt.overtaken_at_count
+    }
+}
+
+impl Request {
+    fn attempt_ended(&mut self, now: Timestamp, number: u8, outcome: AttemptOutcome) {
+        let Some(attempt) = self.attempts.get_mut(usize::from(number)) else { return };
+        attempt.open = false;
+        attempt.may_have_arrived = outcome != AttemptOutcome::ConnectFailed;
+        // An overloaded endpoint may be tried again by the same request: its ejection ends soon.
+        attempt.unserved_at = (outcome != AttemptOutcome::Overloaded).then_some(now);
+        if outcome.may_have_run() {
+            let since = self.may_have_run_since.unwrap_or(attempt.sent_at);
+            self.may_have_run_since = Some(since.min(attempt.sent_at));
+        }
+        if outcome == AttemptOutcome::Error {
+            self.error_outcomes += 1;
+        }
+    }
+}
+
+/// Whether a request may run again at `at`, where its first attempt that may have run was sent at `since`.
+fn is_repeat_harmless(class: &Class, at: Timestamp, since: Timestamp) -> bool {
+    match class.idempotency.unwrap_or(Idempotency::NonIdempotent) {
+        Idempotency::Idempotent => true,
+        // Where a key is known in one zone only, the group's next primary may be in another.
+        Idempotency::Keyed if class.key_scope == Some(KeyScope::Zone) => false,
+        Idempotency::Keyed => at < since + class.key_window.unwrap_or(TimeDelta::ZERO) - POSITION_RESOLUTION,
+        Idempotency::NonIdempotent => false,
+    }
 }
--- a/src/routing/decayed_rate.rs
+++ b/src/routing/decayed_rate.rs
@@ -1,20 +1,26 @@
-//! Rates of events.
+//! An exponentially decayed event rate: the time-decayed counter of Cohen and Strauss, "Maintaining Time-Decaying
+//! Stream Aggregates" (PODS 2003), with exponential decay.
 
 use super::{TimeDelta, Timestamp};
 
-/// An exponentially decayed count of events, low at first.
+/// An exponentially decayed count of events. It starts at zero, so the rate is underestimated at first.
 #[derive(Default)]
 pub(super) struct DecayedRate {
-    pub(super) count: f64,
-    pub(super) at: Timestamp,
+    /// The decayed count, as of `updated_at`.
+    count: f64,
+    updated_at: Timestamp,
 }
 
 impl DecayedRate {
-    pub(super) fn per_us(&self, now: Timestamp, span: TimeDelta) -> f64 {
-        self.count * (-(now - self.at).as_micros_f64() / span.as_micros_f64()).exp() / span.as_micros_f64()
+    /// Events per microsecond, where an event loses its weight with the time constant `window`.
+    pub(super) fn per_us(&self, now: Timestamp, window: TimeDelta) -> f64 {
+        let decay = (-(now - self.updated_at).as_micros_f64() / window.as_micros_f64()).exp();
+        self.count * decay / window.as_micros_f64()
     }
 
-    pub(super) fn add(&mut self, now: Timestamp, span: TimeDelta) {
-        (self.count, self.at) = (self.per_us(now, span) * span.as_micros_f64() + 1.0, now);
+    /// Counts one event. Every call for one rate must name the same `window`.
+    pub(super) fn record(&mut self, now: Timestamp, window: TimeDelta) {
+        self.count = self.per_us(now, window) * window.as_micros_f64() + 1.0;
+        self.updated_at = now;
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -22,8 +22,9 @@
 mod writes;
 
 pub use action::*;
+pub use endpoints::EndpointCounts;
 pub use event::*;
-pub use router::Router;
+pub use router::{RetainedState, Router};
 pub use settings::*;
 
 pub use crate::ids::{EndpointId, GroupId, RequestId, ZoneId};
--- a/tests/router.rs
+++ b/tests/router.rs
@@ -531,7 +531,7 @@
     for n in 0..500 {
         rig.now += 2_000 * MS;
         rig.list(ListKind::Delta, vec![host(n, Availability::Gone), host(n + 1, Availability::Ready)]);
-        let [endpoints, groups, ..] = rig.router.kept();
+        let RetainedState { endpoints, groups, .. } = rig.router.retained();
         assert!(endpoints <= 20 && groups <= 20, "{endpoints} members, {groups} groups after {n}");
     }
     // A member with an attempt out is kept until that is settled.
@@ -561,7 +561,7 @@
         assert_eq!(sends(&sent, id), [endpoint(2)], "{session}");
         rig.answer(id, 0, 2, AttemptOutcome::Served, Some(true), FRESH);
     }
-    let [.., requests, sessions] = rig.router.kept();
+    let RetainedState { requests, sessions, .. } = rig.router.retained();
     assert!(requests == 0 && sessions <= 50_000, "{requests} requests, {sessions} sessions");
 }
 
