--- a/src/bin/brookpass-adapter/frames.rs
+++ b/src/bin/brookpass-adapter/frames.rs
@@ -126,7 +126,7 @@
             return Ok(Wire::Up {
                 instance,
                 seed: number,
-                settings: Box::new(settings_parser::parse(text)?),
+                settings: Box::new(settings_parser::parse(text).map_err(|e| e.to_string())?),
             });
         }
         10 => return Ok(Wire::Stop { instance }),
--- a/src/daemon/file.rs
+++ b/src/daemon/file.rs
@@ -193,7 +193,8 @@
     FIXED.iter().for_each(|(k, v)| drop(all.insert(k.to_string(), v.to_string())));
     all.insert("me".into(), number.to_string());
     let names = (0..).map_while(|n| all.get(&format!("services.{n}.name")).cloned()).collect();
-    let settings = settings_parser::read(all.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect())?;
+    let pairs = all.iter().map(|(k, v)| (k.as_str(), v.as_str())).collect();
+    let settings = settings_parser::read(pairs).map_err(|e| e.to_string())?;
     Ok((settings, names, all))
 }
 
--- a/src/json.rs
+++ b/src/json.rs
@@ -204,6 +204,7 @@
     let classes = (0..).map_while(|n| flat.get(&format!("services.{n}.name")).cloned()).collect();
     let conn_idle = pairs.get("limits.conn-idle").and_then(|v| v.parse().ok());
     let settings = settings_parser::read(pairs).map_err(|e| {
+        let e = e.to_string();
         // The reader names a path and its value; the path's last part is the key in the text.
         let stated = e.split_once(": ").map_or("", |(_, rest)| rest.split(' ').next().unwrap_or(""));
         let (path, value) = stated.split_once('=').unwrap_or((stated, ""));
--- a/src/routing/settings_parser.rs
+++ b/src/routing/settings_parser.rs
@@ -1,154 +1,257 @@
-//! The operator's settings as `path=value` pairs into [`Settings`]. Unknown paths are skipped.
+//! Reads [`Settings`] from `path=value` pairs. Paths that are unknown are skipped.
 //!
-//! The adapter gets the pairs as text, the daemon flattens its JSON configuration into them.
+//! The simulator's adapter gets the pairs as text; the daemon flattens its configuration into them.
 
-use crate::routing::*;
+use super::{
+    Class, Consistency, Idempotency, KeyScope, ReplicationLagPolicy, SessionTracking, Settings, Tenant,
+    TimeDelta, Timestamp,
+};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-struct Text<'a>(BTreeMap<&'a str, &'a str>);
+/// Classes or tenants that settings may announce: more than any deployment has, and few enough to allocate.
+const MAX_COUNT: usize = 65_536;
 
-impl<'a> Text<'a> {
-    fn get<T: FromStr>(&self, path: &str) -> Result<Option<T>, String> {
-        let parse = |v: &&str| v.parse().map_err(|_| format!("settings: {path}={v} does not parse"));
-        self.0.get(path).map(parse).transpose()
+/// A setting that cannot be read. The text names the path and the value.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// A line is no pair.
+    #[error("settings: line {line} has no '='")]
+    NotAPair {
+        /// The line's number, counted from 1.
+        line: usize,
+    },
+    /// A value is not of the form that its path requires.
+    #[error("settings: {path}={value} does not parse")]
+    Malformed {
+        /// The path.
+        path: String,
+        /// The value as stated.
+        value: String,
+    },
+    /// A number is infinite or not a number.
+    #[error("settings: {path}={value} is not a finite number")]
+    NotFinite {
+        /// The path.
+        path: String,
+        /// The value as read.
+        value: String,
+    },
+    /// More classes or tenants than 65,536.
+    #[error("settings: {path}={count} is too many")]
+    TooMany {
+        /// The path.
+        path: String,
+        /// The count as stated.
+        count: usize,
+    },
+    /// An item of the list of ages is no number.
+    #[error("settings: family-info.max-age does not parse")]
+    MalformedMaxAge,
+}
+
+/// Keywords of an enumerated setting and what they mean.
+type Keywords<T> = [(&'static str, T)];
+
+const IDEMPOTENCY: &Keywords<Idempotency> = &[
+    ("repeatable", Idempotency::Idempotent),
+    ("by_key", Idempotency::Keyed),
+    ("once", Idempotency::NonIdempotent),
+];
+const KEY_SCOPE: &Keywords<KeyScope> =
+    &[("all", KeyScope::AllEndpoints), ("cell", KeyScope::Group), ("zone", KeyScope::Zone)];
+const CONSISTENCY: &Keywords<Consistency> = &[
+    ("mutate", Consistency::Write),
+    ("strong", Consistency::Strong),
+    ("causal", Consistency::Session),
+    ("lag_bound", Consistency::Bounded),
+    ("eventual", Consistency::Eventual),
+];
+const MUST_SUBSCRIBE: &Keywords<bool> = &[("subscribe", true), ("automatic", false)];
+const REPLICATION_LAG_POLICY: &Keywords<ReplicationLagPolicy> = &[
+    ("none", ReplicationLagPolicy::ServeStale),
+    ("bounce", ReplicationLagPolicy::Reject),
+    ("await", ReplicationLagPolicy::WaitThenReject),
+];
+const SESSION_TRACKING: &Keywords<SessionTracking> =
+    &[("brought", SessionTracking::Carried), ("kept", SessionTracking::Remembered)];
+
+/// Reads settings from text with one pair a line; empty lines are skipped.
+///
+/// # Errors
+///
+/// The first line that is no pair, or the first value that its path does not permit.
+pub fn parse(text: &str) -> Result<Settings, SettingsError> {
+    let mut pairs = BTreeMap::new();
+    for (index, line) in text.lines().enumerate() {
+        if line.trim().is_empty() {
+            continue;
+        }
+        let Some((path, value)) = line.split_once('=') else {
+            return Err(SettingsError::NotAPair { line: index + 1 });
+        };
+        pairs.insert(path.trim(), value.trim());
     }
+    read(pairs)
+}
+
+/// Reads settings from pairs of path and value.
+///
+/// # Errors
+///
+/// The first value that its path does not permit.
+pub fn read(pairs: BTreeMap<&str, &str>) -> Result<Settings, SettingsError> {
+    let pairs = Pairs(pairs);
+    let mut settings =
+        Settings { classes: pairs.classes()?, tenants: pairs.tenants()?, ..Settings::default() };
+    pairs.read_deployment(&mut settings)?;
+    pairs.read_limits(&mut settings)?;
+    pairs.read_guarantees(&mut settings)?;
+    pairs.read_replication(&mut settings)?;
+    pairs.read_costs(&mut settings)?;
+    Ok(settings)
+}
+
+/// Values by path.
+struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
-    fn number(&self, path: &str) -> Result<Option<f64>, String> {
-        match self.get::<f64>(path)? {
-            Some(v) if !v.is_finite() => Err(format!("settings: {path}={v} is not a finite number")),
-            other => Ok(other),
+impl<'a> Pairs<'a> {
+    fn classes(&self) -> Result<Vec<Class>, SettingsError> {
+        let consistencies = self.list("family-info.consistency");
+        let max_ages = self.list("family-info.max-age");
+        let mut classes = Vec::new();
+        for n in 0..self.count("services.count")? {
+            let mut class = self.class(n)?;
+            class.consistency = consistencies.get(n).and_then(|keyword| lookup(keyword, CONSISTENCY));
+            class.max_age = max_ages.get(n).map(|seconds| parse_max_age(seconds)).transpose()?;
+            classes.push(class);
         }
+        Ok(classes)
     }
 
-    fn span(&self, path: &str) -> Result<Option<TimeDelta>, String> {
-        Ok(self.number(path)?.map(TimeDelta::from_secs_f64))
+    /// The settings of class `n` that have a path of their own.
+    fn class(&self, n: usize) -> Result<Class, SettingsError> {
+        let path = |key: &str| format!("services.{n}.{key}");
+        Ok(Class {
+            latency_objective: self.duration(&path("target"))?,
+            latency_objective_per_work: self.number(&path("aim-stretch"))?,
+            deadline: self.duration(&path("deadline"))?,
+            priority_weight: self.number(&path("worth"))?,
+            late_priority_weight: self.number(&path("late-worth"))?,
+            idempotency: self.keyword(&path("repeat"), IDEMPOTENCY),
+            key_scope: self.keyword(&path("group"), KEY_SCOPE),
+            key_window: self.duration(&path("dedup-window"))?,
+            consistency: None,
+            max_age: None,
+        })
     }
 
-    fn list(&self, path: &str) -> Vec<&'a str> {
-        self.0.get(path).map_or(Vec::new(), |v| v.split(',').filter(|s| !s.is_empty()).collect())
+    fn tenants(&self) -> Result<Vec<Tenant>, SettingsError> {
+        let mut tenants = Vec::new();
+        for n in 0..self.count("tenants.count")? {
+            tenants.push(Tenant { quota_per_s: self.number(&format!("tenants.{n}.quota-per-s"))? });
+        }
+        Ok(tenants)
+    }
+
+    fn read_deployment(&self, settings: &mut Settings) -> Result<(), SettingsError> {
+        settings.pooler_count = self.value("balancers")?;
+        settings.me = self.value("me")?;
+        settings.zone = self.value("zone")?;
+        settings.step = self.duration("step")?;
+        settings.over_quota_priority_weight = self.number("over-share-worth")?;
+        settings.must_subscribe = self.keyword("discovery", MUST_SUBSCRIBE);
+        settings.list_request_interval = self.duration("guarantees.must-ask-in")?;
+        Ok(())
+    }
+
+    fn read_limits(&self, settings: &mut Settings) -> Result<(), SettingsError> {
+        settings.may_hedge = self.value("limits.second-copies")?;
+        settings.may_cancel = self.value("limits.may-cancel")?;
+        settings.may_probe = self.value("limits.probes")?;
+        settings.peer_messages = self.value("limits.peer-messages")?;
+        settings.may_send_retry_after = self.value("limits.retry-after")?;
+        settings.max_retry_after = self.duration("limits.max-retry-after")?;
+        settings.max_attempts = self.value("limits.max-attempts")?;
+        settings.connect_timeout = self.duration("limits.connect-timeout")?;
+        Ok(())
+    }
+
+    fn read_guarantees(&self, settings: &mut Settings) -> Result<(), SettingsError> {
+        settings.answer_grace = self.duration("guarantees.grace-to-answer")?;
+        settings.drain_grace = self.duration("guarantees.stop-sending-within")?;
+        settings.only_stated_drain_binds = self.value("guarantees.drain-binds-alone")?;
+        settings.cold_capacity = self.number("guarantees.cold-share")?;
+        settings.warm_up = self.duration("guarantees.warm-up")?;
+        settings.overload_multiple = self.number("guarantees.fall-multiple")?;
+        settings.overload_window = self.duration("guarantees.tip-after")?;
+        Ok(())
     }
 
-    /// A word out of a fixed set; an unknown word is skipped like an unknown key.
-    fn word<T: Copy>(&self, path: &str, words: &[(&str, T)]) -> Option<T> {
-        self.0.get(path).and_then(|v| lookup(v, words))
+    fn read_replication(&self, settings: &mut Settings) -> Result<(), SettingsError> {
+        settings.replication_lag_policy = self.keyword("family-info.behind", REPLICATION_LAG_POLICY);
+        settings.catch_up_timeout = self.duration("family-info.holds-for")?;
+        settings.session_tracking = self.keyword("family-info.session-marks", SESSION_TRACKING);
+        settings.zero = self.number("family-info.zero")?.map(Timestamp::from_secs_f64);
+        Ok(())
     }
 
-    fn count(&self, path: &str) -> Result<usize, String> {
-        match self.get::<usize>(path)? {
-            Some(n) if n > 65_536 => Err(format!("settings: {path}={n} is too many")),
-            n => Ok(n.unwrap_or(0)),
+    fn read_costs(&self, settings: &mut Settings) -> Result<(), SettingsError> {
+        settings.report_fields = self.list("report.fields").into_iter().map(str::to_string).collect();
+        settings.cross_zone_cost = self.number("fees.cross-zone")?;
+        settings.probe_cost = self.number("fees.probe")?;
+        settings.waste_cost = self.number("fees.waste")?;
+        Ok(())
+    }
+
+    fn value<T: FromStr>(&self, path: &str) -> Result<Option<T>, SettingsError> {
+        let Some(text) = self.0.get(path) else { return Ok(None) };
+        match text.parse() {
+            Ok(value) => Ok(Some(value)),
+            Err(_) => Err(SettingsError::Malformed { path: path.to_string(), value: text.to_string() }),
         }
     }
-}
 
-fn lookup<T: Copy>(value: &str, words: &[(&str, T)]) -> Option<T> {
-    words.iter().find(|(w, _)| *w == value).map(|(_, t)| *t)
-}
+    fn number(&self, path: &str) -> Result<Option<f64>, SettingsError> {
+        match self.value::<f64>(path)? {
+            Some(number) if !number.is_finite() => {
+                Err(SettingsError::NotFinite { path: path.to_string(), value: number.to_string() })
+            }
+            number => Ok(number),
+        }
+    }
 
-/// Reads the settings text of one `UP`.
-pub fn parse(text: &str) -> Result<Settings, String> {
-    let mut lines = BTreeMap::new();
-    for (n, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
-        let (path, value) =
-            line.split_once('=').ok_or_else(|| format!("settings: line {} has no '='", n + 1))?;
-        lines.insert(path.trim(), value.trim());
+    /// A length of time, stated in seconds.
+    fn duration(&self, path: &str) -> Result<Option<TimeDelta>, SettingsError> {
+        Ok(self.number(path)?.map(TimeDelta::from_secs_f64))
     }
-    read(lines)
-}
 
-/// Reads settings from pairs of path and value.
-pub fn read(pairs: BTreeMap<&str, &str>) -> Result<Settings, String> {
-    let t = Text(pairs);
-    let consistency = t.list("family-info.consistency");
-    let max_age = t.list("family-info.max-age");
-    let mut classes = Vec::new();
-    for n in 0..t.count("services.count")? {
-        let at = |key: &str| format!("services.{n}.{key}");
-        let age = max_age.get(n).map(|v| v.parse::<f64>()).transpose();
-        classes.push(Class {
-            latency_objective: t.span(&at("target"))?,
-            latency_objective_per_work: t.number(&at("aim-stretch"))?,
-            deadline: t.span(&at("deadline"))?,
-            priority_weight: t.number(&at("worth"))?,
-            late_priority_weight: t.number(&at("late-worth"))?,
-            idempotency: t.word(
-                &at("repeat"),
-                &[
-                    ("repeatable", Idempotency::Idempotent),
-                    ("by_key", Idempotency::Keyed),
-                    ("once", Idempotency::NonIdempotent),
-                ],
-            ),
-            key_scope: t.word(
-                &at("group"),
-                &[("all", KeyScope::AllEndpoints), ("cell", KeyScope::Group), ("zone", KeyScope::Zone)],
-            ),
-            key_window: t.span(&at("dedup-window"))?,
-            consistency: consistency.get(n).and_then(|v| {
-                lookup(
-                    v,
-                    &[
-                        ("mutate", Consistency::Write),
-                        ("strong", Consistency::Strong),
-                        ("causal", Consistency::Session),
-                        ("lag_bound", Consistency::Bounded),
-                        ("eventual", Consistency::Eventual),
-                    ],
-                )
-            }),
-            max_age: age
-                .map_err(|_| "settings: family-info.max-age does not parse".to_string())?
-                .map(TimeDelta::from_secs_f64),
-        });
+    fn count(&self, path: &str) -> Result<usize, SettingsError> {
+        match self.value::<usize>(path)? {
+            Some(count) if count > MAX_COUNT => Err(SettingsError::TooMany { path: path.to_string(), count }),
+            count => Ok(count.unwrap_or(0)),
+        }
     }
-    let tenants = (0..t.count("tenants.count")?)
-        .map(|n| Ok(Tenant { quota_per_s: t.number(&format!("tenants.{n}.quota-per-s"))? }))
-        .collect::<Result<Vec<_>, String>>()?;
-    Ok(Settings {
-        pooler_count: t.get("balancers")?,
-        me: t.get("me")?,
-        zone: t.get("zone")?,
-        step: t.span("step")?,
-        classes,
-        tenants,
-        over_quota_priority_weight: t.number("over-share-worth")?,
-        must_subscribe: t.word("discovery", &[("subscribe", true), ("automatic", false)]),
-        list_request_interval: t.span("guarantees.must-ask-in")?,
-        may_hedge: t.get("limits.second-copies")?,
-        may_cancel: t.get("limits.may-cancel")?,
-        may_probe: t.get("limits.probes")?,
-        peer_messages: t.get("limits.peer-messages")?,
-        may_send_retry_after: t.get("limits.retry-after")?,
-        max_retry_after: t.span("limits.max-retry-after")?,
-        max_attempts: t.get("limits.max-attempts")?,
-        connect_timeout: t.span("limits.connect-timeout")?,
-        answer_grace: t.span("guarantees.grace-to-answer")?,
-        drain_grace: t.span("guarantees.stop-sending-within")?,
-        only_stated_drain_binds: t.get("guarantees.drain-binds-alone")?,
-        cold_capacity: t.number("guarantees.cold-share")?,
-        warm_up: t.span("guarantees.warm-up")?,
-        overload_multiple: t.number("guarantees.fall-multiple")?,
-        overload_window: t.span("guarantees.tip-after")?,
-        replication_lag_policy: t.word(
-            "family-info.behind",
-            &[
-                ("none", ReplicationLagPolicy::ServeStale),
-                ("bounce", ReplicationLagPolicy::Reject),
-                ("await", ReplicationLagPolicy::WaitThenReject),
-            ],
-        ),
-        catch_up_timeout: t.span("family-info.holds-for")?,
-        session_tracking: t.word(
-            "family-info.session-marks",
-            &[("brought", SessionTracking::Carried), ("kept", SessionTracking::Remembered)],
-        ),
-        zero: t.number("family-info.zero")?.map(Timestamp::from_secs_f64),
-        report_fields: t.list("report.fields").iter().map(|f| f.to_string()).collect(),
-        cross_zone_cost: t.number("fees.cross-zone")?,
-        probe_cost: t.number("fees.probe")?,
-        waste_cost: t.number("fees.waste")?,
-    })
+
+    /// The items of a list that commas separate.
+    fn list(&self, path: &str) -> Vec<&'a str> {
+        let Some(text) = self.0.get(path) else { return Vec::new() };
+        text.split(',').filter(|item| !item.is_empty()).collect()
+    }
+
+    /// One of `keywords`; an unknown one is skipped like an unknown path.
+    fn keyword<T: Copy>(&self, path: &str, keywords: &Keywords<T>) -> Option<T> {
+        lookup(self.0.get(path)?, keywords)
+    }
+}
+
+fn lookup<T: Copy>(text: &str, keywords: &Keywords<T>) -> Option<T> {
+    keywords.iter().find(|(keyword, _)| *keyword == text).map(|(_, value)| *value)
+}
+
+fn parse_max_age(seconds: &str) -> Result<TimeDelta, SettingsError> {
+    let seconds = seconds.parse().map_err(|_| SettingsError::MalformedMaxAge)?;
+    Ok(TimeDelta::from_secs_f64(seconds))
 }
 
 #[cfg(test)]
