--- a/src/primary_hint.rs
+++ b/src/primary_hint.rs
@@ -1,37 +1,42 @@
-//! What drivers of a tier tell one another: the form of the message, and nothing of what it is worth.
+//! The datagram by which poolers of a tier tell each other of a primary. This module knows its form only; how far a
+//! hint is believed is decided by `routing::learning`.
+//!
+//! Form, each number with its highest byte first: the kind (1 byte), the endpoint's address (4) and port (2), and the
+//! time (8, signed microseconds). Poolers of two versions share a tier during an upgrade, so a form never changes; a
+//! new one gets a kind of its own.
 
 use crate::ids::EndpointId;
 use crate::time::Timestamp;
 
-/// First byte of the message, or of its next form.
-const SEEN_PRIMARY: u8 = 1;
+/// Kind of a datagram that names a primary.
+const KIND_PRIMARY_SEEN: u8 = 1;
 
-/// A member said of itself that it is the primary of its group.
+/// An endpoint responded that it is the primary of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrimaryHint {
-    /// The member.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// When its answer came, on the clock that all machines share.
+    /// When its response came, on the clock that all machines share.
     pub at: Timestamp,
 }
 
 impl PrimaryHint {
-    /// As it goes out.
+    /// Encodes the hint as a datagram.
     pub fn write(self) -> Vec<u8> {
-        let mut bytes = vec![SEEN_PRIMARY];
+        let mut bytes = vec![KIND_PRIMARY_SEEN];
         bytes.extend(self.endpoint.ip);
         bytes.extend(self.endpoint.port.to_be_bytes());
         bytes.extend(self.at.as_micros().to_be_bytes());
         bytes
     }
 
-    /// As it came in; `None` where it is cut off, too long or of another form.
+    /// Decodes a datagram; `None` where it is truncated, too long or of another kind.
     pub fn read(bytes: &[u8]) -> Option<PrimaryHint> {
-        let [SEEN_PRIMARY, rest @ ..] = bytes else { return None };
+        let [KIND_PRIMARY_SEEN, rest @ ..] = bytes else { return None };
         let (ip, rest) = rest.split_first_chunk::<4>()?;
-        let (port, at) = rest.split_first_chunk::<2>()?;
+        let (port, time) = rest.split_first_chunk::<2>()?;
         let endpoint = EndpointId { ip: *ip, port: u16::from_be_bytes(*port) };
-        let at = Timestamp::from_micros(i64::from_be_bytes(at.try_into().ok()?));
+        let at = Timestamp::from_micros(i64::from_be_bytes(time.try_into().ok()?));
         Some(PrimaryHint { endpoint, at })
     }
 }
--- a/src/primary_hint/golden_tests.rs
+++ b/src/primary_hint/golden_tests.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of the datagram between poolers: poolers of two versions share a tier while one follows the other.
+//! Golden bytes of the datagram between poolers: poolers of two versions share a tier during an upgrade.
 
 use super::*;
 
@@ -6,7 +6,7 @@
 const GOLDEN: [u8; 15] =
     [0x01, 0x09, 0x08, 0x07, 0x06, 0xd4, 0x31, 0x00, 0x06, 0x61, 0x97, 0x25, 0x70, 0x69, 0x7b];
 
-/// Guards against a datagram that poolers of the version before take for noise, or for another host's.
+/// Guards against a datagram that poolers of the previous version ignore or read as another endpoint's.
 #[test]
 fn the_datagram_is_written_and_read_as_its_golden_bytes() {
     let hint = PrimaryHint {
@@ -14,7 +14,11 @@
         at: Timestamp::from_micros(0x0006_6197_2570_697b),
     };
     assert_eq!((hint.write(), PrimaryHint::read(&GOLDEN)), (GOLDEN.to_vec(), Some(hint)));
-    let before = PrimaryHint { at: Timestamp::from_micros(-2), ..hint };
+    let before_zero = PrimaryHint { at: Timestamp::from_micros(-2), ..hint };
     let bytes = [&GOLDEN[..7], &[0xff; 7], &[0xfe]].concat();
-    assert_eq!((before.write(), PrimaryHint::read(&bytes)), (bytes, Some(before)), "the time has a sign");
+    assert_eq!(
+        (before_zero.write(), PrimaryHint::read(&bytes)),
+        (bytes, Some(before_zero)),
+        "the time has a sign"
+    );
 }
--- a/src/primary_hint/tests.rs
+++ b/src/primary_hint/tests.rs
@@ -1,16 +1,16 @@
-//! The form of the datagram.
+//! Decoding of datagrams that other programs sent or the network cut.
 
 use super::*;
 
-/// Guards against a datagram that is truncated, too long or not ours and is taken for news.
+/// Guards against a datagram that is truncated, too long or of another kind and is taken for a hint.
 #[test]
-fn only_whole_messages_of_this_form_are_read() {
+fn only_complete_datagrams_of_this_kind_are_decoded() {
     let endpoint = EndpointId { ip: [9, 8, 7, 6], port: 54321 };
     let hint = PrimaryHint { endpoint, at: Timestamp::from_micros(1_796_158_648_224_123) };
     let bytes = hint.write();
     assert_eq!((PrimaryHint::read(&bytes), bytes.len()), (Some(hint), 15));
-    for n in 0..bytes.len() {
-        assert_eq!(PrimaryHint::read(&bytes[..n]), None, "{n} bytes");
+    for length in 0..bytes.len() {
+        assert_eq!(PrimaryHint::read(&bytes[..length]), None, "{length} bytes");
     }
     assert_eq!(PrimaryHint::read(&[&bytes[..], &[0]].concat()), None);
     assert_eq!(PrimaryHint::read(&[&[2], &bytes[1..]].concat()), None);
--- a/src/routing/action.rs
+++ b/src/routing/action.rs
@@ -1,71 +1,71 @@
-//! What the decision module can ask for.
+//! Actions: what the decision module asks the runtime to do.
 
 use crate::ids::{EndpointId, RequestId};
 use crate::time::{TimeDelta, Timestamp};
 
-/// Something to do.
+/// Something to do. The runtime carries actions out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// When to abandon it; `None`: when the client does.
+        /// When to abandon the attempt; `None`: at the client's deadline.
         stop_at: Option<Timestamp>,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: rejected, with the promise that a retry by the client is harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// When to come back.
+        /// How long the client should wait before it retries.
         retry_after: Option<TimeDelta>,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Final answer: failed. The request may have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt. Its outcome is reported all the same.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: u8,
     },
-    /// Ask for a `Wake`.
+    /// Set a timer, which is reported by [`super::Event::TimerFired`]. It cannot be cancelled.
     SetTimer {
-        /// From now.
+        /// Time from now.
         span: TimeDelta,
-        /// Handed back.
+        /// A number that the event hands back.
         timer: u64,
     },
-    /// Probe a member.
+    /// Probe an endpoint.
     Probe {
-        /// The member.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Subscribe to list changes, or stop.
+    /// Subscribe to the endpoint list, or unsubscribe.
     Subscribe {
-        /// On or off.
+        /// Whether to subscribe.
         on: bool,
     },
-    /// Ask for the whole list once.
+    /// Fetch the whole endpoint list once.
     FetchList,
-    /// Close idle connections to a member.
+    /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// The member.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// A message to another driver, or to all of them.
+    /// Send a message to another pooler, or to all of them.
     SendToPeers {
-        /// Its number; `None`: all.
+        /// That pooler's number; `None`: all.
         to: Option<u16>,
-        /// The message, 256 bytes at most.
+        /// The message, of 256 bytes at most.
         bytes: Vec<u8>,
     },
-    /// A line for the operators.
+    /// Write a line to the log.
     Log {
         /// The line.
         text: String,
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -1,67 +1,72 @@
-//! What the decision module is told.
+//! Events: what the runtime reports to the decision module.
 
 use crate::ids::{EndpointId, GroupId, RequestId, ZoneId};
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 
-/// What a member answered about itself.
+/// What an endpoint responded about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// It is the primary.
+    /// It is the primary of its group.
     pub primary: bool,
-    /// How far it has applied the log, after `Settings::zero`; for a write its commit. 0: untold.
+    /// How far it has applied its group's log; in the response to a write, that write's commit.
     pub position: LogPosition,
 }
 
-/// Values of a load report, in the order of `Settings::report_fields`.
+/// Values of a load report, in the order of [`super::Settings::report_fields`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// How many values there are.
+    /// How many of `values` were reported.
     pub count: u8,
     /// The values.
-    pub values: [f64; 4],
+    pub values: [f64; LoadReport::MAX_VALUES],
 }
 
-/// Whether the list wants a member used.
+impl LoadReport {
+    /// Values that a load report has at most.
+    pub const MAX_VALUES: usize = 4;
+}
+
+/// Whether the endpoint list permits an endpoint's use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
     /// In service.
     #[default]
     Ready,
-    /// Finishing; nothing new.
+    /// Finishes what it has; it must get nothing new.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
-/// A line of the member list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointEntry {
-    /// The member.
+    /// The endpoint.
     pub endpoint: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its group.
     pub group: GroupId,
-    /// Whether to use it.
+    /// Whether it may be used.
     pub availability: Availability,
-    /// The list takes it for the primary.
+    /// The list names it as its group's primary. The list trails by seconds.
     pub primary: bool,
-    /// Its size against other members.
+    /// Its size against other endpoints.
     pub units: f64,
-    /// When it last started; `None` is long ago.
+    /// When its process started; `None` is long ago.
     pub started_at: Option<Timestamp>,
 }
 
-/// What kind of list arrived.
+/// What an update of the endpoint list holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// A call or the subscription failed; the list stays.
+    /// Nothing: a call or the subscription failed. The list stays as it is.
     Failed,
-    /// The whole list as last held, perhaps out of date.
+    /// The whole list from a cache; it may be out of date.
     Cached,
     /// The whole list.
     Full,
-    /// Changed lines only.
+    /// Changed entries only.
     Delta,
 }
 
@@ -70,26 +75,27 @@
 pub enum AttemptOutcome {
     /// Served.
     Served,
-    /// An error; it may have run.
+    /// The endpoint responded with an error; the attempt may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected for overload; it never ran.
     Overloaded,
-    /// No answer in time; it may have run.
+    /// No response in time; it may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NotSent,
-    /// Turned away untouched: not the primary, or too far behind.
+    /// Rejected without running: the endpoint is not the primary, or its data is too old.
     Misdirected,
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt may have had an effect though it was not served: a repeat of it has to be permitted.
+    /// Whether the attempt may have had an effect though it was not served, so that a retry needs the class's
+    /// permission.
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
@@ -101,35 +107,35 @@
     }
 }
 
-/// A client's request.
+/// A request of a client.
 #[derive(Clone, Debug, Default)]
 pub struct IncomingRequest {
-    /// Its number.
+    /// Its id, which no other request of this pooler has had.
     pub id: RequestId,
-    /// Its class.
+    /// Its class, as an index into [`super::Settings::classes`].
     pub class: usize,
-    /// The group that must answer it.
+    /// The group that must serve it.
     pub group: GroupId,
-    /// Its tenant.
+    /// Its tenant, as an index into [`super::Settings::tenants`].
     pub tenant: usize,
-    /// Its work, where a hint came with it.
+    /// An estimate of its work, where one came with it.
     pub work_hint: Option<TimeDelta>,
-    /// Age of the session's last commit; `None` where there is none.
+    /// Age of its session's last commit; `None` where there is none.
     pub last_commit_age: Option<TimeDelta>,
-    /// The session; 0 is none.
+    /// Its session; 0 is none.
     pub session: u64,
-    /// The client marks it as its own repeat.
+    /// The client marks it as a retry of its own.
     pub repeated: bool,
-    /// Time until the client gives this try up.
+    /// Time until the client gives up.
     pub client_timeout: TimeDelta,
 }
 
-/// How an attempt ended, and what came with it.
+/// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptFinished {
     /// The request.
     pub id: RequestId,
-    /// The attempt.
+    /// The attempt's number within the request, counted from 0.
     pub attempt: u8,
     /// Where it was sent.
     pub endpoint: EndpointId,
@@ -137,63 +143,63 @@
     pub took: TimeDelta,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// The request is finished.
+    /// The request has its final answer: no retry may follow.
     pub finished: bool,
-    /// What the member answered about itself.
+    /// What the endpoint responded about itself, if anything.
     pub replica_status: Option<ReplicaStatus>,
-    /// Its load report.
+    /// The endpoint's load report.
     pub report: LoadReport,
 }
 
-/// Something that happened.
+/// Something that happened. [`super::Router::handle`] takes one at a time.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A list of members.
+    /// The endpoint list, or a part of it.
     EndpointList {
-        /// What kind of list.
+        /// What `entries` holds.
         kind: ListKind,
-        /// Its lines.
+        /// The entries.
         entries: Vec<EndpointEntry>,
     },
-    /// A client's request.
+    /// A client sent a request.
     Request(IncomingRequest),
-    /// An answer has begun; the attempt is the client's now.
+    /// A response has begun to reach the client: no other attempt can replace this one.
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt's number.
         attempt: u8,
-        /// Who answers.
+        /// Which endpoint responds.
         endpoint: EndpointId,
     },
     /// An attempt has ended.
     AttemptFinished(AttemptFinished),
-    /// The client left, or the answer is overdue; nothing more is owed.
+    /// The client left or its deadline passed: no answer is expected any more.
     RequestCancelled {
         /// The request.
         id: RequestId,
     },
-    /// A timer is due.
+    /// The timer of a [`super::Action::SetTimer`] fired.
     TimerFired {
-        /// As the module set it.
+        /// As in the action.
         timer: u64,
     },
-    /// A probe came back.
+    /// A probe ended.
     ProbeFinished {
-        /// The member.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// It answered.
+        /// It responded.
         ok: bool,
         /// Time since it was sent.
         took: TimeDelta,
         /// Its load report.
         report: LoadReport,
     },
-    /// A message from another driver.
+    /// A message of another pooler.
     PeerMessage {
-        /// Its number.
+        /// That pooler's number.
         from: u16,
-        /// The message.
+        /// The message; untrusted.
         bytes: Vec<u8>,
     },
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,7 +1,11 @@
-//! What the decision module is told and what it can ask for: settings, events, actions.
+//! The decision module: where each request goes, when it is retried, queued or rejected, and what is learned of the
+//! endpoints. It does no I/O and reads no clock: the runtime reports an [`Event`] with the time at which it happened
+//! to [`Router::handle`], and carries out the [`Action`]s that come back. `docs/design.md` describes the mechanism.
 //!
-//! Nothing here decides. Times are readings of the driver's own clock; a setting that the
-//! operator does not state is `None`, and the module settles what that means.
+//! Where to start: `router` dispatches the events; `attempts` holds the life of a request; `writes` and `reads` choose
+//! its endpoint. The other modules answer their questions: `endpoints` (the list), `learning` (roles, positions,
+//! latencies), `capacity` and `slow_start` (how much an endpoint may be given), `admission` (the queue) and `timers`.
+//! `request` and `group` hold state.
 
 mod action;
 mod admission;
--- a/src/routing/settings.rs
+++ b/src/routing/settings.rs
@@ -1,162 +1,164 @@
-//! What the operator states about classes, tenants, limits and guarantees.
+//! Settings of the decision module, as the operator states them.
+//!
+//! A setting that is not stated is `None` or empty; the module that uses it defines the default.
 
 use crate::ids::ZoneId;
 use crate::time::{TimeDelta, Timestamp};
 
-/// How current the data behind an answer must be, or that the request writes.
+/// How current the data behind a response must be, or that the request writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// Only the primary takes it.
+    /// A write: only the primary accepts it.
     Write,
     /// A read that reflects every commit made before it arrived.
     Strong,
-    /// A read that reflects what its session has written.
+    /// A read that reflects all writes of its own session.
     Session,
-    /// A read from data no older than the class's bound when it is sent.
+    /// A read from data that is no older than [`Class::max_age`] when the read is sent.
     Bounded,
-    /// Any member will do.
+    /// A read from any endpoint's data.
     Eventual,
 }
 
-/// Whether a request may be repeated.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat.
+    /// A second run has no further effect.
     Idempotent,
-    /// Carries a key by which repeats are dropped for a while.
+    /// It carries an idempotency key: within [`Class::key_window`] endpoints drop repeats.
     Keyed,
-    /// Must never run twice.
+    /// It must never run twice.
     NonIdempotent,
 }
 
-/// Where repeats of a keyed request are dropped.
+/// Which endpoints know an idempotency key and drop repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// By every member.
+    /// All endpoints.
     AllEndpoints,
-    /// By the members of the request's own group.
+    /// The endpoints of the request's group.
     Group,
-    /// By the members in one zone.
+    /// The endpoints in one zone.
     Zone,
 }
 
-/// What a member does with a read that it lags too far behind for.
+/// What an endpoint does with a read that its data is too old for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicationLagPolicy {
-    /// It answers from whatever it holds.
+    /// It responds from the data it has.
     ServeStale,
-    /// It turns the read away untouched.
+    /// It rejects the read without running it.
     Reject,
-    /// It waits a while to catch up, then turns it away.
+    /// It waits for up to [`Settings::catch_up_timeout`] to catch up, then rejects the read.
     WaitThenReject,
 }
 
-/// How a session read's need is known.
+/// How it is known which writes a session read must reflect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTracking {
-    /// The read carries the age of the session's last commit.
+    /// The read carries the age of its session's last commit.
     Carried,
-    /// The router remembers the writes it saw answered.
+    /// The router remembers the commits of the responses that it saw.
     Remembered,
 }
 
-/// A class of requests.
+/// A class of requests: objectives and what is permitted.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// Answers within this time are worth most.
+    /// Responses within this time have their full value.
     pub latency_objective: Option<TimeDelta>,
-    /// The aim grows by this multiple of the request's own work.
+    /// The objective grows by this multiple of the request's own work.
     pub latency_objective_per_work: Option<f64>,
-    /// A client waits this long over all its tries.
+    /// A client waits this long over all its attempts.
     pub deadline: Option<TimeDelta>,
-    /// Worth of an answer in time.
+    /// Value of a response within the objective.
     pub priority_weight: Option<f64>,
-    /// Share of the worth left after the aim.
+    /// Share of that value that a response after the objective still has.
     pub late_priority_weight: Option<f64>,
-    /// Whether it may be repeated.
+    /// Whether it may run more than once.
     pub idempotency: Option<Idempotency>,
-    /// Who drops its repeats.
+    /// Which endpoints drop its repeats.
     pub key_scope: Option<KeyScope>,
-    /// How long repeats are dropped, from the first send that may have run.
+    /// How long endpoints drop repeats, from the first attempt that may have run.
     pub key_window: Option<TimeDelta>,
     /// How current its data must be.
     pub consistency: Option<Consistency>,
-    /// The bound of a `Bounded` class.
+    /// Maximal age of the data of a [`Consistency::Bounded`] class.
     pub max_age: Option<TimeDelta>,
 }
 
-/// A tenant's share.
+/// A tenant's quota.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests a second within its share, over all drivers.
+    /// Requests per second within the quota, over all poolers.
     pub quota_per_s: Option<f64>,
 }
 
-/// Settings as the operator states them; `None` or empty where they are silent.
+/// All settings of one pooler's decision module.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Drivers that share the members.
+    /// Poolers that share the endpoints.
     pub pooler_count: Option<u32>,
-    /// This driver's number among them.
+    /// This pooler's number among them.
     pub me: Option<u16>,
-    /// This driver's zone.
+    /// This pooler's zone.
     pub zone: Option<ZoneId>,
-    /// The least time between two batches of events.
+    /// The shortest time between two batches of events.
     pub step: Option<TimeDelta>,
     /// Classes, by number.
     pub classes: Vec<Class>,
     /// Tenants, by number.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, against one within.
+    /// Value of a request beyond its tenant's quota, against one within.
     pub over_quota_priority_weight: Option<f64>,
-    /// The member list must be asked for.
+    /// The endpoint list comes only after [`super::Action::Subscribe`] or [`super::Action::FetchList`].
     pub must_subscribe: Option<bool>,
-    /// Without a subscription or a call for this long, the driver counts as told.
+    /// A pooler that neither subscribes nor fetches for this long still counts as informed of the list.
     pub list_request_interval: Option<TimeDelta>,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once (hedging).
     pub may_hedge: Option<bool>,
     /// Attempts may be cancelled.
     pub may_cancel: Option<bool>,
-    /// Members may be probed.
+    /// Endpoints may be probed.
     pub may_probe: Option<bool>,
-    /// Drivers may send each other messages.
+    /// Poolers may send each other messages.
     pub peer_messages: Option<bool>,
-    /// Clients are told when to come back.
+    /// Rejections may carry a retry-after.
     pub may_send_retry_after: Option<bool>,
-    /// The longest wait a client honours.
+    /// The longest retry-after that clients honour.
     pub max_retry_after: Option<TimeDelta>,
-    /// Attempts for one request.
+    /// Limit of attempts of one request.
     pub max_attempts: Option<u32>,
-    /// A connection not made by then has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Option<TimeDelta>,
-    /// Slack after a client's deadline in which a final answer still counts.
+    /// Time after a client's deadline in which a final answer still counts.
     pub answer_grace: Option<TimeDelta>,
-    /// Sends to a draining or gone member must stop within this.
+    /// Attempts to a draining or removed endpoint must stop within this time.
     pub drain_grace: Option<TimeDelta>,
-    /// Only an entry that says draining binds.
+    /// Only an entry that says draining ends an endpoint's use; its removal from the list does not.
     pub only_stated_drain_binds: Option<bool>,
-    /// A member starts with at least this share of its capacity.
+    /// Share of its capacity that an endpoint has at least when it starts.
     pub cold_capacity: Option<f64>,
-    /// And is warm within this.
+    /// Time within which a started endpoint reaches its full capacity.
     pub warm_up: Option<TimeDelta>,
-    /// A cold member falls over above this multiple of its present capacity.
+    /// Load, as a multiple of its present capacity, above which a cold endpoint falls over.
     pub overload_multiple: Option<f64>,
-    /// When that lasts this long.
+    /// How long such a load has to last for that.
     pub overload_window: Option<TimeDelta>,
-    /// What a member does with a read it lags too far behind for.
+    /// What an endpoint does with a read that its data is too old for.
     pub replication_lag_policy: Option<ReplicationLagPolicy>,
-    /// How long it waits first.
+    /// How long an endpoint waits first under [`ReplicationLagPolicy::WaitThenReject`].
     pub catch_up_timeout: Option<TimeDelta>,
-    /// How a session read's need is known.
+    /// How it is known which writes a session read must reflect.
     pub session_tracking: Option<SessionTracking>,
-    /// Clock time from which positions count.
+    /// Clock time from which log positions count.
     pub zero: Option<Timestamp>,
-    /// Names of the values in a load report, in order.
+    /// Names of the values of a load report, in their order.
     pub report_fields: Vec<String>,
-    /// Points lost for each attempt that crosses zones, per first try.
+    /// Cost of an attempt that crosses zones, in points per first attempt.
     pub cross_zone_cost: Option<f64>,
-    /// Points lost for each probe, per first try.
+    /// Cost of a probe, in points per first attempt.
     pub probe_cost: Option<f64>,
-    /// Points lost for wasted member work, as a share of the work offered.
+    /// Cost of work that endpoints did in vain, in points, as a share of the work offered.
     pub waste_cost: Option<f64>,
 }
