--- a/src/bin/brookpass-adapter/main.rs
+++ b/src/bin/brookpass-simulator-adapter/main.rs
@@ -107,7 +107,7 @@
     match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("brookpass-adapter: {e}");
+            eprintln!("brookpass-simulator-adapter: {e}");
             ExitCode::FAILURE
         }
     }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -404,10 +404,10 @@
     let value = |key: &str| pairs.iter().find(|(k, _)| *k == key).unwrap().1;
     assert_eq!(value("build"), r#""cargo build --release --locked""#);
     assert_eq!(value("run"), r#""exec target/release/brookpass""#);
-    assert_eq!(value("sim"), r#""exec target/release/brookpass-adapter""#);
+    assert_eq!(value("sim"), r#""exec target/release/brookpass-simulator-adapter""#);
     assert_eq!(value("packages"), "[]");
-    let programs = [env!("CARGO_BIN_EXE_brookpass"), env!("CARGO_BIN_EXE_brookpass-adapter")];
-    for (program, name) in programs.iter().zip(["brookpass", "brookpass-adapter"]) {
+    let programs = [env!("CARGO_BIN_EXE_brookpass"), env!("CARGO_BIN_EXE_brookpass-simulator-adapter")];
+    for (program, name) in programs.iter().zip(["brookpass", "brookpass-simulator-adapter"]) {
         assert_eq!(Path::new(program).file_name().unwrap(), name);
     }
     let paths = |key: &str| -> Vec<String> {
