--- a/src/bin/brookpass-simulator-adapter/main.rs
+++ b/src/bin/brookpass-simulator-adapter/main.rs
@@ -1,116 +1,93 @@
-//! The wire adapter: one [`Router`] per instance behind frames on standard input and output.
+//! Runs the decision module behind the simulator's protocol: frames with batches of events on standard input, a reply
+//! with actions to each on standard output.
+//!
+//! `layout` holds the protocol's codes and offsets, `records` decodes input, `instance_host` runs one [`Router`] for
+//! each pooler of the simulation, and `reply` encodes output.
+//!
+//! [`Router`]: brookpass::Router
 
-mod frames;
+mod error;
+mod instance_host;
+mod layout;
+mod records;
+mod reply;
 
-use brookpass::Router;
-use brookpass::routing::*;
-use frames::{HEADER, Reply, Wire};
-use std::collections::BTreeMap;
+use brookpass::routing::Timestamp;
+use error::{AdapterError, FrameError};
+use instance_host::InstanceHost;
+use layout::HEADER_BYTES;
 use std::io::{self, Read, Write};
-use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
-#[derive(Default)]
-struct Host {
-    routers: BTreeMap<u32, Router>,
-    rosters: BTreeMap<u8, Vec<EndpointEntry>>,
-    actions: Vec<Action>,
+fn main() -> ExitCode {
+    match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("brookpass-simulator-adapter: {error}");
+            ExitCode::FAILURE
+        }
+    }
 }
 
-impl Host {
-    fn batch(&mut self, now: Timestamp, events: Vec<Wire>) -> Result<Reply, String> {
-        let mut reply = Reply::default();
-        for event in events {
-            let (instance, event) = match event {
-                Wire::Up { instance, seed, settings } => {
-                    match catch_unwind(|| Router::new(*settings, seed)) {
-                        Ok(router) => drop(self.routers.insert(instance, router)),
-                        Err(_) => reply.die(instance, "the module panicked at its start"),
-                    }
-                    continue;
-                }
-                Wire::Stop { instance } => {
-                    self.routers.remove(&instance).ok_or(format!("instance {instance} never started"))?;
-                    continue;
-                }
-                Wire::Roster { slot, entries } => {
-                    self.rosters.insert(slot, entries);
-                    continue;
-                }
-                Wire::Members { instance, kind: ListKind::Failed, .. } => {
-                    (instance, Event::EndpointList { kind: ListKind::Failed, entries: Vec::new() })
-                }
-                Wire::Members { instance, kind, slot } => {
-                    let entries = self.rosters.get(&slot).ok_or(format!("list {slot} was never given"))?;
-                    (instance, Event::EndpointList { kind, entries: entries.clone() })
-                }
-                Wire::Event { instance, event } => (instance, event),
-            };
-            let router =
-                self.routers.get_mut(&instance).ok_or(format!("instance {instance} never started"))?;
-            self.actions.clear();
-            let actions = &mut self.actions;
-            match catch_unwind(AssertUnwindSafe(|| router.handle(now, event, actions))) {
-                Ok(()) => self.actions.iter().for_each(|a| reply.action(instance, a)),
-                Err(panic) => {
-                    let text = panic.downcast_ref::<String>().map(String::as_str);
-                    let text = text.or_else(|| panic.downcast_ref::<&str>().copied());
-                    reply.die(instance, text.unwrap_or("the module panicked"));
-                }
-            }
+/// Answers frames until the input ends.
+fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
+    let mut host = InstanceHost::default();
+    for frame in 0u64.. {
+        let answered = serve_frame(&mut host, input, output);
+        if !answered.map_err(|cause| AdapterError { frame, cause })? {
+            break;
         }
-        Ok(reply)
     }
+    Ok(())
 }
 
-/// Fills `buffer`; false where the input ended before its first byte.
-fn fill(input: &mut impl Read, buffer: &mut [u8], what: &str) -> Result<bool, String> {
-    let mut filled = 0;
-    while filled < buffer.len() {
-        match input.read(&mut buffer[filled..]) {
-            Ok(0) if filled == 0 => return Ok(false),
-            Ok(0) => return Err(format!("{what} cut after {filled} of {} bytes", buffer.len())),
-            Ok(n) => filled += n,
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(format!("{what}: {e}")),
-        }
+/// Answers one frame; false where the input has ended before it.
+fn serve_frame(
+    host: &mut InstanceHost,
+    input: &mut impl Read,
+    output: &mut impl Write,
+) -> Result<bool, FrameError> {
+    let mut header = [0; HEADER_BYTES];
+    if !read_header(input, &mut header)? {
+        return Ok(false);
+    }
+    let header = records::decode_header(&header);
+    if !header.clock_seconds.is_finite() {
+        return Err(FrameError::ClockNotFinite);
     }
+    let body = read_body(input, header.body_length)?;
+    let records = records::decode_body(header.record_count, &body)?;
+    let reply = host.run_batch(Timestamp::from_secs_f64(header.clock_seconds), records)?;
+    output.write_all(&reply.to_bytes()).map_err(FrameError::Io)?;
+    output.flush().map_err(FrameError::Io)?;
     Ok(true)
 }
 
-fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
-    let mut host = Host::default();
-    let mut head = [0; HEADER];
-    for frame in 0u64.. {
-        let at = |e: String| format!("frame {frame}: {e}");
-        if !fill(input, &mut head, "header").map_err(at)? {
-            break;
-        }
-        let (count, length, clock) = frames::header(&head);
-        if !clock.is_finite() {
-            return Err(at("the clock is not a number".to_string()));
-        }
-        // Read as it comes: a false length must not reserve memory that no frame fills.
-        let mut body = Vec::new();
-        let read = input.take(length as u64).read_to_end(&mut body).map_err(|e| at(e.to_string()))?;
-        if read < length {
-            return Err(at(format!("body cut after {read} of {length} bytes")));
+/// Fills `header`; false where the input ended before its first byte.
+fn read_header(input: &mut impl Read, header: &mut [u8]) -> Result<bool, FrameError> {
+    let mut filled = 0;
+    while filled < header.len() {
+        match input.read(&mut header[filled..]) {
+            Ok(0) if filled == 0 => return Ok(false),
+            Ok(0) => {
+                return Err(FrameError::Truncated { part: "header", read: filled, expected: header.len() });
+            }
+            Ok(length) => filled += length,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            Err(error) => return Err(FrameError::ReadHeader(error)),
         }
-        let events = frames::decode(count, &body).map_err(at)?;
-        let reply = host.batch(Timestamp::from_secs_f64(clock), events).map_err(at)?;
-        output.write_all(&reply.bytes()).and_then(|()| output.flush()).map_err(|e| at(e.to_string()))?;
     }
-    Ok(())
+    Ok(true)
 }
 
-fn main() -> ExitCode {
-    match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("brookpass-simulator-adapter: {e}");
-            ExitCode::FAILURE
-        }
+/// Reads a body of `length` bytes as it comes: a false length must not reserve memory that no frame fills.
+fn read_body(input: &mut impl Read, length: usize) -> Result<Vec<u8>, FrameError> {
+    let mut body = Vec::new();
+    let read = input.take(length as u64).read_to_end(&mut body).map_err(FrameError::Io)?;
+    if read < length {
+        return Err(FrameError::Truncated { part: "body", read, expected: length });
     }
+    Ok(body)
 }
 
 #[cfg(test)]
--- a/src/bin/brookpass-simulator-adapter/tests.rs
+++ b/src/bin/brookpass-simulator-adapter/tests.rs
@@ -1,68 +1,77 @@
-//! Wire tests, on frames written for this project.
+//! The simulator's protocol, on frames written for this project.
 
 use super::*;
+use crate::reply::Reply;
+use brookpass::routing::*;
 
-fn put(record: &mut [u8], at: usize, bytes: &[u8]) {
-    record[at..at + bytes.len()].copy_from_slice(bytes);
+fn put(record: &mut [u8], offset: usize, bytes: &[u8]) {
+    record[offset..offset + bytes.len()].copy_from_slice(bytes);
 }
 
 fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
-    let mut r = vec![0; 56];
-    r[0] = code;
-    put(&mut r, 1, &7u32.to_le_bytes());
-    fields.iter().for_each(|(at, bytes)| put(&mut r, *at, bytes));
-    r
+    let mut record = vec![0; 56];
+    record[0] = code;
+    put(&mut record, 1, &7u32.to_le_bytes());
+    for (offset, bytes) in fields {
+        put(&mut record, *offset, bytes);
+    }
+    record
 }
 
 fn frame(clock: f64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
-    let mut f = (records.len() as u32).to_le_bytes().to_vec();
-    f.extend(((records.len() * 56 + tail.len()) as u32).to_le_bytes());
-    f.extend(clock.to_le_bytes());
-    records.iter().for_each(|r| f.extend(r));
-    f.extend(tail);
-    f
+    let mut frame = (records.len() as u32).to_le_bytes().to_vec();
+    frame.extend(((records.len() * 56 + tail.len()) as u32).to_le_bytes());
+    frame.extend(clock.to_le_bytes());
+    records.iter().for_each(|record| frame.extend(record));
+    frame.extend(tail);
+    frame
 }
 
-/// A start with a list of one member, and a write that it must be sent.
+/// Starts an instance with a list of one endpoint, and sends it a write for that endpoint.
 fn conversation() -> Vec<u8> {
     let settings =
         b"services.count=1\nservices.0.repeat=once\nservices.0.target=0.5\nfamily-info.consistency=mutate\n";
-    let mut line = vec![0u8; 28];
-    put(&mut line, 0, &[10, 1, 2, 3, 0x39, 0x05]);
-    put(&mut line, 9, &4u16.to_le_bytes());
-    put(&mut line, 12, &1f32.to_le_bytes());
-    put(&mut line, 16, &1f32.to_le_bytes());
+    let mut entry = vec![0u8; 28];
+    put(&mut entry, 0, &[10, 1, 2, 3, 0x39, 0x05]);
+    put(&mut entry, 9, &4u16.to_le_bytes());
+    put(&mut entry, 12, &1f32.to_le_bytes());
+    put(&mut entry, 16, &1f32.to_le_bytes());
     let mut tail = settings.to_vec();
-    tail.extend(&line);
-    let (at, length) = (settings.len() as u32, 1u32);
-    let up = record(1, &[(13, &0u32.to_le_bytes()), (17, &at.to_le_bytes())]);
-    let mut roster = vec![0; 56];
-    roster[0] = 11;
-    roster[1] = 3;
-    put(&mut roster, 2, &at.to_le_bytes());
-    put(&mut roster, 6, &length.to_le_bytes());
-    let targets = record(2, &[(5, &[1]), (10, &[3])]);
-    let ask = record(3, &[(5, &99u64.to_le_bytes()), (23, &4f32.to_le_bytes()), (34, &2f64.to_le_bytes())]);
-    let mut input = frame(1.0, &[up, roster, targets], &tail);
-    input.extend(frame(1.5, &[ask], &[]));
+    tail.extend(&entry);
+    let entries_offset = settings.len() as u32;
+    let entry_count = 1u32;
+    let start = record(1, &[(13, &0u32.to_le_bytes()), (17, &entries_offset.to_le_bytes())]);
+    let mut define_list = vec![0; 56];
+    define_list[0] = 11;
+    define_list[1] = 3;
+    put(&mut define_list, 2, &entries_offset.to_le_bytes());
+    put(&mut define_list, 6, &entry_count.to_le_bytes());
+    let list_update = record(2, &[(5, &[1]), (10, &[3])]);
+    let request =
+        record(3, &[(5, &99u64.to_le_bytes()), (23, &4f32.to_le_bytes()), (34, &2f64.to_le_bytes())]);
+    let mut input = frame(1.0, &[start, define_list, list_update], &tail);
+    input.extend(frame(1.5, &[request], &[]));
     input
 }
 
 fn run(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
     let mut output = Vec::new();
-    let result = serve(&mut &input[..], &mut output);
+    let result = serve(&mut &input[..], &mut output).map_err(|error| error.to_string());
     (result, output)
 }
 
 /// The records of each reply.
 fn split(output: &[u8]) -> Vec<Vec<Vec<u8>>> {
-    let (mut at, mut frames) = (0, Vec::new());
-    while at < output.len() {
-        let word = |at: usize| u32::from_le_bytes(output[at..at + 4].try_into().unwrap()) as usize;
-        let (count, length) = (word(at), word(at + 4));
-        let body = &output[at + 8..at + 8 + length];
+    let number_at =
+        |offset: usize| u32::from_le_bytes(output[offset..offset + 4].try_into().unwrap()) as usize;
+    let mut frames = Vec::new();
+    let mut offset = 0;
+    while offset < output.len() {
+        let count = number_at(offset);
+        let length = number_at(offset + 4);
+        let body = &output[offset + 8..offset + 8 + length];
         frames.push(body.chunks(32).take(count).map(<[u8]>::to_vec).collect());
-        at += 8 + length;
+        offset += 8 + length;
     }
     frames
 }
@@ -75,7 +84,7 @@
 fn a_write_is_sent_to_the_listed_primary_of_its_group() {
     let (result, output) = run(&conversation());
     assert_eq!(result, Ok(()));
-    let sends: Vec<Vec<u8>> = split(&output).into_iter().flatten().filter(|r| r[0] == 1).collect();
+    let sends: Vec<Vec<u8>> = split(&output).into_iter().flatten().filter(|record| record[0] == 1).collect();
     assert_eq!(sends.len(), 1);
     assert_eq!(sends[0][1..5], 7u32.to_le_bytes());
     assert_eq!(sends[0][5..13], 99u64.to_le_bytes());
@@ -107,12 +116,12 @@
     let mut short = frame(1.0, &[], &[]);
     put(&mut short, 0, &3u32.to_le_bytes());
     cases.push((short, "3 records do not fit"));
-    for (input, says) in cases {
+    for (input, expected) in cases {
         let (result, output) = run(&input);
-        let error = result.expect_err(says);
-        assert!(error.contains(says) && !error.contains('\n'), "{error:?} does not say {says:?}");
-        let answered = if says == "body cut" { 1 } else { 0 };
-        assert_eq!(replies(&output), answered, "whole replies to whole frames only: {says}");
+        let error = result.expect_err(expected);
+        assert!(error.contains(expected) && !error.contains('\n'), "{error:?} does not contain {expected:?}");
+        let answered = if expected == "body cut" { 1 } else { 0 };
+        assert_eq!(replies(&output), answered, "complete replies to complete frames only: {expected}");
     }
 }
 
@@ -133,9 +142,9 @@
         Action::Subscribe { on: true },
         Action::FetchList,
     ];
-    actions.iter().for_each(|a| reply.action(9, a));
-    reply.die(9, "why");
-    let bytes = reply.bytes();
+    actions.iter().for_each(|action| reply.push_action(9, action));
+    reply.push_instance_failure(9, "why");
+    let bytes = reply.to_bytes();
     assert_eq!(bytes.len(), 8 + 12 * 32 + 8);
     let codes: Vec<u8> = (0..12).map(|n| bytes[8 + 32 * n]).collect();
     assert_eq!(codes, [1, 2, 3, 4, 5, 6, 7, 8, 9, 11, 12, 10]);
--- a/src/routing/writes.rs
+++ b/src/routing/writes.rs
@@ -88,12 +88,8 @@
         let primary = group.primary?;
         let from_primary = group.endpoints.range(primary..);
         let before_primary = group.endpoints.range(..primary);
-        for &id in from_primary.chain(before_primary) {
-            if !group.tried_in_round.contains(&id) && self.may_be_primary(now, &self.endpoints[&id]) {
-                return Some(id);
-            }
-        }
-        None
+        let mut ring = from_primary.chain(before_primary).copied();
+        ring.find(|id| !group.tried_in_round.contains(id) && self.may_be_primary(now, &self.endpoints[id]))
     }
 
     fn may_be_primary(&self, now: Timestamp, endpoint: &EndpointState) -> bool {
