--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -17,7 +17,7 @@
     Settings {
         pooler_count: Some(DRIVERS),
         // All requests are of one kind: each is of mean work.
-        classes: vec![settings().classes[ANY].clone()],
+        classes: vec![settings().classes[EVENTUAL_READ].clone()],
         may_hedge: Some(false),
         cold_capacity: Some(COLD_SHARE),
         warm_up: Some(WARM_UP),
@@ -30,43 +30,51 @@
 /// One driver that has seen what two warm members bear, and then: the second one restarts, the first one leaves, and
 /// after `idle` a burst of requests comes. When it sent to the restarted member, counted from its start.
 fn sent_by(seed: u64, idle: TimeDelta) -> Vec<TimeDelta> {
-    let mut rig = Rig::seeded(tier(), 2, seed);
+    let mut harness = RouterHarness::seeded(tier(), 2, seed);
     let mut rng = fastrand::Rng::with_seed(seed);
-    rig.pass(rng.i64(1..1_000) * MS);
+    harness.advance(rng.i64(1..1_000) * MS);
     for _ in 0..30 {
-        let (id, sent) = rig.ask(0, 2_000 * MS, None);
-        let to = sends(&sent, id)[0];
-        rig.pass(20 * MS);
-        rig.answer(id, 0, to.ip[3], AttemptOutcome::Served, Some(to == endpoint(1)), FRESH);
-        rig.pass(980 * MS);
+        let (id, sent) = harness.request(0, 2_000 * MS, None);
+        let to = sent_to(&sent, id)[0];
+        harness.advance(20 * MS);
+        harness.finish_attempt(
+            id,
+            0,
+            to.ip[3],
+            AttemptOutcome::Served,
+            Some(Role::primary_if(to == endpoint(1))),
+            FRESH,
+        );
+        harness.advance(980 * MS);
     }
-    let started = rig.now;
+    let started = harness.now;
     let leaves = EndpointEntry { availability: Availability::Draining, ..entry(1) };
-    rig.list(ListKind::Delta, vec![leaves, EndpointEntry { started_at: Some(started), ..entry(2) }]);
-    rig.pass(idle);
-    let from = rig.log.len();
+    harness
+        .update_list(ListKind::Delta, vec![leaves, EndpointEntry { started_at: Some(started), ..entry(2) }]);
+    harness.advance(idle);
+    let from = harness.actions.len();
     let mut times = Vec::new();
     let mut seen = from;
     let mut out: Vec<(Timestamp, RequestId, u8)> = Vec::new();
     for step in 0..500 {
         if step % 20 == 0 {
-            rig.ask(0, 2_000 * MS, None);
+            harness.request(0, 2_000 * MS, None);
         }
-        rig.pass(5 * MS);
-        for action in rig.log[seen..].iter().cloned() {
+        harness.advance(5 * MS);
+        for action in harness.actions[seen..].iter().cloned() {
             if let Action::Send { id, endpoint: to, .. } = action {
                 assert_eq!(to, endpoint(2), "nobody else is in service");
-                times.push(rig.now - started);
-                out.push((rig.now + 20 * MS, id, 0));
+                times.push(harness.now - started);
+                out.push((harness.now + 20 * MS, id, 0));
             }
         }
-        seen = rig.log.len();
-        let (due, rest) = out.into_iter().partition(|(at, ..)| *at <= rig.now);
+        seen = harness.actions.len();
+        let (due, rest) = out.into_iter().partition(|(at, ..)| *at <= harness.now);
         out = rest;
         for (_, id, attempt) in due {
-            rig.answer(id, attempt, 2, AttemptOutcome::Served, Some(false), FRESH);
+            harness.finish_attempt(id, attempt, 2, AttemptOutcome::Served, Some(Role::Replica), FRESH);
         }
-        seen = seen.min(rig.log.len());
+        seen = seen.min(harness.actions.len());
     }
     times
 }
@@ -74,7 +82,7 @@
 /// Guards against a share of less than one request that becomes one for each driver: what each has saved up adds up
 /// to more than a cold member bears, whenever a burst comes after a pause.
 #[test]
-fn thirty_drivers_together_send_no_more_than_a_cold_member_bears_after_a_pause() {
+fn thirty_poolers_together_send_no_more_than_a_cold_endpoint_bears_after_a_pause() {
     for idle in [TimeDelta::ZERO, 500 * MS, 1_000 * MS, 3_000 * MS, 6_000 * MS] {
         let mut all: Vec<TimeDelta> = (0..u64::from(DRIVERS)).flat_map(|seed| sent_by(seed, idle)).collect();
         all.sort_unstable();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,20 +7,33 @@
 pub const MS: TimeDelta = TimeDelta::from_millis(1);
 /// Age of data that does not trail.
 pub const FRESH: TimeDelta = TimeDelta::ZERO;
-pub const READ: usize = 0;
-pub const OWN: usize = 1;
+pub const BOUNDED_READ: usize = 0;
+pub const SESSION_READ: usize = 1;
 pub const WRITE: usize = 2;
-pub const ANY: usize = 3;
+pub const EVENTUAL_READ: usize = 3;
 
-pub struct Rig {
+pub struct RouterHarness {
     pub router: Router,
     pub now: Timestamp,
-    pub log: Vec<Action>,
+    pub actions: Vec<Action>,
     /// How long members take to answer.
-    pub took: TimeDelta,
+    pub latency: TimeDelta,
     next: RequestId,
 }
 
+/// What an endpoint says of itself.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub enum Role {
+    Primary,
+    Replica,
+}
+
+impl Role {
+    pub fn primary_if(primary: bool) -> Role {
+        if primary { Role::Primary } else { Role::Replica }
+    }
+}
+
 pub fn endpoint(n: u8) -> EndpointId {
     EndpointId { ip: [10, 0, 0, n], port: 5432 }
 }
@@ -79,48 +92,48 @@
     }
 }
 
-impl Rig {
+impl RouterHarness {
     /// A router with a group of `endpoints`, the first of them named primary by the list.
-    pub fn new(settings: Settings, endpoints: u8) -> Rig {
-        Rig::seeded(settings, endpoints, 1)
+    pub fn new(settings: Settings, endpoints: u8) -> RouterHarness {
+        RouterHarness::seeded(settings, endpoints, 1)
     }
 
-    pub fn seeded(settings: Settings, endpoints: u8, seed: u64) -> Rig {
-        let mut rig = Rig {
+    pub fn seeded(settings: Settings, endpoints: u8, seed: u64) -> RouterHarness {
+        let mut harness = RouterHarness {
             router: Router::new(settings, seed),
             now: Timestamp::ZERO + 10_000 * MS,
-            log: Vec::new(),
-            took: 20 * MS,
+            actions: Vec::new(),
+            latency: 20 * MS,
             next: RequestId(1),
         };
         let entries = (1..=endpoints).map(|n| EndpointEntry { primary: n == 1, ..entry(n) }).collect();
-        rig.list(ListKind::Full, entries);
-        rig
+        harness.update_list(ListKind::Full, entries);
+        harness
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.router.handle(self.now, event, &mut out);
-        self.log.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
-        self.event(Event::EndpointList { kind, entries })
+    pub fn update_list(&mut self, kind: ListKind, entries: Vec<EndpointEntry>) -> Vec<Action> {
+        self.handle(Event::EndpointList { kind, entries })
     }
 
     /// Lets time pass, with every timer handed back when due.
-    pub fn pass(&mut self, span: TimeDelta) -> Vec<Action> {
-        let (end, from) = (self.now + span, self.log.len());
+    pub fn advance(&mut self, span: TimeDelta) -> Vec<Action> {
+        let (end, from) = (self.now + span, self.actions.len());
         while self.now < end {
             self.now = (self.now + 5 * MS).min(end);
-            self.event(Event::TimerFired { timer: 0 });
+            self.handle(Event::TimerFired { timer: 0 });
         }
-        self.log[from..].to_vec()
+        self.actions[from..].to_vec()
     }
 
     /// A request of `class` with the client waiting `client_timeout`; its number and what was done.
-    pub fn ask(
+    pub fn request(
         &mut self,
         class: usize,
         client_timeout: TimeDelta,
@@ -137,26 +150,26 @@
             client_timeout,
             ..IncomingRequest::default()
         };
-        (id, self.event(Event::Request(ask)))
+        (id, self.handle(Event::Request(ask)))
     }
 
-    /// Ends an attempt. `role`: the member says that it is the primary; `age`: how far its data trails.
-    pub fn answer(
+    /// Ends an attempt. `role`: what the endpoint responds about itself; `age`: how far its data trails.
+    pub fn finish_attempt(
         &mut self,
         id: RequestId,
         attempt: u8,
         from: u8,
         outcome: AttemptOutcome,
-        role: Option<bool>,
+        role: Option<Role>,
         age: TimeDelta,
     ) -> Vec<Action> {
         let position = LogPosition::of_commit(self.now - age, Timestamp::ZERO);
-        let replica_status = role.map(|primary| ReplicaStatus { primary, position });
-        self.event(Event::AttemptFinished(AttemptFinished {
+        let replica_status = role.map(|role| ReplicaStatus { primary: role == Role::Primary, position });
+        self.handle(Event::AttemptFinished(AttemptFinished {
             id,
             attempt,
             endpoint: endpoint(from),
-            took: self.took,
+            took: self.latency,
             outcome,
             finished: outcome == AttemptOutcome::Served,
             replica_status,
@@ -165,29 +178,36 @@
     }
 
     /// Asks `count` requests of `class`, each answered after 10 ms by where it went; those members.
-    pub fn serve(&mut self, class: usize, count: usize) -> Vec<EndpointId> {
+    pub fn serve_requests(&mut self, class: usize, count: usize) -> Vec<EndpointId> {
         let one = |_| {
-            let (id, sent) = self.ask(class, 2_000 * MS, None);
-            let to = sends(&sent, id)[0];
-            self.pass(10 * MS);
-            self.answer(id, 0, to.ip[3], AttemptOutcome::Served, Some(to == endpoint(1)), FRESH);
+            let (id, sent) = self.request(class, 2_000 * MS, None);
+            let to = sent_to(&sent, id)[0];
+            self.advance(10 * MS);
+            self.finish_attempt(
+                id,
+                0,
+                to.ip[3],
+                AttemptOutcome::Served,
+                Some(Role::primary_if(to == endpoint(1))),
+                FRESH,
+            );
             to
         };
         (0..count).map(one).collect()
     }
 
     /// Makes member `n` known by a probe's report: its role, and data `age` old.
-    pub fn introduce(&mut self, n: u8, primary: bool, age: TimeDelta) {
+    pub fn report_state(&mut self, n: u8, role: Role, age: TimeDelta) {
         let report = LoadReport {
             count: 2,
-            values: [(self.now - age).as_secs_f64(), f64::from(u8::from(primary)), 0.0, 0.0],
+            values: [(self.now - age).as_secs_f64(), f64::from(u8::from(role == Role::Primary)), 0.0, 0.0],
         };
-        self.event(Event::ProbeFinished { endpoint: endpoint(n), ok: true, took: MS, report });
+        self.handle(Event::ProbeFinished { endpoint: endpoint(n), ok: true, took: MS, report });
     }
 }
 
 /// The members that `actions` send `id` to.
-pub fn sends(actions: &[Action], id: RequestId) -> Vec<EndpointId> {
+pub fn sent_to(actions: &[Action], id: RequestId) -> Vec<EndpointId> {
     let to = |a: &Action| match a {
         Action::Send { id: i, endpoint, .. } if *i == id => Some(*endpoint),
         _ => None,
@@ -195,7 +215,7 @@
     actions.iter().filter_map(to).collect()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub fn rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn the_rules_hold_for_one_of_150_drivers_over_60_members() {
+fn the_rules_hold_for_one_of_150_poolers_over_60_endpoints() {
     for seed in 0..6 {
         let settings = Settings { pooler_count: Some(150), me: Some(149), ..varied(seed) };
         let world = play(seed, settings, 15, 60, false, 8_000);
@@ -325,7 +325,7 @@
 
 /// The share of one driver in what a cold member bears, judged by the sends alone: no more than one at once.
 #[test]
-fn one_of_150_drivers_sends_an_all_cold_fleet_next_to_nothing() {
+fn one_of_150_poolers_sends_an_all_cold_fleet_next_to_nothing() {
     for seed in 0..6 {
         let settings = Settings { pooler_count: Some(150), ..varied(seed) };
         let world = play(seed, settings, 15, 60, true, 400);
--- a/tests/router/capacity.rs
+++ b/tests/router/capacity.rs
@@ -4,101 +4,101 @@
 use brookpass::routing::*;
 
 #[test]
-fn a_member_that_turns_everything_away_does_not_draw_all_reads() {
-    let mut rig = Rig::new(settings(), 3);
+fn an_endpoint_that_rejects_everything_does_not_draw_all_reads() {
+    let mut harness = RouterHarness::new(settings(), 3);
     for n in 1..=3 {
-        rig.introduce(n, n == 1, FRESH);
+        harness.report_state(n, Role::primary_if(n == 1), FRESH);
     }
     let mut to_full = 0;
     for _ in 0..100 {
-        let (id, sent) = rig.ask(ANY, 2_000 * MS, None);
-        let to = sends(&sent, id)[0];
+        let (id, sent) = harness.request(EVENTUAL_READ, 2_000 * MS, None);
+        let to = sent_to(&sent, id)[0];
         to_full += usize::from(to == endpoint(3));
         let outcome = if to == endpoint(3) { AttemptOutcome::Overloaded } else { AttemptOutcome::Served };
-        rig.answer(id, 0, to.ip[3], outcome, Some(to == endpoint(1)), FRESH);
-        rig.pass(10 * MS);
+        harness.finish_attempt(id, 0, to.ip[3], outcome, Some(Role::primary_if(to == endpoint(1))), FRESH);
+        harness.advance(10 * MS);
     }
     assert!((1..15).contains(&to_full), "{to_full} of 100 reads went to the member that is always full");
 }
 
 #[test]
-fn a_tenants_bad_requests_do_not_shut_out_a_sound_member() {
-    let mut s = settings();
-    s.replication_lag_policy = Some(ReplicationLagPolicy::Reject);
-    let mut rig = Rig::new(s, 2);
-    rig.introduce(1, true, FRESH);
+fn a_tenants_bad_requests_do_not_eject_a_healthy_endpoint() {
+    let mut settings = settings();
+    settings.replication_lag_policy = Some(ReplicationLagPolicy::Reject);
+    let mut harness = RouterHarness::new(settings, 2);
+    harness.report_state(1, Role::Primary, FRESH);
     for n in 0..40 {
-        let (id, sent) = rig.ask(ANY, 2_000 * MS, None);
-        assert_eq!(sends(&sent, id), [endpoint(2)], "every other request errs, whoever answers");
+        let (id, sent) = harness.request(EVENTUAL_READ, 2_000 * MS, None);
+        assert_eq!(sent_to(&sent, id), [endpoint(2)], "every other request errs, whoever answers");
         let outcome = if n % 2 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Served };
-        rig.answer(id, 0, 2, outcome, Some(false), FRESH);
+        harness.finish_attempt(id, 0, 2, outcome, Some(Role::Replica), FRESH);
         if n % 2 == 0 {
-            rig.answer(id, 1, 1, AttemptOutcome::Error, Some(true), FRESH);
+            harness.finish_attempt(id, 1, 1, AttemptOutcome::Error, Some(Role::Primary), FRESH);
         }
-        rig.now += 10 * MS;
+        harness.now += 10 * MS;
     }
 }
 
 #[test]
-fn a_member_that_answers_late_rests_between_the_attempts_of_one_of_many_drivers() {
-    let mut s = settings();
-    s.pooler_count = Some(100);
-    let mut rig = Rig::new(s, 1);
-    rig.introduce(1, true, FRESH);
+fn an_endpoint_that_responds_late_gets_pauses_between_attempts_of_one_of_many_poolers() {
+    let mut settings = settings();
+    settings.pooler_count = Some(100);
+    let mut harness = RouterHarness::new(settings, 1);
+    harness.report_state(1, Role::Primary, FRESH);
     for _ in 0..6 {
-        let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
-        assert_eq!(sends(&sent, id), [endpoint(1)]);
-        rig.now += 450 * MS;
-        rig.took = 450 * MS;
-        rig.answer(id, 0, 1, AttemptOutcome::Served, Some(true), FRESH);
-        rig.now += 5_000 * MS;
+        let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
+        assert_eq!(sent_to(&sent, id), [endpoint(1)]);
+        harness.now += 450 * MS;
+        harness.latency = 450 * MS;
+        harness.finish_attempt(id, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
+        harness.now += 5_000 * MS;
     }
-    let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
-    rig.now += 450 * MS;
-    rig.took = 450 * MS;
-    rig.answer(id, 0, 1, AttemptOutcome::Served, Some(true), FRESH);
-    let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
-    assert!(sends(&sent, id).is_empty());
-    let sent = rig.pass(300 * MS);
-    assert!(sends(&sent, id).is_empty(), "it rests longer than one service time");
+    let (id, _) = harness.request(WRITE, 5_000 * MS, None);
+    harness.now += 450 * MS;
+    harness.latency = 450 * MS;
+    harness.finish_attempt(id, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
+    let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
+    assert!(sent_to(&sent, id).is_empty());
+    let sent = harness.advance(300 * MS);
+    assert!(sent_to(&sent, id).is_empty(), "it rests longer than one service time");
 }
 
 /// Guards against a host, a primary above all, that is left alone for one connection that broke.
 #[test]
-fn a_connection_that_breaks_does_not_exclude_its_member() {
-    let mut s = settings();
-    s.classes[WRITE].idempotency = Some(Idempotency::Keyed);
-    s.classes[WRITE].key_window = Some(700 * MS);
-    let mut rig = Rig::new(s, 3);
+fn one_broken_connection_does_not_eject_its_endpoint() {
+    let mut settings = settings();
+    settings.classes[WRITE].idempotency = Some(Idempotency::Keyed);
+    settings.classes[WRITE].key_window = Some(700 * MS);
+    let mut harness = RouterHarness::new(settings, 3);
     for _ in 0..4 {
-        let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
-        assert_eq!(sends(&sent, id), [endpoint(1)]);
-        let again = rig.answer(id, 0, 1, AttemptOutcome::Reset, None, FRESH);
-        assert_eq!(sends(&again, id), [endpoint(1)], "sent again there at once");
-        rig.answer(id, 1, 1, AttemptOutcome::Served, Some(true), FRESH);
+        let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
+        assert_eq!(sent_to(&sent, id), [endpoint(1)]);
+        let again = harness.finish_attempt(id, 0, 1, AttemptOutcome::Reset, None, FRESH);
+        assert_eq!(sent_to(&again, id), [endpoint(1)], "sent again there at once");
+        harness.finish_attempt(id, 1, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     }
     // Several with no answer between are laid to the member.
-    let ids: Vec<_> = (0..3).map(|_| rig.ask(WRITE, 5_000 * MS, None).0).collect();
+    let ids: Vec<_> = (0..3).map(|_| harness.request(WRITE, 5_000 * MS, None).0).collect();
     let sent: Vec<_> =
-        ids.iter().map(|id| rig.answer(*id, 0, 1, AttemptOutcome::Reset, None, FRESH)).collect();
-    let last = sends(&sent[2], ids[2]);
+        ids.iter().map(|id| harness.finish_attempt(*id, 0, 1, AttemptOutcome::Reset, None, FRESH)).collect();
+    let last = sent_to(&sent[2], ids[2]);
     assert!(!last.contains(&endpoint(1)), "{last:?}");
 }
 
 #[test]
-fn an_attempt_left_unanswered_closes_the_window_against_what_one_of_many_drivers_used() {
-    let mut s = settings();
-    s.pooler_count = Some(100);
-    let mut rig = Rig::new(s, 1);
-    rig.introduce(1, true, FRESH);
+fn an_unanswered_attempt_decreases_the_limit_below_what_one_of_many_poolers_used() {
+    let mut settings = settings();
+    settings.pooler_count = Some(100);
+    let mut harness = RouterHarness::new(settings, 1);
+    harness.report_state(1, Role::Primary, FRESH);
     for outcome in [AttemptOutcome::Served, AttemptOutcome::TimedOut] {
-        let (id, sent) = rig.ask(WRITE, 450 * MS, None);
-        assert_eq!(sends(&sent, id), [endpoint(1)]);
-        rig.now += 450 * MS;
-        rig.took = if outcome == AttemptOutcome::Served { 20 * MS } else { 450 * MS };
-        rig.answer(id, 0, 1, outcome, Some(true), FRESH);
-        rig.now += 2_000 * MS;
+        let (id, sent) = harness.request(WRITE, 450 * MS, None);
+        assert_eq!(sent_to(&sent, id), [endpoint(1)]);
+        harness.now += 450 * MS;
+        harness.latency = if outcome == AttemptOutcome::Served { 20 * MS } else { 450 * MS };
+        harness.finish_attempt(id, 0, 1, outcome, Some(Role::Primary), FRESH);
+        harness.now += 2_000 * MS;
     }
-    let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
-    assert!(sends(&sent, id).is_empty(), "its member may be buried: pauses longer than those before");
+    let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
+    assert!(sent_to(&sent, id).is_empty(), "its member may be buried: pauses longer than those before");
 }
--- a/tests/router/writes.rs
+++ b/tests/router/writes.rs
@@ -4,72 +4,73 @@
 use brookpass::routing::*;
 
 #[test]
-fn a_miss_moves_a_write_along_the_ring_in_sorted_order() {
-    let mut rig = Rig::new(settings(), 4);
-    let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
-    assert_eq!(sends(&sent, id), [endpoint(1)]);
-    let second = rig.answer(id, 0, 1, AttemptOutcome::Misdirected, Some(false), FRESH);
-    assert_eq!(sends(&second, id), [endpoint(2)]);
-    let third = rig.answer(id, 1, 2, AttemptOutcome::ConnectFailed, None, FRESH);
-    assert_eq!(sends(&third, id), [endpoint(3)]);
+fn a_misdirected_write_moves_along_the_ring_in_sorted_order() {
+    let mut harness = RouterHarness::new(settings(), 4);
+    let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
+    assert_eq!(sent_to(&sent, id), [endpoint(1)]);
+    let second = harness.finish_attempt(id, 0, 1, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
+    assert_eq!(sent_to(&second, id), [endpoint(2)]);
+    let third = harness.finish_attempt(id, 1, 2, AttemptOutcome::ConnectFailed, None, FRESH);
+    assert_eq!(sent_to(&third, id), [endpoint(3)]);
 }
 
 #[test]
-fn after_a_round_of_misses_a_write_is_held_and_a_role_releases_it() {
-    let mut rig = Rig::new(settings(), 3);
-    let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
-    rig.answer(id, 0, 1, AttemptOutcome::Misdirected, Some(false), FRESH);
-    rig.answer(id, 1, 2, AttemptOutcome::Misdirected, Some(false), FRESH);
-    let held = rig.answer(id, 2, 3, AttemptOutcome::Misdirected, Some(false), FRESH);
-    assert!(sends(&held, id).is_empty() && !refused(&held, id) && !failed(&held, id));
-    rig.now += 100 * MS;
-    let (read, sent) = rig.ask(ANY, 2_000 * MS, None);
-    let to = sends(&sent, read)[0];
-    let released = rig.answer(read, 0, to.ip[3], AttemptOutcome::Served, Some(true), FRESH);
-    assert_eq!(sends(&released, id), [to]);
+fn after_a_round_without_a_primary_a_write_is_queued_and_a_role_releases_it() {
+    let mut harness = RouterHarness::new(settings(), 3);
+    let (id, _) = harness.request(WRITE, 5_000 * MS, None);
+    harness.finish_attempt(id, 0, 1, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
+    harness.finish_attempt(id, 1, 2, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
+    let held = harness.finish_attempt(id, 2, 3, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
+    assert!(sent_to(&held, id).is_empty() && !rejected(&held, id) && !failed(&held, id));
+    harness.now += 100 * MS;
+    let (read, sent) = harness.request(EVENTUAL_READ, 2_000 * MS, None);
+    let to = sent_to(&sent, read)[0];
+    let released =
+        harness.finish_attempt(read, 0, to.ip[3], AttemptOutcome::Served, Some(Role::Primary), FRESH);
+    assert_eq!(sent_to(&released, id), [to]);
 }
 
 #[test]
-fn the_timer_tries_one_further_member_for_one_held_write() {
-    let mut rig = Rig::new(settings(), 3);
-    let (id, _) = rig.ask(WRITE, 5_000 * MS, None);
+fn the_discovery_timer_tries_one_further_endpoint_for_one_queued_write() {
+    let mut harness = RouterHarness::new(settings(), 3);
+    let (id, _) = harness.request(WRITE, 5_000 * MS, None);
     for (attempt, from) in [(0, 1), (1, 2), (2, 3)] {
-        rig.answer(id, attempt, from, AttemptOutcome::Misdirected, Some(false), FRESH);
+        harness.finish_attempt(id, attempt, from, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
     }
-    let (other, now) = rig.ask(WRITE, 5_000 * MS, None);
-    assert!(sends(&now, other).is_empty(), "a second write must not walk the ring too");
-    let later = rig.pass(520 * MS);
-    assert_eq!(sends(&later, id).len() + sends(&later, other).len(), 1);
+    let (other, now) = harness.request(WRITE, 5_000 * MS, None);
+    assert!(sent_to(&now, other).is_empty(), "a second write must not walk the ring too");
+    let later = harness.advance(520 * MS);
+    assert_eq!(sent_to(&later, id).len() + sent_to(&later, other).len(), 1);
 }
 
 #[test]
-fn a_hung_primary_takes_no_further_unsafe_writes() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.introduce(1, true, FRESH);
-    rig.ask(WRITE, 5_000 * MS, None);
-    rig.ask(WRITE, 5_000 * MS, None);
-    rig.pass(600 * MS);
-    let (id, sent) = rig.ask(WRITE, 5_000 * MS, None);
-    assert!(sends(&sent, id).is_empty(), "held: the primary has answered nothing it was given");
+fn an_unresponsive_primary_gets_no_further_unsafe_writes() {
+    let mut harness = RouterHarness::new(settings(), 3);
+    harness.report_state(1, Role::Primary, FRESH);
+    harness.request(WRITE, 5_000 * MS, None);
+    harness.request(WRITE, 5_000 * MS, None);
+    harness.advance(600 * MS);
+    let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
+    assert!(sent_to(&sent, id).is_empty(), "held: the primary has answered nothing it was given");
 }
 
 /// Guards against a group whose writes are refused for good: its primary is well, but two connections fell silent.
 #[test]
-fn a_suspect_primary_is_asked_again_once_nothing_is_out_there() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.serve(WRITE, 1);
-    rig.pass(10 * MS);
-    let out: Vec<_> = (0..2).map(|_| rig.ask(WRITE, 2_000 * MS, None).0).collect();
-    rig.pass(1_000 * MS);
-    let (held, sent) = rig.ask(WRITE, 2_000 * MS, None);
-    assert!(sends(&sent, held).is_empty(), "it takes work and answers nothing");
-    out.iter().for_each(|id| drop(rig.answer(*id, 0, 1, AttemptOutcome::TimedOut, None, FRESH)));
+fn a_suspected_primary_is_tried_again_once_it_has_nothing_in_flight() {
+    let mut harness = RouterHarness::new(settings(), 3);
+    harness.serve_requests(WRITE, 1);
+    harness.advance(10 * MS);
+    let out: Vec<_> = (0..2).map(|_| harness.request(WRITE, 2_000 * MS, None).0).collect();
+    harness.advance(1_000 * MS);
+    let (held, sent) = harness.request(WRITE, 2_000 * MS, None);
+    assert!(sent_to(&sent, held).is_empty(), "it takes work and answers nothing");
+    out.iter().for_each(|id| drop(harness.finish_attempt(*id, 0, 1, AttemptOutcome::TimedOut, None, FRESH)));
     for n in [2, 3] {
-        rig.introduce(n, false, FRESH);
+        harness.report_state(n, Role::Replica, FRESH);
     }
-    let later = rig.pass(600 * MS);
-    assert_eq!(sends(&later, held), [endpoint(1)], "the timer asks it");
-    rig.answer(held, 0, 1, AttemptOutcome::Served, Some(true), FRESH);
-    let (next, sent) = rig.ask(WRITE, 2_000 * MS, None);
-    assert_eq!(sends(&sent, next), [endpoint(1)]);
+    let later = harness.advance(600 * MS);
+    assert_eq!(sent_to(&later, held), [endpoint(1)], "the timer asks it");
+    harness.finish_attempt(held, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
+    let (next, sent) = harness.request(WRITE, 2_000 * MS, None);
+    assert_eq!(sent_to(&sent, next), [endpoint(1)]);
 }
