--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A driver's bench in miniature for the tests: one router, a group of members, and what it asked for.
+//! A harness for tests of the router: one router, a group of endpoints, a clock, and all actions so far.
+// Each test program uses a part of it.
 #![allow(dead_code)]
 
 use brookpass::Router;
@@ -16,12 +17,12 @@
     pub router: Router,
     pub now: Timestamp,
     pub actions: Vec<Action>,
-    /// How long members take to answer.
+    /// How long attempts take, as reported to the router.
     pub latency: TimeDelta,
     next: RequestId,
 }
 
-/// What an endpoint says of itself.
+/// What an endpoint responds about itself.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     Primary,
@@ -141,7 +142,7 @@
     ) -> (RequestId, Vec<Action>) {
         let id = self.next;
         self.next.0 += 1;
-        let ask = IncomingRequest {
+        let request = IncomingRequest {
             id,
             class,
             group: GroupId(1),
@@ -150,7 +151,7 @@
             client_timeout,
             ..IncomingRequest::default()
         };
-        (id, self.handle(Event::Request(ask)))
+        (id, self.handle(Event::Request(request)))
     }
 
     /// Ends an attempt. `role`: what the endpoint responds about itself; `age`: how far its data trails.
@@ -177,7 +178,7 @@
         }))
     }
 
-    /// Asks `count` requests of `class`, each answered after 10 ms by where it went; those members.
+    /// Sends `count` requests of `class`, each served after 10 ms by its endpoint; returns those endpoints.
     pub fn serve_requests(&mut self, class: usize, count: usize) -> Vec<EndpointId> {
         let one = |_| {
             let (id, sent) = self.request(class, 2_000 * MS, None);
@@ -196,7 +197,7 @@
         (0..count).map(one).collect()
     }
 
-    /// Makes member `n` known by a probe's report: its role, and data `age` old.
+    /// Reports the state of endpoint `n` by a probe: its role, and data that is `age` old.
     pub fn report_state(&mut self, n: u8, role: Role, age: TimeDelta) {
         let report = LoadReport {
             count: 2,
@@ -206,19 +207,19 @@
     }
 }
 
-/// The members that `actions` send `id` to.
+/// The endpoints that `actions` send `id` to.
 pub fn sent_to(actions: &[Action], id: RequestId) -> Vec<EndpointId> {
-    let to = |a: &Action| match a {
-        Action::Send { id: i, endpoint, .. } if *i == id => Some(*endpoint),
+    let to = |action: &Action| match action {
+        Action::Send { id: sent, endpoint, .. } if *sent == id => Some(*endpoint),
         _ => None,
     };
     actions.iter().filter_map(to).collect()
 }
 
 pub fn rejected(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
+    actions.iter().any(|action| matches!(action, Action::Reject { id: rejected, .. } if *rejected == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { id: i } if *i == id))
+    actions.iter().any(|action| matches!(action, Action::Fail { id: failed } if *failed == id))
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,5 +1,7 @@
-//! The rules as seen from outside, over long random but legal event sequences. It models no server and
-//! no score: outcomes, delays, roles and positions are drawn, and only what the rules forbid is checked.
+//! The rules of the router as seen from outside, over long random but legal event sequences.
+//!
+//! Nothing here models an endpoint's behaviour: outcomes, delays, roles and positions are drawn at random, and only what
+//! the rules forbid is checked.
 
 mod common;
 use brookpass::Router;
@@ -9,184 +11,204 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
+/// Time between two steps of a simulation.
+const STEP: TimeDelta = TimeDelta::from_millis(5);
+/// A final answer may come this much after its request's deadline.
+const ANSWER_TOLERANCE: TimeDelta = TimeDelta::from_millis(20);
+
+/// A request without a final answer.
 #[derive(Default)]
-struct Open {
+struct OpenRequest {
     class: usize,
     group: GroupId,
     deadline: Timestamp,
-    arrived: Timestamp,
+    arrived_at: Timestamp,
     last_commit_age: Option<TimeDelta>,
-    out: BTreeMap<u8, (u8, Timestamp)>,
-    sent: u8,
-    first_ran: Option<Timestamp>,
+    /// Attempts in flight, by their number.
+    in_flight: BTreeMap<u8, InFlight>,
+    attempts_sent: u8,
+    may_have_run_since: Option<Timestamp>,
+}
+
+#[derive(Clone, Copy)]
+struct InFlight {
+    sent_at: Timestamp,
 }
 
+/// What the router can know of an endpoint.
 #[derive(Clone)]
-struct Seen {
+struct KnownState {
     availability: Availability,
-    /// What the router was told last: role and best position.
-    told_primary: bool,
+    /// The role that the endpoint responded last.
+    is_primary: bool,
+    /// It has responded that it is the primary at some time.
     was_primary: bool,
+    /// The highest position that it responded, as commit time.
     position: Option<Timestamp>,
 }
 
-struct World {
+/// The end of an attempt, in the order of time.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptEnd {
+    at: Timestamp,
+    request: RequestId,
+    attempt: u8,
+}
+
+struct Simulation {
     groups: u32,
     endpoints: u8,
-    /// Sends to each member that is still cold.
-    cold: BTreeMap<u8, u32>,
     settings: Settings,
     rng: Rng,
     now: Timestamp,
     router: Router,
-    seen: Vec<Seen>,
-    open: BTreeMap<RequestId, Open>,
-    /// Attempts under way: when they end.
-    ends: BTreeMap<(Timestamp, RequestId, u8), u8>,
-    wakes: Vec<Timestamp>,
-    next: RequestId,
+    known: Vec<KnownState>,
+    /// Attempts sent to each endpoint that is still cold.
+    sent_to_cold: BTreeMap<u8, u32>,
+    open: BTreeMap<RequestId, OpenRequest>,
+    /// Ends of the attempts in flight, and the endpoint of each.
+    attempt_ends: BTreeMap<AttemptEnd, u8>,
+    timers: Vec<Timestamp>,
+    next_id: RequestId,
     sends: usize,
-    finals: usize,
+    final_answers: usize,
 }
 
 fn group_of(n: u8, groups: u32) -> GroupId {
     GroupId(u32::from(n) % groups)
 }
 
-fn length(rng: &mut Rng, within: Range<TimeDelta>) -> TimeDelta {
+fn random_length(rng: &mut Rng, within: Range<TimeDelta>) -> TimeDelta {
     TimeDelta::from_micros(rng.i64(within.start.as_micros()..within.end.as_micros()))
 }
 
-impl World {
-    /// Messages come twice or not at all, reports lie about load; roles and positions in them are old but true.
+impl Simulation {
+    /// Duplicated or garbled messages, and reports with impossible loads.
     fn noise(&mut self) {
         let n = self.rng.u8(..self.endpoints);
         for _ in 0..self.rng.u8(..3) {
-            self.event(Event::PeerMessage { from: u16::from(n), bytes: vec![n; usize::from(n)] });
+            self.handle(Event::PeerMessage { from: u16::from(n), bytes: vec![n; usize::from(n)] });
         }
-        let values = [f64::NAN, f64::INFINITY, -1.0, 1e300, 0.5][self.rng.usize(..5)];
-        let report = LoadReport { count: 4, values: [0.0, 0.0, values, values] };
+        let load = [f64::NAN, f64::INFINITY, -1.0, 1e300, 0.5][self.rng.usize(..5)];
+        let report = LoadReport { count: 4, values: [0.0, 0.0, load, load] };
         let ok = self.rng.bool();
-        self.event(Event::ProbeFinished { endpoint: endpoint(n), ok, took: MS, report });
+        self.handle(Event::ProbeFinished { endpoint: endpoint(n), ok, took: MS, report });
     }
 
-    fn event(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.router.handle(self.now, event, &mut out);
-        for action in out {
-            self.check(action);
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.router.handle(self.now, event, &mut actions);
+        for action in actions {
+            self.carry_out(action);
         }
     }
 
-    fn check(&mut self, action: Action) {
-        let now = self.now;
+    fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, endpoint, .. } => {
-                let n = endpoint.ip[3];
-                let r = self.open.get_mut(&id).expect("a send for a request that is finished or unknown");
-                let (c, seen) = (&self.settings.classes[r.class], &self.seen[usize::from(n)]);
-                assert_eq!(
-                    seen.availability,
-                    Availability::Ready,
-                    "a send to a member told to be out of service"
-                );
-                assert_eq!(group_of(n, self.groups), r.group, "a send outside the group");
-                assert!(r.out.is_empty() || self.settings.may_hedge == Some(true), "two attempts out");
-                let may_have_run = r.first_ran.into_iter().chain(r.out.values().map(|(_, sent)| *sent)).min();
-                match (c.idempotency.unwrap(), may_have_run) {
-                    (Idempotency::NonIdempotent, Some(_)) => {
-                        panic!("an unsafe request that may have run was sent again")
-                    }
-                    (Idempotency::Keyed, Some(first)) => {
-                        assert!(now < first + c.key_window.unwrap(), "key expired")
-                    }
-                    _ => {}
-                }
-                assert!(u32::from(r.sent) < self.settings.max_attempts.unwrap(), "too many attempts");
-                let need = match c.consistency.unwrap() {
-                    Consistency::Bounded => Some(now - c.max_age.unwrap()),
-                    Consistency::Session => r.last_commit_age.map(|age| r.arrived - age),
-                    _ => None,
-                };
-                let excused = seen.was_primary && seen.told_primary;
-                if let (Some(need), Some(ReplicationLagPolicy::ServeStale), false) =
-                    (need, self.settings.replication_lag_policy, excused)
-                {
-                    assert!(seen.position >= Some(need), "a stale read");
-                }
-                if let Some(sends) = self.cold.get_mut(&n) {
-                    *sends += 1;
-                }
-                r.out.insert(r.sent, (n, now));
-                let end = (now + length(&mut self.rng, MS..900 * MS)).min(r.deadline);
-                self.ends.insert((end, id, r.sent), n);
-                (r.sent, self.sends) = (r.sent + 1, self.sends + 1);
-            }
-            Action::Reject { id, .. } => {
-                let r = self.open.remove(&id).expect("a second final answer");
-                let c = &self.settings.classes[r.class];
-                let ran = r.first_ran.is_some() || !r.out.is_empty();
-                assert!(
-                    !ran || c.idempotency == Some(Idempotency::Idempotent),
-                    "a refusal though it may have run"
-                );
-                self.finals += 1;
-            }
+            Action::Send { id, endpoint, .. } => self.send(id, endpoint.ip[3]),
+            Action::Reject { id, .. } => self.reject(id),
             Action::Fail { id } => {
                 self.open.remove(&id).expect("a second final answer");
-                self.finals += 1;
+                self.final_answers += 1;
+            }
+            Action::SetTimer { span, .. } => self.timers.push(self.now + span),
+            Action::Cancel { id, attempt } => self.cancel(id, attempt),
+            _ => {}
+        }
+    }
+
+    fn send(&mut self, id: RequestId, n: u8) {
+        self.check_send(id, n);
+        if let Some(sends) = self.sent_to_cold.get_mut(&n) {
+            *sends += 1;
+        }
+        let request = self.open.get_mut(&id).unwrap();
+        let attempt = request.attempts_sent;
+        request.in_flight.insert(attempt, InFlight { sent_at: self.now });
+        request.attempts_sent += 1;
+        let ends_at = self.now + random_length(&mut self.rng, MS..900 * MS);
+        let end = AttemptEnd { at: ends_at.min(request.deadline), request: id, attempt };
+        self.attempt_ends.insert(end, n);
+        self.sends += 1;
+    }
+
+    fn check_send(&self, id: RequestId, n: u8) {
+        let request = self.open.get(&id).expect("a send for a request that is finished or unknown");
+        let class = &self.settings.classes[request.class];
+        let known = &self.known[usize::from(n)];
+        assert_eq!(known.availability, Availability::Ready, "a send to an endpoint out of service");
+        assert_eq!(group_of(n, self.groups), request.group, "a send outside the group");
+        let hedges = self.settings.may_hedge == Some(true);
+        assert!(request.in_flight.is_empty() || hedges, "two attempts in flight");
+        let in_flight_since = request.in_flight.values().map(|attempt| attempt.sent_at);
+        let may_have_run_since = request.may_have_run_since.into_iter().chain(in_flight_since).min();
+        match (class.idempotency.unwrap(), may_have_run_since) {
+            (Idempotency::NonIdempotent, Some(_)) => {
+                panic!("an unsafe request that may have run was sent again")
             }
-            Action::SetTimer { span, .. } => self.wakes.push(now + span),
-            Action::Cancel { id, attempt } => {
-                if let Some(at) = self.ends.keys().find(|(_, i, a)| (*i, *a) == (id, attempt)).copied() {
-                    let n = self.ends.remove(&at).unwrap();
-                    self.ends.insert((now + MS, id, attempt), n);
-                }
+            (Idempotency::Keyed, Some(since)) => {
+                assert!(self.now < since + class.key_window.unwrap(), "key expired")
             }
             _ => {}
         }
+        assert!(u32::from(request.attempts_sent) < self.settings.max_attempts.unwrap(), "too many attempts");
+        self.check_freshness(request, class, known);
     }
 
-    fn settle(&mut self, id: RequestId, attempt: u8, n: u8) {
-        use AttemptOutcome::*;
-        let (mut outcome, mut finished) = (Cancelled, true);
-        if let Some(r) = self.open.get_mut(&id) {
-            let (_, sent) = r.out.remove(&attempt).unwrap();
-            let any = [
-                Served,
-                Served,
-                Served,
-                Served,
-                Misdirected,
-                Misdirected,
-                ConnectFailed,
-                Error,
-                Reset,
-                Overloaded,
-                TimedOut,
-            ];
-            outcome = if self.now >= r.deadline { TimedOut } else { any[self.rng.usize(..any.len())] };
+    /// Where endpoints serve stale data, a read may go only where the data is known to be fresh enough.
+    fn check_freshness(&self, request: &OpenRequest, class: &Class, known: &KnownState) {
+        let required = match class.consistency.unwrap() {
+            Consistency::Bounded => Some(self.now - class.max_age.unwrap()),
+            Consistency::Session => request.last_commit_age.map(|age| request.arrived_at - age),
+            _ => None,
+        };
+        let is_known_primary = known.was_primary && known.is_primary;
+        let serves_stale = self.settings.replication_lag_policy == Some(ReplicationLagPolicy::ServeStale);
+        if let Some(required) = required
+            && serves_stale
+            && !is_known_primary
+        {
+            assert!(known.position >= Some(required), "a stale read");
+        }
+    }
+
+    fn reject(&mut self, id: RequestId) {
+        let request = self.open.remove(&id).expect("a second final answer");
+        let class = &self.settings.classes[request.class];
+        let may_have_run = request.may_have_run_since.is_some() || !request.in_flight.is_empty();
+        assert!(
+            !may_have_run || class.idempotency == Some(Idempotency::Idempotent),
+            "a rejection though it may have run"
+        );
+        self.final_answers += 1;
+    }
+
+    /// A cancelled attempt ends a moment later.
+    fn cancel(&mut self, id: RequestId, attempt: u8) {
+        let same = |end: &&AttemptEnd| (end.request, end.attempt) == (id, attempt);
+        let Some(end) = self.attempt_ends.keys().find(same).copied() else { return };
+        let n = self.attempt_ends.remove(&end).unwrap();
+        self.attempt_ends.insert(AttemptEnd { at: self.now + MS, ..end }, n);
+    }
+
+    fn finish_attempt(&mut self, id: RequestId, attempt: u8, n: u8) {
+        let mut outcome = AttemptOutcome::Cancelled;
+        let mut finished = true;
+        if let Some(request) = self.open.get_mut(&id) {
+            let sent_at = request.in_flight.remove(&attempt).unwrap().sent_at;
+            outcome = random_outcome(&mut self.rng, self.now >= request.deadline);
+            // Stated here once more, not taken from the code under test.
+            use AttemptOutcome::{Cancelled, Error, Reset, TimedOut};
             if matches!(outcome, Error | Reset | TimedOut | Cancelled) {
-                r.first_ran = Some(r.first_ran.unwrap_or(sent).min(sent));
+                request.may_have_run_since = Some(request.may_have_run_since.unwrap_or(sent_at).min(sent_at));
             }
-            finished = outcome == Served;
+            finished = outcome == AttemptOutcome::Served;
         }
         if finished && self.open.remove(&id).is_some() {
-            self.finals += 1;
+            self.final_answers += 1;
         }
-        let tells = matches!(outcome, Served | Misdirected | Overloaded | Error);
-        let primary = self.rng.u8(..10) == 0;
-        let age = length(&mut self.rng, TimeDelta::ZERO..600 * MS);
-        let reached = if primary { self.now } else { self.now - age };
-        // Told in whole milliseconds, rounded down.
-        let position = LogPosition::from_millis(reached.as_millis());
-        let replica_status = tells.then_some(ReplicaStatus { primary, position });
-        let seen = &mut self.seen[usize::from(n)];
-        if let Some(m) = replica_status {
-            (seen.told_primary, seen.was_primary) = (m.primary, seen.was_primary || m.primary);
-            seen.position = seen.position.max(Some(m.position.commit_time(Timestamp::ZERO)));
-        }
-        let end = AttemptFinished {
+        let replica_status = self.random_status(n, outcome);
+        self.handle(Event::AttemptFinished(AttemptFinished {
             id,
             attempt,
             endpoint: endpoint(n),
@@ -195,141 +217,212 @@
             finished,
             replica_status,
             report: LoadReport::default(),
-        };
-        self.event(Event::AttemptFinished(end));
+        }));
+    }
+
+    /// A status at random, where an endpoint responds one with this outcome.
+    fn random_status(&mut self, n: u8, outcome: AttemptOutcome) -> Option<ReplicaStatus> {
+        use AttemptOutcome::{Error, Misdirected, Overloaded, Served};
+        let primary = self.rng.u8(..10) == 0;
+        let age = random_length(&mut self.rng, TimeDelta::ZERO..600 * MS);
+        if !matches!(outcome, Served | Misdirected | Overloaded | Error) {
+            return None;
+        }
+        let reached = if primary { self.now } else { self.now - age };
+        // Endpoints report whole milliseconds, rounded down.
+        let position = LogPosition::from_millis(reached.as_millis());
+        let known = &mut self.known[usize::from(n)];
+        known.is_primary = primary;
+        known.was_primary |= primary;
+        known.position = known.position.max(Some(position.commit_time(Timestamp::ZERO)));
+        Some(ReplicaStatus { primary, position })
     }
 
     fn step(&mut self) {
-        self.now += 5 * MS;
-        while let Some((&(at, id, attempt), &n)) = self.ends.first_key_value()
-            && at <= self.now
+        self.now += STEP;
+        while let Some((&end, &n)) = self.attempt_ends.first_key_value()
+            && end.at <= self.now
         {
-            self.ends.remove(&(at, id, attempt));
-            self.settle(id, attempt, n);
+            self.attempt_ends.remove(&end);
+            self.finish_attempt(end.request, end.attempt, n);
         }
-        if self.wakes.iter().any(|at| *at <= self.now) {
-            self.wakes.retain(|at| *at > self.now);
-            self.event(Event::TimerFired { timer: 0 });
+        if self.timers.iter().any(|at| *at <= self.now) {
+            self.timers.retain(|at| *at > self.now);
+            self.handle(Event::TimerFired { timer: 0 });
         }
         match self.rng.u8(..40) {
-            0 => {
-                let n = self.rng.u8(..self.endpoints);
-                use Availability::{Draining, Gone, Ready};
-                let availability = [Ready, Ready, Ready, Draining, Gone][self.rng.usize(..5)];
-                let started_at = (self.rng.u8(..4) == 0).then_some(self.now - 30_000 * MS);
-                self.seen[usize::from(n)].availability = availability;
-                // From here on the list says that it started long ago.
-                self.cold.remove(&n);
-                let line =
-                    EndpointEntry { availability, group: group_of(n, self.groups), started_at, ..entry(n) };
-                self.event(Event::EndpointList { kind: ListKind::Delta, entries: vec![line] });
-            }
-            1 => {
-                if let Some(&id) = self.open.keys().next() {
-                    self.open.remove(&id);
-                    self.event(Event::RequestCancelled { id });
-                }
-            }
+            0 => self.change_availability(),
+            1 => self.cancel_oldest_request(),
             2 => {
-                self.event(Event::TimerFired { timer: 5 });
+                self.handle(Event::TimerFired { timer: 5 });
                 self.noise();
             }
-            3..=20 => {
-                let id = self.next;
-                self.next.0 += 1;
-                let class = self.rng.usize(..self.settings.classes.len());
-                let client_timeout = length(&mut self.rng, 50 * MS..3_000 * MS);
-                let last_commit_age = (self.rng.bool()).then(|| length(&mut self.rng, MS..900 * MS));
-                let group = GroupId(self.rng.u32(..self.groups));
-                let (arrived, deadline) = (self.now, self.now + client_timeout);
-                self.open
-                    .insert(id, Open { class, group, deadline, arrived, last_commit_age, ..Open::default() });
-                self.event(Event::Request(IncomingRequest {
-                    id,
-                    class,
-                    group,
-                    last_commit_age,
-                    session: 3,
-                    client_timeout,
-                    ..IncomingRequest::default()
-                }));
-            }
+            3..=20 => self.new_request(),
             _ => {}
         }
-        for r in self.open.values() {
-            assert!(self.now <= r.deadline + 20 * MS, "no final answer in time");
+        for request in self.open.values() {
+            assert!(self.now <= request.deadline + ANSWER_TOLERANCE, "no final answer in time");
+        }
+    }
+
+    fn change_availability(&mut self) {
+        use Availability::{Draining, Gone, Ready};
+        let n = self.rng.u8(..self.endpoints);
+        let availability = [Ready, Ready, Ready, Draining, Gone][self.rng.usize(..5)];
+        let started_at = (self.rng.u8(..4) == 0).then_some(self.now - 30_000 * MS);
+        self.known[usize::from(n)].availability = availability;
+        // From here on the list says that it started long ago.
+        self.sent_to_cold.remove(&n);
+        let entry = EndpointEntry { availability, group: group_of(n, self.groups), started_at, ..entry(n) };
+        self.handle(Event::EndpointList { kind: ListKind::Delta, entries: vec![entry] });
+    }
+
+    fn cancel_oldest_request(&mut self) {
+        if let Some(&id) = self.open.keys().next() {
+            self.open.remove(&id);
+            self.handle(Event::RequestCancelled { id });
         }
     }
+
+    fn new_request(&mut self) {
+        let id = self.next_id;
+        self.next_id.0 += 1;
+        let class = self.rng.usize(..self.settings.classes.len());
+        let client_timeout = random_length(&mut self.rng, 50 * MS..3_000 * MS);
+        let has_commit = self.rng.bool();
+        let last_commit_age = has_commit.then(|| random_length(&mut self.rng, MS..900 * MS));
+        let group = GroupId(self.rng.u32(..self.groups));
+        let request = OpenRequest {
+            class,
+            group,
+            deadline: self.now + client_timeout,
+            arrived_at: self.now,
+            last_commit_age,
+            ..OpenRequest::default()
+        };
+        self.open.insert(id, request);
+        self.handle(Event::Request(IncomingRequest {
+            id,
+            class,
+            group,
+            last_commit_age,
+            session: 3,
+            client_timeout,
+            ..IncomingRequest::default()
+        }));
+    }
+}
+
+fn random_outcome(rng: &mut Rng, deadline_passed: bool) -> AttemptOutcome {
+    use AttemptOutcome::{ConnectFailed, Error, Misdirected, Overloaded, Reset, Served, TimedOut};
+    const OUTCOMES: [AttemptOutcome; 11] = [
+        Served,
+        Served,
+        Served,
+        Served,
+        Misdirected,
+        Misdirected,
+        ConnectFailed,
+        Error,
+        Reset,
+        Overloaded,
+        TimedOut,
+    ];
+    if deadline_passed { TimedOut } else { OUTCOMES[rng.usize(..OUTCOMES.len())] }
 }
 
-/// The world after `steps`; `cold`: all members have just started.
-fn play(seed: u64, s: Settings, groups: u32, endpoints: u8, cold: bool, steps: usize) -> World {
-    let seen =
-        Seen { availability: Availability::Ready, told_primary: false, was_primary: false, position: None };
-    let mut world = World {
+/// What a simulation consists of.
+struct Scenario {
+    settings: Settings,
+    groups: u32,
+    endpoints: u8,
+    /// All endpoints have just started.
+    cold: bool,
+    steps: usize,
+}
+
+/// The simulation after all steps of `scenario`.
+fn simulate(seed: u64, scenario: Scenario) -> Simulation {
+    let Scenario { settings, groups, endpoints, cold, steps } = scenario;
+    let unknown = KnownState {
+        availability: Availability::Ready,
+        is_primary: false,
+        was_primary: false,
+        position: None,
+    };
+    let mut simulation = Simulation {
         groups,
         endpoints,
-        cold: BTreeMap::new(),
-        router: Router::new(s.clone(), seed),
-        settings: s,
+        router: Router::new(settings.clone(), seed),
+        settings,
         rng: Rng::with_seed(seed ^ 0x5eed),
         now: Timestamp::ZERO + 1_000 * MS,
-        seen: vec![seen; usize::from(endpoints)],
+        known: vec![unknown; usize::from(endpoints)],
+        sent_to_cold: BTreeMap::new(),
         open: BTreeMap::new(),
-        ends: BTreeMap::new(),
-        wakes: Vec::new(),
-        next: RequestId(1),
+        attempt_ends: BTreeMap::new(),
+        timers: Vec::new(),
+        next_id: RequestId(1),
         sends: 0,
-        finals: 0,
+        final_answers: 0,
     };
-    let started_at = cold.then_some(world.now);
+    let started_at = cold.then_some(simulation.now);
     if cold {
-        world.cold = (0..endpoints).map(|n| (n, 0)).collect();
+        simulation.sent_to_cold = (0..endpoints).map(|n| (n, 0)).collect();
+    }
+    let entry_of = |n| EndpointEntry { group: group_of(n, groups), started_at, ..entry(n) };
+    let entries = (0..endpoints).map(entry_of).collect();
+    simulation.handle(Event::EndpointList { kind: ListKind::Cached, entries });
+    for _ in 0..steps {
+        simulation.step();
     }
-    let line = |n| EndpointEntry { group: group_of(n, groups), started_at, ..entry(n) };
-    world.event(Event::EndpointList { kind: ListKind::Cached, entries: (0..endpoints).map(line).collect() });
-    (0..steps).for_each(|_| world.step());
-    world
+    simulation
 }
 
-fn varied(seed: u64) -> Settings {
-    let mut s = settings();
-    s.may_hedge = Some(seed.is_multiple_of(2));
-    s.replication_lag_policy =
-        [Some(ReplicationLagPolicy::ServeStale), Some(ReplicationLagPolicy::Reject)][seed as usize % 2];
-    s.max_attempts = Some([3, 8][seed as usize / 2 % 2]);
-    s.may_probe = Some(seed.is_multiple_of(3));
-    s.peer_messages = Some(true);
-    let mut keyed = s.classes[WRITE].clone();
-    (keyed.idempotency, keyed.key_window) = (Some(Idempotency::Keyed), Some(700 * MS));
-    s.classes.push(keyed);
-    s
+fn varied_settings(seed: u64) -> Settings {
+    let mut settings = settings();
+    let policies = [ReplicationLagPolicy::ServeStale, ReplicationLagPolicy::Reject];
+    settings.may_hedge = Some(seed.is_multiple_of(2));
+    settings.replication_lag_policy = Some(policies[seed as usize % 2]);
+    settings.max_attempts = Some([3, 8][seed as usize / 2 % 2]);
+    settings.may_probe = Some(seed.is_multiple_of(3));
+    settings.peer_messages = Some(true);
+    let mut keyed = settings.classes[WRITE].clone();
+    keyed.idempotency = Some(Idempotency::Keyed);
+    keyed.key_window = Some(700 * MS);
+    settings.classes.push(keyed);
+    settings
 }
 
 #[test]
 fn the_rules_hold_over_random_sequences_under_varied_settings() {
     for seed in 0..12 {
-        let world = play(seed, varied(seed), 2, 8, false, 8_000);
-        assert!(world.sends > 500 && world.finals > 500, "{} sends, {} answers", world.sends, world.finals);
+        let settings = varied_settings(seed);
+        let scenario = Scenario { settings, groups: 2, endpoints: 8, cold: false, steps: 8_000 };
+        let Simulation { sends, final_answers, .. } = simulate(seed, scenario);
+        assert!(sends > 500 && final_answers > 500, "{sends} sends, {final_answers} answers");
     }
 }
 
 #[test]
 fn the_rules_hold_for_one_of_150_poolers_over_60_endpoints() {
     for seed in 0..6 {
-        let settings = Settings { pooler_count: Some(150), me: Some(149), ..varied(seed) };
-        let world = play(seed, settings, 15, 60, false, 8_000);
-        assert!(world.sends > 300 && world.finals > 300, "{} sends, {} answers", world.sends, world.finals);
+        let settings = Settings { pooler_count: Some(150), me: Some(149), ..varied_settings(seed) };
+        let scenario = Scenario { settings, groups: 15, endpoints: 60, cold: false, steps: 8_000 };
+        let Simulation { sends, final_answers, .. } = simulate(seed, scenario);
+        assert!(sends > 300 && final_answers > 300, "{sends} sends, {final_answers} answers");
     }
 }
 
-/// The share of one driver in what a cold member bears, judged by the sends alone: no more than one at once.
+/// The share of one pooler in what a cold endpoint bears, judged by the sends alone: no more than one at once.
 #[test]
 fn one_of_150_poolers_sends_an_all_cold_fleet_next_to_nothing() {
     for seed in 0..6 {
-        let settings = Settings { pooler_count: Some(150), ..varied(seed) };
-        let world = play(seed, settings, 15, 60, true, 400);
-        assert!(world.cold.values().all(|sends| *sends <= 1), "{:?}", world.cold);
-        assert!(world.finals > 20, "what cannot be served is answered all the same");
+        let settings = Settings { pooler_count: Some(150), ..varied_settings(seed) };
+        let scenario = Scenario { settings, groups: 15, endpoints: 60, cold: true, steps: 400 };
+        let simulation = simulate(seed, scenario);
+        let sent_to_cold = &simulation.sent_to_cold;
+        assert!(sent_to_cold.values().all(|sends| *sends <= 1), "{sent_to_cold:?}");
+        assert!(simulation.final_answers > 20, "what cannot be served is answered all the same");
     }
 }
--- a/tests/router/capacity.rs
+++ b/tests/router/capacity.rs
@@ -18,7 +18,7 @@
         harness.finish_attempt(id, 0, to.ip[3], outcome, Some(Role::primary_if(to == endpoint(1))), FRESH);
         harness.advance(10 * MS);
     }
-    assert!((1..15).contains(&to_full), "{to_full} of 100 reads went to the member that is always full");
+    assert!((1..15).contains(&to_full), "{to_full} of 100 reads went to the endpoint that is always full");
 }
 
 #[test]
@@ -29,7 +29,7 @@
     harness.report_state(1, Role::Primary, FRESH);
     for n in 0..40 {
         let (id, sent) = harness.request(EVENTUAL_READ, 2_000 * MS, None);
-        assert_eq!(sent_to(&sent, id), [endpoint(2)], "every other request errs, whoever answers");
+        assert_eq!(sent_to(&sent, id), [endpoint(2)], "every other request errs at any endpoint");
         let outcome = if n % 2 == 0 { AttemptOutcome::Error } else { AttemptOutcome::Served };
         harness.finish_attempt(id, 0, 2, outcome, Some(Role::Replica), FRESH);
         if n % 2 == 0 {
@@ -60,10 +60,10 @@
     let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
     assert!(sent_to(&sent, id).is_empty());
     let sent = harness.advance(300 * MS);
-    assert!(sent_to(&sent, id).is_empty(), "it rests longer than one service time");
+    assert!(sent_to(&sent, id).is_empty(), "the pause is longer than one service time");
 }
 
-/// Guards against a host, a primary above all, that is left alone for one connection that broke.
+/// Guards against an endpoint, a primary above all, that is ejected for one connection that broke.
 #[test]
 fn one_broken_connection_does_not_eject_its_endpoint() {
     let mut settings = settings();
@@ -77,7 +77,7 @@
         assert_eq!(sent_to(&again, id), [endpoint(1)], "sent again there at once");
         harness.finish_attempt(id, 1, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     }
-    // Several with no answer between are laid to the member.
+    // Several without a response between them are attributed to the endpoint.
     let ids: Vec<_> = (0..3).map(|_| harness.request(WRITE, 5_000 * MS, None).0).collect();
     let sent: Vec<_> =
         ids.iter().map(|id| harness.finish_attempt(*id, 0, 1, AttemptOutcome::Reset, None, FRESH)).collect();
@@ -100,5 +100,5 @@
         harness.now += 2_000 * MS;
     }
     let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
-    assert!(sent_to(&sent, id).is_empty(), "its member may be buried: pauses longer than those before");
+    assert!(sent_to(&sent, id).is_empty(), "its endpoint may be overloaded: pauses longer than those before");
 }
--- a/tests/router/endpoint_list.rs
+++ b/tests/router/endpoint_list.rs
@@ -23,7 +23,10 @@
     let mut harness = RouterHarness::new(settings, 2);
     assert!(harness.actions.contains(&Action::Subscribe { on: true }));
     harness.update_list(ListKind::Failed, Vec::new());
-    assert!(!harness.advance(400 * MS).contains(&Action::Subscribe { on: true }), "not at once");
+    assert!(
+        !harness.advance(400 * MS).contains(&Action::Subscribe { on: true }),
+        "not before the delay is over"
+    );
     assert!(harness.advance(600 * MS).contains(&Action::Subscribe { on: true }));
 }
 
@@ -61,7 +64,7 @@
     settings.may_probe = Some(true);
     let mut harness = RouterHarness::new(settings, 3);
     let probes = |harness: &RouterHarness| {
-        harness.actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count()
+        harness.actions.iter().filter(|action| matches!(action, Action::Probe { .. })).count()
     };
     assert_eq!(probes(&harness), 3);
     harness.update_list(
@@ -72,7 +75,7 @@
     assert_eq!(probes(&harness), 3);
 }
 
-/// Guards against memory that grows with every host that was replaced and every session that ever wrote.
+/// Guards against memory that grows with every endpoint that was replaced and every session that ever wrote.
 #[test]
 fn removed_endpoints_and_old_sessions_are_forgotten() {
     let mut settings = settings();
@@ -90,9 +93,9 @@
             vec![host(n, Availability::Gone), host(n + 1, Availability::Ready)],
         );
         let RetainedState { endpoints, groups, .. } = harness.router.retained();
-        assert!(endpoints <= 20 && groups <= 20, "{endpoints} members, {groups} groups after {n}");
+        assert!(endpoints <= 20 && groups <= 20, "{endpoints} endpoints, {groups} groups after {n}");
     }
-    // A member with an attempt out is kept until that is settled.
+    // An endpoint with an attempt in flight is kept until that has its outcome.
     let (id, sent) = harness.request(WRITE, 60_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(1)]);
     harness
@@ -108,7 +111,7 @@
     for session in 0..60_000 {
         harness.now += MS;
         let id = RequestId(1_000_000 + session);
-        let ask = IncomingRequest {
+        let request = IncomingRequest {
             id,
             class: WRITE,
             group: GroupId(1),
@@ -116,7 +119,7 @@
             client_timeout: 5_000 * MS,
             ..IncomingRequest::default()
         };
-        let sent = harness.handle(Event::Request(ask));
+        let sent = harness.handle(Event::Request(request));
         assert_eq!(sent_to(&sent, id), [endpoint(2)], "{session}");
         harness.finish_attempt(id, 0, 2, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     }
--- a/tests/router/reads.rs
+++ b/tests/router/reads.rs
@@ -38,7 +38,7 @@
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(2)]);
     let back = harness.finish_attempt(id, 0, 2, AttemptOutcome::Misdirected, Some(Role::Replica), 900 * MS);
-    assert_eq!(sent_to(&back, id), [endpoint(1)], "a miss moves on, here to the primary");
+    assert_eq!(sent_to(&back, id), [endpoint(1)], "a misdirected read moves on, here to the primary");
 }
 
 #[test]
@@ -64,10 +64,10 @@
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(1)]);
     let next = harness.finish_attempt(id, 0, 1, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
-    assert!(sent_to(&next, id).is_empty(), "held until a primary is known");
+    assert!(sent_to(&next, id).is_empty(), "queued until a primary is known");
     harness.report_state(3, Role::Primary, FRESH);
     let freed = harness.advance(700 * MS);
-    assert!(sent_to(&freed, id).iter().all(|m| *m == endpoint(3)));
+    assert!(sent_to(&freed, id).iter().all(|to| *to == endpoint(3)));
 }
 
 #[test]
@@ -93,19 +93,24 @@
     harness.report_state(1, Role::Primary, FRESH);
     harness.now += 1_000 * MS;
     let (id, done) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    let asked =
-        done.iter().filter_map(|a| if let Action::Probe { endpoint } = a { Some(*endpoint) } else { None });
+    let asked = done
+        .iter()
+        .filter_map(|action| if let Action::Probe { endpoint } = action { Some(*endpoint) } else { None });
     let asked: Vec<EndpointId> = asked.collect();
     assert!(asked.len() == 1 && asked[0] != endpoint(1) && sent_to(&done, id).is_empty());
     let (other, done) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    assert!(done.is_empty(), "a second read waits for the probe under way");
+    assert!(done.is_empty(), "a second read waits for the probe that is under way");
     let position = harness.now.as_secs_f64();
     let report = LoadReport { count: 2, values: [position, 0.0, 0.0, 0.0] };
     let freed = harness.handle(Event::ProbeFinished { endpoint: asked[0], ok: true, took: MS, report });
     assert_eq!((sent_to(&freed, id), sent_to(&freed, other)), (vec![asked[0]], vec![asked[0]]));
     harness.now += 1_000 * MS;
     let (id, _) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    assert_eq!(sent_to(&harness.advance(60 * MS), id), [endpoint(1)], "an unanswered probe holds nobody up");
+    assert_eq!(
+        sent_to(&harness.advance(60 * MS), id),
+        [endpoint(1)],
+        "an unanswered probe delays no further read"
+    );
 }
 
 #[test]
@@ -121,7 +126,7 @@
     harness.finish_attempt(id, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     harness.now += 10_000 * MS;
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    assert!(sent_to(&sent, id).is_empty(), "what it bears is for writes");
+    assert!(sent_to(&sent, id).is_empty(), "its capacity is for writes");
     let (id, sent) = harness.request(WRITE, 2_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(1)]);
 }
@@ -140,7 +145,7 @@
     }
     harness.now += 1_000 * MS;
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    assert_eq!(sent_to(&sent, id), [endpoint(1)], "a miss for all that is known");
+    assert_eq!(sent_to(&sent, id), [endpoint(1)], "a replica would reject it, for all that is known");
     harness.finish_attempt(id, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     harness.now += 3_000 * MS;
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
--- a/tests/router/retries.rs
+++ b/tests/router/retries.rs
@@ -24,9 +24,9 @@
     let (id, _) = harness.request(WRITE, 5_000 * MS, None);
     harness.now += 1_000 * MS;
     let again = harness.finish_attempt(id, 0, 1, AttemptOutcome::Error, Some(Role::Primary), FRESH);
-    assert_eq!(sent_to(&again, id), [endpoint(1)], "once more, to the same primary");
+    assert_eq!(sent_to(&again, id), [endpoint(1)], "retried once, at the same primary");
     let end = harness.finish_attempt(id, 1, 1, AttemptOutcome::Error, Some(Role::Primary), FRESH);
-    assert!(sent_to(&end, id).is_empty() && failed(&end, id), "a second error is laid to the request");
+    assert!(sent_to(&end, id).is_empty() && failed(&end, id), "a second error is attributed to the request");
     let mut harness = RouterHarness::new(keyed(), 3);
     let (id, _) = harness.request(WRITE, 5_000 * MS, None);
     harness.now += 3_000 * MS;
@@ -67,7 +67,7 @@
     let (id, _) = harness.request(WRITE, 2_000 * MS, None);
     harness.finish_attempt(id, 0, 1, AttemptOutcome::Reset, None, FRESH);
     harness.report_state(2, Role::Primary, FRESH);
-    assert!(sent_to(&harness.advance(1_500 * MS), id).iter().all(|m| *m == endpoint(1)));
+    assert!(sent_to(&harness.advance(1_500 * MS), id).iter().all(|to| *to == endpoint(1)));
 }
 
 #[test]
@@ -87,7 +87,7 @@
     assert!(sent_to(&all, id).len() <= 1 && failed(&all, id), "at 500 ms at most, never after 700");
 }
 
-/// Guards against a connection that fell silent: its host answers all others, and must not be taken for slow.
+/// Guards against a connection that fell silent: its endpoint answers all others, and must not be taken for slow.
 #[test]
 fn an_attempt_that_is_overtaken_by_far_is_cancelled_and_retried_once() {
     let mut harness = RouterHarness::new(settings(), 2);
@@ -112,11 +112,14 @@
             ))
         });
     }
-    let off = |a: &&Action| matches!(a, Action::Cancel { id, attempt: 0 } if *id == silent);
-    assert_eq!(harness.actions[from..].iter().filter(off).count(), 1);
+    let cancels = |action: &&Action| matches!(action, Action::Cancel { id, attempt: 0 } if *id == silent);
+    assert_eq!(harness.actions[from..].iter().filter(cancels).count(), 1);
     harness.latency = 1_200 * MS;
     let again = harness.finish_attempt(silent, 0, 2, AttemptOutcome::Cancelled, None, FRESH);
-    assert_eq!(sent_to(&again, silent).len(), 1, "repeated: it is a read");
+    assert_eq!(sent_to(&again, silent).len(), 1, "retried: it is a read");
     let sent: Vec<_> = (0..4).flat_map(|_| harness.request(BOUNDED_READ, 2_000 * MS, None).1).collect();
-    assert!(sent.iter().filter(|a| matches!(a, Action::Send { .. })).count() >= 4, "its window is as it was");
+    assert!(
+        sent.iter().filter(|action| matches!(action, Action::Send { .. })).count() >= 4,
+        "its concurrency limit is as it was"
+    );
 }
--- a/tests/router/slow_start.rs
+++ b/tests/router/slow_start.rs
@@ -6,12 +6,12 @@
 #[test]
 fn a_restarted_endpoint_is_not_flooded() {
     let mut harness = RouterHarness::new(settings(), 3);
-    // What warm members bear is learned before.
+    // First it learns what warm endpoints serve.
     harness.serve_requests(EVENTUAL_READ, 400);
     let restarted = EndpointEntry { started_at: Some(harness.now), ..entry(3) };
     harness.update_list(ListKind::Delta, vec![restarted]);
-    let to_cold = harness.serve_requests(EVENTUAL_READ, 300).iter().filter(|m| **m == endpoint(3)).count();
-    assert!((1..60).contains(&to_cold), "{to_cold} of 300 sends went to the cold member");
+    let to_cold = harness.serve_requests(EVENTUAL_READ, 300).iter().filter(|to| **to == endpoint(3)).count();
+    assert!((1..60).contains(&to_cold), "{to_cold} of 300 attempts went to the cold endpoint");
 }
 
 #[test]
@@ -24,13 +24,13 @@
         let restarted = EndpointEntry { started_at: Some(harness.now), ..entry(2) };
         harness.update_list(ListKind::Delta, vec![restarted]);
         let (id, sent) = harness.request(EVENTUAL_READ, 2_000 * MS, None);
-        to_cold += sent_to(&sent, id).iter().filter(|m| **m == endpoint(2)).count();
+        to_cold += sent_to(&sent, id).iter().filter(|to| **to == endpoint(2)).count();
     }
-    assert!(to_cold < 10, "{to_cold} of 100 drivers sent to it at once");
+    assert!(to_cold < 10, "{to_cold} of 100 poolers sent to it at once");
 }
 
 /// Guards against a cold primary that is given as few writes as if each were the heaviest read: its group's writes are
-/// refused while it has room. What is sent in all stays within its budget of work.
+/// rejected while it has capacity. All that is sent stays within its budget of work.
 #[test]
 fn a_light_class_uses_less_of_a_slow_start_budget() {
     let sent = |read: i64, write: i64| {
@@ -38,7 +38,7 @@
         settings.pooler_count = Some(100);
         let mut harness = RouterHarness::new(settings, 2);
         harness.report_state(1, Role::Primary, FRESH);
-        // Reads go to the replica, writes to the primary, until it is known how long each takes.
+        // Reads go to the replica, writes to the primary, until the router knows how long each takes.
         for _ in 0..200 {
             for (class, to, took) in [(EVENTUAL_READ, 2, read), (WRITE, 1, write)] {
                 let (id, now) = harness.request(class, 2_000 * MS, None);
--- a/tests/router/writes.rs
+++ b/tests/router/writes.rs
@@ -20,8 +20,8 @@
     let (id, _) = harness.request(WRITE, 5_000 * MS, None);
     harness.finish_attempt(id, 0, 1, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
     harness.finish_attempt(id, 1, 2, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
-    let held = harness.finish_attempt(id, 2, 3, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
-    assert!(sent_to(&held, id).is_empty() && !rejected(&held, id) && !failed(&held, id));
+    let queued = harness.finish_attempt(id, 2, 3, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
+    assert!(sent_to(&queued, id).is_empty() && !rejected(&queued, id) && !failed(&queued, id));
     harness.now += 100 * MS;
     let (read, sent) = harness.request(EVENTUAL_READ, 2_000 * MS, None);
     let to = sent_to(&sent, read)[0];
@@ -38,7 +38,7 @@
         harness.finish_attempt(id, attempt, from, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
     }
     let (other, now) = harness.request(WRITE, 5_000 * MS, None);
-    assert!(sent_to(&now, other).is_empty(), "a second write must not walk the ring too");
+    assert!(sent_to(&now, other).is_empty(), "a second write must not search along the ring too");
     let later = harness.advance(520 * MS);
     assert_eq!(sent_to(&later, id).len() + sent_to(&later, other).len(), 1);
 }
@@ -51,10 +51,10 @@
     harness.request(WRITE, 5_000 * MS, None);
     harness.advance(600 * MS);
     let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
-    assert!(sent_to(&sent, id).is_empty(), "held: the primary has answered nothing it was given");
+    assert!(sent_to(&sent, id).is_empty(), "queued: the primary has responded to nothing it got");
 }
 
-/// Guards against a group whose writes are refused for good: its primary is well, but two connections fell silent.
+/// Guards against a group whose writes are rejected for good: its primary is healthy, but two connections fell silent.
 #[test]
 fn a_suspected_primary_is_tried_again_once_it_has_nothing_in_flight() {
     let mut harness = RouterHarness::new(settings(), 3);
@@ -62,15 +62,15 @@
     harness.advance(10 * MS);
     let out: Vec<_> = (0..2).map(|_| harness.request(WRITE, 2_000 * MS, None).0).collect();
     harness.advance(1_000 * MS);
-    let (held, sent) = harness.request(WRITE, 2_000 * MS, None);
-    assert!(sent_to(&sent, held).is_empty(), "it takes work and answers nothing");
+    let (queued, sent) = harness.request(WRITE, 2_000 * MS, None);
+    assert!(sent_to(&sent, queued).is_empty(), "it takes attempts and responds to none");
     out.iter().for_each(|id| drop(harness.finish_attempt(*id, 0, 1, AttemptOutcome::TimedOut, None, FRESH)));
     for n in [2, 3] {
         harness.report_state(n, Role::Replica, FRESH);
     }
     let later = harness.advance(600 * MS);
-    assert_eq!(sent_to(&later, held), [endpoint(1)], "the timer asks it");
-    harness.finish_attempt(held, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
+    assert_eq!(sent_to(&later, queued), [endpoint(1)], "the discovery timer tries it");
+    harness.finish_attempt(queued, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     let (next, sent) = harness.request(WRITE, 2_000 * MS, None);
     assert_eq!(sent_to(&sent, next), [endpoint(1)]);
 }
