--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Load shedding: whether a new read finds so many others queued that it is rejected at once. Its client still has
+    /// Load shedding: whether a new read is rejected at once because too many others are queued. Its client still has
     /// time for a retry, and those that are queued have a prospect.
     pub(super) fn queue_is_too_long(&self, now: Timestamp, id: RequestId) -> bool {
         let request = &self.requests[&id];
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -249,17 +249,22 @@
         self.may_retry_at(now, request, request.may_have_run_since)
     }
 
-    /// Whether another attempt is allowed at `at`, where the first one that may have run was sent at `may_have_run_since`:
-    /// by the class's idempotency, the limit of attempts and the time left.
-    fn may_retry_at(&self, at: Timestamp, request: &Request, may_have_run_since: Option<Timestamp>) -> bool {
+    /// Whether another attempt is allowed at `retry_at`, where the first one that may have run was sent at
+    /// `may_have_run_since`: by the class's idempotency, the limit of attempts and the time left.
+    fn may_retry_at(
+        &self,
+        retry_at: Timestamp,
+        request: &Request,
+        may_have_run_since: Option<Timestamp>,
+    ) -> bool {
         let max_attempts = self.settings.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS);
         let harmless = match may_have_run_since {
             None => true,
-            Some(since) => is_repeat_harmless(&self.settings.classes[request.class], at, since),
+            Some(since) => is_repeat_harmless(&self.settings.classes[request.class], retry_at, since),
         };
         harmless
             && (request.attempts.len() as u32) < max_attempts
-            && at < request.value_ends_at
+            && retry_at < request.value_ends_at
             && !request.response_started
             && request.error_outcomes < MAX_ERRORS_PER_REQUEST
     }
@@ -349,13 +354,15 @@
     }
 }
 
-/// Whether a request may run again at `at`, where its first attempt that may have run was sent at `since`.
-fn is_repeat_harmless(class: &Class, at: Timestamp, since: Timestamp) -> bool {
+/// Whether a request may run again at `retry_at`, where its first attempt that may have run was sent at `since`.
+fn is_repeat_harmless(class: &Class, retry_at: Timestamp, since: Timestamp) -> bool {
     match class.idempotency.unwrap_or(Idempotency::NonIdempotent) {
         Idempotency::Idempotent => true,
         // Where a key is known in one zone only, the group's next primary may be in another.
         Idempotency::Keyed if class.key_scope == Some(KeyScope::Zone) => false,
-        Idempotency::Keyed => at < since + class.key_window.unwrap_or(TimeDelta::ZERO) - POSITION_RESOLUTION,
+        Idempotency::Keyed => {
+            retry_at < since + class.key_window.unwrap_or(TimeDelta::ZERO) - POSITION_RESOLUTION
+        }
         Idempotency::NonIdempotent => false,
     }
 }
--- a/src/routing/learning.rs
+++ b/src/routing/learning.rs
@@ -3,7 +3,7 @@
 //! Sources rank by how direct they are. A response sets an endpoint's role. A load report, a peer's hint or the
 //! endpoint list counts only where it is newer than that endpoint's last response, since each of them trails.
 
-use super::endpoints::Role;
+use super::endpoints::{EndpointState, Role};
 use super::router::{DEFAULT_LATENCY_OBJECTIVE, Router};
 use super::{
     Action, Availability, EndpointId, LoadReport, ReplicaStatus, SessionTracking, TimeDelta, Timestamp,
@@ -47,20 +47,10 @@
         let mut told_role = None;
         if let Some(seconds) = reported_position {
             let position = zero + TimeDelta::from_micros_f64(seconds * MICROS_PER_SECOND);
-            endpoint.proven_position = endpoint.proven_position.max(Some(position - POSITION_RESOLUTION));
-            // No position is ahead of the present, so a report with a later one is newer than the last response.
-            if endpoint.role.is_none() || Some(position) > endpoint.role_updated_at {
-                told_role = reported_role.map(role_from_report);
-            }
+            told_role = endpoint.apply_report(position, reported_role.map(role_from_report));
         }
         if let Some(status) = status {
-            told_role = Some(Role::from_status(status));
-            endpoint.role_updated_at = Some(now);
-            if status.position.is_known() {
-                let position = status.position.commit_time(zero);
-                endpoint.replication_lag = (now - position).or_zero();
-                endpoint.proven_position = endpoint.proven_position.max(Some(position));
-            }
+            told_role = Some(endpoint.apply_status(now, status, zero));
         }
         endpoint.role = told_role.or(endpoint.role);
         endpoint.probe_sent_at = None;
@@ -85,6 +75,7 @@
         (index < usize::from(report.count)).then(|| report.values[index])
     }
 
+    /// Messages of peers are untrusted; other kinds than a primary hint are ignored.
     pub(super) fn receive_peer_message(&mut self, now: Timestamp, bytes: &[u8]) {
         if let Some(hint) = PrimaryHint::read(bytes) {
             self.apply_primary_hint(now, hint);
@@ -170,8 +161,8 @@
         }
     }
 
-    /// Evicts the sessions with the older half of commits. An evicted session's reads must reflect whatever any of
-    /// them has written.
+    /// Evicts the sessions with the older half of commits. An evicted session's reads must reflect all that any
+    /// of them has written.
     fn evict_old_sessions(&mut self) {
         let mut commits: Vec<Timestamp> = self.session_commits.values().copied().collect();
         let (_, median, _) = commits.select_nth_unstable(MAX_SESSIONS / 2);
@@ -181,6 +172,26 @@
     }
 }
 
+impl EndpointState {
+    /// Takes in a reported position; returns the reported role where it is newer than the last response.
+    fn apply_report(&mut self, position: Timestamp, role: Option<Role>) -> Option<Role> {
+        self.proven_position = self.proven_position.max(Some(position - POSITION_RESOLUTION));
+        // No position is ahead of the present, so a report with a later one is newer than the last response.
+        if self.role.is_none() || Some(position) > self.role_updated_at { role } else { None }
+    }
+
+    /// Takes in what a response told; returns the role.
+    fn apply_status(&mut self, now: Timestamp, status: ReplicaStatus, zero: Timestamp) -> Role {
+        self.role_updated_at = Some(now);
+        if status.position.is_known() {
+            let position = status.position.commit_time(zero);
+            self.replication_lag = (now - position).or_zero();
+            self.proven_position = self.proven_position.max(Some(position));
+        }
+        Role::from_status(status)
+    }
+}
+
 fn role_from_report(value: f64) -> Role {
     if value >= REPORTED_PRIMARY { Role::Primary } else { Role::Replica }
 }
--- a/src/routing/reads.rs
+++ b/src/routing/reads.rs
@@ -1,8 +1,8 @@
 //! The read path: a replica that is fresh enough, drawn at random by its capacity over latency and load.
 //!
-//! The draw weighs an endpoint by `capacity / (latency * (1 + attempts in flight))`, the inverse of the cost
-//! by which the peak-EWMA balancer of Finagle compares endpoints, with the whole group as candidates. A random draw keeps many poolers, which do not see
-//! each other's load, from choosing the same endpoint together.
+//! The draw weighs an endpoint by `capacity / (latency * (1 + attempts in flight))`, the inverse of the cost by which
+//! the peak-EWMA balancer of Finagle compares endpoints, with the whole group as candidates. A random draw keeps many
+//! poolers, which do not see each other's load, from choosing the same endpoint together.
 
 use super::endpoints::{EndpointState, Role};
 use super::group::Group;
@@ -194,7 +194,7 @@
         if endpoint.proven_position.is_some() && estimate_valid {
             now - endpoint.replication_lag >= required
         } else {
-            // A read finds out, or nobody would learn that it has caught up.
+            // Only a read can find out whether it has caught up.
             true
         }
     }
--- a/src/routing/writes.rs
+++ b/src/routing/writes.rs
@@ -93,7 +93,7 @@
     }
 
     fn may_be_primary(&self, now: Timestamp, endpoint: &EndpointState) -> bool {
-        // A suspected endpoint is tried one attempt at a time, or nobody would learn that it is well.
+        // A suspected endpoint is tried one attempt at a time, as only that can show that it is healthy.
         let responsive = !endpoint.suspected || endpoint.in_flight.is_empty();
         let recently_replica = endpoint.role == Some(Role::Replica)
             && endpoint.role_updated_at.is_some_and(|updated_at| now - updated_at < REPLICA_ROLE_VALIDITY);
