--- /dev/null
+++ b/src/fleet/runtime/founding.rs
@@ -0,0 +1,55 @@
+//! How a fleet is founded, and when a daemon takes part.
+
+use super::*;
+
+impl Fleet {
+    /// An operator's word: form a fleet with whoever has answered. False: there is one already.
+    pub fn form(&self) -> bool {
+        if self.table().state.fleet != 0 {
+            return false;
+        }
+        self.change().word = true;
+        self.found();
+        self.table().stand.0 == Stand::Found(BTreeSet::new()).to_string() || self.table().state.fleet != 0
+    }
+
+    /// Founds a fleet where this daemon is the one to do it.
+    pub(super) fn found(&self) {
+        let stand = {
+            let table = self.table();
+            if table.state.fleet != 0 || table.removed || table.broken.is_some() {
+                return;
+            }
+            let me = (self.me.name.as_str(), table.identity.id);
+            bootstrap::stand(me, &self.me.named, &table.met, table.word)
+        };
+        self.stands(stand.to_string());
+        if let Stand::Found(others) = stand {
+            let id = self.table().identity.id;
+            let member = Member { name: self.me.name.clone(), address: self.me.address };
+            let fleet: FleetId = fastrand::u128(1..);
+            self.tell(Input::Found(Box::new(State::found(fleet, id, member, others))));
+        }
+    }
+
+    pub(super) fn stands(&self, why: String) {
+        let mut table = self.change();
+        if table.stand.0 != why {
+            log::info!("fleet: {why}");
+            table.stand = (why, Instant::now());
+        }
+    }
+
+    /// Takes part in the agreement once enough of the others have found nothing wrong with this daemon's disk.
+    pub(super) fn take_part(&self) {
+        let enough = {
+            let table = self.table();
+            let voters = &table.status.conf.voters;
+            let welcome = voters.iter().filter(|v| table.welcomes.contains(v)).count() + 1;
+            !table.status.part && !table.removed && table.broken.is_none() && welcome * 2 > voters.len()
+        };
+        if enough {
+            self.tell(Input::TakePart);
+        }
+    }
+}
--- /dev/null
+++ b/src/fleet/runtime/gossip.rs
@@ -0,0 +1,119 @@
+//! What is learned of the hosts, and told to the others.
+
+use super::*;
+
+impl Fleet {
+    /// Takes in what hosts have told this daemon.
+    pub fn observe(&self, facts: &[Observation]) {
+        let now = self.clock.now();
+        let lost: Vec<LogRollback> = {
+            let table = self.table();
+            let lost = |f: &Observation| {
+                let group = table.state.hosts.get(&f.endpoint_name)?.group;
+                // One that has only just stepped down says nothing about its group's log.
+                let another = table.learned.beliefs().get(&group).filter(|b| b.host != f.endpoint_name);
+                if !f.primary || another.is_some_and(|b| Some(b.at) > f.started_at) {
+                    return None;
+                }
+                // Where it went back, or where it stands at a commit of before its start: nothing lies between.
+                let started = f
+                    .started_at
+                    .filter(|at| f.position.is_known() && f.position.commit_time(Timestamp::ZERO) < *at)
+                    .map(|at| (f.position, at));
+                let (from, to) = f.regression.map(|r| (r.position, r.requested_at)).or(started)?;
+                Some(LogRollback { group, from, to: LogPosition::of_commit(to, Timestamp::ZERO) })
+            };
+            facts.iter().filter_map(lost).collect()
+        };
+        if !lost.is_empty() {
+            self.broken_off(lost, &self.me.name);
+        }
+        let urgent = {
+            let mut table = self.change();
+            let Table { learned, state, .. } = &mut *table;
+            let urgent = learned.observe(now, facts, self.returns());
+            learned.believe(now, state);
+            urgent
+        };
+        self.restarted(now, facts.iter().map(|f| &f.endpoint_name));
+        if urgent {
+            self.spread(&Frame::Digest(self.table().learned.digest()));
+            self.push();
+        }
+    }
+
+    /// What the others lack of this daemon's own facts, as far as is known, without being asked.
+    pub(super) fn push(&self) {
+        let now = self.clock.now();
+        let mut table = self.change();
+        let me = table.identity.id;
+        let Table { learned, digests, .. } = &mut *table;
+        for way in self.ways().iter().filter(|w| w.up.get()) {
+            let known = digests.entry(way.id()).or_default();
+            let words = learned.lacks(now, known, |id| id != me, self.limits.observations_per_message);
+            let Some(last) = words.iter().map(|w| w.count).max() else { continue };
+            if way.send(&Frame::Words(words).bytes()) {
+                // Until it says itself what it knows: what was lost on the way is sent again then.
+                known.retain(|(id, _)| *id != me);
+                known.push((me, last));
+            }
+        }
+    }
+
+    /// Writes what was learned to the disk, where it has changed; never in haste.
+    pub(super) fn keep(&self) {
+        let table = self.table();
+        let kept = (table.learned.digest(), self.breaks.borrow().all());
+        if table.learned.is_empty() || *self.kept.borrow() == kept {
+            return;
+        }
+        let words = table.learned.words(self.clock.now());
+        let saved = Saved { at: clocks(&self.clock), words, breaks: kept.1.clone() };
+        log::debug!("fleet: {} words on hosts are kept", saved.words.len());
+        if self.tell(Input::Learned(records::write(&saved))) {
+            *self.kept.borrow_mut() = kept;
+        }
+    }
+
+    /// Hints for a module that starts: who is believed to be primary where, and first guesses from before.
+    pub fn first_hints(&self) -> Vec<Vec<u8>> {
+        let table = self.table();
+        let believed = table.learned.beliefs().values().map(|b| (b.host.clone(), b.at));
+        let guessed = table.learned.guesses(&table.state).into_values();
+        let all = believed.chain(guessed);
+        all.map(|(host, at)| PrimaryHint { endpoint: id_of(&host), at }.write()).collect()
+    }
+
+    /// What this daemon knew before its start, for its core.
+    pub fn told_before(&self) -> Vec<PeerObservation> {
+        self.table().learned.positions()
+    }
+
+    /// What others heard of hosts, as it comes in while service returns.
+    pub async fn told(&self) -> Option<Vec<PeerObservation>> {
+        let mut all = vec![self.told.1.recv().await.ok()?];
+        while let Ok(more) = self.told.1.try_recv() {
+            all.push(more);
+        }
+        Some(all)
+    }
+
+    /// Tells the others' modules what this one's has heard. Times go as ages: clocks may differ.
+    pub fn hint(&self, bytes: &[u8]) {
+        let Some(PrimaryHint { endpoint, at }) = PrimaryHint::read(bytes) else { return };
+        let [a, b, c, d] = endpoint.ip;
+        let [e, f] = endpoint.port.to_be_bytes();
+        self.spread(&Frame::PrimaryHint([a, b, c, d, e, f], (self.clock.now() - at).or_zero()));
+    }
+
+    /// The next word of another daemon's module.
+    pub async fn hinted(&self) -> Option<Vec<u8>> {
+        self.hints.1.recv().await.ok()
+    }
+}
+
+/// The machine's clocks now.
+pub(super) fn clocks(clock: &Clock) -> Clocks {
+    let (boot, up) = Clock::machine();
+    Clocks { wall: clock.now(), boot, up }
+}
--- /dev/null
+++ b/src/fleet/runtime/mod.rs
@@ -0,0 +1,451 @@
+//! Carries out what the fleet's decisions say: keeps the ways to the others open, hands letters to the thread
+//! that owns the agreement and takes in what it agreed on.
+
+use self::gossip::clocks;
+use super::bootstrap::{self, Hello, Stand, Verdict};
+use super::gossip::{Count, Learned};
+use super::membership::{Next, View, Wish, Word};
+use super::message::{Beat, Frame};
+use super::peer_link::{PATH, PROTOCOL, PeerLink, may_meet};
+use super::pending_drains::Marks;
+use super::recovery::first_election::Lead;
+use super::recovery::phases::{Cold, Order, Seen, Stand as Service, Step, UNLISTED};
+use super::recovery::restart_detector::{Known, Restarts};
+use super::recovery::{Clocks, Saved, Trust, trust};
+use super::zoning::{self, Leaving, Zoning};
+use crate::clock::Clock;
+use crate::config::Limits;
+use crate::engine::admission::AdmissionPolicy;
+use crate::engine::endpoints::{EndpointRecord, EndpointUpdate, id_of};
+use crate::engine::log_rollback::{LogRollback, LogRollbacks};
+use crate::engine::observations::{Observation, START_TIME_TOLERANCE};
+use crate::engine::{PeerObservation, PollParticipants};
+use crate::ids::NodeId;
+use crate::ids::{GroupId, ZoneId};
+use crate::inventory::Inventory;
+use crate::net::buffer::Buffer;
+use crate::net::connection::ClientConnection;
+use crate::net::http::server::{self, Request};
+use crate::net::until;
+use crate::primary_hint::PrimaryHint;
+use crate::routing::{Availability, EndpointId};
+use crate::store::raft_node::{Applied, What};
+use crate::store::records::{self, FleetId, HostRecord, Letter};
+use crate::store::state_machine::{Change, Effect, Member, Proposal, State};
+use crate::store::storage::Identity;
+use crate::store::store_thread::{Input, Opened, Output, Status};
+use crate::store::zone_weights::Why;
+use crate::time::{LogPosition, TimeDelta, Timestamp};
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use async_io::Timer;
+use std::cell::{Cell, Ref, RefCell, RefMut};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::mpsc::SyncSender;
+use std::time::{Duration, Instant};
+
+mod drains;
+mod endpoint_list;
+mod event_loop;
+mod first;
+mod founding;
+mod gossip;
+mod incoming_link;
+mod log_rollbacks;
+mod membership_requests;
+mod message_dispatch;
+mod operator_recovery;
+mod own_files;
+mod peer_sessions;
+mod proposals;
+mod recovery;
+mod store_events;
+mod zones;
+
+/// What groups have lost is said again for so long.
+const LATELY: TimeDelta = TimeDelta::from_secs(60);
+
+/// What this daemon's own files say, each with when it was last changed.
+#[derive(Clone, Debug, Default)]
+pub struct Files {
+    /// The settings of the operator's file.
+    pub settings: Option<(String, Timestamp)>,
+    /// The inventory.
+    pub hosts: Option<(Inventory, Timestamp)>,
+}
+
+/// What of the learned state lies on the disk: whose words, and what groups have lost.
+type Kept = (Vec<(NodeId, Count)>, Vec<LogRollback>);
+
+/// Who this daemon is to the others.
+#[derive(Clone, Debug)]
+pub struct Me {
+    /// Its name.
+    pub name: String,
+    /// Where it is reached.
+    pub address: SocketAddr,
+    /// Addresses of others that its own file names.
+    pub named: Vec<SocketAddr>,
+    /// How it leaves zones.
+    pub leaving: Leaving,
+}
+
+/// What was last heard of another daemon.
+#[derive(Clone, Debug)]
+pub struct Heard {
+    /// When.
+    pub at: Instant,
+    /// Its name.
+    pub name: String,
+    /// Its last word.
+    pub beat: Beat,
+    /// Since when it has known no leader.
+    pub leaderless: Option<Instant>,
+}
+
+impl Heard {
+    /// What a daemon says of itself when it is met.
+    fn met(hello: &Hello) -> Heard {
+        let beat = Beat { term: hello.witness.term, last: hello.witness.last, ..Beat::default() };
+        Heard { at: Instant::now(), name: hello.name.clone(), beat, leaderless: None }
+    }
+}
+
+/// Hosts that may have changed in the list.
+enum Touched {
+    All,
+    Hosts(BTreeSet<String>),
+}
+
+/// All that the driver knows.
+pub struct Table {
+    /// Who this daemon is, by its disk.
+    pub identity: Identity,
+    /// What is agreed.
+    pub state: State,
+    /// The last place of the log that was taken in.
+    pub applied: u64,
+    /// How things stand with the agreement.
+    pub status: Status,
+    /// Drains that are not agreed.
+    pub marks: Marks,
+    /// What this daemon's own files say.
+    pub files: Files,
+    /// What a store of the old form said.
+    pub legacy: Vec<Change>,
+    /// Daemons that are no members and were met, with when.
+    pub candidates: BTreeMap<NodeId, (Hello, Instant)>,
+    /// What others said of themselves while there was no fleet.
+    pub met: BTreeMap<SocketAddr, Hello>,
+    /// Addresses at which a fleet's members are said to be.
+    pub told: BTreeMap<SocketAddr, String>,
+    /// What the fleet has learned of the hosts.
+    pub learned: Learned,
+    /// What each of the others knows of that, by its last word.
+    pub digests: BTreeMap<NodeId, Vec<(NodeId, Count)>>,
+    /// The last word of each.
+    pub heard: BTreeMap<NodeId, Heard>,
+    /// Members that have found nothing wrong with this daemon's disk.
+    pub welcomes: BTreeSet<NodeId>,
+    /// What operators want, with when it was last said.
+    pub wishes: BTreeMap<(String, Wish), Instant>,
+    /// An operator has said that a fleet is to be formed with whoever has answered.
+    pub word: bool,
+    /// This daemon was removed from its fleet.
+    pub removed: bool,
+    /// The disk failed.
+    pub broken: Option<String>,
+    /// Why there is no agreed configuration, or none to act on, since when.
+    pub stand: (String, Instant),
+    /// How this daemon's inventory file differs from the agreed one: added, changed, missing.
+    pub differs: Option<(usize, usize, usize)>,
+    /// Frames that were out of form or from strangers.
+    pub dropped: u64,
+    /// Since when this daemon leads.
+    pub leads: Option<Instant>,
+}
+
+impl Table {
+    /// The name of a member; of another one its id.
+    pub fn name(&self, id: NodeId) -> String {
+        self.state.members.get(&id).map_or(format!("{id:016x}"), |m| m.name.clone())
+    }
+
+    /// Places of the log that this daemon has yet to take in, by what anybody said to be agreed.
+    pub fn lag(&self) -> u64 {
+        let told = self.heard.values().map(|h| h.beat.agreed).chain([self.status.agreed]).max();
+        told.unwrap_or(0).saturating_sub(self.applied)
+    }
+}
+
+/// The fleet as one of its daemons sees it.
+pub struct Fleet {
+    /// Who this daemon is to the others.
+    pub me: Me,
+    /// The program's limits.
+    pub limits: Rc<Limits>,
+    clock: Clock,
+    executor: Rc<LocalExecutor<'static>>,
+    inputs: SyncSender<Input>,
+    table: RefCell<Table>,
+    ways: RefCell<BTreeMap<SocketAddr, Rc<PeerLink>>>,
+    /// Those who wait for what changes.
+    waiting: RefCell<Vec<Sender<()>>>,
+    /// Changes that were said here and wait for the log.
+    tokens: RefCell<BTreeMap<u64, Option<Effect>>>,
+    next: Cell<u64>,
+    saved: Cell<u64>,
+    saving: Cell<u64>,
+    hints: (Sender<Vec<u8>>, Receiver<Vec<u8>>),
+    proposed: RefCell<BTreeMap<String, (u64, Instant)>>,
+    /// Closed when all connections are to be opened anew.
+    epoch: RefCell<(Sender<()>, Receiver<()>)>,
+    compared: Cell<(Timestamp, u64)>,
+    touched: RefCell<Touched>,
+    /// What lies on the disk of what was learned.
+    kept: RefCell<Kept>,
+    /// What groups have lost; the front looks at it.
+    pub breaks: Rc<RefCell<LogRollbacks>>,
+    /// In which order service returns; `None`: it has, or this daemon has no settings yet.
+    order: RefCell<Option<Order>>,
+    service: RefCell<Returns>,
+    restarts: RefCell<Restarts>,
+    cold: Cell<Option<Cold>>,
+    told: (Sender<PeerObservation>, Receiver<PeerObservation>),
+    zoning: RefCell<Zoning>,
+    /// Moves of zones that were proposed here a moment ago: by zone, its number and when.
+    moving: RefCell<BTreeMap<ZoneId, (u64, Instant)>>,
+    lead: RefCell<Lead>,
+}
+
+/// How far this daemon's service has returned.
+#[derive(Clone, Debug)]
+pub struct Returns {
+    /// The step.
+    pub step: Step,
+    /// What is waited for.
+    pub waits: String,
+    /// Since when.
+    pub since: Instant,
+    /// When this daemon started.
+    pub began: Instant,
+    /// When all was as ever.
+    pub done: Option<Instant>,
+}
+
+impl Returns {
+    fn new(waits: &str) -> Returns {
+        let now = Instant::now();
+        Returns { step: Step::List, waits: waits.into(), since: now, began: now, done: None }
+    }
+}
+
+/// What became of a change that an operator asked for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ChangeOutcome {
+    /// It is agreed.
+    Agreed,
+    /// It holds here, and waits for a majority.
+    Here,
+    /// It does not hold: there was no majority in time.
+    Not,
+}
+
+impl Fleet {
+    /// The fleet, before anything is heard of the others.
+    pub fn new(
+        me: Me,
+        limits: Rc<Limits>,
+        clock: Clock,
+        executor: Rc<LocalExecutor<'static>>,
+        opened: Opened,
+        inputs: SyncSender<Input>,
+    ) -> Rc<Fleet> {
+        let now = Instant::now();
+        let Opened { identity, state, status, marks, learned: kept, legacy } = opened;
+        let mut marks = Marks::new(marks);
+        let legacy = legacy.map_or(Vec::new(), |old| {
+            for host in &old.drains {
+                marks.say(host, identity.id, clock.now());
+            }
+            old.changes(&me.name)
+        });
+        marks.settle(&state);
+        let mut learned = Learned::new(identity.id, clock.now().as_micros().max(0) as u64);
+        let mut breaks = LogRollbacks::default();
+        if let Some(saved) = kept.and_then(|bytes| records::read::<Saved>(&bytes)) {
+            for b in &saved.breaks {
+                breaks.record(*b);
+            }
+            match trust(&saved.at, &clocks(&clock)) {
+                Trust::Guess(since) => {
+                    log::info!(
+                        "fleet: what was learned before is {} ms old; it is a first guess",
+                        since.as_millis()
+                    );
+                    learned.remember(clock.now(), &saved.words, since);
+                }
+                Trust::Worthless(why) => log::warn!("fleet: what was learned before is not used: {why}"),
+            }
+        }
+        let table = Table {
+            learned,
+            digests: BTreeMap::new(),
+            applied: status.applied,
+            identity,
+            state,
+            status,
+            marks,
+            files: Files::default(),
+            legacy,
+            candidates: BTreeMap::new(),
+            met: BTreeMap::new(),
+            told: BTreeMap::new(),
+            heard: BTreeMap::new(),
+            welcomes: BTreeSet::new(),
+            wishes: BTreeMap::new(),
+            word: false,
+            removed: false,
+            broken: None,
+            stand: ("starts".into(), now),
+            differs: None,
+            dropped: 0,
+            leads: None,
+        };
+        Rc::new(Fleet {
+            zoning: RefCell::new(Zoning::new(me.leaving.clone())),
+            moving: RefCell::default(),
+            lead: RefCell::default(),
+            me,
+            limits,
+            // A token of an earlier start must not answer a call of this one.
+            next: Cell::new(clock.now().as_micros().max(0) as u64),
+            clock,
+            executor,
+            inputs,
+            table: RefCell::new(table),
+            ways: RefCell::default(),
+            waiting: RefCell::default(),
+            tokens: RefCell::default(),
+            saved: Cell::new(0),
+            saving: Cell::new(0),
+            hints: async_channel::bounded(64),
+            proposed: RefCell::default(),
+            epoch: RefCell::new(async_channel::bounded(1)),
+            compared: Cell::default(),
+            touched: RefCell::new(Touched::All),
+            kept: RefCell::default(),
+            breaks: Rc::new(RefCell::new(breaks)),
+            order: RefCell::default(),
+            service: RefCell::new(Returns::new(UNLISTED)),
+            restarts: RefCell::default(),
+            cold: Cell::default(),
+            told: async_channel::bounded(4096),
+        })
+    }
+
+    /// Looks at what is known.
+    pub fn table(&self) -> Ref<'_, Table> {
+        self.table.borrow()
+    }
+
+    /// The present.
+    pub fn now(&self) -> Timestamp {
+        self.clock.now()
+    }
+
+    fn change(&self) -> RefMut<'_, Table> {
+        self.table.borrow_mut()
+    }
+
+    /// The ways to the others.
+    pub fn ways(&self) -> Vec<Rc<PeerLink>> {
+        self.ways.borrow().values().cloned().collect()
+    }
+
+    fn way_to(&self, id: NodeId) -> Option<Rc<PeerLink>> {
+        self.ways.borrow().values().find(|w| w.up.get() && w.id() == id).cloned()
+    }
+
+    /// A wake-up at every change of what is known, from now on.
+    pub fn watch(&self) -> Receiver<()> {
+        let (wake, woken) = async_channel::bounded(1);
+        self.waiting.borrow_mut().push(wake);
+        woken
+    }
+
+    fn wake(&self) {
+        // One that is full wakes its receiver as it is; one whose receiver is gone is forgotten.
+        self.waiting.borrow_mut().retain(|w| w.try_send(()).is_ok() || !w.is_closed());
+    }
+
+    /// Hands something to the agreement's thread; false: its queue is full, the disk is slow. Whoever still means
+    /// it says it again, and letters are lost as on any way.
+    fn tell(&self, input: Input) -> bool {
+        let told = self.inputs.try_send(input).is_ok();
+        if !told {
+            log::debug!("store: the queue is full");
+        }
+        told
+    }
+
+    /// The agreed settings.
+    pub fn settings(&self) -> Option<String> {
+        self.table().state.settings.as_ref().map(|(_, text)| text.clone())
+    }
+
+    /// Whether somebody leads, and all is taken in that anybody said to be agreed.
+    pub fn is_current(&self) -> bool {
+        let table = self.table();
+        let led = table.status.leader != NodeId::NOBODY && table.status.part;
+        // The leader's own word: one that leads no more is not heard as the leader.
+        let leader = table.status.leader == table.identity.id
+            || table.heard.get(&table.status.leader).is_some_and(|h| h.beat.term == table.status.term);
+        table.removed || table.broken.is_some() || led && leader && table.lag() == 0
+    }
+
+    fn spread(&self, frame: &Frame) {
+        let bytes = frame.bytes();
+        for way in self.ways().iter().filter(|w| w.up.get()) {
+            way.send(&bytes);
+        }
+    }
+
+    fn hello(&self) -> Hello {
+        let table = self.table();
+        Hello {
+            fleet: table.state.fleet,
+            id: table.identity.id,
+            name: self.me.name.clone(),
+            address: self.me.address,
+            witness: table.status.witness,
+        }
+    }
+
+    fn beat(&self) -> Frame {
+        let table = self.table();
+        Frame::Beat(Beat {
+            leader: table.status.leader,
+            term: table.status.term,
+            last: table.status.witness.last,
+            part: table.status.part,
+            agreed: table.status.agreed,
+            applied: (table.applied, table.state.digest),
+            marks: table.marks.digest(),
+            hears: self.hears(&table),
+            returns: self.returns(),
+        })
+    }
+
+    /// Daemons that were heard within the last moment.
+    fn hears(&self, table: &Table) -> Vec<NodeId> {
+        let recent = |h: &&Heard| h.at.elapsed() < self.limits.heartbeat_interval * 3;
+        let all = table.heard.iter().filter(|(_, h)| recent(h)).map(|(id, _)| *id);
+        all.take(self.limits.fleet_nodes).collect()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/fleet/runtime/own_files.rs
@@ -0,0 +1,98 @@
+//! What this daemon's own files say, and what of that is proposed.
+
+use super::*;
+
+impl Fleet {
+    /// Notes what this daemon's own files say now.
+    pub fn read_files(&self, note: impl FnOnce(&mut Files)) {
+        note(&mut self.change().files);
+        self.compare();
+        self.reconcile();
+    }
+
+    /// Says how this daemon's own inventory differs from the agreed one.
+    pub(super) fn compare(&self) {
+        let mut table = self.change();
+        let Some((Inventory { hosts, .. }, changed)) = &table.files.hosts else { return };
+        let Some(source) = &table.state.inventory else { return };
+        if self.compared.replace((*changed, source.version)) == (*changed, source.version) {
+            return;
+        }
+        let differs = Some(table.state.differs(hosts)).filter(|d| *d != (0, 0, 0));
+        if differs != table.differs {
+            match differs {
+                Some((added, changed, missing)) => log::warn!(
+                    "fleet: the inventory of {} counts; this daemon's own file adds {added}, changes {changed} and lacks {missing} hosts",
+                    source.by
+                ),
+                None => log::info!("fleet: this daemon's own inventory says what is agreed"),
+            }
+            table.differs = differs;
+        }
+    }
+
+    /// Proposes what this daemon's own files say, where it is newer than what is agreed.
+    pub(super) fn reconcile(&self) {
+        let wanted: Vec<(String, Change)> = {
+            let table = self.table();
+            let state = &table.state;
+            if state.fleet == 0
+                || !state.is_complete()
+                || table.removed
+                || table.status.leader == NodeId::NOBODY
+            {
+                return;
+            }
+            let mut wanted = Vec::new();
+            let old = |c: &&Change| match c {
+                Change::Settings { changed, .. } => {
+                    state.settings.as_ref().is_none_or(|(s, _)| *changed > s.changed)
+                }
+                _ => state.inventory.is_none(),
+            };
+            wanted.extend(table.legacy.iter().filter(old).map(|c| (format!("legacy {c:?}"), c.clone())));
+            if let Some((text, changed)) = &table.files.settings
+                && state.settings.as_ref().is_none_or(|(s, _)| *changed > s.changed)
+            {
+                let (by, text) = (self.me.name.clone(), text.clone());
+                wanted.push((
+                    format!("settings {}", changed.as_micros()),
+                    Change::Settings { by, changed: *changed, text },
+                ));
+            }
+            if let Some((Inventory { regions, .. }, changed)) = &table.files.hosts
+                && *changed > state.regions.0
+                && state.inventory.as_ref().is_some_and(|i| *changed >= i.changed)
+                && *regions != state.regions.1
+            {
+                let (by, changed, regions) = (self.me.name.clone(), *changed, regions.clone());
+                wanted.push((
+                    format!("regions {}", changed.as_micros()),
+                    Change::Regions { by, changed, regions },
+                ));
+            }
+            if let Some((Inventory { hosts, .. }, changed)) = &table.files.hosts
+                && !wanted.iter().any(|(_, c)| matches!(c, Change::Inventory { .. }))
+                && let Some(change) = state.inventory_change(&self.me.name, hosts, *changed, self.clock.now())
+            {
+                let base = state.inventory.as_ref().map_or(0, |i| i.version);
+                wanted.push((format!("inventory {} {base}", changed.as_micros()), change));
+            }
+            wanted
+        };
+        let now = Instant::now();
+        let from = self.table().identity.id;
+        let mut proposed = self.proposed.borrow_mut();
+        proposed.retain(|key, _| wanted.iter().any(|(k, _)| k == key));
+        for (key, change) in wanted {
+            let token = match proposed.get(&key) {
+                // Said a moment ago: the leader may still have it.
+                Some((_, at)) if now - *at < self.limits.proposal_retry_interval => continue,
+                Some((token, _)) => *token,
+                None => self.token(),
+            };
+            proposed.insert(key, (token, now));
+            self.forward(Proposal { from, token, change });
+        }
+    }
+}
--- /dev/null
+++ b/src/fleet/runtime/peer_sessions.rs
@@ -0,0 +1,138 @@
+//! The ways to the others.
+
+use super::*;
+
+impl Fleet {
+    pub(super) fn open_ways(self: &Rc<Fleet>) {
+        let wanted: BTreeMap<SocketAddr, bool> = {
+            let table = self.table();
+            let me = table.identity.id;
+            let ways = self.ways.borrow();
+            let named: BTreeSet<NodeId> = ways.values().filter(|w| w.named).map(|w| w.id()).collect();
+            let names: BTreeSet<String> = ways
+                .values()
+                .filter(|w| w.named)
+                .filter_map(|w| Some(w.met.borrow().as_ref()?.name.clone()))
+                .collect();
+            let member = |(id, m): (&NodeId, &Member)| {
+                (*id != me && !named.contains(id) && !names.contains(&m.name)).then_some(m.address)
+            };
+            let told = table.told.iter().filter(|(_, name)| !names.contains(*name) && **name != self.me.name);
+            let more = table.state.members.iter().filter_map(member).chain(told.map(|(at, _)| *at));
+            let more = more.filter(|at| *at != self.me.address).map(|at| (at, false));
+            more.chain(self.me.named.iter().map(|at| (*at, true))).collect()
+        };
+        let mut ways = self.ways.borrow_mut();
+        ways.retain(|at, way| {
+            if !wanted.contains_key(at) {
+                way.end();
+            }
+            wanted.contains_key(at)
+        });
+        for (at, named) in wanted {
+            if ways.contains_key(&at) || ways.len() >= self.limits.fleet_nodes {
+                continue;
+            }
+            let way = Rc::new(PeerLink::new(at, named, &self.limits));
+            ways.insert(at, way.clone());
+            let fleet = self.clone();
+            let task = async move {
+                let judged = |way: &PeerLink, verdict, other| fleet.judged(way, verdict, other);
+                let opened = |way: &PeerLink| fleet.opened(way);
+                let broke = |way: &PeerLink| fleet.broke(way);
+                way.keep(&fleet.limits, || fleet.hello(), judged, opened, broke).await;
+            };
+            self.executor.spawn(task).detach();
+        }
+    }
+
+    /// The other daemon has said what it makes of this one; whether frames may go.
+    pub(super) fn judged(&self, way: &PeerLink, verdict: Verdict, other: Hello) -> bool {
+        let mut table = self.change();
+        let first = !table.heard.contains_key(&other.id);
+        let (fleet, me) = (table.state.fleet, table.identity.id);
+        if other.id == me {
+            drop(table);
+            self.stands(format!("{} is this daemon itself, or one with a copy of its disk", way.address));
+            return false;
+        }
+        if first {
+            log::info!("fleet: {} is {} ({verdict:?})", way.address, other.name);
+        }
+        table.heard.entry(other.id).or_insert_with(|| Heard::met(&other));
+        if fleet == 0 {
+            table.met.insert(way.address, other.clone());
+        }
+        let goes = match verdict {
+            Verdict::Welcome => {
+                if fleet != 0 && other.fleet == fleet {
+                    table.welcomes.insert(other.id);
+                }
+                may_meet(fleet, other.fleet)
+            }
+            Verdict::Candidate(members) => {
+                let more = members.into_iter().filter(|(name, _)| *name != self.me.name);
+                table.told = more.map(|(name, at)| (at, name)).take(self.limits.fleet_nodes).collect();
+                true
+            }
+            Verdict::Older if table.state.members.contains_key(&other.id) => {
+                log::warn!("fleet: {} knows more of this daemon than its disk does", other.name);
+                drop(table);
+                self.tell(Input::Renounce("older"));
+                return false;
+            }
+            Verdict::Removed if other.fleet == fleet && !table.removed => {
+                table.removed = true;
+                log::warn!(
+                    "fleet: {} says that this daemon was removed; it serves with what it last knew and agrees to nothing",
+                    other.name
+                );
+                false
+            }
+            Verdict::Recovered if table.status.leader == NodeId::NOBODY && fleet != 0 => {
+                log::warn!(
+                    "fleet: {} is of a fleet that goes on from this one; this daemon goes over",
+                    other.name
+                );
+                // What was drained here stays so until the new fleet has ended it.
+                let Table { marks, state, .. } = &mut *table;
+                let drains =
+                    state.drains.iter().flat_map(|(host, m)| m.iter().map(move |m| (host.clone(), *m)));
+                marks.hear(drains.collect(), &State::default(), self.limits.pending_drains);
+                drop(table);
+                self.tell(Input::Renounce("recovered"));
+                return false;
+            }
+            Verdict::Older | Verdict::Removed | Verdict::Stranger | Verdict::Recovered => {
+                table.dropped += 1;
+                false
+            }
+        };
+        drop(table);
+        self.wake();
+        goes
+    }
+
+    /// What is not agreed, and how things stand, is said at once to whoever comes back.
+    pub(super) fn opened(&self, way: &PeerLink) {
+        way.send(&self.beat().bytes());
+        if self.table().leads.is_some() {
+            self.tell(Input::Ping);
+        }
+        way.send(&Frame::Digest(self.table().learned.digest()).bytes());
+        let breaks = self.breaks.borrow().all();
+        if !breaks.is_empty() {
+            way.send(&Frame::LogRollbacks(breaks).bytes());
+        }
+        let marks = self.table().marks.all();
+        if !marks.is_empty() {
+            way.send(&Frame::Marks(marks).bytes());
+        }
+    }
+
+    /// A way has broken: what was said there no longer counts for the forming of a fleet.
+    pub(super) fn broke(&self, way: &PeerLink) {
+        self.change().met.remove(&way.address);
+        self.tell(Input::Unreachable(way.id()));
+    }
+}
--- /dev/null
+++ b/src/fleet/runtime/store_events.rs
@@ -0,0 +1,169 @@
+//! What the agreement's thread says.
+
+use super::*;
+
+impl Fleet {
+    /// Takes in what the agreement's thread says, for ever; comes back with why when it has failed.
+    pub async fn hear_store(&self, outputs: &Receiver<Output>) {
+        while let Ok(output) = outputs.recv().await {
+            match output {
+                Output::Letters(letters) => self.post(letters),
+                Output::Applied(applied) => self.take_in(applied),
+                Output::Status(status) => {
+                    let mut table = self.change();
+                    if table.status.leader != status.leader || table.status.term != status.term {
+                        let name =
+                            |id| table.state.members.get(&id).map_or("nobody".into(), |m| m.name.clone());
+                        log::info!("fleet: term {}, {} leads", status.term, name(status.leader));
+                    }
+                    let leads = status.leader == table.identity.id;
+                    table.leads = table.leads.filter(|_| leads).or(leads.then(Instant::now));
+                    let word = |s: &Status| (s.leader, s.term, s.part);
+                    let turned = word(&table.status) != word(&status);
+                    table.status = *status;
+                    drop(table);
+                    if turned {
+                        // Whoever returns waits for the leader's own word, or stands once all can hear it.
+                        self.spread(&self.beat());
+                    }
+                    self.wake();
+                }
+                Output::Saved(version) => {
+                    self.saved.set(self.saved.get().max(version));
+                    self.wake();
+                }
+                Output::Renewed(identity) => {
+                    log::warn!("fleet: this daemon begins anew, as {:016x}", identity.id);
+                    let mut table = self.change();
+                    table.learned = Learned::new(identity.id, self.clock.now().as_micros().max(0) as u64);
+                    table.identity = identity;
+                    table.welcomes.clear();
+                    // What was agreed goes on to be served until the fleet has told it again.
+                    table.state.fleet = 0;
+                    table.removed = false;
+                    drop(table);
+                    self.saving.set(0);
+                    self.save();
+                    self.renew();
+                }
+                Output::Broken(why) => {
+                    log::error!(
+                        "store: {why}; this daemon agrees to nothing any more, and serves with what it has"
+                    );
+                    self.change().broken = Some(why);
+                    self.wake();
+                }
+            }
+        }
+    }
+
+    pub(super) fn post(&self, letters: Vec<Letter>) {
+        let mut by: BTreeMap<NodeId, Vec<Letter>> = BTreeMap::new();
+        letters.into_iter().for_each(|l| by.entry(l.to).or_default().push(l));
+        for (to, letters) in by {
+            let whole = letters.iter().any(Letter::carries_state);
+            let sent = self.way_to(to).is_some_and(|way| way.send(&Frame::Letters(letters).bytes()));
+            if whole {
+                self.tell(Input::Sent(to, sent));
+            }
+        }
+    }
+
+    pub(super) fn take_in(&self, applied: Vec<Applied>) {
+        let mut table = self.change();
+        let (fleet, me) = (table.state.fleet, table.identity.id);
+        for one in applied {
+            match one.what {
+                What::State(state) => {
+                    table.state = *state;
+                    *self.touched.borrow_mut() = Touched::All;
+                }
+                What::Change(Proposal { from, token, change }) => {
+                    self.touch(named(&change));
+                    let effect = table.state.apply(one.index, &change);
+                    log::debug!(
+                        "fleet: agreed {} {:08x}: {}",
+                        one.index,
+                        one.digest,
+                        describe(&change, effect)
+                    );
+                    if from == me
+                        && let Some(waits) = self.tokens.borrow_mut().get_mut(&token)
+                    {
+                        *waits = Some(effect);
+                    }
+                }
+                What::Members(change) => {
+                    table.state.apply_members(&change);
+                    if !change.steps.is_empty() {
+                        log::info!("fleet: members: {:?}", change.steps);
+                    }
+                }
+                What::Nothing => {}
+            }
+            table.applied = one.index;
+            table.state.digest = one.digest;
+        }
+        let joined = table.state.fleet != fleet;
+        if joined {
+            log::info!("fleet: {} is of fleet {:032x}", self.me.name, table.state.fleet);
+            table.met.clear();
+            table.told.clear();
+        }
+        let is_member = table.state.members.contains_key(&me);
+        if table.state.fleet != 0 && table.state.removed.contains_key(&me) && !is_member && !table.removed {
+            table.removed = true;
+            log::warn!(
+                "fleet: this daemon was removed; it serves with what it last knew and agrees to nothing"
+            );
+        }
+        let Table { marks, state, .. } = &mut *table;
+        let settled = marks.settle(state);
+        self.touch(settled.iter().map(|(host, _)| host.clone()));
+        let settled = !settled.is_empty();
+        drop(table);
+        if settled {
+            self.save();
+        }
+        if joined {
+            self.renew();
+        }
+        self.shape_zones(self.clock.now());
+        self.compare();
+        self.wake();
+        self.reconcile();
+    }
+
+    /// All connections are opened anew, both ways: what was said at their beginning has changed.
+    pub(super) fn renew(&self) {
+        self.ways().iter().for_each(|w| w.renew());
+        let (before, _) = self.epoch.replace(async_channel::bounded(1));
+        before.close();
+    }
+}
+
+/// Hosts that a change may change in the list.
+fn named(change: &Change) -> Vec<String> {
+    match change {
+        Change::Drain { host, .. } | Change::Undrain { host, .. } => vec![host.clone()],
+        Change::Inventory { set, gone, .. } => set.iter().map(|(n, _)| n).chain(gone).cloned().collect(),
+        Change::Settings { .. } | Change::Zone { .. } | Change::Regions { .. } => Vec::new(),
+    }
+}
+
+fn describe(change: &Change, effect: Effect) -> String {
+    match change {
+        Change::Drain { host, .. } => format!("drain {host}: {effect:?}"),
+        Change::Undrain { host, .. } => format!("undrain {host}: {effect:?}"),
+        Change::Inventory { by, set, gone, .. } => {
+            format!("inventory of {by}, {} set, {} gone: {effect:?}", set.len(), gone.len())
+        }
+        Change::Settings { by, .. } => format!("settings of {by}: {effect:?}"),
+        Change::Regions { by, regions, .. } => {
+            format!("regions of {} zones by {by}: {effect:?}", regions.len())
+        }
+        Change::Zone { zone, share } => {
+            format!("zone {zone} to {} by move {}, {:?}: {effect:?}", share.part, share.number, share.why)
+        }
+    }
+}
