--- a/src/engine/admission.rs
+++ b/src/engine/admission.rs
@@ -76,28 +76,53 @@
 pub enum AdmissionMode {
     /// None; a time to come back from which on that may be otherwise.
     Closed(TimeDelta),
-    /// So many a second as its hosts bear, found out by their answers, at no time more than `most`: they are cold.
+    /// At a rate that is adapted to how the endpoints answer, while they are warming up.
     Paced {
-        /// This daemon's part of what they bear, a second, by what is known now. The pace begins there.
-        bears: f64,
-        /// At the most, a second, by what is known now.
-        most: f64,
-        /// The hosts themselves said what they bear; otherwise they may bear much more.
-        said: bool,
+        /// This process's share of the endpoints' present capacity, in requests per second. The rate starts there.
+        capacity_per_s: f64,
+        /// Upper bound of the rate, in requests per second.
+        max_per_s: f64,
+        /// Where `capacity_per_s` comes from.
+        capacity_source: CapacitySource,
     },
     /// All.
     Open,
 }
 
-/// The terms of a daemon that returns.
+/// Where the capacity of a group's endpoints is known from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CapacitySource {
+    /// All endpoints reported their utilization: the capacity is what they served, divided by it.
+    Reported,
+    /// It is what endpoints were seen to serve; the real capacity may be much greater.
+    Estimated,
+}
+
+/// How requests of one group are admitted.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct GroupAdmission {
+    /// Requests that need the primary.
+    pub writes: AdmissionMode,
+    /// All other requests.
+    pub reads: AdmissionMode,
+}
+
+impl GroupAdmission {
+    /// The mode of writes, then that of reads.
+    pub fn modes(&self) -> [AdmissionMode; 2] {
+        [self.writes, self.reads]
+    }
+}
+
+/// What a process admits while its service recovers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionPolicy {
-    /// By group, for writes and for reads; what needs neither goes with reads.
-    pub groups: BTreeMap<GroupId, [AdmissionMode; 2]>,
-    /// Whether what any host can serve is let in.
-    pub rest: bool,
-    /// For groups that are not named, and where the rest is not let in.
-    pub wait: TimeDelta,
+    /// By group; groups that are not in it are closed.
+    pub groups: BTreeMap<GroupId, GroupAdmission>,
+    /// Whether eventual reads, which any endpoint can serve, are admitted at all.
+    pub admit_eventual_reads: bool,
+    /// Retry-after hint for groups that are not in the map, and for eventual reads that are not admitted.
+    pub retry_after: TimeDelta,
 }
 
 #[derive(Debug)]
@@ -257,11 +282,13 @@
         let groups = terms.as_ref().map(|t| &t.groups);
         self.paces.retain(|(group, side), _| {
             let ways = groups.and_then(|groups| groups.get(group));
-            ways.is_some_and(|ways| matches!(ways[*side], AdmissionMode::Paced { .. }))
+            ways.is_some_and(|ways| matches!(ways.modes()[*side], AdmissionMode::Paced { .. }))
         });
         for (group, ways) in terms.iter().flat_map(|t| &t.groups) {
-            for (side, way) in ways.iter().enumerate() {
-                if let AdmissionMode::Paced { bears, most, said } = *way {
+            for (side, way) in ways.modes().into_iter().enumerate() {
+                if let AdmissionMode::Paced { capacity_per_s: bears, max_per_s: most, capacity_source } = way
+                {
+                    let said = capacity_source == CapacitySource::Reported;
                     let pace = self.paces.entry((*group, side));
                     // One whole for each daemon would be a wave that grows with their number.
                     let pace = pace.or_insert_with(|| PacedRate::new(now, bears, most, self.phases.f64()));
@@ -276,10 +303,10 @@
     pub fn admit(&mut self, now: Timestamp, class: usize, group: GroupId) -> Result<(), TimeDelta> {
         let Some(terms) = &self.terms else { return Ok(()) };
         let Some(&(rank, kind)) = self.ranks.get(class) else { return Ok(()) };
-        let shut = AdmissionMode::Closed(terms.wait);
+        let shut = AdmissionMode::Closed(terms.retry_after);
         let way = match kind {
-            RequestKind::Rest if !terms.rest => shut,
-            _ => terms.groups.get(&group).map_or(shut, |ways| ways[side(kind)]),
+            RequestKind::Rest if !terms.admit_eventual_reads => shut,
+            _ => terms.groups.get(&group).map_or(shut, |ways| ways.modes()[side(kind)]),
         };
         let let_in = match way {
             AdmissionMode::Open => Ok(()),
@@ -366,7 +393,11 @@
     }
 
     fn terms(writes: AdmissionMode, reads: AdmissionMode, rest: bool) -> Option<AdmissionPolicy> {
-        Some(AdmissionPolicy { groups: BTreeMap::from([(G, [writes, reads])]), rest, wait: MS * 300 })
+        Some(AdmissionPolicy {
+            groups: BTreeMap::from([(G, GroupAdmission { writes, reads })]),
+            admit_eventual_reads: rest,
+            retry_after: MS * 300,
+        })
     }
 
     #[test]
@@ -412,7 +443,15 @@
             let (start, most) = (rng.f64() * 40.0 + 1.0, rng.f64() * 200.0 + 1.0);
             gate.set(
                 Timestamp::ZERO,
-                terms(AdmissionMode::Paced { bears: start, most, said: false }, AdmissionMode::Open, true),
+                terms(
+                    AdmissionMode::Paced {
+                        capacity_per_s: start,
+                        max_per_s: most,
+                        capacity_source: CapacitySource::Estimated,
+                    },
+                    AdmissionMode::Open,
+                    true,
+                ),
             );
             let (mut now, mut let_in) = (Timestamp::ZERO, Vec::new());
             let mut back: Vec<Timestamp> = Vec::new();
@@ -454,7 +493,11 @@
             gate.set(
                 Timestamp::ZERO,
                 terms(
-                    AdmissionMode::Paced { bears: 10.0, most: 1_000.0, said: false },
+                    AdmissionMode::Paced {
+                        capacity_per_s: 10.0,
+                        max_per_s: 1_000.0,
+                        capacity_source: CapacitySource::Estimated,
+                    },
                     AdmissionMode::Open,
                     true,
                 ),
@@ -492,7 +535,11 @@
         for (daemons, seed) in [1, 3, 12].into_iter().flat_map(|d| (0..12).map(move |seed| (d, seed))) {
             let mut rng = fastrand::Rng::with_seed(seed);
             let bears = BEARS / daemons as f64;
-            let way = AdmissionMode::Paced { bears, most: bears * 3.2, said: true };
+            let way = AdmissionMode::Paced {
+                capacity_per_s: bears,
+                max_per_s: bears * 3.2,
+                capacity_source: CapacitySource::Reported,
+            };
             let mut gates: Vec<AdmissionController> =
                 (0..daemons).map(|n| AdmissionController::new(&settings(), seed * 100 + n)).collect();
             gates
@@ -526,7 +573,15 @@
         let mut gate = gate();
         gate.set(
             Timestamp::ZERO,
-            terms(AdmissionMode::Open, AdmissionMode::Paced { bears: 100.0, most: 100.0, said: false }, true),
+            terms(
+                AdmissionMode::Open,
+                AdmissionMode::Paced {
+                    capacity_per_s: 100.0,
+                    max_per_s: 100.0,
+                    capacity_source: CapacitySource::Estimated,
+                },
+                true,
+            ),
         );
         let mut let_in = [0; 4];
         for now in moments(2 * S).step_by(4) {
--- a/src/engine/log_rollback.rs
+++ b/src/engine/log_rollback.rs
@@ -28,12 +28,12 @@
 
 impl LogRollbacks {
     /// Whether nothing is new in a break.
-    pub fn knows(&self, one: LogRollback) -> bool {
+    pub fn is_known(&self, one: LogRollback) -> bool {
         self.0.get(&one.group).is_some_and(|known| known.iter().any(|b| b.from == one.from && b.to >= one.to))
     }
 
     /// Notes a break; true: it was not known. One that was noticed by several daemons is one.
-    pub fn note(&mut self, new: LogRollback) -> bool {
+    pub fn record(&mut self, new: LogRollback) -> bool {
         if new.to <= new.from {
             return false;
         }
@@ -103,7 +103,7 @@
             rng.shuffle(&mut found);
             let mut breaks = LogRollbacks::default();
             for b in &found {
-                breaks.note(*b);
+                breaks.record(*b);
             }
             for commit in lost.iter().filter(|_| breaks.all().len() < BREAKS) {
                 assert!(breaks.lost(G, *commit).is_some(), "seed {seed}: {commit:?} is gone");
@@ -119,22 +119,23 @@
     fn breaks_are_bounded_and_noted_once() {
         let mut breaks = LogRollbacks::default();
         let one = LogRollback { group: G, from: at(5), to: at(9) };
-        assert!(!breaks.knows(one));
+        assert!(!breaks.is_known(one));
         assert!(
-            breaks.note(one)
-                && breaks.knows(one)
-                && !breaks.note(one)
-                && !breaks.note(LogRollback { to: at(8), ..one })
+            breaks.record(one)
+                && breaks.is_known(one)
+                && !breaks.record(one)
+                && !breaks.record(LogRollback { to: at(8), ..one })
         );
         assert!(
-            !breaks.note(LogRollback { to: at(5), ..one }) && breaks.note(LogRollback { to: at(10), ..one })
+            !breaks.record(LogRollback { to: at(5), ..one })
+                && breaks.record(LogRollback { to: at(10), ..one })
         );
         assert_eq!(
             (breaks.lost(G, at(5)), breaks.lost(G, at(10)), breaks.lost(G, at(11))),
             (None, Some(at(5)), None)
         );
         for n in 0..100 {
-            breaks.note(LogRollback { group: G, from: at(n * 10), to: at(n * 10 + 5) });
+            breaks.record(LogRollback { group: G, from: at(n * 10), to: at(n * 10 + 5) });
         }
         assert_eq!((breaks.all().len(), breaks.lost(G, at(3))), (BREAKS, None));
     }
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -119,26 +119,26 @@
 /// What another daemon heard a host say of itself, or this one before its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerObservation {
-    /// The host's name.
-    pub host: String,
-    /// It called itself the primary.
+    /// The endpoint's name.
+    pub endpoint_name: String,
+    /// It reported to be the primary.
     pub primary: bool,
-    /// The position that it told; [`LogPosition::UNKNOWN`]: none.
+    /// The log position that it reported; [`LogPosition::UNKNOWN`] where it reported none.
     pub position: LogPosition,
-    /// When that was heard, by this daemon's clock.
-    pub at: Timestamp,
-    /// It was heard since the host's last start, as far as is known, and a moment ago: it does for an answer to
-    /// the module's own question. Otherwise it tells only how far the host once was.
-    pub fresh: bool,
+    /// When it was observed, by this process's clock.
+    pub observed_at: Timestamp,
+    /// Recent enough to stand in for an answer to this process's own poll. Otherwise it proves only how far the
+    /// endpoint's log once reached.
+    pub replaces_poll: bool,
 }
 
 /// Who asks hosts in turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollParticipants {
-    /// This daemon.
-    pub me: NodeId,
-    /// Others that are heard.
-    pub others: Vec<NodeId>,
+    /// This process.
+    pub local: NodeId,
+    /// The peers that it currently receives messages from.
+    pub peers: Vec<NodeId>,
 }
 
 /// What comes in ahead of everything else.
--- a/src/engine/observations.rs
+++ b/src/engine/observations.rs
@@ -9,28 +9,45 @@
 /// Starts of a host that differ by no more are one: hosts tell how long they run, each time a little differently.
 pub const START_TIME_TOLERANCE: TimeDelta = TimeDelta::from_secs(2);
 
-/// What a host last told.
+/// The utilization that an endpoint reported, summed over several reports.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct UtilizationSamples {
+    /// Sum of the reported shares of the endpoint's capacity in use, each from 0 to 1.
+    pub sum: f64,
+    /// Number of reports in the sum.
+    pub count: u32,
+}
+
+/// An endpoint's log position went back behind one that it had reported before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LogRegression {
+    /// The position that it reports now.
+    pub position: LogPosition,
+    /// When the request was sent that was answered with that position.
+    pub requested_at: Timestamp,
+}
+
+/// What an endpoint last reported, and what was counted since observations were last taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// The host's name.
-    pub host: String,
-    /// It called itself the primary.
+    /// The endpoint's name.
+    pub endpoint_name: String,
+    /// It reported to be the primary.
     pub primary: bool,
-    /// The position that it told; [`LogPosition::UNKNOWN`]: none.
+    /// The log position that it reported; [`LogPosition::UNKNOWN`] where it reported none.
     pub position: LogPosition,
-    /// When.
-    pub at: Timestamp,
-    /// Attempts that are out at it now.
-    pub out: u16,
-    /// When it started, as far as it says itself, or its position shows, or the list knows.
-    pub started: Option<Timestamp>,
-    /// Good answers since the last time.
+    /// When the report arrived.
+    pub observed_at: Timestamp,
+    /// Attempts that are in flight at the endpoint now.
+    pub in_flight: u16,
+    /// When the endpoint started: by its own report, by a log regression of a primary, or by the endpoint list.
+    pub started_at: Option<Timestamp>,
+    /// Attempts that it served since observations were last taken.
     pub served: u32,
-    /// Which part of its capacity it said to be in use, added up over so many answers since the last time.
-    pub used: (f64, u32),
-    /// It went back behind what it had told before: to which position, and when the question went out that it
-    /// answered so.
-    pub back: Option<(LogPosition, Timestamp)>,
+    /// The utilization that it reported since observations were last taken.
+    pub utilization: UtilizationSamples,
+    /// Its log position went back since observations were last taken.
+    pub regression: Option<LogRegression>,
 }
 
 /// What is known of a host, since it was last read or, of `top`, ever.
@@ -39,8 +56,8 @@
     replica_status: Option<(ReplicaStatus, Timestamp)>,
     up: Option<Timestamp>,
     served: u32,
-    used: (f64, u32),
-    back: Option<(LogPosition, Timestamp)>,
+    utilization: UtilizationSamples,
+    regression: Option<LogRegression>,
     /// The greatest position that it told, and when that had come.
     top: Option<(LogPosition, Timestamp)>,
     /// It began anew, as its position shows: it was the primary and went back.
@@ -52,16 +69,16 @@
 pub struct NewObservation {
     /// The last mark, with when it came.
     pub replica_status: ReplicaStatus,
-    /// See there.
-    pub at: Timestamp,
-    /// When the host started, by its own word or its position.
-    pub started: Option<Timestamp>,
+    /// See [`Observation::observed_at`].
+    pub observed_at: Timestamp,
+    /// When the endpoint started, by its own report or a log regression of a primary.
+    pub started_at: Option<Timestamp>,
     /// See [`Observation::served`].
     pub served: u32,
-    /// See [`Observation::used`].
-    pub used: (f64, u32),
-    /// See [`Observation::back`].
-    pub back: Option<(LogPosition, Timestamp)>,
+    /// See [`Observation::utilization`].
+    pub utilization: UtilizationSamples,
+    /// See [`Observation::regression`].
+    pub regression: Option<LogRegression>,
 }
 
 /// What is new since it was last read. Off until somebody reads it.
@@ -101,7 +118,7 @@
         let went_back =
             told.top.is_some_and(|(top, came)| came < sent && replica_status.position + ROUNDING < top);
         if went_back {
-            told.back = Some((replica_status.position, sent));
+            told.regression = Some(LogRegression { position: replica_status.position, requested_at: sent });
             self.urgent = true;
             // A replica may have been given an older copy while it ran; a primary has lost what it had.
             told.anew = if replica_status.primary { Some(at) } else { told.anew };
@@ -130,14 +147,16 @@
         if self.on
             && let Some(told) = self.all.get_mut(&endpoint)
         {
-            told.used = (told.used.0 + util.clamp(0.0, 1.0), told.used.1 + 1);
+            told.utilization.sum += util.clamp(0.0, 1.0);
+            told.utilization.count += 1;
         }
     }
 
     /// What was known of a host's position before, or by others: when it had come there.
     pub fn known(&mut self, endpoint: EndpointId, position: LogPosition, came: Timestamp) {
         let told = self.all.entry(endpoint).or_default();
-        if position.is_known() && told.top.is_none_or(|(top, _)| position > top) && told.back.is_none() {
+        if position.is_known() && told.top.is_none_or(|(top, _)| position > top) && told.regression.is_none()
+        {
             told.top = Some((position, came));
         }
     }
@@ -162,11 +181,16 @@
             let told = all.get_mut(&endpoint)?;
             let (replica_status, at) = told.replica_status?;
             let served = std::mem::take(&mut told.served);
-            let (started, used) = (told.up.max(told.anew), std::mem::take(&mut told.used));
-            Some((
-                endpoint,
-                NewObservation { replica_status, at, started, served, used, back: told.back.take() },
-            ))
+            let utilization = std::mem::take(&mut told.utilization);
+            let new = NewObservation {
+                replica_status,
+                observed_at: at,
+                started_at: told.up.max(told.anew),
+                served,
+                utilization,
+                regression: told.regression.take(),
+            };
+            Some((endpoint, new))
         };
         new.into_iter().filter_map(one).collect()
     }
@@ -217,10 +241,10 @@
                     facts.note(A, replica_status(position), None, at(sent), at(now));
                 }
                 if rng.u8(..8) == 0 {
-                    went_back |= facts.take().iter().any(|(_, new)| new.back.is_some());
+                    went_back |= facts.take().iter().any(|(_, new)| new.regression.is_some());
                 }
             }
-            went_back |= facts.take().iter().any(|(_, new)| new.back.is_some());
+            went_back |= facts.take().iter().any(|(_, new)| new.regression.is_some());
             assert_eq!(went_back, falls.is_some(), "seed {seed}");
         }
     }
@@ -236,11 +260,12 @@
         facts.served(A);
         assert!(facts.is_urgent() && !facts.is_urgent());
         let new = facts.take()[0].1;
-        assert_eq!((new.back, new.started, new.served), (Some((position(400_000), at(20))), Some(at(50)), 1));
+        let regression = LogRegression { position: position(400_000), requested_at: at(20) };
+        assert_eq!((new.regression, new.started_at, new.served), (Some(regression), Some(at(50)), 1));
         facts.note(A, replica_status(500_000), Some(TimeDelta::from_micros(60)), at(60), at(90));
         let new = facts.take()[0].1;
         assert_eq!(
-            (new.back, new.started, new.served, facts.heard(A)),
+            (new.regression, new.started_at, new.served, facts.heard(A)),
             (None, Some(at(50)), 0, Some(at(90)))
         );
         facts.retain(|endpoint| endpoint != A);
--- a/src/engine/outcome_window.rs
+++ b/src/engine/outcome_window.rs
@@ -30,29 +30,29 @@
 /// What one host did with the attempts of one daemon within the last moments.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Answered in time.
-    pub good: u32,
-    /// Answered late against the usual of the class, or overdue while the host answers others.
+    /// Answered within the usual time of their class.
+    pub on_time: u32,
+    /// Answered later than that, or overdue while the endpoint answers others.
     pub late: u32,
-    /// Not answered: out for too long, given up, or broken off.
-    pub silent: u32,
+    /// Not answered: overdue, cancelled when overdue, timed out, or the connection broke.
+    pub unanswered: u32,
     /// No connection was made.
-    pub refused: u32,
-    /// Thousandths of its capacity that the host last said to be in use; 0: it does not say.
-    pub busy: u16,
+    pub connect_failed: u32,
+    /// Share of its capacity that the endpoint last reported to be in use, per mille; 0 where it reports none.
+    pub utilization_permille: u16,
 }
 
 impl OutcomeCounts {
     fn add(&mut self, other: &OutcomeCounts) {
-        self.good += other.good;
+        self.on_time += other.on_time;
         self.late += other.late;
-        self.silent += other.silent;
-        self.refused += other.refused;
+        self.unanswered += other.unanswered;
+        self.connect_failed += other.connect_failed;
     }
 
-    /// All that had an end.
-    pub fn ended(&self) -> u32 {
-        self.good + self.late + self.silent + self.refused
+    /// Number of attempts counted.
+    pub fn total(&self) -> u32 {
+        self.on_time + self.late + self.unanswered + self.connect_failed
     }
 }
 
@@ -110,10 +110,10 @@
             AttemptOutcome::Served
             | AttemptOutcome::Misdirected
             | AttemptOutcome::Overloaded
-            | AttemptOutcome::Error => seen.good = 1,
-            AttemptOutcome::ConnectFailed => seen.refused = 1,
-            AttemptOutcome::TimedOut | AttemptOutcome::Reset => seen.silent = 1,
-            AttemptOutcome::Cancelled if took > self.client_timeout(class) => seen.silent = 1,
+            | AttemptOutcome::Error => seen.on_time = 1,
+            AttemptOutcome::ConnectFailed => seen.connect_failed = 1,
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset => seen.unanswered = 1,
+            AttemptOutcome::Cancelled if took > self.client_timeout(class) => seen.unanswered = 1,
             _ => return,
         }
         if outcome == AttemptOutcome::Served {
@@ -121,7 +121,7 @@
             let weight = if took.as_micros_f64() > *usual { RISE } else { FALL };
             *usual += (took.as_micros_f64() - *usual) * weight;
         }
-        if seen.good + seen.late > 0 {
+        if seen.on_time + seen.late > 0 {
             self.answered.insert(endpoint, now);
             self.failed.remove(&endpoint);
         } else {
@@ -174,8 +174,8 @@
         }
         for (endpoint, (failed, _)) in &self.failed {
             let seen = seen.entry(*endpoint).or_default();
-            seen.silent = seen.silent.max(failed.silent.min(FEW));
-            seen.refused = seen.refused.max(failed.refused.min(FEW));
+            seen.unanswered = seen.unanswered.max(failed.unanswered.min(FEW));
+            seen.connect_failed = seen.connect_failed.max(failed.connect_failed.min(FEW));
         }
         for one in out.filter(|out| self.is_overdue(now, out)) {
             let seen = seen.entry(one.endpoint).or_default();
@@ -183,11 +183,12 @@
             if self.answered.get(&one.endpoint).is_some_and(|at| *at >= one.sent) {
                 seen.late += 1;
             } else {
-                seen.silent += 1;
+                seen.unanswered += 1;
             }
         }
         for (endpoint, seen) in &mut seen {
-            seen.busy = self.busy.get(endpoint).map_or(0, |busy| ((busy * 1000.0) as u16).max(1));
+            seen.utilization_permille =
+                self.busy.get(endpoint).map_or(0, |busy| ((busy * 1000.0) as u16).max(1));
         }
         seen
     }
@@ -233,12 +234,12 @@
         (0..50).for_each(|n| outcomes.ended(at(n * 10 * MS), A, 0, 5 * MS, AttemptOutcome::Served));
         let out = |sent| [InFlightAttempt { endpoint: A, class: 0, sent }].into_iter();
         // It last answered at 490.
-        assert_eq!(outcomes.read(at(880 * MS), out(at(500 * MS))).get(&A).map_or(0, |s| s.silent), 0);
-        assert_eq!(outcomes.read(at(950 * MS), out(at(500 * MS)))[&A].silent, 1);
+        assert_eq!(outcomes.read(at(880 * MS), out(at(500 * MS))).get(&A).map_or(0, |s| s.unanswered), 0);
+        assert_eq!(outcomes.read(at(950 * MS), out(at(500 * MS)))[&A].unanswered, 1);
         let seen = outcomes.read(at(950 * MS), out(at(480 * MS)))[&A];
-        assert_eq!((seen.silent, seen.late), (0, 1), "it has answered since, but not this one");
+        assert_eq!((seen.unanswered, seen.late), (0, 1), "it has answered since, but not this one");
         outcomes.ended(at(960 * MS), A, 0, 5 * MS, AttemptOutcome::Served);
-        assert_eq!(outcomes.read(at(970 * MS), out(at(500 * MS)))[&A].silent, 0);
+        assert_eq!(outcomes.read(at(970 * MS), out(at(500 * MS)))[&A].unanswered, 0);
         assert!(outcomes.read(at(5_000 * MS), std::iter::empty()).is_empty(), "what is old has faded");
     }
 
@@ -248,8 +249,8 @@
         let mut outcomes = outcomes();
         (0..9).for_each(|_| outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::ConnectFailed));
         let none = std::iter::empty;
-        assert_eq!(outcomes.read(at(MS), none())[&A].refused, 9);
-        assert_eq!(outcomes.read(at(1_900 * MS), none())[&A].refused, FEW);
+        assert_eq!(outcomes.read(at(MS), none())[&A].connect_failed, 9);
+        assert_eq!(outcomes.read(at(1_900 * MS), none())[&A].connect_failed, FEW);
         assert!(outcomes.read(at(HELD), none()).is_empty());
         outcomes.ended(at(HELD), A, 0, MS, AttemptOutcome::Reset);
         outcomes.ended(at(HELD), A, 0, MS, AttemptOutcome::Served);
@@ -270,8 +271,8 @@
                 outcomes.ended(at(n * MS), endpoint, 0, took, AttemptOutcome::Served);
             }
             let seen = outcomes.read(at(2_000 * MS), std::iter::empty());
-            assert!(seen[&A].late * 10 < seen[&A].good, "seed {seed}: {seen:?}");
-            assert!(seen[&b].late > seen[&b].good, "seed {seed}: {seen:?}");
+            assert!(seen[&A].late * 10 < seen[&A].on_time, "seed {seed}: {seen:?}");
+            assert!(seen[&b].late > seen[&b].on_time, "seed {seed}: {seen:?}");
         }
     }
 
@@ -289,7 +290,10 @@
         outcomes.ended(at(MS), A, 0, MS, AttemptOutcome::Cancelled);
         outcomes.ended(at(MS), A, 0, 500 * MS, AttemptOutcome::Cancelled);
         let seen = outcomes.read(at(2 * MS), std::iter::empty())[&A];
-        assert_eq!(seen, OutcomeCounts { good: 2, late: 0, silent: 3, refused: 1, busy: 0 });
-        assert_eq!(seen.ended(), 6);
+        assert_eq!(
+            seen,
+            OutcomeCounts { on_time: 2, late: 0, unanswered: 3, connect_failed: 1, utilization_permille: 0 }
+        );
+        assert_eq!(seen.total(), 6);
     }
 }
--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -140,15 +140,15 @@
         let fact = |(endpoint, new): (EndpointId, NewObservation)| {
             let host = self.endpoints.host(endpoint)?;
             Some(Observation {
-                host: host.name.clone(),
+                endpoint_name: host.name.clone(),
                 primary: new.replica_status.primary,
                 position: new.replica_status.position,
-                at: new.at,
-                out: out.get(&endpoint).copied().unwrap_or(0),
-                started: new.started.max(host.started_at),
+                observed_at: new.observed_at,
+                in_flight: out.get(&endpoint).copied().unwrap_or(0),
+                started_at: new.started_at.max(host.started_at),
                 served: new.served,
-                used: new.used,
-                back: new.back,
+                utilization: new.utilization,
+                regression: new.regression,
             })
         };
         new.into_iter().filter_map(fact).collect()
@@ -182,8 +182,8 @@
     /// Hosts are asked in turn with others from now on, or whenever the module wants it.
     pub fn turns(&mut self, now: Timestamp, turns: Option<PollParticipants>, commands: &mut Vec<Command<W>>) {
         match (turns, &mut self.asks) {
-            (Some(PollParticipants { others, .. }), Some(asks)) => asks.hears(others),
-            (Some(PollParticipants { me, others }), none) => *none = Some(PollScheduler::new(me, others)),
+            (Some(PollParticipants { peers, .. }), Some(asks)) => asks.hears(peers),
+            (Some(PollParticipants { local, peers }), none) => *none = Some(PollScheduler::new(local, peers)),
             (None, asks) => {
                 for endpoint in asks.take().map(PollScheduler::end).unwrap_or_default() {
                     self.probe(now, endpoint, commands);
@@ -196,14 +196,15 @@
 
     /// Takes in what others heard hosts say. What this daemon heard itself, and later, counts for more.
     pub fn told(&mut self, now: Timestamp, all: Vec<PeerObservation>, commands: &mut Vec<Command<W>>) {
-        for PeerObservation { host, primary, position, at, fresh } in all {
+        for PeerObservation { endpoint_name: host, primary, position, observed_at: at, replaces_poll } in all
+        {
             let Some(endpoint) = self.endpoints.find(&host) else { continue };
             let committed = position.commit_time(Timestamp::ZERO);
             let later = self.facts.heard(endpoint).is_some_and(|own| own >= at);
             if !later && committed <= now + AHEAD {
                 self.facts.known(endpoint, position, at);
             }
-            if later || !fresh || committed > now + AHEAD || self.asks.is_none() {
+            if later || !replaces_poll || committed > now + AHEAD || self.asks.is_none() {
                 continue;
             }
             let report = report_of(&self.settings.report_fields, |field| match field {
--- a/src/fleet/gossip.rs
+++ b/src/fleet/gossip.rs
@@ -4,7 +4,7 @@
 //! Ages go between daemons, never times: clocks may differ.
 
 use crate::engine::PeerObservation;
-use crate::engine::observations::Observation;
+use crate::engine::observations::{Observation, UtilizationSamples};
 use crate::engine::poll_scheduler;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Evidence that is older is not believed.
+/// StoredObservation that is older is not believed.
 const OLD: TimeDelta = TimeDelta::from_secs(60);
 /// A position is told again when it has moved by so much, and no host more often than this.
 const MOVED: TimeDelta = TimeDelta::from_secs(5);
@@ -23,7 +23,7 @@
 const MOMENT: TimeDelta = TimeDelta::from_micros(2 * MOVED.as_micros());
 /// What a host serves is taken over about so long.
 const RATE: TimeDelta = TimeDelta::from_secs(4);
-/// Before what a host says of its capacity is believed so many answers count as if all of it had been in use.
+/// RestoredHistory what a host says of its capacity is believed so many answers count as if all of it had been in use.
 const DOUBT: f64 = 4.0;
 /// What says that less is in use says no more than that: loads are rounded, and come by chance.
 const LEAST_USED: f64 = 0.1;
@@ -34,7 +34,7 @@
 
 /// Which start of a daemon, and how many facts it has told since.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Count {
+pub struct GossipVersion {
     /// Its start, later ones greater.
     pub boot: u64,
     /// Its facts.
@@ -43,11 +43,11 @@
 
 /// What one daemon heard a host say of itself, on its way to another daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct GossipRecord {
     /// Who heard it.
     pub by: NodeId,
     /// Its number among that daemon's facts.
-    pub count: Count,
+    pub count: GossipVersion,
     /// The host.
     pub host: String,
     /// The host called itself the primary.
@@ -67,8 +67,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct Evidence {
-    count: Count,
+struct StoredObservation {
+    count: GossipVersion,
     primary: bool,
     position: LogPosition,
     at: Timestamp,
@@ -80,7 +80,7 @@
 
 /// What was known of a host before this start.
 #[derive(Clone, Copy, Debug, Default)]
-struct Before {
+struct RestoredHistory {
     /// When it last called itself the primary.
     primary: Option<Timestamp>,
     /// The greatest position that it told, and when.
@@ -91,7 +91,7 @@
     said: (f64, f64),
 }
 
-impl Before {
+impl RestoredHistory {
     /// Requests a second that it bears when warm: what it served, by the part of its capacity that this took, as far
     /// as that rests on enough answers.
     fn bears(&self) -> f64 {
@@ -108,7 +108,7 @@
 
 /// Who is believed to be the primary of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Belief {
+pub struct PrimaryBelief {
     /// The host.
     pub host: String,
     /// When it last called itself that, in this daemon's time.
@@ -119,22 +119,22 @@
 
 /// All evidence.
 #[derive(Debug, Default)]
-pub struct Learned {
+pub struct GossipState {
     me: NodeId,
-    own: Count,
+    own: GossipVersion,
     /// By source, by host.
-    all: BTreeMap<NodeId, BTreeMap<String, Evidence>>,
-    counts: BTreeMap<NodeId, (Count, Timestamp)>,
-    beliefs: BTreeMap<GroupId, Belief>,
+    all: BTreeMap<NodeId, BTreeMap<String, StoredObservation>>,
+    counts: BTreeMap<NodeId, (GossipVersion, Timestamp)>,
+    beliefs: BTreeMap<GroupId, PrimaryBelief>,
     /// What was known before this start, by host.
-    before: BTreeMap<String, Before>,
+    before: BTreeMap<String, RestoredHistory>,
     /// What each host serves for this daemon.
-    rates: BTreeMap<String, Served>,
+    rates: BTreeMap<String, ServiceRate>,
 }
 
 /// How many requests a second a host serves, taken over [`RATE`], or since the first where that is less.
 #[derive(Clone, Copy, Debug)]
-struct Served {
+struct ServiceRate {
     /// Answers, decayed, as of when.
     count: f64,
     at: Timestamp,
@@ -146,12 +146,13 @@
     used: (f64, f64),
 }
 
-impl Served {
-    fn new(now: Timestamp) -> Served {
-        Served { count: 0.0, at: now, since: now, peak: 0.0, peak_used: 0, used: (0.0, 0.0) }
+impl ServiceRate {
+    fn new(now: Timestamp) -> ServiceRate {
+        ServiceRate { count: 0.0, at: now, since: now, peak: 0.0, peak_used: 0, used: (0.0, 0.0) }
     }
 
-    fn add(&mut self, now: Timestamp, answers: u32, (used, times): (f64, u32)) {
+    fn add(&mut self, now: Timestamp, answers: u32, utilization: UtilizationSamples) {
+        let UtilizationSamples { sum: used, count: times } = utilization;
         let span = (now - self.at).or_zero().as_micros_f64();
         let decay = (-span / RATE.as_micros_f64()).exp();
         self.count = self.count * decay + f64::from(answers);
@@ -179,7 +180,7 @@
 
 /// What is known of a host by words of a moment ago.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Moment {
+pub struct EndpointSummary {
     /// It called itself the primary.
     pub primary: bool,
     /// Daemons that last heard it call itself that, and not too long ago.
@@ -197,10 +198,10 @@
     pub serves: f64,
 }
 
-impl Learned {
+impl GossipState {
     /// Nothing is known yet. `boot` is greater than at any earlier start.
-    pub fn new(me: NodeId, boot: u64) -> Learned {
-        Learned { me, own: Count { boot, facts: 0 }, ..Learned::default() }
+    pub fn new(me: NodeId, boot: u64) -> GossipState {
+        GossipState { me, own: GossipVersion { boot, facts: 0 }, ..GossipState::default() }
     }
 
     /// Hosts have told this daemon something; true: it is to be told at once. `haste`: whatever is new is.
@@ -209,61 +210,68 @@
         let own = self.all.entry(self.me).or_default();
         let moved_by = if haste { MOVED_IN_HASTE } else { MOVED };
         for fact in facts {
-            let served = self.rates.entry(fact.host.clone()).or_insert(Served::new(now));
-            served.add(now, fact.served, fact.used);
+            let served = self.rates.entry(fact.endpoint_name.clone()).or_insert(ServiceRate::new(now));
+            served.add(now, fact.served, fact.utilization);
             let (rate, used) = ((served.rate(now) * 1000.0) as u32, served.in_use());
-            let old = own.get(&fact.host);
+            let old = own.get(&fact.endpoint_name);
             let turned = old.is_none_or(|o| o.primary != fact.primary);
             let moved = old.is_none_or(|o| {
-                fact.at - o.at >= moved_by && fact.position != o.position || (o.out == 0) != (fact.out == 0)
+                fact.observed_at - o.at >= moved_by && fact.position != o.position
+                    || (o.out == 0) != (fact.in_flight == 0)
             });
-            if !turned && !moved && fact.back.is_none() {
+            if !turned && !moved && fact.regression.is_none() {
                 continue;
             }
-            urgent |= turned && fact.primary || haste || fact.back.is_some();
+            urgent |= turned && fact.primary || haste || fact.regression.is_some();
             self.own.facts += 1;
-            let Observation { primary, position, at, out, started, .. } = *fact;
-            let evidence = Evidence { count: self.own, primary, position, at, out, started, rate, used };
-            own.insert(fact.host.clone(), evidence);
+            let Observation {
+                primary, position, observed_at: at, in_flight: out, started_at: started, ..
+            } = *fact;
+            let evidence =
+                StoredObservation { count: self.own, primary, position, at, out, started, rate, used };
+            own.insert(fact.endpoint_name.clone(), evidence);
         }
         self.counts.insert(self.me, (self.own, now));
         urgent
     }
 
     /// What is known of each source, for others to compare.
-    pub fn digest(&self) -> Vec<(NodeId, Count)> {
+    pub fn digest(&self) -> Vec<(NodeId, GossipVersion)> {
         self.counts.iter().map(|(id, (count, _))| (*id, *count)).collect()
     }
 
     /// What another daemon lacks, by its digest: this daemon's own, and of others what it does not hear itself.
     /// The oldest first, at most `most`: what is left comes the next time.
-    pub fn lacks(
+    pub fn records_missing_from(
         &self,
         now: Timestamp,
-        digest: &[(NodeId, Count)],
+        digest: &[(NodeId, GossipVersion)],
         hears: impl Fn(NodeId) -> bool,
         most: usize,
-    ) -> Vec<Word> {
-        let known: BTreeMap<NodeId, Count> = digest.iter().copied().collect();
+    ) -> Vec<GossipRecord> {
+        let known: BTreeMap<NodeId, GossipVersion> = digest.iter().copied().collect();
         let mut words = Vec::new();
         for (by, hosts) in &self.all {
             if *by != self.me && hears(*by) {
                 continue;
             }
             let known = known.get(by).copied().unwrap_or_default();
-            let mut new: Vec<(&String, &Evidence)> = hosts.iter().filter(|(_, e)| e.count > known).collect();
+            let mut new: Vec<(&String, &StoredObservation)> =
+                hosts.iter().filter(|(_, e)| e.count > known).collect();
             new.sort_by_key(|(_, e)| e.count);
-            words.extend(new.into_iter().take(most.saturating_sub(words.len())).map(|(host, e)| Word {
-                by: *by,
-                count: e.count,
-                host: host.clone(),
-                primary: e.primary,
-                position: e.position,
-                age: (now - e.at).or_zero(),
-                out: e.out,
-                up: e.started.map(|at| (now - at).or_zero()),
-                rate: e.rate,
-                used: e.used,
+            words.extend(new.into_iter().take(most.saturating_sub(words.len())).map(|(host, e)| {
+                GossipRecord {
+                    by: *by,
+                    count: e.count,
+                    host: host.clone(),
+                    primary: e.primary,
+                    position: e.position,
+                    age: (now - e.at).or_zero(),
+                    out: e.out,
+                    up: e.started.map(|at| (now - at).or_zero()),
+                    rate: e.rate,
+                    used: e.used,
+                }
             }));
         }
         words
@@ -271,9 +279,9 @@
 
     /// Takes in what another daemon passed on. A host that the agreed list has not is not taken in, nor is
     /// anything of a daemon that is no member; what this daemon said itself comes back to nobody.
-    pub fn hear(&mut self, now: Timestamp, words: Vec<Word>, state: &State) {
+    pub fn merge(&mut self, now: Timestamp, words: Vec<GossipRecord>, state: &State) {
         for word in words {
-            let Word { by, count, host, primary, position, age, out, up, rate, used } = word;
+            let GossipRecord { by, count, host, primary, position, age, out, up, rate, used } = word;
             let is_sound =
                 (TimeDelta::ZERO..FORGOTTEN).contains(&age) && up.is_none_or(|up| up >= TimeDelta::ZERO);
             if by == self.me || !state.members.contains_key(&by) || !is_sound {
@@ -291,13 +299,14 @@
                 continue;
             }
             let started = up.map(|up| now - up);
-            let evidence = Evidence { count, primary, position, at: now - age, out, started, rate, used };
+            let evidence =
+                StoredObservation { count, primary, position, at: now - age, out, started, rate, used };
             self.all.entry(by).or_default().insert(host, evidence);
         }
     }
 
     /// Forgets hosts that are gone, and daemons that are.
-    pub fn tidy(&mut self, now: Timestamp, state: &State) {
+    pub fn remove_departed(&mut self, now: Timestamp, state: &State) {
         let me = self.me;
         self.counts
             .retain(|id, (_, at)| *id == me || state.members.contains_key(id) && now - *at < FORGOTTEN);
@@ -312,10 +321,10 @@
     /// Works out who is primary where, from evidence that is not too old; what is new since the last time. What
     /// this daemon heard of a host itself voids every word of others about it from before, and a later primary
     /// is never replaced by an earlier one.
-    pub fn believe(&mut self, now: Timestamp, state: &State) -> Vec<(GroupId, Belief)> {
+    pub fn update_beliefs(&mut self, now: Timestamp, state: &State) -> Vec<(GroupId, PrimaryBelief)> {
         let empty = BTreeMap::new();
         let own = self.all.get(&self.me).unwrap_or(&empty);
-        let mut found: BTreeMap<GroupId, Belief> = BTreeMap::new();
+        let mut found: BTreeMap<GroupId, PrimaryBelief> = BTreeMap::new();
         for (by, hosts) in &self.all {
             for (host, e) in hosts.iter().filter(|(_, e)| e.primary && now - e.at < OLD) {
                 let Some(group) = state.hosts.get(host).map(|h| h.group) else { continue };
@@ -323,7 +332,7 @@
                 if voided || found.get(&group).is_some_and(|b| (b.at, b.by) >= (e.at, *by)) {
                     continue;
                 }
-                found.insert(group, Belief { host: host.clone(), at: e.at, by: *by });
+                found.insert(group, PrimaryBelief { host: host.clone(), at: e.at, by: *by });
             }
         }
         let mut new = Vec::new();
@@ -342,20 +351,20 @@
     }
 
     /// Who is believed to be the primary of each group.
-    pub fn beliefs(&self) -> &BTreeMap<GroupId, Belief> {
+    pub fn primary_beliefs(&self) -> &BTreeMap<GroupId, PrimaryBelief> {
         &self.beliefs
     }
 
     /// Whether a group's primary is known: the host that is believed to be that has not said otherwise since.
-    pub fn has_primary(&self, group: GroupId) -> bool {
+    pub fn is_primary_known(&self, group: GroupId) -> bool {
         let Some(belief) = self.beliefs.get(&group) else { return false };
         let words = self.all.values().filter_map(|hosts| hosts.get(&belief.host));
         words.max_by_key(|e| e.at).is_none_or(|last| last.primary)
     }
 
     /// All that is known, to lie on the disk. Of what hosts served this daemon, the best.
-    pub fn words(&self, now: Timestamp) -> Vec<Word> {
-        let mut words = self.lacks(now, &[], |_| false, usize::MAX);
+    pub fn records_to_persist(&self, now: Timestamp) -> Vec<GossipRecord> {
+        let mut words = self.records_missing_from(now, &[], |_| false, usize::MAX);
         for word in words.iter_mut().filter(|w| w.by == self.me) {
             let best = self.rates.get(&word.host).map(|s| ((s.peak * 1000.0) as u32, s.peak_used));
             if let Some((rate, used)) = best.filter(|(rate, _)| *rate >= word.rate) {
@@ -366,7 +375,7 @@
     }
 
     /// What was known before this start, older by `since` than when it was written: for guesses only.
-    pub fn remember(&mut self, now: Timestamp, words: &[Word], since: TimeDelta) {
+    pub fn restore(&mut self, now: Timestamp, words: &[GossipRecord], since: TimeDelta) {
         for word in words.iter().filter(|w| w.age >= TimeDelta::ZERO) {
             let at = now.saturating_sub(word.age).saturating_sub(since);
             let known = self.before.entry(word.host.clone()).or_default();
@@ -385,20 +394,20 @@
 
     /// Positions from before this start. Each is proof only of what its host once said: one that now tells less has
     /// gone back.
-    pub fn positions(&self) -> Vec<PeerObservation> {
-        let told = |(host, b): (&String, &Before)| PeerObservation {
-            host: host.clone(),
+    pub fn restored_positions(&self) -> Vec<PeerObservation> {
+        let told = |(host, b): (&String, &RestoredHistory)| PeerObservation {
+            endpoint_name: host.clone(),
             primary: b.primary.is_some(),
             position: b.position.0,
-            at: b.position.1,
-            fresh: false,
+            observed_at: b.position.1,
+            replaces_poll: false,
         };
         self.before.iter().map(told).collect()
     }
 
     /// First guesses at the primaries of groups of which nothing was heard since the start, from what was known
     /// before it; of several hosts of a group the one that called itself that last.
-    pub fn guesses(&self, state: &State) -> BTreeMap<GroupId, (String, Timestamp)> {
+    pub fn restored_primaries(&self, state: &State) -> BTreeMap<GroupId, (String, Timestamp)> {
         let mut found: BTreeMap<GroupId, (String, Timestamp)> = BTreeMap::new();
         for (host, at) in self.before.iter().filter_map(|(host, b)| Some((host, b.primary?))) {
             let Some(group) = state.hosts.get(host).map(|h| h.group) else { continue };
@@ -411,33 +420,33 @@
     }
 
     /// What others' words say of hosts, for this daemon's own module.
-    pub fn told(now: Timestamp, words: &[Word]) -> Vec<PeerObservation> {
-        let told = |w: &Word| PeerObservation {
-            host: w.host.clone(),
+    pub fn peer_observations(now: Timestamp, words: &[GossipRecord]) -> Vec<PeerObservation> {
+        let told = |w: &GossipRecord| PeerObservation {
+            endpoint_name: w.host.clone(),
             primary: w.primary,
             position: w.position,
-            at: now - w.age,
-            fresh: w.age < poll_scheduler::OBSERVATION_TTL,
+            observed_at: now - w.age,
+            replaces_poll: w.age < poll_scheduler::OBSERVATION_TTL,
         };
         words.iter().filter(|w| (TimeDelta::ZERO..FORGOTTEN).contains(&w.age)).map(told).collect()
     }
 
     /// When a host started, by the latest word of it.
-    pub fn started(&self, host: &str) -> Option<Timestamp> {
+    pub fn started_at(&self, host: &str) -> Option<Timestamp> {
         self.all.values().filter_map(|hosts| hosts.get(host)?.started).max()
     }
 
     /// When a host was last heard, by whomever.
-    pub fn heard(&self, host: &str) -> Option<Timestamp> {
+    pub fn last_heard(&self, host: &str) -> Option<Timestamp> {
         let others = self.all.values().filter_map(|hosts| Some(hosts.get(host)?.at)).max();
         others.max(self.rates.get(host).map(|served| served.at))
     }
 
     /// What is known of a host now. This daemon's own evidence is of this start; others' counts if it is of a moment
     /// ago. What was heard before the host's last start says nothing any more but what it bore.
-    pub fn moment(&self, now: Timestamp, host: &str) -> Moment {
-        let started = self.started(host);
-        let mut moment = Moment { started, ..Moment::default() };
+    pub fn endpoint_summary(&self, now: Timestamp, host: &str) -> EndpointSummary {
+        let started = self.started_at(host);
+        let mut moment = EndpointSummary { started, ..EndpointSummary::default() };
         let mut rate = 0;
         let own = self.rates.get(host).map_or(0.0, |served| served.rate(now));
         for (by, e) in self.all.iter().filter_map(|(by, hosts)| Some((by, hosts.get(host)?))) {
@@ -451,18 +460,18 @@
             moment.named += usize::from(e.primary && now - e.at < OLD);
         }
         let before = self.before.get(host);
-        moment.bore = before.map_or(0.0, Before::bears);
+        moment.bore = before.map_or(0.0, RestoredHistory::bears);
         moment.said = before.is_some_and(|b| b.said.0 > 0.0);
         moment.serves = own + rate as f64 / 1000.0;
         moment
     }
 
     /// Attempts that all daemons together have out at a host, by their last words.
-    pub fn out(&self, host: &str) -> u32 {
+    pub fn attempts_in_flight(&self, host: &str) -> u32 {
         self.all.values().filter_map(|hosts| hosts.get(host)).map(|e| u32::from(e.out)).sum()
     }
 
-    /// Evidence that is kept.
+    /// StoredObservation that is kept.
     pub fn len(&self) -> usize {
         self.all.values().map(BTreeMap::len).sum()
     }
@@ -519,17 +528,16 @@
     }
 
     fn fact(host: usize, primary: bool, at: Timestamp) -> Observation {
-        let (host, position) = (format!("s-{host}"), LogPosition::of_commit(at, Timestamp::ZERO));
         Observation {
-            host,
+            endpoint_name: format!("s-{host}"),
             primary,
-            position,
-            at,
-            out: 0,
-            started: None,
+            position: LogPosition::of_commit(at, Timestamp::ZERO),
+            observed_at: at,
+            in_flight: 0,
+            started_at: None,
             served: 0,
-            used: (0.0, 0),
-            back: None,
+            utilization: UtilizationSamples::default(),
+            regression: None,
         }
     }
 
@@ -540,12 +548,12 @@
         for seed in 0..400 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let state = state(4, 6);
-            let mut nodes: Vec<Learned> = (1..=4).map(|n| Learned::new(NodeId(n), 1)).collect();
+            let mut nodes: Vec<GossipState> = (1..=4).map(|n| GossipState::new(NodeId(n), 1)).collect();
             let skew: Vec<TimeDelta> =
                 (0..4).map(|_| TimeDelta::from_micros(rng.i64(-5_000_000..5_000_000))).collect();
-            let mut mail: Vec<(usize, Vec<Word>)> = Vec::new();
+            let mut mail: Vec<(usize, Vec<GossipRecord>)> = Vec::new();
             let (mut now, mut primaries) = (sec(100), [0, 3]);
-            let mut last: Vec<BTreeMap<GroupId, Belief>> = vec![BTreeMap::new(); 4];
+            let mut last: Vec<BTreeMap<GroupId, PrimaryBelief>> = vec![BTreeMap::new(); 4];
             for _ in 0..300 {
                 now += TimeDelta::from_micros(rng.i64(0..500_000));
                 let (a, b) = (rng.usize(..4), rng.usize(..4));
@@ -561,38 +569,38 @@
                     }
                     5 | 6 if a != b => {
                         let digest = nodes[b].digest();
-                        mail.push((b, nodes[a].lacks(now + skew[a], &digest, |_| false, 3)));
+                        mail.push((b, nodes[a].records_missing_from(now + skew[a], &digest, |_| false, 3)));
                     }
                     7 | 8 if !mail.is_empty() => {
                         let at = rng.usize(..mail.len());
                         let (to, words) = if rng.bool() { mail[at].clone() } else { mail.swap_remove(at) };
-                        nodes[to].hear(now + skew[to], words, &state);
+                        nodes[to].merge(now + skew[to], words, &state);
                     }
                     9 => drop(mail.pop()),
                     _ => {}
                 }
                 for (n, node) in nodes.iter_mut().enumerate() {
-                    node.believe(now + skew[n], &state);
-                    for (group, belief) in node.beliefs() {
+                    node.update_beliefs(now + skew[n], &state);
+                    for (group, belief) in node.primary_beliefs() {
                         if let Some(before) = last[n].get(group) {
                             assert!(belief.at >= before.at, "seed {seed}: {before:?} gave way to {belief:?}");
                         }
                     }
-                    last[n] = node.beliefs().clone();
+                    last[n] = node.primary_beliefs().clone();
                 }
             }
             for _ in 0..40 {
                 for a in 0..4 {
                     for b in (0..4).filter(|b| *b != a) {
                         let digest = nodes[b].digest();
-                        let words = nodes[a].lacks(now + skew[a], &digest, |_| false, 3);
-                        nodes[b].hear(now + skew[b], words, &state);
+                        let words = nodes[a].records_missing_from(now + skew[a], &digest, |_| false, 3);
+                        nodes[b].merge(now + skew[b], words, &state);
                     }
                 }
             }
-            let digests: BTreeSet<_> = nodes.iter().map(Learned::digest).collect();
+            let digests: BTreeSet<_> = nodes.iter().map(GossipState::digest).collect();
             assert_eq!(digests.len(), 1, "seed {seed}");
-            let lines = |n: &Learned| n.describe(Timestamp::ZERO, |id| id.to_string()).len();
+            let lines = |n: &GossipState| n.describe(Timestamp::ZERO, |id| id.to_string()).len();
             assert!(nodes.iter().all(|n| lines(n) == lines(&nodes[0])), "seed {seed}");
         }
     }
@@ -601,11 +609,11 @@
     #[test]
     fn a_peers_word_counts_for_less_than_ones_own_ears() {
         let state = state(3, 3);
-        let mut node = Learned::new(NodeId(1), 1);
+        let mut node = GossipState::new(NodeId(1), 1);
         node.observe(sec(50), &[fact(0, true, sec(50)), fact(1, false, sec(52))], false);
-        let word = |by, facts, host: &str, age| Word {
+        let word = |by, facts, host: &str, age| GossipRecord {
             by: NodeId(by),
-            count: Count { boot: 1, facts },
+            count: GossipVersion { boot: 1, facts },
             host: host.into(),
             primary: true,
             position: LogPosition::from_micros(i64::MAX),
@@ -615,13 +623,13 @@
             rate: 0,
             used: 0,
         };
-        let believed = |node: &mut Learned| {
-            node.believe(sec(60), &state);
-            node.beliefs()[&GroupId(0)].host.clone()
+        let believed = |node: &mut GossipState| {
+            node.update_beliefs(sec(60), &state);
+            node.primary_beliefs()[&GroupId(0)].host.clone()
         };
         assert_eq!(believed(&mut node), "s-0");
         // Of 51 s: earlier than what this daemon heard s-1 say itself.
-        node.hear(
+        node.merge(
             sec(60),
             vec![
                 word(2, 1, "s-1", 9 * S),
@@ -631,7 +639,7 @@
             &state,
         );
         assert_eq!((believed(&mut node).as_str(), node.len()), ("s-0", 3));
-        node.hear(
+        node.merge(
             sec(60),
             vec![
                 word(1, 99, "s-2", TimeDelta::ZERO),
@@ -641,27 +649,31 @@
             &state,
         );
         assert_eq!(believed(&mut node), "s-0");
-        node.hear(sec(60), vec![word(2, 4, "s-2", 4 * S)], &state);
-        assert_eq!((believed(&mut node).as_str(), node.out("s-2")), ("s-2", 2));
-        node.hear(sec(60), vec![word(3, 1, "s-1", 5 * S)], &state);
+        node.merge(sec(60), vec![word(2, 4, "s-2", 4 * S)], &state);
+        assert_eq!((believed(&mut node).as_str(), node.attempts_in_flight("s-2")), ("s-2", 2));
+        node.merge(sec(60), vec![word(3, 1, "s-1", 5 * S)], &state);
         assert_eq!(believed(&mut node), "s-2", "an earlier primary never replaces a later one");
         // A daemon that began anew has said nothing yet.
-        node.hear(sec(60), vec![Word { count: Count { boot: 2, facts: 1 }, ..word(2, 0, "s-0", S) }], &state);
-        assert_eq!(node.out("s-2"), 0);
-        node.tidy(sec(60), &super::tests::state(1, 1));
+        node.merge(
+            sec(60),
+            vec![GossipRecord { count: GossipVersion { boot: 2, facts: 1 }, ..word(2, 0, "s-0", S) }],
+            &state,
+        );
+        assert_eq!(node.attempts_in_flight("s-2"), 0);
+        node.remove_departed(sec(60), &super::tests::state(1, 1));
         assert_eq!(node.len(), 1);
     }
 
     #[test]
     fn what_has_hardly_changed_is_not_told_again() {
-        let mut node = Learned::new(NodeId(1), 1);
+        let mut node = GossipState::new(NodeId(1), 1);
         assert!(node.observe(sec(1), &[fact(0, true, sec(1))], false));
         let told = node.digest();
         assert!(!node.observe(sec(2), &[fact(0, true, sec(2))], false));
         assert_eq!(node.digest(), told);
         assert!(!node.observe(sec(7), &[fact(0, true, sec(7))], false), "told, but not in haste");
         assert_ne!(node.digest(), told);
-        assert_eq!(node.lacks(sec(9), &told, |_| false, 10)[0].age, 2 * S);
+        assert_eq!(node.records_missing_from(sec(9), &told, |_| false, 10)[0].age, 2 * S);
         assert!(node.observe(sec(8), &[fact(1, true, sec(8))], false), "a new primary is news");
     }
 
@@ -669,7 +681,7 @@
     #[test]
     fn what_was_known_before_is_a_guess_until_something_is_heard() {
         let state = state(2, 6);
-        let mut old = Learned::new(NodeId(1), 1);
+        let mut old = GossipState::new(NodeId(1), 1);
         old.observe(
             sec(50),
             &[
@@ -680,22 +692,22 @@
             ],
             false,
         );
-        let words = old.words(sec(50));
+        let words = old.records_to_persist(sec(50));
         assert_eq!(words.len(), 4);
-        let mut new = Learned::new(NodeId(1), 2);
-        new.remember(sec(100), &words, 30 * S);
+        let mut new = GossipState::new(NodeId(1), 2);
+        new.restore(sec(100), &words, 30 * S);
         let host = |n: usize| format!("s-{n}");
-        let guesses = new.guesses(&state);
+        let guesses = new.restored_primaries(&state);
         assert_eq!(
             guesses,
             BTreeMap::from([(GroupId(0), (host(1), sec(68))), (GroupId(1), (host(3), sec(69)))])
         );
         assert!(new.digest().is_empty() && new.is_empty(), "nobody is told");
         new.observe(sec(101), &[fact(2, true, sec(101))], false);
-        new.believe(sec(101), &state);
-        assert_eq!(new.guesses(&state), BTreeMap::from([(GroupId(1), (host(3), sec(69)))]));
+        new.update_beliefs(sec(101), &state);
+        assert_eq!(new.restored_primaries(&state), BTreeMap::from([(GroupId(1), (host(3), sec(69)))]));
         assert!(
-            new.guesses(&super::tests::state(2, 2)).is_empty(),
+            new.restored_primaries(&super::tests::state(2, 2)).is_empty(),
             "the agreed list has neither group any more"
         );
     }
@@ -705,26 +717,26 @@
     #[test]
     fn words_of_before_a_hosts_start_prove_nothing_but_what_it_bore() {
         let state = state(3, 3);
-        let mut old = Learned::new(NodeId(1), 1);
+        let mut old = GossipState::new(NodeId(1), 1);
         for n in 1..=80 {
             let served = Observation { served: 5, ..fact(0, true, Timestamp::ZERO + n * S / 4) };
             old.observe(Timestamp::ZERO + n * S / 4, &[served], false);
         }
-        let rate = old.moment(sec(20), "s-0").serves;
+        let rate = old.endpoint_summary(sec(20), "s-0").serves;
         assert!((14.0..22.0).contains(&rate), "{rate}");
-        let mut new = Learned::new(NodeId(1), 2);
-        new.remember(sec(100), &old.words(sec(20)), 70 * S);
-        let told = &new.positions()[0];
+        let mut new = GossipState::new(NodeId(1), 2);
+        new.restore(sec(100), &old.records_to_persist(sec(20)), 70 * S);
+        let told = &new.restored_positions()[0];
         assert!(
-            (sec(15)..=sec(20)).contains(&told.position.commit_time(Timestamp::ZERO)) && !told.fresh,
+            (sec(15)..=sec(20)).contains(&told.position.commit_time(Timestamp::ZERO)) && !told.replaces_poll,
             "{told:?}"
         );
-        let before = new.moment(sec(100), "s-0");
+        let before = new.endpoint_summary(sec(100), "s-0");
         assert_eq!((before.primary, before.proven, before.named), (false, false, 0));
         assert!(before.bore >= rate && before.bore < rate * 2.0 && before.serves == 0.0, "{before:?}");
-        let word = |by, age, up| Word {
+        let word = |by, age, up| GossipRecord {
             by: NodeId(by),
-            count: Count { boot: 1, facts: 1 },
+            count: GossipVersion { boot: 1, facts: 1 },
             host: "s-0".into(),
             primary: true,
             position: LogPosition::of_commit(sec(99), Timestamp::ZERO),
@@ -734,23 +746,23 @@
             rate: 1_000,
             used: 0,
         };
-        new.hear(sec(100), vec![word(2, 12 * S, None)], &state);
-        let stale = new.moment(sec(100), "s-0");
+        new.merge(sec(100), vec![word(2, 12 * S, None)], &state);
+        let stale = new.endpoint_summary(sec(100), "s-0");
         assert_eq!((stale.primary, stale.proven, stale.named), (false, false, 1), "too long ago, but a word");
-        new.hear(sec(100), vec![word(3, S, Some(5 * S))], &state);
-        let fresh = new.moment(sec(100), "s-0");
+        new.merge(sec(100), vec![word(3, S, Some(5 * S))], &state);
+        let fresh = new.endpoint_summary(sec(100), "s-0");
         assert_eq!(
             (fresh.primary, fresh.proven, fresh.named),
             (true, true, 1),
             "the other one heard it before"
         );
-        assert_eq!((fresh.started, new.started("s-1")), (Some(sec(95)), None));
-        let told = Learned::told(
+        assert_eq!((fresh.started, new.started_at("s-1")), (Some(sec(95)), None));
+        let told = GossipState::peer_observations(
             sec(100),
             &[word(2, S / 10, None), word(2, S, None), word(2, TimeDelta::from_micros(-1), None)],
         );
         assert_eq!(
-            told.iter().map(|t| (t.at, t.fresh)).collect::<Vec<_>>(),
+            told.iter().map(|t| (t.observed_at, t.replaces_poll)).collect::<Vec<_>>(),
             [(sec(100) - S / 10, true), (sec(99), false)]
         );
     }
@@ -760,16 +772,19 @@
     #[test]
     fn a_host_bears_what_it_served_by_the_part_of_its_capacity_that_this_took() {
         let bore = |each: u32, used: Option<f64>| {
-            let mut old = Learned::new(NodeId(1), 1);
+            let mut old = GossipState::new(NodeId(1), 1);
             for n in 1..=80 {
-                let used = used.map_or((0.0, 0), |u| (u * f64::from(each), each));
+                let utilization = used.map_or(UtilizationSamples::default(), |u| UtilizationSamples {
+                    sum: u * f64::from(each),
+                    count: each,
+                });
                 let served =
-                    Observation { served: each, used, ..fact(0, false, Timestamp::ZERO + n * S / 4) };
+                    Observation { served: each, utilization, ..fact(0, false, Timestamp::ZERO + n * S / 4) };
                 old.observe(Timestamp::ZERO + n * S / 4, &[served], false);
             }
-            let mut new = Learned::new(NodeId(1), 2);
-            new.remember(sec(100), &old.words(sec(20)), 70 * S);
-            let moment = new.moment(sec(100), "s-0");
+            let mut new = GossipState::new(NodeId(1), 2);
+            new.restore(sec(100), &old.records_to_persist(sec(20)), 70 * S);
+            let moment = new.endpoint_summary(sec(100), "s-0");
             assert_eq!(moment.said, used.is_some());
             moment.bore
         };
--- a/src/fleet/recovery/phases.rs
+++ b/src/fleet/recovery/phases.rs
@@ -11,7 +11,7 @@
 //! of what they bear. What all daemons let in together stays below [`TOGETHER`] of the load under which a cold host
 //! falls, whoever hears whom.
 
-use crate::engine::admission::{AdmissionMode, AdmissionPolicy};
+use crate::engine::admission::{AdmissionMode, AdmissionPolicy, CapacitySource, GroupAdmission};
 use crate::ids::GroupId;
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
@@ -31,13 +31,13 @@
 /// What a host bears at the least when it is warm, in requests a second: nobody may have seen it at work.
 pub const UNSEEN: f64 = 10.0;
 /// What is waited for at first.
-pub const UNLISTED: &str = "a majority's word of what is agreed";
+pub const WAITING_FOR_LIST: &str = "a majority's word of what is agreed";
 /// Whoever is turned away from a group that is shut comes back after this.
 const AGAIN: TimeDelta = TimeDelta::from_millis(100);
 
 /// How far service has returned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Step {
+pub enum RecoveryPhase {
     /// Drains and the agreed list are awaited.
     #[default]
     List,
@@ -51,21 +51,21 @@
     Done,
 }
 
-impl fmt::Display for Step {
+impl fmt::Display for RecoveryPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Step::List => "1 of 4, drains and the agreed list",
-            Step::Writes => "2 of 4, writes",
-            Step::Reads => "3 of 4, reads with proven positions",
-            Step::Rest => "4 of 4, the rest",
-            Step::Done => "done",
+            RecoveryPhase::List => "1 of 4, drains and the agreed list",
+            RecoveryPhase::Writes => "2 of 4, writes",
+            RecoveryPhase::Reads => "3 of 4, reads with proven positions",
+            RecoveryPhase::Rest => "4 of 4, the rest",
+            RecoveryPhase::Done => "done",
         })
     }
 }
 
 /// How cold hosts behave, by the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct SlowStartPolicy {
     /// The share of its capacity that one has at its start.
     pub share: f64,
     /// It has all of it after this.
@@ -74,9 +74,9 @@
     pub multiple: f64,
 }
 
-impl Cold {
+impl SlowStartPolicy {
     /// The share of its capacity that a host has for certain, so long after its start.
-    pub fn warmth(&self, age: Option<TimeDelta>) -> f64 {
+    pub fn capacity_share(&self, age: Option<TimeDelta>) -> f64 {
         let Some(age) = age else { return 1.0 };
         let grown =
             age.or_zero().as_micros_f64() / self.warm_up.max(TimeDelta::from_micros(1)).as_micros_f64();
@@ -84,9 +84,15 @@
     }
 }
 
+/// Former name of [`SlowStartPolicy`], for the parts that still use it.
+pub type Cold = SlowStartPolicy;
+
+/// Former name of [`RecoveryPhase`], for the parts that still use it.
+pub type Step = RecoveryPhase;
+
 /// What is known of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Seen {
+pub struct EndpointView {
     /// Its group.
     pub group: GroupId,
     /// It called itself the primary, here or to another daemon a moment ago.
@@ -107,7 +113,7 @@
 
 /// All that the order depends on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
+pub struct RecoveryView {
     /// The present.
     pub now: Timestamp,
     /// The list is there.
@@ -117,14 +123,14 @@
     /// Those that are heard, with this one.
     pub heard: usize,
     /// The hosts that may be used.
-    pub hosts: Vec<Seen>,
+    pub hosts: Vec<EndpointView>,
 }
 
 /// What holds now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stand {
+pub struct RecoveryDecision {
     /// The step.
-    pub step: Step,
+    pub step: RecoveryPhase,
     /// What is waited for, in words; empty: nothing.
     pub waits: String,
     /// On which terms requests are let in; `None`: all are.
@@ -135,12 +141,12 @@
 
 /// The order of one daemon's return.
 #[derive(Clone, Debug)]
-pub struct Order {
-    cold: Cold,
+pub struct RecoverySchedule {
+    cold: SlowStartPolicy,
     listed: Option<Timestamp>,
     /// By group: writes and reads were opened.
     opened: BTreeMap<GroupId, [bool; 2]>,
-    step: Step,
+    step: RecoveryPhase,
 }
 
 /// This daemon's part of what all may let in, as a multiple of what hosts bear: `(at first, at the most)`. Whoever
@@ -166,22 +172,26 @@
     format!("group {}{more}", some.join(", "))
 }
 
-impl Order {
+impl RecoverySchedule {
     /// Nothing is there yet.
-    pub fn new(cold: Cold) -> Order {
-        Order { cold, listed: None, opened: BTreeMap::new(), step: Step::List }
+    pub fn new(cold: SlowStartPolicy) -> RecoverySchedule {
+        RecoverySchedule { cold, listed: None, opened: BTreeMap::new(), step: RecoveryPhase::List }
     }
 
     /// Where things stand. What was opened is not shut again, and no step is gone back.
-    pub fn next(&mut self, view: &View) -> Stand {
+    pub fn advance(&mut self, view: &RecoveryView) -> RecoveryDecision {
         if !view.listed {
-            let waits = UNLISTED.to_string();
-            let terms = Some(AdmissionPolicy { groups: BTreeMap::new(), rest: false, wait: AGAIN });
-            return Stand { step: self.step, waits, terms, turns: true };
+            let waits = WAITING_FOR_LIST.to_string();
+            let terms = Some(AdmissionPolicy {
+                groups: BTreeMap::new(),
+                admit_eventual_reads: false,
+                retry_after: AGAIN,
+            });
+            return RecoveryDecision { step: self.step, waits, terms, turns: true };
         }
         let listed = *self.listed.get_or_insert(view.now);
         let out_of_patience = view.now - listed >= PATIENCE;
-        let mut groups: BTreeMap<GroupId, Vec<&Seen>> = BTreeMap::new();
+        let mut groups: BTreeMap<GroupId, Vec<&EndpointView>> = BTreeMap::new();
         view.hosts.iter().for_each(|host| groups.entry(host.group).or_default().push(host));
         self.opened.retain(|group, _| groups.contains_key(group));
         let (mut shut, mut ways) = ([Vec::new(), Vec::new()], BTreeMap::new());
@@ -191,7 +201,7 @@
             let primary = hosts.iter().position(|h| h.primary || h.named * 2 > view.members);
             opened[0] |= primary.is_some() || out_of_patience;
             opened[1] |= hosts.iter().any(|h| h.proven) || out_of_patience;
-            let mut both = Order::ways(self.cold, view, hosts, primary);
+            let mut both = RecoverySchedule::ways(self.cold, view, hosts, primary);
             for (side, way) in both.iter_mut().enumerate().filter(|(side, _)| !opened[*side]) {
                 *way = AdmissionMode::Closed(AGAIN);
                 shut[side].push(*group);
@@ -199,48 +209,73 @@
             if both.iter().any(|way| matches!(way, AdmissionMode::Paced { .. })) {
                 paced.push(*group);
             }
-            ways.insert(*group, both);
+            ways.insert(*group, GroupAdmission { writes: both[0], reads: both[1] });
         }
         let rest = shut.iter().all(Vec::is_empty);
         let (step, waits) = match () {
-            _ if !shut[0].is_empty() => (Step::Writes, format!("the primary of {}", names(&shut[0]))),
-            _ if !shut[1].is_empty() => (Step::Reads, format!("a proven position in {}", names(&shut[1]))),
-            _ if !paced.is_empty() => (Step::Rest, format!("cold hosts of {}", names(&paced))),
-            _ if view.now - listed < LEAST => (Step::Rest, "the first answers of all hosts".to_string()),
-            _ => (Step::Done, String::new()),
+            _ if !shut[0].is_empty() => {
+                (RecoveryPhase::Writes, format!("the primary of {}", names(&shut[0])))
+            }
+            _ if !shut[1].is_empty() => {
+                (RecoveryPhase::Reads, format!("a proven position in {}", names(&shut[1])))
+            }
+            _ if !paced.is_empty() => (RecoveryPhase::Rest, format!("cold hosts of {}", names(&paced))),
+            _ if view.now - listed < LEAST => {
+                (RecoveryPhase::Rest, "the first answers of all hosts".to_string())
+            }
+            _ => (RecoveryPhase::Done, String::new()),
         };
         self.step = self.step.max(step);
-        let terms = (self.step != Step::Done).then_some(AdmissionPolicy { groups: ways, rest, wait: AGAIN });
+        let terms = (self.step != RecoveryPhase::Done).then_some(AdmissionPolicy {
+            groups: ways,
+            admit_eventual_reads: rest,
+            retry_after: AGAIN,
+        });
         let turn = view.now - listed;
         let turns = turn < FIRST || turn < LEAST && !view.hosts.iter().all(|h| h.proven);
-        Stand { step: self.step, waits, terms, turns }
+        RecoveryDecision { step: self.step, waits, terms, turns }
     }
 
     /// How writes and reads go to the hosts of a group; `primary`: which of them is known to be that.
-    fn ways(cold: Cold, view: &View, hosts: &[&Seen], primary: Option<usize>) -> [AdmissionMode; 2] {
+    fn ways(
+        cold: SlowStartPolicy,
+        view: &RecoveryView,
+        hosts: &[&EndpointView],
+        primary: Option<usize>,
+    ) -> [AdmissionMode; 2] {
         let Some(n) = primary else {
-            return [Order::way(cold, view, hosts, true), Order::way(cold, view, hosts, false)];
+            return [
+                RecoverySchedule::way(cold, view, hosts, true),
+                RecoverySchedule::way(cold, view, hosts, false),
+            ];
         };
-        let others: Vec<&Seen> = [&hosts[..n], &hosts[n + 1..]].concat();
+        let others: Vec<&EndpointView> = [&hosts[..n], &hosts[n + 1..]].concat();
         // One that is alone serves the reads too.
         let readers = if others.is_empty() { hosts } else { &others };
-        [Order::way(cold, view, &hosts[n..=n], false), Order::way(cold, view, readers, false)]
+        [
+            RecoverySchedule::way(cold, view, &hosts[n..=n], false),
+            RecoverySchedule::way(cold, view, readers, false),
+        ]
     }
 
     /// How requests go to these hosts; `any`: each of them may turn out to be the one that takes them.
-    fn way(cold: Cold, view: &View, hosts: &[&Seen], any: bool) -> AdmissionMode {
+    fn way(cold: SlowStartPolicy, view: &RecoveryView, hosts: &[&EndpointView], any: bool) -> AdmissionMode {
         // One that has said nothing yet is not taken for warm beside one that is known to be cold, nor for any help.
-        let heard: Vec<&Seen> =
+        let heard: Vec<&EndpointView> =
             hosts.iter().copied().filter(|h| h.proven || h.primary || h.age.is_some()).collect();
         // Where one of them is warm the module spares the others by itself.
-        if heard.is_empty() || heard.iter().any(|h| cold.warmth(h.age) >= 1.0) {
+        if heard.is_empty() || heard.iter().any(|h| cold.capacity_share(h.age) >= 1.0) {
             return AdmissionMode::Open;
         }
-        let bears = |h: &&Seen| (h.bore.max(UNSEEN) * cold.warmth(h.age)).max(h.serves);
+        let bears = |h: &&EndpointView| (h.bore.max(UNSEEN) * cold.capacity_share(h.age)).max(h.serves);
         let all = heard.iter().map(bears);
         let bears = if any { all.fold(f64::MAX, f64::min) } else { all.sum() };
         let (first, most) = part(view.members, view.heard, cold.multiple);
-        AdmissionMode::Paced { bears: bears * first, most: bears * most, said: heard.iter().all(|h| h.said) }
+        let capacity_source = match heard.iter().all(|h| h.said) {
+            true => CapacitySource::Reported,
+            false => CapacitySource::Estimated,
+        };
+        AdmissionMode::Paced { capacity_per_s: bears * first, max_per_s: bears * most, capacity_source }
     }
 }
 
@@ -249,44 +284,56 @@
     use super::*;
 
     const S: TimeDelta = TimeDelta::from_secs(1);
-    const COLD: Cold = Cold { share: 0.25, warm_up: TimeDelta::from_secs(16), multiple: 4.0 };
+    const COLD: SlowStartPolicy =
+        SlowStartPolicy { share: 0.25, warm_up: TimeDelta::from_secs(16), multiple: 4.0 };
 
-    fn host(group: u32) -> Seen {
-        Seen { group: GroupId(group), ..Seen::default() }
+    fn host(group: u32) -> EndpointView {
+        EndpointView { group: GroupId(group), ..EndpointView::default() }
     }
 
-    fn view(now: TimeDelta, hosts: Vec<Seen>) -> View {
-        View { now: Timestamp::ZERO + now, listed: true, members: 3, heard: 3, hosts }
+    fn view(now: TimeDelta, hosts: Vec<EndpointView>) -> RecoveryView {
+        RecoveryView { now: Timestamp::ZERO + now, listed: true, members: 3, heard: 3, hosts }
     }
 
     #[test]
     fn service_returns_step_by_step_and_waits_for_no_proof_for_ever() {
-        let (mut order, tick) = (Order::new(COLD), TimeDelta::from_micros(1));
-        let early = order.next(&View { listed: false, ..view(TimeDelta::ZERO, vec![host(1)]) });
-        assert_eq!((early.step, early.terms.unwrap().groups.len()), (Step::List, 0));
-        let unknown = order.next(&view(S, vec![host(1), host(1), host(2)]));
-        assert_eq!((unknown.step, unknown.waits.as_str()), (Step::Writes, "the primary of group 1, 2"));
-        let primary = Seen { primary: true, ..host(1) };
-        let by_word = Seen { named: 2, ..host(2) };
-        let named = order.next(&view(S + tick, vec![primary, host(1), by_word]));
-        assert_eq!((named.step, named.waits.as_str()), (Step::Reads, "a proven position in group 1, 2"));
+        let (mut order, tick) = (RecoverySchedule::new(COLD), TimeDelta::from_micros(1));
+        let early = order.advance(&RecoveryView { listed: false, ..view(TimeDelta::ZERO, vec![host(1)]) });
+        assert_eq!((early.step, early.terms.unwrap().groups.len()), (RecoveryPhase::List, 0));
+        let unknown = order.advance(&view(S, vec![host(1), host(1), host(2)]));
+        assert_eq!(
+            (unknown.step, unknown.waits.as_str()),
+            (RecoveryPhase::Writes, "the primary of group 1, 2")
+        );
+        let primary = EndpointView { primary: true, ..host(1) };
+        let by_word = EndpointView { named: 2, ..host(2) };
+        let named = order.advance(&view(S + tick, vec![primary, host(1), by_word]));
+        assert_eq!(
+            (named.step, named.waits.as_str()),
+            (RecoveryPhase::Reads, "a proven position in group 1, 2")
+        );
         let terms = named.terms.unwrap();
         assert!(
-            matches!(terms.groups[&GroupId(1)], [AdmissionMode::Open, AdmissionMode::Closed(_)])
-                && !terms.rest
+            matches!(
+                terms.groups[&GroupId(1)],
+                GroupAdmission { writes: AdmissionMode::Open, reads: AdmissionMode::Closed(_) }
+            ) && !terms.admit_eventual_reads
         );
-        let one = Seen { named: 1, ..host(3) };
-        let proven = Seen { proven: true, ..host(1) };
-        let late = order.next(&view(S + PATIENCE - tick, vec![primary, proven, by_word, one]));
-        assert_eq!((late.step, late.waits.as_str()), (Step::Reads, "the primary of group 3"));
+        let one = EndpointView { named: 1, ..host(3) };
+        let proven = EndpointView { proven: true, ..host(1) };
+        let late = order.advance(&view(S + PATIENCE - tick, vec![primary, proven, by_word, one]));
+        assert_eq!((late.step, late.waits.as_str()), (RecoveryPhase::Reads, "the primary of group 3"));
         assert!(
-            matches!(late.terms.unwrap().groups[&GroupId(3)], [AdmissionMode::Closed(_), _]),
+            matches!(
+                late.terms.unwrap().groups[&GroupId(3)],
+                GroupAdmission { writes: AdmissionMode::Closed(_), .. }
+            ),
             "one of three is no majority"
         );
-        let over = order.next(&view(S + PATIENCE, vec![host(1), host(1), by_word, one]));
-        assert_eq!((over.step, over.terms.unwrap().rest), (Step::Rest, true));
-        let done = order.next(&view(S + LEAST, vec![host(1), by_word, one]));
-        assert_eq!((done.step, done.terms), (Step::Done, None));
+        let over = order.advance(&view(S + PATIENCE, vec![host(1), host(1), by_word, one]));
+        assert_eq!((over.step, over.terms.unwrap().admit_eventual_reads), (RecoveryPhase::Rest, true));
+        let done = order.advance(&view(S + LEAST, vec![host(1), by_word, one]));
+        assert_eq!((done.step, done.terms), (RecoveryPhase::Done, None));
     }
 
     /// Guards against daemons that do not see one another and together push a cold host over, and against a part
@@ -323,14 +370,14 @@
     fn no_step_is_gone_back_and_all_is_open_in_the_end() {
         for seed in 0..400 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let mut order = Order::new(COLD);
+            let mut order = RecoverySchedule::new(COLD);
             let started = rng.bool().then(|| TimeDelta::from_micros(rng.i64(-20_000_000..2_000_000)));
-            let (mut now, mut last, mut open) = (TimeDelta::ZERO, Step::List, BTreeMap::new());
+            let (mut now, mut last, mut open) = (TimeDelta::ZERO, RecoveryPhase::List, BTreeMap::new());
             let listed_at = TimeDelta::from_micros(rng.i64(0..1_000_000));
             let gap = TimeDelta::from_millis(300);
             while now < 30 * S {
                 now += TimeDelta::from_micros(rng.i64(1..300_000));
-                let hosts = (0..6u32).map(|n| Seen {
+                let hosts = (0..6u32).map(|n| EndpointView {
                     primary: n % 3 == 0 && rng.bool(),
                     proven: rng.bool(),
                     named: rng.usize(0..4),
@@ -341,26 +388,29 @@
                     group: GroupId(n / 3),
                 });
                 let hosts = hosts.collect();
-                let view = View { listed: now >= listed_at, heard: rng.usize(1..=3), ..view(now, hosts) };
-                let stand = order.next(&view);
+                let view =
+                    RecoveryView { listed: now >= listed_at, heard: rng.usize(1..=3), ..view(now, hosts) };
+                let stand = order.advance(&view);
                 assert!(stand.step >= last, "seed {seed}: {last:?} then {:?}", stand.step);
                 last = stand.step;
                 if !view.listed {
-                    assert!(stand.terms.as_ref().is_some_and(|t| t.groups.is_empty() && !t.rest));
+                    assert!(
+                        stand.terms.as_ref().is_some_and(|t| t.groups.is_empty() && !t.admit_eventual_reads)
+                    );
                 }
                 for (group, ways) in stand.terms.iter().flat_map(|t| &t.groups) {
-                    for (side, way) in ways.iter().enumerate() {
+                    for (side, way) in ways.modes().into_iter().enumerate() {
                         let is_open = !matches!(way, AdmissionMode::Closed(_));
                         let was = open.insert((*group, side), is_open).unwrap_or(false);
                         assert!(is_open || !was, "seed {seed}: group {group} was shut again");
                         assert!(is_open || now < listed_at + gap + PATIENCE, "seed {seed}");
-                        if let AdmissionMode::Paced { bears: start, most, .. } = way {
-                            assert!(*start > 0.0 && start <= most, "seed {seed}: {way:?}");
+                        if let AdmissionMode::Paced { capacity_per_s: start, max_per_s: most, .. } = way {
+                            assert!(start > 0.0 && start <= most, "seed {seed}: {way:?}");
                         }
                     }
                 }
                 if started.is_none_or(|at| now > at + 16 * S) && now > listed_at + gap + LEAST {
-                    assert_eq!(stand.step, Step::Done, "seed {seed}");
+                    assert_eq!(stand.step, RecoveryPhase::Done, "seed {seed}");
                 }
             }
         }
@@ -368,32 +418,41 @@
 
     #[test]
     fn cold_hosts_open_at_this_daemons_part_of_what_they_bear() {
-        let mut order = Order::new(COLD);
-        let cold =
-            |primary, bore| Seen { primary, bore, proven: true, age: Some(TimeDelta::ZERO), ..host(1) };
-        let stand =
-            order.next(&view(TimeDelta::ZERO, vec![cold(true, 20.0), cold(false, 20.0), cold(false, 0.0)]));
-        let [AdmissionMode::Paced { bears: start, most, .. }, AdmissionMode::Paced { bears: reads, .. }] =
-            stand.terms.unwrap().groups[&GroupId(1)]
+        let mut order = RecoverySchedule::new(COLD);
+        let cold = |primary, bore| EndpointView {
+            primary,
+            bore,
+            proven: true,
+            age: Some(TimeDelta::ZERO),
+            ..host(1)
+        };
+        let stand = order
+            .advance(&view(TimeDelta::ZERO, vec![cold(true, 20.0), cold(false, 20.0), cold(false, 0.0)]));
+        let [
+            AdmissionMode::Paced { capacity_per_s: start, max_per_s: most, .. },
+            AdmissionMode::Paced { capacity_per_s: reads, .. },
+        ] = stand.terms.unwrap().groups[&GroupId(1)].modes()
         else {
             panic!("no pace");
         };
         assert!((start - 20.0 * 0.25 / 3.0).abs() < 1e-9 && (most - 20.0 * 0.25 * 3.2 / 3.0).abs() < 1e-9);
         assert!((reads - 30.0 * 0.25 / 3.0).abs() < 1e-9);
         // A host that has said nothing yet is neither warm nor of help.
-        let silent = Seen { bore: 50.0, ..host(1) };
-        let early =
-            order.next(&view(TimeDelta::from_micros(1), vec![cold(true, 20.0), cold(false, 20.0), silent]));
-        let [_, AdmissionMode::Paced { bears: early, .. }] = early.terms.unwrap().groups[&GroupId(1)] else {
+        let silent = EndpointView { bore: 50.0, ..host(1) };
+        let early = order
+            .advance(&view(TimeDelta::from_micros(1), vec![cold(true, 20.0), cold(false, 20.0), silent]));
+        let [_, AdmissionMode::Paced { capacity_per_s: early, .. }] =
+            early.terms.unwrap().groups[&GroupId(1)].modes()
+        else {
             panic!("no pace")
         };
         assert!((early - 20.0 * 0.25 / 3.0).abs() < 1e-9);
         // Nobody knows who is primary: the weakest may be.
-        let mut order = Order::new(COLD);
-        order.next(&view(TimeDelta::ZERO, vec![]));
+        let mut order = RecoverySchedule::new(COLD);
+        order.advance(&view(TimeDelta::ZERO, vec![]));
         let unknown = view(PATIENCE, vec![cold(false, 20.0), cold(false, 12.0)]);
-        let [AdmissionMode::Paced { bears: start, .. }, _] =
-            order.next(&unknown).terms.unwrap().groups[&GroupId(1)]
+        let [AdmissionMode::Paced { capacity_per_s: start, .. }, _] =
+            order.advance(&unknown).terms.unwrap().groups[&GroupId(1)].modes()
         else {
             panic!("no pace");
         };
--- a/src/fleet/zones.rs
+++ b/src/fleet/zones.rs
@@ -1,7 +1,7 @@
 //! Which zones the fleet leaves, in which shares, and how it returns. No I/O.
 //!
-//! Each daemon says what it saw of each zone within the last moments ([`Sight`]). The leader weighs what all say
-//! ([`judge`]) and moves zones by agreed changes with a number ([`Zones::next`]): all that are lost at once, otherwise one
+//! Each daemon says what it saw of each zone within the last moments ([`ZoneOutcomes`]). The leader weighs what all say
+//! ([`judge`]) and moves zones by agreed changes with a number ([`EvacuationController::next`]): all that are lost at once, otherwise one
 //! at a time. Every daemon acts on the same ones. A share is the part of its usual reads that a zone gets; writes follow each group's primary.
 
 use crate::engine::outcome_window::OutcomeCounts;
@@ -37,30 +37,33 @@
 const IDLE: f64 = 0.05;
 
 /// The first step on the way back.
-pub const TRICKLE: u16 = STEPS[0];
+pub const FIRST_RETURN_PERMILLE: u16 = STEPS[0];
 
 /// How many times what it serves a zone bears, where it says that this part of it is in use; `unsaid`: where it
 /// does not say.
-pub fn room(busy: f64, unsaid: f64) -> f64 {
+pub fn headroom_factor(busy: f64, unsaid: f64) -> f64 {
     if busy < IDLE { unsaid.max(1.0 / IDLE * f64::from(u8::from(busy > 0.0))) } else { 1.0 / busy }
 }
 
 /// How long a zone stays left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Dwell {
+pub struct EvacuationBackoff {
     /// At least; twice as long each time it fails again soon after.
     pub least: TimeDelta,
     /// At most.
     pub longest: TimeDelta,
 }
 
-impl Default for Dwell {
-    fn default() -> Dwell {
-        Dwell { least: TimeDelta::from_secs(3), longest: TimeDelta::from_secs(60) }
+/// Former name of [`EvacuationBackoff`], for the parts that still use it.
+pub type Dwell = EvacuationBackoff;
+
+impl Default for EvacuationBackoff {
+    fn default() -> EvacuationBackoff {
+        EvacuationBackoff { least: TimeDelta::from_secs(3), longest: TimeDelta::from_secs(60) }
     }
 }
 
-impl Dwell {
+impl EvacuationBackoff {
     /// After so many failures soon after a return.
     pub fn after(&self, failed: u8) -> TimeDelta {
         self.least.saturating_mul(1 << failed.min(16)).min(self.longest)
@@ -69,7 +72,7 @@
 
 /// What a daemon saw of a zone within the last moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sight {
+pub struct ZoneOutcomes {
     /// Attempts that were answered in time.
     pub good: u32,
     /// Answered late against the usual of their class, or overdue at a host that answers others.
@@ -88,22 +91,24 @@
     pub busy: u16,
 }
 
-impl Sight {
+impl ZoneOutcomes {
     /// Of those hosts of a zone that were tried, of so many.
-    pub fn new<'a>(hosts: impl Iterator<Item = &'a OutcomeCounts>, of: usize) -> Sight {
+    pub fn new<'a>(hosts: impl Iterator<Item = &'a OutcomeCounts>, of: usize) -> ZoneOutcomes {
         let of = of.min(usize::from(u16::MAX)) as u16;
-        let (mut all, mut busy, mut say) = (Sight { of, ..Sight::default() }, 0u32, 0u32);
-        for seen in hosts.filter(|seen| seen.ended() > 0) {
-            let OutcomeCounts { good, late, silent, refused, .. } = *seen;
+        let (mut all, mut busy, mut say) = (ZoneOutcomes { of, ..ZoneOutcomes::default() }, 0u32, 0u32);
+        for seen in hosts.filter(|seen| seen.total() > 0) {
+            let OutcomeCounts { on_time: good, late, unanswered: silent, connect_failed: refused, .. } =
+                *seen;
             let gone = u16::from(good + late == 0);
-            all.add(&Sight { good, late, silent, refused, hosts: 1, gone, ..Sight::default() });
-            (busy, say) = (busy + u32::from(seen.busy), say + u32::from(seen.busy > 0));
+            all.add(&ZoneOutcomes { good, late, silent, refused, hosts: 1, gone, ..ZoneOutcomes::default() });
+            (busy, say) =
+                (busy + u32::from(seen.utilization_permille), say + u32::from(seen.utilization_permille > 0));
         }
         all.busy = (busy / say.max(1)).min(1000) as u16;
         all
     }
 
-    fn add(&mut self, other: &Sight) {
+    fn add(&mut self, other: &ZoneOutcomes) {
         self.good = self.good.saturating_add(other.good);
         self.late = self.late.saturating_add(other.late);
         self.silent = self.silent.saturating_add(other.silent);
@@ -135,34 +140,34 @@
 
     /// It answers in time, by enough attempts.
     pub fn is_sound(&self) -> bool {
-        self.ended() >= ENOUGH && self.verdict() == Verdict::Sound
+        self.ended() >= ENOUGH && self.verdict() == ZoneHealth::Sound
     }
 
     /// Too much of what is asked there fails or comes late for waiting to be worth while.
     pub fn is_shaky(&self) -> bool {
-        self.ended() >= ENOUGH && self.verdict() != Verdict::Sound
+        self.ended() >= ENOUGH && self.verdict() != ZoneHealth::Sound
     }
 
     /// What is wrong there, or not, whoever saw it.
-    fn verdict(&self) -> Verdict {
+    fn verdict(&self) -> ZoneHealth {
         match () {
-            _ if self.ended() == 0 => Verdict::Unknown,
-            _ if self.is_lost() => Verdict::Lost,
+            _ if self.ended() == 0 => ZoneHealth::Unknown,
+            _ if self.is_lost() => ZoneHealth::Lost,
             _ => answers(self.share(self.late), self.failed()),
         }
     }
 }
 
-impl fmt::Display for Sight {
+impl fmt::Display for ZoneOutcomes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Sight { good, late, silent, refused, .. } = self;
+        let ZoneOutcomes { good, late, silent, refused, .. } = self;
         write!(f, "good {good} late {late} silent {silent} refused {refused}")
     }
 }
 
 /// How a zone looks to the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ZoneHealth {
     /// Nobody knows enough.
     Unknown,
     /// It answers in time.
@@ -178,80 +183,81 @@
 }
 
 /// How a zone looks that is not lost: of a hundred attempts so many came late, and so many failed.
-fn answers(late: u32, failed: u32) -> Verdict {
+fn answers(late: u32, failed: u32) -> ZoneHealth {
     match () {
-        _ if late >= SLOW => Verdict::Slow,
-        _ if late + failed < SOUND => Verdict::Sound,
-        _ => Verdict::Doubtful,
+        _ if late >= SLOW => ZoneHealth::Slow,
+        _ if late + failed < SOUND => ZoneHealth::Sound,
+        _ => ZoneHealth::Doubtful,
     }
 }
 
 /// What each daemon saw, by zone.
-pub type Sights = BTreeMap<NodeId, BTreeMap<ZoneId, Sight>>;
+pub type ZoneReports = BTreeMap<NodeId, BTreeMap<ZoneId, ZoneOutcomes>>;
 
 /// A daemon to which every zone that it tries is lost, and that tries more than one, is itself cut off: its word says
 /// nothing about the zones. Where all say so of all zones, nobody is.
-fn suspects(sights: &Sights) -> BTreeSet<NodeId> {
-    let sees_nobody = |own: &BTreeMap<ZoneId, Sight>| {
-        let known: Vec<&Sight> = own.values().filter(|s| s.ended() > 0).collect();
+fn suspects(sights: &ZoneReports) -> BTreeSet<NodeId> {
+    let sees_nobody = |own: &BTreeMap<ZoneId, ZoneOutcomes>| {
+        let known: Vec<&ZoneOutcomes> = own.values().filter(|s| s.ended() > 0).collect();
         known.len() > 1 && known.iter().all(|s| s.is_lost())
     };
     sights.iter().filter(|(_, own)| sees_nobody(own)).map(|(id, _)| *id).collect()
 }
 
 /// The words on zones that count, each daemon's on all of them together.
-fn words(zones: &[ZoneId], sights: &Sights) -> Vec<(NodeId, Sight)> {
+fn words(zones: &[ZoneId], sights: &ZoneReports) -> Vec<(NodeId, ZoneOutcomes)> {
     let suspects = suspects(sights);
     let words = sights.iter().filter(|(id, _)| !suspects.contains(id));
     let words = words.map(|(id, own)| (*id, sum(zones.iter().filter_map(|zone| own.get(zone)))));
     words.filter(|(_, s)| s.ended() > 0).collect()
 }
 
-fn sum<'a>(sights: impl Iterator<Item = &'a Sight>) -> Sight {
-    let mut all = Sight::default();
+fn sum<'a>(sights: impl Iterator<Item = &'a ZoneOutcomes>) -> ZoneOutcomes {
+    let mut all = ZoneOutcomes::default();
     sights.for_each(|s| all.add(s));
     all
 }
 
 /// How a zone looks, by what all daemons saw.
-pub fn judge(zone: ZoneId, sights: &Sights) -> Verdict {
+pub fn assess_zone(zone: ZoneId, sights: &ZoneReports) -> ZoneHealth {
     weigh(&words(&[zone], sights))
 }
 
 /// How what daemons saw looks: lost where most who tried find nobody there, and these have seen most of what was seen.
-fn weigh(words: &[(NodeId, Sight)]) -> Verdict {
-    let weight = |s: &Sight| s.ended().min(HEAVIEST);
+fn weigh(words: &[(NodeId, ZoneOutcomes)]) -> ZoneHealth {
+    let weight = |s: &ZoneOutcomes| s.ended().min(HEAVIEST);
     let all: u32 = words.iter().map(|(_, s)| weight(s)).sum();
     if all < ENOUGH {
-        return Verdict::Unknown;
+        return ZoneHealth::Unknown;
     }
-    let lost: Vec<&(NodeId, Sight)> = words.iter().filter(|(_, s)| s.is_lost()).collect();
+    let lost: Vec<&(NodeId, ZoneOutcomes)> = words.iter().filter(|(_, s)| s.is_lost()).collect();
     let lost_weight: u32 = lost.iter().map(|(_, s)| weight(s)).sum();
     // Where little is asked, or the zone's hosts are seldom drawn, each daemon has tried another one of them.
     let gone: u32 = lost.iter().map(|(_, s)| u32::from(s.gone)).sum();
     let few = words.iter().map(|(_, s)| u32::from(s.of)).max().unwrap_or(0).min(2);
     if lost_weight * 2 > all && lost.len() * 2 > words.len() && gone >= few {
-        return Verdict::Lost;
+        return ZoneHealth::Lost;
     }
     let cut_off: BTreeSet<NodeId> =
         lost.iter().filter(|(_, s)| s.ended() >= ENOUGH).map(|(id, _)| *id).collect();
     if !cut_off.is_empty() {
-        return Verdict::CutOff(cut_off);
+        return ZoneHealth::CutOff(cut_off);
     }
-    let part =
-        |of: fn(&Sight) -> u32| -> u32 { words.iter().map(|(_, s)| of(s) * weight(s)).sum::<u32>() / all };
-    let (late, failed) = (part(|s| s.share(s.late)), part(Sight::failed));
+    let part = |of: fn(&ZoneOutcomes) -> u32| -> u32 {
+        words.iter().map(|(_, s)| of(s) * weight(s)).sum::<u32>() / all
+    };
+    let (late, failed) = (part(|s| s.share(s.late)), part(ZoneOutcomes::failed));
     answers(late, failed)
 }
 
 /// How a zone on its way back looks: few go there, so what all daemons saw counts together.
-fn judge_trickle(zone: ZoneId, sights: &Sights) -> Verdict {
+fn judge_trickle(zone: ZoneId, sights: &ZoneReports) -> ZoneHealth {
     sum(words(&[zone], sights).iter().map(|(_, s)| s)).verdict()
 }
 
 /// What a zone can carry and carries, in requests a second of all daemons.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct ZoneLoad {
     /// Reads that it would serve at its whole share.
     pub reads: f64,
     /// What its hosts bear now.
@@ -260,16 +266,16 @@
 
 /// Moves of zones, as one daemon decides them while it leads.
 #[derive(Clone, Debug, Default)]
-pub struct Zones {
-    dwell: Dwell,
+pub struct EvacuationController {
+    dwell: EvacuationBackoff,
     /// When each zone's share last moved, by this daemon's clock; the number of that move.
     moved: BTreeMap<ZoneId, (u64, Timestamp)>,
 }
 
-impl Zones {
+impl EvacuationController {
     /// Nothing has moved yet.
-    pub fn new(dwell: Dwell) -> Zones {
-        Zones { dwell, moved: BTreeMap::new() }
+    pub fn new(dwell: EvacuationBackoff) -> EvacuationController {
+        EvacuationController { dwell, moved: BTreeMap::new() }
     }
 
     fn since(&mut self, now: Timestamp, zone: ZoneId, share: &Share) -> TimeDelta {
@@ -283,35 +289,35 @@
     /// The moves that are due: zones with their new shares. More than one only where all of them are lost. `shares`:
     /// what is agreed, for every zone that has hosts; `region`: the zones that fail together with one, itself among
     /// them.
-    pub fn next(
+    pub fn next_moves(
         &mut self,
         now: Timestamp,
         shares: &BTreeMap<ZoneId, Share>,
         region: impl Fn(ZoneId) -> Vec<ZoneId>,
-        sights: &Sights,
-        loads: &BTreeMap<ZoneId, Load>,
+        sights: &ZoneReports,
+        loads: &BTreeMap<ZoneId, ZoneLoad>,
     ) -> Vec<(ZoneId, Share)> {
         let look = |(zone, share): (&ZoneId, &Share)| {
             let returns = share.part > 0 && share.part < WHOLE && share.why == Why::Returns;
-            (*zone, if returns { judge_trickle(*zone, sights) } else { judge(*zone, sights) })
+            (*zone, if returns { judge_trickle(*zone, sights) } else { assess_zone(*zone, sights) })
         };
-        let mut verdicts: BTreeMap<ZoneId, Verdict> = shares.iter().map(look).collect();
-        for (zone, verdict) in verdicts.iter_mut().filter(|(_, verdict)| **verdict == Verdict::Unknown) {
+        let mut verdicts: BTreeMap<ZoneId, ZoneHealth> = shares.iter().map(look).collect();
+        for (zone, verdict) in verdicts.iter_mut().filter(|(_, verdict)| **verdict == ZoneHealth::Unknown) {
             // Of a zone in which little is asked its region's other zones tell enough.
             if is_lost(&region(*zone), sights) {
-                *verdict = Verdict::Lost;
+                *verdict = ZoneHealth::Lost;
             }
         }
         let rests: BTreeMap<ZoneId, TimeDelta> =
             shares.iter().map(|(zone, share)| (*zone, self.since(now, *zone, share))).collect();
         // Lost ones first, then those that fail on their way back, slow ones, and at last those that may return.
-        let lost = |zone: &&ZoneId| verdicts[*zone] == Verdict::Lost && shares[*zone].part > 0;
+        let lost = |zone: &&ZoneId| verdicts[*zone] == ZoneHealth::Lost && shares[*zone].part > 0;
         let lost: Vec<ZoneId> = shares.keys().filter(lost).copied().collect();
         if !lost.is_empty() {
             let leave = |zone| leave(zone, Why::Lost, rests[&zone], shares, &verdicts, loads);
             return lost.into_iter().filter_map(leave).collect();
         }
-        let slow = |zone: &&ZoneId| verdicts[*zone] == Verdict::Slow && shares[*zone].part > 0;
+        let slow = |zone: &&ZoneId| verdicts[*zone] == ZoneHealth::Slow && shares[*zone].part > 0;
         if let Some(zone) = shares.keys().find(slow).filter(|zone| rests[*zone] >= STEP) {
             return leave(*zone, Why::Slow, rests[zone], shares, &verdicts, loads).into_iter().collect();
         }
@@ -323,8 +329,8 @@
             rests[zone] >= self.dwell.after(share.failed)
         } else {
             // A step counts by what it brought.
-            rests[zone] >= STEP && verdicts[zone] == Verdict::Sound
-                || rests[zone] >= QUIET && verdicts[zone] == Verdict::Unknown
+            rests[zone] >= STEP && verdicts[zone] == ZoneHealth::Sound
+                || rests[zone] >= QUIET && verdicts[zone] == ZoneHealth::Unknown
         };
         // No faster than its hosts warm.
         let load = loads.get(zone).copied().unwrap_or_default();
@@ -336,9 +342,9 @@
 }
 
 /// Whether a region is lost: to most daemons that tried any of its zones, and in more than one of them, as a zone is.
-fn is_lost(zones: &[ZoneId], sights: &Sights) -> bool {
+fn is_lost(zones: &[ZoneId], sights: &ZoneReports) -> bool {
     let tried = |zone: &&ZoneId| sights.values().any(|own| own.get(*zone).is_some_and(|s| s.ended() > 0));
-    zones.iter().filter(tried).count() > 1 && weigh(&words(zones, sights)) == Verdict::Lost
+    zones.iter().filter(tried).count() > 1 && weigh(&words(zones, sights)) == ZoneHealth::Lost
 }
 
 /// The share that a zone keeps when it is left: none, unless those that stay could not carry what moves to them.
@@ -348,17 +354,17 @@
     why: Why,
     rests: TimeDelta,
     shares: &BTreeMap<ZoneId, Share>,
-    verdicts: &BTreeMap<ZoneId, Verdict>,
-    loads: &BTreeMap<ZoneId, Load>,
+    verdicts: &BTreeMap<ZoneId, ZoneHealth>,
+    loads: &BTreeMap<ZoneId, ZoneLoad>,
 ) -> Option<(ZoneId, Share)> {
     let works = |other: &&ZoneId| {
         **other != zone
             && shares[*other].part > 0
-            && !matches!(verdicts[*other], Verdict::Lost | Verdict::Slow)
+            && !matches!(verdicts[*other], ZoneHealth::Lost | ZoneHealth::Slow)
     };
     let others: Vec<&ZoneId> = shares.keys().filter(works).collect();
     // Nothing is left but for a zone that is seen to work: where all is slow or silent the fault is elsewhere.
-    if !others.iter().any(|other| verdicts[*other] == Verdict::Sound) {
+    if !others.iter().any(|other| verdicts[*other] == ZoneHealth::Sound) {
         return None;
     }
     let share = shares[&zone];
@@ -385,47 +391,48 @@
 /// What one daemon does alone, for itself: it leaves a zone that it cannot reach, while others may reach it or the
 /// fleet has not decided yet. What is agreed on a zone takes its place.
 #[derive(Clone, Debug, Default)]
-pub struct Alone {
-    dwell: Dwell,
+pub struct LocalEvacuation {
+    dwell: EvacuationBackoff,
     /// By zone: until when it is left, and times that it was.
     left: BTreeMap<ZoneId, (Timestamp, u8)>,
 }
 
-impl Alone {
+impl LocalEvacuation {
     /// Nothing is left.
-    pub fn new(dwell: Dwell) -> Alone {
-        Alone { dwell, left: BTreeMap::new() }
+    pub fn new(dwell: EvacuationBackoff) -> LocalEvacuation {
+        LocalEvacuation { dwell, left: BTreeMap::new() }
     }
 
     /// Whether this daemon leaves a zone now.
-    pub fn leaves(&self, now: Timestamp, zone: ZoneId) -> bool {
+    pub fn is_evacuated(&self, now: Timestamp, zone: ZoneId) -> bool {
         self.left.get(&zone).is_some_and(|(until, _)| now < *until)
     }
 
-    /// Zones that this daemon leaves now.
-    pub fn left(&self, now: Timestamp) -> impl Iterator<Item = ZoneId> {
+    /// EvacuationController that this daemon leaves now.
+    pub fn evacuated(&self, now: Timestamp) -> impl Iterator<Item = ZoneId> {
         self.left.iter().filter(move |(_, (until, _))| now < *until).map(|(zone, _)| *zone)
     }
 
     /// Weighs what this daemon sees itself: the zones that it leaves from now on. Never all that it tries.
-    pub fn look(
+    pub fn update(
         &mut self,
         now: Timestamp,
-        own: &BTreeMap<ZoneId, Sight>,
+        own: &BTreeMap<ZoneId, ZoneOutcomes>,
         agreed: &BTreeMap<ZoneId, Share>,
     ) -> BTreeSet<ZoneId> {
         self.left.retain(|zone, (until, _)| {
             now - *until < FORGIVEN && agreed.get(zone).is_none_or(|s| s.part == WHOLE)
         });
-        // Alone it has to see more of the zone than where others see as much.
+        // LocalEvacuation it has to see more of the zone than where others see as much.
         let is_lost =
-            |s: &Sight| s.ended() >= ENOUGH && s.is_lost() && u32::from(s.gone) * 2 >= u32::from(s.of);
-        let works = |zone: &ZoneId, s: &Sight| s.is_sound() && !self.leaves(now, *zone);
+            |s: &ZoneOutcomes| s.ended() >= ENOUGH && s.is_lost() && u32::from(s.gone) * 2 >= u32::from(s.of);
+        let works = |zone: &ZoneId, s: &ZoneOutcomes| s.is_sound() && !self.is_evacuated(now, *zone);
         if !own.iter().any(|(zone, s)| works(zone, s)) {
             return BTreeSet::new();
         }
         let whole = |zone: &ZoneId| agreed.get(zone).is_none_or(|s| s.part == WHOLE);
-        let lost = own.iter().filter(|(zone, s)| is_lost(s) && whole(zone) && !self.leaves(now, **zone));
+        let lost =
+            own.iter().filter(|(zone, s)| is_lost(s) && whole(zone) && !self.is_evacuated(now, **zone));
         let lost: BTreeSet<ZoneId> = lost.map(|(zone, _)| *zone).collect();
         for zone in &lost {
             let failed = self.left.get(zone).map_or(0, |(_, failed)| *failed);
@@ -441,57 +448,67 @@
 
     const S: TimeDelta = TimeDelta::from_secs(1);
 
-    fn good(n: u32) -> Sight {
-        Sight { good: n, hosts: 4, of: 4, ..Sight::default() }
+    fn good(n: u32) -> ZoneOutcomes {
+        ZoneOutcomes { good: n, hosts: 4, of: 4, ..ZoneOutcomes::default() }
     }
 
-    fn silent(n: u32) -> Sight {
-        Sight { silent: n, hosts: 4, gone: 4, of: 4, ..Sight::default() }
+    fn silent(n: u32) -> ZoneOutcomes {
+        ZoneOutcomes { silent: n, hosts: 4, gone: 4, of: 4, ..ZoneOutcomes::default() }
     }
 
-    fn sights(all: &[&[Sight]]) -> Sights {
-        let own = |own: &&[Sight]| own.iter().enumerate().map(|(z, s)| (ZoneId(z as u8), *s)).collect();
+    fn sights(all: &[&[ZoneOutcomes]]) -> ZoneReports {
+        let own =
+            |own: &&[ZoneOutcomes]| own.iter().enumerate().map(|(z, s)| (ZoneId(z as u8), *s)).collect();
         all.iter().enumerate().map(|(n, s)| (NodeId(n as u64 + 1), own(s))).collect()
     }
 
     #[test]
     fn a_lost_zone_is_told_from_a_slow_one_a_cut_link_chance_and_a_daemon_that_is_cut_off_itself() {
         let (g, s) = (good(20), silent(20));
-        let late = Sight { late: 15, good: 5, ..Sight::default() };
-        let unlucky = Sight { good: 15, silent: 3, hosts: 4, gone: 1, ..Sight::default() };
-        let one_dead = Sight { good: 0, silent: 9, hosts: 1, gone: 1, of: 4, ..Sight::default() };
-        assert_eq!(judge(ZoneId(0), &sights(&[&[s, g], &[s, g], &[g, g]])), Verdict::Lost);
+        let late = ZoneOutcomes { late: 15, good: 5, ..ZoneOutcomes::default() };
+        let unlucky = ZoneOutcomes { good: 15, silent: 3, hosts: 4, gone: 1, ..ZoneOutcomes::default() };
+        let one_dead =
+            ZoneOutcomes { good: 0, silent: 9, hosts: 1, gone: 1, of: 4, ..ZoneOutcomes::default() };
+        assert_eq!(assess_zone(ZoneId(0), &sights(&[&[s, g], &[s, g], &[g, g]])), ZoneHealth::Lost);
         assert_eq!(
-            judge(ZoneId(0), &sights(&[&[s, g], &[g, g], &[g, g]])),
-            Verdict::CutOff(BTreeSet::from([NodeId(1)]))
+            assess_zone(ZoneId(0), &sights(&[&[s, g], &[g, g], &[g, g]])),
+            ZoneHealth::CutOff(BTreeSet::from([NodeId(1)]))
         );
-        assert_eq!(judge(ZoneId(0), &sights(&[&[late, g], &[late, g], &[g, g]])), Verdict::Slow);
-        assert_eq!(judge(ZoneId(0), &sights(&[&[unlucky, g], &[g, g]])), Verdict::Sound);
-        assert_eq!(judge(ZoneId(0), &sights(&[&[unlucky, g], &[unlucky, g]])), Verdict::Doubtful);
-        assert_eq!(judge(ZoneId(0), &sights(&[&[s, s], &[g, g]])), Verdict::Sound, "its own link is cut");
-        assert_eq!(judge(ZoneId(0), &sights(&[&[silent(2), g], &[good(2), g]])), Verdict::Unknown);
+        assert_eq!(assess_zone(ZoneId(0), &sights(&[&[late, g], &[late, g], &[g, g]])), ZoneHealth::Slow);
+        assert_eq!(assess_zone(ZoneId(0), &sights(&[&[unlucky, g], &[g, g]])), ZoneHealth::Sound);
+        assert_eq!(assess_zone(ZoneId(0), &sights(&[&[unlucky, g], &[unlucky, g]])), ZoneHealth::Doubtful);
+        assert_eq!(
+            assess_zone(ZoneId(0), &sights(&[&[s, s], &[g, g]])),
+            ZoneHealth::Sound,
+            "its own link is cut"
+        );
+        assert_eq!(assess_zone(ZoneId(0), &sights(&[&[silent(2), g], &[good(2), g]])), ZoneHealth::Unknown);
         // Many daemons that saw little each know enough together.
         assert_eq!(
-            judge(ZoneId(0), &sights(&[&[silent(2), g], &[silent(2), g], &[silent(1), g]])),
-            Verdict::Lost
+            assess_zone(ZoneId(0), &sights(&[&[silent(2), g], &[silent(2), g], &[silent(1), g]])),
+            ZoneHealth::Lost
         );
         assert_eq!(
-            judge(ZoneId(0), &sights(&[&[one_dead, g], &[g, g]])),
-            Verdict::CutOff(BTreeSet::from([NodeId(1)]))
+            assess_zone(ZoneId(0), &sights(&[&[one_dead, g], &[g, g]])),
+            ZoneHealth::CutOff(BTreeSet::from([NodeId(1)]))
         );
         assert_ne!(
-            judge(ZoneId(0), &sights(&[&[one_dead, g]])),
-            Verdict::Lost,
+            assess_zone(ZoneId(0), &sights(&[&[one_dead, g]])),
+            ZoneHealth::Lost,
             "one host of four is all that was tried"
         );
         let one_each = &[&[one_dead, g][..], &[one_dead, g], &[one_dead, g]];
-        assert_eq!(judge(ZoneId(0), &sights(one_each)), Verdict::Lost, "each may have tried another one");
+        assert_eq!(
+            assess_zone(ZoneId(0), &sights(one_each)),
+            ZoneHealth::Lost,
+            "each may have tried another one"
+        );
         // One that reports every zone as dead, however much it claims to have seen.
         let liar = silent(u32::MAX);
-        assert_eq!(judge(ZoneId(0), &sights(&[&[liar, liar], &[g, g], &[g, g]])), Verdict::Sound);
+        assert_eq!(assess_zone(ZoneId(0), &sights(&[&[liar, liar], &[g, g], &[g, g]])), ZoneHealth::Sound);
         assert_eq!(
-            judge(ZoneId(0), &sights(&[&[liar, g], &[g, g], &[g, g]])),
-            Verdict::CutOff(BTreeSet::from([NodeId(1)]))
+            assess_zone(ZoneId(0), &sights(&[&[liar, g], &[g, g], &[g, g]])),
+            ZoneHealth::CutOff(BTreeSet::from([NodeId(1)]))
         );
     }
 
@@ -515,13 +532,13 @@
             (0.25 + 0.75 * age).min(1.0)
         }
 
-        fn loads(&self, now: Timestamp) -> BTreeMap<ZoneId, Load> {
-            let load = |z| Load { reads: 100.0, bears: 200.0 * self.warmth(now, z) };
+        fn loads(&self, now: Timestamp) -> BTreeMap<ZoneId, ZoneLoad> {
+            let load = |z| ZoneLoad { reads: 100.0, bears: 200.0 * self.warmth(now, z) };
             (0..3).map(ZoneId).map(|z| (z, load(z))).collect()
         }
 
         /// What daemons see in a second: `daemons` of them, each a like part.
-        fn sights(&self, now: Timestamp, daemons: u64) -> Sights {
+        fn sights(&self, now: Timestamp, daemons: u64) -> ZoneReports {
             let sight = |zone: ZoneId| {
                 let sent =
                     (f64::from(self.shares[&zone].part) / 1000.0 * 100.0 / daemons as f64).ceil() as u32;
@@ -538,7 +555,7 @@
     fn zones_are_left_at_once_and_return_no_faster_than_they_warm() {
         for seed in 0..40 {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let (mut world, mut zones) = (World::new(), Zones::default());
+            let (mut world, mut zones) = (World::new(), EvacuationController::default());
             let mut moves: Vec<(Timestamp, ZoneId, Share)> = Vec::new();
             let (last_fault, end) = (Timestamp::ZERO + 120 * S, Timestamp::ZERO + 400 * S);
             let mut now = Timestamp::ZERO;
@@ -550,7 +567,7 @@
                     world.started[zone] = world.silent[zone];
                 }
                 let (sights, loads) = (world.sights(now, 5), world.loads(now));
-                let due = zones.next(now, &world.shares, |zone| vec![zone], &sights, &loads);
+                let due = zones.next_moves(now, &world.shares, |zone| vec![zone], &sights, &loads);
                 assert!(due.len() < 2 || due.iter().all(|(_, s)| s.why == Why::Lost), "seed {seed}: {due:?}");
                 for (zone, share) in due {
                     let old = world.shares[&zone];
@@ -576,7 +593,7 @@
                     let (left, back) = (pair[0].2, pair[1].2);
                     let rested = pair[1].0 - pair[0].0;
                     assert!(
-                        left.part > 0 || back.part == 0 || rested >= Dwell::default().least,
+                        left.part > 0 || back.part == 0 || rested >= EvacuationBackoff::default().least,
                         "seed {seed}: it flaps"
                     );
                 }
@@ -586,36 +603,43 @@
 
     #[test]
     fn a_slow_zone_is_left_in_shares_that_the_others_can_carry_and_a_lost_one_whole() {
-        let late = Sight { late: 20, ..Sight::default() };
+        let late = ZoneOutcomes { late: 20, ..ZoneOutcomes::default() };
         let (g, s) = (good(20), silent(20));
         let shares: BTreeMap<ZoneId, Share> = (0..2).map(|z| (ZoneId(z), Share::default())).collect();
         let loads = BTreeMap::from([
-            (ZoneId(0), Load { reads: 100.0, bears: 150.0 }),
-            (ZoneId(1), Load { reads: 100.0, bears: 150.0 }),
+            (ZoneId(0), ZoneLoad { reads: 100.0, bears: 150.0 }),
+            (ZoneId(1), ZoneLoad { reads: 100.0, bears: 150.0 }),
         ]);
-        let (mut zones, zero) = (Zones::default(), Timestamp::ZERO);
+        let (mut zones, zero) = (EvacuationController::default(), Timestamp::ZERO);
         let own = |zone| vec![zone];
         assert!(
-            zones.next(zero, &shares, own, &sights(&[&[late, g]]), &loads).is_empty(),
+            zones.next_moves(zero, &shares, own, &sights(&[&[late, g]]), &loads).is_empty(),
             "not at first sight"
         );
-        let (zone, share) = zones.next(zero + STEP, &shares, own, &sights(&[&[late, g]]), &loads)[0];
+        let (zone, share) = zones.next_moves(zero + STEP, &shares, own, &sights(&[&[late, g]]), &loads)[0];
         // The other one has room for 35 of its 100.
         assert_eq!((zone, share.part, share.why), (ZoneId(0), 650, Why::Slow));
-        let (zone, share) = Zones::default().next(zero, &shares, own, &sights(&[&[s, g]]), &loads)[0];
+        let (zone, share) =
+            EvacuationController::default().next_moves(zero, &shares, own, &sights(&[&[s, g]]), &loads)[0];
         assert_eq!((zone, share.part, share.why), (ZoneId(0), 0, Why::Lost));
         // Both are slow: nothing is to be gained. Only one is left that works: it stays.
-        assert!(zones.next(zero + 2 * STEP, &shares, own, &sights(&[&[late, late]]), &loads).is_empty());
+        assert!(
+            zones.next_moves(zero + 2 * STEP, &shares, own, &sights(&[&[late, late]]), &loads).is_empty()
+        );
         let mut one_left = shares.clone();
         one_left.insert(ZoneId(0), Share { part: 0, why: Why::Lost, number: 1, failed: 0 });
-        let both = sights(&[&[Sight::default(), s], &[Sight::default(), s]]);
-        assert!(Zones::default().next(zero, &one_left, own, &both, &loads).is_empty());
+        let both = sights(&[&[ZoneOutcomes::default(), s], &[ZoneOutcomes::default(), s]]);
+        assert!(EvacuationController::default().next_moves(zero, &one_left, own, &both, &loads).is_empty());
         // What an operator has left returns on an operator's word.
         let mut held = shares.clone();
         held.insert(ZoneId(0), Share { part: 0, why: Why::Operator, number: 1, failed: 0 });
-        let mut zones = Zones::default();
-        for now in [zero, zero + Dwell::default().longest * 2] {
-            assert!(zones.next(now, &held, own, &sights(&[&[Sight::default(), g]]), &loads).is_empty());
+        let mut zones = EvacuationController::default();
+        for now in [zero, zero + EvacuationBackoff::default().longest * 2] {
+            assert!(
+                zones
+                    .next_moves(now, &held, own, &sights(&[&[ZoneOutcomes::default(), g]]), &loads)
+                    .is_empty()
+            );
         }
     }
 
@@ -623,13 +647,19 @@
     /// the other though all of them are lost, and against one zone's fault that is laid to its region.
     #[test]
     fn a_lost_region_is_left_whole_and_a_lost_zone_alone() {
-        let (g, s, none) = (good(20), silent(20), Sight::default());
+        let (g, s, none) = (good(20), silent(20), ZoneOutcomes::default());
         let shares: BTreeMap<ZoneId, Share> = (0..4).map(|z| (ZoneId(z), Share::default())).collect();
         let loads = BTreeMap::new();
-        // Zones 0, 1 and 2 are a region.
+        // EvacuationController 0, 1 and 2 are a region.
         let region = |zone: ZoneId| if zone.0 < 3 { [0, 1, 2].map(ZoneId).to_vec() } else { vec![zone] };
-        let left = |seen: &[&[Sight]]| -> Vec<(u8, u16)> {
-            let due = Zones::default().next(Timestamp::ZERO, &shares, region, &sights(seen), &loads);
+        let left = |seen: &[&[ZoneOutcomes]]| -> Vec<(u8, u16)> {
+            let due = EvacuationController::default().next_moves(
+                Timestamp::ZERO,
+                &shares,
+                region,
+                &sights(seen),
+                &loads,
+            );
             due.into_iter().map(|(zone, share)| (zone.0, share.part)).collect()
         };
         assert_eq!(left(&[&[s, silent(3), none, g], &[s, none, none, g]]), [(0, 0), (1, 0), (2, 0)]);
@@ -642,7 +672,13 @@
         assert_eq!(left(&[&[s, s, s, s], &[s, s, s, s]]), [], "there is nowhere to go");
         // The same without regions: what little is asked tells nothing.
         let seen = sights(&[&[s, silent(3), none, g], &[s, none, none, g]]);
-        let alone = Zones::default().next(Timestamp::ZERO, &shares, |zone| vec![zone], &seen, &loads);
+        let alone = EvacuationController::default().next_moves(
+            Timestamp::ZERO,
+            &shares,
+            |zone| vec![zone],
+            &seen,
+            &loads,
+        );
         assert_eq!(alone.iter().map(|(zone, _)| *zone).collect::<Vec<_>>(), [ZoneId(0)]);
     }
 }
--- a/src/fleet/zoning.rs
+++ b/src/fleet/zoning.rs
@@ -1,11 +1,14 @@
 //! What a daemon knows of zones: its own sights, the others' words, the shares that follow. No I/O.
 //!
-//! Sights go to all daemons, so that whoever leads next knows as much; the leader's [`Zones`] moves shares by agreed
+//! ZoneReports go to all daemons, so that whoever leads next knows as much; the leader's [`EvacuationController`] moves shares by agreed
 //! changes. The list is shaped by them: a zone's hosts get their share of the reads by weight, none where it is left.
 //! The primary of a group stays on the list wherever it is: only it can take writes, and the module finds out by
 //! itself whether it does.
 
-use super::zones::{Alone, Dwell, Load, Sight, Sights, Verdict, Zones, judge};
+use super::zones::{
+    EvacuationBackoff, EvacuationController, LocalEvacuation, ZoneHealth, ZoneLoad, ZoneOutcomes,
+    ZoneReports, assess_zone,
+};
 use crate::engine::endpoints::EndpointRecord;
 use crate::engine::outcome_window::OutcomeCounts;
 use crate::ids::NodeId;
@@ -27,26 +30,29 @@
 
 /// How this daemon leaves zones, by its operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Leaving {
+pub struct EvacuationPolicy {
     /// Names of the zones, by their numbers.
     pub names: Vec<String>,
-    /// Zones are left and return without an operator's word.
+    /// EvacuationController are left and return without an operator's word.
     pub automatic: bool,
     /// How long they stay left.
-    pub dwell: Dwell,
+    pub dwell: EvacuationBackoff,
 }
 
-impl Default for Leaving {
-    fn default() -> Leaving {
-        Leaving { names: Vec::new(), automatic: true, dwell: Dwell::default() }
+/// Former name of [`EvacuationPolicy`], for the parts that still use it.
+pub type Leaving = EvacuationPolicy;
+
+impl Default for EvacuationPolicy {
+    fn default() -> EvacuationPolicy {
+        EvacuationPolicy { names: Vec::new(), automatic: true, dwell: EvacuationBackoff::default() }
     }
 }
 
 /// An operator's word on a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ZoneCommand {
     /// No reads go there, at once.
-    Leave,
+    Evacuate,
     /// It returns step by step.
     Return,
     /// It returns at once.
@@ -57,25 +63,25 @@
 
 /// What is known.
 #[derive(Debug)]
-pub struct Zoning {
+pub struct ZoneState {
     /// How zones are left.
-    pub leaving: Leaving,
-    own: BTreeMap<ZoneId, Sight>,
-    others: BTreeMap<NodeId, (BTreeMap<ZoneId, Sight>, Timestamp)>,
-    zones: Zones,
-    alone: Alone,
+    pub leaving: EvacuationPolicy,
+    own: BTreeMap<ZoneId, ZoneOutcomes>,
+    others: BTreeMap<NodeId, (BTreeMap<ZoneId, ZoneOutcomes>, Timestamp)>,
+    zones: EvacuationController,
+    alone: LocalEvacuation,
     /// Reads a second that each zone serves at its whole share, and the part of its capacity that these take.
     usual: BTreeMap<ZoneId, (f64, f64)>,
     /// The parts of zones that were away when this was last looked at.
     parts: BTreeMap<ZoneId, u16>,
 }
 
-impl Zoning {
+impl ZoneState {
     /// Nothing is known.
-    pub fn new(leaving: Leaving) -> Zoning {
-        let (zones, alone) = (Zones::new(leaving.dwell), Alone::new(leaving.dwell));
+    pub fn new(leaving: EvacuationPolicy) -> ZoneState {
+        let (zones, alone) = (EvacuationController::new(leaving.dwell), LocalEvacuation::new(leaving.dwell));
         let (own, others) = (BTreeMap::new(), BTreeMap::new());
-        Zoning { leaving, own, others, zones, alone, usual: BTreeMap::new(), parts: BTreeMap::new() }
+        ZoneState { leaving, own, others, zones, alone, usual: BTreeMap::new(), parts: BTreeMap::new() }
     }
 
     /// The name of a zone.
@@ -89,11 +95,11 @@
     }
 
     /// Takes in what this daemon saw of hosts; what it saw of zones, if anybody should hear of it now.
-    pub fn see(
+    pub fn record_outcomes(
         &mut self,
         seen: &BTreeMap<String, OutcomeCounts>,
         state: &State,
-    ) -> Option<BTreeMap<ZoneId, Sight>> {
+    ) -> Option<BTreeMap<ZoneId, ZoneOutcomes>> {
         let mut by: BTreeMap<ZoneId, Vec<&OutcomeCounts>> = BTreeMap::new();
         for (host, seen) in seen {
             if let Some(host) = state.hosts.get(host) {
@@ -101,9 +107,11 @@
             }
         }
         let of = |zone| state.hosts.values().filter(|host| host.zone == zone).count();
-        let own: BTreeMap<ZoneId, Sight> =
-            by.into_iter().map(|(zone, seen)| (zone, Sight::new(seen.into_iter(), of(zone)))).collect();
-        let amiss = |s: &Sight| s.silent + s.refused + s.late > 0;
+        let own: BTreeMap<ZoneId, ZoneOutcomes> = by
+            .into_iter()
+            .map(|(zone, seen)| (zone, ZoneOutcomes::new(seen.into_iter(), of(zone))))
+            .collect();
+        let amiss = |s: &ZoneOutcomes| s.silent + s.refused + s.late > 0;
         let urgent = own.values().chain(self.own.values()).any(amiss)
             || state.zones.values().any(|share| share.part < WHOLE);
         self.own = own;
@@ -111,18 +119,18 @@
     }
 
     /// What this daemon saw of zones.
-    pub fn own(&self) -> &BTreeMap<ZoneId, Sight> {
+    pub fn own_outcomes(&self) -> &BTreeMap<ZoneId, ZoneOutcomes> {
         &self.own
     }
 
     /// Another daemon has said what it saw of zones.
-    pub fn hear(&mut self, now: Timestamp, by: NodeId, sights: BTreeMap<ZoneId, Sight>) {
+    pub fn record_report(&mut self, now: Timestamp, by: NodeId, sights: BTreeMap<ZoneId, ZoneOutcomes>) {
         self.others.insert(by, (sights, now));
     }
 
     /// All words that count.
-    pub fn sights(&self, now: Timestamp, me: NodeId, state: &State) -> Sights {
-        let fresh = |(id, (_, at)): &(&NodeId, &(BTreeMap<ZoneId, Sight>, Timestamp))| {
+    pub fn current_reports(&self, now: Timestamp, me: NodeId, state: &State) -> ZoneReports {
+        let fresh = |(id, (_, at)): &(&NodeId, &(BTreeMap<ZoneId, ZoneOutcomes>, Timestamp))| {
             now - *at < FRESH && state.members.contains_key(id)
         };
         let others = self.others.iter().filter(fresh).map(|(id, (sights, _))| (*id, sights.clone()));
@@ -131,7 +139,7 @@
 
     /// The moves that are due, as the leader decides it. `warmth`: the share of its capacity that a zone has by the age of its
     /// hosts; `span`: time since the last call.
-    pub fn next(
+    pub fn next_moves(
         &mut self,
         now: Timestamp,
         me: NodeId,
@@ -139,8 +147,9 @@
         warmth: impl Fn(ZoneId) -> f64,
     ) -> Vec<(ZoneId, Share)> {
         self.others.retain(|id, _| state.members.contains_key(id));
-        let shares: BTreeMap<ZoneId, Share> = zones(state).into_iter().map(|z| (z, state.share(z))).collect();
-        let sights = self.sights(now, me, state);
+        let shares: BTreeMap<ZoneId, Share> =
+            populated_zones(state).into_iter().map(|z| (z, state.share(z))).collect();
+        let sights = self.current_reports(now, me, state);
         if shares.values().all(|s| s.part == WHOLE) {
             self.measure(&sights, &shares);
         }
@@ -148,13 +157,13 @@
         if !self.leaving.automatic {
             return Vec::new();
         }
-        self.zones.next(now, &shares, |zone| state.region(zone), &sights, &loads)
+        self.zones.next_moves(now, &shares, |zone| state.region(zone), &sights, &loads)
     }
 
     /// Notes what zones serve while all is as ever.
-    fn measure(&mut self, sights: &Sights, shares: &BTreeMap<ZoneId, Share>) {
+    fn measure(&mut self, sights: &ZoneReports, shares: &BTreeMap<ZoneId, Share>) {
         for zone in shares.keys() {
-            let words: Vec<&Sight> = sights.values().filter_map(|own| own.get(zone)).collect();
+            let words: Vec<&ZoneOutcomes> = sights.values().filter_map(|own| own.get(zone)).collect();
             let served: f64 = words.iter().map(|s| f64::from(s.good) + f64::from(s.late)).sum();
             let busy: Vec<f64> =
                 words.iter().filter(|s| s.busy > 0).map(|s| f64::from(s.busy) / 1000.0).collect();
@@ -167,46 +176,47 @@
     }
 
     /// What a zone would carry at its whole share, and what it bears at this warmth.
-    fn load(&self, zone: ZoneId, warmth: f64) -> Load {
-        let Some((reads, busy)) = self.usual.get(&zone) else { return Load::default() };
-        Load { reads: *reads, bears: reads * super::zones::room(*busy, UNSAID) * warmth }
+    fn load(&self, zone: ZoneId, warmth: f64) -> ZoneLoad {
+        let Some((reads, busy)) = self.usual.get(&zone) else { return ZoneLoad::default() };
+        ZoneLoad { reads: *reads, bears: reads * super::zones::headroom_factor(*busy, UNSAID) * warmth }
     }
 
     /// This daemon's own part in it: zones that it leaves for itself from now on.
-    pub fn look_alone(&mut self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
+    pub fn update_local_evacuation(&mut self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
         if !self.leaving.automatic {
             return BTreeSet::new();
         }
-        self.alone.look(now, &self.own, &state.zones)
+        self.alone.update(now, &self.own, &state.zones)
     }
 
     /// The part of its reads that a zone gets from this daemon.
-    pub fn part(&self, now: Timestamp, zone: ZoneId, state: &State) -> u16 {
+    pub fn effective_permille(&self, now: Timestamp, zone: ZoneId, state: &State) -> u16 {
         let agreed = state.share(zone).part;
-        if agreed == WHOLE && self.alone.leaves(now, zone) { 0 } else { agreed }
+        if agreed == WHOLE && self.alone.is_evacuated(now, zone) { 0 } else { agreed }
     }
 
-    /// Zones that do not get all of their reads from this daemon.
-    pub fn away(&self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
+    /// EvacuationController that do not get all of their reads from this daemon.
+    pub fn reduced_zones(&self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
         let agreed = state.zones.iter().filter(|(_, share)| share.part < WHOLE).map(|(zone, _)| *zone);
-        agreed.chain(self.alone.left(now)).collect()
+        agreed.chain(self.alone.evacuated(now)).collect()
     }
 
-    /// Zones from whose hosts an overdue answer is not waited for: left ones, and those that fail much of what is asked
+    /// EvacuationController from whose hosts an overdue answer is not waited for: left ones, and those that fail much of what is asked
     /// while another one is sound.
-    pub fn hopeless(&self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
-        let mut zones = self.away(now, state);
-        zones.retain(|zone| self.part(now, *zone, state) == 0);
-        if self.own.values().any(Sight::is_sound) {
+    pub fn abandoned_zones(&self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
+        let mut zones = self.reduced_zones(now, state);
+        zones.retain(|zone| self.effective_permille(now, *zone, state) == 0);
+        if self.own.values().any(ZoneOutcomes::is_sound) {
             zones.extend(self.own.iter().filter(|(_, s)| s.is_shaky()).map(|(zone, _)| *zone));
         }
         zones
     }
 
-    /// Zones whose part is another one than when this was last asked.
-    pub fn moved(&mut self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
-        let away = self.away(now, state).into_iter();
-        let parts: BTreeMap<ZoneId, u16> = away.map(|zone| (zone, self.part(now, zone, state))).collect();
+    /// EvacuationController whose part is another one than when this was last asked.
+    pub fn take_changed(&mut self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
+        let away = self.reduced_zones(now, state).into_iter();
+        let parts: BTreeMap<ZoneId, u16> =
+            away.map(|zone| (zone, self.effective_permille(now, zone, state))).collect();
         // Whoever is not named gets all.
         let part = |parts: &BTreeMap<ZoneId, u16>, zone: &ZoneId| parts.get(zone).copied().unwrap_or(WHOLE);
         let named = parts.keys().chain(self.parts.keys());
@@ -217,7 +227,7 @@
 
     /// A line of the list as it counts here. `primary`: it is believed to be its group's. A group that has no host
     /// elsewhere keeps those that it has: `alone`.
-    pub fn shape(
+    pub fn apply_weight(
         &self,
         now: Timestamp,
         listed: EndpointRecord,
@@ -225,7 +235,7 @@
         primary: bool,
         alone: bool,
     ) -> EndpointRecord {
-        let part = self.part(now, listed.zone, state);
+        let part = self.effective_permille(now, listed.zone, state);
         if part == WHOLE || alone {
             return listed;
         }
@@ -236,34 +246,41 @@
     }
 
     /// The share that an operator's word gives a zone; an error says why not.
-    pub fn order(&self, order: Order, zone: ZoneId, state: &State) -> Result<Share, String> {
+    pub fn weight_for_command(
+        &self,
+        order: ZoneCommand,
+        zone: ZoneId,
+        state: &State,
+    ) -> Result<Share, String> {
         let share = state.share(zone);
-        let others = zones(state).into_iter().any(|other| other != zone && state.share(other).part > 0);
+        let others =
+            populated_zones(state).into_iter().any(|other| other != zone && state.share(other).part > 0);
         match order {
-            Order::Leave if !others => Err("it is the last zone in service".into()),
-            Order::Leave => Ok(share.then(0, Why::Operator)),
-            Order::Hold => Ok(share.then(share.part, Why::Operator)),
-            Order::ReturnNow => Ok(Share { failed: 0, ..share.then(WHOLE, Why::Returns) }),
-            Order::Return if share.part == WHOLE => Ok(share.then(WHOLE, Why::Returns)),
-            Order::Return => {
-                Ok(Share { failed: 0, ..share.then(share.part.max(super::zones::TRICKLE), Why::Returns) })
-            }
+            ZoneCommand::Evacuate if !others => Err("it is the last zone in service".into()),
+            ZoneCommand::Evacuate => Ok(share.then(0, Why::Operator)),
+            ZoneCommand::Hold => Ok(share.then(share.part, Why::Operator)),
+            ZoneCommand::ReturnNow => Ok(Share { failed: 0, ..share.then(WHOLE, Why::Returns) }),
+            ZoneCommand::Return if share.part == WHOLE => Ok(share.then(WHOLE, Why::Returns)),
+            ZoneCommand::Return => Ok(Share {
+                failed: 0,
+                ..share.then(share.part.max(super::zones::FIRST_RETURN_PERMILLE), Why::Returns)
+            }),
         }
     }
 }
 
 /// How each zone looks by these sights.
-pub fn verdicts(sights: &Sights, state: &State) -> BTreeMap<ZoneId, Verdict> {
-    zones(state).into_iter().map(|zone| (zone, judge(zone, sights))).collect()
+pub fn assess_zones(sights: &ZoneReports, state: &State) -> BTreeMap<ZoneId, ZoneHealth> {
+    populated_zones(state).into_iter().map(|zone| (zone, assess_zone(zone, sights))).collect()
 }
 
-/// Zones that have hosts.
-pub fn zones(state: &State) -> BTreeSet<ZoneId> {
+/// EvacuationController that have hosts.
+pub fn populated_zones(state: &State) -> BTreeSet<ZoneId> {
     state.hosts.values().map(|host| host.zone).collect()
 }
 
 /// Groups that have no host outside this zone.
-pub fn only_there(zone: ZoneId, state: &State) -> BTreeSet<GroupId> {
+pub fn groups_confined_to(zone: ZoneId, state: &State) -> BTreeSet<GroupId> {
     let inside = state.hosts.values().filter(|h| h.zone == zone).map(|h| h.group);
     let outside: BTreeSet<GroupId> =
         state.hosts.values().filter(|h| h.zone != zone).map(|h| h.group).collect();
@@ -297,9 +314,9 @@
         let one = |(name, host): (String, HostRecord)| {
             let silent = lost.contains(&host.zone.0);
             let seen = if silent {
-                OutcomeCounts { silent: 4, ..OutcomeCounts::default() }
+                OutcomeCounts { unanswered: 4, ..OutcomeCounts::default() }
             } else {
-                OutcomeCounts { good: 4, ..OutcomeCounts::default() }
+                OutcomeCounts { on_time: 4, ..OutcomeCounts::default() }
             };
             (name, seen)
         };
@@ -311,36 +328,45 @@
     #[test]
     fn a_daemon_leaves_alone_what_it_alone_cannot_reach_and_never_all() {
         let state = state();
-        let mut zoning = Zoning::new(Leaving::default());
-        zoning.see(&seen(&[0]), &state);
-        assert_eq!(zoning.look_alone(S, &state), BTreeSet::from([ZoneId(0)]));
-        assert_eq!((zoning.part(S, ZoneId(0), &state), zoning.part(S, ZoneId(1), &state)), (0, WHOLE));
-        assert_eq!(zoning.moved(S, &state), BTreeSet::from([ZoneId(0)]));
-        assert!(zoning.moved(S, &state).is_empty() && zoning.look_alone(S, &state).is_empty());
-        let back = S + Dwell::default().least;
-        assert_eq!(zoning.part(back, ZoneId(0), &state), WHOLE);
-        zoning.look_alone(back, &state);
+        let mut zoning = ZoneState::new(EvacuationPolicy::default());
+        zoning.record_outcomes(&seen(&[0]), &state);
+        assert_eq!(zoning.update_local_evacuation(S, &state), BTreeSet::from([ZoneId(0)]));
+        assert_eq!(
+            (
+                zoning.effective_permille(S, ZoneId(0), &state),
+                zoning.effective_permille(S, ZoneId(1), &state)
+            ),
+            (0, WHOLE)
+        );
+        assert_eq!(zoning.take_changed(S, &state), BTreeSet::from([ZoneId(0)]));
+        assert!(
+            zoning.take_changed(S, &state).is_empty() && zoning.update_local_evacuation(S, &state).is_empty()
+        );
+        let back = S + EvacuationBackoff::default().least;
+        assert_eq!(zoning.effective_permille(back, ZoneId(0), &state), WHOLE);
+        zoning.update_local_evacuation(back, &state);
         assert_eq!(
-            zoning.part(back + Dwell::default().least, ZoneId(0), &state),
+            zoning.effective_permille(back + EvacuationBackoff::default().least, ZoneId(0), &state),
             0,
             "twice as long the second time"
         );
-        let mut all = Zoning::new(Leaving::default());
-        all.see(&seen(&[0, 1, 2]), &state);
-        assert!(all.look_alone(S, &state).is_empty());
-        let mut by_hand = Zoning::new(Leaving { automatic: false, ..Leaving::default() });
-        by_hand.see(&seen(&[0]), &state);
-        assert!(by_hand.look_alone(S, &state).is_empty());
+        let mut all = ZoneState::new(EvacuationPolicy::default());
+        all.record_outcomes(&seen(&[0, 1, 2]), &state);
+        assert!(all.update_local_evacuation(S, &state).is_empty());
+        let mut by_hand =
+            ZoneState::new(EvacuationPolicy { automatic: false, ..EvacuationPolicy::default() });
+        by_hand.record_outcomes(&seen(&[0]), &state);
+        assert!(by_hand.update_local_evacuation(S, &state).is_empty());
     }
 
     /// Guards against a list on which a left zone's hosts get reads, its primaries no writes, or a group none at all.
     #[test]
     fn the_list_follows_the_shares_but_for_primaries_and_groups_that_are_only_there() {
         let mut state = state();
-        let zoning = Zoning::new(Leaving::default());
+        let zoning = ZoneState::new(EvacuationPolicy::default());
         let shape = |state: &State, primary, alone| {
             let listed = state.hosts["s-1-0"].listed("s-1-0", false);
-            let shaped = zoning.shape(Timestamp::ZERO, listed, state, primary, alone);
+            let shaped = zoning.apply_weight(Timestamp::ZERO, listed, state, primary, alone);
             (shaped.availability, shaped.weight)
         };
         assert_eq!(shape(&state, false, false), (Availability::Ready, 1.0));
@@ -353,9 +379,9 @@
             &Change::Zone { zone: ZoneId(0), share: state.share(ZoneId(0)).then(250, Why::Returns) },
         );
         assert_eq!(shape(&state, false, false), (Availability::Ready, 0.25));
-        assert!(only_there(ZoneId(0), &state).is_empty());
+        assert!(groups_confined_to(ZoneId(0), &state).is_empty());
         state.hosts.retain(|_, h| h.zone == ZoneId(0) || h.group == GroupId(2));
-        assert_eq!(only_there(ZoneId(0), &state), BTreeSet::from([GroupId(1)]));
+        assert_eq!(groups_confined_to(ZoneId(0), &state), BTreeSet::from([GroupId(1)]));
     }
 
     /// Guards against an old word that counts for ever, a stranger's that counts at all, and an order that leaves the
@@ -363,27 +389,36 @@
     #[test]
     fn words_fade_strangers_have_none_and_the_last_zone_is_kept() {
         let mut state = state();
-        let mut zoning = Zoning::new(Leaving::default());
-        zoning.see(&seen(&[0]), &state);
-        let sights = zoning.own().clone();
+        let mut zoning = ZoneState::new(EvacuationPolicy::default());
+        zoning.record_outcomes(&seen(&[0]), &state);
+        let sights = zoning.own_outcomes().clone();
         for by in [2, 3, 77].map(NodeId) {
-            zoning.hear(S, by, sights.clone());
+            zoning.record_report(S, by, sights.clone());
         }
-        assert_eq!(zoning.sights(S, NodeId(1), &state).len(), 3, "77 is no member");
-        assert_eq!(verdicts(&zoning.sights(S, NodeId(1), &state), &state)[&ZoneId(0)], Verdict::Lost);
-        assert_eq!(zoning.next(S, NodeId(1), &state, |_| 1.0)[0].1.why, Why::Lost);
-        assert_eq!(zoning.sights(S + FRESH, NodeId(1), &state).len(), 1);
+        assert_eq!(zoning.current_reports(S, NodeId(1), &state).len(), 3, "77 is no member");
+        assert_eq!(
+            assess_zones(&zoning.current_reports(S, NodeId(1), &state), &state)[&ZoneId(0)],
+            ZoneHealth::Lost
+        );
+        assert_eq!(zoning.next_moves(S, NodeId(1), &state, |_| 1.0)[0].1.why, Why::Lost);
+        assert_eq!(zoning.current_reports(S + FRESH, NodeId(1), &state).len(), 1);
         for zone in [0, 1].map(ZoneId) {
-            let share = zoning.order(Order::Leave, zone, &state).unwrap();
+            let share = zoning.weight_for_command(ZoneCommand::Evacuate, zone, &state).unwrap();
             assert_eq!(
                 state.apply(1, &Change::Zone { zone, share }),
                 crate::store::state_machine::Effect::Done
             );
         }
-        assert!(zoning.order(Order::Leave, ZoneId(2), &state).is_err());
-        let back = zoning.order(Order::Return, ZoneId(0), &state).unwrap();
-        assert_eq!((back.part, back.why, back.number), (super::super::zones::TRICKLE, Why::Returns, 2));
-        assert_eq!(zoning.order(Order::ReturnNow, ZoneId(0), &state).unwrap().part, WHOLE);
-        assert_eq!(zoning.order(Order::Hold, ZoneId(2), &state).unwrap().why, Why::Operator);
+        assert!(zoning.weight_for_command(ZoneCommand::Evacuate, ZoneId(2), &state).is_err());
+        let back = zoning.weight_for_command(ZoneCommand::Return, ZoneId(0), &state).unwrap();
+        assert_eq!(
+            (back.part, back.why, back.number),
+            (super::super::zones::FIRST_RETURN_PERMILLE, Why::Returns, 2)
+        );
+        assert_eq!(zoning.weight_for_command(ZoneCommand::ReturnNow, ZoneId(0), &state).unwrap().part, WHOLE);
+        assert_eq!(
+            zoning.weight_for_command(ZoneCommand::Hold, ZoneId(2), &state).unwrap().why,
+            Why::Operator
+        );
     }
 }
