--- a/src/fleet/admin_api.rs
+++ b/src/fleet/admin_api.rs
@@ -1,8 +1,8 @@
 //! The calls at the store's address: HTTP on loopback.
 
-use super::membership::Wish;
+use super::membership::MembershipRequest;
 use super::runtime::{ChangeOutcome, Fleet, Table};
-use super::zoning::Order;
+use super::zoning::ZoneCommand;
 use crate::engine::endpoints::EndpointRecord;
 use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
@@ -21,7 +21,9 @@
         let (bytes, keeps) = match server::next(&mut link, &mut buffer, &fleet.limits).await {
             Next::Over => break,
             Next::Refused(status, why) => (server::answer(status, &[("Connection", "close")], &why), false),
-            Next::Request(request) if Fleet::is_link(&request) => return fleet.serve(link, buffer).await,
+            Next::Request(request) if Fleet::is_link(&request) => {
+                return fleet.serve_peer(link, buffer).await;
+            }
             Next::Request(request) => {
                 let (status, text) = answer(&fleet, &request).await;
                 (server::answer(status, &[], &text), request.keeps_open() && !link.ends())
@@ -46,7 +48,7 @@
         ("GET", "/fleet/learned") => (200, learned(fleet)),
         ("GET", "/zones") => (200, fleet.describe_zones().trim_end().to_string()),
         ("GET", "/fleet") => (200, describe(fleet)),
-        ("GET", "/fleet/recover") => match fleet.recovery() {
+        ("GET", "/fleet/recover") => match fleet.recovery_preview() {
             Ok(text) => (200, text.trim_end().to_string()),
             Err(why) => (409, why),
         },
@@ -54,7 +56,7 @@
             Ok(text) => (200, text.trim_end().to_string()),
             Err(why) => (409, why),
         },
-        ("POST", "/fleet/form") if fleet.form() => (200, "a fleet is formed".into()),
+        ("POST", "/fleet/form") if fleet.form_fleet() => (200, "a fleet is formed".into()),
         ("POST", "/fleet/form") => (409, format!("not formed: {}", fleet.table().stand.0)),
         ("POST", _) => post(fleet, path).await,
         ("GET", _) => (404, "nothing is here".into()),
@@ -92,12 +94,12 @@
     if let Some((name, word)) = path.strip_prefix("/zone/").and_then(|rest| rest.rsplit_once('/')) {
         return zone(fleet, name, word).await;
     }
-    let wish = path.strip_prefix("/fleet/vote/").map(|n| (n, Wish::Vote));
-    let wish = wish.or(path.strip_prefix("/fleet/leave/").map(|n| (n, Wish::Leave)));
+    let wish = path.strip_prefix("/fleet/vote/").map(|n| (n, MembershipRequest::GrantVote));
+    let wish = wish.or(path.strip_prefix("/fleet/leave/").map(|n| (n, MembershipRequest::Remove)));
     let Some((name, wish)) = wish else { return (404, "nothing is here".into()) };
-    match fleet.wish(name, wish).await {
+    match fleet.request_membership_change(name, wish).await {
         None => (404, format!("no daemon {name:?} in the fleet")),
-        Some(ChangeOutcome::Agreed) if wish == Wish::Vote => (200, format!("{name} votes")),
+        Some(ChangeOutcome::Agreed) if wish == MembershipRequest::GrantVote => (200, format!("{name} votes")),
         Some(ChangeOutcome::Agreed) => (200, format!("{name} has left")),
         Some(_) => (503, "not done: no majority agreed in time. Say it again later".into()),
     }
@@ -105,10 +107,10 @@
 
 async fn zone(fleet: &Fleet, name: &str, word: &str) -> (u16, String) {
     let order = match word {
-        "leave" => Order::Leave,
-        "return" => Order::Return,
-        "return-now" => Order::ReturnNow,
-        "hold" => Order::Hold,
+        "leave" => ZoneCommand::Evacuate,
+        "return" => ZoneCommand::Return,
+        "return-now" => ZoneCommand::ReturnNow,
+        "hold" => ZoneCommand::Hold,
         _ => return (404, "nothing is here".into()),
     };
     match fleet.order_zone(name, order).await {
@@ -131,7 +133,7 @@
 }
 
 fn hosts(fleet: &Fleet) -> String {
-    let list = fleet.listing();
+    let list = fleet.current_endpoint_list();
     list.map_or(String::new(), |l| l.entries.iter().map(line).collect::<Vec<_>>().join("\n"))
 }
 
@@ -140,7 +142,7 @@
     let table = fleet.table();
     let now = fleet.now();
     let name = |id: NodeId| table.name(id);
-    let beliefs = table.learned.beliefs().iter().map(|(group, b)| {
+    let beliefs = table.learned.primary_beliefs().iter().map(|(group, b)| {
         format!(
             "group {group} primary {} heard by {} {} ms ago",
             b.host,
@@ -148,7 +150,7 @@
             (now - b.at).as_millis()
         )
     });
-    let guesses = table.learned.guesses(&table.state).into_iter().map(|(group, (host, at))| {
+    let guesses = table.learned.restored_primaries(&table.state).into_iter().map(|(group, (host, at))| {
         format!("group {group} guess {host} from before this start, {} ms ago", (now - at).as_millis())
     });
     beliefs.chain(guesses).chain(table.learned.describe(now, name)).collect::<Vec<_>>().join("\n")
@@ -173,7 +175,7 @@
     let heard = table.heard.iter().filter(|(id, h)| {
         table.state.members.contains_key(id) && h.at.elapsed() < fleet.limits.peer_gone_timeout
     });
-    let unsent: u64 = fleet.ways().iter().map(|w| w.dropped.get()).sum();
+    let unsent: u64 = fleet.links().iter().map(|w| w.dropped.get()).sum();
     let (away, moves) = fleet.zone_figures();
     let lines = [
         ("members", table.state.members.len() as u64, 'g'),
@@ -310,7 +312,7 @@
     for (id, name) in table.state.removed.iter().rev().take(8) {
         let _ = writeln!(out, "removed {name} {id:016x}");
     }
-    let full: u64 = fleet.ways().iter().map(|w| w.dropped.get()).sum();
+    let full: u64 = fleet.links().iter().map(|w| w.dropped.get()).sum();
     let _ = writeln!(
         out,
         "dropped frames {} letters {} unsent {full} panics {}",
--- a/src/fleet/bootstrap.rs
+++ b/src/fleet/bootstrap.rs
@@ -10,7 +10,7 @@
 
 /// What a daemon says of itself when it meets another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Hello {
+pub struct Handshake {
     /// Its fleet; 0: none yet.
     pub fleet: FleetId,
     /// Itself.
@@ -25,72 +25,72 @@
 
 /// What the one that was met says to that.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum HandshakeVerdict {
     /// Go on.
-    Welcome,
+    Accepted,
     /// It is of another fleet.
-    Stranger,
+    OtherFleet,
     /// It was removed from the fleet.
-    Removed,
+    RemovedMember,
     /// It told more of itself once than its disk knows now.
-    Older,
+    OutdatedStorage,
     /// Its fleet has ended: this one goes on from it, on an operator's word.
-    Recovered,
+    SupersededFleet,
     /// It is none of the fleet yet: these are the ones to ask.
-    Candidate(Vec<(String, SocketAddr)>),
+    NotYetMember(Vec<(String, SocketAddr)>),
 }
 
 /// What to say to a daemon that was met.
-pub fn judge(state: &State, known: Option<&Witness>, hello: &Hello) -> Verdict {
+pub fn judge_handshake(state: &State, known: Option<&Witness>, hello: &Handshake) -> HandshakeVerdict {
     if state.fleet == 0 {
         // Whoever has none itself judges nobody.
-        return Verdict::Welcome;
+        return HandshakeVerdict::Accepted;
     }
     if state.former.contains(&hello.fleet) {
-        return Verdict::Recovered;
+        return HandshakeVerdict::SupersededFleet;
     }
     if state.removed.contains_key(&hello.id) {
-        return Verdict::Removed;
+        return HandshakeVerdict::RemovedMember;
     }
     if hello.fleet == 0 {
         let others = state.members.values().map(|m| (m.name.clone(), m.address));
-        return Verdict::Candidate(others.collect());
+        return HandshakeVerdict::NotYetMember(others.collect());
     }
     if hello.fleet != state.fleet {
-        return Verdict::Stranger;
+        return HandshakeVerdict::OtherFleet;
     }
     match known {
-        Some(known) if known.outdates(&hello.witness) => Verdict::Older,
-        _ => Verdict::Welcome,
+        Some(known) if known.outdates(&hello.witness) => HandshakeVerdict::OutdatedStorage,
+        _ => HandshakeVerdict::Accepted,
     }
 }
 
 /// Where a daemon without a fleet stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum BootstrapState {
     /// These have not answered yet.
-    Silent(Vec<SocketAddr>),
+    AwaitingAnswers(Vec<SocketAddr>),
     /// This daemon founds the fleet, with daemons of these names.
-    Found(BTreeSet<String>),
+    FoundsFleet(BTreeSet<String>),
     /// The daemon of this name has to found it.
-    Later(String),
+    AwaitsFounder(String),
     /// There is one, which has to take this daemon in.
-    Joins(FleetId),
+    AwaitsAdmission(FleetId),
     /// Two daemons have the same name.
-    Twice(String),
+    DuplicateName(String),
 }
 
-impl std::fmt::Display for Stand {
+impl std::fmt::Display for BootstrapState {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Stand::Silent(peers) => {
+            BootstrapState::AwaitingAnswers(peers) => {
                 let peers: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
                 write!(f, "waits for an answer of {}", peers.join(", "))
             }
-            Stand::Found(_) => write!(f, "founds the fleet"),
-            Stand::Later(name) => write!(f, "waits for {name} to found the fleet"),
-            Stand::Joins(fleet) => write!(f, "waits to be taken into fleet {fleet:032x}"),
-            Stand::Twice(name) => write!(f, "another daemon is named {name} as well"),
+            BootstrapState::FoundsFleet(_) => write!(f, "founds the fleet"),
+            BootstrapState::AwaitsFounder(name) => write!(f, "waits for {name} to found the fleet"),
+            BootstrapState::AwaitsAdmission(fleet) => write!(f, "waits to be taken into fleet {fleet:032x}"),
+            BootstrapState::DuplicateName(name) => write!(f, "another daemon is named {name} as well"),
         }
     }
 }
@@ -98,27 +98,27 @@
 /// What a daemon that never had an agreed configuration is to do. A fleet is founded by the one of the lowest
 /// name, once all that its file names have answered that they have none either, or on an operator's word by
 /// whoever it is said to, with those that have answered.
-pub fn stand(
+pub fn bootstrap_state(
     me: (&str, NodeId),
     named: &[SocketAddr],
-    heard: &BTreeMap<SocketAddr, Hello>,
+    heard: &BTreeMap<SocketAddr, Handshake>,
     word: bool,
-) -> Stand {
+) -> BootstrapState {
     if let Some(other) = heard.values().find(|h| h.fleet != 0) {
-        return Stand::Joins(other.fleet);
+        return BootstrapState::AwaitsAdmission(other.fleet);
     }
     let others: BTreeMap<&str, NodeId> =
         heard.values().filter(|h| h.id != me.1).map(|h| (h.name.as_str(), h.id)).collect();
     if others.contains_key(me.0) {
-        return Stand::Twice(me.0.to_string());
+        return BootstrapState::DuplicateName(me.0.to_string());
     }
     let silent: Vec<SocketAddr> = named.iter().filter(|a| !heard.contains_key(a)).copied().collect();
     if !silent.is_empty() && !word {
-        return Stand::Silent(silent);
+        return BootstrapState::AwaitingAnswers(silent);
     }
     match others.keys().next() {
-        Some(first) if *first < me.0 && !word => Stand::Later(first.to_string()),
-        _ => Stand::Found(others.keys().map(|n| n.to_string()).collect()),
+        Some(first) if *first < me.0 && !word => BootstrapState::AwaitsFounder(first.to_string()),
+        _ => BootstrapState::FoundsFleet(others.keys().map(|n| n.to_string()).collect()),
     }
 }
 
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -1,6 +1,6 @@
 //! Who comes into the fleet and who goes: the leader's next step, one at a time. No I/O.
 
-use super::bootstrap::Hello;
+use super::bootstrap::Handshake;
 use crate::ids::NodeId;
 use crate::store::raft_node::Progress;
 use crate::store::records::{Conf, Step};
@@ -13,16 +13,16 @@
 
 /// What an operator wants of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
-pub enum Wish {
+pub enum MembershipRequest {
     /// It is to have a vote.
-    Vote,
+    GrantVote,
     /// It is to go.
-    Leave,
+    Remove,
 }
 
 /// What a voter says of the leader and of whom it hears.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Word {
+pub struct VoterStatus {
     /// It has known no leader for so long.
     pub leaderless: TimeDelta,
     /// Whom it hears.
@@ -30,7 +30,7 @@
 }
 
 /// All that the leader knows.
-pub struct View<'a> {
+pub struct MembershipView<'a> {
     /// The leader.
     pub me: NodeId,
     /// What is agreed.
@@ -42,31 +42,31 @@
     /// How far the others are.
     pub progress: &'a [Progress],
     /// Daemons that were met a moment ago and are no members.
-    pub candidates: &'a BTreeMap<NodeId, Hello>,
+    pub candidates: &'a BTreeMap<NodeId, Handshake>,
     /// How long ago each member was last heard.
     pub silent: &'a BTreeMap<NodeId, TimeDelta>,
     /// The leader has led for so long.
     pub led_for: TimeDelta,
     /// What each voter that is heard says.
-    pub words: &'a BTreeMap<NodeId, Word>,
+    pub words: &'a BTreeMap<NodeId, VoterStatus>,
     /// What operators want, by name.
-    pub wishes: &'a BTreeSet<(String, Wish)>,
+    pub wishes: &'a BTreeSet<(String, MembershipRequest)>,
     /// Silent for so long, a member counts as gone.
     pub gone: TimeDelta,
 }
 
 /// What the leader is to do next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum MembershipAction {
     /// Nothing.
     Nothing,
     /// Propose this.
     Propose(Membership),
     /// Hand the lead over first: it is itself the one to go.
-    Transfer(NodeId),
+    TransferLeadership(NodeId),
 }
 
-impl View<'_> {
+impl MembershipView<'_> {
     fn caught_up(&self, id: NodeId) -> bool {
         self.progress.iter().any(|p| p.id == id && p.active && p.matched + CLOSE >= self.agreed)
     }
@@ -75,7 +75,7 @@
         id != self.me && self.silent.get(&id).is_none_or(|span| *span >= self.gone)
     }
 
-    fn wishes(&self, name: &str, wish: Wish) -> bool {
+    fn wishes(&self, name: &str, wish: MembershipRequest) -> bool {
         self.wishes.contains(&(name.to_string(), wish))
     }
 
@@ -116,7 +116,9 @@
                     return plain(steps);
                 }
                 Some(_) => {}
-                None if self.state.founders.contains(name) || self.wishes(name, Wish::Vote) => {
+                None if self.state.founders.contains(name)
+                    || self.wishes(name, MembershipRequest::GrantVote) =>
+                {
                     return plain(vec![Step::Vote(*id)]);
                 }
                 None => {}
@@ -125,9 +127,9 @@
         None
     }
 
-    fn goes(&self) -> Next {
+    fn goes(&self) -> MembershipAction {
         for (id, member) in &self.state.members {
-            if !self.wishes(&member.name, Wish::Leave) {
+            if !self.wishes(&member.name, MembershipRequest::Remove) {
                 continue;
             }
             let votes = self.conf.voters.contains(id);
@@ -136,11 +138,13 @@
             }
             if *id == self.me {
                 let heirs = self.conf.voters.iter().filter(|v| **v != self.me && self.caught_up(**v));
-                return heirs.min().map_or(Next::Nothing, |heir| Next::Transfer(*heir));
+                return heirs
+                    .min()
+                    .map_or(MembershipAction::Nothing, |heir| MembershipAction::TransferLeadership(*heir));
             }
-            return Next::Propose(Membership { steps: vec![Step::Remove(*id)], comes: None });
+            return MembershipAction::Propose(Membership { steps: vec![Step::Remove(*id)], comes: None });
         }
-        Next::Nothing
+        MembershipAction::Nothing
     }
 
     /// One to lead instead: where a voter that is there has not heard this leader for long, it would never learn
@@ -172,15 +176,15 @@
     }
 
     /// The next step.
-    pub fn next(&self) -> Next {
+    pub fn next_action(&self) -> MembershipAction {
         if !self.conf.voters_outgoing.is_empty() {
-            return Next::Nothing;
+            return MembershipAction::Nothing;
         }
         if let Some(heir) = self.yields() {
-            return Next::Transfer(heir);
+            return MembershipAction::TransferLeadership(heir);
         }
         match self.rises().or_else(|| self.comes()) {
-            Some(change) => Next::Propose(change),
+            Some(change) => MembershipAction::Propose(change),
             None => self.goes(),
         }
     }
@@ -196,11 +200,11 @@
         state: State,
         conf: Conf,
         progress: Vec<Progress>,
-        candidates: BTreeMap<NodeId, Hello>,
+        candidates: BTreeMap<NodeId, Handshake>,
         silent: BTreeMap<NodeId, TimeDelta>,
         led_for: TimeDelta,
-        words: BTreeMap<NodeId, Word>,
-        wishes: BTreeSet<(String, Wish)>,
+        words: BTreeMap<NodeId, VoterStatus>,
+        wishes: BTreeSet<(String, MembershipRequest)>,
     }
 
     fn member(name: &str) -> Member {
@@ -225,15 +229,15 @@
         fn meet(&mut self, id: u64, name: &str) {
             let id = NodeId(id);
             let (address, witness) = (([127, 0, 0, 1], 9).into(), Witness::default());
-            let hello = Hello { fleet: 0, id, name: name.into(), address, witness };
+            let hello = Handshake { fleet: 0, id, name: name.into(), address, witness };
             self.candidates.insert(id, hello);
             self.silent.insert(id, TimeDelta::ZERO);
         }
 
-        fn next(&self) -> Next {
+        fn next(&self) -> MembershipAction {
             let Paper { state, conf, progress, candidates, silent, led_for, words, wishes } = self;
             let led_for = *led_for;
-            View {
+            MembershipView {
                 me: NodeId(1),
                 state,
                 conf,
@@ -246,13 +250,13 @@
                 wishes,
                 gone: TimeDelta::from_micros(2_000),
             }
-            .next()
+            .next_action()
         }
 
         /// Carries steps out until there is nothing to do; the voters after each.
         fn run(&mut self) -> Vec<Vec<NodeId>> {
             let mut voters = Vec::new();
-            while let Next::Propose(change) = self.next() {
+            while let MembershipAction::Propose(change) = self.next() {
                 assert!(voters.len() < 50, "it never ends: {change:?}");
                 for step in &change.steps {
                     let gone = |ids: &mut Vec<NodeId>, id| ids.retain(|i| *i != id);
@@ -291,16 +295,20 @@
             ([1, 2, 3].map(NodeId).to_vec(), vec![NodeId(4)])
         );
         assert!(paper.state.is_complete());
-        paper.wishes.insert(("d".into(), Wish::Vote));
+        paper.wishes.insert(("d".into(), MembershipRequest::GrantVote));
         assert_eq!(paper.run(), [[1, 2, 3, 4].map(NodeId)]);
-        paper.wishes = [("b".to_string(), Wish::Leave)].into();
+        paper.wishes = [("b".to_string(), MembershipRequest::Remove)].into();
         assert_eq!(paper.run(), [[1, 3, 4].map(NodeId)]);
         assert_eq!(paper.state.removed.get(&NodeId(2)).map(String::as_str), Some("b"));
-        paper.wishes = [("a".to_string(), Wish::Leave)].into();
+        paper.wishes = [("a".to_string(), MembershipRequest::Remove)].into();
         paper.progress.iter_mut().for_each(|p| p.matched = 0);
-        assert_eq!(paper.next(), Next::Nothing, "nobody has caught up enough to lead after it");
+        assert_eq!(paper.next(), MembershipAction::Nothing, "nobody has caught up enough to lead after it");
         paper.progress.iter_mut().for_each(|p| p.matched = 100);
-        assert_eq!(paper.next(), Next::Transfer(NodeId(3)), "it leads itself: another has to, first");
+        assert_eq!(
+            paper.next(),
+            MembershipAction::TransferLeadership(NodeId(3)),
+            "it leads itself: another has to, first"
+        );
     }
 
     /// Guards against a daemon without its disk that has two votes, or takes the name of one that lives.
@@ -311,24 +319,24 @@
         paper.meet(3, "c");
         paper.run();
         paper.meet(5, "b");
-        assert_eq!(paper.next(), Next::Nothing, "the other b is there");
+        assert_eq!(paper.next(), MembershipAction::Nothing, "the other b is there");
         paper.silent.insert(NodeId(2), TimeDelta::from_micros(5_000));
         // The new one follows first, then changes places with the old one in one step.
         assert_eq!(paper.run(), [[1, 2, 3].map(NodeId), [1, 3, 5].map(NodeId)]);
         assert!(!paper.state.members.contains_key(&NodeId(2)));
         paper.candidates.remove(&NodeId(5));
-        assert_eq!(paper.next(), Next::Nothing, "the one that was removed does not come back");
+        assert_eq!(paper.next(), MembershipAction::Nothing, "the one that was removed does not come back");
     }
 
     #[test]
     fn nothing_is_proposed_while_a_change_goes_on_or_by_the_last_voter_against_itself() {
         let mut paper = Paper::new(&[]);
-        paper.wishes.insert(("a".into(), Wish::Leave));
-        assert_eq!(paper.next(), Next::Nothing);
+        paper.wishes.insert(("a".into(), MembershipRequest::Remove));
+        assert_eq!(paper.next(), MembershipAction::Nothing);
         paper.meet(2, "b");
-        assert_ne!(paper.next(), Next::Nothing);
+        assert_ne!(paper.next(), MembershipAction::Nothing);
         paper.conf.voters_outgoing = vec![NodeId(1)];
-        assert_eq!(paper.next(), Next::Nothing);
+        assert_eq!(paper.next(), MembershipAction::Nothing);
     }
 
     /// Guards against a daemon that hears everybody but the leader and learns nothing for ever, and against a lead
@@ -342,22 +350,26 @@
         paper.run();
         let word = |me: u64, leaderless, lacks: &[u64]| {
             let hears = (1..=5).filter(|id| *id != me && !lacks.contains(id)).map(NodeId).collect();
-            (NodeId(me), Word { leaderless: TimeDelta::from_micros(leaderless), hears })
+            (NodeId(me), VoterStatus { leaderless: TimeDelta::from_micros(leaderless), hears })
         };
         paper.words = (2..=5).map(|id| word(id, 0, &[])).collect();
-        assert_eq!(paper.next(), Next::Nothing);
+        assert_eq!(paper.next(), MembershipAction::Nothing);
         paper.words.extend([word(2, 1_000, &[1]), word(3, 1_000, &[1])]);
-        assert_eq!(paper.next(), Next::Nothing, "not for so long yet");
+        assert_eq!(paper.next(), MembershipAction::Nothing, "not for so long yet");
         paper.words.extend([word(2, 2_000, &[1]), word(3, 2_000, &[1])]);
         paper.led_for = TimeDelta::from_micros(1_999);
-        assert_eq!(paper.next(), Next::Nothing, "that was said of the leader before");
+        assert_eq!(paper.next(), MembershipAction::Nothing, "that was said of the leader before");
         paper.led_for = TimeDelta::from_micros(2_000);
-        assert_eq!(paper.next(), Next::Transfer(NodeId(4)));
+        assert_eq!(paper.next(), MembershipAction::TransferLeadership(NodeId(4)));
         paper.words.extend([word(2, 2_000, &[1, 4]), word(3, 2_000, &[1])]);
-        assert_eq!(paper.next(), Next::Transfer(NodeId(5)), "not every other one hears 4");
+        assert_eq!(
+            paper.next(),
+            MembershipAction::TransferLeadership(NodeId(5)),
+            "not every other one hears 4"
+        );
         // One that hears nobody is no reason to go: nobody would be heard better.
         paper.words = (2..=4).map(|id| word(id, 0, &[5])).collect();
         paper.words.extend([word(5, 9_000, &[1, 2, 3, 4])]);
-        assert_eq!(paper.next(), Next::Nothing);
+        assert_eq!(paper.next(), MembershipAction::Nothing);
     }
 }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -1,9 +1,9 @@
 //! What goes between two daemons: frames with a length before them and a check sum inside.
 
-use super::bootstrap::{Hello, Verdict};
-use super::gossip::{Count, Word};
-use super::membership::Wish;
-use super::zones::Sight;
+use super::bootstrap::{Handshake, HandshakeVerdict};
+use super::gossip::{GossipRecord, GossipVersion};
+use super::membership::MembershipRequest;
+use super::zones::ZoneOutcomes;
 use crate::engine::log_rollback::LogRollback;
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
@@ -16,36 +16,36 @@
 
 /// A frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Frame {
+pub enum PeerMessage {
     /// The first one of whoever opened the connection.
-    Hello(Hello),
+    Handshake(Handshake),
     /// The answer to it, and the only one that comes back on this connection.
-    Verdict(Verdict, Hello),
+    HandshakeReply(HandshakeVerdict, Handshake),
     /// Letters of the agreement.
-    Letters(Vec<Letter>),
+    RaftMessages(Vec<Letter>),
     /// A change for the leader to put into the log.
-    Forward(Proposal),
+    ForwardedProposal(Proposal),
     /// What an operator wants of a daemon of this name, for the leader.
-    Wish(String, Wish),
+    MembershipRequest(String, MembershipRequest),
     /// All drains that the sender holds and that are not agreed.
-    Marks(Marks),
+    PendingDrains(Marks),
     /// How things stand with the sender.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// What the sender knows of the hosts, by source.
-    Digest(Vec<(NodeId, Count)>),
+    GossipDigest(Vec<(NodeId, GossipVersion)>),
     /// What the one that it goes to lacks of that.
-    Words(Vec<Word>),
+    Observations(Vec<GossipRecord>),
     /// A host has called itself the primary, so long ago: a hint for the module.
     PrimaryHint([u8; 6], TimeDelta),
     /// What groups have lost.
     LogRollbacks(Vec<LogRollback>),
     /// What the sender saw of zones within the last moment.
-    Sights(BTreeMap<ZoneId, Sight>),
+    ZoneObservations(BTreeMap<ZoneId, ZoneOutcomes>),
 }
 
 /// A daemon's last word.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The leader that it knows.
     pub leader: NodeId,
     /// The term.
@@ -66,7 +66,7 @@
     pub returns: bool,
 }
 
-impl Frame {
+impl PeerMessage {
     /// As it goes out.
     pub fn bytes(&self) -> Vec<u8> {
         let body = records::write(self);
@@ -77,7 +77,7 @@
 
     /// The first frame of what came in, and its length there; `None`: it is not whole yet. An error: too long,
     /// or out of form.
-    pub fn read(bytes: &[u8], most: usize) -> Result<Option<(Frame, usize)>, &'static str> {
+    pub fn read(bytes: &[u8], most: usize) -> Result<Option<(PeerMessage, usize)>, &'static str> {
         let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
         if length > most {
--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -17,8 +17,8 @@
 /// Longer than any of them.
 const MOST: usize = 4096;
 
-fn hello(name: &str, fleet: u128) -> Hello {
-    Hello {
+fn hello(name: &str, fleet: u128) -> Handshake {
+    Handshake {
         fleet,
         id: NodeId(0x1122_3344_5566_7788),
         name: name.into(),
@@ -27,20 +27,20 @@
     }
 }
 
-fn verdicts() -> Vec<(&'static str, Frame)> {
+fn verdicts() -> Vec<(&'static str, PeerMessage)> {
     let candidate = vec![
         ("b0".to_string(), "127.0.0.1:8001".parse().unwrap()),
         ("b1".to_string(), "[::1]:8002".parse().unwrap()),
     ];
     [
-        ("verdict welcome", Verdict::Welcome),
-        ("verdict stranger", Verdict::Stranger),
-        ("verdict removed", Verdict::Removed),
-        ("verdict older", Verdict::Older),
-        ("verdict recovered", Verdict::Recovered),
-        ("verdict candidate", Verdict::Candidate(candidate)),
+        ("verdict welcome", HandshakeVerdict::Accepted),
+        ("verdict stranger", HandshakeVerdict::OtherFleet),
+        ("verdict removed", HandshakeVerdict::RemovedMember),
+        ("verdict older", HandshakeVerdict::OutdatedStorage),
+        ("verdict recovered", HandshakeVerdict::SupersededFleet),
+        ("verdict candidate", HandshakeVerdict::NotYetMember(candidate)),
     ]
-    .map(|(name, verdict)| (name, Frame::Verdict(verdict, hello("b2", 9))))
+    .map(|(name, verdict)| (name, PeerMessage::HandshakeReply(verdict, hello("b2", 9))))
     .into()
 }
 
@@ -75,7 +75,7 @@
     snapshot
 }
 
-fn letters() -> Vec<(&'static str, Frame)> {
+fn letters() -> Vec<(&'static str, PeerMessage)> {
     let mut all: Vec<(&'static str, Message)> = [
         ("letter append", MessageType::MsgAppend),
         ("letter append response", MessageType::MsgAppendResponse),
@@ -102,11 +102,15 @@
     }
     let letter = |m: &Message| Letter::of(m.clone()).expect("it goes between daemons");
     let two = vec![letter(&all[5].1), letter(&all[6].1)];
-    let one = all.iter().map(|(name, m)| (*name, Frame::Letters(vec![letter(m)])));
-    one.chain([("letters none", Frame::Letters(Vec::new())), ("letters two", Frame::Letters(two))]).collect()
+    let one = all.iter().map(|(name, m)| (*name, PeerMessage::RaftMessages(vec![letter(m)])));
+    one.chain([
+        ("letters none", PeerMessage::RaftMessages(Vec::new())),
+        ("letters two", PeerMessage::RaftMessages(two)),
+    ])
+    .collect()
 }
 
-fn changes() -> Vec<(&'static str, Frame)> {
+fn changes() -> Vec<(&'static str, PeerMessage)> {
     let marks = vec![DrainMark { by: NodeId(5), number: 6 }, DrainMark { by: NodeId(7), number: 800 }];
     let record = |address: &str, leaving, started_at| HostRecord {
         address: address.parse().unwrap(),
@@ -162,12 +166,14 @@
             },
         ),
     ]
-    .map(|(name, change)| (name, Frame::Forward(Proposal { from: NodeId(0xfedc_ba98), token: 600, change })))
+    .map(|(name, change)| {
+        (name, PeerMessage::ForwardedProposal(Proposal { from: NodeId(0xfedc_ba98), token: 600, change }))
+    })
     .into()
 }
 
-fn beat() -> Beat {
-    Beat {
+fn beat() -> Heartbeat {
+    Heartbeat {
         leader: NodeId(7),
         term: 300,
         last: (299, 70_001),
@@ -180,10 +186,10 @@
     }
 }
 
-fn words() -> Vec<Word> {
-    let full = Word {
+fn words() -> Vec<GossipRecord> {
+    let full = GossipRecord {
         by: NodeId(5),
-        count: Count { boot: 6, facts: 700 },
+        count: GossipVersion { boot: 6, facts: 700 },
         host: "s-1-0".into(),
         primary: true,
         position: LogPosition::from_micros(1_767_225_600_123_456),
@@ -193,7 +199,7 @@
         rate: 123_456,
         used: 610,
     };
-    let bare = Word {
+    let bare = GossipRecord {
         up: None,
         primary: false,
         position: LogPosition::from_micros(0),
@@ -204,39 +210,43 @@
     vec![full, bare]
 }
 
-fn sights() -> BTreeMap<ZoneId, Sight> {
-    let one = Sight { good: 1000, late: 2, silent: 3, refused: 400, hosts: 5, gone: 6, of: 700, busy: 810 };
-    BTreeMap::from([(ZoneId(0), one), (ZoneId(200), Sight { good: 9, ..Sight::default() })])
+fn sights() -> BTreeMap<ZoneId, ZoneOutcomes> {
+    let one =
+        ZoneOutcomes { good: 1000, late: 2, silent: 3, refused: 400, hosts: 5, gone: 6, of: 700, busy: 810 };
+    BTreeMap::from([(ZoneId(0), one), (ZoneId(200), ZoneOutcomes { good: 9, ..ZoneOutcomes::default() })])
 }
 
 /// Every message, each variant of what is in it among them.
-fn messages() -> Vec<(&'static str, Frame)> {
+fn messages() -> Vec<(&'static str, PeerMessage)> {
     let fleet = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
     let marks = vec![
         ("s-1-1".to_string(), DrainMark { by: NodeId(5), number: 6 }),
         ("s-2".to_string(), DrainMark { by: NodeId(7), number: 800 }),
     ];
-    let v6 = Hello { address: "[::1]:8892".parse().unwrap(), ..hello("b1", 0) };
-    let digest = vec![(NodeId(5), Count { boot: 6, facts: 700 }), (NodeId(800), Count { boot: 9, facts: 0 })];
+    let v6 = Handshake { address: "[::1]:8892".parse().unwrap(), ..hello("b1", 0) };
+    let digest = vec![
+        (NodeId(5), GossipVersion { boot: 6, facts: 700 }),
+        (NodeId(800), GossipVersion { boot: 9, facts: 0 }),
+    ];
     let breaks = vec![LogRollback {
         group: GroupId(300),
         from: LogPosition::from_micros(1_767_225_600_000_000),
         to: LogPosition::from_micros(1_767_225_600_000_001),
     }];
-    let returns = Beat { part: false, returns: true, ..beat() };
+    let returns = Heartbeat { part: false, returns: true, ..beat() };
     let mut all = vec![
-        ("hello", Frame::Hello(hello("b0", fleet))),
-        ("hello without a fleet at an IPv6 address", Frame::Hello(v6)),
-        ("wish vote", Frame::Wish("b3".into(), Wish::Vote)),
-        ("wish leave", Frame::Wish("b4".into(), Wish::Leave)),
-        ("marks", Frame::Marks(marks)),
-        ("beat", Frame::Beat(beat())),
-        ("beat of one that returns", Frame::Beat(returns)),
-        ("digest", Frame::Digest(digest)),
-        ("words with and without optional parts", Frame::Words(words())),
-        ("hint", Frame::PrimaryHint([127, 0, 0, 1, 0xd4, 0x31], TimeDelta::from_micros(250_000))),
-        ("breaks", Frame::LogRollbacks(breaks)),
-        ("sights", Frame::Sights(sights())),
+        ("hello", PeerMessage::Handshake(hello("b0", fleet))),
+        ("hello without a fleet at an IPv6 address", PeerMessage::Handshake(v6)),
+        ("wish vote", PeerMessage::MembershipRequest("b3".into(), MembershipRequest::GrantVote)),
+        ("wish leave", PeerMessage::MembershipRequest("b4".into(), MembershipRequest::Remove)),
+        ("marks", PeerMessage::PendingDrains(marks)),
+        ("beat", PeerMessage::Heartbeat(beat())),
+        ("beat of one that returns", PeerMessage::Heartbeat(returns)),
+        ("digest", PeerMessage::GossipDigest(digest)),
+        ("words with and without optional parts", PeerMessage::Observations(words())),
+        ("hint", PeerMessage::PrimaryHint([127, 0, 0, 1, 0xd4, 0x31], TimeDelta::from_micros(250_000))),
+        ("breaks", PeerMessage::LogRollbacks(breaks)),
+        ("sights", PeerMessage::ZoneObservations(sights())),
     ];
     all.extend(verdicts());
     all.extend(letters());
@@ -245,22 +255,22 @@
 }
 
 /// Fails to compile where a variant is added: it needs a golden message above, and a line here.
-fn kinds(frame: &Frame) -> (&'static str, &'static str) {
+fn kinds(frame: &PeerMessage) -> (&'static str, &'static str) {
     match frame {
-        Frame::Hello(_) => ("hello", ""),
-        Frame::Verdict(verdict, _) => (
+        PeerMessage::Handshake(_) => ("hello", ""),
+        PeerMessage::HandshakeReply(verdict, _) => (
             "verdict",
             match verdict {
-                Verdict::Welcome => "welcome",
-                Verdict::Stranger => "stranger",
-                Verdict::Removed => "removed",
-                Verdict::Older => "older",
-                Verdict::Recovered => "recovered",
-                Verdict::Candidate(_) => "candidate",
+                HandshakeVerdict::Accepted => "welcome",
+                HandshakeVerdict::OtherFleet => "stranger",
+                HandshakeVerdict::RemovedMember => "removed",
+                HandshakeVerdict::OutdatedStorage => "older",
+                HandshakeVerdict::SupersededFleet => "recovered",
+                HandshakeVerdict::NotYetMember(_) => "candidate",
             },
         ),
-        Frame::Letters(_) => ("letters", ""),
-        Frame::Forward(proposal) => (
+        PeerMessage::RaftMessages(_) => ("letters", ""),
+        PeerMessage::ForwardedProposal(proposal) => (
             "forward",
             match &proposal.change {
                 Change::Drain { .. } => "drain",
@@ -276,15 +286,15 @@
                 Change::Regions { .. } => "regions",
             },
         ),
-        Frame::Wish(_, Wish::Vote) => ("wish", "vote"),
-        Frame::Wish(_, Wish::Leave) => ("wish", "leave"),
-        Frame::Marks(_) => ("marks", ""),
-        Frame::Beat(_) => ("beat", ""),
-        Frame::Digest(_) => ("digest", ""),
-        Frame::Words(_) => ("words", ""),
-        Frame::PrimaryHint(..) => ("hint", ""),
-        Frame::LogRollbacks(_) => ("breaks", ""),
-        Frame::Sights(_) => ("sights", ""),
+        PeerMessage::MembershipRequest(_, MembershipRequest::GrantVote) => ("wish", "vote"),
+        PeerMessage::MembershipRequest(_, MembershipRequest::Remove) => ("wish", "leave"),
+        PeerMessage::PendingDrains(_) => ("marks", ""),
+        PeerMessage::Heartbeat(_) => ("beat", ""),
+        PeerMessage::GossipDigest(_) => ("digest", ""),
+        PeerMessage::Observations(_) => ("words", ""),
+        PeerMessage::PrimaryHint(..) => ("hint", ""),
+        PeerMessage::LogRollbacks(_) => ("breaks", ""),
+        PeerMessage::ZoneObservations(_) => ("sights", ""),
     }
 }
 
@@ -311,7 +321,11 @@
     for (name, frame) in messages() {
         let (known, hex) = golden.next().and_then(|l| l.split_once(" = ")).expect("name = hex");
         let bytes = bytes(hex);
-        assert_eq!((known, Frame::read(&bytes, MOST)), (name, Ok(Some((frame, bytes.len())))), "{name}");
+        assert_eq!(
+            (known, PeerMessage::read(&bytes, MOST)),
+            (name, Ok(Some((frame, bytes.len())))),
+            "{name}"
+        );
     }
     assert_eq!(golden.next(), None);
 }
@@ -320,7 +334,7 @@
 #[test]
 fn the_golden_letters_become_the_same_consensus_messages() {
     for (name, frame) in messages() {
-        let Frame::Letters(letters) = frame else { continue };
+        let PeerMessage::RaftMessages(letters) = frame else { continue };
         for letter in letters {
             let kind = letter.clone().message().map(|m| m.msg_type);
             // What is no snapshot and what carries one must go together.
--- a/src/fleet/peer_link.rs
+++ b/src/fleet/peer_link.rs
@@ -1,8 +1,8 @@
 //! The way to one other daemon: a connection that is opened again whenever it breaks, and a bounded queue. A
 //! slow daemon holds up nobody else: what does not fit is dropped, and said again by whoever still means it.
 
-use super::bootstrap::{Hello, Verdict};
-use super::message::Frame;
+use super::bootstrap::{Handshake, HandshakeVerdict};
+use super::message::PeerMessage;
 use crate::config::Limits;
 use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
@@ -27,7 +27,7 @@
     /// Whether this daemon's own file names it.
     pub named: bool,
     /// Who was met there last.
-    pub met: RefCell<Option<Hello>>,
+    pub met: RefCell<Option<Handshake>>,
     /// Frames go through.
     pub up: Cell<bool>,
     /// Frames that did not fit.
@@ -89,8 +89,8 @@
     pub async fn keep(
         &self,
         limits: &Limits,
-        hello: impl Fn() -> Hello,
-        judged: impl Fn(&PeerLink, Verdict, Hello) -> bool,
+        hello: impl Fn() -> Handshake,
+        judged: impl Fn(&PeerLink, HandshakeVerdict, Handshake) -> bool,
         opened: impl Fn(&PeerLink),
         broke: impl Fn(&PeerLink),
     ) {
@@ -99,7 +99,8 @@
             let met = until(Instant::now() + limits.discovery_timeout, self.open(limits, &hello)).await;
             match met {
                 Some(Ok((client, verdict, other))) => {
-                    let stranger = matches!(verdict, Verdict::Stranger | Verdict::Removed);
+                    let stranger =
+                        matches!(verdict, HandshakeVerdict::OtherFleet | HandshakeVerdict::RemovedMember);
                     *self.met.borrow_mut() = Some(other.clone());
                     if judged(self, verdict, other) {
                         pause = limits.discovery_backoff.0;
@@ -122,8 +123,8 @@
     async fn open(
         &self,
         limits: &Limits,
-        hello: &impl Fn() -> Hello,
-    ) -> io::Result<(Client, Verdict, Hello)> {
+        hello: &impl Fn() -> Handshake,
+    ) -> io::Result<(Client, HandshakeVerdict, Handshake)> {
         let mut client = Client::connect(self.address).await?;
         let request = format!(
             "POST {PATH} HTTP/1.1\r\nHost: {}\r\nConnection: Upgrade\r\nUpgrade: {PROTOCOL}\r\nContent-Length: 0\r\n\r\n",
@@ -131,10 +132,10 @@
         );
         client.send(request.as_bytes()).await?;
         client.upgraded(limits).await?;
-        client.send(&Frame::Hello(hello()).bytes()).await?;
+        client.send(&PeerMessage::Handshake(hello()).bytes()).await?;
         loop {
-            match Frame::read(client.unread(), limits.peer_message_bytes) {
-                Ok(Some((Frame::Verdict(verdict, other), used))) => {
+            match PeerMessage::read(client.unread(), limits.peer_message_bytes) {
+                Ok(Some((PeerMessage::HandshakeReply(verdict, other), used))) => {
                     client.consume(used);
                     return Ok((client, verdict, other));
                 }
@@ -162,12 +163,12 @@
 
     async fn pump(&self, client: &mut Client, limits: &Limits) -> String {
         enum Turn {
-            Frame(Vec<u8>),
+            Message(Vec<u8>),
             Over(&'static str),
         }
         loop {
             let turn = {
-                let frame = async { self.queue.1.recv().await.map_or(Turn::Over("ended"), Turn::Frame) };
+                let frame = async { self.queue.1.recv().await.map_or(Turn::Over("ended"), Turn::Message) };
                 let ended = async {
                     let _ = self.ended.1.recv().await;
                     Turn::Over("no longer wanted")
@@ -185,7 +186,7 @@
                 or(or(ended, again), or(frame, gone)).await
             };
             let mut bytes = match turn {
-                Turn::Frame(bytes) => bytes,
+                Turn::Message(bytes) => bytes,
                 Turn::Over(why) => return why.to_string(),
             };
             // What waits goes out together.
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -9,7 +9,7 @@
 
 /// Drains that wait for a majority.
 #[derive(Debug, Default)]
-pub struct Marks {
+pub struct PendingDrains {
     open: BTreeMap<(String, DrainMark), Option<Timestamp>>,
     hosts: BTreeMap<String, usize>,
     last: u64,
@@ -17,10 +17,10 @@
     version: u64,
 }
 
-impl Marks {
+impl PendingDrains {
     /// What a disk held.
-    pub fn new(held: Vec<(String, DrainMark)>) -> Marks {
-        let mut marks = Marks::default();
+    pub fn new(held: Vec<(String, DrainMark)>) -> PendingDrains {
+        let mut marks = PendingDrains::default();
         held.into_iter().for_each(|(host, mark)| {
             marks.add(host, mark);
         });
@@ -39,7 +39,7 @@
     }
 
     /// A drain is said here; `now` makes its number one that this daemon never used, also after a restart.
-    pub fn say(&mut self, host: &str, by: NodeId, now: Timestamp) -> DrainMark {
+    pub fn request_drain(&mut self, host: &str, by: NodeId, now: Timestamp) -> DrainMark {
         let own = self.open.keys().find(|(h, m)| h == host && m.by == by);
         if let Some((_, mark)) = own {
             return *mark;
@@ -52,7 +52,7 @@
 
     /// Takes in what another daemon holds, as far as the log has not settled it; true: something was new. More
     /// than `most` are not kept.
-    pub fn hear(&mut self, others: Vec<(String, DrainMark)>, state: &State, most: usize) -> bool {
+    pub fn merge(&mut self, others: Vec<(String, DrainMark)>, state: &State, most: usize) -> bool {
         let before = self.version;
         for (host, mark) in others {
             if !state.settled(&host, mark) && self.open.len() < most {
@@ -63,7 +63,7 @@
     }
 
     /// Forgets what the log has settled, and says what that was.
-    pub fn settle(&mut self, state: &State) -> Vec<(String, DrainMark)> {
+    pub fn remove_settled(&mut self, state: &State) -> Vec<(String, DrainMark)> {
         let settled: Vec<(String, DrainMark)> =
             self.open.keys().filter(|(host, mark)| state.settled(host, *mark)).cloned().collect();
         for key in &settled {
@@ -80,12 +80,12 @@
     }
 
     /// Whether a host is drained by one of them.
-    pub fn drains(&self, host: &str) -> bool {
+    pub fn is_draining(&self, host: &str) -> bool {
         self.hosts.contains_key(host)
     }
 
     /// Those of a host.
-    pub fn of(&self, host: &str) -> BTreeSet<DrainMark> {
+    pub fn drains_of(&self, host: &str) -> BTreeSet<DrainMark> {
         self.open.keys().filter(|(h, _)| h == host).map(|(_, mark)| *mark).collect()
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// What the leader has to put into the log: each at once, and again where it was not settled for `insist`.
-    pub fn due(&mut self, now: Timestamp, insist: TimeDelta) -> Vec<Change> {
+    pub fn due_proposals(&mut self, now: Timestamp, insist: TimeDelta) -> Vec<Change> {
         let mut due = Vec::new();
         for ((host, mark), proposed) in &mut self.open {
             if proposed.is_none_or(|at| now - at >= insist) {
@@ -134,7 +134,7 @@
         for seed in 0..500 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let mut state = State::default();
-            let mut nodes: Vec<Marks> = (0..3).map(|_| Marks::default()).collect();
+            let mut nodes: Vec<PendingDrains> = (0..3).map(|_| PendingDrains::default()).collect();
             let mut said: BTreeSet<(String, DrainMark)> = BTreeSet::new();
             let mut undone: BTreeSet<DrainMark> = BTreeSet::new();
             for step in 0..200i64 {
@@ -142,59 +142,65 @@
                 let host = format!("s-{}", rng.u8(..4));
                 match rng.u8(..10) {
                     0 => {
-                        let mark = nodes[n].say(&host, NodeId(n as u64 + 1), Timestamp::from_micros(step));
+                        let mark =
+                            nodes[n].request_drain(&host, NodeId(n as u64 + 1), Timestamp::from_micros(step));
                         said.insert((host, mark));
                     }
                     1..=3 => {
                         let all = nodes[rng.usize(..3)].all();
-                        nodes[n].hear(all, &state, 1000);
+                        nodes[n].merge(all, &state, 1000);
                     }
                     4 => {
-                        for change in nodes[n].due(Timestamp::from_micros(step), TimeDelta::from_micros(10)) {
+                        for change in
+                            nodes[n].due_proposals(Timestamp::from_micros(step), TimeDelta::from_micros(10))
+                        {
                             state.apply(step as u64, &change);
                         }
                     }
                     5 => {
                         let known = state.drains.get(&host).into_iter().flatten().copied();
-                        let marks: Vec<DrainMark> = known.chain(nodes[n].of(&host)).collect();
+                        let marks: Vec<DrainMark> = known.chain(nodes[n].drains_of(&host)).collect();
                         undone.extend(&marks);
                         state.apply(step as u64, &Change::Undrain { host, marks });
                     }
                     6 => {
-                        nodes[n].settle(&state);
+                        nodes[n].remove_settled(&state);
                     }
                     _ => {}
                 }
                 for (host, mark) in said.iter().filter(|(_, mark)| !undone.contains(mark)) {
                     let agreed = state.is_drained(host);
                     let by = &nodes[mark.by.0 as usize - 1];
-                    assert!(agreed || by.drains(host), "seed {seed}, step {step}: {mark:?} of {host}");
+                    assert!(agreed || by.is_draining(host), "seed {seed}, step {step}: {mark:?} of {host}");
                 }
             }
             for node in &mut nodes {
-                node.settle(&state);
+                node.remove_settled(&state);
             }
             for (host, mark) in &said {
-                assert_eq!(state.settled(host, *mark), !nodes.iter().any(|n| n.of(host).contains(mark)));
+                assert_eq!(
+                    state.settled(host, *mark),
+                    !nodes.iter().any(|n| n.drains_of(host).contains(mark))
+                );
             }
         }
     }
 
     #[test]
     fn a_number_is_never_used_twice_and_what_is_held_is_bounded() {
-        let (mut marks, me, at) = (Marks::default(), NodeId(7), Timestamp::from_micros);
-        let first = marks.say("a", me, at(1_000));
-        assert_eq!(marks.say("a", me, at(2_000)), first, "it is drained already");
-        assert!(marks.say("b", me, at(1_000)).number > first.number);
+        let (mut marks, me, at) = (PendingDrains::default(), NodeId(7), Timestamp::from_micros);
+        let first = marks.request_drain("a", me, at(1_000));
+        assert_eq!(marks.request_drain("a", me, at(2_000)), first, "it is drained already");
+        assert!(marks.request_drain("b", me, at(1_000)).number > first.number);
         assert!(
-            Marks::default().say("a", me, at(5_000)).number > first.number,
+            PendingDrains::default().request_drain("a", me, at(5_000)).number > first.number,
             "after a restart without disk"
         );
         let many = (0..50).map(|n| (format!("s-{n}"), DrainMark { by: NodeId(9), number: n })).collect();
-        assert!(marks.hear(many, &State::default(), 10));
+        assert!(marks.merge(many, &State::default(), 10));
         assert_eq!(marks.all().len(), 10);
         assert_ne!(marks.digest(), 0);
-        let mut due = |now| marks.due(at(now), TimeDelta::from_micros(100)).len();
+        let mut due = |now| marks.due_proposals(at(now), TimeDelta::from_micros(100)).len();
         assert_eq!((due(0), due(50), due(100)), (10, 0, 10));
     }
 }
--- a/src/fleet/recovery/first_election.rs
+++ b/src/fleet/recovery/first_election.rs
@@ -27,7 +27,7 @@
 
 /// What a daemon has done for a leader since its start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lead {
+pub struct FirstElection {
     /// Since when it hears a majority of the voters.
     majority: Option<Timestamp>,
     /// When it last stood.
@@ -36,9 +36,9 @@
     led: bool,
 }
 
-impl Lead {
+impl FirstElection {
     /// Whether this daemon stands for election now. `heard`: the other voters that are heard and take part.
-    pub fn stands(&mut self, now: Timestamp, me: Voter, voters: &[NodeId], heard: &[Voter]) -> bool {
+    pub fn is_due(&mut self, now: Timestamp, me: Voter, voters: &[NodeId], heard: &[Voter]) -> bool {
         self.led |= me.leader != NodeId::NOBODY;
         let there = heard.iter().filter(|v| voters.contains(&v.id)).count() + 1;
         self.majority = self.majority.or(Some(now)).filter(|_| there * 2 > voters.len());
@@ -110,16 +110,16 @@
     /// Guards against letters without end, and against one that stands again because a leader has fallen silent.
     #[test]
     fn it_stands_again_after_a_while_and_never_once_it_has_known_a_leader() {
-        let (mut lead, voters, me) = (Lead::default(), [1, 2, 3].map(NodeId), voter(1, 5));
+        let (mut lead, voters, me) = (FirstElection::default(), [1, 2, 3].map(NodeId), voter(1, 5));
         let two = [voter(2, 5)];
         let (at, tick) = (|wait: TimeDelta| Timestamp::ZERO + wait, TimeDelta::from_micros(1));
-        assert!(!lead.stands(at(TimeDelta::ZERO), me, &voters, &two), "the third one may know more");
-        assert!(!lead.stands(at(WAIT), me, &voters, &[]) && !lead.stands(at(WAIT + tick), me, &voters, &two));
-        assert!(lead.stands(at(2 * WAIT + tick), me, &voters, &two));
-        assert!(!lead.stands(at(2 * WAIT + AGAIN), me, &voters, &two));
-        assert!(lead.stands(at(2 * WAIT + tick + AGAIN), me, &voters, &two));
-        assert!(!lead.stands(at(5 * WAIT), Voter { leader: NodeId(2), ..me }, &voters, &two));
-        assert!(!lead.stands(at(9 * WAIT), me, &voters, &two));
+        assert!(!lead.is_due(at(TimeDelta::ZERO), me, &voters, &two), "the third one may know more");
+        assert!(!lead.is_due(at(WAIT), me, &voters, &[]) && !lead.is_due(at(WAIT + tick), me, &voters, &two));
+        assert!(lead.is_due(at(2 * WAIT + tick), me, &voters, &two));
+        assert!(!lead.is_due(at(2 * WAIT + AGAIN), me, &voters, &two));
+        assert!(lead.is_due(at(2 * WAIT + tick + AGAIN), me, &voters, &two));
+        assert!(!lead.is_due(at(5 * WAIT), Voter { leader: NodeId(2), ..me }, &voters, &two));
+        assert!(!lead.is_due(at(9 * WAIT), me, &voters, &two));
     }
 
     #[test]
--- a/src/fleet/recovery/mod.rs
+++ b/src/fleet/recovery/mod.rs
@@ -7,7 +7,7 @@
 pub mod phases;
 pub mod restart_detector;
 
-use super::gossip::Word;
+use super::gossip::GossipRecord;
 use crate::engine::log_rollback::LogRollback;
 use crate::time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,7 @@
 
 /// The clocks of a machine at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Clocks {
+pub struct ClockReading {
     /// Unix time.
     pub wall: Timestamp,
     /// Which start of the machine; empty: not known.
@@ -30,46 +30,46 @@
 
 /// What was learned, as it lies on the disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct PersistedGossip {
     /// When it was written.
-    pub at: Clocks,
+    pub at: ClockReading,
     /// What was known.
-    pub words: Vec<Word>,
+    pub words: Vec<GossipRecord>,
     /// What groups have lost. That counts whatever the clock did: it names positions, not times.
     pub breaks: Vec<LogRollback>,
 }
 
 /// What something from before is worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trust {
+pub enum RestoredAge {
     /// A guess, older by so much than when it was written.
-    Guess(TimeDelta),
+    Usable(TimeDelta),
     /// Nothing, and why.
-    Worthless(&'static str),
+    Unusable(&'static str),
 }
 
 /// What is to be made of something that was written at one moment and is read at another. The time when the machine
 /// was off counts; a clock that was set makes it worthless rather than fresh.
-pub fn trust(then: &Clocks, now: &Clocks) -> Trust {
+pub fn restored_age(then: &ClockReading, now: &ClockReading) -> RestoredAge {
     let span = now.wall - then.wall;
     if span < TimeDelta::ZERO {
-        return Trust::Worthless("the clock went back");
+        return RestoredAge::Unusable("the clock went back");
     }
     if !now.boot.is_empty() && now.boot == then.boot {
         let truth = now.up - then.up;
         if truth < TimeDelta::ZERO || (truth - span).abs() > SET {
-            return Trust::Worthless("the clock was set");
+            return RestoredAge::Unusable("the clock was set");
         }
     }
-    if span > KEPT { Trust::Worthless("it has lain for too long") } else { Trust::Guess(span) }
+    if span > KEPT { RestoredAge::Unusable("it has lain for too long") } else { RestoredAge::Usable(span) }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn clocks(wall: TimeDelta, boot: &str, up: TimeDelta) -> Clocks {
-        Clocks { wall: Timestamp::ZERO + wall, boot: boot.into(), up }
+    fn clocks(wall: TimeDelta, boot: &str, up: TimeDelta) -> ClockReading {
+        ClockReading { wall: Timestamp::ZERO + wall, boot: boot.into(), up }
     }
 
     /// Guards against something old that passes for fresh, whatever the clock did meanwhile.
@@ -78,15 +78,15 @@
         let s = TimeDelta::from_secs(1);
         let then = clocks(1_000 * s, "a", 50 * s);
         for (now, wanted) in [
-            (clocks(1_030 * s, "a", 80 * s), Trust::Guess(30 * s)),
-            (clocks(1_030 * s, "b", 5 * s), Trust::Guess(30 * s)),
-            (clocks(999 * s, "b", 5 * s), Trust::Worthless("the clock went back")),
-            (clocks(1_002 * s, "a", 80 * s), Trust::Worthless("the clock was set")),
-            (clocks(1_900 * s, "a", 80 * s), Trust::Worthless("the clock was set")),
-            (clocks(1_030 * s, "a", 40 * s), Trust::Worthless("the clock was set")),
-            (clocks(9_000 * s, "b", 5 * s), Trust::Worthless("it has lain for too long")),
+            (clocks(1_030 * s, "a", 80 * s), RestoredAge::Usable(30 * s)),
+            (clocks(1_030 * s, "b", 5 * s), RestoredAge::Usable(30 * s)),
+            (clocks(999 * s, "b", 5 * s), RestoredAge::Unusable("the clock went back")),
+            (clocks(1_002 * s, "a", 80 * s), RestoredAge::Unusable("the clock was set")),
+            (clocks(1_900 * s, "a", 80 * s), RestoredAge::Unusable("the clock was set")),
+            (clocks(1_030 * s, "a", 40 * s), RestoredAge::Unusable("the clock was set")),
+            (clocks(9_000 * s, "b", 5 * s), RestoredAge::Unusable("it has lain for too long")),
         ] {
-            assert_eq!(trust(&then, &now), wanted, "{now:?}");
+            assert_eq!(restored_age(&then, &now), wanted, "{now:?}");
         }
         let mut rng = fastrand::Rng::with_seed(2);
         for _ in 0..5_000 {
@@ -94,7 +94,7 @@
             let (true_span, set) = (rng.i64(0..4_000_000_000), rng.i64(-5_000_000_000..5_000_000_000));
             let (true_span, set) = (TimeDelta::from_micros(true_span), TimeDelta::from_micros(set));
             let now = clocks(then.wall.since(Timestamp::ZERO) + true_span + set, "a", then.up + true_span);
-            if let Trust::Guess(span) = trust(&then, &now) {
+            if let RestoredAge::Usable(span) = restored_age(&then, &now) {
                 assert!(span + SET >= true_span);
             }
         }
--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -15,14 +15,14 @@
                 return Some(ChangeOutcome::Agreed);
             }
             let (me, now) = (table.identity.id, self.clock.now());
-            self.touch([host.to_string()]);
-            table.marks.say(host, me, now)
+            self.mark_endpoints_changed([host.to_string()]);
+            table.marks.request_drain(host, me, now)
         };
         log::info!("fleet: {host} is drained here");
-        self.wake();
-        self.spread(&Frame::Marks(self.table().marks.all()));
-        self.save();
-        self.lead();
+        self.notify_watchers();
+        self.broadcast(&PeerMessage::PendingDrains(self.table().marks.all()));
+        self.persist_pending_drains();
+        self.act_as_leader();
         let version = self.table().marks.version();
         let woken = self.watch();
         let agreed = async {
@@ -47,36 +47,39 @@
         let marks: BTreeSet<_> = {
             let table = self.table();
             let agreed = table.state.drains.get(host).into_iter().flatten().copied();
-            agreed.chain(table.marks.of(host)).collect()
+            agreed.chain(table.marks.drains_of(host)).collect()
         };
         if marks.is_empty() {
             return ChangeOutcome::Agreed;
         }
         let change = Change::Undrain { host: host.to_string(), marks: marks.into_iter().collect() };
-        self.agree(change).await
+        self.commit_change(change).await
     }
 
-    pub(super) fn hear_marks(&self, marks: Vec<(String, crate::store::state_machine::DrainMark)>) {
+    pub(super) fn receive_pending_drains(
+        &self,
+        marks: Vec<(String, crate::store::state_machine::DrainMark)>,
+    ) {
         let new = {
             let mut table = self.change();
-            self.touch(marks.iter().map(|(host, _)| host.clone()));
+            self.mark_endpoints_changed(marks.iter().map(|(host, _)| host.clone()));
             let Table { marks: own, state, .. } = &mut *table;
-            own.hear(marks, state, self.limits.pending_drains)
+            own.merge(marks, state, self.limits.pending_drains)
         };
         if new {
-            self.wake();
-            self.save();
+            self.notify_watchers();
+            self.persist_pending_drains();
             // Whoever the one that said it does not reach hears it from here.
-            self.spread(&Frame::Marks(self.table().marks.all()));
-            self.lead();
+            self.broadcast(&PeerMessage::PendingDrains(self.table().marks.all()));
+            self.act_as_leader();
         }
     }
 
     /// Keeps drains that are not agreed on the disk.
-    pub(super) fn save(&self) {
+    pub(super) fn persist_pending_drains(&self) {
         let table = self.table();
         let version = table.marks.version();
-        if self.saving.get() < version && self.tell(Input::Marks(table.marks.all(), version)) {
+        if self.saving.get() < version && self.send_to_store(Input::Marks(table.marks.all(), version)) {
             self.saving.set(version);
         }
     }
--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -10,22 +10,22 @@
         table.state.inventory.as_ref()?;
         let touched = self.touched.replace(Touched::Hosts(BTreeSet::new()));
         let present = self.clock.now();
-        let away = self.zoning.borrow().away(present, &table.state).into_iter();
+        let away = self.zoning.borrow().reduced_zones(present, &table.state).into_iter();
         let gone = |zone| table.state.share(zone).why == Why::Lost;
         let only: BTreeMap<ZoneId, BTreeSet<GroupId>> =
-            away.map(|zone| (zone, zoning::only_there(zone, &table.state))).collect();
+            away.map(|zone| (zone, zoning::groups_confined_to(zone, &table.state))).collect();
         let now = |name: &String| {
-            let drained = table.state.is_drained(name) || table.marks.drains(name);
+            let drained = table.state.is_drained(name) || table.marks.is_draining(name);
             let listed = table.state.hosts.get(name).map(|host| host.listed(name, drained))?;
-            let started_at = listed.started_at.max(self.restarts.borrow().told(name));
+            let started_at = listed.started_at.max(self.restarts.borrow().reported_start(name));
             let host = EndpointRecord { started_at, ..listed };
             // Where nobody knows the primary each host may be it, but for those that are gone.
-            let belief = table.learned.beliefs().get(&host.group);
+            let belief = table.learned.primary_beliefs().get(&host.group);
             let zone = belief.and_then(|b| table.state.hosts.get(&b.host)).map(|h| h.zone);
-            let known = table.learned.has_primary(host.group) && !zone.is_some_and(gone);
+            let known = table.learned.is_primary_known(host.group) && !zone.is_some_and(gone);
             let primary = belief.is_some_and(|b| b.host == *name) || !known && !gone(host.zone);
             let alone = only.get(&host.zone).is_some_and(|groups| groups.contains(&host.group));
-            Some(self.zoning.borrow().shape(present, host, &table.state, primary, alone))
+            Some(self.zoning.borrow().apply_weight(present, host, &table.state, primary, alone))
         };
         let whole = kept.is_empty();
         let names: BTreeSet<String> = match touched {
@@ -50,16 +50,16 @@
     }
 
     /// These hosts may have changed in the list.
-    pub(super) fn touch(&self, hosts: impl IntoIterator<Item = String>) {
+    pub(super) fn mark_endpoints_changed(&self, hosts: impl IntoIterator<Item = String>) {
         if let Touched::Hosts(names) = &mut *self.touched.borrow_mut() {
             names.extend(hosts);
         }
     }
 
     /// The list to act on, once one was agreed.
-    pub fn listing(&self) -> Option<EndpointUpdate> {
+    pub fn current_endpoint_list(&self) -> Option<EndpointUpdate> {
         let table = self.table();
         table.state.inventory.as_ref()?;
-        Some(table.state.listing(table.applied, |host| table.marks.drains(host)))
+        Some(table.state.listing(table.applied, |host| table.marks.is_draining(host)))
     }
 }
--- a/src/fleet/runtime/event_loop.rs
+++ b/src/fleet/runtime/event_loop.rs
@@ -9,32 +9,32 @@
         let mut keep = Instant::now() + self.limits.gossip_save_interval;
         let woken = self.watch();
         loop {
-            self.found();
-            self.take_part();
-            self.stand();
-            self.open_ways();
-            self.lead();
-            self.reconcile();
-            self.save();
+            self.found_fleet_if_due();
+            self.join_consensus_if_accepted();
+            self.campaign_if_due();
+            self.open_links();
+            self.act_as_leader();
+            self.propose_own_files();
+            self.persist_pending_drains();
             if Instant::now() >= keep {
                 keep = Instant::now() + self.limits.gossip_save_interval;
-                self.keep();
+                self.persist_gossip();
             }
             if Instant::now() >= beat {
                 beat = Instant::now() + self.limits.heartbeat_interval;
-                self.spread(&self.beat());
+                self.broadcast(&self.own_heartbeat());
                 let now = self.clock.now();
                 {
                     let mut table = self.change();
                     let Table { learned, state, digests, .. } = &mut *table;
-                    learned.tidy(now, state);
+                    learned.remove_departed(now, state);
                     digests.retain(|id, _| state.members.contains_key(id));
                 }
-                self.tell_sights();
+                self.broadcast_zone_observations();
                 // Where nothing is known there is nothing to compare.
                 let digest = self.table().learned.digest();
                 if !digest.is_empty() {
-                    self.spread(&Frame::Digest(digest));
+                    self.broadcast(&PeerMessage::GossipDigest(digest));
                 }
                 let recent: Vec<LogRollback> = self
                     .breaks
@@ -44,14 +44,14 @@
                     .filter(|b| now - b.to.commit_time(Timestamp::ZERO) < LATELY)
                     .collect();
                 if !recent.is_empty() {
-                    self.spread(&Frame::LogRollbacks(recent));
+                    self.broadcast(&PeerMessage::LogRollbacks(recent));
                 }
                 let recent = Instant::now();
                 self.change()
                     .candidates
                     .retain(|_, (_, at)| recent - *at < self.limits.peer_gone_timeout * 5);
             }
-            if crate::fleet::peer_link::rest(self.pause(), &woken).await {
+            if crate::fleet::peer_link::rest(self.time_to_next_round(), &woken).await {
                 // Many changes in a row are worked off together.
                 Timer::after(Duration::from_millis(1)).await;
             }
@@ -59,7 +59,7 @@
     }
 
     /// How long nothing need be done, if nothing happens: what waits is said again, what rests may rest.
-    pub(super) fn pause(&self) -> Duration {
+    pub(super) fn time_to_next_round(&self) -> Duration {
         let table = self.table();
         let waits = !table.marks.is_empty()
             || !table.wishes.is_empty()
--- a/src/fleet/runtime/first.rs
+++ b/src/fleet/runtime/first.rs
@@ -13,20 +13,20 @@
 
 impl Fleet {
     /// Asks for the lead, where it is this daemon's turn to.
-    pub(super) fn stand(&self) {
+    pub(super) fn campaign_if_due(&self) {
         let table = self.table();
         if !table.status.part || table.state.fleet == 0 || table.removed {
             return;
         }
         let (status, voters) = (&table.status, &table.status.conf.voters);
         // Those whose word comes here, and that this one's reaches.
-        let heard = self.hears(&table).into_iter().filter(|id| self.way_to(*id).is_some());
+        let heard = self.recently_heard_peers(&table).into_iter().filter(|id| self.link_to(*id).is_some());
         let heard: Vec<Voter> = heard.filter_map(|id| voter(&table, id)).collect();
         let me = Voter { id: table.identity.id, last: status.witness.last, leader: status.leader };
-        if self.lead.borrow_mut().stands(self.clock.now(), me, voters, &heard) {
+        if self.lead.borrow_mut().is_due(self.clock.now(), me, voters, &heard) {
             let (there, all) = (heard.len() + 1, voters.len());
             log::info!("fleet: no leader among {there} that are heard, of {all} voters; this daemon stands");
-            self.tell(Input::Stand);
+            self.send_to_store(Input::Stand);
         }
     }
 }
--- a/src/fleet/runtime/founding.rs
+++ b/src/fleet/runtime/founding.rs
@@ -4,35 +4,36 @@
 
 impl Fleet {
     /// An operator's word: form a fleet with whoever has answered. False: there is one already.
-    pub fn form(&self) -> bool {
+    pub fn form_fleet(&self) -> bool {
         if self.table().state.fleet != 0 {
             return false;
         }
         self.change().word = true;
-        self.found();
-        self.table().stand.0 == Stand::Found(BTreeSet::new()).to_string() || self.table().state.fleet != 0
+        self.found_fleet_if_due();
+        self.table().stand.0 == BootstrapState::FoundsFleet(BTreeSet::new()).to_string()
+            || self.table().state.fleet != 0
     }
 
     /// Founds a fleet where this daemon is the one to do it.
-    pub(super) fn found(&self) {
+    pub(super) fn found_fleet_if_due(&self) {
         let stand = {
             let table = self.table();
             if table.state.fleet != 0 || table.removed || table.broken.is_some() {
                 return;
             }
             let me = (self.me.name.as_str(), table.identity.id);
-            bootstrap::stand(me, &self.me.named, &table.met, table.word)
+            bootstrap::bootstrap_state(me, &self.me.named, &table.met, table.word)
         };
-        self.stands(stand.to_string());
-        if let Stand::Found(others) = stand {
+        self.set_bootstrap_status(stand.to_string());
+        if let BootstrapState::FoundsFleet(others) = stand {
             let id = self.table().identity.id;
             let member = Member { name: self.me.name.clone(), address: self.me.address };
             let fleet: FleetId = fastrand::u128(1..);
-            self.tell(Input::Found(Box::new(State::found(fleet, id, member, others))));
+            self.send_to_store(Input::Found(Box::new(State::found(fleet, id, member, others))));
         }
     }
 
-    pub(super) fn stands(&self, why: String) {
+    pub(super) fn set_bootstrap_status(&self, why: String) {
         let mut table = self.change();
         if table.stand.0 != why {
             log::info!("fleet: {why}");
@@ -41,7 +42,7 @@
     }
 
     /// Takes part in the agreement once enough of the others have found nothing wrong with this daemon's disk.
-    pub(super) fn take_part(&self) {
+    pub(super) fn join_consensus_if_accepted(&self) {
         let enough = {
             let table = self.table();
             let voters = &table.status.conf.voters;
@@ -49,7 +50,7 @@
             !table.status.part && !table.removed && table.broken.is_none() && welcome * 2 > voters.len()
         };
         if enough {
-            self.tell(Input::TakePart);
+            self.send_to_store(Input::TakePart);
         }
     }
 }
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -11,7 +11,8 @@
             let lost = |f: &Observation| {
                 let group = table.state.hosts.get(&f.endpoint_name)?.group;
                 // One that has only just stepped down says nothing about its group's log.
-                let another = table.learned.beliefs().get(&group).filter(|b| b.host != f.endpoint_name);
+                let another =
+                    table.learned.primary_beliefs().get(&group).filter(|b| b.host != f.endpoint_name);
                 if !f.primary || another.is_some_and(|b| Some(b.at) > f.started_at) {
                     return None;
                 }
@@ -26,33 +27,34 @@
             facts.iter().filter_map(lost).collect()
         };
         if !lost.is_empty() {
-            self.broken_off(lost, &self.me.name);
+            self.record_log_rollbacks(lost, &self.me.name);
         }
         let urgent = {
             let mut table = self.change();
             let Table { learned, state, .. } = &mut *table;
             let urgent = learned.observe(now, facts, self.returns());
-            learned.believe(now, state);
+            learned.update_beliefs(now, state);
             urgent
         };
-        self.restarted(now, facts.iter().map(|f| &f.endpoint_name));
+        self.detect_restarts(now, facts.iter().map(|f| &f.endpoint_name));
         if urgent {
-            self.spread(&Frame::Digest(self.table().learned.digest()));
-            self.push();
+            self.broadcast(&PeerMessage::GossipDigest(self.table().learned.digest()));
+            self.push_own_observations();
         }
     }
 
     /// What the others lack of this daemon's own facts, as far as is known, without being asked.
-    pub(super) fn push(&self) {
+    pub(super) fn push_own_observations(&self) {
         let now = self.clock.now();
         let mut table = self.change();
         let me = table.identity.id;
         let Table { learned, digests, .. } = &mut *table;
-        for way in self.ways().iter().filter(|w| w.up.get()) {
+        for way in self.links().iter().filter(|w| w.up.get()) {
             let known = digests.entry(way.id()).or_default();
-            let words = learned.lacks(now, known, |id| id != me, self.limits.observations_per_message);
+            let words =
+                learned.records_missing_from(now, known, |id| id != me, self.limits.observations_per_message);
             let Some(last) = words.iter().map(|w| w.count).max() else { continue };
-            if way.send(&Frame::Words(words).bytes()) {
+            if way.send(&PeerMessage::Observations(words).bytes()) {
                 // Until it says itself what it knows: what was lost on the way is sent again then.
                 known.retain(|(id, _)| *id != me);
                 known.push((me, last));
@@ -61,16 +63,16 @@
     }
 
     /// Writes what was learned to the disk, where it has changed; never in haste.
-    pub(super) fn keep(&self) {
+    pub(super) fn persist_gossip(&self) {
         let table = self.table();
         let kept = (table.learned.digest(), self.breaks.borrow().all());
         if table.learned.is_empty() || *self.kept.borrow() == kept {
             return;
         }
-        let words = table.learned.words(self.clock.now());
-        let saved = Saved { at: clocks(&self.clock), words, breaks: kept.1.clone() };
+        let words = table.learned.records_to_persist(self.clock.now());
+        let saved = PersistedGossip { at: clocks(&self.clock), words, breaks: kept.1.clone() };
         log::debug!("fleet: {} words on hosts are kept", saved.words.len());
-        if self.tell(Input::Learned(records::write(&saved))) {
+        if self.send_to_store(Input::Learned(records::write(&saved))) {
             *self.kept.borrow_mut() = kept;
         }
     }
@@ -78,15 +80,15 @@
     /// Hints for a module that starts: who is believed to be primary where, and first guesses from before.
     pub fn first_hints(&self) -> Vec<Vec<u8>> {
         let table = self.table();
-        let believed = table.learned.beliefs().values().map(|b| (b.host.clone(), b.at));
-        let guessed = table.learned.guesses(&table.state).into_values();
+        let believed = table.learned.primary_beliefs().values().map(|b| (b.host.clone(), b.at));
+        let guessed = table.learned.restored_primaries(&table.state).into_values();
         let all = believed.chain(guessed);
         all.map(|(host, at)| PrimaryHint { endpoint: id_of(&host), at }.write()).collect()
     }
 
     /// What this daemon knew before its start, for its core.
     pub fn told_before(&self) -> Vec<PeerObservation> {
-        self.table().learned.positions()
+        self.table().learned.restored_positions()
     }
 
     /// What others heard of hosts, as it comes in while service returns.
@@ -103,7 +105,7 @@
         let Some(PrimaryHint { endpoint, at }) = PrimaryHint::read(bytes) else { return };
         let [a, b, c, d] = endpoint.ip;
         let [e, f] = endpoint.port.to_be_bytes();
-        self.spread(&Frame::PrimaryHint([a, b, c, d, e, f], (self.clock.now() - at).or_zero()));
+        self.broadcast(&PeerMessage::PrimaryHint([a, b, c, d, e, f], (self.clock.now() - at).or_zero()));
     }
 
     /// The next word of another daemon's module.
@@ -113,7 +115,7 @@
 }
 
 /// The machine's clocks now.
-pub(super) fn clocks(clock: &Clock) -> Clocks {
+pub(super) fn clocks(clock: &Clock) -> ClockReading {
     let (boot, up) = Clock::machine();
-    Clocks { wall: clock.now(), boot, up }
+    ClockReading { wall: clock.now(), boot, up }
 }
--- a/src/fleet/runtime/incoming_link.rs
+++ b/src/fleet/runtime/incoming_link.rs
@@ -9,26 +9,28 @@
     }
 
     /// Hears another daemon on its connection until that ends.
-    pub async fn serve(&self, mut link: ClientConnection, mut buffer: Buffer) {
+    pub async fn serve_peer(&self, mut link: ClientConnection, mut buffer: Buffer) {
         let upgrade = server::answer_head(101, &[("Connection", "Upgrade"), ("Upgrade", PROTOCOL)]);
         if link.write(&upgrade).await.is_err() {
             return;
         }
         let first = until(
             Instant::now() + self.limits.first_request_timeout,
-            self.next_frame(&mut link, &mut buffer),
+            self.read_message(&mut link, &mut buffer),
         )
         .await;
-        let Some(Some(Frame::Hello(hello))) = first else { return };
+        let Some(Some(PeerMessage::Handshake(hello))) = first else { return };
         let verdict = {
             let mut table = self.change();
             let known = table.status.witnesses.get(&hello.id).copied();
-            let verdict = bootstrap::judge(&table.state, known.as_ref(), &hello);
+            let verdict = bootstrap::judge_handshake(&table.state, known.as_ref(), &hello);
             match &verdict {
-                Verdict::Candidate(_) if table.candidates.len() < self.limits.fleet_nodes => {
+                HandshakeVerdict::NotYetMember(_) if table.candidates.len() < self.limits.fleet_nodes => {
                     table.candidates.insert(hello.id, (hello.clone(), Instant::now()));
                 }
-                Verdict::Stranger | Verdict::Older | Verdict::Recovered => {
+                HandshakeVerdict::OtherFleet
+                | HandshakeVerdict::OutdatedStorage
+                | HandshakeVerdict::SupersededFleet => {
                     table.dropped += 1;
                     log::warn!("fleet: {} was turned away: {verdict:?}", hello.name);
                 }
@@ -36,20 +38,22 @@
             }
             verdict
         };
-        let may = matches!(verdict, Verdict::Welcome | Verdict::Candidate(_));
-        let candidate = matches!(verdict, Verdict::Candidate(_));
-        if link.write(&Frame::Verdict(verdict, self.hello()).bytes()).await.is_err() || !may {
+        let may = matches!(verdict, HandshakeVerdict::Accepted | HandshakeVerdict::NotYetMember(_));
+        let candidate = matches!(verdict, HandshakeVerdict::NotYetMember(_));
+        if link.write(&PeerMessage::HandshakeReply(verdict, self.own_handshake()).bytes()).await.is_err()
+            || !may
+        {
             let _ = link.linger().await;
             return;
         }
         for met in self.change().met.values_mut().filter(|met| met.id == hello.id) {
             *met = hello.clone();
         }
-        self.wake();
+        self.notify_watchers();
         let epoch = self.epoch.borrow().1.clone();
         let hear = async {
-            while let Some(frame) = self.next_frame(&mut link, &mut buffer).await {
-                if !self.take(&hello, candidate, frame) {
+            while let Some(frame) = self.read_message(&mut link, &mut buffer).await {
+                if !self.dispatch(&hello, candidate, frame) {
                     break;
                 }
             }
@@ -58,19 +62,23 @@
             let _ = epoch.recv().await;
         };
         use futures_lite::future::or;
-        or(or(ends, self.silence(hello.id)), hear).await;
+        or(or(ends, self.wait_until_silent(hello.id)), hear).await;
     }
 
-    pub(super) async fn next_frame(&self, link: &mut ClientConnection, buffer: &mut Buffer) -> Option<Frame> {
+    pub(super) async fn read_message(
+        &self,
+        link: &mut ClientConnection,
+        buffer: &mut Buffer,
+    ) -> Option<PeerMessage> {
         loop {
-            match Frame::read(buffer.unread(), self.limits.peer_message_bytes) {
+            match PeerMessage::read(buffer.unread(), self.limits.peer_message_bytes) {
                 Ok(Some((frame, used))) => {
                     buffer.consume(used);
                     return Some(frame);
                 }
                 Ok(None) => {}
                 Err(why) => {
-                    self.pass_over(why);
+                    self.count_dropped_message(why);
                     return None;
                 }
             }
@@ -81,7 +89,7 @@
     }
 
     /// Comes back when a daemon has had no word for long: each has one now and then. One timer for many words.
-    pub(super) async fn silence(&self, id: NodeId) {
+    pub(super) async fn wait_until_silent(&self, id: NodeId) {
         let mut last = Instant::now();
         loop {
             Timer::at(last + self.limits.backend_stall_timeout).await;
@@ -92,7 +100,7 @@
         }
     }
 
-    pub(super) fn pass_over(&self, why: &str) {
+    pub(super) fn count_dropped_message(&self, why: &str) {
         let mut table = self.change();
         table.dropped += 1;
         if table.dropped.is_power_of_two() {
--- a/src/fleet/runtime/log_rollbacks.rs
+++ b/src/fleet/runtime/log_rollbacks.rs
@@ -4,7 +4,7 @@
 
 impl Fleet {
     /// Groups have lost commits, as this daemon or another one has noticed.
-    pub(super) fn broken_off(&self, breaks: Vec<LogRollback>, by: &str) {
+    pub(super) fn record_log_rollbacks(&self, breaks: Vec<LogRollback>, by: &str) {
         let (now, mut new) = (self.clock.now(), Vec::new());
         {
             let (table, mut own) = (self.table(), self.breaks.borrow_mut());
@@ -31,7 +31,7 @@
             );
         }
         if !new.is_empty() {
-            self.spread(&Frame::LogRollbacks(new));
+            self.broadcast(&PeerMessage::LogRollbacks(new));
         }
     }
 }
--- a/src/fleet/runtime/membership_requests.rs
+++ b/src/fleet/runtime/membership_requests.rs
@@ -4,12 +4,16 @@
 
 impl Fleet {
     /// Has a daemon of this name get a vote, or go. `None`: there is none of this name.
-    pub async fn wish(&self, name: &str, wish: Wish) -> Option<ChangeOutcome> {
+    pub async fn request_membership_change(
+        &self,
+        name: &str,
+        wish: MembershipRequest,
+    ) -> Option<ChangeOutcome> {
         let done = |table: &Table| {
             let mut ids = table.state.members.iter().filter(|(_, m)| m.name == name).map(|(id, _)| id);
             match wish {
-                Wish::Vote => ids.any(|id| table.status.conf.voters.contains(id)),
-                Wish::Leave => ids.next().is_none(),
+                MembershipRequest::GrantVote => ids.any(|id| table.status.conf.voters.contains(id)),
+                MembershipRequest::Remove => ids.next().is_none(),
             }
         };
         if !self.table().state.members.values().any(|m| m.name == name) {
@@ -21,12 +25,12 @@
                 if done(&self.table()) {
                     return;
                 }
-                self.wishes(name.to_string(), wish);
+                self.record_membership_request(name.to_string(), wish);
                 let (leader, me) = (self.table().status.leader, self.table().identity.id);
                 if leader != me
-                    && let Some(way) = self.way_to(leader)
+                    && let Some(way) = self.link_to(leader)
                 {
-                    way.send(&Frame::Wish(name.to_string(), wish).bytes());
+                    way.send(&PeerMessage::MembershipRequest(name.to_string(), wish).bytes());
                 }
                 crate::fleet::peer_link::rest(self.limits.proposal_retry_interval, &woken).await;
             }
@@ -35,7 +39,7 @@
         Some(if done.is_some() { ChangeOutcome::Agreed } else { ChangeOutcome::Not })
     }
 
-    pub(super) fn wishes(&self, name: String, wish: Wish) {
+    pub(super) fn record_membership_request(&self, name: String, wish: MembershipRequest) {
         let mut table = self.change();
         if table.wishes.len() < self.limits.fleet_nodes {
             table.wishes.insert((name, wish), Instant::now());
@@ -43,15 +47,18 @@
     }
 
     /// What a leader does now and then, and after each change.
-    pub(super) fn lead(&self) {
+    pub(super) fn act_as_leader(&self) {
         let mut table = self.change();
         let me = table.identity.id;
         if table.status.leader != me || !table.status.part {
             return;
         }
         let insist = TimeDelta::from(self.limits.proposal_retry_interval);
-        let due =
-            if table.state.is_complete() { table.marks.due(self.clock.now(), insist) } else { Vec::new() };
+        let due = if table.state.is_complete() {
+            table.marks.due_proposals(self.clock.now(), insist)
+        } else {
+            Vec::new()
+        };
         let now = Instant::now();
         table.wishes.retain(|_, at| now - *at < self.limits.agreement_timeout);
         let recent = self.limits.peer_gone_timeout;
@@ -60,12 +67,12 @@
             let candidates = table.candidates.iter().map(|(id, (hello, _))| (*id, hello.clone())).collect();
             let silent = table.heard.iter().map(|(id, h)| (*id, TimeDelta::from(now - h.at))).collect();
             let wishes = table.wishes.keys().cloned().collect();
-            let word = |h: &Heard| Word {
+            let word = |h: &PeerStatus| VoterStatus {
                 leaderless: h.leaderless.map_or(TimeDelta::ZERO, |at| TimeDelta::from(now - at)),
                 hears: h.beat.hears.iter().copied().collect(),
             };
             let words = table.heard.iter().map(|(id, h)| (*id, word(h))).collect();
-            let view = View {
+            let view = MembershipView {
                 me,
                 state: &table.state,
                 conf: &table.status.conf,
@@ -78,17 +85,17 @@
                 wishes: &wishes,
                 gone: TimeDelta::from(self.limits.peer_gone_timeout),
             };
-            view.next()
+            view.next_action()
         };
         drop(table);
         for change in due {
-            let proposal = Proposal { from: me, token: self.token(), change };
-            self.tell(Input::Propose(proposal));
+            let proposal = Proposal { from: me, token: self.next_token(), change };
+            self.send_to_store(Input::Propose(proposal));
         }
         match next {
-            Next::Nothing => true,
-            Next::Propose(change) => self.tell(Input::Members(change)),
-            Next::Transfer(to) => self.tell(Input::Transfer(to)),
+            MembershipAction::Nothing => true,
+            MembershipAction::Propose(change) => self.send_to_store(Input::Members(change)),
+            MembershipAction::TransferLeadership(to) => self.send_to_store(Input::Transfer(to)),
         };
     }
 }
--- a/src/fleet/runtime/message_dispatch.rs
+++ b/src/fleet/runtime/message_dispatch.rs
@@ -4,12 +4,12 @@
 
 impl Fleet {
     /// Takes in a frame of another daemon; false: nothing more is heard of it.
-    pub(super) fn take(&self, from: &Hello, candidate: bool, frame: Frame) -> bool {
+    pub(super) fn dispatch(&self, from: &Handshake, candidate: bool, frame: PeerMessage) -> bool {
         {
             let mut table = self.change();
             if !may_meet(table.state.fleet, from.fleet) || table.state.removed.contains_key(&from.id) {
                 drop(table);
-                self.pass_over("of another fleet");
+                self.count_dropped_message("of another fleet");
                 return false;
             }
             if candidate {
@@ -22,34 +22,37 @@
                     table.candidates.insert(from.id, (from.clone(), Instant::now()));
                 }
             }
-            table.heard.entry(from.id).or_insert_with(|| Heard::met(from)).at = Instant::now();
+            table.heard.entry(from.id).or_insert_with(|| PeerStatus::met(from)).at = Instant::now();
             // One that was taken in answers before it knows that it is of the fleet.
-            if candidate && !table.state.members.contains_key(&from.id) && !matches!(frame, Frame::Beat(_)) {
+            if candidate
+                && !table.state.members.contains_key(&from.id)
+                && !matches!(frame, PeerMessage::Heartbeat(_))
+            {
                 return true;
             }
         }
         match frame {
-            Frame::Letters(letters) => {
+            PeerMessage::RaftMessages(letters) => {
                 let (own, strange): (Vec<Letter>, Vec<Letter>) =
                     letters.into_iter().partition(|l| l.from == from.id);
                 if !strange.is_empty() {
-                    self.pass_over("not of its sender");
+                    self.count_dropped_message("not of its sender");
                 }
                 if !own.is_empty() {
-                    self.tell(Input::Letters(own));
+                    self.send_to_store(Input::Letters(own));
                 }
             }
-            Frame::Forward(proposal) if proposal.from == from.id => {
+            PeerMessage::ForwardedProposal(proposal) if proposal.from == from.id => {
                 if self.table().state.is_complete() {
-                    self.tell(Input::Propose(proposal));
+                    self.send_to_store(Input::Propose(proposal));
                 }
             }
-            Frame::Wish(name, wish) => {
-                self.wishes(name, wish);
-                self.wake();
+            PeerMessage::MembershipRequest(name, wish) => {
+                self.record_membership_request(name, wish);
+                self.notify_watchers();
             }
-            Frame::Marks(marks) => self.hear_marks(marks),
-            Frame::Beat(beat) => {
+            PeerMessage::PendingDrains(marks) => self.receive_pending_drains(marks),
+            PeerMessage::Heartbeat(beat) => {
                 let differs = {
                     let mut table = self.change();
                     let marks = beat.marks;
@@ -61,19 +64,19 @@
                     !table.marks.is_empty() && marks != table.marks.digest()
                 };
                 if self.returns() {
-                    self.wake();
+                    self.notify_watchers();
                 }
-                if differs && let Some(way) = self.way_to(from.id) {
-                    way.send(&Frame::Marks(self.table().marks.all()).bytes());
+                if differs && let Some(way) = self.link_to(from.id) {
+                    way.send(&PeerMessage::PendingDrains(self.table().marks.all()).bytes());
                 }
             }
-            Frame::Digest(digest) => {
+            PeerMessage::GossipDigest(digest) => {
                 self.change().digests.insert(from.id, digest.clone());
                 let words = {
                     let table = self.table();
                     let hears = table.heard.get(&from.id).map_or(&[][..], |h| &h.beat.hears[..]);
                     let hears = |id| hears.contains(&id);
-                    table.learned.lacks(
+                    table.learned.records_missing_from(
                         self.clock.now(),
                         &digest,
                         hears,
@@ -81,26 +84,28 @@
                     )
                 };
                 if !words.is_empty()
-                    && let Some(way) = self.way_to(from.id)
+                    && let Some(way) = self.link_to(from.id)
                 {
-                    way.send(&Frame::Words(words).bytes());
+                    way.send(&PeerMessage::Observations(words).bytes());
                 }
             }
-            Frame::LogRollbacks(breaks) => self.broken_off(breaks, &from.name),
-            Frame::Sights(sights) => self.hear_sights(from.id, sights),
-            Frame::Words(words) => {
+            PeerMessage::LogRollbacks(breaks) => self.record_log_rollbacks(breaks, &from.name),
+            PeerMessage::ZoneObservations(sights) => self.receive_zone_observations(from.id, sights),
+            PeerMessage::Observations(words) => {
                 let now = self.clock.now();
                 if self.returns() {
-                    Learned::told(now, &words).into_iter().for_each(|t| drop(self.told.0.try_send(t)));
+                    GossipState::peer_observations(now, &words)
+                        .into_iter()
+                        .for_each(|t| drop(self.told.0.try_send(t)));
                 }
                 let hosts: Vec<String> = words.iter().map(|w| w.host.clone()).collect();
                 let new = {
                     let mut table = self.change();
                     let Table { learned, state, .. } = &mut *table;
-                    learned.hear(now, words, state);
-                    learned.believe(now, state)
+                    learned.merge(now, words, state);
+                    learned.update_beliefs(now, state)
                 };
-                self.restarted(now, hosts.iter());
+                self.detect_restarts(now, hosts.iter());
                 let me = self.table().identity.id;
                 for (group, belief) in new.into_iter().filter(|(_, b)| b.by != me) {
                     log::info!(
@@ -111,13 +116,16 @@
                     let _ = self.hints.0.try_send(hint.write());
                 }
             }
-            Frame::PrimaryHint([a, b, c, d, e, f], age) if age >= TimeDelta::ZERO => {
+            PeerMessage::PrimaryHint([a, b, c, d, e, f], age) if age >= TimeDelta::ZERO => {
                 let endpoint = EndpointId { ip: [a, b, c, d], port: u16::from_be_bytes([e, f]) };
                 let hint = PrimaryHint { endpoint, at: self.clock.now() - age };
                 let _ = self.hints.0.try_send(hint.write());
             }
-            Frame::Hello(_) | Frame::Verdict(..) | Frame::Forward(_) | Frame::PrimaryHint(..) => {
-                self.pass_over("out of place");
+            PeerMessage::Handshake(_)
+            | PeerMessage::HandshakeReply(..)
+            | PeerMessage::ForwardedProposal(_)
+            | PeerMessage::PrimaryHint(..) => {
+                self.count_dropped_message("out of place");
                 return false;
             }
         }
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -2,17 +2,19 @@
 //! that owns the agreement and takes in what it agreed on.
 
 use self::gossip::clocks;
-use super::bootstrap::{self, Hello, Stand, Verdict};
-use super::gossip::{Count, Learned};
-use super::membership::{Next, View, Wish, Word};
-use super::message::{Beat, Frame};
+use super::bootstrap::{self, BootstrapState, Handshake, HandshakeVerdict};
+use super::gossip::{GossipState, GossipVersion};
+use super::membership::{MembershipAction, MembershipRequest, MembershipView, VoterStatus};
+use super::message::{Heartbeat, PeerMessage};
 use super::peer_link::{PATH, PROTOCOL, PeerLink, may_meet};
-use super::pending_drains::Marks;
-use super::recovery::first_election::Lead;
-use super::recovery::phases::{Cold, Order, Seen, Stand as Service, Step, UNLISTED};
-use super::recovery::restart_detector::{Known, Restarts};
-use super::recovery::{Clocks, Saved, Trust, trust};
-use super::zoning::{self, Leaving, Zoning};
+use super::pending_drains::PendingDrains;
+use super::recovery::first_election::FirstElection;
+use super::recovery::phases::{
+    EndpointView, RecoveryDecision, RecoveryPhase, RecoverySchedule, SlowStartPolicy, WAITING_FOR_LIST,
+};
+use super::recovery::restart_detector::{KnownEndpoint, RestartDetector};
+use super::recovery::{ClockReading, PersistedGossip, RestoredAge, restored_age};
+use super::zoning::{self, EvacuationPolicy, ZoneState};
 use crate::clock::Clock;
 use crate::config::Limits;
 use crate::engine::admission::AdmissionPolicy;
@@ -77,7 +79,7 @@
 }
 
 /// What of the learned state lies on the disk: whose words, and what groups have lost.
-type Kept = (Vec<(NodeId, Count)>, Vec<LogRollback>);
+type Kept = (Vec<(NodeId, GossipVersion)>, Vec<LogRollback>);
 
 /// Who this daemon is to the others.
 #[derive(Clone, Debug)]
@@ -89,27 +91,27 @@
     /// Addresses of others that its own file names.
     pub named: Vec<SocketAddr>,
     /// How it leaves zones.
-    pub leaving: Leaving,
+    pub leaving: EvacuationPolicy,
 }
 
 /// What was last heard of another daemon.
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct PeerStatus {
     /// When.
     pub at: Instant,
     /// Its name.
     pub name: String,
     /// Its last word.
-    pub beat: Beat,
+    pub beat: Heartbeat,
     /// Since when it has known no leader.
     pub leaderless: Option<Instant>,
 }
 
-impl Heard {
+impl PeerStatus {
     /// What a daemon says of itself when it is met.
-    fn met(hello: &Hello) -> Heard {
-        let beat = Beat { term: hello.witness.term, last: hello.witness.last, ..Beat::default() };
-        Heard { at: Instant::now(), name: hello.name.clone(), beat, leaderless: None }
+    fn met(hello: &Handshake) -> PeerStatus {
+        let beat = Heartbeat { term: hello.witness.term, last: hello.witness.last, ..Heartbeat::default() };
+        PeerStatus { at: Instant::now(), name: hello.name.clone(), beat, leaderless: None }
     }
 }
 
@@ -130,27 +132,27 @@
     /// How things stand with the agreement.
     pub status: Status,
     /// Drains that are not agreed.
-    pub marks: Marks,
+    pub marks: PendingDrains,
     /// What this daemon's own files say.
     pub files: Files,
     /// What a store of the old form said.
     pub legacy: Vec<Change>,
     /// Daemons that are no members and were met, with when.
-    pub candidates: BTreeMap<NodeId, (Hello, Instant)>,
+    pub candidates: BTreeMap<NodeId, (Handshake, Instant)>,
     /// What others said of themselves while there was no fleet.
-    pub met: BTreeMap<SocketAddr, Hello>,
+    pub met: BTreeMap<SocketAddr, Handshake>,
     /// Addresses at which a fleet's members are said to be.
     pub told: BTreeMap<SocketAddr, String>,
     /// What the fleet has learned of the hosts.
-    pub learned: Learned,
+    pub learned: GossipState,
     /// What each of the others knows of that, by its last word.
-    pub digests: BTreeMap<NodeId, Vec<(NodeId, Count)>>,
+    pub digests: BTreeMap<NodeId, Vec<(NodeId, GossipVersion)>>,
     /// The last word of each.
-    pub heard: BTreeMap<NodeId, Heard>,
+    pub heard: BTreeMap<NodeId, PeerStatus>,
     /// Members that have found nothing wrong with this daemon's disk.
     pub welcomes: BTreeSet<NodeId>,
     /// What operators want, with when it was last said.
-    pub wishes: BTreeMap<(String, Wish), Instant>,
+    pub wishes: BTreeMap<(String, MembershipRequest), Instant>,
     /// An operator has said that a fleet is to be formed with whoever has answered.
     pub word: bool,
     /// This daemon was removed from its fleet.
@@ -209,22 +211,22 @@
     /// What groups have lost; the front looks at it.
     pub breaks: Rc<RefCell<LogRollbacks>>,
     /// In which order service returns; `None`: it has, or this daemon has no settings yet.
-    order: RefCell<Option<Order>>,
-    service: RefCell<Returns>,
-    restarts: RefCell<Restarts>,
-    cold: Cell<Option<Cold>>,
+    order: RefCell<Option<RecoverySchedule>>,
+    service: RefCell<RecoveryStatus>,
+    restarts: RefCell<RestartDetector>,
+    cold: Cell<Option<SlowStartPolicy>>,
     told: (Sender<PeerObservation>, Receiver<PeerObservation>),
-    zoning: RefCell<Zoning>,
+    zoning: RefCell<ZoneState>,
     /// Moves of zones that were proposed here a moment ago: by zone, its number and when.
     moving: RefCell<BTreeMap<ZoneId, (u64, Instant)>>,
-    lead: RefCell<Lead>,
+    lead: RefCell<FirstElection>,
 }
 
 /// How far this daemon's service has returned.
 #[derive(Clone, Debug)]
-pub struct Returns {
+pub struct RecoveryStatus {
     /// The step.
-    pub step: Step,
+    pub step: RecoveryPhase,
     /// What is waited for.
     pub waits: String,
     /// Since when.
@@ -235,10 +237,10 @@
     pub done: Option<Instant>,
 }
 
-impl Returns {
-    fn new(waits: &str) -> Returns {
+impl RecoveryStatus {
+    fn new(waits: &str) -> RecoveryStatus {
         let now = Instant::now();
-        Returns { step: Step::List, waits: waits.into(), since: now, began: now, done: None }
+        RecoveryStatus { step: RecoveryPhase::List, waits: waits.into(), since: now, began: now, done: None }
     }
 }
 
@@ -265,29 +267,29 @@
     ) -> Rc<Fleet> {
         let now = Instant::now();
         let Opened { identity, state, status, marks, learned: kept, legacy } = opened;
-        let mut marks = Marks::new(marks);
+        let mut marks = PendingDrains::new(marks);
         let legacy = legacy.map_or(Vec::new(), |old| {
             for host in &old.drains {
-                marks.say(host, identity.id, clock.now());
+                marks.request_drain(host, identity.id, clock.now());
             }
             old.changes(&me.name)
         });
-        marks.settle(&state);
-        let mut learned = Learned::new(identity.id, clock.now().as_micros().max(0) as u64);
+        marks.remove_settled(&state);
+        let mut learned = GossipState::new(identity.id, clock.now().as_micros().max(0) as u64);
         let mut breaks = LogRollbacks::default();
-        if let Some(saved) = kept.and_then(|bytes| records::read::<Saved>(&bytes)) {
+        if let Some(saved) = kept.and_then(|bytes| records::read::<PersistedGossip>(&bytes)) {
             for b in &saved.breaks {
                 breaks.record(*b);
             }
-            match trust(&saved.at, &clocks(&clock)) {
-                Trust::Guess(since) => {
+            match restored_age(&saved.at, &clocks(&clock)) {
+                RestoredAge::Usable(since) => {
                     log::info!(
                         "fleet: what was learned before is {} ms old; it is a first guess",
                         since.as_millis()
                     );
-                    learned.remember(clock.now(), &saved.words, since);
+                    learned.restore(clock.now(), &saved.words, since);
                 }
-                Trust::Worthless(why) => log::warn!("fleet: what was learned before is not used: {why}"),
+                RestoredAge::Unusable(why) => log::warn!("fleet: what was learned before is not used: {why}"),
             }
         }
         let table = Table {
@@ -315,7 +317,7 @@
             leads: None,
         };
         Rc::new(Fleet {
-            zoning: RefCell::new(Zoning::new(me.leaving.clone())),
+            zoning: RefCell::new(ZoneState::new(me.leaving.clone())),
             moving: RefCell::default(),
             lead: RefCell::default(),
             me,
@@ -339,7 +341,7 @@
             kept: RefCell::default(),
             breaks: Rc::new(RefCell::new(breaks)),
             order: RefCell::default(),
-            service: RefCell::new(Returns::new(UNLISTED)),
+            service: RefCell::new(RecoveryStatus::new(WAITING_FOR_LIST)),
             restarts: RefCell::default(),
             cold: Cell::default(),
             told: async_channel::bounded(4096),
@@ -361,11 +363,11 @@
     }
 
     /// The ways to the others.
-    pub fn ways(&self) -> Vec<Rc<PeerLink>> {
+    pub fn links(&self) -> Vec<Rc<PeerLink>> {
         self.ways.borrow().values().cloned().collect()
     }
 
-    fn way_to(&self, id: NodeId) -> Option<Rc<PeerLink>> {
+    fn link_to(&self, id: NodeId) -> Option<Rc<PeerLink>> {
         self.ways.borrow().values().find(|w| w.up.get() && w.id() == id).cloned()
     }
 
@@ -376,14 +378,14 @@
         woken
     }
 
-    fn wake(&self) {
+    fn notify_watchers(&self) {
         // One that is full wakes its receiver as it is; one whose receiver is gone is forgotten.
         self.waiting.borrow_mut().retain(|w| w.try_send(()).is_ok() || !w.is_closed());
     }
 
     /// Hands something to the agreement's thread; false: its queue is full, the disk is slow. Whoever still means
     /// it says it again, and letters are lost as on any way.
-    fn tell(&self, input: Input) -> bool {
+    fn send_to_store(&self, input: Input) -> bool {
         let told = self.inputs.try_send(input).is_ok();
         if !told {
             log::debug!("store: the queue is full");
@@ -406,16 +408,16 @@
         table.removed || table.broken.is_some() || led && leader && table.lag() == 0
     }
 
-    fn spread(&self, frame: &Frame) {
+    fn broadcast(&self, frame: &PeerMessage) {
         let bytes = frame.bytes();
-        for way in self.ways().iter().filter(|w| w.up.get()) {
+        for way in self.links().iter().filter(|w| w.up.get()) {
             way.send(&bytes);
         }
     }
 
-    fn hello(&self) -> Hello {
+    fn own_handshake(&self) -> Handshake {
         let table = self.table();
-        Hello {
+        Handshake {
             fleet: table.state.fleet,
             id: table.identity.id,
             name: self.me.name.clone(),
@@ -424,9 +426,9 @@
         }
     }
 
-    fn beat(&self) -> Frame {
+    fn own_heartbeat(&self) -> PeerMessage {
         let table = self.table();
-        Frame::Beat(Beat {
+        PeerMessage::Heartbeat(Heartbeat {
             leader: table.status.leader,
             term: table.status.term,
             last: table.status.witness.last,
@@ -434,14 +436,14 @@
             agreed: table.status.agreed,
             applied: (table.applied, table.state.digest),
             marks: table.marks.digest(),
-            hears: self.hears(&table),
+            hears: self.recently_heard_peers(&table),
             returns: self.returns(),
         })
     }
 
     /// Daemons that were heard within the last moment.
-    fn hears(&self, table: &Table) -> Vec<NodeId> {
-        let recent = |h: &&Heard| h.at.elapsed() < self.limits.heartbeat_interval * 3;
+    fn recently_heard_peers(&self, table: &Table) -> Vec<NodeId> {
+        let recent = |h: &&PeerStatus| h.at.elapsed() < self.limits.heartbeat_interval * 3;
         let all = table.heard.iter().filter(|(_, h)| recent(h)).map(|(id, _)| *id);
         all.take(self.limits.fleet_nodes).collect()
     }
--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -4,7 +4,7 @@
 
 impl Fleet {
     /// What an operator has to know before this daemon goes on alone from what it has; an error: it must not.
-    pub fn recovery(&self) -> Result<String, String> {
+    pub fn recovery_preview(&self) -> Result<String, String> {
         let table = self.table();
         if table.state.fleet == 0 || table.removed || table.broken.is_some() {
             return Err("there is nothing here to go on from".into());
@@ -38,12 +38,12 @@
 
     /// An operator's word: this daemon goes on alone from what it has, and the others come over.
     pub fn recover(&self) -> Result<String, String> {
-        let text = self.recovery()?;
+        let text = self.recovery_preview()?;
         log::warn!("fleet: an operator has this daemon go on alone: {}", text.replace('\n', "; "));
         let table = self.table();
         let member = Member { name: self.me.name.clone(), address: self.me.address };
         let state = table.state.refound(fastrand::u128(1..), table.identity.id, member);
-        if self.tell(Input::Recover(Box::new(state))) {
+        if self.send_to_store(Input::Recover(Box::new(state))) {
             Ok(text)
         } else {
             Err("nothing was done: the disk is slow; say it again".into())
--- a/src/fleet/runtime/own_files.rs
+++ b/src/fleet/runtime/own_files.rs
@@ -6,12 +6,12 @@
     /// Notes what this daemon's own files say now.
     pub fn read_files(&self, note: impl FnOnce(&mut Files)) {
         note(&mut self.change().files);
-        self.compare();
-        self.reconcile();
+        self.compare_own_inventory();
+        self.propose_own_files();
     }
 
     /// Says how this daemon's own inventory differs from the agreed one.
-    pub(super) fn compare(&self) {
+    pub(super) fn compare_own_inventory(&self) {
         let mut table = self.change();
         let Some((Inventory { hosts, .. }, changed)) = &table.files.hosts else { return };
         let Some(source) = &table.state.inventory else { return };
@@ -32,7 +32,7 @@
     }
 
     /// Proposes what this daemon's own files say, where it is newer than what is agreed.
-    pub(super) fn reconcile(&self) {
+    pub(super) fn propose_own_files(&self) {
         let wanted: Vec<(String, Change)> = {
             let table = self.table();
             let state = &table.state;
@@ -89,10 +89,10 @@
                 // Said a moment ago: the leader may still have it.
                 Some((_, at)) if now - *at < self.limits.proposal_retry_interval => continue,
                 Some((token, _)) => *token,
-                None => self.token(),
+                None => self.next_token(),
             };
             proposed.insert(key, (token, now));
-            self.forward(Proposal { from, token, change });
+            self.forward_to_leader(Proposal { from, token, change });
         }
     }
 }
--- a/src/fleet/runtime/peer_sessions.rs
+++ b/src/fleet/runtime/peer_sessions.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Fleet {
-    pub(super) fn open_ways(self: &Rc<Fleet>) {
+    pub(super) fn open_links(self: &Rc<Fleet>) {
         let wanted: BTreeMap<SocketAddr, bool> = {
             let table = self.table();
             let me = table.identity.id;
@@ -37,51 +37,59 @@
             ways.insert(at, way.clone());
             let fleet = self.clone();
             let task = async move {
-                let judged = |way: &PeerLink, verdict, other| fleet.judged(way, verdict, other);
-                let opened = |way: &PeerLink| fleet.opened(way);
-                let broke = |way: &PeerLink| fleet.broke(way);
-                way.keep(&fleet.limits, || fleet.hello(), judged, opened, broke).await;
+                let judged = |way: &PeerLink, verdict, other| fleet.on_handshake_reply(way, verdict, other);
+                let opened = |way: &PeerLink| fleet.on_connected(way);
+                let broke = |way: &PeerLink| fleet.on_disconnected(way);
+                way.keep(&fleet.limits, || fleet.own_handshake(), judged, opened, broke).await;
             };
             self.executor.spawn(task).detach();
         }
     }
 
     /// The other daemon has said what it makes of this one; whether frames may go.
-    pub(super) fn judged(&self, way: &PeerLink, verdict: Verdict, other: Hello) -> bool {
+    pub(super) fn on_handshake_reply(
+        &self,
+        way: &PeerLink,
+        verdict: HandshakeVerdict,
+        other: Handshake,
+    ) -> bool {
         let mut table = self.change();
         let first = !table.heard.contains_key(&other.id);
         let (fleet, me) = (table.state.fleet, table.identity.id);
         if other.id == me {
             drop(table);
-            self.stands(format!("{} is this daemon itself, or one with a copy of its disk", way.address));
+            self.set_bootstrap_status(format!(
+                "{} is this daemon itself, or one with a copy of its disk",
+                way.address
+            ));
             return false;
         }
         if first {
             log::info!("fleet: {} is {} ({verdict:?})", way.address, other.name);
         }
-        table.heard.entry(other.id).or_insert_with(|| Heard::met(&other));
+        table.heard.entry(other.id).or_insert_with(|| PeerStatus::met(&other));
         if fleet == 0 {
             table.met.insert(way.address, other.clone());
         }
         let goes = match verdict {
-            Verdict::Welcome => {
+            HandshakeVerdict::Accepted => {
                 if fleet != 0 && other.fleet == fleet {
                     table.welcomes.insert(other.id);
                 }
                 may_meet(fleet, other.fleet)
             }
-            Verdict::Candidate(members) => {
+            HandshakeVerdict::NotYetMember(members) => {
                 let more = members.into_iter().filter(|(name, _)| *name != self.me.name);
                 table.told = more.map(|(name, at)| (at, name)).take(self.limits.fleet_nodes).collect();
                 true
             }
-            Verdict::Older if table.state.members.contains_key(&other.id) => {
+            HandshakeVerdict::OutdatedStorage if table.state.members.contains_key(&other.id) => {
                 log::warn!("fleet: {} knows more of this daemon than its disk does", other.name);
                 drop(table);
-                self.tell(Input::Renounce("older"));
+                self.send_to_store(Input::Renounce("older"));
                 return false;
             }
-            Verdict::Removed if other.fleet == fleet && !table.removed => {
+            HandshakeVerdict::RemovedMember if other.fleet == fleet && !table.removed => {
                 table.removed = true;
                 log::warn!(
                     "fleet: {} says that this daemon was removed; it serves with what it last knew and agrees to nothing",
@@ -89,7 +97,7 @@
                 );
                 false
             }
-            Verdict::Recovered if table.status.leader == NodeId::NOBODY && fleet != 0 => {
+            HandshakeVerdict::SupersededFleet if table.status.leader == NodeId::NOBODY && fleet != 0 => {
                 log::warn!(
                     "fleet: {} is of a fleet that goes on from this one; this daemon goes over",
                     other.name
@@ -98,41 +106,44 @@
                 let Table { marks, state, .. } = &mut *table;
                 let drains =
                     state.drains.iter().flat_map(|(host, m)| m.iter().map(move |m| (host.clone(), *m)));
-                marks.hear(drains.collect(), &State::default(), self.limits.pending_drains);
+                marks.merge(drains.collect(), &State::default(), self.limits.pending_drains);
                 drop(table);
-                self.tell(Input::Renounce("recovered"));
+                self.send_to_store(Input::Renounce("recovered"));
                 return false;
             }
-            Verdict::Older | Verdict::Removed | Verdict::Stranger | Verdict::Recovered => {
+            HandshakeVerdict::OutdatedStorage
+            | HandshakeVerdict::RemovedMember
+            | HandshakeVerdict::OtherFleet
+            | HandshakeVerdict::SupersededFleet => {
                 table.dropped += 1;
                 false
             }
         };
         drop(table);
-        self.wake();
+        self.notify_watchers();
         goes
     }
 
     /// What is not agreed, and how things stand, is said at once to whoever comes back.
-    pub(super) fn opened(&self, way: &PeerLink) {
-        way.send(&self.beat().bytes());
+    pub(super) fn on_connected(&self, way: &PeerLink) {
+        way.send(&self.own_heartbeat().bytes());
         if self.table().leads.is_some() {
-            self.tell(Input::Ping);
+            self.send_to_store(Input::Ping);
         }
-        way.send(&Frame::Digest(self.table().learned.digest()).bytes());
+        way.send(&PeerMessage::GossipDigest(self.table().learned.digest()).bytes());
         let breaks = self.breaks.borrow().all();
         if !breaks.is_empty() {
-            way.send(&Frame::LogRollbacks(breaks).bytes());
+            way.send(&PeerMessage::LogRollbacks(breaks).bytes());
         }
         let marks = self.table().marks.all();
         if !marks.is_empty() {
-            way.send(&Frame::Marks(marks).bytes());
+            way.send(&PeerMessage::PendingDrains(marks).bytes());
         }
     }
 
     /// A way has broken: what was said there no longer counts for the forming of a fleet.
-    pub(super) fn broke(&self, way: &PeerLink) {
+    pub(super) fn on_disconnected(&self, way: &PeerLink) {
         self.change().met.remove(&way.address);
-        self.tell(Input::Unreachable(way.id()));
+        self.send_to_store(Input::Unreachable(way.id()));
     }
 }
--- a/src/fleet/runtime/proposals.rs
+++ b/src/fleet/runtime/proposals.rs
@@ -3,32 +3,32 @@
 use super::*;
 
 impl Fleet {
-    pub(super) fn token(&self) -> u64 {
+    pub(super) fn next_token(&self) -> u64 {
         self.next.set(self.next.get() + 1);
         self.next.get()
     }
 
     /// Brings a change to the leader.
-    pub(super) fn forward(&self, proposal: Proposal) {
+    pub(super) fn forward_to_leader(&self, proposal: Proposal) {
         let (leader, me) = {
             let table = self.table();
             (table.status.leader, table.identity.id)
         };
         if leader == me {
-            self.tell(Input::Propose(proposal));
-        } else if let Some(way) = self.way_to(leader) {
-            way.send(&Frame::Forward(proposal).bytes());
+            self.send_to_store(Input::Propose(proposal));
+        } else if let Some(way) = self.link_to(leader) {
+            way.send(&PeerMessage::ForwardedProposal(proposal).bytes());
         }
     }
 
     /// Has a change agreed, or gives it up in time.
-    pub(super) async fn agree(&self, change: Change) -> ChangeOutcome {
-        let (from, token) = (self.table().identity.id, self.token());
+    pub(super) async fn commit_change(&self, change: Change) -> ChangeOutcome {
+        let (from, token) = (self.table().identity.id, self.next_token());
         self.tokens.borrow_mut().insert(token, None);
         let woken = self.watch();
         let work = async {
             loop {
-                self.forward(Proposal { from, token, change: change.clone() });
+                self.forward_to_leader(Proposal { from, token, change: change.clone() });
                 let end = Instant::now() + self.limits.proposal_retry_interval;
                 loop {
                     if let Some(Some(_)) = self.tokens.borrow().get(&token) {
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -9,14 +9,14 @@
     }
 
     /// How far it has.
-    pub fn service(&self) -> Returns {
+    pub fn service(&self) -> RecoveryStatus {
         self.service.borrow().clone()
     }
 
     /// The settings are there: service can return by them.
-    pub fn returns_by(&self, cold: Cold) {
+    pub fn returns_by(&self, cold: SlowStartPolicy) {
         self.cold.set(Some(cold));
-        *self.order.borrow_mut() = Some(Order::new(cold));
+        *self.order.borrow_mut() = Some(RecoverySchedule::new(cold));
     }
 
     /// What holds now while service returns; `listed`: the core has the list. Once it has returned there are no terms
@@ -25,18 +25,18 @@
         let now = self.clock.now();
         let mut order = self.order.borrow_mut();
         let Some(own) = order.as_mut() else { return (None, None) };
-        let stand = own.next(&self.view(now, listed));
-        let turns = stand.turns.then(|| self.turns());
+        let stand = own.advance(&self.recovery_inputs(now, listed));
+        let turns = stand.turns.then(|| self.poll_participants());
         let terms = stand.terms.clone();
-        if stand.step == Step::Done {
+        if stand.step == RecoveryPhase::Done {
             *order = None;
         }
         drop(order);
-        self.note_service(&stand);
+        self.record_recovery_status(&stand);
         (terms, turns)
     }
 
-    pub(super) fn note_service(&self, stand: &Service) {
+    pub(super) fn record_recovery_status(&self, stand: &RecoveryDecision) {
         let mut service = self.service.borrow_mut();
         let now = Instant::now();
         if (service.step, &service.waits) == (stand.step, &stand.waits) {
@@ -46,7 +46,7 @@
         if service.step != stand.step {
             let waits = if stand.waits.is_empty() { "nothing" } else { &stand.waits };
             // Steps that others' words have made short are told too.
-            let passed = [Step::Writes, Step::Reads, Step::Rest].into_iter();
+            let passed = [RecoveryPhase::Writes, RecoveryPhase::Reads, RecoveryPhase::Rest].into_iter();
             for step in passed.filter(|step| (service.step < *step) && (*step < stand.step)) {
                 log::info!("recovery: step {step}, {since} ms after the start; waits for nothing");
             }
@@ -54,29 +54,38 @@
             service.since = now;
         }
         (service.step, service.waits) = (stand.step, stand.waits.clone());
-        if stand.step == Step::Done {
+        if stand.step == RecoveryPhase::Done {
             service.done = Some(now);
         }
     }
 
     /// Others that return as well and are heard: hosts are asked in turn with them.
-    pub(super) fn turns(&self) -> PollParticipants {
+    pub(super) fn poll_participants(&self) -> PollParticipants {
         let table = self.table();
-        let hears = self.hears(&table);
+        let hears = self.recently_heard_peers(&table);
         let returns = |id: &NodeId| table.heard.get(id).is_some_and(|h| h.beat.returns);
         let others = hears.into_iter().filter(returns).filter(|id| table.state.members.contains_key(id));
         PollParticipants { local: table.identity.id, peers: others.collect() }
     }
 
-    pub(super) fn view(&self, now: Timestamp, listed: bool) -> crate::fleet::recovery::phases::View {
+    pub(super) fn recovery_inputs(
+        &self,
+        now: Timestamp,
+        listed: bool,
+    ) -> crate::fleet::recovery::phases::RecoveryView {
         let table = self.table();
         let members = table.state.members.len().max(1);
-        let heard = self.hears(&table).iter().filter(|id| table.state.members.contains_key(id)).count() + 1;
+        let heard = self
+            .recently_heard_peers(&table)
+            .iter()
+            .filter(|id| table.state.members.contains_key(id))
+            .count()
+            + 1;
         let seen = |(name, host): (&String, &HostRecord)| {
-            let drained = host.leaving || table.state.is_drained(name) || table.marks.drains(name);
-            let moment = table.learned.moment(now, name);
+            let drained = host.leaving || table.state.is_drained(name) || table.marks.is_draining(name);
+            let moment = table.learned.endpoint_summary(now, name);
             let started = moment.started.max(host.started_at);
-            (!drained).then(|| Seen {
+            (!drained).then(|| EndpointView {
                 group: host.group,
                 primary: moment.primary,
                 named: moment.named,
@@ -88,43 +97,43 @@
             })
         };
         let hosts = if listed { table.state.hosts.iter().filter_map(seen).collect() } else { Vec::new() };
-        crate::fleet::recovery::phases::View { now, listed, members, heard, hosts }
+        crate::fleet::recovery::phases::RecoveryView { now, listed, members, heard, hosts }
     }
 
     /// Notes which of these hosts have started a moment ago. The module is told, and spares them; but where no host of
     /// a group is warm, service returns to it in order and at the pace of what they bore before.
-    pub(super) fn restarted<'a>(&self, now: Timestamp, hosts: impl Iterator<Item = &'a String>) {
+    pub(super) fn detect_restarts<'a>(&self, now: Timestamp, hosts: impl Iterator<Item = &'a String>) {
         let Some(cold) = self.cold.get() else { return };
         let news = {
             let table = self.table();
             let mut restarts = self.restarts.borrow_mut();
             let is_cold = |host: &&String| {
-                table.learned.started(host).is_some_and(|started| now - started < cold.warm_up)
+                table.learned.started_at(host).is_some_and(|started| now - started < cold.warm_up)
             };
             let hosts: Vec<String> = hosts.filter(is_cold).cloned().collect();
-            if hosts.is_empty() && !restarts.waits() {
+            if hosts.is_empty() && !restarts.has_undecided() {
                 return;
             }
-            let known = |(name, host): (&'_ String, &HostRecord)| Known {
+            let known = |(name, host): (&'_ String, &HostRecord)| KnownEndpoint {
                 group: host.group,
                 listed: host.started_at,
-                started: table.learned.started(name),
-                heard: table.learned.heard(name),
+                started: table.learned.started_at(name),
+                heard: table.learned.last_heard(name),
             };
             let all = table.state.hosts.iter().map(|h| (h.0.as_str(), known(h))).collect();
-            restarts.note(now, cold, hosts.into_iter(), &all)
+            restarts.record(now, cold, hosts.into_iter(), &all)
         };
         if news.group_cold && !self.returns() {
             log::warn!(
                 "recovery: a group's hosts have all started a moment ago; service returns to it in order"
             );
             self.returns_by(cold);
-            *self.service.borrow_mut() = Returns::new("");
+            *self.service.borrow_mut() = RecoveryStatus::new("");
         }
         if !news.spared.is_empty() {
             log::info!("fleet: started a moment ago, and cold: {}", news.spared.join(", "));
-            self.touch(news.spared);
-            self.wake();
+            self.mark_endpoints_changed(news.spared);
+            self.notify_watchers();
         }
     }
 }
--- a/src/fleet/runtime/store_events.rs
+++ b/src/fleet/runtime/store_events.rs
@@ -7,8 +7,8 @@
     pub async fn hear_store(&self, outputs: &Receiver<Output>) {
         while let Ok(output) = outputs.recv().await {
             match output {
-                Output::Letters(letters) => self.post(letters),
-                Output::Applied(applied) => self.take_in(applied),
+                Output::Letters(letters) => self.send_raft_messages(letters),
+                Output::Applied(applied) => self.apply(applied),
                 Output::Status(status) => {
                     let mut table = self.change();
                     if table.status.leader != status.leader || table.status.term != status.term {
@@ -24,18 +24,18 @@
                     drop(table);
                     if turned {
                         // Whoever returns waits for the leader's own word, or stands once all can hear it.
-                        self.spread(&self.beat());
+                        self.broadcast(&self.own_heartbeat());
                     }
-                    self.wake();
+                    self.notify_watchers();
                 }
                 Output::Saved(version) => {
                     self.saved.set(self.saved.get().max(version));
-                    self.wake();
+                    self.notify_watchers();
                 }
                 Output::Renewed(identity) => {
                     log::warn!("fleet: this daemon begins anew, as {:016x}", identity.id);
                     let mut table = self.change();
-                    table.learned = Learned::new(identity.id, self.clock.now().as_micros().max(0) as u64);
+                    table.learned = GossipState::new(identity.id, self.clock.now().as_micros().max(0) as u64);
                     table.identity = identity;
                     table.welcomes.clear();
                     // What was agreed goes on to be served until the fleet has told it again.
@@ -43,33 +43,34 @@
                     table.removed = false;
                     drop(table);
                     self.saving.set(0);
-                    self.save();
-                    self.renew();
+                    self.persist_pending_drains();
+                    self.reconnect_all();
                 }
                 Output::Broken(why) => {
                     log::error!(
                         "store: {why}; this daemon agrees to nothing any more, and serves with what it has"
                     );
                     self.change().broken = Some(why);
-                    self.wake();
+                    self.notify_watchers();
                 }
             }
         }
     }
 
-    pub(super) fn post(&self, letters: Vec<Letter>) {
+    pub(super) fn send_raft_messages(&self, letters: Vec<Letter>) {
         let mut by: BTreeMap<NodeId, Vec<Letter>> = BTreeMap::new();
         letters.into_iter().for_each(|l| by.entry(l.to).or_default().push(l));
         for (to, letters) in by {
             let whole = letters.iter().any(Letter::carries_state);
-            let sent = self.way_to(to).is_some_and(|way| way.send(&Frame::Letters(letters).bytes()));
+            let sent =
+                self.link_to(to).is_some_and(|way| way.send(&PeerMessage::RaftMessages(letters).bytes()));
             if whole {
-                self.tell(Input::Sent(to, sent));
+                self.send_to_store(Input::Sent(to, sent));
             }
         }
     }
 
-    pub(super) fn take_in(&self, applied: Vec<Applied>) {
+    pub(super) fn apply(&self, applied: Vec<Applied>) {
         let mut table = self.change();
         let (fleet, me) = (table.state.fleet, table.identity.id);
         for one in applied {
@@ -79,7 +80,7 @@
                     *self.touched.borrow_mut() = Touched::All;
                 }
                 What::Change(Proposal { from, token, change }) => {
-                    self.touch(named(&change));
+                    self.mark_endpoints_changed(named(&change));
                     let effect = table.state.apply(one.index, &change);
                     log::debug!(
                         "fleet: agreed {} {:08x}: {}",
@@ -118,25 +119,25 @@
             );
         }
         let Table { marks, state, .. } = &mut *table;
-        let settled = marks.settle(state);
-        self.touch(settled.iter().map(|(host, _)| host.clone()));
+        let settled = marks.remove_settled(state);
+        self.mark_endpoints_changed(settled.iter().map(|(host, _)| host.clone()));
         let settled = !settled.is_empty();
         drop(table);
         if settled {
-            self.save();
+            self.persist_pending_drains();
         }
         if joined {
-            self.renew();
+            self.reconnect_all();
         }
-        self.shape_zones(self.clock.now());
-        self.compare();
-        self.wake();
-        self.reconcile();
+        self.apply_zone_weights(self.clock.now());
+        self.compare_own_inventory();
+        self.notify_watchers();
+        self.propose_own_files();
     }
 
     /// All connections are opened anew, both ways: what was said at their beginning has changed.
-    pub(super) fn renew(&self) {
-        self.ways().iter().for_each(|w| w.renew());
+    pub(super) fn reconnect_all(&self) {
+        self.links().iter().for_each(|w| w.renew());
         let (before, _) = self.epoch.replace(async_channel::bounded(1));
         before.close();
     }
--- a/src/fleet/runtime/tests.rs
+++ b/src/fleet/runtime/tests.rs
@@ -15,15 +15,15 @@
         name: "b1".into(),
         address: ([127, 0, 0, 1], 1).into(),
         named: Vec::new(),
-        leaving: Leaving::default(),
+        leaving: EvacuationPolicy::default(),
     };
     let fleet = Fleet::new(me, limits, Clock::start(), Rc::default(), opened, inputs);
-    assert!(fleet.tell(Input::TakePart) && !fleet.tell(Input::TakePart));
-    fleet.change().marks.say("s-1", NodeId(7), Timestamp::from_micros(1));
-    fleet.save();
+    assert!(fleet.send_to_store(Input::TakePart) && !fleet.send_to_store(Input::TakePart));
+    fleet.change().marks.request_drain("s-1", NodeId(7), Timestamp::from_micros(1));
+    fleet.persist_pending_drains();
     assert!(matches!(queue.try_recv(), Ok(Input::TakePart)));
-    fleet.save();
+    fleet.persist_pending_drains();
     assert!(matches!(queue.try_recv(), Ok(Input::Marks(marks, _)) if marks.len() == 1));
-    fleet.save();
+    fleet.persist_pending_drains();
     assert!(queue.try_recv().is_err(), "it is kept once");
 }
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -1,9 +1,9 @@
 //! Carries out what is decided on zones: hears and tells sights, has moves agreed, shapes the list.
 
-use super::{ChangeOutcome, Fleet, Frame, Proposal, Table};
+use super::{ChangeOutcome, Fleet, PeerMessage, Proposal, Table};
 use crate::engine::outcome_window::OutcomeCounts;
-use crate::fleet::zones::{Sight, Verdict};
-use crate::fleet::zoning::{self, Order};
+use crate::fleet::zones::{ZoneHealth, ZoneOutcomes};
+use crate::fleet::zoning::{self, ZoneCommand};
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
 use crate::store::state_machine::Change;
@@ -24,26 +24,27 @@
         let now = self.clock.now();
         let urgent = {
             let table = self.table();
-            self.zoning.borrow_mut().see(seen, &table.state)
+            self.zoning.borrow_mut().record_outcomes(seen, &table.state)
         };
         if let Some(sights) = urgent {
-            let seen: BTreeMap<u8, &Sight> = sights.iter().map(|(zone, sight)| (zone.0, sight)).collect();
+            let seen: BTreeMap<u8, &ZoneOutcomes> =
+                sights.iter().map(|(zone, sight)| (zone.0, sight)).collect();
             log::debug!("zones: seen {seen:?}");
-            self.spread(&Frame::Sights(sights));
+            self.broadcast(&PeerMessage::ZoneObservations(sights));
         }
-        let lost = self.zoning.borrow_mut().look_alone(now, &self.table().state);
+        let lost = self.zoning.borrow_mut().update_local_evacuation(now, &self.table().state);
         for zone in lost {
             let zoning = self.zoning.borrow();
             log::warn!(
                 "zones: this daemon leaves {} for itself: {:?}",
                 zoning.name(zone),
-                zoning.own().get(&zone)
+                zoning.own_outcomes().get(&zone)
             );
         }
-        self.move_zones(now);
-        self.shape_zones(now);
+        self.propose_zone_moves(now);
+        self.apply_zone_weights(now);
         let (table, zoning) = (self.table(), self.zoning.borrow());
-        let hopeless = zoning.hopeless(now, &table.state);
+        let hopeless = zoning.abandoned_zones(now, &table.state);
         if hopeless.is_empty() {
             return BTreeSet::new();
         }
@@ -52,22 +53,22 @@
     }
 
     /// Another daemon's sights.
-    pub(super) fn hear_sights(&self, by: NodeId, sights: BTreeMap<ZoneId, Sight>) {
+    pub(super) fn receive_zone_observations(&self, by: NodeId, sights: BTreeMap<ZoneId, ZoneOutcomes>) {
         if self.table().state.members.contains_key(&by) {
-            self.zoning.borrow_mut().hear(self.clock.now(), by, sights);
+            self.zoning.borrow_mut().record_report(self.clock.now(), by, sights);
         }
     }
 
     /// The sights of this daemon, said with each beat while there are any.
-    pub(super) fn tell_sights(&self) {
-        let sights = self.zoning.borrow().own().clone();
+    pub(super) fn broadcast_zone_observations(&self) {
+        let sights = self.zoning.borrow().own_outcomes().clone();
         if !sights.is_empty() {
-            self.spread(&Frame::Sights(sights));
+            self.broadcast(&PeerMessage::ZoneObservations(sights));
         }
     }
 
     /// Where this daemon leads it proposes the next moves.
-    fn move_zones(&self, now: Timestamp) {
+    fn propose_zone_moves(&self, now: Timestamp) {
         let mut proposals = Vec::new();
         {
             let table = self.table();
@@ -77,7 +78,7 @@
             }
             let warmth = |zone| self.warmth(&table, zone, now);
             let mut zoning = self.zoning.borrow_mut();
-            let due = zoning.next(now, me, &table.state, warmth);
+            let due = zoning.next_moves(now, me, &table.state, warmth);
             let mut moving = self.moving.borrow_mut();
             moving.retain(|_, (_, at)| at.elapsed() < SAID);
             for (zone, share) in due {
@@ -85,7 +86,7 @@
                     continue;
                 }
                 moving.insert(zone, (share.number, Instant::now()));
-                let words = zoning.sights(now, me, &table.state);
+                let words = zoning.current_reports(now, me, &table.state);
                 let words: Vec<String> = words
                     .iter()
                     .filter_map(|(id, own)| Some((id, own.get(&zone)?)))
@@ -100,11 +101,11 @@
                     words.join("; ")
                 );
                 let change = Change::Zone { zone, share };
-                proposals.push(Proposal { from: me, token: self.token(), change });
+                proposals.push(Proposal { from: me, token: self.next_token(), change });
             }
         }
         for proposal in proposals {
-            self.tell(Input::Propose(proposal));
+            self.send_to_store(Input::Propose(proposal));
         }
     }
 
@@ -112,17 +113,17 @@
     fn warmth(&self, table: &Table, zone: ZoneId, now: Timestamp) -> f64 {
         let Some(cold) = self.cold.get() else { return 1.0 };
         let own = table.state.hosts.iter().filter(|(_, host)| host.zone == zone);
-        let started = own.map(|(name, host)| table.learned.started(name).max(host.started_at));
-        started.map(|at| cold.warmth(at.map(|at| now - at))).fold(1.0, f64::min)
+        let started = own.map(|(name, host)| table.learned.started_at(name).max(host.started_at));
+        started.map(|at| cold.capacity_share(at.map(|at| now - at))).fold(1.0, f64::min)
     }
 
     /// Has the list follow the shares.
-    pub(super) fn shape_zones(&self, now: Timestamp) {
-        let moved = self.zoning.borrow_mut().moved(now, &self.table().state);
+    pub(super) fn apply_zone_weights(&self, now: Timestamp) {
+        let moved = self.zoning.borrow_mut().take_changed(now, &self.table().state);
         let table = self.table();
         let zoning = self.zoning.borrow();
         // Where a zone is away its hosts are looked at each time: one of them may have become its group's primary.
-        let changed = &moved | &zoning.away(now, &table.state);
+        let changed = &moved | &zoning.reduced_zones(now, &table.state);
         if changed.is_empty() {
             return;
         }
@@ -131,35 +132,36 @@
             log::info!(
                 "zones: {} gets {} of {WHOLE} from now on; agreed: {} by move {}, {:?}",
                 zoning.name(*zone),
-                zoning.part(now, *zone, &table.state),
+                zoning.effective_permille(now, *zone, &table.state),
                 share.part,
                 share.number,
                 share.why
             );
         }
         let hosts = table.state.hosts.iter().filter(|(_, host)| changed.contains(&host.zone));
-        self.touch(hosts.map(|(name, _)| name.clone()));
+        self.mark_endpoints_changed(hosts.map(|(name, _)| name.clone()));
         drop((table, zoning));
-        self.wake();
+        self.notify_watchers();
     }
 
     /// An operator's word on a zone. `None`: there is no such zone.
     pub async fn order_zone(
         &self,
         name: &str,
-        order: Order,
+        order: ZoneCommand,
     ) -> Option<Result<(Share, ChangeOutcome), String>> {
         let (zone, share) = {
             let table = self.table();
             let zoning = self.zoning.borrow();
-            let zone = zoning.find(name).filter(|zone| zoning::zones(&table.state).contains(zone))?;
-            match zoning.order(order, zone, &table.state) {
+            let zone =
+                zoning.find(name).filter(|zone| zoning::populated_zones(&table.state).contains(zone))?;
+            match zoning.weight_for_command(order, zone, &table.state) {
                 Ok(share) => (zone, share),
                 Err(why) => return Some(Err(why)),
             }
         };
         log::info!("zones: an operator's word on {name}: {order:?}");
-        let outcome = self.agree(Change::Zone { zone, share }).await;
+        let outcome = self.commit_change(Change::Zone { zone, share }).await;
         // Another move may have come between.
         let overtaken = outcome == ChangeOutcome::Agreed && self.table().state.share(zone) != share;
         Some(if overtaken { Err("it moved meanwhile; say it again".into()) } else { Ok((share, outcome)) })
@@ -168,14 +170,14 @@
     /// All zones with their state, reason and evidence, a line for each fact.
     pub fn describe_zones(&self) -> String {
         let (table, zoning, now) = (self.table(), self.zoning.borrow(), self.clock.now());
-        let sights = zoning.sights(now, table.identity.id, &table.state);
-        let verdicts = zoning::verdicts(&sights, &table.state);
+        let sights = zoning.current_reports(now, table.identity.id, &table.state);
+        let verdicts = zoning::assess_zones(&sights, &table.state);
         let mut out = String::new();
         for (zone, verdict) in &verdicts {
             let share = table.state.share(*zone);
             let region = table.state.regions.1.get(zone).map_or(String::new(), |r| format!(" of region {r}"));
             let looks = match verdict {
-                Verdict::CutOff(ids) => {
+                ZoneHealth::CutOff(ids) => {
                     format!(
                         "cut off from {}",
                         ids.iter().map(|id| table.name(*id)).collect::<Vec<_>>().join(", ")
@@ -187,7 +189,7 @@
                 out,
                 "zone {} gets {} of {WHOLE}, agreed {} by move {}, {:?}, failed {}; looks {looks}{region}",
                 zoning.name(*zone),
-                zoning.part(now, *zone, &table.state),
+                zoning.effective_permille(now, *zone, &table.state),
                 share.part,
                 share.number,
                 share.why,
@@ -209,7 +211,7 @@
     /// Zones that do not get all of their reads here, and moves that were agreed.
     pub fn zone_figures(&self) -> (u64, u64) {
         let (table, zoning, now) = (self.table(), self.zoning.borrow(), self.clock.now());
-        let away = zoning.away(now, &table.state).len();
+        let away = zoning.reduced_zones(now, &table.state).len();
         (away as u64, table.state.zones.values().map(|s| s.number).sum())
     }
 }
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -3,7 +3,7 @@
 
 mod stand_in;
 
-use brookpass::fleet::zones::Verdict;
+use brookpass::fleet::zones::ZoneHealth;
 use brookpass::store::zone_weights::Why;
 use brookpass_lab::fleet::{Lab, Setup};
 use stand_in::*;
@@ -330,7 +330,8 @@
 fn the_words_on_the_state_of_a_zone_are_as_they_were() {
     let why = [Why::Returns, Why::Lost, Why::Slow, Why::Operator].map(|why| format!("{why:?}"));
     assert_eq!(why, ["Returns", "Lost", "Slow", "Operator"]);
-    let all = [Verdict::Unknown, Verdict::Sound, Verdict::Doubtful, Verdict::Slow, Verdict::Lost];
+    let all =
+        [ZoneHealth::Unknown, ZoneHealth::Sound, ZoneHealth::Doubtful, ZoneHealth::Slow, ZoneHealth::Lost];
     let looks = all.map(|verdict| format!("{verdict:?}").to_lowercase());
     assert_eq!(looks, ["unknown", "sound", "doubtful", "slow", "lost"]);
 }
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -5,7 +5,7 @@
 
 use async_channel::Receiver;
 use brookpass::config::Limits;
-use brookpass::fleet::recovery::Saved;
+use brookpass::fleet::recovery::PersistedGossip;
 use brookpass::ids::NodeId;
 use brookpass::store::legacy::{self, Legacy};
 use brookpass::store::raft_node::{Applied, Replica, What, Write};
@@ -31,7 +31,7 @@
     assert_eq!(held.image, image());
     assert_eq!(held.marks, marks());
     assert_eq!(held.witnesses, witnesses());
-    assert_eq!(held.learned.as_deref().and_then(records::read::<Saved>), Some(saved()));
+    assert_eq!(held.learned.as_deref().and_then(records::read::<PersistedGossip>), Some(saved()));
     assert_eq!((&held.legacy, &held.notes), (&None, &Vec::new()));
 }
 
@@ -114,7 +114,7 @@
     let mut drains = marks();
     drains.extend([("s-2-0".to_string(), mark(B3, 2)), ("s-1-0".to_string(), mark(B2, 11))]);
     assert_eq!(opened.marks, drains);
-    assert_eq!(opened.learned.as_deref().and_then(records::read::<Saved>), Some(saved()));
+    assert_eq!(opened.learned.as_deref().and_then(records::read::<PersistedGossip>), Some(saved()));
     assert_eq!(opened.legacy, None);
     let status = &opened.status;
     assert_eq!(
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use brookpass::engine::log_rollback::LogRollback;
-use brookpass::fleet::gossip::{Count, Word};
-use brookpass::fleet::recovery::{Clocks, Saved};
+use brookpass::fleet::gossip::{GossipRecord, GossipVersion};
+use brookpass::fleet::recovery::{ClockReading, PersistedGossip};
 use brookpass::ids::{GroupId, NodeId, ZoneId};
 use brookpass::store::raft_node::Image;
 use brookpass::store::records::{self, Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
@@ -252,17 +252,17 @@
     ])
 }
 
-pub fn saved() -> Saved {
-    Saved {
-        at: Clocks {
+pub fn saved() -> PersistedGossip {
+    PersistedGossip {
+        at: ClockReading {
             wall: Timestamp::from_micros(1_790_000_000_777_000),
             boot: "6f1c0e0e-2c5b-4d0f".into(),
             up: TimeDelta::from_micros(86_400_123_456),
         },
         words: vec![
-            Word {
+            GossipRecord {
                 by: B1,
-                count: Count { boot: 1_790_000_000_000_001, facts: 17 },
+                count: GossipVersion { boot: 1_790_000_000_000_001, facts: 17 },
                 host: "s-1-0".into(),
                 primary: true,
                 position: LogPosition::from_micros(1_790_000_000_700_000),
@@ -272,9 +272,9 @@
                 rate: 12_500,
                 used: 730,
             },
-            Word {
+            GossipRecord {
                 by: B3,
-                count: Count { boot: 5, facts: 6 },
+                count: GossipVersion { boot: 5, facts: 6 },
                 host: "s-2-0".into(),
                 primary: false,
                 position: LogPosition::from_micros(-7),
