--- /dev/null
+++ b/src/fleet/zoning/tests.rs
@@ -0,0 +1,118 @@
+use super::*;
+use crate::store::records::HostRecord;
+use crate::store::state_machine::{Change, Member};
+
+/// A second after the clock's zero.
+const S: Timestamp = Timestamp::from_micros(1_000_000);
+
+/// Two groups with a host in each of three zones.
+fn state() -> State {
+    let member = |id: u64| {
+        (NodeId(id), Member { name: format!("b{id}"), address: ([127, 0, 0, 1], id as u16).into() })
+    };
+    let host = |group: GroupId, zone: ZoneId| {
+        let listed = EndpointRecord { group, zone, ..EndpointRecord::plain(&format!("s-{group}-{zone}")) };
+        (listed.name.clone(), HostRecord::of(&listed))
+    };
+    let hosts = (0..6).map(|n| host(GroupId(n / 3 + 1), ZoneId((n % 3) as u8))).collect();
+    State { hosts, members: (1..=3).map(member).collect(), ..State::default() }
+}
+
+fn seen(lost: &[u8]) -> BTreeMap<String, OutcomeCounts> {
+    let one = |(name, host): (String, HostRecord)| {
+        let silent = lost.contains(&host.zone.0);
+        let seen = if silent {
+            OutcomeCounts { unanswered: 4, ..OutcomeCounts::default() }
+        } else {
+            OutcomeCounts { on_time: 4, ..OutcomeCounts::default() }
+        };
+        (name, seen)
+    };
+    state().hosts.into_iter().map(one).collect()
+}
+
+/// Guards against a daemon that cannot reach a zone and goes on sending there because others can, and against one
+/// that leaves all that it tries.
+#[test]
+fn a_daemon_leaves_alone_what_it_alone_cannot_reach_and_never_all() {
+    let state = state();
+    let mut zoning = ZoneState::new(EvacuationPolicy::default());
+    zoning.record_outcomes(&seen(&[0]), &state);
+    assert_eq!(zoning.update_local_evacuation(S, &state), BTreeSet::from([ZoneId(0)]));
+    assert_eq!(
+        (zoning.effective_permille(S, ZoneId(0), &state), zoning.effective_permille(S, ZoneId(1), &state)),
+        (0, WHOLE)
+    );
+    assert_eq!(zoning.take_changed(S, &state), BTreeSet::from([ZoneId(0)]));
+    assert!(
+        zoning.take_changed(S, &state).is_empty() && zoning.update_local_evacuation(S, &state).is_empty()
+    );
+    let back = S + EvacuationBackoff::default().least;
+    assert_eq!(zoning.effective_permille(back, ZoneId(0), &state), WHOLE);
+    zoning.update_local_evacuation(back, &state);
+    assert_eq!(
+        zoning.effective_permille(back + EvacuationBackoff::default().least, ZoneId(0), &state),
+        0,
+        "twice as long the second time"
+    );
+    let mut all = ZoneState::new(EvacuationPolicy::default());
+    all.record_outcomes(&seen(&[0, 1, 2]), &state);
+    assert!(all.update_local_evacuation(S, &state).is_empty());
+    let mut by_hand = ZoneState::new(EvacuationPolicy { automatic: false, ..EvacuationPolicy::default() });
+    by_hand.record_outcomes(&seen(&[0]), &state);
+    assert!(by_hand.update_local_evacuation(S, &state).is_empty());
+}
+
+/// Guards against a list on which a left zone's hosts get reads, its primaries no writes, or a group none at all.
+#[test]
+fn the_list_follows_the_shares_but_for_primaries_and_groups_that_are_only_there() {
+    let mut state = state();
+    let zoning = ZoneState::new(EvacuationPolicy::default());
+    let shape = |state: &State, primary, alone| {
+        let listed = state.hosts["s-1-0"].listed("s-1-0", false);
+        let shaped = zoning.apply_weight(Timestamp::ZERO, listed, state, primary, alone);
+        (shaped.availability, shaped.weight)
+    };
+    assert_eq!(shape(&state, false, false), (Availability::Ready, 1.0));
+    state.apply(1, &Change::Zone { zone: ZoneId(0), share: state.share(ZoneId(0)).then(0, Why::Lost) });
+    assert_eq!(shape(&state, false, false), (Availability::Draining, LITTLE));
+    assert_eq!(shape(&state, true, false), (Availability::Ready, LITTLE));
+    assert_eq!(shape(&state, false, true), (Availability::Ready, 1.0));
+    state.apply(2, &Change::Zone { zone: ZoneId(0), share: state.share(ZoneId(0)).then(250, Why::Returns) });
+    assert_eq!(shape(&state, false, false), (Availability::Ready, 0.25));
+    assert!(groups_confined_to(ZoneId(0), &state).is_empty());
+    state.hosts.retain(|_, h| h.zone == ZoneId(0) || h.group == GroupId(2));
+    assert_eq!(groups_confined_to(ZoneId(0), &state), BTreeSet::from([GroupId(1)]));
+}
+
+/// Guards against an old word that counts for ever, a stranger's that counts at all, and an order that leaves the
+/// last zone.
+#[test]
+fn words_fade_strangers_have_none_and_the_last_zone_is_kept() {
+    let mut state = state();
+    let mut zoning = ZoneState::new(EvacuationPolicy::default());
+    zoning.record_outcomes(&seen(&[0]), &state);
+    let sights = zoning.own_outcomes().clone();
+    for by in [2, 3, 77].map(NodeId) {
+        zoning.record_report(S, by, sights.clone());
+    }
+    assert_eq!(zoning.current_reports(S, NodeId(1), &state).len(), 3, "77 is no member");
+    assert_eq!(
+        assess_zones(&zoning.current_reports(S, NodeId(1), &state), &state)[&ZoneId(0)],
+        ZoneHealth::Lost
+    );
+    assert_eq!(zoning.next_moves(S, NodeId(1), &state, |_| 1.0)[0].1.why, Why::Lost);
+    assert_eq!(zoning.current_reports(S + FRESH, NodeId(1), &state).len(), 1);
+    for zone in [0, 1].map(ZoneId) {
+        let share = zoning.weight_for_command(ZoneCommand::Evacuate, zone, &state).unwrap();
+        assert_eq!(state.apply(1, &Change::Zone { zone, share }), crate::store::state_machine::Effect::Done);
+    }
+    assert!(zoning.weight_for_command(ZoneCommand::Evacuate, ZoneId(2), &state).is_err());
+    let back = zoning.weight_for_command(ZoneCommand::Return, ZoneId(0), &state).unwrap();
+    assert_eq!(
+        (back.part, back.why, back.number),
+        (super::super::zones::FIRST_RETURN_PERMILLE, Why::Returns, 2)
+    );
+    assert_eq!(zoning.weight_for_command(ZoneCommand::ReturnNow, ZoneId(0), &state).unwrap().part, WHOLE);
+    assert_eq!(zoning.weight_for_command(ZoneCommand::Hold, ZoneId(2), &state).unwrap().why, Why::Operator);
+}
