--- a/src/fleet/admin_api.rs
+++ b/src/fleet/admin_api.rs
@@ -2,7 +2,7 @@
 
 use super::membership::MembershipRequest;
 use super::runtime::{ChangeOutcome, Fleet, Table};
-use super::zoning::ZoneCommand;
+use super::zones::ZoneCommand;
 use crate::engine::endpoints::EndpointRecord;
 use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
--- a/src/fleet/gossip/tests.rs
+++ b/src/fleet/gossip/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::engine::observations::UtilizationSamples;
 use crate::ids::ZoneId;
 use crate::store::records::HostRecord;
 use crate::store::state_machine::Member;
--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -13,7 +13,7 @@
         let away = self.zoning.borrow().reduced_zones(present, &table.state).into_iter();
         let gone = |zone| table.state.share(zone).why == Why::Lost;
         let only: BTreeMap<ZoneId, BTreeSet<GroupId>> =
-            away.map(|zone| (zone, zoning::groups_confined_to(zone, &table.state))).collect();
+            away.map(|zone| (zone, crate::fleet::zones::groups_confined_to(zone, &table.state))).collect();
         let now = |name: &String| {
             let drained = table.state.is_drained(name) || table.marks.is_draining(name);
             let listed = table.state.hosts.get(name).map(|host| host.listed(name, drained))?;
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -14,7 +14,7 @@
 };
 use super::recovery::restart_detector::{KnownEndpoint, RestartDetector};
 use super::recovery::{ClockReading, PersistedGossip, RestoredAge, restored_age};
-use super::zoning::{self, EvacuationPolicy, ZoneState};
+use super::zones::{EvacuationPolicy, ZoneState};
 use crate::clock::Clock;
 use crate::config::Limits;
 use crate::engine::admission::AdmissionPolicy;
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -2,8 +2,7 @@
 
 use super::{ChangeOutcome, Fleet, PeerMessage, Proposal, Table};
 use crate::engine::outcome_window::OutcomeCounts;
-use crate::fleet::zones::{ZoneHealth, ZoneOutcomes};
-use crate::fleet::zoning::{self, ZoneCommand};
+use crate::fleet::zones::{self, ZoneCommand, ZoneHealth, ZoneOutcomes};
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
 use crate::store::state_machine::Change;
@@ -154,7 +153,7 @@
             let table = self.table();
             let zoning = self.zoning.borrow();
             let zone =
-                zoning.find(name).filter(|zone| zoning::populated_zones(&table.state).contains(zone))?;
+                zoning.find(name).filter(|zone| zones::populated_zones(&table.state).contains(zone))?;
             match zoning.weight_for_command(order, zone, &table.state) {
                 Ok(share) => (zone, share),
                 Err(why) => return Some(Err(why)),
@@ -171,7 +170,7 @@
     pub fn describe_zones(&self) -> String {
         let (table, zoning, now) = (self.table(), self.zoning.borrow(), self.clock.now());
         let sights = zoning.current_reports(now, table.identity.id, &table.state);
-        let verdicts = zoning::assess_zones(&sights, &table.state);
+        let verdicts = zones::assess_zones(&sights, &table.state);
         let mut out = String::new();
         for (zone, verdict) in &verdicts {
             let share = table.state.share(*zone);
--- a/src/fleet/zoning/tests.rs
+++ b/src/fleet/zones/state/tests.rs
@@ -1,3 +1,4 @@
+use super::super::EvacuationBackoff;
 use super::*;
 use crate::store::records::HostRecord;
 use crate::store::state_machine::{Change, Member};
@@ -109,10 +110,7 @@
     }
     assert!(zoning.weight_for_command(ZoneCommand::Evacuate, ZoneId(2), &state).is_err());
     let back = zoning.weight_for_command(ZoneCommand::Return, ZoneId(0), &state).unwrap();
-    assert_eq!(
-        (back.part, back.why, back.number),
-        (super::super::zones::FIRST_RETURN_PERMILLE, Why::Returns, 2)
-    );
+    assert_eq!((back.part, back.why, back.number), (FIRST_RETURN_PERMILLE, Why::Returns, 2));
     assert_eq!(zoning.weight_for_command(ZoneCommand::ReturnNow, ZoneId(0), &state).unwrap().part, WHOLE);
     assert_eq!(zoning.weight_for_command(ZoneCommand::Hold, ZoneId(2), &state).unwrap().why, Why::Operator);
 }
--- a/src/fleet/zones/tests.rs
+++ b/src/fleet/zones/tests.rs
@@ -1,4 +1,9 @@
+use super::evacuation::STEP;
 use super::*;
+use crate::ids::{NodeId, ZoneId};
+use crate::store::zone_weights::{Share, WHOLE, Why};
+use crate::time::{TimeDelta, Timestamp};
+use std::collections::{BTreeMap, BTreeSet};
 
 const S: TimeDelta = TimeDelta::from_secs(1);
 
