--- a/src/fleet/bootstrap.rs
+++ b/src/fleet/bootstrap.rs
@@ -1,4 +1,8 @@
-//! How a fleet begins, and what daemons make of one another when they meet. No I/O.
+//! How a fleet is founded, and how two nodes judge each other when they connect. No I/O.
+//!
+//! A node that never had an agreed configuration belongs to no fleet (fleet id 0). [`Bootstrap::state`] says
+//! whether it founds one or what it waits for; [`judge_handshake`] says whether a peer may exchange messages
+//! with this node.
 
 use crate::ids::NodeId;
 use crate::store::records::FleetId;
@@ -6,82 +10,88 @@
 use crate::store::storage::Witness;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 use std::net::SocketAddr;
 
-/// What a daemon says of itself when it meets another one.
+/// The first message of a connection: what a node says of itself. The order of the fields is that of the bytes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Handshake {
-    /// Its fleet; 0: none yet.
+    /// The fleet that it belongs to; 0 for none.
     pub fleet: FleetId,
-    /// Itself.
+    /// Its id.
     pub id: NodeId,
-    /// Its name.
+    /// Its name in its operator's file.
     pub name: String,
-    /// Where it is reached.
+    /// Where its peers reach it.
     pub address: SocketAddr,
-    /// What its disk holds.
+    /// How far its storage is, for peers to detect one that was put back to an earlier copy.
     pub witness: Witness,
 }
 
-/// What the one that was met says to that.
+/// The answer to a handshake. The order of the variants is that of the bytes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HandshakeVerdict {
-    /// Go on.
+    /// Messages may follow.
     Accepted,
-    /// It is of another fleet.
+    /// The sender is a member of another fleet.
     OtherFleet,
-    /// It was removed from the fleet.
+    /// The sender was removed from the fleet.
     RemovedMember,
-    /// It told more of itself once than its disk knows now.
+    /// The sender's storage knows less than it once reported: it was put back to an earlier copy.
     OutdatedStorage,
-    /// Its fleet has ended: this one goes on from it, on an operator's word.
+    /// An operator founded this fleet anew from the sender's, which it supersedes.
     SupersededFleet,
-    /// It is none of the fleet yet: these are the ones to ask.
+    /// The sender is not a member of the fleet yet; these are the names and addresses of the members.
     NotYetMember(Vec<(String, SocketAddr)>),
 }
 
-/// What to say to a daemon that was met.
-pub fn judge_handshake(state: &State, known: Option<&Witness>, hello: &Handshake) -> HandshakeVerdict {
+/// Judges the handshake of a peer. `known` is the furthest that this peer's storage was ever reported to be.
+pub fn judge_handshake(state: &State, known: Option<&Witness>, handshake: &Handshake) -> HandshakeVerdict {
     if state.fleet == 0 {
-        // Whoever has none itself judges nobody.
+        // A node without a fleet has nothing to compare the peer with.
         return HandshakeVerdict::Accepted;
     }
-    if state.former.contains(&hello.fleet) {
+    if state.former.contains(&handshake.fleet) {
         return HandshakeVerdict::SupersededFleet;
     }
-    if state.removed.contains_key(&hello.id) {
+    if state.removed.contains_key(&handshake.id) {
         return HandshakeVerdict::RemovedMember;
     }
-    if hello.fleet == 0 {
-        let others = state.members.values().map(|m| (m.name.clone(), m.address));
-        return HandshakeVerdict::NotYetMember(others.collect());
+    if handshake.fleet == 0 {
+        let members = state.members.values().map(|member| (member.name.clone(), member.address));
+        return HandshakeVerdict::NotYetMember(members.collect());
     }
-    if hello.fleet != state.fleet {
+    if handshake.fleet != state.fleet {
         return HandshakeVerdict::OtherFleet;
     }
     match known {
-        Some(known) if known.outdates(&hello.witness) => HandshakeVerdict::OutdatedStorage,
+        Some(known) if known.outdates(&handshake.witness) => HandshakeVerdict::OutdatedStorage,
         _ => HandshakeVerdict::Accepted,
     }
 }
 
-/// Where a daemon without a fleet stands.
+/// Whether nodes of these fleets may exchange messages: they are of one fleet, or one of them has none yet.
+pub fn fleets_are_compatible(one: FleetId, other: FleetId) -> bool {
+    one == other || one == 0 || other == 0
+}
+
+/// What a node without a fleet does. Operators read the `Display` text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BootstrapState {
-    /// These have not answered yet.
+    /// Configured peers at these addresses have not answered yet.
     AwaitingAnswers(Vec<SocketAddr>),
-    /// This daemon founds the fleet, with daemons of these names.
+    /// This node founds the fleet; nodes of these names get a vote as they join.
     FoundsFleet(BTreeSet<String>),
-    /// The daemon of this name has to found it.
+    /// The node of this name has to found the fleet.
     AwaitsFounder(String),
-    /// There is one, which has to take this daemon in.
+    /// A fleet exists and has to admit this node.
     AwaitsAdmission(FleetId),
-    /// Two daemons have the same name.
+    /// Another node has this node's name.
     DuplicateName(String),
 }
 
-impl std::fmt::Display for BootstrapState {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for BootstrapState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BootstrapState::AwaitingAnswers(peers) => {
                 let peers: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
@@ -95,30 +105,46 @@
     }
 }
 
-/// What a daemon that never had an agreed configuration is to do. A fleet is founded by the one of the lowest
-/// name, once all that its file names have answered that they have none either, or on an operator's word by
-/// whoever it is said to, with those that have answered.
-pub fn bootstrap_state(
-    me: (&str, NodeId),
-    named: &[SocketAddr],
-    heard: &BTreeMap<SocketAddr, Handshake>,
-    word: bool,
-) -> BootstrapState {
-    if let Some(other) = heard.values().find(|h| h.fleet != 0) {
-        return BootstrapState::AwaitsAdmission(other.fleet);
-    }
-    let others: BTreeMap<&str, NodeId> =
-        heard.values().filter(|h| h.id != me.1).map(|h| (h.name.as_str(), h.id)).collect();
-    if others.contains_key(me.0) {
-        return BootstrapState::DuplicateName(me.0.to_string());
-    }
-    let silent: Vec<SocketAddr> = named.iter().filter(|a| !heard.contains_key(a)).copied().collect();
-    if !silent.is_empty() && !word {
-        return BootstrapState::AwaitingAnswers(silent);
-    }
-    match others.keys().next() {
-        Some(first) if *first < me.0 && !word => BootstrapState::AwaitsFounder(first.to_string()),
-        _ => BootstrapState::FoundsFleet(others.keys().map(|n| n.to_string()).collect()),
+/// What the founding of a fleet depends on.
+#[derive(Clone, Copy, Debug)]
+pub struct Bootstrap<'a> {
+    /// This node's name.
+    pub name: &'a str,
+    /// This node's id.
+    pub id: NodeId,
+    /// The addresses of peers in the operator's file.
+    pub configured_peers: &'a [SocketAddr],
+    /// The last handshake from each address that has answered.
+    pub answers: &'a BTreeMap<SocketAddr, Handshake>,
+    /// An operator has ordered to found the fleet with the nodes that have answered.
+    pub ordered_by_operator: bool,
+}
+
+impl Bootstrap<'_> {
+    /// What this node does. The node of the lowest name founds the fleet once all configured peers have answered
+    /// that they have none either; so at most one node founds without an operator. On an operator's order the
+    /// node that got it founds, with the peers that have answered.
+    pub fn state(&self) -> BootstrapState {
+        if let Some(member) = self.answers.values().find(|peer| peer.fleet != 0) {
+            return BootstrapState::AwaitsAdmission(member.fleet);
+        }
+        let others = self.answers.values().filter(|peer| peer.id != self.id);
+        let names: BTreeSet<&str> = others.map(|peer| peer.name.as_str()).collect();
+        if names.contains(self.name) {
+            return BootstrapState::DuplicateName(self.name.to_string());
+        }
+        let has_not_answered = |address: &&SocketAddr| !self.answers.contains_key(address);
+        let silent: Vec<SocketAddr> =
+            self.configured_peers.iter().filter(has_not_answered).copied().collect();
+        if !silent.is_empty() && !self.ordered_by_operator {
+            return BootstrapState::AwaitingAnswers(silent);
+        }
+        match names.first() {
+            Some(lowest) if *lowest < self.name && !self.ordered_by_operator => {
+                BootstrapState::AwaitsFounder(lowest.to_string())
+            }
+            _ => BootstrapState::FoundsFleet(names.iter().map(|name| name.to_string()).collect()),
+        }
     }
 }
 
--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Golden bytes of every message between daemons. The names of types and fields may change, the bytes may not: a
-//! daemon of the next version meets daemons of this one.
+//! Golden bytes of every message between nodes. The names of types and fields may change, the bytes may not: a
+//! node of the next version exchanges messages with nodes of this one.
 
 use super::*;
 use crate::ids::{GroupId, ZoneId};
@@ -11,13 +11,13 @@
 use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType, Snapshot};
 use std::collections::BTreeSet;
 
-/// One message a line, `name = hex`: the whole frame with its length and check sum.
+/// One message a line, `name = hex`: the whole message with its length and check sum.
 const GOLDEN: &str = include_str!("../../../tests/fixtures/peer-messages.hex");
 
 /// Longer than any of them.
-const MOST: usize = 4096;
+const LIMIT_BYTES: usize = 4096;
 
-fn hello(name: &str, fleet: u128) -> Handshake {
+fn handshake(name: &str, fleet: u128) -> Handshake {
     Handshake {
         fleet,
         id: NodeId(0x1122_3344_5566_7788),
@@ -40,7 +40,9 @@
         ("verdict recovered", HandshakeVerdict::SupersededFleet),
         ("verdict candidate", HandshakeVerdict::NotYetMember(candidate)),
     ]
-    .map(|(name, verdict)| (name, PeerMessage::HandshakeReply(verdict, hello("b2", 9))))
+    .map(|(name, verdict)| {
+        (name, PeerMessage::HandshakeReply(HandshakeReply { verdict, handshake: handshake("b2", 9) }))
+    })
     .into()
 }
 
@@ -75,7 +77,7 @@
     snapshot
 }
 
-fn letters() -> Vec<(&'static str, PeerMessage)> {
+fn raft_messages() -> Vec<(&'static str, PeerMessage)> {
     let mut all: Vec<(&'static str, Message)> = [
         ("letter append", MessageType::MsgAppend),
         ("letter append response", MessageType::MsgAppendResponse),
@@ -100,7 +102,7 @@
             _ => {}
         }
     }
-    let letter = |m: &Message| Letter::of(m.clone()).expect("it goes between daemons");
+    let letter = |m: &Message| Letter::of(m.clone()).expect("it is sent between nodes");
     let two = vec![letter(&all[5].1), letter(&all[6].1)];
     let one = all.iter().map(|(name, m)| (*name, PeerMessage::RaftMessages(vec![letter(m)])));
     one.chain([
@@ -172,45 +174,45 @@
     .into()
 }
 
-fn beat() -> Heartbeat {
+fn heartbeat() -> Heartbeat {
     Heartbeat {
         leader: NodeId(7),
         term: 300,
-        last: (299, 70_001),
-        part: true,
-        agreed: 70_002,
-        applied: (70_003, 0xdead_beef),
-        marks: 0x0bad_cafe,
-        hears: vec![NodeId(5), NodeId(600)],
-        returns: false,
+        last_entry: (299, 70_001),
+        participates: true,
+        commit_index: 70_002,
+        applied: AppliedPosition { index: 70_003, digest: 0xdead_beef },
+        pending_drains_digest: 0x0bad_cafe,
+        reachable_peers: vec![NodeId(5), NodeId(600)],
+        recovering: false,
     }
 }
 
-fn words() -> Vec<GossipRecord> {
+fn gossip_records() -> Vec<GossipRecord> {
     let full = GossipRecord {
-        by: NodeId(5),
-        count: GossipVersion { boot: 6, facts: 700 },
-        host: "s-1-0".into(),
-        primary: true,
+        observer: NodeId(5),
+        version: GossipVersion { incarnation: 6, sequence: 700 },
+        endpoint: "s-1-0".into(),
+        is_primary: true,
         position: LogPosition::from_micros(1_767_225_600_123_456),
         age: TimeDelta::from_micros(250_000),
-        out: 400,
-        up: Some(TimeDelta::from_micros(16_000_000)),
-        rate: 123_456,
-        used: 610,
+        attempts_in_flight: 400,
+        uptime: Some(TimeDelta::from_micros(16_000_000)),
+        service_rate_milli: 123_456,
+        utilization_permille: 610,
     };
     let bare = GossipRecord {
-        up: None,
-        primary: false,
+        uptime: None,
+        is_primary: false,
         position: LogPosition::from_micros(0),
-        used: 0,
-        host: "s-2".into(),
+        utilization_permille: 0,
+        endpoint: "s-2".into(),
         ..full.clone()
     };
     vec![full, bare]
 }
 
-fn sights() -> BTreeMap<ZoneId, ZoneOutcomes> {
+fn zone_outcomes() -> BTreeMap<ZoneId, ZoneOutcomes> {
     let one =
         ZoneOutcomes { good: 1000, late: 2, silent: 3, refused: 400, hosts: 5, gone: 6, of: 700, busy: 810 };
     BTreeMap::from([(ZoneId(0), one), (ZoneId(200), ZoneOutcomes { good: 9, ..ZoneOutcomes::default() })])
@@ -223,42 +225,48 @@
         ("s-1-1".to_string(), DrainMark { by: NodeId(5), number: 6 }),
         ("s-2".to_string(), DrainMark { by: NodeId(7), number: 800 }),
     ];
-    let v6 = Handshake { address: "[::1]:8892".parse().unwrap(), ..hello("b1", 0) };
+    let v6 = Handshake { address: "[::1]:8892".parse().unwrap(), ..handshake("b1", 0) };
     let digest = vec![
-        (NodeId(5), GossipVersion { boot: 6, facts: 700 }),
-        (NodeId(800), GossipVersion { boot: 9, facts: 0 }),
+        (NodeId(5), GossipVersion { incarnation: 6, sequence: 700 }),
+        (NodeId(800), GossipVersion { incarnation: 9, sequence: 0 }),
     ];
-    let breaks = vec![LogRollback {
+    let rollbacks = vec![LogRollback {
         group: GroupId(300),
         from: LogPosition::from_micros(1_767_225_600_000_000),
         to: LogPosition::from_micros(1_767_225_600_000_001),
     }];
-    let returns = Heartbeat { part: false, returns: true, ..beat() };
+    let recovering = Heartbeat { participates: false, recovering: true, ..heartbeat() };
     let mut all = vec![
-        ("hello", PeerMessage::Handshake(hello("b0", fleet))),
+        ("hello", PeerMessage::Handshake(handshake("b0", fleet))),
         ("hello without a fleet at an IPv6 address", PeerMessage::Handshake(v6)),
         ("wish vote", PeerMessage::MembershipRequest("b3".into(), MembershipRequest::GrantVote)),
         ("wish leave", PeerMessage::MembershipRequest("b4".into(), MembershipRequest::Remove)),
         ("marks", PeerMessage::PendingDrains(marks)),
-        ("beat", PeerMessage::Heartbeat(beat())),
-        ("beat of one that returns", PeerMessage::Heartbeat(returns)),
+        ("beat", PeerMessage::Heartbeat(heartbeat())),
+        ("beat of one that returns", PeerMessage::Heartbeat(recovering)),
         ("digest", PeerMessage::GossipDigest(digest)),
-        ("words with and without optional parts", PeerMessage::Observations(words())),
-        ("hint", PeerMessage::PrimaryHint([127, 0, 0, 1, 0xd4, 0x31], TimeDelta::from_micros(250_000))),
-        ("breaks", PeerMessage::LogRollbacks(breaks)),
-        ("sights", PeerMessage::ZoneObservations(sights())),
+        ("words with and without optional parts", PeerMessage::GossipRecords(gossip_records())),
+        (
+            "hint",
+            PeerMessage::PrimaryHint {
+                endpoint: EndpointBytes([127, 0, 0, 1, 0xd4, 0x31]),
+                age: TimeDelta::from_micros(250_000),
+            },
+        ),
+        ("breaks", PeerMessage::LogRollbacks(rollbacks)),
+        ("sights", PeerMessage::ZoneOutcomes(zone_outcomes())),
     ];
     all.extend(verdicts());
-    all.extend(letters());
+    all.extend(raft_messages());
     all.extend(changes());
     all
 }
 
 /// Fails to compile where a variant is added: it needs a golden message above, and a line here.
-fn kinds(frame: &PeerMessage) -> (&'static str, &'static str) {
-    match frame {
+fn kinds(message: &PeerMessage) -> (&'static str, &'static str) {
+    match message {
         PeerMessage::Handshake(_) => ("hello", ""),
-        PeerMessage::HandshakeReply(verdict, _) => (
+        PeerMessage::HandshakeReply(HandshakeReply { verdict, .. }) => (
             "verdict",
             match verdict {
                 HandshakeVerdict::Accepted => "welcome",
@@ -291,10 +299,10 @@
         PeerMessage::PendingDrains(_) => ("marks", ""),
         PeerMessage::Heartbeat(_) => ("beat", ""),
         PeerMessage::GossipDigest(_) => ("digest", ""),
-        PeerMessage::Observations(_) => ("words", ""),
-        PeerMessage::PrimaryHint(..) => ("hint", ""),
+        PeerMessage::GossipRecords(_) => ("words", ""),
+        PeerMessage::PrimaryHint { .. } => ("hint", ""),
         PeerMessage::LogRollbacks(_) => ("breaks", ""),
-        PeerMessage::ZoneObservations(_) => ("sights", ""),
+        PeerMessage::ZoneOutcomes(_) => ("sights", ""),
     }
 }
 
@@ -306,38 +314,35 @@
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex")).collect()
 }
 
-/// Guards against a message that daemons of the version before cannot read.
+/// Guards against a message that nodes of the version before cannot read.
 #[test]
 fn every_peer_message_is_written_as_its_golden_bytes() {
     let written: String =
-        messages().iter().map(|(name, frame)| format!("{name} = {}\n", hex(&frame.bytes()))).collect();
+        messages().iter().map(|(name, message)| format!("{name} = {}\n", hex(&message.encode()))).collect();
     assert_eq!(written, GOLDEN, "what is written now:\n{written}");
 }
 
-/// Guards against a message of a daemon of the version before that is read as something else.
+/// Guards against a message of a node of the version before that is read as something else.
 #[test]
 fn the_golden_bytes_of_every_peer_message_are_read_as_its_value() {
     let mut golden = GOLDEN.lines();
-    for (name, frame) in messages() {
+    for (name, message) in messages() {
         let (known, hex) = golden.next().and_then(|l| l.split_once(" = ")).expect("name = hex");
         let bytes = bytes(hex);
-        assert_eq!(
-            (known, PeerMessage::read(&bytes, MOST)),
-            (name, Ok(Some((frame, bytes.len())))),
-            "{name}"
-        );
+        let decoded = DecodedMessage { message, encoded_bytes: bytes.len() };
+        assert_eq!((known, PeerMessage::decode(&bytes, LIMIT_BYTES)), (name, Ok(Some(decoded))), "{name}");
     }
     assert_eq!(golden.next(), None);
 }
 
-/// Guards against a letter whose golden bytes are right and that the consensus gets as another one.
+/// Guards against a message whose golden bytes are right and that the consensus gets as another one.
 #[test]
-fn the_golden_letters_become_the_same_consensus_messages() {
-    for (name, frame) in messages() {
-        let PeerMessage::RaftMessages(letters) = frame else { continue };
+fn the_golden_raft_messages_become_the_same_consensus_messages() {
+    for (name, message) in messages() {
+        let PeerMessage::RaftMessages(letters) = message else { continue };
         for letter in letters {
             let kind = letter.clone().message().map(|m| m.msg_type);
-            // What is no snapshot and what carries one must go together.
+            // A snapshot message must carry a snapshot, any other message must not.
             assert_eq!(
                 kind.is_some(),
                 letter.carries_state() == name.starts_with("letter snapshot"),
@@ -354,7 +359,7 @@
     let messages = messages();
     let named: BTreeSet<&str> = messages.iter().map(|(name, _)| *name).collect();
     assert_eq!(named.len(), messages.len(), "each name once");
-    let found: BTreeSet<(&str, &str)> = messages.iter().map(|(_, frame)| kinds(frame)).collect();
+    let found: BTreeSet<(&str, &str)> = messages.iter().map(|(_, message)| kinds(message)).collect();
     let tops: BTreeSet<&str> = found.iter().map(|(top, _)| *top).collect();
     assert_eq!((tops.len(), found.len()), (12, 6 + 9 + 2 + 9), "{found:?}");
 }
--- a/src/fleet/message/tests.rs
+++ b/src/fleet/message/tests.rs
@@ -1,39 +1,42 @@
+//! The framing of messages: what is incomplete, too long or damaged.
+
 use super::*;
 
-/// Guards against frames that are cut off, too long or changed and are acted on, and against a panic.
+/// Guards against messages that are cut off, too long or changed and are acted on, and against a panic.
 #[test]
-fn only_whole_frames_are_read() {
-    let (applied, hears) = ((9, 77), vec![NodeId(5)]);
-    let beat = Heartbeat {
+fn only_complete_and_undamaged_messages_are_decoded() {
+    let heartbeat = Heartbeat {
         leader: NodeId(7),
         term: 3,
-        last: (3, 9),
-        part: true,
-        agreed: 9,
-        applied,
-        marks: 0,
-        hears,
-        returns: true,
+        last_entry: (3, 9),
+        participates: true,
+        commit_index: 9,
+        applied: AppliedPosition { index: 9, digest: 77 },
+        pending_drains_digest: 0,
+        reachable_peers: vec![NodeId(5)],
+        recovering: true,
     };
-    let frame = PeerMessage::Heartbeat(beat);
-    let bytes = frame.bytes();
-    assert_eq!(PeerMessage::read(&bytes, 1000), Ok(Some((frame, bytes.len()))));
-    for n in 0..bytes.len() {
-        assert_eq!(PeerMessage::read(&bytes[..n], 1000), Ok(None), "{n} bytes");
+    let message = PeerMessage::Heartbeat(heartbeat);
+    let bytes = message.encode();
+    let decoded = DecodedMessage { message, encoded_bytes: bytes.len() };
+    assert_eq!(PeerMessage::decode(&bytes, 1000), Ok(Some(decoded)));
+    for length in 0..bytes.len() {
+        assert_eq!(PeerMessage::decode(&bytes[..length], 1000), Ok(None), "{length} bytes");
     }
-    assert_eq!(PeerMessage::read(&bytes, bytes.len() - 5), Err("too long"));
+    let (length, limit) = (bytes.len() - 4, bytes.len() - 5);
+    assert_eq!(PeerMessage::decode(&bytes, limit), Err(MessageError::TooLong { length, limit }));
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..20_000 {
-        let mut bytes = bytes.clone();
-        let at = rng.usize(4..bytes.len());
-        bytes[at] ^= 1 << rng.u8(..8);
-        assert_eq!(PeerMessage::read(&bytes, 1000), Err("out of form"));
+        let mut damaged = bytes.clone();
+        let position = rng.usize(4..damaged.len());
+        damaged[position] ^= 1 << rng.u8(..8);
+        assert_eq!(PeerMessage::decode(&damaged, 1000), Err(MessageError::Malformed));
         let noise: Vec<u8> = (0..rng.usize(..64)).map(|_| rng.u8(..)).collect();
-        let _ = PeerMessage::read(&noise, 1000);
-        // A sound check sum over something that is no frame.
-        let mut sound = (noise.len() as u32 + 4).to_be_bytes().to_vec();
-        sound.extend(crc32fast::hash(&noise).to_be_bytes());
-        sound.extend(&noise);
-        let _ = PeerMessage::read(&sound, 1000);
+        let _ = PeerMessage::decode(&noise, 1000);
+        // A right checksum over something that is not a message.
+        let mut sealed_noise = (noise.len() as u32 + 4).to_be_bytes().to_vec();
+        sealed_noise.extend(crc32fast::hash(&noise).to_be_bytes());
+        sealed_noise.extend(&noise);
+        let _ = PeerMessage::decode(&sealed_noise, 1000);
     }
 }
--- a/src/fleet/peer_link.rs
+++ b/src/fleet/peer_link.rs
@@ -1,130 +1,228 @@
-//! The way to one other daemon: a connection that is opened again whenever it breaks, and a bounded queue. A
-//! slow daemon holds up nobody else: what does not fit is dropped, and said again by whoever still means it.
+//! The outgoing connection to one peer: reopened with backoff whenever it breaks, fed from a bounded queue.
+//!
+//! A link only sends, but for the answer to its handshake; what a peer sends arrives on a connection that the peer
+//! opened. A slow peer delays nobody else: a message that does not fit into the queue is dropped, and whoever
+//! still needs it sent repeats it.
 
 use super::bootstrap::{Handshake, HandshakeVerdict};
-use super::message::PeerMessage;
+use super::message::{HandshakeReply, MessageError, PeerMessage};
 use crate::config::Limits;
 use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
 use crate::net::http::client::Client;
 use crate::net::until;
-use crate::store::records::FleetId;
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
+use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Word of the upgrade from HTTP.
+/// The protocol that an HTTP connection is upgraded to.
 pub const PROTOCOL: &str = "brookpass-fleet/1";
-/// Path where daemons meet.
+/// The HTTP path at which a connection is upgraded.
 pub const PATH: &str = "/fleet/link";
 
-/// The way to one address.
+/// Queued messages are joined into one write of about this size: fewer system calls, and no write that takes long.
+const WRITE_BATCH_BYTES: usize = 64 * 1024;
+
+/// What a link asks and tells its owner.
+pub trait PeerLinkEvents {
+    /// This node's handshake, as of now.
+    fn handshake(&self) -> Handshake;
+    /// The peer has answered the handshake. Says what becomes of the connection.
+    fn on_handshake_reply(&self, link: &PeerLink, reply: HandshakeReply) -> LinkDecision;
+    /// The connection is open for messages.
+    fn on_connected(&self, link: &PeerLink);
+    /// A connection that was open for messages has ended.
+    fn on_disconnected(&self, link: &PeerLink);
+}
+
+/// What becomes of a connection after the handshake.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LinkDecision {
+    /// Messages are sent on it.
+    Use,
+    /// It is closed, and opened again later.
+    Close,
+}
+
+/// Why a connection ended.
+#[derive(Debug)]
+enum DisconnectReason {
+    LinkClosed,
+    ReconnectRequested,
+    ClosedByPeer,
+    WriteTimedOut,
+    WriteFailed(io::Error),
+}
+
+impl fmt::Display for DisconnectReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            DisconnectReason::LinkClosed => write!(f, "the link is closed"),
+            DisconnectReason::ReconnectRequested => write!(f, "a reconnect was requested"),
+            DisconnectReason::ClosedByPeer => write!(f, "the peer closed the connection"),
+            DisconnectReason::WriteTimedOut => write!(f, "a write timed out"),
+            DisconnectReason::WriteFailed(error) => write!(f, "{error}"),
+        }
+    }
+}
+
+/// Why a connection could not be opened.
+#[derive(Debug, thiserror::Error)]
+enum ConnectError {
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    #[error("the handshake's answer: {0}")]
+    Message(#[from] MessageError),
+    #[error("the handshake was answered by another kind of message")]
+    UnexpectedMessage,
+}
+
+/// A connection whose handshake was answered.
+struct Connected {
+    client: Client,
+    reply: HandshakeReply,
+}
+
+/// A channel that only signals: closed, or one message.
+struct Signal {
+    sender: Sender<()>,
+    receiver: Receiver<()>,
+}
+
+impl Signal {
+    fn new() -> Signal {
+        let (sender, receiver) = async_channel::bounded(1);
+        Signal { sender, receiver }
+    }
+}
+
+/// What a connection does next.
+enum NextStep {
+    Send(Vec<u8>),
+    Disconnect(DisconnectReason),
+}
+
+/// The link to the peer at one address.
 pub struct PeerLink {
-    /// Where it leads.
+    /// The peer's address.
     pub address: SocketAddr,
-    /// Whether this daemon's own file names it.
-    pub named: bool,
-    /// Who was met there last.
-    pub met: RefCell<Option<Handshake>>,
-    /// Frames go through.
-    pub up: Cell<bool>,
-    /// Frames that did not fit.
-    pub dropped: Cell<u64>,
-    bytes: Cell<usize>,
-    queue: (Sender<Vec<u8>>, Receiver<Vec<u8>>),
-    /// Closed: the way is no longer wanted.
-    ended: (Sender<()>, Receiver<()>),
-    /// A message: the connection is to be opened anew.
-    again: (Sender<()>, Receiver<()>),
-    most: usize,
+    /// The operator's file names this address; otherwise it was learned from the fleet.
+    pub is_configured: bool,
+    last_handshake: RefCell<Option<Handshake>>,
+    is_up: Cell<bool>,
+    dropped_messages: Cell<u64>,
+    queued_bytes: Cell<usize>,
+    max_queued_bytes: usize,
+    queue_sender: Sender<Vec<u8>>,
+    queue_receiver: Receiver<Vec<u8>>,
+    /// Closed once the link is not wanted any more.
+    closed: Signal,
+    /// Holds a message while a reconnect is requested.
+    reconnect_requested: Signal,
 }
 
 impl PeerLink {
-    /// A way that is not open yet.
-    pub fn new(address: SocketAddr, named: bool, limits: &Limits) -> PeerLink {
+    /// A link that is not connected yet.
+    pub fn new(address: SocketAddr, is_configured: bool, limits: &Limits) -> PeerLink {
+        let (max_queued_messages, max_queued_bytes) = limits.peer_queue;
+        let (queue_sender, queue_receiver) = async_channel::bounded(max_queued_messages);
         PeerLink {
             address,
-            named,
-            met: RefCell::default(),
-            up: Cell::new(false),
-            dropped: Cell::new(0),
-            bytes: Cell::new(0),
-            queue: async_channel::bounded(limits.peer_queue.0),
-            ended: async_channel::bounded(1),
-            again: async_channel::bounded(1),
-            most: limits.peer_queue.1,
+            is_configured,
+            last_handshake: RefCell::default(),
+            is_up: Cell::new(false),
+            dropped_messages: Cell::new(0),
+            queued_bytes: Cell::new(0),
+            max_queued_bytes,
+            queue_sender,
+            queue_receiver,
+            closed: Signal::new(),
+            reconnect_requested: Signal::new(),
         }
     }
 
-    /// Who was met there last; nobody yet: [`NodeId::NOBODY`].
-    pub fn id(&self) -> NodeId {
-        self.met.borrow().as_ref().map_or(NodeId::NOBODY, |h| h.id)
+    /// The id of the node that last answered here; [`NodeId::NOBODY`] before the first answer.
+    pub fn peer_id(&self) -> NodeId {
+        self.last_handshake.borrow().as_ref().map_or(NodeId::NOBODY, |peer| peer.id)
     }
 
-    /// Sends a frame, unless the way is broken or full; whether it did.
-    pub fn send(&self, bytes: &[u8]) -> bool {
-        let fits = self.up.get() && self.bytes.get() + bytes.len() <= self.most;
-        if fits && self.queue.0.try_send(bytes.to_vec()).is_ok() {
-            self.bytes.set(self.bytes.get() + bytes.len());
+    /// The name of the node that last answered here.
+    pub fn peer_name(&self) -> Option<String> {
+        self.last_handshake.borrow().as_ref().map(|peer| peer.name.clone())
+    }
+
+    /// Whether messages can be sent now.
+    pub fn is_up(&self) -> bool {
+        self.is_up.get()
+    }
+
+    /// Messages that were dropped since the start: the link was down or its queue full.
+    pub fn dropped_messages(&self) -> u64 {
+        self.dropped_messages.get()
+    }
+
+    /// Queues an encoded message; returns whether it was queued. Otherwise it was dropped.
+    pub fn send(&self, message: &[u8]) -> bool {
+        let fits = self.is_up.get() && self.queued_bytes.get() + message.len() <= self.max_queued_bytes;
+        if fits && self.queue_sender.try_send(message.to_vec()).is_ok() {
+            self.queued_bytes.set(self.queued_bytes.get() + message.len());
             return true;
         }
-        self.dropped.set(self.dropped.get() + 1);
+        self.dropped_messages.set(self.dropped_messages.get() + 1);
         false
     }
 
-    /// It is no longer wanted.
-    pub fn end(&self) {
-        self.ended.0.close();
+    /// Ends the link for good.
+    pub fn close(&self) {
+        self.closed.sender.close();
     }
 
-    /// Opens the connection anew: what was said of this daemon at its beginning has changed.
-    pub fn renew(&self) {
-        let _ = self.again.0.try_send(());
+    /// Has the connection opened again: this node's handshake has changed.
+    pub fn reconnect(&self) {
+        let _ = self.reconnect_requested.sender.try_send(());
     }
 
-    /// Keeps the way open until it is no longer wanted. `hello` is what to say of this daemon; `judged` is told
-    /// what the other one said, and whether frames may go.
-    pub async fn keep(
-        &self,
-        limits: &Limits,
-        hello: impl Fn() -> Handshake,
-        judged: impl Fn(&PeerLink, HandshakeVerdict, Handshake) -> bool,
-        opened: impl Fn(&PeerLink),
-        broke: impl Fn(&PeerLink),
-    ) {
-        let mut pause = limits.discovery_backoff.0;
-        while !self.ended.0.is_closed() {
-            let met = until(Instant::now() + limits.discovery_timeout, self.open(limits, &hello)).await;
-            match met {
-                Some(Ok((client, verdict, other))) => {
-                    let stranger =
-                        matches!(verdict, HandshakeVerdict::OtherFleet | HandshakeVerdict::RemovedMember);
-                    *self.met.borrow_mut() = Some(other.clone());
-                    if judged(self, verdict, other) {
-                        pause = limits.discovery_backoff.0;
-                        let why = self.carry(client, limits, &opened).await;
-                        log::debug!("fleet: the way to {} ended: {why}", self.address);
-                        broke(self);
-                    } else if stranger {
-                        pause = limits.discovery_backoff.1;
+    /// Keeps the link connected until it is closed.
+    pub async fn run(&self, limits: &Limits, events: &impl PeerLinkEvents) {
+        let (shortest_backoff, longest_backoff) = limits.discovery_backoff;
+        let mut backoff = shortest_backoff;
+        while !self.closed.sender.is_closed() {
+            let connecting = self.connect(limits, events);
+            match until(Instant::now() + limits.discovery_timeout, connecting).await {
+                Some(Ok(Connected { client, reply })) => {
+                    let is_foreign = matches!(
+                        reply.verdict,
+                        HandshakeVerdict::OtherFleet | HandshakeVerdict::RemovedMember
+                    );
+                    *self.last_handshake.borrow_mut() = Some(reply.handshake.clone());
+                    if events.on_handshake_reply(self, reply) == LinkDecision::Use {
+                        backoff = shortest_backoff;
+                        let reason = self.send_queued(client, limits, events).await;
+                        log::debug!("fleet: connection to {} ended: {reason}", self.address);
+                        events.on_disconnected(self);
+                    } else if is_foreign {
+                        backoff = longest_backoff;
                     }
                 }
-                Some(Err(e)) => log::debug!("fleet: {}: {e}", self.address),
-                None => log::debug!("fleet: {}: no answer in time", self.address),
+                Some(Err(error)) => log::debug!("fleet: connecting to {}: {error}", self.address),
+                None => log::debug!("fleet: connecting to {}: timed out", self.address),
             }
-            let jitter = pause.mul_f64(0.5 + fastrand::f64() / 2.0);
-            let _ = until(Instant::now() + jitter, self.ended.1.recv()).await;
-            pause = (pause * 2).min(limits.discovery_backoff.1 / 2).max(limits.discovery_backoff.0);
+            // Half of the backoff is random: peers that start together must not connect in step.
+            let pause = backoff.mul_f64(0.5 + fastrand::f64() / 2.0);
+            let _ = until(Instant::now() + pause, self.closed.receiver.recv()).await;
+            backoff = (backoff * 2).min(longest_backoff / 2).max(shortest_backoff);
         }
     }
 
-    async fn open(
+    /// Opens a connection and exchanges handshakes.
+    async fn connect(
         &self,
         limits: &Limits,
-        hello: &impl Fn() -> Handshake,
-    ) -> io::Result<(Client, HandshakeVerdict, Handshake)> {
+        events: &impl PeerLinkEvents,
+    ) -> Result<Connected, ConnectError> {
         let mut client = Client::connect(self.address).await?;
         let request = format!(
             "POST {PATH} HTTP/1.1\r\nHost: {}\r\nConnection: Upgrade\r\nUpgrade: {PROTOCOL}\r\nContent-Length: 0\r\n\r\n",
@@ -132,85 +230,87 @@
         );
         client.send(request.as_bytes()).await?;
         client.upgraded(limits).await?;
-        client.send(&PeerMessage::Handshake(hello()).bytes()).await?;
+        client.send(&PeerMessage::Handshake(events.handshake()).encode()).await?;
         loop {
-            match PeerMessage::read(client.unread(), limits.peer_message_bytes) {
-                Ok(Some((PeerMessage::HandshakeReply(verdict, other), used))) => {
-                    client.consume(used);
-                    return Ok((client, verdict, other));
-                }
-                Ok(None) => {}
-                Ok(Some(_)) => return Err(io::Error::other("another frame was wanted")),
-                Err(why) => return Err(io::Error::other(why)),
+            if let Some(decoded) = PeerMessage::decode(client.unread(), limits.peer_message_bytes)? {
+                client.consume(decoded.encoded_bytes);
+                let PeerMessage::HandshakeReply(reply) = decoded.message else {
+                    return Err(ConnectError::UnexpectedMessage);
+                };
+                return Ok(Connected { client, reply });
             }
             if client.more().await? == 0 {
-                return Err(io::ErrorKind::UnexpectedEof.into());
+                return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
         }
     }
 
-    /// Sends what is queued until the connection breaks.
-    async fn carry(&self, mut client: Client, limits: &Limits, opened: &impl Fn(&PeerLink)) -> String {
-        while self.queue.1.try_recv().is_ok() {}
-        while self.again.1.try_recv().is_ok() {}
-        self.bytes.set(0);
-        self.up.set(true);
-        opened(self);
-        let why = self.pump(&mut client, limits).await;
-        self.up.set(false);
-        why
-    }
-
-    async fn pump(&self, client: &mut Client, limits: &Limits) -> String {
-        enum Turn {
-            Message(Vec<u8>),
-            Over(&'static str),
-        }
-        loop {
-            let turn = {
-                let frame = async { self.queue.1.recv().await.map_or(Turn::Over("ended"), Turn::Message) };
-                let ended = async {
-                    let _ = self.ended.1.recv().await;
-                    Turn::Over("no longer wanted")
-                };
-                let again = async {
-                    let _ = self.again.1.recv().await;
-                    Turn::Over("opened anew")
-                };
-                // Nothing is to come: what does is the end.
-                let gone = async {
-                    let _ = client.more_of(&mut Buffer::default()).await;
-                    Turn::Over("the other one has ended it")
-                };
-                use futures_lite::future::or;
-                or(or(ended, again), or(frame, gone)).await
-            };
-            let mut bytes = match turn {
-                Turn::Message(bytes) => bytes,
-                Turn::Over(why) => return why.to_string(),
+    /// Sends queued messages until the connection ends. What was queued for the connection before is dropped: it
+    /// may be outdated.
+    async fn send_queued(
+        &self,
+        mut client: Client,
+        limits: &Limits,
+        events: &impl PeerLinkEvents,
+    ) -> DisconnectReason {
+        while self.queue_receiver.try_recv().is_ok() {}
+        while self.reconnect_requested.receiver.try_recv().is_ok() {}
+        self.queued_bytes.set(0);
+        self.is_up.set(true);
+        events.on_connected(self);
+        let reason = loop {
+            let first = match self.next_step(&mut client).await {
+                NextStep::Send(message) => message,
+                NextStep::Disconnect(reason) => break reason,
             };
-            // What waits goes out together.
-            while bytes.len() < 64 * 1024
-                && let Ok(more) = self.queue.1.try_recv()
-            {
-                bytes.extend(more);
-            }
-            self.bytes.set(self.bytes.get().saturating_sub(bytes.len()));
-            match until(Instant::now() + limits.client_write_timeout, client.send(&bytes)).await {
+            let batch = self.join_queued(first);
+            self.queued_bytes.set(self.queued_bytes.get().saturating_sub(batch.len()));
+            match until(Instant::now() + limits.client_write_timeout, client.send(&batch)).await {
                 Some(Ok(())) => {}
-                Some(Err(e)) => return e.to_string(),
-                None => return "it takes nothing".to_string(),
+                Some(Err(error)) => break DisconnectReason::WriteFailed(error),
+                None => break DisconnectReason::WriteTimedOut,
             }
-        }
+        };
+        self.is_up.set(false);
+        reason
+    }
+
+    /// Waits for a message to send or for a reason to disconnect.
+    async fn next_step(&self, client: &mut Client) -> NextStep {
+        let message = async {
+            let next = self.queue_receiver.recv().await;
+            next.map_or(NextStep::Disconnect(DisconnectReason::LinkClosed), NextStep::Send)
+        };
+        let closed = async {
+            let _ = self.closed.receiver.recv().await;
+            NextStep::Disconnect(DisconnectReason::LinkClosed)
+        };
+        let reconnect = async {
+            let _ = self.reconnect_requested.receiver.recv().await;
+            NextStep::Disconnect(DisconnectReason::ReconnectRequested)
+        };
+        // After its answer to the handshake a peer sends nothing here: whatever is read means the end.
+        let closed_by_peer = async {
+            let _ = client.more_of(&mut Buffer::default()).await;
+            NextStep::Disconnect(DisconnectReason::ClosedByPeer)
+        };
+        use futures_lite::future::or;
+        or(or(closed, reconnect), or(message, closed_by_peer)).await
     }
-}
 
-/// Whether a fleet's id may go with another: one of them may have none yet.
-pub fn may_meet(a: FleetId, b: FleetId) -> bool {
-    a == b || a == 0 || b == 0
+    /// Joins a message and those that wait behind it into one write.
+    fn join_queued(&self, first: Vec<u8>) -> Vec<u8> {
+        let mut batch = first;
+        while batch.len() < WRITE_BATCH_BYTES
+            && let Ok(message) = self.queue_receiver.try_recv()
+        {
+            batch.extend(message);
+        }
+        batch
+    }
 }
 
-/// Comes back after a span, or sooner when a message comes; whether one came.
-pub async fn rest(span: Duration, wake: &Receiver<()>) -> bool {
-    until(Instant::now() + span, wake.recv()).await.is_some()
+/// Sleeps, or returns early when a message arrives; returns whether one arrived.
+pub async fn sleep_or_wake(duration: Duration, wake: &Receiver<()>) -> bool {
+    until(Instant::now() + duration, wake.recv()).await.is_some()
 }
--- a/src/fleet/runtime/event_loop.rs
+++ b/src/fleet/runtime/event_loop.rs
@@ -51,7 +51,7 @@
                     .candidates
                     .retain(|_, (_, at)| recent - *at < self.limits.peer_gone_timeout * 5);
             }
-            if crate::fleet::peer_link::rest(self.time_to_next_round(), &woken).await {
+            if crate::fleet::peer_link::sleep_or_wake(self.time_to_next_round(), &woken).await {
                 // Many changes in a row are worked off together.
                 Timer::after(Duration::from_millis(1)).await;
             }
--- a/src/fleet/runtime/first.rs
+++ b/src/fleet/runtime/first.rs
@@ -7,8 +7,8 @@
 
 /// A daemon that would hear this one's letters.
 fn voter(table: &Table, id: NodeId) -> Option<Voter> {
-    let beat = &table.heard.get(&id).filter(|h| h.beat.part)?.beat;
-    Some(Voter { id, last: beat.last, leader: beat.leader })
+    let beat = &table.heard.get(&id).filter(|h| h.beat.participates)?.beat;
+    Some(Voter { id, last: beat.last_entry, leader: beat.leader })
 }
 
 impl Fleet {
--- a/src/fleet/runtime/founding.rs
+++ b/src/fleet/runtime/founding.rs
@@ -21,8 +21,14 @@
             if table.state.fleet != 0 || table.removed || table.broken.is_some() {
                 return;
             }
-            let me = (self.me.name.as_str(), table.identity.id);
-            bootstrap::bootstrap_state(me, &self.me.named, &table.met, table.word)
+            let bootstrap = Bootstrap {
+                name: &self.me.name,
+                id: table.identity.id,
+                configured_peers: &self.me.named,
+                answers: &table.met,
+                ordered_by_operator: table.word,
+            };
+            bootstrap.state()
         };
         self.set_bootstrap_status(stand.to_string());
         if let BootstrapState::FoundsFleet(others) = stand {
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -49,12 +49,12 @@
         let mut table = self.change();
         let me = table.identity.id;
         let Table { learned, digests, .. } = &mut *table;
-        for way in self.links().iter().filter(|w| w.up.get()) {
-            let known = digests.entry(way.id()).or_default();
+        for way in self.links().iter().filter(|w| w.is_up()) {
+            let known = digests.entry(way.peer_id()).or_default();
             let words =
                 learned.records_missing_from(now, known, |id| id != me, self.limits.observations_per_message);
             let Some(last) = words.iter().map(|w| w.count).max() else { continue };
-            if way.send(&PeerMessage::Observations(words).bytes()) {
+            if way.send(&PeerMessage::GossipRecords(words).encode()) {
                 // Until it says itself what it knows: what was lost on the way is sent again then.
                 known.retain(|(id, _)| *id != me);
                 known.push((me, last));
@@ -103,9 +103,10 @@
     /// Tells the others' modules what this one's has heard. Times go as ages: clocks may differ.
     pub fn hint(&self, bytes: &[u8]) {
         let Some(PrimaryHint { endpoint, at }) = PrimaryHint::read(bytes) else { return };
-        let [a, b, c, d] = endpoint.ip;
-        let [e, f] = endpoint.port.to_be_bytes();
-        self.broadcast(&PeerMessage::PrimaryHint([a, b, c, d, e, f], (self.clock.now() - at).or_zero()));
+        self.broadcast(&PeerMessage::PrimaryHint {
+            endpoint: endpoint.into(),
+            age: (self.clock.now() - at).or_zero(),
+        });
     }
 
     /// The next word of another daemon's module.
--- a/src/fleet/runtime/incoming_link.rs
+++ b/src/fleet/runtime/incoming_link.rs
@@ -40,7 +40,13 @@
         };
         let may = matches!(verdict, HandshakeVerdict::Accepted | HandshakeVerdict::NotYetMember(_));
         let candidate = matches!(verdict, HandshakeVerdict::NotYetMember(_));
-        if link.write(&PeerMessage::HandshakeReply(verdict, self.own_handshake()).bytes()).await.is_err()
+        if link
+            .write(
+                &PeerMessage::HandshakeReply(HandshakeReply { verdict, handshake: self.own_handshake() })
+                    .encode(),
+            )
+            .await
+            .is_err()
             || !may
         {
             let _ = link.linger().await;
@@ -71,14 +77,14 @@
         buffer: &mut Buffer,
     ) -> Option<PeerMessage> {
         loop {
-            match PeerMessage::read(buffer.unread(), self.limits.peer_message_bytes) {
-                Ok(Some((frame, used))) => {
-                    buffer.consume(used);
-                    return Some(frame);
+            match PeerMessage::decode(buffer.unread(), self.limits.peer_message_bytes) {
+                Ok(Some(DecodedMessage { message, encoded_bytes })) => {
+                    buffer.consume(encoded_bytes);
+                    return Some(message);
                 }
                 Ok(None) => {}
                 Err(why) => {
-                    self.count_dropped_message(why);
+                    self.count_dropped_message(&why.to_string());
                     return None;
                 }
             }
--- a/src/fleet/runtime/membership_requests.rs
+++ b/src/fleet/runtime/membership_requests.rs
@@ -30,9 +30,9 @@
                 if leader != me
                     && let Some(way) = self.link_to(leader)
                 {
-                    way.send(&PeerMessage::MembershipRequest(name.to_string(), wish).bytes());
+                    way.send(&PeerMessage::MembershipRequest(name.to_string(), wish).encode());
                 }
-                crate::fleet::peer_link::rest(self.limits.proposal_retry_interval, &woken).await;
+                crate::fleet::peer_link::sleep_or_wake(self.limits.proposal_retry_interval, &woken).await;
             }
         };
         let done = until(Instant::now() + self.limits.agreement_timeout * 2, work).await;
@@ -69,7 +69,7 @@
             let wishes = table.wishes.keys().cloned().collect();
             let word = |h: &PeerStatus| VoterStatus {
                 leaderless: h.leaderless.map_or(TimeDelta::ZERO, |at| TimeDelta::from(now - at)),
-                hears: h.beat.hears.iter().copied().collect(),
+                hears: h.beat.reachable_peers.iter().copied().collect(),
             };
             let words = table.heard.iter().map(|(id, h)| (*id, word(h))).collect();
             let view = MembershipView {
--- a/src/fleet/runtime/message_dispatch.rs
+++ b/src/fleet/runtime/message_dispatch.rs
@@ -7,7 +7,9 @@
     pub(super) fn dispatch(&self, from: &Handshake, candidate: bool, frame: PeerMessage) -> bool {
         {
             let mut table = self.change();
-            if !may_meet(table.state.fleet, from.fleet) || table.state.removed.contains_key(&from.id) {
+            if !bootstrap::fleets_are_compatible(table.state.fleet, from.fleet)
+                || table.state.removed.contains_key(&from.id)
+            {
                 drop(table);
                 self.count_dropped_message("of another fleet");
                 return false;
@@ -55,7 +57,7 @@
             PeerMessage::Heartbeat(beat) => {
                 let differs = {
                     let mut table = self.change();
-                    let marks = beat.marks;
+                    let marks = beat.pending_drains_digest;
                     if let Some(heard) = table.heard.get_mut(&from.id) {
                         heard.leaderless = (beat.leader == NodeId::NOBODY)
                             .then(|| heard.leaderless.unwrap_or_else(Instant::now));
@@ -67,14 +69,14 @@
                     self.notify_watchers();
                 }
                 if differs && let Some(way) = self.link_to(from.id) {
-                    way.send(&PeerMessage::PendingDrains(self.table().marks.all()).bytes());
+                    way.send(&PeerMessage::PendingDrains(self.table().marks.all()).encode());
                 }
             }
             PeerMessage::GossipDigest(digest) => {
                 self.change().digests.insert(from.id, digest.clone());
                 let words = {
                     let table = self.table();
-                    let hears = table.heard.get(&from.id).map_or(&[][..], |h| &h.beat.hears[..]);
+                    let hears = table.heard.get(&from.id).map_or(&[][..], |h| &h.beat.reachable_peers[..]);
                     let hears = |id| hears.contains(&id);
                     table.learned.records_missing_from(
                         self.clock.now(),
@@ -86,12 +88,12 @@
                 if !words.is_empty()
                     && let Some(way) = self.link_to(from.id)
                 {
-                    way.send(&PeerMessage::Observations(words).bytes());
+                    way.send(&PeerMessage::GossipRecords(words).encode());
                 }
             }
             PeerMessage::LogRollbacks(breaks) => self.record_log_rollbacks(breaks, &from.name),
-            PeerMessage::ZoneObservations(sights) => self.receive_zone_observations(from.id, sights),
-            PeerMessage::Observations(words) => {
+            PeerMessage::ZoneOutcomes(sights) => self.receive_zone_observations(from.id, sights),
+            PeerMessage::GossipRecords(words) => {
                 let now = self.clock.now();
                 if self.returns() {
                     GossipState::peer_observations(now, &words)
@@ -116,15 +118,15 @@
                     let _ = self.hints.0.try_send(hint.write());
                 }
             }
-            PeerMessage::PrimaryHint([a, b, c, d, e, f], age) if age >= TimeDelta::ZERO => {
-                let endpoint = EndpointId { ip: [a, b, c, d], port: u16::from_be_bytes([e, f]) };
+            PeerMessage::PrimaryHint { endpoint, age } if age >= TimeDelta::ZERO => {
+                let endpoint = EndpointId::from(endpoint);
                 let hint = PrimaryHint { endpoint, at: self.clock.now() - age };
                 let _ = self.hints.0.try_send(hint.write());
             }
             PeerMessage::Handshake(_)
             | PeerMessage::HandshakeReply(..)
             | PeerMessage::ForwardedProposal(_)
-            | PeerMessage::PrimaryHint(..) => {
+            | PeerMessage::PrimaryHint { .. } => {
                 self.count_dropped_message("out of place");
                 return false;
             }
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -2,11 +2,11 @@
 //! that owns the agreement and takes in what it agreed on.
 
 use self::gossip::clocks;
-use super::bootstrap::{self, BootstrapState, Handshake, HandshakeVerdict};
+use super::bootstrap::{self, Bootstrap, BootstrapState, Handshake, HandshakeVerdict};
 use super::gossip::{GossipState, GossipVersion};
 use super::membership::{MembershipAction, MembershipRequest, MembershipView, VoterStatus};
-use super::message::{Heartbeat, PeerMessage};
-use super::peer_link::{PATH, PROTOCOL, PeerLink, may_meet};
+use super::message::{AppliedPosition, DecodedMessage, HandshakeReply, Heartbeat, PeerMessage};
+use super::peer_link::{LinkDecision, PATH, PROTOCOL, PeerLink, PeerLinkEvents};
 use super::pending_drains::PendingDrains;
 use super::recovery::first_election::FirstElection;
 use super::recovery::phases::{
@@ -110,7 +110,8 @@
 impl PeerStatus {
     /// What a daemon says of itself when it is met.
     fn met(hello: &Handshake) -> PeerStatus {
-        let beat = Heartbeat { term: hello.witness.term, last: hello.witness.last, ..Heartbeat::default() };
+        let beat =
+            Heartbeat { term: hello.witness.term, last_entry: hello.witness.last, ..Heartbeat::default() };
         PeerStatus { at: Instant::now(), name: hello.name.clone(), beat, leaderless: None }
     }
 }
@@ -177,7 +178,7 @@
 
     /// Places of the log that this daemon has yet to take in, by what anybody said to be agreed.
     pub fn lag(&self) -> u64 {
-        let told = self.heard.values().map(|h| h.beat.agreed).chain([self.status.agreed]).max();
+        let told = self.heard.values().map(|h| h.beat.commit_index).chain([self.status.agreed]).max();
         told.unwrap_or(0).saturating_sub(self.applied)
     }
 }
@@ -368,7 +369,7 @@
     }
 
     fn link_to(&self, id: NodeId) -> Option<Rc<PeerLink>> {
-        self.ways.borrow().values().find(|w| w.up.get() && w.id() == id).cloned()
+        self.ways.borrow().values().find(|w| w.is_up() && w.peer_id() == id).cloned()
     }
 
     /// A wake-up at every change of what is known, from now on.
@@ -409,8 +410,8 @@
     }
 
     fn broadcast(&self, frame: &PeerMessage) {
-        let bytes = frame.bytes();
-        for way in self.links().iter().filter(|w| w.up.get()) {
+        let bytes = frame.encode();
+        for way in self.links().iter().filter(|w| w.is_up()) {
             way.send(&bytes);
         }
     }
@@ -431,13 +432,13 @@
         PeerMessage::Heartbeat(Heartbeat {
             leader: table.status.leader,
             term: table.status.term,
-            last: table.status.witness.last,
-            part: table.status.part,
-            agreed: table.status.agreed,
-            applied: (table.applied, table.state.digest),
-            marks: table.marks.digest(),
-            hears: self.recently_heard_peers(&table),
-            returns: self.returns(),
+            last_entry: table.status.witness.last,
+            participates: table.status.part,
+            commit_index: table.status.agreed,
+            applied: AppliedPosition { index: table.applied, digest: table.state.digest },
+            pending_drains_digest: table.marks.digest(),
+            reachable_peers: self.recently_heard_peers(&table),
+            recovering: self.returns(),
         })
     }
 
--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -19,11 +19,11 @@
         for (id, member) in table.state.members.iter().filter(|(id, _)| **id != me) {
             let heard = table.heard.get(id).filter(|h| h.at.elapsed() < self.limits.peer_gone_timeout);
             text += &match heard {
-                Some(h) if h.beat.agreed > last => {
+                Some(h) if h.beat.commit_index > last => {
                     format!(
                         "{} has more: {} changes would be lost; recover there instead\n",
                         member.name,
-                        h.beat.agreed - last
+                        h.beat.commit_index - last
                     )
                 }
                 Some(_) => format!("{} has no more than this daemon\n", member.name),
--- a/src/fleet/runtime/peer_sessions.rs
+++ b/src/fleet/runtime/peer_sessions.rs
@@ -8,12 +8,10 @@
             let table = self.table();
             let me = table.identity.id;
             let ways = self.ways.borrow();
-            let named: BTreeSet<NodeId> = ways.values().filter(|w| w.named).map(|w| w.id()).collect();
-            let names: BTreeSet<String> = ways
-                .values()
-                .filter(|w| w.named)
-                .filter_map(|w| Some(w.met.borrow().as_ref()?.name.clone()))
-                .collect();
+            let named: BTreeSet<NodeId> =
+                ways.values().filter(|w| w.is_configured).map(|w| w.peer_id()).collect();
+            let names: BTreeSet<String> =
+                ways.values().filter(|w| w.is_configured).filter_map(|w| w.peer_name()).collect();
             let member = |(id, m): (&NodeId, &Member)| {
                 (*id != me && !named.contains(id) && !names.contains(&m.name)).then_some(m.address)
             };
@@ -25,7 +23,7 @@
         let mut ways = self.ways.borrow_mut();
         ways.retain(|at, way| {
             if !wanted.contains_key(at) {
-                way.end();
+                way.close();
             }
             wanted.contains_key(at)
         });
@@ -37,22 +35,13 @@
             ways.insert(at, way.clone());
             let fleet = self.clone();
             let task = async move {
-                let judged = |way: &PeerLink, verdict, other| fleet.on_handshake_reply(way, verdict, other);
-                let opened = |way: &PeerLink| fleet.on_connected(way);
-                let broke = |way: &PeerLink| fleet.on_disconnected(way);
-                way.keep(&fleet.limits, || fleet.own_handshake(), judged, opened, broke).await;
+                way.run(&fleet.limits, &*fleet).await;
             };
             self.executor.spawn(task).detach();
         }
     }
 
-    /// The other daemon has said what it makes of this one; whether frames may go.
-    pub(super) fn on_handshake_reply(
-        &self,
-        way: &PeerLink,
-        verdict: HandshakeVerdict,
-        other: Handshake,
-    ) -> bool {
+    fn judge_reply(&self, way: &PeerLink, verdict: HandshakeVerdict, other: Handshake) -> bool {
         let mut table = self.change();
         let first = !table.heard.contains_key(&other.id);
         let (fleet, me) = (table.state.fleet, table.identity.id);
@@ -76,7 +65,7 @@
                 if fleet != 0 && other.fleet == fleet {
                     table.welcomes.insert(other.id);
                 }
-                may_meet(fleet, other.fleet)
+                bootstrap::fleets_are_compatible(fleet, other.fleet)
             }
             HandshakeVerdict::NotYetMember(members) => {
                 let more = members.into_iter().filter(|(name, _)| *name != self.me.name);
@@ -123,27 +112,36 @@
         self.notify_watchers();
         goes
     }
+}
+
+impl PeerLinkEvents for Fleet {
+    fn handshake(&self) -> Handshake {
+        self.own_handshake()
+    }
+
+    fn on_handshake_reply(&self, link: &PeerLink, reply: HandshakeReply) -> LinkDecision {
+        let goes = self.judge_reply(link, reply.verdict, reply.handshake);
+        if goes { LinkDecision::Use } else { LinkDecision::Close }
+    }
 
-    /// What is not agreed, and how things stand, is said at once to whoever comes back.
-    pub(super) fn on_connected(&self, way: &PeerLink) {
-        way.send(&self.own_heartbeat().bytes());
+    fn on_connected(&self, way: &PeerLink) {
+        way.send(&self.own_heartbeat().encode());
         if self.table().leads.is_some() {
             self.send_to_store(Input::Ping);
         }
-        way.send(&PeerMessage::GossipDigest(self.table().learned.digest()).bytes());
+        way.send(&PeerMessage::GossipDigest(self.table().learned.digest()).encode());
         let breaks = self.breaks.borrow().all();
         if !breaks.is_empty() {
-            way.send(&PeerMessage::LogRollbacks(breaks).bytes());
+            way.send(&PeerMessage::LogRollbacks(breaks).encode());
         }
         let marks = self.table().marks.all();
         if !marks.is_empty() {
-            way.send(&PeerMessage::PendingDrains(marks).bytes());
+            way.send(&PeerMessage::PendingDrains(marks).encode());
         }
     }
 
-    /// A way has broken: what was said there no longer counts for the forming of a fleet.
-    pub(super) fn on_disconnected(&self, way: &PeerLink) {
+    fn on_disconnected(&self, way: &PeerLink) {
         self.change().met.remove(&way.address);
-        self.send_to_store(Input::Unreachable(way.id()));
+        self.send_to_store(Input::Unreachable(way.peer_id()));
     }
 }
--- a/src/fleet/runtime/proposals.rs
+++ b/src/fleet/runtime/proposals.rs
@@ -17,7 +17,7 @@
         if leader == me {
             self.send_to_store(Input::Propose(proposal));
         } else if let Some(way) = self.link_to(leader) {
-            way.send(&PeerMessage::ForwardedProposal(proposal).bytes());
+            way.send(&PeerMessage::ForwardedProposal(proposal).encode());
         }
     }
 
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -63,7 +63,7 @@
     pub(super) fn poll_participants(&self) -> PollParticipants {
         let table = self.table();
         let hears = self.recently_heard_peers(&table);
-        let returns = |id: &NodeId| table.heard.get(id).is_some_and(|h| h.beat.returns);
+        let returns = |id: &NodeId| table.heard.get(id).is_some_and(|h| h.beat.recovering);
         let others = hears.into_iter().filter(returns).filter(|id| table.state.members.contains_key(id));
         PollParticipants { local: table.identity.id, peers: others.collect() }
     }
--- a/src/fleet/runtime/store_events.rs
+++ b/src/fleet/runtime/store_events.rs
@@ -63,7 +63,7 @@
         for (to, letters) in by {
             let whole = letters.iter().any(Letter::carries_state);
             let sent =
-                self.link_to(to).is_some_and(|way| way.send(&PeerMessage::RaftMessages(letters).bytes()));
+                self.link_to(to).is_some_and(|way| way.send(&PeerMessage::RaftMessages(letters).encode()));
             if whole {
                 self.send_to_store(Input::Sent(to, sent));
             }
@@ -137,7 +137,7 @@
 
     /// All connections are opened anew, both ways: what was said at their beginning has changed.
     pub(super) fn reconnect_all(&self) {
-        self.links().iter().for_each(|w| w.renew());
+        self.links().iter().for_each(|w| w.reconnect());
         let (before, _) = self.epoch.replace(async_channel::bounded(1));
         before.close();
     }
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -29,7 +29,7 @@
             let seen: BTreeMap<u8, &ZoneOutcomes> =
                 sights.iter().map(|(zone, sight)| (zone.0, sight)).collect();
             log::debug!("zones: seen {seen:?}");
-            self.broadcast(&PeerMessage::ZoneObservations(sights));
+            self.broadcast(&PeerMessage::ZoneOutcomes(sights));
         }
         let lost = self.zoning.borrow_mut().update_local_evacuation(now, &self.table().state);
         for zone in lost {
@@ -62,7 +62,7 @@
     pub(super) fn broadcast_zone_observations(&self) {
         let sights = self.zoning.borrow().own_outcomes().clone();
         if !sights.is_empty() {
-            self.broadcast(&PeerMessage::ZoneObservations(sights));
+            self.broadcast(&PeerMessage::ZoneOutcomes(sights));
         }
     }
 
