--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -1,6 +1,6 @@
 //! Messages between the nodes of a fleet and their framing.
 //!
-//! A frame is a length of four bytes, big-endian, then a record as [`records::write`] makes it: a CRC-32 and the
+//! A frame is a length of four bytes, big-endian, then a record as [`codec::write`] makes it: a CRC-32 and the
 //! message in postcard form. Nodes of the version before read the same bytes: variants and fields keep their
 //! order and types, whatever they are called. The golden tests hold the bytes.
 //!
@@ -14,7 +14,8 @@
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
 use crate::routing::EndpointId;
-use crate::store::records::{self, Letter};
+use crate::store::codec;
+use crate::store::raft_message::Letter;
 use crate::store::state_machine::Proposal;
 use crate::store::storage::Marks;
 use crate::time::TimeDelta;
@@ -145,7 +146,7 @@
 impl PeerMessage {
     /// The bytes to send, with the length prefix.
     pub fn encode(&self) -> Vec<u8> {
-        let body = records::write(self);
+        let body = codec::write(self);
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
         bytes.extend(body);
         bytes
@@ -165,7 +166,7 @@
             return Err(MessageError::TooLong { length, limit });
         }
         let Some(body) = rest.get(..length) else { return Ok(None) };
-        let message = records::read(body).ok_or(MessageError::Malformed)?;
+        let message = codec::read(body).ok_or(MessageError::Malformed)?;
         Ok(Some(DecodedMessage { message, encoded_bytes: LENGTH_PREFIX_BYTES + length }))
     }
 }
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -2,7 +2,7 @@
 //! the log has said what became of them. No I/O.
 
 use crate::ids::NodeId;
-use crate::store::records;
+use crate::store::codec;
 use crate::store::state_machine::{Change, DrainMark, State};
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
@@ -106,7 +106,7 @@
 
     /// Alike at daemons that hold the same.
     pub fn digest(&self) -> u32 {
-        if self.open.is_empty() { 0 } else { crc32fast::hash(&records::write(&self.all())) }
+        if self.open.is_empty() { 0 } else { crc32fast::hash(&codec::write(&self.all())) }
     }
 
     /// What the leader has to put into the log: each at once, and again where it was not settled for `insist`.
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -31,8 +31,10 @@
 use crate::net::until;
 use crate::primary_hint::PrimaryHint;
 use crate::routing::{Availability, EndpointId};
+use crate::store::codec;
+use crate::store::raft_message::Letter;
 use crate::store::raft_node::{Applied, What};
-use crate::store::records::{self, FleetId, HostRecord, Letter};
+use crate::store::records::{FleetId, HostRecord};
 use crate::store::state_machine::{Change, Effect, Member, Proposal, State};
 use crate::store::storage::Identity;
 use crate::store::store_thread::{Input, Opened, Output, Status};
@@ -278,7 +280,7 @@
         marks.remove_settled(&state);
         let mut learned = GossipState::new(identity.id, clock.now().as_micros().max(0) as u64);
         let mut breaks = LogRollbacks::default();
-        if let Some(saved) = kept.and_then(|bytes| records::read::<PersistedGossip>(&bytes)) {
+        if let Some(saved) = kept.and_then(|bytes| codec::read::<PersistedGossip>(&bytes)) {
             for b in &saved.breaks {
                 breaks.record(*b);
             }
--- /dev/null
+++ b/src/store/raft_message/tests.rs
@@ -0,0 +1,39 @@
+//! Messages to the library's form and back.
+
+use super::*;
+use crate::store::records::Conf;
+
+/// Guards against a message that a peer may not send: the library would parse a proposal's bytes.
+#[test]
+fn only_messages_that_go_between_daemons_are_made() {
+    for kind in 0..=u8::MAX {
+        let letter = Letter { kind, to: NodeId(1), from: NodeId(2), ..Letter::default() };
+        let known = KINDS.iter().any(|(k, _)| *k == kind) && kind != 7;
+        assert_eq!(letter.message().is_some(), known, "{kind}");
+    }
+}
+
+#[test]
+fn a_message_keeps_all_that_counts_on_its_way() {
+    let entry = LogEntry { index: 6, term: 3, kind: 2, bytes: vec![1, 2] };
+    let conf = Conf { voters: vec![NodeId(1), NodeId(2)], learners: vec![NodeId(3)], ..Conf::default() };
+    let snapshot = SnapshotRecord { index: 5, term: 2, conf, state: vec![9] };
+    for (kind, snapshot) in [(3, None), (7, Some(snapshot))] {
+        let letter = Letter {
+            kind,
+            to: NodeId(1),
+            from: NodeId(2),
+            term: 3,
+            log_term: 2,
+            index: 5,
+            entries: vec![entry.clone()],
+            commit: 4,
+            snapshot,
+            reject: true,
+            reject_hint: 8,
+            context: vec![7],
+            ..Letter::default()
+        };
+        assert_eq!(Letter::of(letter.clone().message().unwrap()), Some(letter));
+    }
+}
--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -4,7 +4,9 @@
 //! The consensus is the library's (`raft`); what is kept here is its log in memory, the agreed state beside it,
 //! and the order of writing, sending and taking in.
 
-use super::records::{self, Conf, FleetId, Hard, Letter, LogEntry, SnapshotRecord};
+use super::codec;
+use super::raft_message::Letter;
+use super::records::{Conf, FleetId, Hard, LogEntry, SnapshotRecord};
 use super::state_machine::{Effect, Membership, Proposal, State};
 use crate::ids::NodeId;
 use raft::eraftpb::{self, ConfChangeV2, EntryType};
@@ -57,7 +59,7 @@
         let conf = Conf { voters: vec![id], ..Conf::default() };
         Image {
             hard: Hard { term: 1, vote: NodeId::NOBODY, commit: 1 },
-            snapshot: SnapshotRecord { index: 1, term: 1, conf, state: records::write(state) },
+            snapshot: SnapshotRecord { index: 1, term: 1, conf, state: codec::write(state) },
             dropped: (1, 1),
             entries: Vec::new(),
         }
@@ -147,7 +149,7 @@
             index: self.applied,
             term: self.applied_term,
             conf: self.conf.clone(),
-            state: records::write(&self.state),
+            state: codec::write(&self.state),
         }
     }
 
@@ -388,7 +390,7 @@
         let log = self.node.store();
         let open =
             log.entries.iter().filter(|e| e.index > log.applied && e.entry_type == EntryType::EntryNormal);
-        open.filter_map(|e| records::read(&e.data)).collect()
+        open.filter_map(|e| codec::read(&e.data)).collect()
     }
 
     /// How far the others are; empty where this daemon does not lead.
@@ -440,7 +442,7 @@
 
     /// Proposes a change; false: this daemon does not lead, or cannot take more now.
     pub fn propose(&mut self, proposal: &Proposal) -> bool {
-        self.leads() && self.node.propose(Vec::new(), records::write(proposal)).is_ok()
+        self.leads() && self.node.propose(Vec::new(), codec::write(proposal)).is_ok()
     }
 
     /// Proposes a change of the membership; false: this daemon does not lead, or another one goes on.
@@ -450,7 +452,7 @@
         }
         let mut cc = ConfChangeV2::default();
         cc.set_changes(change.steps.iter().map(|s| s.single()).collect::<Vec<_>>().into());
-        self.node.propose_conf_change(records::write(change), cc).is_ok()
+        self.node.propose_conf_change(codec::write(change), cc).is_ok()
     }
 
     /// Asks a majority whether this daemon still leads; [`Replica::confirmed`] tells when it said so.
@@ -539,12 +541,12 @@
             let mut effect = Effect::Done;
             if entry.kind == 0 {
                 // One that cannot be read, as a newer program may write it, changes nothing anywhere.
-                if let Some(proposal) = records::read::<Proposal>(&entry.bytes) {
+                if let Some(proposal) = codec::read::<Proposal>(&entry.bytes) {
                     effect = self.node.mut_store().state.apply(index, &proposal.change);
                     what = What::Change(proposal);
                 }
             } else {
-                let change: Membership = records::read(&entry.bytes).unwrap_or_default();
+                let change: Membership = codec::read(&entry.bytes).unwrap_or_default();
                 let mut cc = ConfChangeV2::default();
                 cc.set_changes(change.steps.iter().map(|s| s.single()).collect::<Vec<_>>().into());
                 match self.node.apply_conf_change(&cc) {
--- a/src/store/raft_node/tests.rs
+++ b/src/store/raft_node/tests.rs
@@ -290,7 +290,7 @@
     let foreign = SnapshotRecord {
         index: 9,
         term: 9,
-        state: records::write(&State { fleet: 8, ..State::default() }),
+        state: codec::write(&State { fleet: 8, ..State::default() }),
         conf: Conf::default(),
     };
     let broken = SnapshotRecord { state: vec![1, 2, 3], ..foreign.clone() };
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -1,9 +1,10 @@
 //! What a daemon keeps on its disk: its identity, the log, a state, drains that are not agreed yet, and what the
 //! others once said. A crash-safe library (`redb`) keeps it; every value has a check sum of its own.
 
+use super::codec;
 use super::legacy;
 use super::raft_node::{Image, Write};
-use super::records::{self, Hard, LogEntry, SnapshotRecord};
+use super::records::{Hard, LogEntry, SnapshotRecord};
 use super::state_machine::DrainMark;
 use crate::ids::NodeId;
 use redb::backends::InMemoryBackend;
@@ -100,7 +101,7 @@
     key: &str,
 ) -> Result<Option<T>, String> {
     let Some(found) = table.get(key).map_err(text)? else { return Ok(None) };
-    records::read(found.value()).map(Some).ok_or_else(|| format!("{key} is damaged"))
+    codec::read(found.value()).map(Some).ok_or_else(|| format!("{key} is damaged"))
 }
 
 fn read(db: &Database) -> Result<Option<(Identity, Held)>, String> {
@@ -124,7 +125,7 @@
     };
     for row in reading.open_table(LOG).map_err(text)?.iter().map_err(text)? {
         let (index, bytes) = row.map_err(text)?;
-        let entry: Option<LogEntry> = records::read(bytes.value());
+        let entry: Option<LogEntry> = codec::read(bytes.value());
         let entry = entry.filter(|e| e.index == index.value());
         image.entries.push(entry.ok_or_else(|| format!("entry {} is damaged", index.value()))?);
     }
@@ -244,8 +245,8 @@
         writing.set_durability(Durability::Immediate).map_err(text)?;
         {
             let mut meta = writing.open_table(META).map_err(text)?;
-            meta.insert("form", &records::write(&FORM)[..]).map_err(text)?;
-            meta.insert("identity", &records::write(&identity)[..]).map_err(text)?;
+            meta.insert("form", &codec::write(&FORM)[..]).map_err(text)?;
+            meta.insert("identity", &codec::write(&identity)[..]).map_err(text)?;
             writing.open_table(LOG).map_err(text)?;
         }
         writing.commit().map_err(text)?;
@@ -253,7 +254,7 @@
     }
 
     fn put<T: Serialize>(&self, key: &str, value: &T) -> Result<(), String> {
-        self.write(&Write::default(), &[(key, records::write(value))])
+        self.write(&Write::default(), &[(key, codec::write(value))])
     }
 
     /// Writes all of this or nothing, and comes back when it is on the disk.
@@ -264,20 +265,20 @@
             let mut meta = writing.open_table(META).map_err(text)?;
             let mut log = writing.open_table(LOG).map_err(text)?;
             if let Some(hard) = &write.hard {
-                meta.insert("hard", &records::write(hard)[..]).map_err(text)?;
+                meta.insert("hard", &codec::write(hard)[..]).map_err(text)?;
             }
             if let Some(snapshot) = &write.snapshot {
-                meta.insert("snapshot", &records::write(snapshot)[..]).map_err(text)?;
+                meta.insert("snapshot", &codec::write(snapshot)[..]).map_err(text)?;
             }
             if let Some(dropped) = &write.dropped {
-                meta.insert("dropped", &records::write(dropped)[..]).map_err(text)?;
+                meta.insert("dropped", &codec::write(dropped)[..]).map_err(text)?;
                 log.retain_in(..=dropped.0, |_, _| false).map_err(text)?;
             }
             if let Some(first) = write.entries.first() {
                 log.retain_in(first.index.., |_, _| false).map_err(text)?;
             }
             for entry in &write.entries {
-                log.insert(entry.index, &records::write(entry)[..]).map_err(text)?;
+                log.insert(entry.index, &codec::write(entry)[..]).map_err(text)?;
             }
             for (key, value) in more {
                 meta.insert(*key, &value[..]).map_err(text)?;
--- a/src/store/storage/tests.rs
+++ b/src/store/storage/tests.rs
@@ -132,7 +132,7 @@
             let mut lost = None;
             for _ in 0..12 {
                 let write = any_write(&mut rng, &image);
-                if disk.write(&write, &[("marks", records::write(&Marks::new()))]).is_err() {
+                if disk.write(&write, &[("marks", codec::write(&Marks::new()))]).is_err() {
                     lost = Some(write);
                     break;
                 }
--- a/src/store/store_thread.rs
+++ b/src/store/store_thread.rs
@@ -1,8 +1,10 @@
 //! The thread that owns this daemon's part in the agreement and its disk: a queue in, a queue out. A slow disk
 //! holds up nobody but itself.
 
+use super::codec;
+use super::raft_message::Letter;
 use super::raft_node::{Applied, Image, Progress, Replica, What, Write};
-use super::records::{self, Conf, Hard, Letter};
+use super::records::{Conf, Hard};
 use super::state_machine::{Change, Effect, Membership, Proposal, State};
 use super::storage::{Disk, Held, Identity, Marks, Witness};
 use crate::config::Limits;
@@ -311,12 +313,12 @@
             Input::Propose(proposal) => self.propose(proposal),
             Input::Members(change) => drop(self.guarded(|r| r.propose_members(&change))),
             Input::Marks(marks, number) => {
-                if self.write(&Write::default(), &[("marks", records::write(&marks))]) {
+                if self.write(&Write::default(), &[("marks", codec::write(&marks))]) {
                     self.tell(Output::Saved(number));
                 }
             }
             Input::Learned(bytes) => {
-                self.write(&Write::default(), &[("learned", records::write(&bytes))]);
+                self.write(&Write::default(), &[("learned", codec::write(&bytes))]);
             }
             Input::Found(state) => self.found(&state),
             Input::Recover(state) => {
@@ -420,7 +422,7 @@
         let write = Write { hard: write.hard.or(commit), ..write.clone() };
         let mut more = more.to_vec();
         if std::mem::take(&mut self.heard) {
-            more.push(("witnesses", records::write(&self.witnesses)));
+            more.push(("witnesses", codec::write(&self.witnesses)));
         }
         match disk.write(&write, &more) {
             Ok(()) => {
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -7,9 +7,11 @@
 use brookpass::config::Limits;
 use brookpass::fleet::recovery::PersistedGossip;
 use brookpass::ids::NodeId;
+use brookpass::store::codec;
 use brookpass::store::legacy::{self, Legacy};
+use brookpass::store::raft_message::Letter;
 use brookpass::store::raft_node::{Applied, Replica, What, Write};
-use brookpass::store::records::{self, Conf, HostRecord, Letter, LogEntry};
+use brookpass::store::records::{Conf, HostRecord, LogEntry};
 use brookpass::store::state_machine::{Change, Effect};
 use brookpass::store::storage::{Disk, Held};
 use brookpass::store::store_thread::{self, Input, Output};
@@ -31,7 +33,7 @@
     assert_eq!(held.image, image());
     assert_eq!(held.marks, marks());
     assert_eq!(held.witnesses, witnesses());
-    assert_eq!(held.learned.as_deref().and_then(records::read::<PersistedGossip>), Some(saved()));
+    assert_eq!(held.learned.as_deref().and_then(codec::read::<PersistedGossip>), Some(saved()));
     assert_eq!((&held.legacy, &held.notes), (&None, &Vec::new()));
 }
 
@@ -39,8 +41,8 @@
 fn wanted() -> Vec<(u64, u32, What, Effect)> {
     let entries = entries().into_iter().filter(|e| (21..=27).contains(&e.index));
     let what = |e: &LogEntry| match e.kind {
-        0 => What::Change(records::read(&e.bytes).unwrap()),
-        _ => What::Members(records::read(&e.bytes).unwrap()),
+        0 => What::Change(codec::read(&e.bytes).unwrap()),
+        _ => What::Members(codec::read(&e.bytes).unwrap()),
     };
     entries.zip(DIGESTS).map(|(e, digest)| (e.index, digest, what(&e), Effect::Done)).collect()
 }
@@ -114,7 +116,7 @@
     let mut drains = marks();
     drains.extend([("s-2-0".to_string(), mark(B3, 2)), ("s-1-0".to_string(), mark(B2, 11))]);
     assert_eq!(opened.marks, drains);
-    assert_eq!(opened.learned.as_deref().and_then(records::read::<PersistedGossip>), Some(saved()));
+    assert_eq!(opened.learned.as_deref().and_then(codec::read::<PersistedGossip>), Some(saved()));
     assert_eq!(opened.legacy, None);
     let status = &opened.status;
     assert_eq!(
@@ -143,18 +145,18 @@
 fn a_store_written_now_has_the_tables_keys_and_bytes_of_the_fixture() {
     let folder = folder("dump");
     let mut wanted: Vec<String> = [
-        ("dropped", records::write(&image().dropped)),
-        ("form", records::write(&1_u32)),
-        ("hard", records::write(&image().hard)),
-        ("identity", records::write(&identity())),
-        ("learned", records::write(&records::write(&saved()))),
-        ("marks", records::write(&marks())),
-        ("snapshot", records::write(&image().snapshot)),
-        ("witnesses", records::write(&witnesses())),
+        ("dropped", codec::write(&image().dropped)),
+        ("form", codec::write(&1_u32)),
+        ("hard", codec::write(&image().hard)),
+        ("identity", codec::write(&identity())),
+        ("learned", codec::write(&codec::write(&saved()))),
+        ("marks", codec::write(&marks())),
+        ("snapshot", codec::write(&image().snapshot)),
+        ("witnesses", codec::write(&witnesses())),
     ]
     .map(|(key, value)| format!("meta {key} = {}", hex(&value)))
     .into();
-    wanted.extend(entries().iter().map(|e| format!("log {} = {}", e.index, hex(&records::write(e)))));
+    wanted.extend(entries().iter().map(|e| format!("log {} = {}", e.index, hex(&codec::write(e)))));
     assert_eq!(dump(&copy(&folder, "b1.store", false)), wanted);
     let path = folder.join("now.store");
     make(&path);
@@ -169,7 +171,7 @@
     let path = folder.join("b1.store");
     let (mut disk, held) = Disk::open(&path).unwrap();
     disk.identity.id = B1;
-    disk.write(&image().whole(), &[("identity", records::write(&disk.identity))]).unwrap();
+    disk.write(&image().whole(), &[("identity", codec::write(&disk.identity))]).unwrap();
     let held = Held { image: disk.image().unwrap(), ..held };
     let (_, inputs, outputs) = store_thread::start(disk, held, &Limits::for_sockets(1024)).unwrap();
     let heartbeat = |from: NodeId, term| {
@@ -178,7 +180,7 @@
         Letter::of(m).unwrap()
     };
     inputs.send(Input::Letters(vec![heartbeat(B2, 4), heartbeat(B3, 3)])).unwrap();
-    inputs.send(Input::Learned(records::write(&saved()))).unwrap();
+    inputs.send(Input::Learned(codec::write(&saved()))).unwrap();
     inputs.send(Input::Marks(marks(), 77)).unwrap();
     while !matches!(next(&outputs).unwrap(), Output::Saved(77)) {}
     drop(inputs);
@@ -191,7 +193,7 @@
         assert_eq!(of(&kept), of(&fixture));
     }
     let heard = [B2, B3].map(|id| (id, (0_u64, if id == B2 { 4_u64 } else { 3 }, (0_u64, 0_u64))));
-    let heard = records::write(&std::collections::BTreeMap::from(heard));
+    let heard = codec::write(&std::collections::BTreeMap::from(heard));
     assert!(kept.contains(&format!("meta witnesses = {}", hex(&heard))), "{kept:#?}");
     fs::remove_dir_all(folder).unwrap();
 }
@@ -200,10 +202,10 @@
 fn make(path: &Path) {
     let (disk, _) = Disk::open(path).unwrap();
     let more = [
-        ("identity", records::write(&identity())),
-        ("learned", records::write(&records::write(&saved()))),
-        ("marks", records::write(&marks())),
-        ("witnesses", records::write(&witnesses())),
+        ("identity", codec::write(&identity())),
+        ("learned", codec::write(&codec::write(&saved()))),
+        ("marks", codec::write(&marks())),
+        ("witnesses", codec::write(&witnesses())),
     ];
     disk.write(&image().whole(), &more).unwrap();
     drop(disk);
@@ -295,7 +297,7 @@
     // What was learned is worth nothing after an hour: here it was written now.
     let mut learned = saved();
     learned.at.wall = Timestamp::from_micros(now());
-    put(&path, "learned", &records::write(&records::write(&learned)));
+    put(&path, "learned", &codec::write(&codec::write(&learned)));
     let file = folder.join("operator.yaml");
     fs::write(&file, OPERATOR).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_brookpass"));
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -5,8 +5,9 @@
 use brookpass::fleet::gossip::{GossipRecord, GossipVersion};
 use brookpass::fleet::recovery::{ClockReading, PersistedGossip};
 use brookpass::ids::{GroupId, NodeId, ZoneId};
+use brookpass::store::codec;
 use brookpass::store::raft_node::Image;
-use brookpass::store::records::{self, Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
+use brookpass::store::records::{Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
 use brookpass::store::state_machine::{Change, DrainMark, Member, Membership, Proposal, Source, State};
 use brookpass::store::storage::{Identity, Marks, Witness};
 use brookpass::store::zone_weights::{Share, Why};
@@ -152,10 +153,10 @@
         index,
         term,
         kind: 0,
-        bytes: records::write(&proposal(from, token, change)),
+        bytes: codec::write(&proposal(from, token, change)),
     };
     let members =
-        |index, change: Membership| LogEntry { index, term: 3, kind: 2, bytes: records::write(&change) };
+        |index, change: Membership| LogEntry { index, term: 3, kind: 2, bytes: codec::write(&change) };
     vec![
         change(19, 2, B3, 31, drain("s-1-1", mark(B2, 8))),
         LogEntry { index: 20, term: 3, kind: 0, bytes: Vec::new() },
@@ -229,7 +230,7 @@
             index: 20,
             term: 3,
             conf: Conf { voters: vec![B1, B2], learners: vec![B3, B8], ..Conf::default() },
-            state: records::write(&snapshot_state()),
+            state: codec::write(&snapshot_state()),
         },
         dropped: (18, 2),
         entries: entries(),
@@ -308,7 +309,7 @@
     if adopted {
         let meta = std::fs::metadata(&path).unwrap();
         let own = Identity { place: (meta.dev(), meta.ino()), ..identity() };
-        put(&path, "identity", &records::write(&own));
+        put(&path, "identity", &codec::write(&own));
     }
     path
 }
--- a/tests/stored_records.rs
+++ b/tests/stored_records.rs
@@ -4,7 +4,8 @@
 mod stored;
 
 use brookpass::ids::{GroupId, NodeId, ZoneId};
-use brookpass::store::records::{self, Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
+use brookpass::store::codec;
+use brookpass::store::records::{Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
 use brookpass::store::state_machine::{Change, Membership, State};
 use brookpass::store::storage::{Identity, Marks, Witness};
 use brookpass::store::zone_weights::Why;
@@ -28,9 +29,9 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
 {
-    let bytes = records::write(&value);
+    let bytes = codec::write(&value);
     let fault = move |bytes: &[u8]| {
-        let read: Option<T> = records::read(bytes);
+        let read: Option<T> = codec::read(bytes);
         (read.as_ref() != Some(&value)).then(|| format!("{read:?} is read, not {value:?}"))
     };
     Record { name, bytes, fault: Box::new(fault) }
@@ -126,14 +127,14 @@
         record("conf", conf()),
         record(
             "snapshot",
-            SnapshotRecord { index: 20, term: 3, conf: conf(), state: records::write(&full_state()) },
+            SnapshotRecord { index: 20, term: 3, conf: conf(), state: codec::write(&full_state()) },
         ),
         record("witness", Witness { boots: 3, term: 4, last: (5, 600) }),
         record("witnesses", witnesses()),
         record("marks", marks()),
         record::<Marks>("marks-none", Vec::new()),
         record("saved", saved()),
-        record("learned", records::write(&saved())),
+        record("learned", codec::write(&saved())),
         record("host", full_host()),
         record("host-v6-unstarted", host("[fd00::8]:7002", 8, 2, 1.5)),
         record("entry-change", LogEntry { index: 300, term: 9, kind: 0, bytes: vec![1, 2, 0xff] }),
@@ -214,7 +215,7 @@
 
 /// The bytes of a state from which the last `missing` ones are cut, as a version wrote it that lacked these fields.
 fn earlier(state: &State, missing: usize) -> Vec<u8> {
-    let bytes = records::write(state);
+    let bytes = codec::write(state);
     let body = &bytes[4..bytes.len() - missing];
     [&crc32fast::hash(body).to_be_bytes()[..], body].concat()
 }
@@ -225,7 +226,7 @@
     for (name, wanted) in
         [("state-without-regions", without_regions()), ("state-without-shares", without_shares())]
     {
-        assert_eq!(records::read::<State>(&golden[name]), None, "{name} is of an earlier form");
+        assert_eq!(codec::read::<State>(&golden[name]), None, "{name} is of an earlier form");
         assert_eq!(State::read(&golden[name]), Some(wanted), "{name}");
     }
     assert_eq!(State::read(&golden["state"]), Some(full_state()));
