--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -17,7 +17,7 @@
 use crate::net::sparql::host::Sparql;
 use crate::net::until;
 use crate::routing::{Settings, TimeDelta};
-use crate::store::storage::{Disk, Held};
+use crate::store::storage::{DurableStorage, StoreContents};
 use crate::store::store_thread;
 use async_io::{Async, Timer};
 use std::cell::RefCell;
@@ -28,10 +28,10 @@
 use std::time::{Duration, Instant, SystemTime};
 
 /// Opens the store's file, or one that lasts as long as the process.
-fn open_store(operator: &Operator) -> Result<(Disk, Held), String> {
+fn open_store(operator: &Operator) -> Result<(DurableStorage, StoreContents), String> {
     let (disk, held) = match &operator.store.snapshot {
-        Some(path) => Disk::open(path)?,
-        None => Disk::in_memory()?,
+        Some(path) => DurableStorage::open(path)?,
+        None => DurableStorage::in_memory()?,
     };
     held.notes.iter().for_each(|note| log::warn!("{note}"));
     Ok((disk, held))
--- a/src/fleet/bootstrap.rs
+++ b/src/fleet/bootstrap.rs
@@ -6,8 +6,8 @@
 
 use crate::ids::NodeId;
 use crate::store::records::FleetId;
-use crate::store::state_machine::State;
-use crate::store::storage::Witness;
+use crate::store::state_machine::ClusterState;
+use crate::store::storage::PersistedProgress;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -25,7 +25,7 @@
     /// Where its peers reach it.
     pub address: SocketAddr,
     /// How far its storage is, for peers to detect one that was put back to an earlier copy.
-    pub witness: Witness,
+    pub witness: PersistedProgress,
 }
 
 /// The answer to a handshake. The order of the variants is that of the bytes.
@@ -46,12 +46,16 @@
 }
 
 /// Judges the handshake of a peer. `known` is the furthest that this peer's storage was ever reported to be.
-pub fn judge_handshake(state: &State, known: Option<&Witness>, handshake: &Handshake) -> HandshakeVerdict {
+pub fn judge_handshake(
+    state: &ClusterState,
+    known: Option<&PersistedProgress>,
+    handshake: &Handshake,
+) -> HandshakeVerdict {
     if state.fleet == 0 {
         // A node without a fleet has nothing to compare the peer with.
         return HandshakeVerdict::Accepted;
     }
-    if state.former.contains(&handshake.fleet) {
+    if state.previous_fleets.contains(&handshake.fleet) {
         return HandshakeVerdict::SupersededFleet;
     }
     if state.removed.contains_key(&handshake.id) {
@@ -65,7 +69,7 @@
         return HandshakeVerdict::OtherFleet;
     }
     match known {
-        Some(known) if known.outdates(&handshake.witness) => HandshakeVerdict::OutdatedStorage,
+        Some(known) if known.is_ahead_of(&handshake.witness) => HandshakeVerdict::OutdatedStorage,
         _ => HandshakeVerdict::Accepted,
     }
 }
--- a/src/fleet/bootstrap/tests.rs
+++ b/src/fleet/bootstrap/tests.rs
@@ -6,7 +6,7 @@
 /// The handshake of node `id`.
 fn handshake(name: &str, id: u64, fleet: FleetId) -> Handshake {
     let address = ([127, 0, 0, 1], id as u16).into();
-    let witness = Witness { boots: 3, term: 5, last: (4, 90) };
+    let witness = PersistedProgress { boot_count: 3, term: 5, last_entry: (4, 90) };
     Handshake { fleet, id: NodeId(id), name: name.into(), address, witness }
 }
 
@@ -85,7 +85,7 @@
 /// Guards against storage from an earlier copy that votes again, a removed member, and a node of another fleet.
 #[test]
 fn a_handshake_is_compared_with_the_fleet_and_with_earlier_reports() {
-    let mut state = State::default();
+    let mut state = ClusterState::default();
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 0)), HandshakeVerdict::Accepted);
     state.fleet = 7;
     state.members.insert(NodeId(1), Member { name: "a".into(), address: address(1) });
@@ -97,15 +97,15 @@
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 8)), HandshakeVerdict::OtherFleet);
     assert_eq!(judge_handshake(&state, None, &handshake("x", 9, 7)), HandshakeVerdict::RemovedMember);
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 7)), HandshakeVerdict::Accepted);
-    state.former.insert(6);
+    state.previous_fleets.insert(6);
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 6)), HandshakeVerdict::SupersededFleet);
     let reported = handshake("b", 2, 7).witness;
     for (known, expected) in [
         (reported, HandshakeVerdict::Accepted),
-        (Witness { boots: 4, ..reported }, HandshakeVerdict::OutdatedStorage),
-        (Witness { term: 6, ..reported }, HandshakeVerdict::OutdatedStorage),
-        (Witness { last: (4, 91), ..reported }, HandshakeVerdict::OutdatedStorage),
-        (Witness { last: (3, 99), ..reported }, HandshakeVerdict::Accepted),
+        (PersistedProgress { boot_count: 4, ..reported }, HandshakeVerdict::OutdatedStorage),
+        (PersistedProgress { term: 6, ..reported }, HandshakeVerdict::OutdatedStorage),
+        (PersistedProgress { last_entry: (4, 91), ..reported }, HandshakeVerdict::OutdatedStorage),
+        (PersistedProgress { last_entry: (3, 99), ..reported }, HandshakeVerdict::Accepted),
     ] {
         assert_eq!(judge_handshake(&state, Some(&known), &handshake("b", 2, 7)), expected, "{known:?}");
     }
--- a/src/fleet/gossip/mod.rs
+++ b/src/fleet/gossip/mod.rs
@@ -20,7 +20,7 @@
 use crate::engine::poll_scheduler;
 use crate::ids::GroupId;
 use crate::ids::NodeId;
-use crate::store::state_machine::State;
+use crate::store::state_machine::ClusterState;
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -143,7 +143,7 @@
 
     /// Takes in what another daemon passed on. A host that the agreed list has not is not taken in, nor is
     /// anything of a daemon that is no member; what this daemon said itself comes back to nobody.
-    pub fn merge(&mut self, now: Timestamp, words: Vec<GossipRecord>, state: &State) {
+    pub fn merge(&mut self, now: Timestamp, words: Vec<GossipRecord>, state: &ClusterState) {
         for word in words {
             let GossipRecord { by, count, host, primary, position, age, out, up, rate, used } = word;
             let is_sound =
@@ -170,7 +170,7 @@
     }
 
     /// Forgets hosts that are gone, and daemons that are.
-    pub fn remove_departed(&mut self, now: Timestamp, state: &State) {
+    pub fn remove_departed(&mut self, now: Timestamp, state: &ClusterState) {
         let me = self.me;
         self.counts
             .retain(|id, (_, at)| *id == me || state.members.contains_key(id) && now - *at < FORGOTTEN);
--- a/src/fleet/gossip/primary_beliefs.rs
+++ b/src/fleet/gossip/primary_beliefs.rs
@@ -2,7 +2,7 @@
 
 use super::{GossipState, OLD};
 use crate::ids::{GroupId, NodeId};
-use crate::store::state_machine::State;
+use crate::store::state_machine::ClusterState;
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
     /// Works out who is primary where, from evidence that is not too old; what is new since the last time. What
     /// this daemon heard of a host itself voids every word of others about it from before, and a later primary
     /// is never replaced by an earlier one.
-    pub fn update_beliefs(&mut self, now: Timestamp, state: &State) -> Vec<(GroupId, PrimaryBelief)> {
+    pub fn update_beliefs(&mut self, now: Timestamp, state: &ClusterState) -> Vec<(GroupId, PrimaryBelief)> {
         let empty = BTreeMap::new();
         let own = self.all.get(&self.me).unwrap_or(&empty);
         let mut found: BTreeMap<GroupId, PrimaryBelief> = BTreeMap::new();
--- a/src/fleet/gossip/restored.rs
+++ b/src/fleet/gossip/restored.rs
@@ -4,7 +4,7 @@
 use super::{GossipRecord, GossipState};
 use crate::engine::PeerObservation;
 use crate::ids::GroupId;
-use crate::store::state_machine::State;
+use crate::store::state_machine::ClusterState;
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
@@ -75,7 +75,7 @@
 
     /// First guesses at the primaries of groups of which nothing was heard since the start, from what was known
     /// before it; of several hosts of a group the one that called itself that last.
-    pub fn restored_primaries(&self, state: &State) -> BTreeMap<GroupId, (String, Timestamp)> {
+    pub fn restored_primaries(&self, state: &ClusterState) -> BTreeMap<GroupId, (String, Timestamp)> {
         let mut found: BTreeMap<GroupId, (String, Timestamp)> = BTreeMap::new();
         for (host, at) in self.before.iter().filter_map(|(host, b)| Some((host, b.primary?))) {
             let Some(group) = state.hosts.get(host).map(|h| h.group) else { continue };
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -2,9 +2,9 @@
 
 use super::bootstrap::Handshake;
 use crate::ids::NodeId;
-use crate::store::raft_node::Progress;
-use crate::store::records::{Conf, Step};
-use crate::store::state_machine::{MEMBERS, Member, Membership, State};
+use crate::store::raft_node::PeerProgress;
+use crate::store::records::{Configuration, MembershipStep};
+use crate::store::state_machine::{ClusterState, MAX_MEMBERS, Member, MembershipChange};
 use crate::time::TimeDelta;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,13 +34,13 @@
     /// The leader.
     pub me: NodeId,
     /// What is agreed.
-    pub state: &'a State,
+    pub state: &'a ClusterState,
     /// Who votes and who follows.
-    pub conf: &'a Conf,
+    pub conf: &'a Configuration,
     /// The last place that is agreed.
     pub agreed: u64,
     /// How far the others are.
-    pub progress: &'a [Progress],
+    pub progress: &'a [PeerProgress],
     /// Daemons that were met a moment ago and are no members.
     pub candidates: &'a BTreeMap<NodeId, Handshake>,
     /// How long ago each member was last heard.
@@ -61,14 +61,14 @@
     /// Nothing.
     Nothing,
     /// Propose this.
-    Propose(Membership),
+    Propose(MembershipChange),
     /// Hand the lead over first: it is itself the one to go.
     TransferLeadership(NodeId),
 }
 
 impl MembershipView<'_> {
     fn caught_up(&self, id: NodeId) -> bool {
-        self.progress.iter().any(|p| p.id == id && p.active && p.matched + CLOSE >= self.agreed)
+        self.progress.iter().any(|p| p.id == id && p.recently_active && p.match_index + CLOSE >= self.agreed)
     }
 
     fn is_gone(&self, id: NodeId) -> bool {
@@ -84,8 +84,8 @@
         self.state.members.iter().find(|(other, m)| **other != id && m.name == name).map(|(other, _)| *other)
     }
 
-    fn comes(&self) -> Option<Membership> {
-        if self.state.members.len() >= MEMBERS {
+    fn comes(&self) -> Option<MembershipChange> {
+        if self.state.members.len() >= MAX_MEMBERS {
             return None;
         }
         for (id, hello) in self.candidates {
@@ -97,21 +97,24 @@
                 continue;
             }
             let member = Member { name: hello.name.clone(), address: hello.address };
-            return Some(Membership { steps: vec![Step::Follow(*id)], comes: Some((*id, member)) });
+            return Some(MembershipChange {
+                steps: vec![MembershipStep::AddLearner(*id)],
+                joining: Some((*id, member)),
+            });
         }
         None
     }
 
-    fn rises(&self) -> Option<Membership> {
-        let plain = |steps| Some(Membership { steps, comes: None });
+    fn rises(&self) -> Option<MembershipChange> {
+        let plain = |steps| Some(MembershipChange { steps, joining: None });
         for id in self.conf.learners.iter().filter(|id| self.caught_up(**id)) {
             let name = self.state.members.get(id).map_or("", |m| m.name.as_str());
             match self.former(*id, name) {
                 Some(former) if self.is_gone(former) => {
                     let votes = self.conf.voters.contains(&former);
-                    let mut steps = vec![Step::Remove(former)];
+                    let mut steps = vec![MembershipStep::Remove(former)];
                     if votes || self.state.founders.contains(name) {
-                        steps.push(Step::Vote(*id));
+                        steps.push(MembershipStep::AddVoter(*id));
                     }
                     return plain(steps);
                 }
@@ -119,7 +122,7 @@
                 None if self.state.founders.contains(name)
                     || self.wishes(name, MembershipRequest::GrantVote) =>
                 {
-                    return plain(vec![Step::Vote(*id)]);
+                    return plain(vec![MembershipStep::AddVoter(*id)]);
                 }
                 None => {}
             }
@@ -142,7 +145,10 @@
                     .min()
                     .map_or(MembershipAction::Nothing, |heir| MembershipAction::TransferLeadership(*heir));
             }
-            return MembershipAction::Propose(Membership { steps: vec![Step::Remove(*id)], comes: None });
+            return MembershipAction::Propose(MembershipChange {
+                steps: vec![MembershipStep::Remove(*id)],
+                joining: None,
+            });
         }
         MembershipAction::Nothing
     }
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::store::storage::Witness;
+use crate::store::storage::PersistedProgress;
 
 /// A fleet on paper: every step that is proposed is agreed.
 struct Paper {
-    state: State,
-    conf: Conf,
-    progress: Vec<Progress>,
+    state: ClusterState,
+    conf: Configuration,
+    progress: Vec<PeerProgress>,
     candidates: BTreeMap<NodeId, Handshake>,
     silent: BTreeMap<NodeId, TimeDelta>,
     led_for: TimeDelta,
@@ -21,9 +21,9 @@
     fn new(founders: &[&str]) -> Paper {
         let founders = founders.iter().map(|f| f.to_string()).collect();
         Paper {
-            state: State::found(7, NodeId(1), member("a"), founders),
-            conf: Conf { voters: vec![NodeId(1)], ..Conf::default() },
-            progress: vec![Progress { id: NodeId(1), matched: 100, active: true }],
+            state: ClusterState::found_fleet(7, NodeId(1), member("a"), founders),
+            conf: Configuration { voters: vec![NodeId(1)], ..Configuration::default() },
+            progress: vec![PeerProgress { id: NodeId(1), match_index: 100, recently_active: true }],
             candidates: BTreeMap::new(),
             silent: BTreeMap::new(),
             led_for: TimeDelta::from_micros(60_000),
@@ -34,7 +34,7 @@
 
     fn meet(&mut self, id: u64, name: &str) {
         let id = NodeId(id);
-        let (address, witness) = (([127, 0, 0, 1], 9).into(), Witness::default());
+        let (address, witness) = (([127, 0, 0, 1], 9).into(), PersistedProgress::default());
         let hello = Handshake { fleet: 0, id, name: name.into(), address, witness };
         self.candidates.insert(id, hello);
         self.silent.insert(id, TimeDelta::ZERO);
@@ -67,21 +67,21 @@
             for step in &change.steps {
                 let gone = |ids: &mut Vec<NodeId>, id| ids.retain(|i| *i != id);
                 match *step {
-                    Step::Vote(id) => {
+                    MembershipStep::AddVoter(id) => {
                         gone(&mut self.conf.learners, id);
                         self.conf.voters.push(id);
                     }
-                    Step::Follow(id) => {
+                    MembershipStep::AddLearner(id) => {
                         self.conf.learners.push(id);
-                        self.progress.push(Progress { id, matched: 90, active: true });
+                        self.progress.push(PeerProgress { id, match_index: 90, recently_active: true });
                     }
-                    Step::Remove(id) => {
+                    MembershipStep::Remove(id) => {
                         gone(&mut self.conf.voters, id);
                         gone(&mut self.conf.learners, id);
                     }
                 }
             }
-            self.state.apply_members(&change);
+            self.state.apply_membership(&change);
             self.conf.voters.sort_unstable();
             voters.push(self.conf.voters.clone());
         }
@@ -107,9 +107,9 @@
     assert_eq!(paper.run(), [[1, 3, 4].map(NodeId)]);
     assert_eq!(paper.state.removed.get(&NodeId(2)).map(String::as_str), Some("b"));
     paper.wishes = [("a".to_string(), MembershipRequest::Remove)].into();
-    paper.progress.iter_mut().for_each(|p| p.matched = 0);
+    paper.progress.iter_mut().for_each(|p| p.match_index = 0);
     assert_eq!(paper.next(), MembershipAction::Nothing, "nobody has caught up enough to lead after it");
-    paper.progress.iter_mut().for_each(|p| p.matched = 100);
+    paper.progress.iter_mut().for_each(|p| p.match_index = 100);
     assert_eq!(
         paper.next(),
         MembershipAction::TransferLeadership(NodeId(3)),
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -1,6 +1,6 @@
 //! Messages between the nodes of a fleet and their framing.
 //!
-//! A frame is a length of four bytes, big-endian, then a record as [`codec::write`] makes it: a CRC-32 and the
+//! A frame is a length of four bytes, big-endian, then a record as [`codec::encode`] makes it: a CRC-32 and the
 //! message in postcard form. Nodes of the version before read the same bytes: variants and fields keep their
 //! order and types, whatever they are called. The golden tests hold the bytes.
 //!
@@ -15,9 +15,9 @@
 use crate::ids::ZoneId;
 use crate::routing::EndpointId;
 use crate::store::codec;
-use crate::store::raft_message::Letter;
+use crate::store::raft_message::RaftMessage;
 use crate::store::state_machine::Proposal;
-use crate::store::storage::Marks;
+use crate::store::storage::DrainList;
 use crate::time::TimeDelta;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -33,13 +33,13 @@
     /// The answer to it: the only message that goes back on that connection.
     HandshakeReply(HandshakeReply),
     /// Messages of the consensus.
-    RaftMessages(Vec<Letter>),
+    RaftMessages(Vec<RaftMessage>),
     /// A change for the leader to put into the log.
     ForwardedProposal(Proposal),
     /// What an operator wants of the node of this name, for the leader to carry out.
     MembershipRequest(String, MembershipRequest),
     /// All drains that the sender holds and that are not committed yet.
-    PendingDrains(Marks),
+    PendingDrains(DrainList),
     /// The sender's state, sent periodically and when its leader, term or participation changes.
     Heartbeat(Heartbeat),
     /// Which gossip the sender has, by the node that it comes from.
@@ -146,7 +146,7 @@
 impl PeerMessage {
     /// The bytes to send, with the length prefix.
     pub fn encode(&self) -> Vec<u8> {
-        let body = codec::write(self);
+        let body = codec::encode(self);
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
         bytes.extend(body);
         bytes
@@ -166,7 +166,7 @@
             return Err(MessageError::TooLong { length, limit });
         }
         let Some(body) = rest.get(..length) else { return Ok(None) };
-        let message = codec::read(body).ok_or(MessageError::Malformed)?;
+        let message = codec::decode(body).ok_or(MessageError::Malformed)?;
         Ok(Some(DecodedMessage { message, encoded_bytes: LENGTH_PREFIX_BYTES + length }))
     }
 }
--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -4,9 +4,9 @@
 use super::*;
 use crate::ids::{GroupId, ZoneId};
 use crate::store::records::HostRecord;
-use crate::store::state_machine::{Change, DrainMark};
-use crate::store::storage::Witness;
-use crate::store::zone_weights::{Share, Why};
+use crate::store::state_machine::{Change, DrainId};
+use crate::store::storage::PersistedProgress;
+use crate::store::zone_weights::{WeightReason, ZoneWeight};
 use crate::time::{LogPosition, Timestamp};
 use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType, Snapshot};
 use std::collections::BTreeSet;
@@ -23,7 +23,7 @@
         id: NodeId(0x1122_3344_5566_7788),
         name: name.into(),
         address: "127.0.0.1:8891".parse().unwrap(),
-        witness: Witness { boots: 3, term: 500, last: (499, 70_000) },
+        witness: PersistedProgress { boot_count: 3, term: 500, last_entry: (499, 70_000) },
     }
 }
 
@@ -102,7 +102,7 @@
             _ => {}
         }
     }
-    let letter = |m: &Message| Letter::of(m.clone()).expect("it is sent between nodes");
+    let letter = |m: &Message| RaftMessage::of(m.clone()).expect("it is sent between nodes");
     let two = vec![letter(&all[5].1), letter(&all[6].1)];
     let one = all.iter().map(|(name, m)| (*name, PeerMessage::RaftMessages(vec![letter(m)])));
     one.chain([
@@ -113,13 +113,13 @@
 }
 
 fn changes() -> Vec<(&'static str, PeerMessage)> {
-    let marks = vec![DrainMark { by: NodeId(5), number: 6 }, DrainMark { by: NodeId(7), number: 800 }];
+    let marks = vec![DrainId { node: NodeId(5), sequence: 6 }, DrainId { node: NodeId(7), sequence: 800 }];
     let record = |address: &str, leaving, started_at| HostRecord {
         address: address.parse().unwrap(),
         group: GroupId(300),
         zone: ZoneId(2),
         weight: 0.75,
-        leaving,
+        draining: leaving,
         started_at,
     };
     let set = vec![
@@ -129,41 +129,43 @@
         ),
         ("s-2".to_string(), record("[::1]:7002", true, None)),
     ];
-    let share =
-        |part, why| Change::Zone { zone: ZoneId(4), share: Share { part, why, number: 31, failed: 2 } };
+    let share = |part, why| Change::ZoneWeight {
+        zone: ZoneId(4),
+        weight: ZoneWeight { permille: part, reason: why, version: 31, failed_returns: 2 },
+    };
     [
         (
             "forward drain",
-            Change::Drain { host: "s-1-1".into(), mark: DrainMark { by: NodeId(5), number: 6 } },
+            Change::Drain { host: "s-1-1".into(), drain: DrainId { node: NodeId(5), sequence: 6 } },
         ),
-        ("forward undrain", Change::Undrain { host: "s-1-2".into(), marks }),
+        ("forward undrain", Change::Undrain { host: "s-1-2".into(), drains: marks }),
         (
             "forward inventory",
             Change::Inventory {
-                by: "b0".into(),
-                changed: Timestamp::from_micros(-5),
-                base: 41,
-                set,
-                gone: vec!["s-9".into()],
+                read_by: "b0".into(),
+                changed_at: Timestamp::from_micros(-5),
+                base_version: 41,
+                upserts: set,
+                removals: vec!["s-9".into()],
             },
         ),
         (
             "forward settings",
             Change::Settings {
-                by: "b1".into(),
-                changed: Timestamp::from_micros(1_767_225_600_000_000),
+                read_by: "b1".into(),
+                changed_at: Timestamp::from_micros(1_767_225_600_000_000),
                 text: "step=1\n".into(),
             },
         ),
-        ("forward zone returns", share(20, Why::Returns)),
-        ("forward zone lost", share(0, Why::Lost)),
-        ("forward zone slow", share(650, Why::Slow)),
-        ("forward zone operator", share(1000, Why::Operator)),
+        ("forward zone returns", share(20, WeightReason::Returns)),
+        ("forward zone lost", share(0, WeightReason::Lost)),
+        ("forward zone slow", share(650, WeightReason::Slow)),
+        ("forward zone operator", share(1000, WeightReason::Operator)),
         (
             "forward regions",
             Change::Regions {
-                by: "b2".into(),
-                changed: Timestamp::from_micros(77),
+                read_by: "b2".into(),
+                changed_at: Timestamp::from_micros(77),
                 regions: BTreeMap::from([(ZoneId(0), "north".to_string()), (ZoneId(3), "south".to_string())]),
             },
         ),
@@ -222,8 +224,8 @@
 fn messages() -> Vec<(&'static str, PeerMessage)> {
     let fleet = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
     let marks = vec![
-        ("s-1-1".to_string(), DrainMark { by: NodeId(5), number: 6 }),
-        ("s-2".to_string(), DrainMark { by: NodeId(7), number: 800 }),
+        ("s-1-1".to_string(), DrainId { node: NodeId(5), sequence: 6 }),
+        ("s-2".to_string(), DrainId { node: NodeId(7), sequence: 800 }),
     ];
     let v6 = Handshake { address: "[::1]:8892".parse().unwrap(), ..handshake("b1", 0) };
     let digest = vec![
@@ -285,11 +287,11 @@
                 Change::Undrain { .. } => "undrain",
                 Change::Inventory { .. } => "inventory",
                 Change::Settings { .. } => "settings",
-                Change::Zone { share, .. } => match share.why {
-                    Why::Returns => "zone returns",
-                    Why::Lost => "zone lost",
-                    Why::Slow => "zone slow",
-                    Why::Operator => "zone operator",
+                Change::ZoneWeight { weight: share, .. } => match share.reason {
+                    WeightReason::Returns => "zone returns",
+                    WeightReason::Lost => "zone lost",
+                    WeightReason::Slow => "zone slow",
+                    WeightReason::Operator => "zone operator",
                 },
                 Change::Regions { .. } => "regions",
             },
@@ -348,7 +350,7 @@
                 letter.carries_state() == name.starts_with("letter snapshot"),
                 "{name}"
             );
-            assert_eq!(letter.clone().message().and_then(Letter::of), Some(letter), "{name}");
+            assert_eq!(letter.clone().message().and_then(RaftMessage::of), Some(letter), "{name}");
         }
     }
 }
--- a/src/fleet/pending_drains/tests.rs
+++ b/src/fleet/pending_drains/tests.rs
@@ -7,10 +7,10 @@
 fn a_drain_acts_where_it_is_known_until_the_log_has_settled_it() {
     for seed in 0..500 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut state = State::default();
+        let mut state = ClusterState::default();
         let mut nodes: Vec<PendingDrains> = (0..3).map(|_| PendingDrains::default()).collect();
-        let mut said: BTreeSet<(String, DrainMark)> = BTreeSet::new();
-        let mut undone: BTreeSet<DrainMark> = BTreeSet::new();
+        let mut said: BTreeSet<(String, DrainId)> = BTreeSet::new();
+        let mut undone: BTreeSet<DrainId> = BTreeSet::new();
         for step in 0..200i64 {
             let n = rng.usize(..3);
             let host = format!("s-{}", rng.u8(..4));
@@ -33,9 +33,9 @@
                 }
                 5 => {
                     let known = state.drains.get(&host).into_iter().flatten().copied();
-                    let marks: Vec<DrainMark> = known.chain(nodes[n].drains_of(&host)).collect();
+                    let marks: Vec<DrainId> = known.chain(nodes[n].drains_of(&host)).collect();
                     undone.extend(&marks);
-                    state.apply(step as u64, &Change::Undrain { host, marks });
+                    state.apply(step as u64, &Change::Undrain { host, drains: marks });
                 }
                 6 => {
                     nodes[n].remove_settled(&state);
@@ -44,7 +44,7 @@
             }
             for (host, mark) in said.iter().filter(|(_, mark)| !undone.contains(mark)) {
                 let agreed = state.is_drained(host);
-                let by = &nodes[mark.by.0 as usize - 1];
+                let by = &nodes[mark.node.0 as usize - 1];
                 assert!(agreed || by.is_draining(host), "seed {seed}, step {step}: {mark:?} of {host}");
             }
         }
@@ -52,7 +52,10 @@
             node.remove_settled(&state);
         }
         for (host, mark) in &said {
-            assert_eq!(state.settled(host, *mark), !nodes.iter().any(|n| n.drains_of(host).contains(mark)));
+            assert_eq!(
+                state.is_resolved(host, *mark),
+                !nodes.iter().any(|n| n.drains_of(host).contains(mark))
+            );
         }
     }
 }
@@ -62,13 +65,13 @@
     let (mut marks, me, at) = (PendingDrains::default(), NodeId(7), Timestamp::from_micros);
     let first = marks.request_drain("a", me, at(1_000));
     assert_eq!(marks.request_drain("a", me, at(2_000)), first, "it is drained already");
-    assert!(marks.request_drain("b", me, at(1_000)).number > first.number);
+    assert!(marks.request_drain("b", me, at(1_000)).sequence > first.sequence);
     assert!(
-        PendingDrains::default().request_drain("a", me, at(5_000)).number > first.number,
+        PendingDrains::default().request_drain("a", me, at(5_000)).sequence > first.sequence,
         "after a restart without disk"
     );
-    let many = (0..50).map(|n| (format!("s-{n}"), DrainMark { by: NodeId(9), number: n })).collect();
-    assert!(marks.merge(many, &State::default(), 10));
+    let many = (0..50).map(|n| (format!("s-{n}"), DrainId { node: NodeId(9), sequence: n })).collect();
+    assert!(marks.merge(many, &ClusterState::default(), 10));
     assert_eq!(marks.all().len(), 10);
     assert_ne!(marks.digest(), 0);
     let mut due = |now| marks.due_proposals(at(now), TimeDelta::from_micros(100)).len();
--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -26,7 +26,7 @@
         let version = self.table().marks.version();
         let woken = self.watch();
         let agreed = async {
-            while !self.table().state.settled(host, mark) {
+            while !self.table().state.is_resolved(host, mark) {
                 let _ = woken.recv().await;
             }
         };
@@ -39,7 +39,11 @@
             }
         };
         until(Instant::now() + self.limits.agreement_timeout, saved).await;
-        Some(if self.table().state.settled(host, mark) { ChangeOutcome::Agreed } else { ChangeOutcome::Here })
+        Some(if self.table().state.is_resolved(host, mark) {
+            ChangeOutcome::Agreed
+        } else {
+            ChangeOutcome::Here
+        })
     }
 
     /// Ends the drains of a host that this daemon has heard of, once a majority agrees.
@@ -52,14 +56,11 @@
         if marks.is_empty() {
             return ChangeOutcome::Agreed;
         }
-        let change = Change::Undrain { host: host.to_string(), marks: marks.into_iter().collect() };
+        let change = Change::Undrain { host: host.to_string(), drains: marks.into_iter().collect() };
         self.commit_change(change).await
     }
 
-    pub(super) fn receive_pending_drains(
-        &self,
-        marks: Vec<(String, crate::store::state_machine::DrainMark)>,
-    ) {
+    pub(super) fn receive_pending_drains(&self, marks: Vec<(String, crate::store::state_machine::DrainId)>) {
         let new = {
             let mut table = self.change();
             self.mark_endpoints_changed(marks.iter().map(|(host, _)| host.clone()));
@@ -79,7 +80,9 @@
     pub(super) fn persist_pending_drains(&self) {
         let table = self.table();
         let version = table.marks.version();
-        if self.saving.get() < version && self.send_to_store(Input::Marks(table.marks.all(), version)) {
+        if self.saving.get() < version
+            && self.send_to_store(StoreCommand::PersistDrains(table.marks.all(), version))
+        {
             self.saving.set(version);
         }
     }
--- a/src/fleet/runtime/event_loop.rs
+++ b/src/fleet/runtime/event_loop.rs
@@ -66,7 +66,7 @@
             || !table.candidates.is_empty()
             || !table.state.is_complete()
             || table.state.fleet == 0
-            || !table.status.part
+            || !table.status.participating
             || !self.proposed.borrow().is_empty();
         match () {
             // It may have to stand for election.
--- a/src/fleet/runtime/founding.rs
+++ b/src/fleet/runtime/founding.rs
@@ -35,7 +35,9 @@
             let id = self.table().identity.id;
             let member = Member { name: self.me.name.clone(), address: self.me.address };
             let fleet: FleetId = fastrand::u128(1..);
-            self.send_to_store(Input::Found(Box::new(State::found(fleet, id, member, others))));
+            self.send_to_store(StoreCommand::FoundFleet(Box::new(ClusterState::found_fleet(
+                fleet, id, member, others,
+            ))));
         }
     }
 
@@ -51,12 +53,15 @@
     pub(super) fn join_consensus_if_accepted(&self) {
         let enough = {
             let table = self.table();
-            let voters = &table.status.conf.voters;
+            let voters = &table.status.configuration.voters;
             let welcome = voters.iter().filter(|v| table.welcomes.contains(v)).count() + 1;
-            !table.status.part && !table.removed && table.broken.is_none() && welcome * 2 > voters.len()
+            !table.status.participating
+                && !table.removed
+                && table.broken.is_none()
+                && welcome * 2 > voters.len()
         };
         if enough {
-            self.send_to_store(Input::TakePart);
+            self.send_to_store(StoreCommand::StartParticipating);
         }
     }
 }
--- a/src/fleet/runtime/incoming_link.rs
+++ b/src/fleet/runtime/incoming_link.rs
@@ -22,7 +22,7 @@
         let Some(Some(PeerMessage::Handshake(hello))) = first else { return };
         let verdict = {
             let mut table = self.change();
-            let known = table.status.witnesses.get(&hello.id).copied();
+            let known = table.status.reported_progress.get(&hello.id).copied();
             let verdict = bootstrap::judge_handshake(&table.state, known.as_ref(), &hello);
             match &verdict {
                 HandshakeVerdict::NotYetMember(_) if table.candidates.len() < self.limits.fleet_nodes => {
--- a/src/fleet/runtime/membership_requests.rs
+++ b/src/fleet/runtime/membership_requests.rs
@@ -12,7 +12,7 @@
         let done = |table: &Table| {
             let mut ids = table.state.members.iter().filter(|(_, m)| m.name == name).map(|(id, _)| id);
             match wish {
-                MembershipRequest::GrantVote => ids.any(|id| table.status.conf.voters.contains(id)),
+                MembershipRequest::GrantVote => ids.any(|id| table.status.configuration.voters.contains(id)),
                 MembershipRequest::Remove => ids.next().is_none(),
             }
         };
@@ -50,7 +50,7 @@
     pub(super) fn act_as_leader(&self) {
         let mut table = self.change();
         let me = table.identity.id;
-        if table.status.leader != me || !table.status.part {
+        if table.status.leader != me || !table.status.participating {
             return;
         }
         let insist = TimeDelta::from(self.limits.proposal_retry_interval);
@@ -75,9 +75,9 @@
             let view = MembershipView {
                 me,
                 state: &table.state,
-                conf: &table.status.conf,
-                agreed: table.status.agreed,
-                progress: &table.status.progress,
+                conf: &table.status.configuration,
+                agreed: table.status.committed,
+                progress: &table.status.peer_progress,
                 candidates: &candidates,
                 silent: &silent,
                 led_for: table.leads.map_or(TimeDelta::ZERO, |at| TimeDelta::from(now - at)),
@@ -90,12 +90,14 @@
         drop(table);
         for change in due {
             let proposal = Proposal { from: me, token: self.next_token(), change };
-            self.send_to_store(Input::Propose(proposal));
+            self.send_to_store(StoreCommand::Propose(proposal));
         }
         match next {
             MembershipAction::Nothing => true,
-            MembershipAction::Propose(change) => self.send_to_store(Input::Members(change)),
-            MembershipAction::TransferLeadership(to) => self.send_to_store(Input::Transfer(to)),
+            MembershipAction::Propose(change) => self.send_to_store(StoreCommand::ChangeMembership(change)),
+            MembershipAction::TransferLeadership(to) => {
+                self.send_to_store(StoreCommand::TransferLeadership(to))
+            }
         };
     }
 }
--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -42,8 +42,8 @@
         log::warn!("fleet: an operator has this daemon go on alone: {}", text.replace('\n', "; "));
         let table = self.table();
         let member = Member { name: self.me.name.clone(), address: self.me.address };
-        let state = table.state.refound(fastrand::u128(1..), table.identity.id, member);
-        if self.send_to_store(Input::Recover(Box::new(state))) {
+        let state = table.state.force_new_fleet(fastrand::u128(1..), table.identity.id, member);
+        if self.send_to_store(StoreCommand::ForceNewFleet(Box::new(state))) {
             Ok(text)
         } else {
             Err("nothing was done: the disk is slow; say it again".into())
--- a/src/fleet/runtime/own_files.rs
+++ b/src/fleet/runtime/own_files.rs
@@ -18,12 +18,12 @@
         if self.compared.replace((*changed, source.version)) == (*changed, source.version) {
             return;
         }
-        let differs = Some(table.state.differs(hosts)).filter(|d| *d != (0, 0, 0));
+        let differs = Some(table.state.inventory_difference(hosts)).filter(|d| *d != (0, 0, 0));
         if differs != table.differs {
             match differs {
                 Some((added, changed, missing)) => log::warn!(
                     "fleet: the inventory of {} counts; this daemon's own file adds {added}, changes {changed} and lacks {missing} hosts",
-                    source.by
+                    source.read_by
                 ),
                 None => log::info!("fleet: this daemon's own inventory says what is agreed"),
             }
@@ -45,30 +45,30 @@
             }
             let mut wanted = Vec::new();
             let old = |c: &&Change| match c {
-                Change::Settings { changed, .. } => {
-                    state.settings.as_ref().is_none_or(|(s, _)| *changed > s.changed)
+                Change::Settings { changed_at: changed, .. } => {
+                    state.settings.as_ref().is_none_or(|(s, _)| *changed > s.changed_at)
                 }
                 _ => state.inventory.is_none(),
             };
             wanted.extend(table.legacy.iter().filter(old).map(|c| (format!("legacy {c:?}"), c.clone())));
             if let Some((text, changed)) = &table.files.settings
-                && state.settings.as_ref().is_none_or(|(s, _)| *changed > s.changed)
+                && state.settings.as_ref().is_none_or(|(s, _)| *changed > s.changed_at)
             {
                 let (by, text) = (self.me.name.clone(), text.clone());
                 wanted.push((
                     format!("settings {}", changed.as_micros()),
-                    Change::Settings { by, changed: *changed, text },
+                    Change::Settings { read_by: by, changed_at: *changed, text },
                 ));
             }
             if let Some((Inventory { regions, .. }, changed)) = &table.files.hosts
                 && *changed > state.regions.0
-                && state.inventory.as_ref().is_some_and(|i| *changed >= i.changed)
+                && state.inventory.as_ref().is_some_and(|i| *changed >= i.changed_at)
                 && *regions != state.regions.1
             {
                 let (by, changed, regions) = (self.me.name.clone(), *changed, regions.clone());
                 wanted.push((
                     format!("regions {}", changed.as_micros()),
-                    Change::Regions { by, changed, regions },
+                    Change::Regions { read_by: by, changed_at: changed, regions },
                 ));
             }
             if let Some((Inventory { hosts, .. }, changed)) = &table.files.hosts
--- a/src/fleet/runtime/peer_sessions.rs
+++ b/src/fleet/runtime/peer_sessions.rs
@@ -75,7 +75,7 @@
             HandshakeVerdict::OutdatedStorage if table.state.members.contains_key(&other.id) => {
                 log::warn!("fleet: {} knows more of this daemon than its disk does", other.name);
                 drop(table);
-                self.send_to_store(Input::Renounce("older"));
+                self.send_to_store(StoreCommand::ResetIdentity("older"));
                 return false;
             }
             HandshakeVerdict::RemovedMember if other.fleet == fleet && !table.removed => {
@@ -95,9 +95,9 @@
                 let Table { marks, state, .. } = &mut *table;
                 let drains =
                     state.drains.iter().flat_map(|(host, m)| m.iter().map(move |m| (host.clone(), *m)));
-                marks.merge(drains.collect(), &State::default(), self.limits.pending_drains);
+                marks.merge(drains.collect(), &ClusterState::default(), self.limits.pending_drains);
                 drop(table);
-                self.send_to_store(Input::Renounce("recovered"));
+                self.send_to_store(StoreCommand::ResetIdentity("recovered"));
                 return false;
             }
             HandshakeVerdict::OutdatedStorage
@@ -127,7 +127,7 @@
     fn on_connected(&self, way: &PeerLink) {
         way.send(&self.own_heartbeat().encode());
         if self.table().leads.is_some() {
-            self.send_to_store(Input::Ping);
+            self.send_to_store(StoreCommand::BroadcastHeartbeat);
         }
         way.send(&PeerMessage::GossipDigest(self.table().learned.digest()).encode());
         let breaks = self.breaks.borrow().all();
@@ -142,6 +142,6 @@
 
     fn on_disconnected(&self, way: &PeerLink) {
         self.change().met.remove(&way.address);
-        self.send_to_store(Input::Unreachable(way.peer_id()));
+        self.send_to_store(StoreCommand::PeerUnreachable(way.peer_id()));
     }
 }
--- a/src/fleet/runtime/proposals.rs
+++ b/src/fleet/runtime/proposals.rs
@@ -15,7 +15,7 @@
             (table.status.leader, table.identity.id)
         };
         if leader == me {
-            self.send_to_store(Input::Propose(proposal));
+            self.send_to_store(StoreCommand::Propose(proposal));
         } else if let Some(way) = self.link_to(leader) {
             way.send(&PeerMessage::ForwardedProposal(proposal).encode());
         }
--- a/src/fleet/runtime/store_events.rs
+++ b/src/fleet/runtime/store_events.rs
@@ -4,12 +4,12 @@
 
 impl Fleet {
     /// Takes in what the agreement's thread says, for ever; comes back with why when it has failed.
-    pub async fn hear_store(&self, outputs: &Receiver<Output>) {
+    pub async fn hear_store(&self, outputs: &Receiver<StoreEvent>) {
         while let Ok(output) = outputs.recv().await {
             match output {
-                Output::Letters(letters) => self.send_raft_messages(letters),
-                Output::Applied(applied) => self.apply(applied),
-                Output::Status(status) => {
+                StoreEvent::RaftMessages(letters) => self.send_raft_messages(letters),
+                StoreEvent::Applied(applied) => self.apply(applied),
+                StoreEvent::Status(status) => {
                     let mut table = self.change();
                     if table.status.leader != status.leader || table.status.term != status.term {
                         let name =
@@ -18,7 +18,7 @@
                     }
                     let leads = status.leader == table.identity.id;
                     table.leads = table.leads.filter(|_| leads).or(leads.then(Instant::now));
-                    let word = |s: &Status| (s.leader, s.term, s.part);
+                    let word = |s: &StoreStatus| (s.leader, s.term, s.participating);
                     let turned = word(&table.status) != word(&status);
                     table.status = *status;
                     drop(table);
@@ -28,11 +28,11 @@
                     }
                     self.notify_watchers();
                 }
-                Output::Saved(version) => {
+                StoreEvent::DrainsPersisted(version) => {
                     self.saved.set(self.saved.get().max(version));
                     self.notify_watchers();
                 }
-                Output::Renewed(identity) => {
+                StoreEvent::IdentityReset(identity) => {
                     log::warn!("fleet: this daemon begins anew, as {:016x}", identity.id);
                     let mut table = self.change();
                     table.learned = GossipState::new(identity.id, self.clock.now().as_micros().max(0) as u64);
@@ -46,7 +46,7 @@
                     self.persist_pending_drains();
                     self.reconnect_all();
                 }
-                Output::Broken(why) => {
+                StoreEvent::StorageFailed(why) => {
                     log::error!(
                         "store: {why}; this daemon agrees to nothing any more, and serves with what it has"
                     );
@@ -57,29 +57,29 @@
         }
     }
 
-    pub(super) fn send_raft_messages(&self, letters: Vec<Letter>) {
-        let mut by: BTreeMap<NodeId, Vec<Letter>> = BTreeMap::new();
+    pub(super) fn send_raft_messages(&self, letters: Vec<RaftMessage>) {
+        let mut by: BTreeMap<NodeId, Vec<RaftMessage>> = BTreeMap::new();
         letters.into_iter().for_each(|l| by.entry(l.to).or_default().push(l));
         for (to, letters) in by {
-            let whole = letters.iter().any(Letter::carries_state);
+            let whole = letters.iter().any(RaftMessage::carries_state);
             let sent =
                 self.link_to(to).is_some_and(|way| way.send(&PeerMessage::RaftMessages(letters).encode()));
             if whole {
-                self.send_to_store(Input::Sent(to, sent));
+                self.send_to_store(StoreCommand::SnapshotSent(to, sent));
             }
         }
     }
 
-    pub(super) fn apply(&self, applied: Vec<Applied>) {
+    pub(super) fn apply(&self, applied: Vec<AppliedEntry>) {
         let mut table = self.change();
         let (fleet, me) = (table.state.fleet, table.identity.id);
         for one in applied {
-            match one.what {
-                What::State(state) => {
+            match one.content {
+                AppliedContent::Snapshot(state) => {
                     table.state = *state;
                     *self.touched.borrow_mut() = Touched::All;
                 }
-                What::Change(Proposal { from, token, change }) => {
+                AppliedContent::Change(Proposal { from, token, change }) => {
                     self.mark_endpoints_changed(named(&change));
                     let effect = table.state.apply(one.index, &change);
                     log::debug!(
@@ -94,13 +94,13 @@
                         *waits = Some(effect);
                     }
                 }
-                What::Members(change) => {
-                    table.state.apply_members(&change);
+                AppliedContent::Membership(change) => {
+                    table.state.apply_membership(&change);
                     if !change.steps.is_empty() {
                         log::info!("fleet: members: {:?}", change.steps);
                     }
                 }
-                What::Nothing => {}
+                AppliedContent::Empty => {}
             }
             table.applied = one.index;
             table.state.digest = one.digest;
@@ -147,24 +147,29 @@
 fn named(change: &Change) -> Vec<String> {
     match change {
         Change::Drain { host, .. } | Change::Undrain { host, .. } => vec![host.clone()],
-        Change::Inventory { set, gone, .. } => set.iter().map(|(n, _)| n).chain(gone).cloned().collect(),
-        Change::Settings { .. } | Change::Zone { .. } | Change::Regions { .. } => Vec::new(),
+        Change::Inventory { upserts: set, removals: gone, .. } => {
+            set.iter().map(|(n, _)| n).chain(gone).cloned().collect()
+        }
+        Change::Settings { .. } | Change::ZoneWeight { .. } | Change::Regions { .. } => Vec::new(),
     }
 }
 
-fn describe(change: &Change, effect: Effect) -> String {
+fn describe(change: &Change, effect: ApplyResult) -> String {
     match change {
         Change::Drain { host, .. } => format!("drain {host}: {effect:?}"),
         Change::Undrain { host, .. } => format!("undrain {host}: {effect:?}"),
-        Change::Inventory { by, set, gone, .. } => {
+        Change::Inventory { read_by: by, upserts: set, removals: gone, .. } => {
             format!("inventory of {by}, {} set, {} gone: {effect:?}", set.len(), gone.len())
         }
-        Change::Settings { by, .. } => format!("settings of {by}: {effect:?}"),
-        Change::Regions { by, regions, .. } => {
+        Change::Settings { read_by: by, .. } => format!("settings of {by}: {effect:?}"),
+        Change::Regions { read_by: by, regions, .. } => {
             format!("regions of {} zones by {by}: {effect:?}", regions.len())
         }
-        Change::Zone { zone, share } => {
-            format!("zone {zone} to {} by move {}, {:?}: {effect:?}", share.part, share.number, share.why)
+        Change::ZoneWeight { zone, weight: share } => {
+            format!(
+                "zone {zone} to {} by move {}, {:?}: {effect:?}",
+                share.permille, share.version, share.reason
+            )
         }
     }
 }
--- a/src/fleet/runtime/tests.rs
+++ b/src/fleet/runtime/tests.rs
@@ -1,14 +1,14 @@
 //! Guards against drains that are not kept.
 
 use super::*;
-use crate::store::{storage::Disk, store_thread};
+use crate::store::{storage::DurableStorage, store_thread};
 use std::sync::mpsc::sync_channel;
 
 /// Guards against a drain that is never kept because the disk was slow in the moment it was said.
 #[test]
 fn what_a_full_queue_turned_away_is_handed_in_again() {
     let limits = Rc::new(Limits::for_sockets(64));
-    let (disk, held) = Disk::in_memory().unwrap();
+    let (disk, held) = DurableStorage::in_memory().unwrap();
     let (opened, ..) = store_thread::start(disk, held, &limits).unwrap();
     let (inputs, queue) = sync_channel(1);
     let me = Me {
@@ -18,12 +18,15 @@
         leaving: EvacuationPolicy::default(),
     };
     let fleet = Fleet::new(me, limits, Clock::start(), Rc::default(), opened, inputs);
-    assert!(fleet.send_to_store(Input::TakePart) && !fleet.send_to_store(Input::TakePart));
+    assert!(
+        fleet.send_to_store(StoreCommand::StartParticipating)
+            && !fleet.send_to_store(StoreCommand::StartParticipating)
+    );
     fleet.change().marks.request_drain("s-1", NodeId(7), Timestamp::from_micros(1));
     fleet.persist_pending_drains();
-    assert!(matches!(queue.try_recv(), Ok(Input::TakePart)));
+    assert!(matches!(queue.try_recv(), Ok(StoreCommand::StartParticipating)));
     fleet.persist_pending_drains();
-    assert!(matches!(queue.try_recv(), Ok(Input::Marks(marks, _)) if marks.len() == 1));
+    assert!(matches!(queue.try_recv(), Ok(StoreCommand::PersistDrains(marks, _)) if marks.len() == 1));
     fleet.persist_pending_drains();
     assert!(queue.try_recv().is_err(), "it is kept once");
 }
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -6,8 +6,8 @@
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
 use crate::store::state_machine::Change;
-use crate::store::store_thread::Input;
-use crate::store::zone_weights::{Share, WHOLE};
+use crate::store::store_thread::StoreCommand;
+use crate::store::zone_weights::{FULL_WEIGHT_PERMILLE, ZoneWeight};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -72,7 +72,7 @@
         {
             let table = self.table();
             let me = table.identity.id;
-            if table.status.leader != me || !table.status.part || !table.state.is_complete() {
+            if table.status.leader != me || !table.status.participating || !table.state.is_complete() {
                 return;
             }
             let warmth = |zone| self.warmth(&table, zone, now);
@@ -81,10 +81,10 @@
             let mut moving = self.moving.borrow_mut();
             moving.retain(|_, (_, at)| at.elapsed() < SAID);
             for (zone, share) in due {
-                if moving.get(&zone).is_some_and(|(number, _)| *number == share.number) {
+                if moving.get(&zone).is_some_and(|(number, _)| *number == share.version) {
                     continue;
                 }
-                moving.insert(zone, (share.number, Instant::now()));
+                moving.insert(zone, (share.version, Instant::now()));
                 let words = zoning.current_reports(now, me, &table.state);
                 let words: Vec<String> = words
                     .iter()
@@ -92,19 +92,19 @@
                     .map(|(id, seen)| format!("{} {seen}", table.name(*id)))
                     .collect();
                 log::info!(
-                    "zones: move {} of {} to {} of {WHOLE} is proposed, {:?}; seen: {}",
-                    share.number,
+                    "zones: move {} of {} to {} of {FULL_WEIGHT_PERMILLE} is proposed, {:?}; seen: {}",
+                    share.version,
                     zoning.name(zone),
-                    share.part,
-                    share.why,
+                    share.permille,
+                    share.reason,
                     words.join("; ")
                 );
-                let change = Change::Zone { zone, share };
+                let change = Change::ZoneWeight { zone, weight: share };
                 proposals.push(Proposal { from: me, token: self.next_token(), change });
             }
         }
         for proposal in proposals {
-            self.send_to_store(Input::Propose(proposal));
+            self.send_to_store(StoreCommand::Propose(proposal));
         }
     }
 
@@ -127,14 +127,14 @@
             return;
         }
         for zone in &moved {
-            let share = table.state.share(*zone);
+            let share = table.state.zone_weight(*zone);
             log::info!(
-                "zones: {} gets {} of {WHOLE} from now on; agreed: {} by move {}, {:?}",
+                "zones: {} gets {} of {FULL_WEIGHT_PERMILLE} from now on; agreed: {} by move {}, {:?}",
                 zoning.name(*zone),
                 zoning.effective_permille(now, *zone, &table.state),
-                share.part,
-                share.number,
-                share.why
+                share.permille,
+                share.version,
+                share.reason
             );
         }
         let hosts = table.state.hosts.iter().filter(|(_, host)| changed.contains(&host.zone));
@@ -148,7 +148,7 @@
         &self,
         name: &str,
         order: ZoneCommand,
-    ) -> Option<Result<(Share, ChangeOutcome), String>> {
+    ) -> Option<Result<(ZoneWeight, ChangeOutcome), String>> {
         let (zone, share) = {
             let table = self.table();
             let zoning = self.zoning.borrow();
@@ -160,9 +160,9 @@
             }
         };
         log::info!("zones: an operator's word on {name}: {order:?}");
-        let outcome = self.commit_change(Change::Zone { zone, share }).await;
+        let outcome = self.commit_change(Change::ZoneWeight { zone, weight: share }).await;
         // Another move may have come between.
-        let overtaken = outcome == ChangeOutcome::Agreed && self.table().state.share(zone) != share;
+        let overtaken = outcome == ChangeOutcome::Agreed && self.table().state.zone_weight(zone) != share;
         Some(if overtaken { Err("it moved meanwhile; say it again".into()) } else { Ok((share, outcome)) })
     }
 
@@ -173,7 +173,7 @@
         let verdicts = zones::assess_zones(&sights, &table.state);
         let mut out = String::new();
         for (zone, verdict) in &verdicts {
-            let share = table.state.share(*zone);
+            let share = table.state.zone_weight(*zone);
             let region = table.state.regions.1.get(zone).map_or(String::new(), |r| format!(" of region {r}"));
             let looks = match verdict {
                 ZoneHealth::CutOff(ids) => {
@@ -186,13 +186,13 @@
             };
             let _ = writeln!(
                 out,
-                "zone {} gets {} of {WHOLE}, agreed {} by move {}, {:?}, failed {}; looks {looks}{region}",
+                "zone {} gets {} of {FULL_WEIGHT_PERMILLE}, agreed {} by move {}, {:?}, failed {}; looks {looks}{region}",
                 zoning.name(*zone),
                 zoning.effective_permille(now, *zone, &table.state),
-                share.part,
-                share.number,
-                share.why,
-                share.failed
+                share.permille,
+                share.version,
+                share.reason,
+                share.failed_returns
             );
             for (id, own) in &sights {
                 let Some(s) = own.get(zone) else { continue };
@@ -211,6 +211,6 @@
     pub fn zone_figures(&self) -> (u64, u64) {
         let (table, zoning, now) = (self.table(), self.zoning.borrow(), self.clock.now());
         let away = zoning.reduced_zones(now, &table.state).len();
-        (away as u64, table.state.zones.values().map(|s| s.number).sum())
+        (away as u64, table.state.zone_weights.values().map(|s| s.version).sum())
     }
 }
--- a/src/fleet/zones/evacuation.rs
+++ b/src/fleet/zones/evacuation.rs
@@ -4,12 +4,12 @@
 use super::detector::{ZoneReports, assess_zone, is_lost, judge_trickle};
 use super::health::ZoneHealth;
 use crate::ids::ZoneId;
-use crate::store::zone_weights::{Share, WHOLE, Why};
+use crate::store::zone_weights::{FULL_WEIGHT_PERMILLE, WeightReason, ZoneWeight};
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
 /// Shares on the way back, in thousandths; the first is a trickle.
-const STEPS: [u16; 5] = [20, 125, 250, 500, WHOLE];
+const STEPS: [u16; 5] = [20, 125, 250, 500, FULL_WEIGHT_PERMILLE];
 /// A step lasts at least so long, and needs good answers from it.
 pub(super) const STEP: TimeDelta = TimeDelta::from_secs(1);
 /// Where nobody asks anything no answer can come: a step is over after this. What little does come there says more.
@@ -60,10 +60,10 @@
         EvacuationController { dwell, moved: BTreeMap::new() }
     }
 
-    fn since(&mut self, now: Timestamp, zone: ZoneId, share: &Share) -> TimeDelta {
-        let known = self.moved.entry(zone).or_insert((share.number, now));
-        if known.0 != share.number {
-            *known = (share.number, now);
+    fn since(&mut self, now: Timestamp, zone: ZoneId, share: &ZoneWeight) -> TimeDelta {
+        let known = self.moved.entry(zone).or_insert((share.version, now));
+        if known.0 != share.version {
+            *known = (share.version, now);
         }
         now - known.1
     }
@@ -74,13 +74,15 @@
     pub fn next_moves(
         &mut self,
         now: Timestamp,
-        shares: &BTreeMap<ZoneId, Share>,
+        shares: &BTreeMap<ZoneId, ZoneWeight>,
         region: impl Fn(ZoneId) -> Vec<ZoneId>,
         sights: &ZoneReports,
         loads: &BTreeMap<ZoneId, ZoneLoad>,
-    ) -> Vec<(ZoneId, Share)> {
-        let look = |(zone, share): (&ZoneId, &Share)| {
-            let returns = share.part > 0 && share.part < WHOLE && share.why == Why::Returns;
+    ) -> Vec<(ZoneId, ZoneWeight)> {
+        let look = |(zone, share): (&ZoneId, &ZoneWeight)| {
+            let returns = share.permille > 0
+                && share.permille < FULL_WEIGHT_PERMILLE
+                && share.reason == WeightReason::Returns;
             (*zone, if returns { judge_trickle(*zone, sights) } else { assess_zone(*zone, sights) })
         };
         let mut verdicts: BTreeMap<ZoneId, ZoneHealth> = shares.iter().map(look).collect();
@@ -93,22 +95,26 @@
         let rests: BTreeMap<ZoneId, TimeDelta> =
             shares.iter().map(|(zone, share)| (*zone, self.since(now, *zone, share))).collect();
         // Lost ones first, then those that fail on their way back, slow ones, and at last those that may return.
-        let lost = |zone: &&ZoneId| verdicts[*zone] == ZoneHealth::Lost && shares[*zone].part > 0;
+        let lost = |zone: &&ZoneId| verdicts[*zone] == ZoneHealth::Lost && shares[*zone].permille > 0;
         let lost: Vec<ZoneId> = shares.keys().filter(lost).copied().collect();
         if !lost.is_empty() {
-            let leave = |zone| leave(zone, Why::Lost, rests[&zone], shares, &verdicts, loads);
+            let leave = |zone| leave(zone, WeightReason::Lost, rests[&zone], shares, &verdicts, loads);
             return lost.into_iter().filter_map(leave).collect();
         }
-        let slow = |zone: &&ZoneId| verdicts[*zone] == ZoneHealth::Slow && shares[*zone].part > 0;
+        let slow = |zone: &&ZoneId| verdicts[*zone] == ZoneHealth::Slow && shares[*zone].permille > 0;
         if let Some(zone) = shares.keys().find(slow).filter(|zone| rests[*zone] >= STEP) {
-            return leave(*zone, Why::Slow, rests[zone], shares, &verdicts, loads).into_iter().collect();
+            return leave(*zone, WeightReason::Slow, rests[zone], shares, &verdicts, loads)
+                .into_iter()
+                .collect();
         }
         // One zone at a time is on its way back: the one that is furthest.
-        let away = shares.iter().filter(|(_, s)| s.part < WHOLE && s.why != Why::Operator);
-        let Some((zone, share)) = away.max_by_key(|(_, s)| s.part) else { return Vec::new() };
-        let step = STEPS.iter().find(|step| **step > share.part).copied().unwrap_or(WHOLE);
-        let due = if share.part == 0 {
-            rests[zone] >= self.dwell.after(share.failed)
+        let away = shares
+            .iter()
+            .filter(|(_, s)| s.permille < FULL_WEIGHT_PERMILLE && s.reason != WeightReason::Operator);
+        let Some((zone, share)) = away.max_by_key(|(_, s)| s.permille) else { return Vec::new() };
+        let step = STEPS.iter().find(|step| **step > share.permille).copied().unwrap_or(FULL_WEIGHT_PERMILLE);
+        let due = if share.permille == 0 {
+            rests[zone] >= self.dwell.after(share.failed_returns)
         } else {
             // A step counts by what it brought.
             rests[zone] >= STEP && verdicts[zone] == ZoneHealth::Sound
@@ -116,9 +122,11 @@
         };
         // No faster than its hosts warm.
         let load = loads.get(zone).copied().unwrap_or_default();
-        let fits = share.part == 0 || load.bears * SPARE >= load.reads * f64::from(step) / f64::from(WHOLE);
-        let failed = if step == WHOLE && rests[zone] >= FORGIVEN { 0 } else { share.failed };
-        let next = Share { failed, ..share.then(step, Why::Returns) };
+        let fits = share.permille == 0
+            || load.bears * SPARE >= load.reads * f64::from(step) / f64::from(FULL_WEIGHT_PERMILLE);
+        let failed =
+            if step == FULL_WEIGHT_PERMILLE && rests[zone] >= FORGIVEN { 0 } else { share.failed_returns };
+        let next = ZoneWeight { failed_returns: failed, ..share.next(step, WeightReason::Returns) };
         (due && fits).then_some((*zone, next)).into_iter().collect()
     }
 }
@@ -127,15 +135,15 @@
 /// `None`: nothing is to be gained, or it is the last one that works.
 fn leave(
     zone: ZoneId,
-    why: Why,
+    why: WeightReason,
     rests: TimeDelta,
-    shares: &BTreeMap<ZoneId, Share>,
+    shares: &BTreeMap<ZoneId, ZoneWeight>,
     verdicts: &BTreeMap<ZoneId, ZoneHealth>,
     loads: &BTreeMap<ZoneId, ZoneLoad>,
-) -> Option<(ZoneId, Share)> {
+) -> Option<(ZoneId, ZoneWeight)> {
     let works = |other: &&ZoneId| {
         **other != zone
-            && shares[*other].part > 0
+            && shares[*other].permille > 0
             && !matches!(verdicts[*other], ZoneHealth::Lost | ZoneHealth::Slow)
     };
     let others: Vec<&ZoneId> = shares.keys().filter(works).collect();
@@ -148,18 +156,20 @@
     let free: f64 = others
         .iter()
         .filter_map(|other| Some((loads.get(other)?, shares[other])))
-        .map(|(l, s)| (l.bears * SPARE - l.reads * f64::from(s.part) / f64::from(WHOLE)).max(0.0))
+        .map(|(l, s)| {
+            (l.bears * SPARE - l.reads * f64::from(s.permille) / f64::from(FULL_WEIGHT_PERMILLE)).max(0.0)
+        })
         .sum();
     // A lost zone serves nothing of what is left there: what the others cannot carry is refused, not sent to it.
     let stays = match why {
-        Why::Lost => 0,
+        WeightReason::Lost => 0,
         _ if own.reads <= 0.0 => 0,
-        _ => ((own.reads - free).max(0.0) / own.reads * f64::from(WHOLE)) as u16,
+        _ => ((own.reads - free).max(0.0) / own.reads * f64::from(FULL_WEIGHT_PERMILLE)) as u16,
     };
-    if stays >= share.part {
+    if stays >= share.permille {
         return None;
     }
-    let again = share.why == Why::Returns && share.number > 0 && rests < FORGIVEN;
-    let failed = if again { share.failed.saturating_add(1) } else { share.failed };
-    Some((zone, Share { failed, ..share.then(stays, why) }))
+    let again = share.reason == WeightReason::Returns && share.version > 0 && rests < FORGIVEN;
+    let failed = if again { share.failed_returns.saturating_add(1) } else { share.failed_returns };
+    Some((zone, ZoneWeight { failed_returns: failed, ..share.next(stays, why) }))
 }
--- a/src/fleet/zones/local_evacuation.rs
+++ b/src/fleet/zones/local_evacuation.rs
@@ -3,7 +3,7 @@
 use super::evacuation::{EvacuationBackoff, FORGIVEN};
 use super::outcomes::{ENOUGH, ZoneOutcomes};
 use crate::ids::ZoneId;
-use crate::store::zone_weights::{Share, WHOLE};
+use crate::store::zone_weights::{FULL_WEIGHT_PERMILLE, ZoneWeight};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,10 +37,10 @@
         &mut self,
         now: Timestamp,
         own: &BTreeMap<ZoneId, ZoneOutcomes>,
-        agreed: &BTreeMap<ZoneId, Share>,
+        agreed: &BTreeMap<ZoneId, ZoneWeight>,
     ) -> BTreeSet<ZoneId> {
         self.left.retain(|zone, (until, _)| {
-            now - *until < FORGIVEN && agreed.get(zone).is_none_or(|s| s.part == WHOLE)
+            now - *until < FORGIVEN && agreed.get(zone).is_none_or(|s| s.permille == FULL_WEIGHT_PERMILLE)
         });
         // LocalEvacuation it has to see more of the zone than where others see as much.
         let is_lost =
@@ -49,7 +49,7 @@
         if !own.iter().any(|(zone, s)| works(zone, s)) {
             return BTreeSet::new();
         }
-        let whole = |zone: &ZoneId| agreed.get(zone).is_none_or(|s| s.part == WHOLE);
+        let whole = |zone: &ZoneId| agreed.get(zone).is_none_or(|s| s.permille == FULL_WEIGHT_PERMILLE);
         let lost =
             own.iter().filter(|(zone, s)| is_lost(s) && whole(zone) && !self.is_evacuated(now, **zone));
         let lost: BTreeSet<ZoneId> = lost.map(|(zone, _)| *zone).collect();
--- a/src/fleet/zones/state.rs
+++ b/src/fleet/zones/state.rs
@@ -17,8 +17,8 @@
 use crate::ids::NodeId;
 use crate::ids::{GroupId, ZoneId};
 use crate::routing::Availability;
-use crate::store::state_machine::State;
-use crate::store::zone_weights::{Share, WHOLE, Why};
+use crate::store::state_machine::ClusterState;
+use crate::store::zone_weights::{FULL_WEIGHT_PERMILLE, WeightReason, ZoneWeight};
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -68,7 +68,7 @@
     pub fn record_outcomes(
         &mut self,
         seen: &BTreeMap<String, OutcomeCounts>,
-        state: &State,
+        state: &ClusterState,
     ) -> Option<BTreeMap<ZoneId, ZoneOutcomes>> {
         let mut by: BTreeMap<ZoneId, Vec<&OutcomeCounts>> = BTreeMap::new();
         for (host, seen) in seen {
@@ -83,7 +83,7 @@
             .collect();
         let amiss = |s: &ZoneOutcomes| s.silent + s.refused + s.late > 0;
         let urgent = own.values().chain(self.own.values()).any(amiss)
-            || state.zones.values().any(|share| share.part < WHOLE);
+            || state.zone_weights.values().any(|share| share.permille < FULL_WEIGHT_PERMILLE);
         self.own = own;
         urgent.then(|| self.own.clone())
     }
@@ -99,7 +99,7 @@
     }
 
     /// All words that count.
-    pub fn current_reports(&self, now: Timestamp, me: NodeId, state: &State) -> ZoneReports {
+    pub fn current_reports(&self, now: Timestamp, me: NodeId, state: &ClusterState) -> ZoneReports {
         let fresh = |(id, (_, at)): &(&NodeId, &(BTreeMap<ZoneId, ZoneOutcomes>, Timestamp))| {
             now - *at < FRESH && state.members.contains_key(id)
         };
@@ -113,25 +113,25 @@
         &mut self,
         now: Timestamp,
         me: NodeId,
-        state: &State,
+        state: &ClusterState,
         warmth: impl Fn(ZoneId) -> f64,
-    ) -> Vec<(ZoneId, Share)> {
+    ) -> Vec<(ZoneId, ZoneWeight)> {
         self.others.retain(|id, _| state.members.contains_key(id));
-        let shares: BTreeMap<ZoneId, Share> =
-            populated_zones(state).into_iter().map(|z| (z, state.share(z))).collect();
+        let shares: BTreeMap<ZoneId, ZoneWeight> =
+            populated_zones(state).into_iter().map(|z| (z, state.zone_weight(z))).collect();
         let sights = self.current_reports(now, me, state);
-        if shares.values().all(|s| s.part == WHOLE) {
+        if shares.values().all(|s| s.permille == FULL_WEIGHT_PERMILLE) {
             self.measure(&sights, &shares);
         }
         let loads = shares.keys().map(|zone| (*zone, self.load(*zone, warmth(*zone)))).collect();
         if !self.leaving.automatic {
             return Vec::new();
         }
-        self.zones.next_moves(now, &shares, |zone| state.region(zone), &sights, &loads)
+        self.zones.next_moves(now, &shares, |zone| state.zones_in_region(zone), &sights, &loads)
     }
 
     /// Notes what zones serve while all is as ever.
-    fn measure(&mut self, sights: &ZoneReports, shares: &BTreeMap<ZoneId, Share>) {
+    fn measure(&mut self, sights: &ZoneReports, shares: &BTreeMap<ZoneId, ZoneWeight>) {
         for zone in shares.keys() {
             let words: Vec<&ZoneOutcomes> = sights.values().filter_map(|own| own.get(zone)).collect();
             let served: f64 = words.iter().map(|s| f64::from(s.good) + f64::from(s.late)).sum();
@@ -152,28 +152,32 @@
     }
 
     /// This daemon's own part in it: zones that it leaves for itself from now on.
-    pub fn update_local_evacuation(&mut self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
+    pub fn update_local_evacuation(&mut self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
         if !self.leaving.automatic {
             return BTreeSet::new();
         }
-        self.alone.update(now, &self.own, &state.zones)
+        self.alone.update(now, &self.own, &state.zone_weights)
     }
 
     /// The part of its reads that a zone gets from this daemon.
-    pub fn effective_permille(&self, now: Timestamp, zone: ZoneId, state: &State) -> u16 {
-        let agreed = state.share(zone).part;
-        if agreed == WHOLE && self.alone.is_evacuated(now, zone) { 0 } else { agreed }
+    pub fn effective_permille(&self, now: Timestamp, zone: ZoneId, state: &ClusterState) -> u16 {
+        let agreed = state.zone_weight(zone).permille;
+        if agreed == FULL_WEIGHT_PERMILLE && self.alone.is_evacuated(now, zone) { 0 } else { agreed }
     }
 
     /// EvacuationController that do not get all of their reads from this daemon.
-    pub fn reduced_zones(&self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
-        let agreed = state.zones.iter().filter(|(_, share)| share.part < WHOLE).map(|(zone, _)| *zone);
+    pub fn reduced_zones(&self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
+        let agreed = state
+            .zone_weights
+            .iter()
+            .filter(|(_, share)| share.permille < FULL_WEIGHT_PERMILLE)
+            .map(|(zone, _)| *zone);
         agreed.chain(self.alone.evacuated(now)).collect()
     }
 
     /// EvacuationController from whose hosts an overdue answer is not waited for: left ones, and those that fail much of what is asked
     /// while another one is sound.
-    pub fn abandoned_zones(&self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
+    pub fn abandoned_zones(&self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
         let mut zones = self.reduced_zones(now, state);
         zones.retain(|zone| self.effective_permille(now, *zone, state) == 0);
         if self.own.values().any(ZoneOutcomes::is_sound) {
@@ -183,12 +187,14 @@
     }
 
     /// EvacuationController whose part is another one than when this was last asked.
-    pub fn take_changed(&mut self, now: Timestamp, state: &State) -> BTreeSet<ZoneId> {
+    pub fn take_changed(&mut self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
         let away = self.reduced_zones(now, state).into_iter();
         let parts: BTreeMap<ZoneId, u16> =
             away.map(|zone| (zone, self.effective_permille(now, zone, state))).collect();
         // Whoever is not named gets all.
-        let part = |parts: &BTreeMap<ZoneId, u16>, zone: &ZoneId| parts.get(zone).copied().unwrap_or(WHOLE);
+        let part = |parts: &BTreeMap<ZoneId, u16>, zone: &ZoneId| {
+            parts.get(zone).copied().unwrap_or(FULL_WEIGHT_PERMILLE)
+        };
         let named = parts.keys().chain(self.parts.keys());
         let moved = named.filter(|zone| part(&parts, zone) != part(&self.parts, zone)).copied().collect();
         self.parts = parts;
@@ -201,15 +207,15 @@
         &self,
         now: Timestamp,
         listed: EndpointRecord,
-        state: &State,
+        state: &ClusterState,
         primary: bool,
         alone: bool,
     ) -> EndpointRecord {
         let part = self.effective_permille(now, listed.zone, state);
-        if part == WHOLE || alone {
+        if part == FULL_WEIGHT_PERMILLE || alone {
             return listed;
         }
-        let weight = listed.weight * f64::from(part) / f64::from(WHOLE);
+        let weight = listed.weight * f64::from(part) / f64::from(FULL_WEIGHT_PERMILLE);
         let open = part > 0 || primary || listed.availability != Availability::Ready;
         let availability = if open { listed.availability } else { Availability::Draining };
         EndpointRecord { weight: weight.max(LITTLE), availability, ..listed }
@@ -220,36 +226,43 @@
         &self,
         order: ZoneCommand,
         zone: ZoneId,
-        state: &State,
-    ) -> Result<Share, String> {
-        let share = state.share(zone);
-        let others =
-            populated_zones(state).into_iter().any(|other| other != zone && state.share(other).part > 0);
+        state: &ClusterState,
+    ) -> Result<ZoneWeight, String> {
+        let share = state.zone_weight(zone);
+        let others = populated_zones(state)
+            .into_iter()
+            .any(|other| other != zone && state.zone_weight(other).permille > 0);
         match order {
             ZoneCommand::Evacuate if !others => Err("it is the last zone in service".into()),
-            ZoneCommand::Evacuate => Ok(share.then(0, Why::Operator)),
-            ZoneCommand::Hold => Ok(share.then(share.part, Why::Operator)),
-            ZoneCommand::ReturnNow => Ok(Share { failed: 0, ..share.then(WHOLE, Why::Returns) }),
-            ZoneCommand::Return if share.part == WHOLE => Ok(share.then(WHOLE, Why::Returns)),
-            ZoneCommand::Return => {
-                Ok(Share { failed: 0, ..share.then(share.part.max(FIRST_RETURN_PERMILLE), Why::Returns) })
+            ZoneCommand::Evacuate => Ok(share.next(0, WeightReason::Operator)),
+            ZoneCommand::Hold => Ok(share.next(share.permille, WeightReason::Operator)),
+            ZoneCommand::ReturnNow => Ok(ZoneWeight {
+                failed_returns: 0,
+                ..share.next(FULL_WEIGHT_PERMILLE, WeightReason::Returns)
+            }),
+            ZoneCommand::Return if share.permille == FULL_WEIGHT_PERMILLE => {
+                Ok(share.next(FULL_WEIGHT_PERMILLE, WeightReason::Returns))
             }
+            ZoneCommand::Return => Ok(ZoneWeight {
+                failed_returns: 0,
+                ..share.next(share.permille.max(FIRST_RETURN_PERMILLE), WeightReason::Returns)
+            }),
         }
     }
 }
 
 /// How each zone looks by these sights.
-pub fn assess_zones(sights: &ZoneReports, state: &State) -> BTreeMap<ZoneId, ZoneHealth> {
+pub fn assess_zones(sights: &ZoneReports, state: &ClusterState) -> BTreeMap<ZoneId, ZoneHealth> {
     populated_zones(state).into_iter().map(|zone| (zone, assess_zone(zone, sights))).collect()
 }
 
 /// EvacuationController that have hosts.
-pub fn populated_zones(state: &State) -> BTreeSet<ZoneId> {
+pub fn populated_zones(state: &ClusterState) -> BTreeSet<ZoneId> {
     state.hosts.values().map(|host| host.zone).collect()
 }
 
 /// Groups that have no host outside this zone.
-pub fn groups_confined_to(zone: ZoneId, state: &State) -> BTreeSet<GroupId> {
+pub fn groups_confined_to(zone: ZoneId, state: &ClusterState) -> BTreeSet<GroupId> {
     let inside = state.hosts.values().filter(|h| h.zone == zone).map(|h| h.group);
     let outside: BTreeSet<GroupId> =
         state.hosts.values().filter(|h| h.zone != zone).map(|h| h.group).collect();
--- a/src/fleet/zones/state/tests.rs
+++ b/src/fleet/zones/state/tests.rs
@@ -7,16 +7,16 @@
 const S: Timestamp = Timestamp::from_micros(1_000_000);
 
 /// Two groups with a host in each of three zones.
-fn state() -> State {
+fn state() -> ClusterState {
     let member = |id: u64| {
         (NodeId(id), Member { name: format!("b{id}"), address: ([127, 0, 0, 1], id as u16).into() })
     };
     let host = |group: GroupId, zone: ZoneId| {
         let listed = EndpointRecord { group, zone, ..EndpointRecord::plain(&format!("s-{group}-{zone}")) };
-        (listed.name.clone(), HostRecord::of(&listed))
+        (listed.name.clone(), HostRecord::from_endpoint_record(&listed))
     };
     let hosts = (0..6).map(|n| host(GroupId(n / 3 + 1), ZoneId((n % 3) as u8))).collect();
-    State { hosts, members: (1..=3).map(member).collect(), ..State::default() }
+    ClusterState { hosts, members: (1..=3).map(member).collect(), ..ClusterState::default() }
 }
 
 fn seen(lost: &[u8]) -> BTreeMap<String, OutcomeCounts> {
@@ -42,14 +42,14 @@
     assert_eq!(zoning.update_local_evacuation(S, &state), BTreeSet::from([ZoneId(0)]));
     assert_eq!(
         (zoning.effective_permille(S, ZoneId(0), &state), zoning.effective_permille(S, ZoneId(1), &state)),
-        (0, WHOLE)
+        (0, FULL_WEIGHT_PERMILLE)
     );
     assert_eq!(zoning.take_changed(S, &state), BTreeSet::from([ZoneId(0)]));
     assert!(
         zoning.take_changed(S, &state).is_empty() && zoning.update_local_evacuation(S, &state).is_empty()
     );
     let back = S + EvacuationBackoff::default().least;
-    assert_eq!(zoning.effective_permille(back, ZoneId(0), &state), WHOLE);
+    assert_eq!(zoning.effective_permille(back, ZoneId(0), &state), FULL_WEIGHT_PERMILLE);
     zoning.update_local_evacuation(back, &state);
     assert_eq!(
         zoning.effective_permille(back + EvacuationBackoff::default().least, ZoneId(0), &state),
@@ -69,17 +69,29 @@
 fn the_list_follows_the_shares_but_for_primaries_and_groups_that_are_only_there() {
     let mut state = state();
     let zoning = ZoneState::new(EvacuationPolicy::default());
-    let shape = |state: &State, primary, alone| {
-        let listed = state.hosts["s-1-0"].listed("s-1-0", false);
+    let shape = |state: &ClusterState, primary, alone| {
+        let listed = state.hosts["s-1-0"].endpoint_record("s-1-0", false);
         let shaped = zoning.apply_weight(Timestamp::ZERO, listed, state, primary, alone);
         (shaped.availability, shaped.weight)
     };
     assert_eq!(shape(&state, false, false), (Availability::Ready, 1.0));
-    state.apply(1, &Change::Zone { zone: ZoneId(0), share: state.share(ZoneId(0)).then(0, Why::Lost) });
+    state.apply(
+        1,
+        &Change::ZoneWeight {
+            zone: ZoneId(0),
+            weight: state.zone_weight(ZoneId(0)).next(0, WeightReason::Lost),
+        },
+    );
     assert_eq!(shape(&state, false, false), (Availability::Draining, LITTLE));
     assert_eq!(shape(&state, true, false), (Availability::Ready, LITTLE));
     assert_eq!(shape(&state, false, true), (Availability::Ready, 1.0));
-    state.apply(2, &Change::Zone { zone: ZoneId(0), share: state.share(ZoneId(0)).then(250, Why::Returns) });
+    state.apply(
+        2,
+        &Change::ZoneWeight {
+            zone: ZoneId(0),
+            weight: state.zone_weight(ZoneId(0)).next(250, WeightReason::Returns),
+        },
+    );
     assert_eq!(shape(&state, false, false), (Availability::Ready, 0.25));
     assert!(groups_confined_to(ZoneId(0), &state).is_empty());
     state.hosts.retain(|_, h| h.zone == ZoneId(0) || h.group == GroupId(2));
@@ -102,15 +114,24 @@
         assess_zones(&zoning.current_reports(S, NodeId(1), &state), &state)[&ZoneId(0)],
         ZoneHealth::Lost
     );
-    assert_eq!(zoning.next_moves(S, NodeId(1), &state, |_| 1.0)[0].1.why, Why::Lost);
+    assert_eq!(zoning.next_moves(S, NodeId(1), &state, |_| 1.0)[0].1.reason, WeightReason::Lost);
     assert_eq!(zoning.current_reports(S + FRESH, NodeId(1), &state).len(), 1);
     for zone in [0, 1].map(ZoneId) {
         let share = zoning.weight_for_command(ZoneCommand::Evacuate, zone, &state).unwrap();
-        assert_eq!(state.apply(1, &Change::Zone { zone, share }), crate::store::state_machine::Effect::Done);
+        assert_eq!(
+            state.apply(1, &Change::ZoneWeight { zone, weight: share }),
+            crate::store::state_machine::ApplyResult::Done
+        );
     }
     assert!(zoning.weight_for_command(ZoneCommand::Evacuate, ZoneId(2), &state).is_err());
     let back = zoning.weight_for_command(ZoneCommand::Return, ZoneId(0), &state).unwrap();
-    assert_eq!((back.part, back.why, back.number), (FIRST_RETURN_PERMILLE, Why::Returns, 2));
-    assert_eq!(zoning.weight_for_command(ZoneCommand::ReturnNow, ZoneId(0), &state).unwrap().part, WHOLE);
-    assert_eq!(zoning.weight_for_command(ZoneCommand::Hold, ZoneId(2), &state).unwrap().why, Why::Operator);
+    assert_eq!((back.permille, back.reason, back.version), (FIRST_RETURN_PERMILLE, WeightReason::Returns, 2));
+    assert_eq!(
+        zoning.weight_for_command(ZoneCommand::ReturnNow, ZoneId(0), &state).unwrap().permille,
+        FULL_WEIGHT_PERMILLE
+    );
+    assert_eq!(
+        zoning.weight_for_command(ZoneCommand::Hold, ZoneId(2), &state).unwrap().reason,
+        WeightReason::Operator
+    );
 }
--- a/src/fleet/zones/tests.rs
+++ b/src/fleet/zones/tests.rs
@@ -1,7 +1,7 @@
 use super::evacuation::STEP;
 use super::*;
 use crate::ids::{NodeId, ZoneId};
-use crate::store::zone_weights::{Share, WHOLE, Why};
+use crate::store::zone_weights::{FULL_WEIGHT_PERMILLE, WeightReason, ZoneWeight};
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -71,7 +71,7 @@
 
 /// Three zones whose hosts fail, return cold and slow by seed; shares as they are agreed.
 struct World {
-    shares: BTreeMap<ZoneId, Share>,
+    shares: BTreeMap<ZoneId, ZoneWeight>,
     /// Until when each zone is silent, and since when its hosts run.
     silent: [Timestamp; 3],
     started: [Timestamp; 3],
@@ -79,7 +79,7 @@
 
 impl World {
     fn new() -> World {
-        let shares = (0..3).map(|z| (ZoneId(z), Share::default())).collect();
+        let shares = (0..3).map(|z| (ZoneId(z), ZoneWeight::default())).collect();
         World { shares, silent: [Timestamp::ZERO; 3], started: [Timestamp::ZERO - 100 * S; 3] }
     }
 
@@ -97,7 +97,8 @@
     /// What daemons see in a second: `daemons` of them, each a like part.
     fn sights(&self, now: Timestamp, daemons: u64) -> ZoneReports {
         let sight = |zone: ZoneId| {
-            let sent = (f64::from(self.shares[&zone].part) / 1000.0 * 100.0 / daemons as f64).ceil() as u32;
+            let sent =
+                (f64::from(self.shares[&zone].permille) / 1000.0 * 100.0 / daemons as f64).ceil() as u32;
             if self.silent[usize::from(zone.0)] > now { silent(sent) } else { good(sent) }
         };
         let own = || (0..3).map(ZoneId).map(|z| (z, sight(z))).collect();
@@ -112,7 +113,7 @@
     for seed in 0..40 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut world, mut zones) = (World::new(), EvacuationController::default());
-        let mut moves: Vec<(Timestamp, ZoneId, Share)> = Vec::new();
+        let mut moves: Vec<(Timestamp, ZoneId, ZoneWeight)> = Vec::new();
         let (last_fault, end) = (Timestamp::ZERO + 120 * S, Timestamp::ZERO + 400 * S);
         let mut now = Timestamp::ZERO;
         while now < end {
@@ -124,32 +125,39 @@
             }
             let (sights, loads) = (world.sights(now, 5), world.loads(now));
             let due = zones.next_moves(now, &world.shares, |zone| vec![zone], &sights, &loads);
-            assert!(due.len() < 2 || due.iter().all(|(_, s)| s.why == Why::Lost), "seed {seed}: {due:?}");
+            assert!(
+                due.len() < 2 || due.iter().all(|(_, s)| s.reason == WeightReason::Lost),
+                "seed {seed}: {due:?}"
+            );
             for (zone, share) in due {
                 let old = world.shares[&zone];
-                assert_eq!(share.number, old.number + 1, "seed {seed}");
-                assert_ne!(share.part, old.part, "seed {seed}: a move that moves nothing");
-                if share.part > old.part && old.part > 0 {
+                assert_eq!(share.version, old.version + 1, "seed {seed}");
+                assert_ne!(share.permille, old.permille, "seed {seed}: a move that moves nothing");
+                if share.permille > old.permille && old.permille > 0 {
                     let load = loads[&zone];
-                    assert!(load.bears >= load.reads * f64::from(share.part) / 1000.0, "seed {seed}");
+                    assert!(load.bears >= load.reads * f64::from(share.permille) / 1000.0, "seed {seed}");
                     assert!(
                         world.silent[usize::from(zone.0)] <= now,
                         "seed {seed}: a step into a silent zone"
                     );
                 }
                 world.shares.insert(zone, share);
-                assert!(world.shares.values().any(|s| s.part > 0), "seed {seed}: all zones are left");
+                assert!(world.shares.values().any(|s| s.permille > 0), "seed {seed}: all zones are left");
                 moves.push((now, zone, share));
             }
         }
-        assert!(world.shares.values().all(|s| s.part == WHOLE), "seed {seed}: {:?}", world.shares);
+        assert!(
+            world.shares.values().all(|s| s.permille == FULL_WEIGHT_PERMILLE),
+            "seed {seed}: {:?}",
+            world.shares
+        );
         for zone in (0..3).map(ZoneId) {
             let own: Vec<_> = moves.iter().filter(|(_, z, _)| *z == zone).collect();
             for pair in own.windows(2) {
                 let (left, back) = (pair[0].2, pair[1].2);
                 let rested = pair[1].0 - pair[0].0;
                 assert!(
-                    left.part > 0 || back.part == 0 || rested >= EvacuationBackoff::default().least,
+                    left.permille > 0 || back.permille == 0 || rested >= EvacuationBackoff::default().least,
                     "seed {seed}: it flaps"
                 );
             }
@@ -161,7 +169,7 @@
 fn a_slow_zone_is_left_in_shares_that_the_others_can_carry_and_a_lost_one_whole() {
     let late = ZoneOutcomes { late: 20, ..ZoneOutcomes::default() };
     let (g, s) = (good(20), silent(20));
-    let shares: BTreeMap<ZoneId, Share> = (0..2).map(|z| (ZoneId(z), Share::default())).collect();
+    let shares: BTreeMap<ZoneId, ZoneWeight> = (0..2).map(|z| (ZoneId(z), ZoneWeight::default())).collect();
     let loads = BTreeMap::from([
         (ZoneId(0), ZoneLoad { reads: 100.0, bears: 150.0 }),
         (ZoneId(1), ZoneLoad { reads: 100.0, bears: 150.0 }),
@@ -174,19 +182,25 @@
     );
     let (zone, share) = zones.next_moves(zero + STEP, &shares, own, &sights(&[&[late, g]]), &loads)[0];
     // The other one has room for 35 of its 100.
-    assert_eq!((zone, share.part, share.why), (ZoneId(0), 650, Why::Slow));
+    assert_eq!((zone, share.permille, share.reason), (ZoneId(0), 650, WeightReason::Slow));
     let (zone, share) =
         EvacuationController::default().next_moves(zero, &shares, own, &sights(&[&[s, g]]), &loads)[0];
-    assert_eq!((zone, share.part, share.why), (ZoneId(0), 0, Why::Lost));
+    assert_eq!((zone, share.permille, share.reason), (ZoneId(0), 0, WeightReason::Lost));
     // Both are slow: nothing is to be gained. Only one is left that works: it stays.
     assert!(zones.next_moves(zero + 2 * STEP, &shares, own, &sights(&[&[late, late]]), &loads).is_empty());
     let mut one_left = shares.clone();
-    one_left.insert(ZoneId(0), Share { part: 0, why: Why::Lost, number: 1, failed: 0 });
+    one_left.insert(
+        ZoneId(0),
+        ZoneWeight { permille: 0, reason: WeightReason::Lost, version: 1, failed_returns: 0 },
+    );
     let both = sights(&[&[ZoneOutcomes::default(), s], &[ZoneOutcomes::default(), s]]);
     assert!(EvacuationController::default().next_moves(zero, &one_left, own, &both, &loads).is_empty());
     // What an operator has left returns on an operator's word.
     let mut held = shares.clone();
-    held.insert(ZoneId(0), Share { part: 0, why: Why::Operator, number: 1, failed: 0 });
+    held.insert(
+        ZoneId(0),
+        ZoneWeight { permille: 0, reason: WeightReason::Operator, version: 1, failed_returns: 0 },
+    );
     let mut zones = EvacuationController::default();
     for now in [zero, zero + EvacuationBackoff::default().longest * 2] {
         assert!(
@@ -200,7 +214,7 @@
 #[test]
 fn a_lost_region_is_left_whole_and_a_lost_zone_alone() {
     let (g, s, none) = (good(20), silent(20), ZoneOutcomes::default());
-    let shares: BTreeMap<ZoneId, Share> = (0..4).map(|z| (ZoneId(z), Share::default())).collect();
+    let shares: BTreeMap<ZoneId, ZoneWeight> = (0..4).map(|z| (ZoneId(z), ZoneWeight::default())).collect();
     let loads = BTreeMap::new();
     // EvacuationController 0, 1 and 2 are a region.
     let region = |zone: ZoneId| if zone.0 < 3 { [0, 1, 2].map(ZoneId).to_vec() } else { vec![zone] };
@@ -212,7 +226,7 @@
             &sights(seen),
             &loads,
         );
-        due.into_iter().map(|(zone, share)| (zone.0, share.part)).collect()
+        due.into_iter().map(|(zone, share)| (zone.0, share.permille)).collect()
     };
     assert_eq!(left(&[&[s, silent(3), none, g], &[s, none, none, g]]), [(0, 0), (1, 0), (2, 0)]);
     assert_eq!(left(&[&[s, s, g, g], &[s, s, g, g]]), [(0, 0), (1, 0)], "one of its zones works");
--- a/src/store/codec.rs
+++ b/src/store/codec.rs
@@ -4,7 +4,7 @@
 use serde::de::DeserializeOwned;
 
 /// Bytes of a value, a check sum before them.
-pub fn write<T: Serialize>(value: &T) -> Vec<u8> {
+pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     // Our own types have nothing that this form cannot hold.
     let body = postcard::to_allocvec(value).unwrap_or_default();
     let mut out = crc32fast::hash(&body).to_be_bytes().to_vec();
@@ -25,12 +25,12 @@
 }
 
 /// A value from its bytes; `None` where they are not whole, changed or of another form.
-pub fn read<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     value(body(bytes)?)
 }
 
 /// A value from bytes that an earlier version wrote, whose form ended before `missing`.
-pub fn read_earlier<T: DeserializeOwned>(bytes: &[u8], missing: &[u8]) -> Option<T> {
+pub fn decode_earlier<T: DeserializeOwned>(bytes: &[u8], missing: &[u8]) -> Option<T> {
     value(&[body(bytes)?, missing].concat())
 }
 
--- a/src/store/legacy.rs
+++ b/src/store/legacy.rs
@@ -6,11 +6,11 @@
 use crate::time::Timestamp;
 
 /// Its first line.
-pub const FORM: &str = "brookpass-store 1";
+pub const HEADER: &str = "brookpass-store 1";
 
 /// What such a file said.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Legacy {
+pub struct LegacyStore {
     /// The inventory's hosts.
     pub hosts: Vec<(String, HostRecord)>,
     /// When the inventory was last changed.
@@ -21,20 +21,20 @@
     pub settings: Option<(String, Timestamp)>,
 }
 
-impl Legacy {
+impl LegacyStore {
     /// The changes by which a fleet without any state takes it over. Drains are said anew.
     pub fn changes(&self, by: &str) -> Vec<Change> {
         let settings = self.settings.iter().map(|(text, changed)| Change::Settings {
-            by: by.to_string(),
-            changed: *changed,
+            read_by: by.to_string(),
+            changed_at: *changed,
             text: text.clone(),
         });
         let hosts = (!self.hosts.is_empty()).then(|| Change::Inventory {
-            by: by.to_string(),
-            changed: self.hosts_changed,
-            base: 0,
-            set: self.hosts.clone(),
-            gone: Vec::new(),
+            read_by: by.to_string(),
+            changed_at: self.hosts_changed,
+            base_version: 0,
+            upserts: self.hosts.clone(),
+            removals: Vec::new(),
         });
         settings.chain(hosts).collect()
     }
@@ -66,21 +66,21 @@
         group: GroupId(group.parse().ok()?),
         zone: ZoneId(zone.parse().ok()?),
         weight: weight.parse().ok()?,
-        leaving: status != "active",
+        draining: status != "active",
         started_at: (since_ms > 0).then(|| Timestamp::from_micros(since_ms.saturating_mul(1000))),
     })
 }
 
 /// Reads such a file; errors name the line.
-pub fn parse(text: &str) -> Result<Legacy, String> {
-    let mut found = Legacy::default();
+pub fn parse(text: &str) -> Result<LegacyStore, String> {
+    let mut found = LegacyStore::default();
     let mut settings = None;
     let mut settings_changed = Timestamp::ZERO;
     let mut ended = false;
     for (n, line) in text.lines().enumerate() {
         let fault = |what: &str| format!("line {}: {what}", n + 1);
         if n == 0 {
-            if line != FORM {
+            if line != HEADER {
                 return Err(fault("not a store of this form"));
             }
             continue;
--- a/src/store/raft_message.rs
+++ b/src/store/raft_message.rs
@@ -7,7 +7,7 @@
 
 /// A message of the consensus, from one daemon to another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Letter {
+pub struct RaftMessage {
     pub(super) kind: u8,
     /// To whom.
     pub to: NodeId,
@@ -48,14 +48,14 @@
     (18, MessageType::MsgRequestPreVoteResponse),
 ];
 
-impl Letter {
+impl RaftMessage {
     /// Of the library's message; `None` for one that stays in the daemon.
-    pub fn of(mut m: eraftpb::Message) -> Option<Letter> {
+    pub fn of(mut m: eraftpb::Message) -> Option<RaftMessage> {
         let kind = KINDS.iter().find(|(_, t)| *t == m.msg_type)?.0;
         let entries = m.take_entries().into_iter().map(LogEntry::of).collect();
         let snapshot = (m.has_snapshot() && !m.get_snapshot().get_metadata().index.eq(&0))
             .then(|| SnapshotRecord::of(m.get_snapshot()));
-        Some(Letter {
+        Some(RaftMessage {
             kind,
             to: NodeId(m.to),
             from: NodeId(m.from),
--- a/src/store/raft_message/tests.rs
+++ b/src/store/raft_message/tests.rs
@@ -1,13 +1,13 @@
 //! Messages to the library's form and back.
 
 use super::*;
-use crate::store::records::Conf;
+use crate::store::records::Configuration;
 
 /// Guards against a message that a peer may not send: the library would parse a proposal's bytes.
 #[test]
 fn only_messages_that_go_between_daemons_are_made() {
     for kind in 0..=u8::MAX {
-        let letter = Letter { kind, to: NodeId(1), from: NodeId(2), ..Letter::default() };
+        let letter = RaftMessage { kind, to: NodeId(1), from: NodeId(2), ..RaftMessage::default() };
         let known = KINDS.iter().any(|(k, _)| *k == kind) && kind != 7;
         assert_eq!(letter.message().is_some(), known, "{kind}");
     }
@@ -15,11 +15,15 @@
 
 #[test]
 fn a_message_keeps_all_that_counts_on_its_way() {
-    let entry = LogEntry { index: 6, term: 3, kind: 2, bytes: vec![1, 2] };
-    let conf = Conf { voters: vec![NodeId(1), NodeId(2)], learners: vec![NodeId(3)], ..Conf::default() };
-    let snapshot = SnapshotRecord { index: 5, term: 2, conf, state: vec![9] };
+    let entry = LogEntry { index: 6, term: 3, kind: 2, payload: vec![1, 2] };
+    let conf = Configuration {
+        voters: vec![NodeId(1), NodeId(2)],
+        learners: vec![NodeId(3)],
+        ..Configuration::default()
+    };
+    let snapshot = SnapshotRecord { index: 5, term: 2, configuration: conf, state: vec![9] };
     for (kind, snapshot) in [(3, None), (7, Some(snapshot))] {
-        let letter = Letter {
+        let letter = RaftMessage {
             kind,
             to: NodeId(1),
             from: NodeId(2),
@@ -32,8 +36,8 @@
             reject: true,
             reject_hint: 8,
             context: vec![7],
-            ..Letter::default()
+            ..RaftMessage::default()
         };
-        assert_eq!(Letter::of(letter.clone().message().unwrap()), Some(letter));
+        assert_eq!(RaftMessage::of(letter.clone().message().unwrap()), Some(letter));
     }
 }
--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -5,9 +5,9 @@
 //! and the order of writing, sending and taking in.
 
 use super::codec;
-use super::raft_message::Letter;
-use super::records::{Conf, FleetId, Hard, LogEntry, SnapshotRecord};
-use super::state_machine::{Effect, Membership, Proposal, State};
+use super::raft_message::RaftMessage;
+use super::records::{Configuration, FleetId, HardState, LogEntry, SnapshotRecord};
+use super::state_machine::{ApplyResult, ClusterState, MembershipChange, Proposal};
 use crate::ids::NodeId;
 use raft::eraftpb::{self, ConfChangeV2, EntryType};
 use raft::{
@@ -22,72 +22,72 @@
 
 /// What a disk holds of the agreement.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Image {
+pub struct RaftPersistentState {
     /// The votes.
-    pub hard: Hard,
+    pub hard_state: HardState,
     /// A state, entries up to which need not be applied again.
     pub snapshot: SnapshotRecord,
     /// The last entry that is no longer held, and its term.
-    pub dropped: (u64, u64),
+    pub compacted: (u64, u64),
     /// Those after it.
     pub entries: Vec<LogEntry>,
 }
 
 /// What must be on the disk before the rest of a step.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Write {
+pub struct RaftWrite {
     /// The votes, where they changed.
-    pub hard: Option<Hard>,
+    pub hard_state: Option<HardState>,
     /// Entries to append; what the disk has from the first one on is replaced.
     pub entries: Vec<LogEntry>,
     /// A whole state.
     pub snapshot: Option<SnapshotRecord>,
     /// The last entry that is dropped, and its term.
-    pub dropped: Option<(u64, u64)>,
+    pub compacted: Option<(u64, u64)>,
 }
 
-impl Write {
+impl RaftWrite {
     /// Whether there is nothing to write.
     pub fn is_empty(&self) -> bool {
-        *self == Write::default()
+        *self == RaftWrite::default()
     }
 }
 
-impl Image {
+impl RaftPersistentState {
     /// The disk of the only member of a new fleet.
-    pub fn found(state: &State, id: NodeId) -> Image {
-        let conf = Conf { voters: vec![id], ..Conf::default() };
-        Image {
-            hard: Hard { term: 1, vote: NodeId::NOBODY, commit: 1 },
-            snapshot: SnapshotRecord { index: 1, term: 1, conf, state: codec::write(state) },
-            dropped: (1, 1),
+    pub fn found_fleet(state: &ClusterState, id: NodeId) -> RaftPersistentState {
+        let conf = Configuration { voters: vec![id], ..Configuration::default() };
+        RaftPersistentState {
+            hard_state: HardState { term: 1, vote: NodeId::NOBODY, commit: 1 },
+            snapshot: SnapshotRecord { index: 1, term: 1, configuration: conf, state: codec::encode(state) },
+            compacted: (1, 1),
             entries: Vec::new(),
         }
     }
 
     /// The disk of the only member of a fleet that goes on from a state, after this entry and term.
-    pub fn refound(state: &State, id: NodeId, last: (u64, u64)) -> Image {
+    pub fn force_new_fleet(state: &ClusterState, id: NodeId, last: (u64, u64)) -> RaftPersistentState {
         let (index, term) = (last.0 + 1, last.1 + 1);
-        let mut image = Image::found(state, id);
-        image.hard = Hard { term, vote: NodeId::NOBODY, commit: index };
+        let mut image = RaftPersistentState::found_fleet(state, id);
+        image.hard_state = HardState { term, vote: NodeId::NOBODY, commit: index };
         (image.snapshot.index, image.snapshot.term) = (index, term);
-        image.dropped = (index, term);
+        image.compacted = (index, term);
         image
     }
 
     /// The write that puts all of it on an empty disk, or in the place of what is there.
-    pub fn whole(&self) -> Write {
-        Write {
-            hard: Some(self.hard),
+    pub fn full_write(&self) -> RaftWrite {
+        RaftWrite {
+            hard_state: Some(self.hard_state),
             entries: self.entries.clone(),
             snapshot: Some(self.snapshot.clone()),
-            dropped: Some(self.dropped),
+            compacted: Some(self.compacted),
         }
     }
 
     /// Takes in a write whole.
-    pub fn take(&mut self, write: &Write) {
-        self.hard = write.hard.unwrap_or(self.hard);
+    pub fn apply_write(&mut self, write: &RaftWrite) {
+        self.hard_state = write.hard_state.unwrap_or(self.hard_state);
         if let Some(snapshot) = &write.snapshot {
             self.snapshot = snapshot.clone();
         }
@@ -95,8 +95,8 @@
             self.entries.retain(|e| e.index < first.index);
             self.entries.extend(write.entries.iter().cloned());
         }
-        if let Some(dropped) = write.dropped {
-            self.dropped = dropped;
+        if let Some(dropped) = write.compacted {
+            self.compacted = dropped;
             self.entries.retain(|e| e.index > dropped.0);
         }
     }
@@ -107,30 +107,30 @@
     }
 
     /// The last entry that it holds, and its term.
-    pub fn last(&self) -> (u64, u64) {
-        self.entries.last().map_or(self.dropped, |e| (e.index, e.term)).max(self.dropped)
+    pub fn last_entry(&self) -> (u64, u64) {
+        self.entries.last().map_or(self.compacted, |e| (e.index, e.term)).max(self.compacted)
     }
 }
 
 /// The log in memory, as the library reads it.
-struct Log {
-    hard: Hard,
-    conf: Conf,
-    dropped: (u64, u64),
+struct MemoryLog {
+    hard_state: HardState,
+    configuration: Configuration,
+    compacted: (u64, u64),
     entries: VecDeque<eraftpb::Entry>,
     bytes: usize,
-    state: State,
+    state: ClusterState,
     applied: u64,
     applied_term: u64,
 }
 
-impl Log {
+impl MemoryLog {
     fn last(&self) -> u64 {
-        self.entries.back().map_or(self.dropped.0, |e| e.index)
+        self.entries.back().map_or(self.compacted.0, |e| e.index)
     }
 
     fn at(&self, index: u64) -> Option<&eraftpb::Entry> {
-        let place = index.checked_sub(self.dropped.0 + 1)?;
+        let place = index.checked_sub(self.compacted.0 + 1)?;
         self.entries.get(place as usize)
     }
 
@@ -148,15 +148,15 @@
         SnapshotRecord {
             index: self.applied,
             term: self.applied_term,
-            conf: self.conf.clone(),
-            state: codec::write(&self.state),
+            configuration: self.configuration.clone(),
+            state: codec::encode(&self.state),
         }
     }
 
-    fn restore(&mut self, record: &SnapshotRecord, state: State) {
+    fn restore(&mut self, record: &SnapshotRecord, state: ClusterState) {
         (self.applied, self.applied_term) = (record.index, record.term);
-        (self.conf, self.state) = (record.conf.clone(), state);
-        self.dropped = (record.index, record.term);
+        (self.configuration, self.state) = (record.configuration.clone(), state);
+        self.compacted = (record.index, record.term);
         self.entries.clear();
         self.bytes = 0;
     }
@@ -166,12 +166,15 @@
     e.data.len() + e.context.len() + 32
 }
 
-impl Storage for Log {
+impl Storage for MemoryLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let mut hard =
-            eraftpb::HardState { term: self.hard.term, vote: self.hard.vote.0, ..Default::default() };
-        hard.commit = self.hard.commit.max(self.applied);
-        Ok(RaftState { hard_state: hard, conf_state: self.conf.state() })
+        let mut hard = eraftpb::HardState {
+            term: self.hard_state.term,
+            vote: self.hard_state.vote.0,
+            ..Default::default()
+        };
+        hard.commit = self.hard_state.commit.max(self.applied);
+        Ok(RaftState { hard_state: hard, conf_state: self.configuration.state() })
     }
 
     fn entries(
@@ -181,7 +184,7 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
-        if low <= self.dropped.0 {
+        if low <= self.compacted.0 {
             return Err(StorageError::Compacted.into());
         }
         if high > self.last() + 1 {
@@ -202,20 +205,20 @@
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index == self.dropped.0 {
-            return Ok(self.dropped.1);
+        if index == self.compacted.0 {
+            return Ok(self.compacted.1);
         }
         if index == self.applied && self.applied_term > 0 {
             return Ok(self.applied_term);
         }
-        if index < self.dropped.0 {
+        if index < self.compacted.0 {
             return Err(StorageError::Compacted.into());
         }
         self.at(index).map(|e| e.term).ok_or_else(|| StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.dropped.0 + 1)
+        Ok(self.compacted.0 + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
@@ -232,76 +235,77 @@
 
 /// What was agreed at a place of the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum AppliedContent {
     /// A change, with whose it was.
     Change(Proposal),
     /// A change of the membership.
-    Members(Membership),
+    Membership(MembershipChange),
     /// All that was agreed up to here.
-    State(Box<State>),
+    Snapshot(Box<ClusterState>),
     /// Nothing, as when a leader begins.
-    Nothing,
+    Empty,
 }
 
 /// Something that was agreed and taken in.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Applied {
+pub struct AppliedEntry {
     /// Its place in the log.
     pub index: u64,
     /// The check sum over all that was agreed up to it.
     pub digest: u32,
     /// What it is.
-    pub what: What,
+    pub content: AppliedContent,
     /// What became of it.
-    pub effect: Effect,
+    pub result: ApplyResult,
 }
 
 /// A step that waits for its write.
-pub struct Pending {
+pub struct PendingReady {
     ready: Ready,
     /// Goes out at once.
-    pub send: Vec<Letter>,
-    /// Must be on the disk before [`Replica::written`].
-    pub write: Write,
+    pub messages: Vec<RaftMessage>,
+    /// Must be on the disk before [`RaftNode::complete_write`].
+    pub write: RaftWrite,
 }
 
 /// How far another daemon is, as the leader sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Progress {
+pub struct PeerProgress {
     /// The daemon.
     pub id: NodeId,
     /// Entries up to this are on its disk.
-    pub matched: u64,
+    pub match_index: u64,
     /// It was heard within the last election time.
-    pub active: bool,
+    pub recently_active: bool,
 }
 
 /// One daemon's part in the agreement.
-pub struct Replica {
+pub struct RaftNode {
     id: NodeId,
-    node: RawNode<Log>,
+    node: RawNode<MemoryLog>,
     confirmed: Vec<u64>,
 }
 
-impl Replica {
+impl RaftNode {
     /// From what the disk holds; an error says what is wrong with it.
-    pub fn new(id: NodeId, image: Image) -> Result<Replica, String> {
+    pub fn new(id: NodeId, image: RaftPersistentState) -> Result<RaftNode, String> {
         let fresh = image.is_new();
-        let state = if fresh { Some(State::default()) } else { State::read(&image.snapshot.state) };
+        let state =
+            if fresh { Some(ClusterState::default()) } else { ClusterState::decode(&image.snapshot.state) };
         let state = state.ok_or("the state is out of form")?;
-        if image.last().0 < image.hard.commit.max(image.snapshot.index) {
+        if image.last_entry().0 < image.hard_state.commit.max(image.snapshot.index) {
             return Err("the log ends before what was agreed".into());
         }
-        let gaps = image.entries.iter().zip(image.dropped.0 + 1..).any(|(e, wanted)| e.index != wanted);
-        if gaps || image.snapshot.index < image.dropped.0 {
+        let gaps = image.entries.iter().zip(image.compacted.0 + 1..).any(|(e, wanted)| e.index != wanted);
+        if gaps || image.snapshot.index < image.compacted.0 {
             return Err("the log has gaps".into());
         }
         let entries: Option<VecDeque<_>> = image.entries.into_iter().map(LogEntry::entry).collect();
         let entries = entries.ok_or("an entry is out of form")?;
-        let log = Log {
-            hard: image.hard,
-            conf: image.snapshot.conf.clone(),
-            dropped: image.dropped,
+        let log = MemoryLog {
+            hard_state: image.hard_state,
+            configuration: image.snapshot.configuration.clone(),
+            compacted: image.compacted,
             bytes: entries.iter().map(size).sum(),
             entries,
             state,
@@ -322,7 +326,7 @@
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let node = RawNode::new(&config, log, &logger).map_err(|e| e.to_string())?;
-        Ok(Replica { id, node, confirmed: Vec::new() })
+        Ok(RaftNode { id, node, confirmed: Vec::new() })
     }
 
     /// This daemon.
@@ -331,12 +335,12 @@
     }
 
     /// What is agreed, as far as this daemon knows.
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ClusterState {
         &self.node.store().state
     }
 
     /// The fleet; 0 before there is one.
-    pub fn fleet(&self) -> FleetId {
+    pub fn fleet_id(&self) -> FleetId {
         self.state().fleet
     }
 
@@ -346,7 +350,7 @@
     }
 
     /// The last entry that is known as agreed.
-    pub fn agreed(&self) -> u64 {
+    pub fn committed(&self) -> u64 {
         self.node.raft.raft_log.committed
     }
 
@@ -362,7 +366,7 @@
 
     /// Whom the disk has this daemon's vote for, in the term that the disk has; 0: nobody.
     pub fn written_vote(&self) -> (u64, NodeId) {
-        (self.node.store().hard.term, self.node.store().hard.vote)
+        (self.node.store().hard_state.term, self.node.store().hard_state.vote)
     }
 
     /// The leader, as far as this daemon knows; 0: none.
@@ -371,13 +375,13 @@
     }
 
     /// Whether it leads.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
     /// Who votes and who only follows.
-    pub fn conf(&self) -> Conf {
-        self.node.store().conf.clone()
+    pub fn configuration(&self) -> Configuration {
+        self.node.store().configuration.clone()
     }
 
     /// Bytes of the log in memory, and its entries.
@@ -386,23 +390,23 @@
     }
 
     /// Entries that are held and not known as agreed: what restricts in them acts all the same.
-    pub fn open(&self) -> Vec<Proposal> {
+    pub fn uncommitted_proposals(&self) -> Vec<Proposal> {
         let log = self.node.store();
         let open =
             log.entries.iter().filter(|e| e.index > log.applied && e.entry_type == EntryType::EntryNormal);
-        open.filter_map(|e| codec::read(&e.data)).collect()
+        open.filter_map(|e| codec::decode(&e.data)).collect()
     }
 
     /// How far the others are; empty where this daemon does not lead.
-    pub fn progress(&self) -> Vec<Progress> {
-        if !self.leads() {
+    pub fn peer_progress(&self) -> Vec<PeerProgress> {
+        if !self.is_leader() {
             return Vec::new();
         }
         let all = self.node.raft.prs().iter();
-        all.map(|(id, p)| Progress {
+        all.map(|(id, p)| PeerProgress {
             id: NodeId(*id),
-            matched: p.matched,
-            active: p.recent_active || *id == self.id.0,
+            match_index: p.matched,
+            recently_active: p.recent_active || *id == self.id.0,
         })
         .collect()
     }
@@ -418,12 +422,12 @@
     }
 
     /// Says to all that this daemon leads, if it does.
-    pub fn ping(&mut self) {
+    pub fn broadcast_heartbeat(&mut self) {
         self.node.ping();
     }
 
     /// Takes in a letter; false: it is out of form or not for this daemon.
-    pub fn receive(&mut self, letter: Letter) -> bool {
+    pub fn receive(&mut self, letter: RaftMessage) -> bool {
         let (to, from) = (letter.to, letter.from);
         let Some(message) = letter.message() else { return false };
         if to != self.id || from == self.id || from == NodeId::NOBODY {
@@ -431,8 +435,8 @@
         }
         if message.has_snapshot() && message.get_snapshot().get_metadata().index > 0 {
             // A state that cannot be read, or another fleet's, must not replace what is here.
-            let state = State::read(&message.get_snapshot().data);
-            let ours = |s: &State| self.fleet() == 0 || s.fleet == self.fleet();
+            let state = ClusterState::decode(&message.get_snapshot().data);
+            let ours = |s: &ClusterState| self.fleet_id() == 0 || s.fleet == self.fleet_id();
             if !state.as_ref().is_some_and(ours) {
                 return false;
             }
@@ -442,50 +446,53 @@
 
     /// Proposes a change; false: this daemon does not lead, or cannot take more now.
     pub fn propose(&mut self, proposal: &Proposal) -> bool {
-        self.leads() && self.node.propose(Vec::new(), codec::write(proposal)).is_ok()
+        self.is_leader() && self.node.propose(Vec::new(), codec::encode(proposal)).is_ok()
     }
 
     /// Proposes a change of the membership; false: this daemon does not lead, or another one goes on.
-    pub fn propose_members(&mut self, change: &Membership) -> bool {
-        if !self.leads() || self.node.raft.has_pending_conf() || !self.conf().voters_outgoing.is_empty() {
+    pub fn propose_membership(&mut self, change: &MembershipChange) -> bool {
+        if !self.is_leader()
+            || self.node.raft.has_pending_conf()
+            || !self.configuration().voters_outgoing.is_empty()
+        {
             return false;
         }
         let mut cc = ConfChangeV2::default();
-        cc.set_changes(change.steps.iter().map(|s| s.single()).collect::<Vec<_>>().into());
-        self.node.propose_conf_change(codec::write(change), cc).is_ok()
+        cc.set_changes(change.steps.iter().map(|s| s.conf_change()).collect::<Vec<_>>().into());
+        self.node.propose_conf_change(codec::encode(change), cc).is_ok()
     }
 
-    /// Asks a majority whether this daemon still leads; [`Replica::confirmed`] tells when it said so.
-    pub fn confirm(&mut self, number: u64) {
-        if self.leads() {
+    /// Asks a majority whether this daemon still leads; [`RaftNode::take_confirmed_checks`] tells when it said so.
+    pub fn request_leadership_check(&mut self, number: u64) {
+        if self.is_leader() {
             self.node.read_index(number.to_be_bytes().to_vec());
         }
     }
 
-    /// Questions of [`Replica::confirm`] that a majority has answered.
-    pub fn confirmed(&mut self) -> Vec<u64> {
+    /// Questions of [`RaftNode::request_leadership_check`] that a majority has answered.
+    pub fn take_confirmed_checks(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.confirmed)
     }
 
     /// A snapshot was handed to the way to this daemon, or could not be.
-    pub fn snapshot_sent(&mut self, to: NodeId, sent: bool) {
+    pub fn report_snapshot(&mut self, to: NodeId, sent: bool) {
         self.node.report_snapshot(to.0, if sent { SnapshotStatus::Finish } else { SnapshotStatus::Failure });
     }
 
     /// Hands the lead to another daemon.
-    pub fn transfer(&mut self, to: NodeId) {
-        if self.leads() {
+    pub fn transfer_leadership(&mut self, to: NodeId) {
+        if self.is_leader() {
             self.node.transfer_leader(to.0);
         }
     }
 
     /// The way to this daemon is broken.
-    pub fn unreachable(&mut self, id: NodeId) {
+    pub fn report_unreachable(&mut self, id: NodeId) {
         self.node.report_unreachable(id.0);
     }
 
     /// The next step, if there is one.
-    pub fn step(&mut self) -> Option<Pending> {
+    pub fn next_ready(&mut self) -> Option<PendingReady> {
         if !self.node.has_ready() {
             return None;
         }
@@ -495,88 +502,92 @@
                 self.confirmed.push(u64::from_be_bytes(number));
             }
         }
-        let send = ready.take_messages().into_iter().filter_map(Letter::of).collect();
-        let hard = ready.hs().map(|h| Hard { term: h.term, vote: NodeId(h.vote), commit: h.commit });
+        let send = ready.take_messages().into_iter().filter_map(RaftMessage::of).collect();
+        let hard = ready.hs().map(|h| HardState { term: h.term, vote: NodeId(h.vote), commit: h.commit });
         let entries = ready.entries().iter().cloned().map(LogEntry::of).collect();
         let fresh = !ready.snapshot().get_metadata().index.eq(&0);
         let snapshot = fresh.then(|| SnapshotRecord::of(ready.snapshot()));
         let dropped = snapshot.as_ref().map(|s| (s.index, s.term));
-        Some(Pending { ready, send, write: Write { hard, entries, snapshot, dropped } })
+        Some(PendingReady {
+            ready,
+            messages: send,
+            write: RaftWrite { hard_state: hard, entries, snapshot, compacted: dropped },
+        })
     }
 
     /// The write of a step is on the disk: what goes out now, and what was taken in.
-    pub fn written(&mut self, pending: Pending) -> (Vec<Letter>, Vec<Applied>) {
-        let Pending { mut ready, write, .. } = pending;
+    pub fn complete_write(&mut self, pending: PendingReady) -> (Vec<RaftMessage>, Vec<AppliedEntry>) {
+        let PendingReady { mut ready, write, .. } = pending;
         let mut applied = Vec::new();
         let log = self.node.mut_store();
         if let Some(record) = &write.snapshot
-            && let Some(state) = State::read(&record.state)
+            && let Some(state) = ClusterState::decode(&record.state)
         {
             let (index, digest) = (record.index, state.digest);
-            let what = What::State(Box::new(state.clone()));
+            let what = AppliedContent::Snapshot(Box::new(state.clone()));
             log.restore(record, state);
-            applied.push(Applied { index, digest, what, effect: Effect::Done });
+            applied.push(AppliedEntry { index, digest, content: what, result: ApplyResult::Done });
         }
         log.append(ready.entries().clone());
-        log.hard = write.hard.unwrap_or(log.hard);
+        log.hard_state = write.hard_state.unwrap_or(log.hard_state);
         let mut letters = ready.take_persisted_messages();
         let committed = ready.take_committed_entries();
         self.apply(committed, &mut applied);
         let mut light = self.node.advance_append(ready);
         if let Some(commit) = light.commit_index() {
-            self.node.mut_store().hard.commit = commit;
+            self.node.mut_store().hard_state.commit = commit;
         }
         letters.extend(light.take_messages());
         let committed = light.take_committed_entries();
         self.apply(committed, &mut applied);
         self.node.advance_apply();
-        (letters.into_iter().filter_map(Letter::of).collect(), applied)
+        (letters.into_iter().filter_map(RaftMessage::of).collect(), applied)
     }
 
-    fn apply(&mut self, entries: Vec<eraftpb::Entry>, applied: &mut Vec<Applied>) {
+    fn apply(&mut self, entries: Vec<eraftpb::Entry>, applied: &mut Vec<AppliedEntry>) {
         for entry in entries {
             let (index, term) = (entry.index, entry.term);
             let entry = LogEntry::of(entry);
-            let mut what = What::Nothing;
-            let mut effect = Effect::Done;
+            let mut what = AppliedContent::Empty;
+            let mut effect = ApplyResult::Done;
             if entry.kind == 0 {
                 // One that cannot be read, as a newer program may write it, changes nothing anywhere.
-                if let Some(proposal) = codec::read::<Proposal>(&entry.bytes) {
+                if let Some(proposal) = codec::decode::<Proposal>(&entry.payload) {
                     effect = self.node.mut_store().state.apply(index, &proposal.change);
-                    what = What::Change(proposal);
+                    what = AppliedContent::Change(proposal);
                 }
             } else {
-                let change: Membership = codec::read(&entry.bytes).unwrap_or_default();
+                let change: MembershipChange = codec::decode(&entry.payload).unwrap_or_default();
                 let mut cc = ConfChangeV2::default();
-                cc.set_changes(change.steps.iter().map(|s| s.single()).collect::<Vec<_>>().into());
+                cc.set_changes(change.steps.iter().map(|s| s.conf_change()).collect::<Vec<_>>().into());
                 match self.node.apply_conf_change(&cc) {
                     Ok(conf) => {
                         let log = self.node.mut_store();
-                        log.conf = Conf::of(&conf);
-                        log.state.apply_members(&change);
-                        what = What::Members(change);
+                        log.configuration = Configuration::of(&conf);
+                        log.state.apply_membership(&change);
+                        what = AppliedContent::Membership(change);
                     }
-                    Err(_) => effect = Effect::Refused,
+                    Err(_) => effect = ApplyResult::Rejected,
                 }
             }
             let log = self.node.mut_store();
             (log.applied, log.applied_term) = (index, term);
             let mut sum = crc32fast::Hasher::new_with_initial(log.state.digest);
             sum.update(&index.to_be_bytes());
-            sum.update(&entry.bytes);
+            sum.update(&entry.payload);
             log.state.digest = sum.finalize();
-            applied.push(Applied { index, digest: log.state.digest, what, effect });
+            applied.push(AppliedEntry { index, digest: log.state.digest, content: what, result: effect });
         }
     }
 
     /// Drops the older half of a log that is longer than these bytes or entries; what is to be written for it.
     /// Those that are further behind get the whole state.
-    pub fn compact(&mut self, bytes: usize, entries: usize) -> Option<Write> {
+    pub fn compact(&mut self, bytes: usize, entries: usize) -> Option<RaftWrite> {
         let log = self.node.mut_store();
         if log.bytes <= bytes && log.entries.len() <= entries {
             return None;
         }
-        let mut dropped = log.dropped;
+        let mut dropped = log.compacted;
         while log.bytes > bytes / 2 || log.entries.len() > entries / 2 {
             match log.entries.front() {
                 Some(e) if e.index <= log.applied => dropped = (e.index, e.term),
@@ -584,17 +595,17 @@
             }
             log.bytes -= log.entries.pop_front().map_or(0, |e| size(&e));
         }
-        if dropped == log.dropped {
+        if dropped == log.compacted {
             return None;
         }
-        log.dropped = dropped;
-        let hard = Hard { commit: log.hard.commit.max(log.applied), ..log.hard };
-        log.hard = hard;
-        Some(Write {
-            hard: Some(hard),
+        log.compacted = dropped;
+        let hard = HardState { commit: log.hard_state.commit.max(log.applied), ..log.hard_state };
+        log.hard_state = hard;
+        Some(RaftWrite {
+            hard_state: Some(hard),
             entries: Vec::new(),
             snapshot: Some(log.record()),
-            dropped: Some(dropped),
+            compacted: Some(dropped),
         })
     }
 }
--- a/src/store/raft_node/tests.rs
+++ b/src/store/raft_node/tests.rs
@@ -1,30 +1,30 @@
 //! Seeded schedules: letters lost, doubled and out of order, crashes before and after a write, no sockets.
 
 use super::*;
-use crate::store::records::Step;
-use crate::store::state_machine::{Change, DrainMark, Member};
+use crate::store::records::MembershipStep;
+use crate::store::state_machine::{Change, DrainId, Member};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn image(voters: &[NodeId]) -> Image {
+fn image(voters: &[NodeId]) -> RaftPersistentState {
     let members = voters.iter().map(|id| {
         (*id, Member { name: format!("b{id}"), address: ([127, 0, 0, 1], 1000 + id.0 as u16).into() })
     });
-    let state = State { fleet: 7, members: members.collect(), ..State::default() };
-    let mut image = Image::found(&state, voters[0]);
-    image.snapshot.conf.voters = voters.to_vec();
+    let state = ClusterState { fleet: 7, members: members.collect(), ..ClusterState::default() };
+    let mut image = RaftPersistentState::found_fleet(&state, voters[0]);
+    image.snapshot.configuration.voters = voters.to_vec();
     image
 }
 
 struct World {
     rng: fastrand::Rng,
-    disks: BTreeMap<NodeId, Image>,
-    nodes: BTreeMap<NodeId, Replica>,
-    post: Vec<Letter>,
+    disks: BTreeMap<NodeId, RaftPersistentState>,
+    nodes: BTreeMap<NodeId, RaftNode>,
+    post: Vec<RaftMessage>,
     /// What every index was first seen to be, by check sum.
     history: BTreeMap<u64, u32>,
     /// Drains that were answered as agreed, and undrains.
-    drained: BTreeSet<(String, DrainMark)>,
-    undone: BTreeSet<DrainMark>,
+    drained: BTreeSet<(String, DrainId)>,
+    undone: BTreeSet<DrainId>,
     said: u64,
     /// Log bounds: small, so that snapshots are sent.
     bounds: (usize, usize),
@@ -34,8 +34,9 @@
 impl World {
     fn new(seed: u64, size: u64) -> World {
         let voters: Vec<NodeId> = (1..=size).map(NodeId).collect();
-        let disks: BTreeMap<NodeId, Image> = voters.iter().map(|id| (*id, image(&voters))).collect();
-        let nodes = disks.iter().map(|(id, i)| (*id, Replica::new(*id, i.clone()).unwrap())).collect();
+        let disks: BTreeMap<NodeId, RaftPersistentState> =
+            voters.iter().map(|id| (*id, image(&voters))).collect();
+        let nodes = disks.iter().map(|(id, i)| (*id, RaftNode::new(*id, i.clone()).unwrap())).collect();
         World {
             rng: fastrand::Rng::with_seed(seed),
             disks,
@@ -58,28 +59,28 @@
     /// Whether a majority of the voters has an entry on its disk.
     fn held(&self, index: u64, voters: &[NodeId]) -> bool {
         let holds =
-            |id: &NodeId| self.disks.get(id).is_some_and(|d| d.last().0.max(d.snapshot.index) >= index);
+            |id: &NodeId| self.disks.get(id).is_some_and(|d| d.last_entry().0.max(d.snapshot.index) >= index);
         voters.iter().filter(|id| holds(id)).count() > voters.len() / 2
     }
 
     /// Works off a daemon's steps; `crash`: 1 before the write, 2 after it.
     fn settle(&mut self, id: NodeId, mut crash: u8) {
-        while let Some(pending) = self.nodes.get_mut(&id).and_then(Replica::step) {
+        while let Some(pending) = self.nodes.get_mut(&id).and_then(RaftNode::next_ready) {
             if crash != 1 {
-                self.disks.get_mut(&id).unwrap().take(&pending.write);
+                self.disks.get_mut(&id).unwrap().apply_write(&pending.write);
             }
-            self.post.extend(pending.send.iter().cloned());
+            self.post.extend(pending.messages.iter().cloned());
             if crash > 0 {
                 let image = self.disks[&id].clone();
-                self.nodes.insert(id, Replica::new(id, image).unwrap());
+                self.nodes.insert(id, RaftNode::new(id, image).unwrap());
                 crash = 0;
                 continue;
             }
             let node = self.nodes.get_mut(&id).unwrap();
-            let (letters, applied) = node.written(pending);
-            let voters = node.conf().voters;
+            let (letters, applied) = node.complete_write(pending);
+            let voters = node.configuration().voters;
             if let Some(write) = node.compact(self.bounds.0, self.bounds.1) {
-                self.disks.get_mut(&id).unwrap().take(&write);
+                self.disks.get_mut(&id).unwrap().apply_write(&write);
             }
             self.post.extend(letters);
             for one in applied {
@@ -90,17 +91,19 @@
                     "no majority has {}",
                     one.index
                 );
-                let What::Change(Proposal { change, from, .. }) = one.what else { continue };
+                let AppliedContent::Change(Proposal { change, from, .. }) = one.content else { continue };
                 match change {
-                    Change::Drain { host, mark } if from == id => drop(self.drained.insert((host, mark))),
-                    Change::Undrain { marks, .. } => self.undone.extend(marks),
+                    Change::Drain { host, drain: mark } if from == id => {
+                        drop(self.drained.insert((host, mark)))
+                    }
+                    Change::Undrain { drains: marks, .. } => self.undone.extend(marks),
                     _ => {}
                 }
             }
         }
         for letter in &self.post {
             if letter.carries_state() && letter.from == id {
-                self.nodes.get_mut(&id).unwrap().snapshot_sent(letter.to, true);
+                self.nodes.get_mut(&id).unwrap().report_snapshot(letter.to, true);
             }
         }
     }
@@ -110,11 +113,11 @@
         self.said += 1;
         let host = format!("s-{}", self.rng.u8(..5));
         let node = self.nodes.get_mut(&id).unwrap();
-        let known: Vec<DrainMark> = node.state().drains.get(&host).into_iter().flatten().copied().collect();
+        let known: Vec<DrainId> = node.state().drains.get(&host).into_iter().flatten().copied().collect();
         let change = if !known.is_empty() && self.rng.bool() {
-            Change::Undrain { host, marks: known }
+            Change::Undrain { host, drains: known }
         } else {
-            Change::Drain { host, mark: DrainMark { by: id, number: self.said } }
+            Change::Drain { host, drain: DrainId { node: id, sequence: self.said } }
         };
         node.propose(&Proposal { from: id, token: self.said, change });
         self.settle(id, 0);
@@ -144,7 +147,7 @@
             95..97 => {
                 let id = self.any();
                 let image = self.disks[&id].clone();
-                self.nodes.insert(id, Replica::new(id, image).unwrap());
+                self.nodes.insert(id, RaftNode::new(id, image).unwrap());
             }
             97..98 => self.post.clear(),
             _ => {}
@@ -177,7 +180,7 @@
     }
 
     fn leader(&self) -> Option<NodeId> {
-        self.nodes.values().find(|n| n.leads()).map(Replica::id)
+        self.nodes.values().find(|n| n.is_leader()).map(RaftNode::id)
     }
 }
 
@@ -198,13 +201,13 @@
             assert_eq!(node.state(), wanted.state(), "seed {seed}: daemon {}", node.id());
         }
         for (host, mark) in &world.drained {
-            let stands = wanted.state().settled(host, *mark);
+            let stands = wanted.state().is_resolved(host, *mark);
             assert!(stands, "seed {seed}: the drain {mark:?} of {host} is lost");
             let in_force = wanted.state().drains.get(host).is_some_and(|m| m.contains(mark));
             assert!(in_force != world.undone.contains(mark), "seed {seed}: {mark:?} of {host}");
         }
         changes += world.history.len();
-        snapshots += world.disks.values().filter(|d| d.dropped.0 > 1).count();
+        snapshots += world.disks.values().filter(|d| d.compacted.0 > 1).count();
     }
     assert!(
         changes > 20_000 && snapshots > 1_000,
@@ -220,7 +223,7 @@
     world.heal(30);
     world.history.insert(world.nodes[&NodeId(1)].applied() + 1, 1);
     let leader = world.leader().unwrap();
-    let change = Change::Drain { host: "x".into(), mark: DrainMark { by: leader, number: 1 } };
+    let change = Change::Drain { host: "x".into(), drain: DrainId { node: leader, sequence: 1 } };
     world.nodes.get_mut(&leader).unwrap().propose(&Proposal { from: leader, token: 1, change });
     world.heal(5);
 }
@@ -231,19 +234,19 @@
     let mut world = World::new(3, 3);
     world.heal(30);
     let leader = world.leader().unwrap();
-    world.nodes.get_mut(&leader).unwrap().confirm(1);
+    world.nodes.get_mut(&leader).unwrap().request_leadership_check(1);
     world.settle(leader, 0);
     world.heal(3);
-    assert_eq!(world.nodes.get_mut(&leader).unwrap().confirmed(), [1]);
+    assert_eq!(world.nodes.get_mut(&leader).unwrap().take_confirmed_checks(), [1]);
     let mut alone = world.nodes.remove(&leader).unwrap();
-    alone.confirm(2);
+    alone.request_leadership_check(2);
     for _ in 0..4 * ELECTION_TICKS {
         alone.tick();
-        while let Some(pending) = alone.step() {
-            alone.written(pending);
+        while let Some(pending) = alone.next_ready() {
+            alone.complete_write(pending);
         }
     }
-    assert!(alone.confirmed().is_empty() && !alone.leads());
+    assert!(alone.take_confirmed_checks().is_empty() && !alone.is_leader());
 }
 
 /// Members come one at a time, first only following, and go again while changes run.
@@ -253,28 +256,37 @@
     world.check_majority = false;
     world.nodes.get_mut(&NodeId(1)).unwrap().campaign();
     world.settle(NodeId(1), 0);
-    let lead = |world: &mut World, change: Membership| {
+    let lead = |world: &mut World, change: MembershipChange| {
         let leader = world.leader().unwrap();
-        assert!(world.nodes.get_mut(&leader).unwrap().propose_members(&change));
+        assert!(world.nodes.get_mut(&leader).unwrap().propose_membership(&change));
         world.heal(40);
     };
     for id in [2, 3, 4].map(NodeId) {
-        world.disks.insert(id, Image::default());
-        world.nodes.insert(id, Replica::new(id, Image::default()).unwrap());
+        world.disks.insert(id, RaftPersistentState::default());
+        world.nodes.insert(id, RaftNode::new(id, RaftPersistentState::default()).unwrap());
         let member = Member { name: format!("b{id}"), address: ([127, 0, 0, 1], id.0 as u16).into() };
-        lead(&mut world, Membership { steps: vec![Step::Follow(id)], comes: Some((id, member)) });
+        lead(
+            &mut world,
+            MembershipChange { steps: vec![MembershipStep::AddLearner(id)], joining: Some((id, member)) },
+        );
         assert_eq!(world.nodes[&id].state(), world.nodes[&NodeId(1)].state());
-        assert!(world.nodes[&id].conf().learners.contains(&id));
+        assert!(world.nodes[&id].configuration().learners.contains(&id));
         if id < NodeId(4) {
-            lead(&mut world, Membership { steps: vec![Step::Vote(id)], comes: None });
+            lead(&mut world, MembershipChange { steps: vec![MembershipStep::AddVoter(id)], joining: None });
         }
     }
-    assert_eq!(world.nodes[&NodeId(1)].conf().voters, [1, 2, 3].map(NodeId));
+    assert_eq!(world.nodes[&NodeId(1)].configuration().voters, [1, 2, 3].map(NodeId));
     // In one step the new one votes and the old one is gone.
     world.nodes.remove(&NodeId(3));
-    lead(&mut world, Membership { steps: vec![Step::Remove(NodeId(3)), Step::Vote(NodeId(4))], comes: None });
+    lead(
+        &mut world,
+        MembershipChange {
+            steps: vec![MembershipStep::Remove(NodeId(3)), MembershipStep::AddVoter(NodeId(4))],
+            joining: None,
+        },
+    );
     world.heal(20);
-    let conf = world.nodes[&NodeId(4)].conf();
+    let conf = world.nodes[&NodeId(4)].configuration();
     assert_eq!(
         (conf.voters, conf.learners, conf.voters_outgoing),
         ([1, 2, 4].map(NodeId).to_vec(), vec![], vec![])
@@ -285,22 +297,22 @@
 /// Guards against a letter out of form that ends the daemon or changes it.
 #[test]
 fn letters_out_of_form_change_nothing() {
-    let mut node = Replica::new(NodeId(1), image(&[1, 2, 3].map(NodeId))).unwrap();
-    let good = Letter { kind: 8, to: NodeId(1), from: NodeId(2), term: 2, ..Letter::default() };
+    let mut node = RaftNode::new(NodeId(1), image(&[1, 2, 3].map(NodeId))).unwrap();
+    let good = RaftMessage { kind: 8, to: NodeId(1), from: NodeId(2), term: 2, ..RaftMessage::default() };
     let foreign = SnapshotRecord {
         index: 9,
         term: 9,
-        state: codec::write(&State { fleet: 8, ..State::default() }),
-        conf: Conf::default(),
+        state: codec::encode(&ClusterState { fleet: 8, ..ClusterState::default() }),
+        configuration: Configuration::default(),
     };
     let broken = SnapshotRecord { state: vec![1, 2, 3], ..foreign.clone() };
     for bad in [
-        Letter { kind: 2, ..good.clone() },
-        Letter { to: NodeId(3), ..good.clone() },
-        Letter { from: NodeId(1), ..good.clone() },
-        Letter { kind: 7, ..good.clone() },
-        Letter { kind: 7, snapshot: Some(foreign), ..good.clone() },
-        Letter { kind: 7, snapshot: Some(broken), ..good.clone() },
+        RaftMessage { kind: 2, ..good.clone() },
+        RaftMessage { to: NodeId(3), ..good.clone() },
+        RaftMessage { from: NodeId(1), ..good.clone() },
+        RaftMessage { kind: 7, ..good.clone() },
+        RaftMessage { kind: 7, snapshot: Some(foreign), ..good.clone() },
+        RaftMessage { kind: 7, snapshot: Some(broken), ..good.clone() },
     ] {
         assert!(!node.receive(bad.clone()), "{bad:?}");
         assert_eq!(node.last(), (1, 1), "{bad:?}");
@@ -312,16 +324,22 @@
 /// Guards against a disk that is believed though parts of it are missing.
 #[test]
 fn an_image_with_gaps_is_refused() {
-    let entry = |index| LogEntry { index, term: 1, kind: 0, bytes: Vec::new() };
-    let good = Image { entries: vec![entry(2), entry(3)], ..image(&[NodeId(1)]) };
-    assert!(Replica::new(NodeId(1), good.clone()).is_ok());
+    let entry = |index| LogEntry { index, term: 1, kind: 0, payload: Vec::new() };
+    let good = RaftPersistentState { entries: vec![entry(2), entry(3)], ..image(&[NodeId(1)]) };
+    assert!(RaftNode::new(NodeId(1), good.clone()).is_ok());
     for bad in [
-        Image { entries: vec![entry(2), entry(4)], ..good.clone() },
-        Image { entries: vec![entry(3)], ..good.clone() },
-        Image { entries: vec![LogEntry { kind: 9, ..entry(2) }], ..good.clone() },
-        Image { hard: Hard { term: 1, vote: NodeId::NOBODY, commit: 9 }, ..good.clone() },
-        Image { snapshot: SnapshotRecord { state: vec![0], ..good.snapshot.clone() }, ..good.clone() },
+        RaftPersistentState { entries: vec![entry(2), entry(4)], ..good.clone() },
+        RaftPersistentState { entries: vec![entry(3)], ..good.clone() },
+        RaftPersistentState { entries: vec![LogEntry { kind: 9, ..entry(2) }], ..good.clone() },
+        RaftPersistentState {
+            hard_state: HardState { term: 1, vote: NodeId::NOBODY, commit: 9 },
+            ..good.clone()
+        },
+        RaftPersistentState {
+            snapshot: SnapshotRecord { state: vec![0], ..good.snapshot.clone() },
+            ..good.clone()
+        },
     ] {
-        assert!(Replica::new(NodeId(1), bad).is_err());
+        assert!(RaftNode::new(NodeId(1), bad).is_err());
     }
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -27,27 +27,27 @@
     /// Its size against others.
     pub weight: f64,
     /// The inventory itself says that it leaves.
-    pub leaving: bool,
+    pub draining: bool,
     /// When it last started.
     pub started_at: Option<Timestamp>,
 }
 
 impl HostRecord {
     /// Of a line of a list.
-    pub fn of(listed: &EndpointRecord) -> HostRecord {
+    pub fn from_endpoint_record(listed: &EndpointRecord) -> HostRecord {
         HostRecord {
             address: listed.address,
             group: listed.group,
             zone: listed.zone,
             weight: listed.weight,
-            leaving: listed.availability != Availability::Ready,
+            draining: listed.availability != Availability::Ready,
             started_at: listed.started_at,
         }
     }
 
     /// As a line of a list.
-    pub fn listed(&self, name: &str, drained: bool) -> EndpointRecord {
-        let closed = drained || self.leaving;
+    pub fn endpoint_record(&self, name: &str, drained: bool) -> EndpointRecord {
+        let closed = drained || self.draining;
         EndpointRecord {
             name: name.to_string(),
             address: self.address,
@@ -71,12 +71,12 @@
     /// 0: a change of the state; 2: a change of the membership.
     pub kind: u8,
     /// The change, in our form; empty: nothing.
-    pub bytes: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
 /// What a daemon must not forget of the votes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// The term.
     pub term: u64,
     /// Who got its vote in this term; 0: nobody.
@@ -87,7 +87,7 @@
 
 /// Who has a say.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Conf {
+pub struct Configuration {
     /// Whose majority agrees.
     pub voters: Vec<NodeId>,
     /// Who only follows.
@@ -108,7 +108,7 @@
     /// That entry's term.
     pub term: u64,
     /// The membership there.
-    pub conf: Conf,
+    pub configuration: Configuration,
     /// The state, in our form.
     pub state: Vec<u8>,
 }
@@ -121,7 +121,7 @@
             index: e.index,
             term: e.term,
             kind: if member { 2 } else { 0 },
-            bytes: if member { e.context.to_vec() } else { e.data.to_vec() },
+            payload: if member { e.context.to_vec() } else { e.data.to_vec() },
         }
     }
 
@@ -130,10 +130,10 @@
     pub fn entry(self) -> Option<eraftpb::Entry> {
         let mut e = eraftpb::Entry { index: self.index, term: self.term, ..Default::default() };
         match self.kind {
-            0 => e.data = self.bytes.into(),
+            0 => e.data = self.payload.into(),
             2 => {
                 e.set_entry_type(EntryType::EntryConfChangeV2);
-                e.context = self.bytes.into();
+                e.context = self.payload.into();
             }
             _ => return None,
         }
@@ -141,16 +141,16 @@
     }
 }
 
-impl Conf {
+impl Configuration {
     /// Of the library's.
-    pub fn of(c: &eraftpb::ConfState) -> Conf {
+    pub fn of(c: &eraftpb::ConfState) -> Configuration {
         // The library keeps sets: in order they are alike at all daemons.
         let sorted = |ids: &[u64]| {
             let mut ids: Vec<NodeId> = ids.iter().copied().map(NodeId).collect();
             ids.sort_unstable();
             ids
         };
-        Conf {
+        Configuration {
             voters: sorted(&c.voters),
             learners: sorted(&c.learners),
             voters_outgoing: sorted(&c.voters_outgoing),
@@ -179,7 +179,7 @@
         SnapshotRecord {
             index: meta.index,
             term: meta.term,
-            conf: Conf::of(meta.get_conf_state()),
+            configuration: Configuration::of(meta.get_conf_state()),
             state: s.data.to_vec(),
         }
     }
@@ -189,29 +189,29 @@
         let mut s = eraftpb::Snapshot { data: self.state.clone().into(), ..Default::default() };
         let meta = s.mut_metadata();
         (meta.index, meta.term) = (self.index, self.term);
-        meta.set_conf_state(self.conf.state());
+        meta.set_conf_state(self.configuration.state());
         s
     }
 }
 
 /// One step of a change of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Step {
+pub enum MembershipStep {
     /// It is to vote.
-    Vote(NodeId),
+    AddVoter(NodeId),
     /// It is to follow only.
-    Follow(NodeId),
+    AddLearner(NodeId),
     /// It is to go.
     Remove(NodeId),
 }
 
-impl Step {
+impl MembershipStep {
     /// As the library wants it.
-    pub fn single(self) -> eraftpb::ConfChangeSingle {
+    pub fn conf_change(self) -> eraftpb::ConfChangeSingle {
         let (kind, id) = match self {
-            Step::Vote(id) => (ConfChangeType::AddNode, id),
-            Step::Follow(id) => (ConfChangeType::AddLearnerNode, id),
-            Step::Remove(id) => (ConfChangeType::RemoveNode, id),
+            MembershipStep::AddVoter(id) => (ConfChangeType::AddNode, id),
+            MembershipStep::AddLearner(id) => (ConfChangeType::AddLearnerNode, id),
+            MembershipStep::Remove(id) => (ConfChangeType::RemoveNode, id),
         };
         let mut single = eraftpb::ConfChangeSingle { node_id: id.0, ..Default::default() };
         single.set_change_type(kind);
--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -2,8 +2,8 @@
 //! same order make the same state at every daemon.
 
 use super::codec;
-use super::records::{FleetId, HostRecord, Step};
-use super::zone_weights::Share;
+use super::records::{FleetId, HostRecord, MembershipStep};
+use super::zone_weights::ZoneWeight;
 use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
 use crate::ids::NodeId;
 use crate::ids::ZoneId;
@@ -12,20 +12,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Hosts that an inventory may name. The same at all daemons, as all that decides here.
-pub const HOSTS: usize = 20_000;
+pub const MAX_HOSTS: usize = 20_000;
 /// Daemons that a fleet may have, those that only follow included.
-pub const MEMBERS: usize = 32;
+pub const MAX_MEMBERS: usize = 32;
 /// Marks that were undone, and daemons that were removed, which are remembered.
-const REMEMBERED: usize = 10_000;
+const MAX_REMEMBERED: usize = 10_000;
 
 /// One drain that was said: who said it, and that daemon's count of what it said. It is undone only by whoever
 /// had heard of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct DrainMark {
+pub struct DrainId {
     /// The daemon.
-    pub by: NodeId,
+    pub node: NodeId,
     /// Its count.
-    pub number: u64,
+    pub sequence: u64,
 }
 
 /// A daemon of the fleet.
@@ -45,50 +45,50 @@
         /// The host's name.
         host: String,
         /// Which drain this is.
-        mark: DrainMark,
+        drain: DrainId,
     },
     /// These drains of a host end; others of it stay.
     Undrain {
         /// The host's name.
         host: String,
         /// The drains that the one who says it had heard of.
-        marks: Vec<DrainMark>,
+        drains: Vec<DrainId>,
     },
     /// What an inventory file says differently from the agreed one.
     Inventory {
         /// The daemon that read the file.
-        by: String,
+        read_by: String,
         /// When the file was last changed.
-        changed: Timestamp,
+        changed_at: Timestamp,
         /// The version of the agreed inventory that this was compared with.
-        base: u64,
+        base_version: u64,
         /// New and changed hosts.
-        set: Vec<(String, HostRecord)>,
+        upserts: Vec<(String, HostRecord)>,
         /// Hosts that are gone.
-        gone: Vec<String>,
+        removals: Vec<String>,
     },
     /// The settings of the service.
     Settings {
         /// The daemon that read the file.
-        by: String,
+        read_by: String,
         /// When the file was last changed.
-        changed: Timestamp,
+        changed_at: Timestamp,
         /// A line for each path.
         text: String,
     },
     /// A zone gets this part of its usual reads.
-    Zone {
+    ZoneWeight {
         /// Its number.
         zone: ZoneId,
         /// The share; its number is one more than that of the one before.
-        share: Share,
+        weight: ZoneWeight,
     },
     /// What an inventory file says of regions.
     Regions {
         /// The daemon that read the file.
-        by: String,
+        read_by: String,
         /// When the file was last changed.
-        changed: Timestamp,
+        changed_at: Timestamp,
         /// By zone.
         regions: BTreeMap<ZoneId, String>,
     },
@@ -96,7 +96,7 @@
 
 impl Change {
     /// Whether it only takes away: such a change acts where it is said before it is agreed.
-    pub fn restricts(&self) -> bool {
+    pub fn only_restricts(&self) -> bool {
         matches!(self, Change::Drain { .. })
     }
 }
@@ -114,27 +114,27 @@
 
 /// A change of the membership.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Membership {
+pub struct MembershipChange {
     /// What the consensus is to do, all at once.
-    pub steps: Vec<Step>,
+    pub steps: Vec<MembershipStep>,
     /// A daemon that comes in.
-    pub comes: Option<(NodeId, Member)>,
+    pub joining: Option<(NodeId, Member)>,
 }
 
 /// Where settings or an inventory come from.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Source {
+pub struct Provenance {
     /// The daemon that read the file.
-    pub by: String,
+    pub read_by: String,
     /// When the file was last changed.
-    pub changed: Timestamp,
+    pub changed_at: Timestamp,
     /// The place in the log at which it was agreed.
     pub version: u64,
 }
 
 /// The state that all daemons agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct State {
+pub struct ClusterState {
     /// The fleet.
     pub fleet: FleetId,
     /// Its daemons.
@@ -144,68 +144,73 @@
     /// Names of daemons that founded the fleet with the first one and are still to come in.
     pub founders: BTreeSet<String>,
     /// The settings of the service.
-    pub settings: Option<(Source, String)>,
+    pub settings: Option<(Provenance, String)>,
     /// Where the inventory comes from; `None` before the first one.
-    pub inventory: Option<Source>,
+    pub inventory: Option<Provenance>,
     /// Its hosts.
     pub hosts: BTreeMap<String, HostRecord>,
     /// Drains in force, by host.
-    pub drains: BTreeMap<String, BTreeSet<DrainMark>>,
+    pub drains: BTreeMap<String, BTreeSet<DrainId>>,
     /// Drains that were undone, each with its place in the log: one that comes late stays undone.
-    pub undone: BTreeMap<DrainMark, u64>,
+    pub undone_drains: BTreeMap<DrainId, u64>,
     /// Fleets that this one goes on from, on an operator's word: whoever is still of one of them comes over.
-    pub former: BTreeSet<FleetId>,
+    pub previous_fleets: BTreeSet<FleetId>,
     /// A check sum over all that was agreed: alike at two daemons only where both took in the same sequence.
     pub digest: u32,
     /// Shares of zones that were ever moved.
-    pub zones: BTreeMap<ZoneId, Share>,
+    pub zone_weights: BTreeMap<ZoneId, ZoneWeight>,
     /// Regions by zone, and when the file that said so was changed.
     pub regions: (Timestamp, BTreeMap<ZoneId, String>),
 }
 
 /// What became of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum ApplyResult {
     /// It is in force.
     Done,
     /// It was agreed before, or something newer was.
-    Overtaken,
+    Superseded,
     /// It was compared with a version that is no longer the last one.
-    Outdated,
+    StaleBase,
     /// It is out of bounds.
-    Refused,
+    Rejected,
 }
 
-impl State {
+impl ClusterState {
     /// From its bytes; those of a version that knew no regions, or no shares either, are read too.
-    pub fn read(bytes: &[u8]) -> Option<State> {
-        let earlier = |missing: &[u8]| codec::read_earlier(bytes, missing);
-        codec::read(bytes).or_else(|| earlier(&[0, 0])).or_else(|| earlier(&[0, 0, 0]))
+    pub fn decode(bytes: &[u8]) -> Option<ClusterState> {
+        let earlier = |missing: &[u8]| codec::decode_earlier(bytes, missing);
+        codec::decode(bytes).or_else(|| earlier(&[0, 0])).or_else(|| earlier(&[0, 0, 0]))
     }
 
     /// Zones of the same region as this one, itself among them.
-    pub fn region(&self, zone: ZoneId) -> Vec<ZoneId> {
+    pub fn zones_in_region(&self, zone: ZoneId) -> Vec<ZoneId> {
         let Some(region) = self.regions.1.get(&zone) else { return vec![zone] };
         self.regions.1.iter().filter(|(_, r)| *r == region).map(|(z, _)| *z).collect()
     }
 
     /// The share of a zone.
-    pub fn share(&self, zone: ZoneId) -> Share {
-        self.zones.get(&zone).copied().unwrap_or_default()
+    pub fn zone_weight(&self, zone: ZoneId) -> ZoneWeight {
+        self.zone_weights.get(&zone).copied().unwrap_or_default()
     }
 
     /// A new fleet of one, which waits for the other founders.
-    pub fn found(fleet: FleetId, id: NodeId, member: Member, founders: BTreeSet<String>) -> State {
+    pub fn found_fleet(
+        fleet: FleetId,
+        id: NodeId,
+        member: Member,
+        founders: BTreeSet<String>,
+    ) -> ClusterState {
         let members = BTreeMap::from([(id, member)]);
-        State { fleet, members, founders, ..State::default() }
+        ClusterState { fleet, members, founders, ..ClusterState::default() }
     }
 
     /// A fleet of one that goes on from this state, on an operator's word.
-    pub fn refound(&self, fleet: FleetId, id: NodeId, member: Member) -> State {
-        let mut former = self.former.clone();
+    pub fn force_new_fleet(&self, fleet: FleetId, id: NodeId, member: Member) -> ClusterState {
+        let mut former = self.previous_fleets.clone();
         former.insert(self.fleet);
         let (members, founders) = (BTreeMap::from([(id, member)]), BTreeSet::new());
-        State { fleet, members, founders, former, ..self.clone() }
+        ClusterState { fleet, members, founders, previous_fleets: former, ..self.clone() }
     }
 
     /// Whether all founders are in: before that the fleet agrees on nothing else.
@@ -219,124 +224,133 @@
     }
 
     /// Whether the log has said all that there is to say of a mark.
-    pub fn settled(&self, host: &str, mark: DrainMark) -> bool {
-        self.undone.contains_key(&mark) || self.drains.get(host).is_some_and(|m| m.contains(&mark))
+    pub fn is_resolved(&self, host: &str, mark: DrainId) -> bool {
+        self.undone_drains.contains_key(&mark) || self.drains.get(host).is_some_and(|m| m.contains(&mark))
     }
 
     /// Takes in the change at `index`.
-    pub fn apply(&mut self, index: u64, change: &Change) -> Effect {
+    pub fn apply(&mut self, index: u64, change: &Change) -> ApplyResult {
         match change {
-            Change::Drain { host, mark } => {
-                if self.settled(host, *mark) {
-                    return Effect::Overtaken;
+            Change::Drain { host, drain: mark } => {
+                if self.is_resolved(host, *mark) {
+                    return ApplyResult::Superseded;
                 }
                 self.drains.entry(host.clone()).or_default().insert(*mark);
-                Effect::Done
+                ApplyResult::Done
             }
-            Change::Undrain { host, marks } => {
+            Change::Undrain { host, drains: marks } => {
                 let mut known = self.drains.remove(host).unwrap_or_default();
                 for mark in marks {
                     // Also one that the log has not seen yet: it comes undone.
                     known.remove(mark);
-                    self.undone.insert(*mark, index);
+                    self.undone_drains.insert(*mark, index);
                 }
                 if !known.is_empty() {
                     self.drains.insert(host.clone(), known);
                 }
-                self.forget();
-                Effect::Done
+                self.discard_oldest_undone();
+                ApplyResult::Done
             }
-            Change::Inventory { by, changed, base, set, gone } => {
+            Change::Inventory {
+                read_by: by,
+                changed_at: changed,
+                base_version: base,
+                upserts: set,
+                removals: gone,
+            } => {
                 let (version, known) =
-                    self.inventory.as_ref().map_or((0, None), |i| (i.version, Some(i.changed)));
+                    self.inventory.as_ref().map_or((0, None), |i| (i.version, Some(i.changed_at)));
                 if known.is_some_and(|known| *changed <= known) {
-                    return Effect::Overtaken;
+                    return ApplyResult::Superseded;
                 }
                 if *base != version {
-                    return Effect::Outdated;
+                    return ApplyResult::StaleBase;
                 }
                 let names: BTreeSet<&String> = self.hosts.keys().chain(set.iter().map(|(n, _)| n)).collect();
-                if names.len() > HOSTS + gone.len() {
-                    return Effect::Refused;
+                if names.len() > MAX_HOSTS + gone.len() {
+                    return ApplyResult::Rejected;
                 }
                 for name in gone {
                     self.hosts.remove(name);
                 }
                 self.hosts.extend(set.iter().cloned());
-                self.inventory = Some(Source { by: by.clone(), changed: *changed, version: index });
-                Effect::Done
+                self.inventory =
+                    Some(Provenance { read_by: by.clone(), changed_at: *changed, version: index });
+                ApplyResult::Done
             }
-            Change::Settings { by, changed, text } => {
-                if self.settings.as_ref().is_some_and(|(known, _)| *changed <= known.changed) {
-                    return Effect::Overtaken;
+            Change::Settings { read_by: by, changed_at: changed, text } => {
+                if self.settings.as_ref().is_some_and(|(known, _)| *changed <= known.changed_at) {
+                    return ApplyResult::Superseded;
                 }
-                let source = Source { by: by.clone(), changed: *changed, version: index };
+                let source = Provenance { read_by: by.clone(), changed_at: *changed, version: index };
                 self.settings = Some((source, text.clone()));
-                Effect::Done
+                ApplyResult::Done
             }
-            Change::Zone { zone, share } => {
-                if share.number != self.share(*zone).number + 1 {
-                    return Effect::Overtaken;
+            Change::ZoneWeight { zone, weight: share } => {
+                if share.version != self.zone_weight(*zone).version + 1 {
+                    return ApplyResult::Superseded;
                 }
                 // Two that are said at once, each while the other zone was in service, must not take all away.
                 let mut zones = self.hosts.values().map(|h| h.zone).filter(|z| z != zone);
-                if share.part == 0 && !zones.any(|other| self.share(other).part > 0) {
-                    return Effect::Refused;
+                if share.permille == 0 && !zones.any(|other| self.zone_weight(other).permille > 0) {
+                    return ApplyResult::Rejected;
                 }
-                self.zones.insert(*zone, *share);
-                Effect::Done
+                self.zone_weights.insert(*zone, *share);
+                ApplyResult::Done
             }
-            Change::Regions { changed, regions, .. } => {
+            Change::Regions { changed_at: changed, regions, .. } => {
                 if *changed <= self.regions.0 {
-                    return Effect::Overtaken;
+                    return ApplyResult::Superseded;
                 }
                 self.regions = (*changed, regions.clone());
-                Effect::Done
+                ApplyResult::Done
             }
         }
     }
 
     /// Takes in a change of the membership. The consensus has the last word on who votes.
-    pub fn apply_members(&mut self, change: &Membership) {
-        if let Some((id, member)) = &change.comes {
+    pub fn apply_membership(&mut self, change: &MembershipChange) {
+        if let Some((id, member)) = &change.joining {
             self.members.insert(*id, member.clone());
         }
         for step in &change.steps {
             match step {
-                Step::Remove(id) => {
+                MembershipStep::Remove(id) => {
                     if let Some(member) = self.members.remove(id) {
                         self.founders.remove(&member.name);
                         self.removed.insert(*id, member.name);
                     }
                 }
-                Step::Vote(id) => {
+                MembershipStep::AddVoter(id) => {
                     if let Some(member) = self.members.get(id) {
                         self.founders.remove(&member.name);
                     }
                 }
-                Step::Follow(_) => {}
+                MembershipStep::AddLearner(_) => {}
             }
         }
-        while self.removed.len() > REMEMBERED {
+        while self.removed.len() > MAX_REMEMBERED {
             self.removed.pop_first();
         }
     }
 
-    fn forget(&mut self) {
-        let more = self.undone.len().saturating_sub(REMEMBERED);
+    fn discard_oldest_undone(&mut self) {
+        let more = self.undone_drains.len().saturating_sub(MAX_REMEMBERED);
         if more > 0 {
-            let mut oldest: Vec<(u64, DrainMark)> = self.undone.iter().map(|(m, at)| (*at, *m)).collect();
+            let mut oldest: Vec<(u64, DrainId)> =
+                self.undone_drains.iter().map(|(m, at)| (*at, *m)).collect();
             oldest.sort_unstable();
             oldest.iter().take(more).for_each(|(_, mark)| {
-                self.undone.remove(mark);
+                self.undone_drains.remove(mark);
             });
         }
     }
 
     /// The list as it is agreed, with hosts closed that `also` names: drains that are not agreed yet.
-    pub fn listing(&self, index: u64, also: impl Fn(&str) -> bool) -> EndpointUpdate {
-        let one =
-            |(name, host): (&String, &HostRecord)| host.listed(name, self.is_drained(name) || also(name));
+    pub fn endpoint_list(&self, index: u64, also: impl Fn(&str) -> bool) -> EndpointUpdate {
+        let one = |(name, host): (&String, &HostRecord)| {
+            host.endpoint_record(name, self.is_drained(name) || also(name))
+        };
         EndpointUpdate { index, whole: true, entries: self.hosts.iter().map(one).collect() }
     }
 
@@ -350,7 +364,7 @@
         changed: Timestamp,
         now: Timestamp,
     ) -> Option<Change> {
-        if self.inventory.as_ref().is_some_and(|i| changed <= i.changed) {
+        if self.inventory.as_ref().is_some_and(|i| changed <= i.changed_at) {
             return None;
         }
         let running = self.inventory.is_some();
@@ -364,26 +378,34 @@
                 (None, Some(known)) => known.started_at,
                 (None, None) => running.then_some(now),
             };
-            let new = HostRecord { started_at, ..HostRecord::of(listed) };
+            let new = HostRecord { started_at, ..HostRecord::from_endpoint_record(listed) };
             if old != Some(&new) {
                 set.push((listed.name.clone(), new));
             }
         }
         let gone: Vec<String> = self.hosts.keys().filter(|n| !named.contains(n.as_str())).cloned().collect();
         let base = self.inventory.as_ref().map_or(0, |i| i.version);
-        Some(Change::Inventory { by: by.to_string(), changed, base, set, gone })
+        Some(Change::Inventory {
+            read_by: by.to_string(),
+            changed_at: changed,
+            base_version: base,
+            upserts: set,
+            removals: gone,
+        })
     }
 
     /// How a file's hosts differ from the agreed ones: added, changed, missing.
-    pub fn differs(&self, hosts: &[EndpointRecord]) -> (usize, usize, usize) {
+    pub fn inventory_difference(&self, hosts: &[EndpointRecord]) -> (usize, usize, usize) {
         let (mut added, mut changed) = (0, 0);
         for listed in hosts {
             match self.hosts.get(&listed.name) {
                 None => added += 1,
                 Some(known) => {
                     let stated = listed.started_at.or(known.started_at);
-                    changed +=
-                        usize::from(*known != HostRecord { started_at: stated, ..HostRecord::of(listed) });
+                    changed += usize::from(
+                        *known
+                            != HostRecord { started_at: stated, ..HostRecord::from_endpoint_record(listed) },
+                    );
                 }
             }
         }
--- a/src/store/storage/tests.rs
+++ b/src/store/storage/tests.rs
@@ -1,7 +1,7 @@
 //! The disk under power loss and damage, on a store of bytes that forgets what was not synced.
 
 use super::*;
-use crate::store::state_machine::State;
+use crate::store::state_machine::ClusterState;
 
 use std::ops::Bound;
 use std::sync::{Arc, Mutex};
@@ -86,29 +86,32 @@
 }
 
 fn entry(index: u64, term: u64, size: usize) -> LogEntry {
-    LogEntry { index, term, kind: 0, bytes: vec![index as u8; size] }
+    LogEntry { index, term, kind: 0, payload: vec![index as u8; size] }
 }
 
-fn founded() -> Image {
-    Image::found(&State { fleet: 7, ..State::default() }, NodeId(1))
+fn founded() -> RaftPersistentState {
+    RaftPersistentState::found_fleet(&ClusterState { fleet: 7, ..ClusterState::default() }, NodeId(1))
 }
 
 /// One write of a random kind, as the agreement makes them.
-fn any_write(rng: &mut fastrand::Rng, image: &Image) -> Write {
-    let (last, term) = (image.last().0, image.hard.term);
+fn any_write(rng: &mut fastrand::Rng, image: &RaftPersistentState) -> RaftWrite {
+    let (last, term) = (image.last_entry().0, image.hard_state.term);
     match rng.u8(..10) {
-        0 => Write { hard: Some(Hard { term: term + 1, vote: NodeId(2), ..image.hard }), ..Write::default() },
-        1 if last > image.dropped.0 + 4 => {
-            let dropped = (image.dropped.0 + 2, term);
+        0 => RaftWrite {
+            hard_state: Some(HardState { term: term + 1, vote: NodeId(2), ..image.hard_state }),
+            ..RaftWrite::default()
+        },
+        1 if last > image.compacted.0 + 4 => {
+            let dropped = (image.compacted.0 + 2, term);
             let snapshot = SnapshotRecord { index: dropped.0 + 1, ..image.snapshot.clone() };
-            Write { snapshot: Some(snapshot), dropped: Some(dropped), ..Write::default() }
+            RaftWrite { snapshot: Some(snapshot), compacted: Some(dropped), ..RaftWrite::default() }
         }
         n => {
             // Now and then entries that were never agreed are replaced.
-            let back = if n == 2 && last > image.dropped.0 + 2 { 1 } else { 0 };
+            let back = if n == 2 && last > image.compacted.0 + 2 { 1 } else { 0 };
             let from = last + 1 - back;
             let entries = (from..from + rng.u64(1..4)).map(|i| entry(i, term, rng.usize(..3000)));
-            Write { entries: entries.collect(), ..Write::default() }
+            RaftWrite { entries: entries.collect(), ..RaftWrite::default() }
         }
     }
 }
@@ -125,27 +128,27 @@
             // The same writes again, each time with power for one write of bytes more.
             let mut rng = fastrand::Rng::with_seed(seed);
             let power = Power::default();
-            let (disk, _) = Disk::on(power.clone()).unwrap();
+            let (disk, _) = DurableStorage::on_backend(power.clone()).unwrap();
             let mut image = founded();
-            disk.write(&image.whole(), &[]).unwrap();
+            disk.write(&image.full_write(), &[]).unwrap();
             power.0.lock().unwrap().left = Some(left);
             let mut lost = None;
             for _ in 0..12 {
                 let write = any_write(&mut rng, &image);
-                if disk.write(&write, &[("marks", codec::write(&Marks::new()))]).is_err() {
+                if disk.write(&write, &[("marks", codec::encode(&DrainList::new()))]).is_err() {
                     lost = Some(write);
                     break;
                 }
-                image.take(&write);
+                image.apply_write(&write);
             }
             let ended = lost.is_none();
             drop(disk);
-            let (disk, held) = Disk::on(power.lose(&mut rng)).unwrap();
+            let (disk, held) = DurableStorage::on_backend(power.lose(&mut rng)).unwrap();
             let mut next = image.clone();
-            next.take(&lost.unwrap_or_default());
-            assert!(held.image == image || held.image == next, "seed {seed}, after {left} writes");
-            kept_more += usize::from(held.image != image);
-            assert_eq!(disk.image().unwrap(), held.image);
+            next.apply_write(&lost.unwrap_or_default());
+            assert!(held.raft == image || held.raft == next, "seed {seed}, after {left} writes");
+            kept_more += usize::from(held.raft != image);
+            assert_eq!(disk.read_raft_state().unwrap(), held.raft);
             points += 1;
             left += 1;
             if ended {
@@ -170,22 +173,22 @@
     let folder = folder("copy");
     let path = folder.join("b1.store");
     let id = {
-        let (disk, _) = Disk::open(&path).unwrap();
-        disk.write(&founded().whole(), &[]).unwrap();
-        assert!(Disk::open(&path).err().unwrap().contains("another process has it"));
+        let (disk, _) = DurableStorage::open(&path).unwrap();
+        disk.write(&founded().full_write(), &[]).unwrap();
+        assert!(DurableStorage::open(&path).err().unwrap().contains("another process has it"));
         disk.identity.id
     };
-    let (disk, held) = Disk::open(&path).unwrap();
-    assert_eq!((disk.identity.id, disk.identity.boots, held.image), (id, 2, founded()));
+    let (disk, held) = DurableStorage::open(&path).unwrap();
+    assert_eq!((disk.identity.id, disk.identity.boot_count, held.raft), (id, 2, founded()));
     drop(disk);
     let copy = folder.join("copy.store");
     fs::copy(&path, &copy).unwrap();
-    let (disk, held) = Disk::open(&copy).unwrap();
+    let (disk, held) = DurableStorage::open(&copy).unwrap();
     assert_ne!(disk.identity.id, id);
-    assert!(held.image.is_new() && held.notes[0].contains("a copy"), "{:?}", held.notes);
+    assert!(held.raft.is_new() && held.notes[0].contains("a copy"), "{:?}", held.notes);
     assert!(folder.join("copy.store.damaged").exists(), "nothing is thrown away");
-    let disk = disk.renounce("older").unwrap();
-    assert!(folder.join("copy.store.older").exists() && disk.image().unwrap().is_new());
+    let disk = disk.reset_identity("older").unwrap();
+    assert!(folder.join("copy.store.older").exists() && disk.read_raft_state().unwrap().is_new());
     let _ = fs::remove_dir_all(folder);
 }
 
@@ -196,10 +199,10 @@
     let path = folder.join("b1.store");
     let make = || {
         let _ = fs::remove_file(&path);
-        let (disk, _) = Disk::open(&path).unwrap();
+        let (disk, _) = DurableStorage::open(&path).unwrap();
         let entries = (2..40).map(|i| entry(i, 1, 500)).collect();
-        disk.write(&Write { entries, ..founded().whole() }, &[]).unwrap();
-        disk.image().unwrap()
+        disk.write(&RaftWrite { entries, ..founded().full_write() }, &[]).unwrap();
+        disk.read_raft_state().unwrap()
     };
     let wanted = make();
     let length = fs::metadata(&path).unwrap().len();
@@ -218,13 +221,13 @@
         }
         // Written over, not replaced: it is the same file.
         fs::write(&path, &bytes).unwrap();
-        let (_, held) = Disk::open(&path).unwrap_or_else(|e| panic!("round {round}: {e}"));
+        let (_, held) = DurableStorage::open(&path).unwrap_or_else(|e| panic!("round {round}: {e}"));
         if held.notes.is_empty() {
             // A byte that nobody uses was hit, or one of an older copy of a page.
-            assert_eq!(held.image, wanted, "round {round}: damage was believed");
+            assert_eq!(held.raft, wanted, "round {round}: damage was believed");
             harmless += 1;
         } else {
-            assert!(held.image.is_new() && held.notes[0].contains("set aside"), "{:?}", held.notes);
+            assert!(held.raft.is_new() && held.notes[0].contains("set aside"), "{:?}", held.notes);
             seen += 1;
         }
     }
@@ -237,14 +240,14 @@
     let folder = folder("old");
     let path = folder.join("b1.store");
     fs::write(&path, "brookpass-store 1\n5\ta.1\tdrain/s-1\t+1\nend\n").unwrap();
-    let (disk, held) = Disk::open(&path).unwrap();
+    let (disk, held) = DurableStorage::open(&path).unwrap();
     assert_eq!(held.legacy.unwrap().drains, ["s-1"]);
     drop(disk);
-    let (_, held) = Disk::open(&path).unwrap();
+    let (_, held) = DurableStorage::open(&path).unwrap();
     assert!(held.legacy.is_none() && folder.join("b1.store.old").exists());
     fs::remove_file(&path).unwrap();
     fs::write(&path, "brookpass-store 1\n5\ta.1\tdrain/s-1\t+1\n").unwrap();
-    let (_, held) = Disk::open(&path).unwrap();
+    let (_, held) = DurableStorage::open(&path).unwrap();
     assert!(held.legacy.is_none() && held.notes[0].contains("line 3"), "{:?}", held.notes);
     let _ = fs::remove_dir_all(folder);
 }
--- a/src/store/store_thread.rs
+++ b/src/store/store_thread.rs
@@ -2,11 +2,13 @@
 //! holds up nobody but itself.
 
 use super::codec;
-use super::raft_message::Letter;
-use super::raft_node::{Applied, Image, Progress, Replica, What, Write};
-use super::records::{Conf, Hard};
-use super::state_machine::{Change, Effect, Membership, Proposal, State};
-use super::storage::{Disk, Held, Identity, Marks, Witness};
+use super::raft_message::RaftMessage;
+use super::raft_node::{
+    AppliedContent, AppliedEntry, PeerProgress, RaftNode, RaftPersistentState, RaftWrite,
+};
+use super::records::{Configuration, HardState};
+use super::state_machine::{ApplyResult, Change, ClusterState, MembershipChange, Proposal};
+use super::storage::{DrainList, DurableStorage, NodeIdentity, PersistedProgress, StoreContents};
 use crate::config::Limits;
 use crate::ids::NodeId;
 use async_channel::{Receiver, Sender};
@@ -17,99 +19,99 @@
 
 /// What comes in.
 #[derive(Debug)]
-pub enum Input {
+pub enum StoreCommand {
     /// Letters of other daemons.
-    Letters(Vec<Letter>),
+    RaftMessages(Vec<RaftMessage>),
     /// A change, put into the log if this daemon leads. One that only restricts goes in at once, any other once
     /// a majority has confirmed that this daemon leads: what a leader that is cut off put into its log might
     /// count long after it was given up.
     Propose(Proposal),
     /// A change of the membership, if this daemon leads.
-    Members(Membership),
+    ChangeMembership(MembershipChange),
     /// Drains that are not agreed yet, to be kept; the number comes back when they are on the disk.
-    Marks(Marks, u64),
+    PersistDrains(DrainList, u64),
     /// What was learned of the hosts, to be kept.
-    Learned(Vec<u8>),
+    PersistGossip(Vec<u8>),
     /// A new fleet begins with this state.
-    Found(Box<State>),
+    FoundFleet(Box<ClusterState>),
     /// A fleet of this daemon alone goes on from this state, on an operator's word.
-    Recover(Box<State>),
+    ForceNewFleet(Box<ClusterState>),
     /// Others that this daemon may ask have found nothing wrong with its disk: it takes part.
-    TakePart,
+    StartParticipating,
     /// This daemon is not the one that its disk says: it becomes a new one.
-    Renounce(&'static str),
+    ResetIdentity(&'static str),
     /// Another daemon is to lead.
-    Transfer(NodeId),
+    TransferLeadership(NodeId),
     /// If this daemon leads it says so now: somebody has come who may have missed it.
-    Ping,
+    BroadcastHeartbeat,
     /// This daemon asks for the lead, if nobody is known to lead.
-    Stand,
+    Campaign,
     /// A whole state was handed to the way to a daemon, or was not.
-    Sent(NodeId, bool),
+    SnapshotSent(NodeId, bool),
     /// The way to a daemon is broken.
-    Unreachable(NodeId),
+    PeerUnreachable(NodeId),
 }
 
 /// What goes out.
 #[derive(Debug)]
-pub enum Output {
+pub enum StoreEvent {
     /// Letters to other daemons.
-    Letters(Vec<Letter>),
+    RaftMessages(Vec<RaftMessage>),
     /// What was agreed.
-    Applied(Vec<Applied>),
+    Applied(Vec<AppliedEntry>),
     /// How things stand.
-    Status(Box<Status>),
+    Status(Box<StoreStatus>),
     /// Drains with this number are on the disk.
-    Saved(u64),
+    DrainsPersisted(u64),
     /// This daemon is a new one.
-    Renewed(Identity),
+    IdentityReset(NodeIdentity),
     /// The disk failed: this daemon takes no part any more.
-    Broken(String),
+    StorageFailed(String),
 }
 
 /// How things stand with the agreement.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Status {
+pub struct StoreStatus {
     /// Who leads, as far as is known; 0: nobody.
     pub leader: NodeId,
     /// The term.
     pub term: u64,
     /// The last place of the log that is known as agreed.
-    pub agreed: u64,
+    pub committed: u64,
     /// The last one that was taken in.
     pub applied: u64,
     /// What this daemon's disk holds, as others may remember it.
-    pub witness: Witness,
+    pub own_progress: PersistedProgress,
     /// This daemon takes part.
-    pub part: bool,
+    pub participating: bool,
     /// Who votes and who follows.
-    pub conf: Conf,
+    pub configuration: Configuration,
     /// How far the others are, where this daemon leads.
-    pub progress: Vec<Progress>,
+    pub peer_progress: Vec<PeerProgress>,
     /// Bytes of the log, and its entries.
-    pub log: (usize, usize),
+    pub log_size: (usize, usize),
     /// What others said of themselves.
-    pub witnesses: BTreeMap<NodeId, Witness>,
+    pub reported_progress: BTreeMap<NodeId, PersistedProgress>,
     /// Letters that were dropped, and times that the agreement had to be read anew.
     pub dropped: (u64, u64),
     /// Writes to the disk since the start, each of them synced.
-    pub writes: u64,
+    pub disk_writes: u64,
 }
 
 /// What stands at the start, before the thread runs.
-pub struct Opened {
+pub struct OpenedStore {
     /// Who this daemon is.
-    pub identity: Identity,
+    pub identity: NodeIdentity,
     /// What is agreed.
-    pub state: State,
+    pub state: ClusterState,
     /// How things stand.
-    pub status: Status,
+    pub status: StoreStatus,
     /// Drains that are not agreed.
-    pub marks: Marks,
+    pub drains: DrainList,
     /// What was learned of the hosts before this start, as the fleet wrote it.
-    pub learned: Option<Vec<u8>>,
+    pub gossip: Option<Vec<u8>>,
     /// A store of the old form.
-    pub legacy: Option<super::legacy::Legacy>,
+    pub legacy: Option<super::legacy::LegacyStore>,
 }
 
 /// A change that waits until a majority has said that this daemon still leads.
@@ -121,50 +123,57 @@
 /// Ticks that a change waits for that, and that a change which went into the log is not put there again.
 const CONFIRM_TICKS: u32 = 40;
 
-struct Owner {
-    disk: Option<Disk>,
-    replica: Replica,
+struct StoreThread {
+    disk: Option<DurableStorage>,
+    replica: RaftNode,
     part: bool,
     boots: u64,
     limits: Limits,
     waiting: BTreeMap<u64, Waiting>,
     next: u64,
     recent: BTreeMap<(NodeId, u64), u32>,
-    witnesses: BTreeMap<NodeId, Witness>,
+    witnesses: BTreeMap<NodeId, PersistedProgress>,
     heard: bool,
     /// A write of nothing but how far is agreed waits for the next one.
-    commit: Option<Hard>,
+    commit: Option<HardState>,
     dropped: (u64, u64),
-    told: Status,
-    out: Sender<Output>,
+    told: StoreStatus,
+    out: Sender<StoreEvent>,
 }
 
 /// Starts the thread on what a disk held.
 pub fn start(
-    disk: Disk,
-    held: Held,
+    disk: DurableStorage,
+    held: StoreContents,
     limits: &Limits,
-) -> Result<(Opened, SyncSender<Input>, Receiver<Output>), String> {
+) -> Result<(OpenedStore, SyncSender<StoreCommand>, Receiver<StoreEvent>), String> {
     let (inputs, queue) = mpsc::sync_channel(limits.input_queue);
     // The sockets' thread takes what comes as it comes, and drops what it cannot send.
     let (out, outputs) = async_channel::unbounded();
-    let Held { image, marks, witnesses, learned, legacy, .. } = held;
-    let (disk, replica) = match Replica::new(disk.identity.id, image) {
+    let StoreContents {
+        raft: image,
+        drains: marks,
+        reported_progress: witnesses,
+        gossip: learned,
+        legacy,
+        ..
+    } = held;
+    let (disk, replica) = match RaftNode::new(disk.identity.id, image) {
         Ok(replica) => (disk, replica),
         Err(e) => {
             log::warn!("store: {e}; set aside, this daemon is a new one");
-            let disk = disk.renounce("damaged")?;
-            let replica = Replica::new(disk.identity.id, Image::default())?;
+            let disk = disk.reset_identity("damaged")?;
+            let replica = RaftNode::new(disk.identity.id, RaftPersistentState::default())?;
             (disk, replica)
         }
     };
     let identity = disk.identity.clone();
-    let part = !replica.conf().voters.contains(&identity.id);
-    let mut owner = Owner {
+    let part = !replica.configuration().voters.contains(&identity.id);
+    let mut owner = StoreThread {
         disk: Some(disk),
         replica,
         part,
-        boots: identity.boots,
+        boots: identity.boot_count,
         limits: limits.clone(),
         waiting: BTreeMap::new(),
         next: 0,
@@ -173,25 +182,26 @@
         heard: false,
         commit: None,
         dropped: (0, 0),
-        told: Status::default(),
+        told: StoreStatus::default(),
         out,
     };
-    let open = owner.replica.open().into_iter().filter_map(|p| match p.change {
-        Change::Drain { host, mark } => Some((host, mark)),
+    let open = owner.replica.uncommitted_proposals().into_iter().filter_map(|p| match p.change {
+        Change::Drain { host, drain: mark } => Some((host, mark)),
         _ => None,
     });
     // A drain that is in the log acts, whether or not this disk knows that it was agreed.
     let marks = marks.into_iter().chain(open).collect();
     let state = owner.replica.state().clone();
     owner.told = owner.status();
-    let opened = Opened { identity, state, status: owner.told.clone(), marks, learned, legacy };
+    let opened =
+        OpenedStore { identity, state, status: owner.told.clone(), drains: marks, gossip: learned, legacy };
     let thread = std::thread::Builder::new().name("store".into());
     thread.spawn(move || owner.run(&queue)).map_err(|e| format!("store: {e}"))?;
     Ok((opened, inputs, outputs))
 }
 
-impl Owner {
-    fn run(mut self, queue: &mpsc::Receiver<Input>) {
+impl StoreThread {
+    fn run(mut self, queue: &mpsc::Receiver<StoreCommand>) {
         let mut next = Instant::now() + self.limits.raft_tick;
         self.settle();
         loop {
@@ -219,26 +229,30 @@
         }
     }
 
-    fn tell(&self, output: Output) {
+    fn tell(&self, output: StoreEvent) {
         // Unbounded: full it never is, and a receiver that is gone ends the loop by the queue.
         let _ = self.out.try_send(output);
     }
 
-    fn status(&self) -> Status {
+    fn status(&self) -> StoreStatus {
         let (last, term) = self.replica.last();
-        Status {
+        StoreStatus {
             leader: self.replica.leader(),
             term,
-            agreed: self.replica.agreed(),
+            committed: self.replica.committed(),
             applied: self.replica.applied(),
-            witness: Witness { boots: self.boots, term, last: (self.replica.term_at(last), last) },
-            part: self.part,
-            conf: self.replica.conf(),
-            progress: self.replica.progress(),
-            log: self.replica.log_size(),
-            witnesses: self.witnesses.clone(),
+            own_progress: PersistedProgress {
+                boot_count: self.boots,
+                term,
+                last_entry: (self.replica.term_at(last), last),
+            },
+            participating: self.part,
+            configuration: self.replica.configuration(),
+            peer_progress: self.replica.peer_progress(),
+            log_size: self.replica.log_size(),
+            reported_progress: self.witnesses.clone(),
             dropped: self.dropped,
-            writes: self.disk.as_ref().map_or(0, |disk| disk.writes.get()),
+            disk_writes: self.disk.as_ref().map_or(0, |disk| disk.write_count.get()),
         }
     }
 
@@ -254,7 +268,7 @@
             *ticks += 1;
         }
         self.recent.retain(|_, ticks| *ticks < CONFIRM_TICKS);
-        if !self.replica.leads() {
+        if !self.replica.is_leader() {
             self.waiting.clear();
             self.recent.clear();
         }
@@ -262,13 +276,13 @@
         let again: Vec<u64> =
             self.waiting.iter().filter(|(_, w)| w.ticks % 4 == 0).map(|(n, _)| *n).collect();
         for number in again {
-            self.guarded(|r| r.confirm(number));
+            self.guarded(|r| r.request_leadership_check(number));
         }
     }
 
     /// Works on the agreement. Should the library end in a panic, as over letters that contradict the log, the
     /// agreement is read anew from the disk: what is there was written before anybody was told.
-    fn guarded<T>(&mut self, work: impl FnOnce(&mut Replica) -> T) -> Option<T> {
+    fn guarded<T>(&mut self, work: impl FnOnce(&mut RaftNode) -> T) -> Option<T> {
         match catch_unwind(AssertUnwindSafe(|| work(&mut self.replica))) {
             Ok(done) => Some(done),
             Err(_) => {
@@ -281,14 +295,20 @@
     }
 
     fn reread(&mut self) {
-        let image = self.disk.as_ref().map_or_else(|| Err("no disk".to_string()), Disk::image);
-        match image.and_then(|image| Replica::new(self.replica.id(), image)) {
+        let image =
+            self.disk.as_ref().map_or_else(|| Err("no disk".to_string()), DurableStorage::read_raft_state);
+        match image.and_then(|image| RaftNode::new(self.replica.id(), image)) {
             Ok(replica) => {
                 let (digest, index) = (replica.state().digest, replica.applied());
-                let what = What::State(Box::new(replica.state().clone()));
-                let effect = Effect::Done;
+                let what = AppliedContent::Snapshot(Box::new(replica.state().clone()));
+                let effect = ApplyResult::Done;
                 self.replica = replica;
-                self.tell(Output::Applied(vec![Applied { index, digest, what, effect }]));
+                self.tell(StoreEvent::Applied(vec![AppliedEntry {
+                    index,
+                    digest,
+                    content: what,
+                    result: effect,
+                }]));
             }
             Err(e) => self.fail(e),
         }
@@ -297,12 +317,12 @@
     fn fail(&mut self, why: String) {
         self.disk = None;
         self.part = false;
-        self.tell(Output::Broken(why));
+        self.tell(StoreEvent::StorageFailed(why));
     }
 
-    fn input(&mut self, input: Input) {
+    fn input(&mut self, input: StoreCommand) {
         match input {
-            Input::Letters(letters) => {
+            StoreCommand::RaftMessages(letters) => {
                 for letter in letters {
                     self.hear(&letter);
                     if !self.part || self.guarded(|r| r.receive(letter)) != Some(true) {
@@ -310,59 +330,60 @@
                     }
                 }
             }
-            Input::Propose(proposal) => self.propose(proposal),
-            Input::Members(change) => drop(self.guarded(|r| r.propose_members(&change))),
-            Input::Marks(marks, number) => {
-                if self.write(&Write::default(), &[("marks", codec::write(&marks))]) {
-                    self.tell(Output::Saved(number));
+            StoreCommand::Propose(proposal) => self.propose(proposal),
+            StoreCommand::ChangeMembership(change) => drop(self.guarded(|r| r.propose_membership(&change))),
+            StoreCommand::PersistDrains(marks, number) => {
+                if self.write(&RaftWrite::default(), &[("marks", codec::encode(&marks))]) {
+                    self.tell(StoreEvent::DrainsPersisted(number));
                 }
             }
-            Input::Learned(bytes) => {
-                self.write(&Write::default(), &[("learned", codec::write(&bytes))]);
+            StoreCommand::PersistGossip(bytes) => {
+                self.write(&RaftWrite::default(), &[("learned", codec::encode(&bytes))]);
             }
-            Input::Found(state) => self.found(&state),
-            Input::Recover(state) => {
-                let image = Image::refound(&state, self.replica.id(), self.replica.last());
+            StoreCommand::FoundFleet(state) => self.found(&state),
+            StoreCommand::ForceNewFleet(state) => {
+                let image =
+                    RaftPersistentState::force_new_fleet(&state, self.replica.id(), self.replica.last());
                 self.begin(&image);
             }
-            Input::TakePart => {
+            StoreCommand::StartParticipating => {
                 if !std::mem::replace(&mut self.part, self.disk.is_some())
-                    && self.replica.conf().voters == [self.replica.id()]
+                    && self.replica.configuration().voters == [self.replica.id()]
                 {
-                    self.guarded(Replica::campaign);
+                    self.guarded(RaftNode::campaign);
                 }
             }
-            Input::Renounce(why) => self.renounce(why),
-            Input::Transfer(to) => drop(self.guarded(|r| r.transfer(to))),
-            Input::Stand if self.part && self.replica.leader() == NodeId::NOBODY => {
+            StoreCommand::ResetIdentity(why) => self.renounce(why),
+            StoreCommand::TransferLeadership(to) => drop(self.guarded(|r| r.transfer_leadership(to))),
+            StoreCommand::Campaign if self.part && self.replica.leader() == NodeId::NOBODY => {
                 log::debug!("store: asks for the lead");
-                self.guarded(Replica::campaign);
+                self.guarded(RaftNode::campaign);
             }
-            Input::Stand => {}
-            Input::Ping => drop(self.guarded(Replica::ping)),
-            Input::Sent(to, sent) => drop(self.guarded(|r| r.snapshot_sent(to, sent))),
-            Input::Unreachable(id) => drop(self.guarded(|r| r.unreachable(id))),
+            StoreCommand::Campaign => {}
+            StoreCommand::BroadcastHeartbeat => drop(self.guarded(RaftNode::broadcast_heartbeat)),
+            StoreCommand::SnapshotSent(to, sent) => drop(self.guarded(|r| r.report_snapshot(to, sent))),
+            StoreCommand::PeerUnreachable(id) => drop(self.guarded(|r| r.report_unreachable(id))),
         }
     }
 
     /// Remembers what another daemon has said of its disk.
-    fn hear(&mut self, letter: &Letter) {
+    fn hear(&mut self, letter: &RaftMessage) {
         let Some(term) = letter.promised() else { return };
         let held = letter.acknowledged().filter(|i| *i <= self.replica.last().0);
         let last = held.map_or((0, 0), |index| (self.replica.term_at(index), index));
-        let now = Witness { boots: 0, term, last };
+        let now = PersistedProgress { boot_count: 0, term, last_entry: last };
         let known = self.witnesses.entry(letter.from).or_default();
         let before = *known;
-        known.hear(&now);
+        known.advance_to(&now);
         self.heard |= before != *known;
     }
 
     fn propose(&mut self, proposal: Proposal) {
         let key = (proposal.from, proposal.token);
-        if !self.replica.leads() || self.recent.contains_key(&key) {
+        if !self.replica.is_leader() || self.recent.contains_key(&key) {
             return;
         }
-        if proposal.change.restricts() {
+        if proposal.change.only_restricts() {
             self.put(proposal);
         } else if !self.waiting.values().any(|w| (w.proposal.from, w.proposal.token) == key)
             && self.waiting.len() < self.limits.fleet_nodes
@@ -370,7 +391,7 @@
             self.next += 1;
             let number = self.next;
             self.waiting.insert(number, Waiting { proposal, ticks: 0 });
-            self.guarded(|r| r.confirm(number));
+            self.guarded(|r| r.request_leadership_check(number));
         }
     }
 
@@ -381,48 +402,48 @@
         }
     }
 
-    fn found(&mut self, state: &State) {
-        if self.replica.fleet() != 0 {
+    fn found(&mut self, state: &ClusterState) {
+        if self.replica.fleet_id() != 0 {
             return;
         }
-        let image = Image::found(state, self.replica.id());
+        let image = RaftPersistentState::found_fleet(state, self.replica.id());
         self.begin(&image);
     }
 
     /// A fleet of this daemon alone begins.
-    fn begin(&mut self, image: &Image) {
+    fn begin(&mut self, image: &RaftPersistentState) {
         self.commit = None;
-        if self.write(&image.whole(), &[]) {
+        if self.write(&image.full_write(), &[]) {
             self.part = true;
             self.reread();
-            self.guarded(Replica::campaign);
+            self.guarded(RaftNode::campaign);
         }
     }
 
     fn renounce(&mut self, why: &str) {
         let Some(disk) = self.disk.take() else { return };
-        match disk.renounce(why) {
+        match disk.reset_identity(why) {
             Ok(disk) => {
                 let identity = disk.identity.clone();
-                match Replica::new(identity.id, Image::default()) {
+                match RaftNode::new(identity.id, RaftPersistentState::default()) {
                     Ok(replica) => self.replica = replica,
                     Err(e) => return self.fail(e),
                 }
-                (self.disk, self.boots, self.part) = (Some(disk), identity.boots, true);
+                (self.disk, self.boots, self.part) = (Some(disk), identity.boot_count, true);
                 self.waiting.clear();
-                self.tell(Output::Renewed(identity));
+                self.tell(StoreEvent::IdentityReset(identity));
             }
             Err(e) => self.fail(e),
         }
     }
 
-    fn write(&mut self, write: &Write, more: &[(&str, Vec<u8>)]) -> bool {
+    fn write(&mut self, write: &RaftWrite, more: &[(&str, Vec<u8>)]) -> bool {
         let Some(disk) = &self.disk else { return false };
         let commit = self.commit.take();
-        let write = Write { hard: write.hard.or(commit), ..write.clone() };
+        let write = RaftWrite { hard_state: write.hard_state.or(commit), ..write.clone() };
         let mut more = more.to_vec();
         if std::mem::take(&mut self.heard) {
-            more.push(("witnesses", codec::write(&self.witnesses)));
+            more.push(("witnesses", codec::encode(&self.witnesses)));
         }
         match disk.write(&write, &more) {
             Ok(()) => {
@@ -441,22 +462,22 @@
 
     /// Works off all steps; false: nobody listens any more.
     fn settle(&mut self) -> bool {
-        while let Some(Some(mut pending)) = self.guarded(Replica::step) {
-            let confirmed = self.replica.confirmed();
-            let send = std::mem::take(&mut pending.send);
+        while let Some(Some(mut pending)) = self.guarded(RaftNode::next_ready) {
+            let confirmed = self.replica.take_confirmed_checks();
+            let send = std::mem::take(&mut pending.messages);
             if !send.is_empty() {
-                self.tell(Output::Letters(send));
+                self.tell(StoreEvent::RaftMessages(send));
             }
             // How far is agreed need not be on the disk: the leader tells it again.
             let mut write = pending.write.clone();
-            let kept = write.hard.filter(|h| (h.term, h.vote) == self.replica.written_vote());
-            if kept.is_some() && (Write { hard: None, ..write.clone() }).is_empty() {
-                self.commit = write.hard.take();
+            let kept = write.hard_state.filter(|h| (h.term, h.vote) == self.replica.written_vote());
+            if kept.is_some() && (RaftWrite { hard_state: None, ..write.clone() }).is_empty() {
+                self.commit = write.hard_state.take();
             }
             if !write.is_empty() && !self.write(&write, &[]) {
                 return true;
             }
-            let Some((letters, applied)) = self.guarded(|r| r.written(pending)) else { continue };
+            let Some((letters, applied)) = self.guarded(|r| r.complete_write(pending)) else { continue };
             // Only now: nothing may go into the log in the midst of a step.
             for number in confirmed {
                 if let Some(waiting) = self.waiting.remove(&number) {
@@ -464,10 +485,10 @@
                 }
             }
             if !letters.is_empty() {
-                self.tell(Output::Letters(letters));
+                self.tell(StoreEvent::RaftMessages(letters));
             }
             if !applied.is_empty() {
-                self.tell(Output::Applied(applied));
+                self.tell(StoreEvent::Applied(applied));
             }
             let bounds = (self.limits.log_bytes, self.limits.log_entries);
             if let Some(Some(write)) = self.guarded(|r| r.compact(bounds.0, bounds.1)) {
@@ -477,7 +498,7 @@
         let status = self.status();
         if status != self.told {
             self.told = status.clone();
-            self.tell(Output::Status(Box::new(status)));
+            self.tell(StoreEvent::Status(Box::new(status)));
         }
         !self.out.is_closed()
     }
