--- a/src/store/zone_weights.rs
+++ b/src/store/zone_weights.rs
@@ -3,11 +3,11 @@
 use serde::{Deserialize, Serialize};
 
 /// The whole of a zone's share.
-pub const WHOLE: u16 = 1000;
+pub const FULL_WEIGHT_PERMILLE: u16 = 1000;
 
 /// Why a zone's share is what it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum WeightReason {
     /// It is in service, or on its way there.
     Returns,
     /// Nobody was found there.
@@ -20,26 +20,36 @@
 
 /// A zone's share, as it is agreed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct ZoneWeight {
     /// Thousandths of its usual reads.
-    pub part: u16,
+    pub permille: u16,
     /// Why.
-    pub why: Why,
+    pub reason: WeightReason,
     /// Counts the moves of the zone: a later one is never undone by an earlier one.
-    pub number: u64,
+    pub version: u64,
     /// Times that it was left and failed again soon after.
-    pub failed: u8,
+    pub failed_returns: u8,
 }
 
-impl Default for Share {
-    fn default() -> Share {
-        Share { part: WHOLE, why: Why::Returns, number: 0, failed: 0 }
+impl Default for ZoneWeight {
+    fn default() -> ZoneWeight {
+        ZoneWeight {
+            permille: FULL_WEIGHT_PERMILLE,
+            reason: WeightReason::Returns,
+            version: 0,
+            failed_returns: 0,
+        }
     }
 }
 
-impl Share {
+impl ZoneWeight {
     /// The next move of the zone.
-    pub fn then(&self, part: u16, why: Why) -> Share {
-        Share { part: part.min(WHOLE), why, number: self.number + 1, failed: self.failed }
+    pub fn next(&self, part: u16, why: WeightReason) -> ZoneWeight {
+        ZoneWeight {
+            permille: part.min(FULL_WEIGHT_PERMILLE),
+            reason: why,
+            version: self.version + 1,
+            failed_returns: self.failed_returns,
+        }
     }
 }
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -4,7 +4,7 @@
 mod stand_in;
 
 use brookpass::fleet::zones::ZoneHealth;
-use brookpass::store::zone_weights::Why;
+use brookpass::store::zone_weights::WeightReason;
 use brookpass_lab::fleet::{Lab, Setup};
 use stand_in::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -328,7 +328,8 @@
 /// brought to say within a moment is held here.
 #[test]
 fn the_words_on_the_state_of_a_zone_are_as_they_were() {
-    let why = [Why::Returns, Why::Lost, Why::Slow, Why::Operator].map(|why| format!("{why:?}"));
+    let why = [WeightReason::Returns, WeightReason::Lost, WeightReason::Slow, WeightReason::Operator]
+        .map(|why| format!("{why:?}"));
     assert_eq!(why, ["Returns", "Lost", "Slow", "Operator"]);
     let all =
         [ZoneHealth::Unknown, ZoneHealth::Sound, ZoneHealth::Doubtful, ZoneHealth::Slow, ZoneHealth::Lost];
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -8,13 +8,13 @@
 use brookpass::fleet::recovery::PersistedGossip;
 use brookpass::ids::NodeId;
 use brookpass::store::codec;
-use brookpass::store::legacy::{self, Legacy};
-use brookpass::store::raft_message::Letter;
-use brookpass::store::raft_node::{Applied, Replica, What, Write};
-use brookpass::store::records::{Conf, HostRecord, LogEntry};
-use brookpass::store::state_machine::{Change, Effect};
-use brookpass::store::storage::{Disk, Held};
-use brookpass::store::store_thread::{self, Input, Output};
+use brookpass::store::legacy::{self, LegacyStore};
+use brookpass::store::raft_message::RaftMessage;
+use brookpass::store::raft_node::{AppliedContent, AppliedEntry, RaftNode, RaftWrite};
+use brookpass::store::records::{Configuration, HostRecord, LogEntry};
+use brookpass::store::state_machine::{ApplyResult, Change};
+use brookpass::store::storage::{DurableStorage, StoreContents};
+use brookpass::store::store_thread::{self, StoreCommand, StoreEvent};
 use brookpass::time::Timestamp;
 use brookpass_lab::process::Process;
 use brookpass_lab::{eventually, http, now};
@@ -29,40 +29,40 @@
     [0xee5a_9c8e, 0xd71d_b247, 0x2c14_3a22, 0xb2ce_1177, 0x9e11_de07, 0x962a_59e8, 0x9204_19f3];
 
 /// What the fixture's disk must hold, as one opens it.
-fn assert_held(held: &Held) {
-    assert_eq!(held.image, image());
-    assert_eq!(held.marks, marks());
-    assert_eq!(held.witnesses, witnesses());
-    assert_eq!(held.learned.as_deref().and_then(codec::read::<PersistedGossip>), Some(saved()));
+fn assert_held(held: &StoreContents) {
+    assert_eq!(held.raft, image());
+    assert_eq!(held.drains, marks());
+    assert_eq!(held.reported_progress, witnesses());
+    assert_eq!(held.gossip.as_deref().and_then(codec::decode::<PersistedGossip>), Some(saved()));
     assert_eq!((&held.legacy, &held.notes), (&None, &Vec::new()));
 }
 
 /// What the fixture's entries after the snapshot are taken in as.
-fn wanted() -> Vec<(u64, u32, What, Effect)> {
+fn wanted() -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
     let entries = entries().into_iter().filter(|e| (21..=27).contains(&e.index));
     let what = |e: &LogEntry| match e.kind {
-        0 => What::Change(codec::read(&e.bytes).unwrap()),
-        _ => What::Members(codec::read(&e.bytes).unwrap()),
+        0 => AppliedContent::Change(codec::decode(&e.payload).unwrap()),
+        _ => AppliedContent::Membership(codec::decode(&e.payload).unwrap()),
     };
-    entries.zip(DIGESTS).map(|(e, digest)| (e.index, digest, what(&e), Effect::Done)).collect()
+    entries.zip(DIGESTS).map(|(e, digest)| (e.index, digest, what(&e), ApplyResult::Done)).collect()
 }
 
-fn taken_in(applied: Vec<Applied>) -> Vec<(u64, u32, What, Effect)> {
-    applied.into_iter().map(|a| (a.index, a.digest, a.what, a.effect)).collect()
+fn taken_in(applied: Vec<AppliedEntry>) -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
+    applied.into_iter().map(|a| (a.index, a.digest, a.content, a.result)).collect()
 }
 
 #[test]
 fn a_store_file_of_an_earlier_build_is_opened_whole() {
     let folder = folder("opened");
     let path = copy(&folder, "b1.store", true);
-    let (disk, held) = Disk::open(&path).unwrap();
+    let (disk, held) = DurableStorage::open(&path).unwrap();
     assert_held(&held);
-    assert_eq!((disk.identity.id, disk.identity.boots), (B1, 6), "one start more");
-    assert_eq!(disk.image().unwrap(), image());
+    assert_eq!((disk.identity.id, disk.identity.boot_count), (B1, 6), "one start more");
+    assert_eq!(disk.read_raft_state().unwrap(), image());
     drop(disk);
-    let (disk, held) = Disk::open(&path).unwrap();
+    let (disk, held) = DurableStorage::open(&path).unwrap();
     assert_held(&held);
-    assert_eq!((disk.identity.id, disk.identity.boots), (B1, 7));
+    assert_eq!((disk.identity.id, disk.identity.boot_count), (B1, 7));
     fs::remove_dir_all(folder).unwrap();
 }
 
@@ -71,9 +71,9 @@
 fn a_copied_store_file_of_an_earlier_build_is_set_aside_unchanged() {
     let folder = folder("copied");
     let path = copy(&folder, "b1.store", false);
-    let (disk, held) = Disk::open(&path).unwrap();
+    let (disk, held) = DurableStorage::open(&path).unwrap();
     assert_ne!(disk.identity.id, B1);
-    assert!(held.image.is_new() && held.marks.is_empty() && held.learned.is_none());
+    assert!(held.raft.is_new() && held.drains.is_empty() && held.gossip.is_none());
     assert!(held.notes[0].contains("a copy of another file"), "{:?}", held.notes);
     drop(disk);
     assert_eq!(dump(&folder.join("b1.store.damaged")), dump(&copy(&folder, "again.store", false)));
@@ -83,24 +83,24 @@
 /// The agreed entries after the snapshot make the same state, with the same check sums, as they did then.
 #[test]
 fn the_log_of_an_earlier_build_makes_the_same_agreed_state() {
-    let mut replica = Replica::new(B1, image()).unwrap();
+    let mut replica = RaftNode::new(B1, image()).unwrap();
     assert_eq!(replica.state(), &snapshot_state());
     let mut all = Vec::new();
-    while let Some(pending) = replica.step() {
-        assert_eq!(pending.write, Write::default());
-        let (letters, applied) = replica.written(pending);
+    while let Some(pending) = replica.next_ready() {
+        assert_eq!(pending.write, RaftWrite::default());
+        let (letters, applied) = replica.complete_write(pending);
         assert_eq!(letters, []);
         all.extend(applied);
     }
     assert_eq!(taken_in(all), wanted());
     assert_eq!(replica.state(), &agreed_state(DIGESTS[6]));
-    let conf = Conf { voters: vec![B1, B2], learners: vec![B3, B5], ..Conf::default() };
-    assert_eq!(replica.conf(), conf);
-    assert_eq!((replica.applied(), replica.agreed(), replica.last()), (27, 27, (28, 4)));
+    let conf = Configuration { voters: vec![B1, B2], learners: vec![B3, B5], ..Configuration::default() };
+    assert_eq!(replica.configuration(), conf);
+    assert_eq!((replica.applied(), replica.committed(), replica.last()), (27, 27, (28, 4)));
     assert_eq!((replica.written_vote(), replica.term_at(18), replica.term_at(28)), ((4, B2), 2, 4));
 }
 
-fn next(outputs: &Receiver<Output>) -> Option<Output> {
+fn next(outputs: &Receiver<StoreEvent>) -> Option<StoreEvent> {
     outputs.recv_blocking().ok()
 }
 
@@ -108,29 +108,32 @@
 fn the_owner_starts_on_a_store_file_of_an_earlier_build_with_all_that_it_holds() {
     let folder = folder("owner");
     let path = copy(&folder, "b1.store", true);
-    let (disk, held) = Disk::open(&path).unwrap();
+    let (disk, held) = DurableStorage::open(&path).unwrap();
     let (opened, inputs, outputs) = store_thread::start(disk, held, &Limits::for_sockets(1024)).unwrap();
-    assert_eq!((opened.identity.id, opened.identity.boots), (B1, 6));
+    assert_eq!((opened.identity.id, opened.identity.boot_count), (B1, 6));
     assert_eq!(opened.state, snapshot_state());
     // Drains in the log after the snapshot act as well, agreed or not.
     let mut drains = marks();
     drains.extend([("s-2-0".to_string(), mark(B3, 2)), ("s-1-0".to_string(), mark(B2, 11))]);
-    assert_eq!(opened.marks, drains);
-    assert_eq!(opened.learned.as_deref().and_then(codec::read::<PersistedGossip>), Some(saved()));
+    assert_eq!(opened.drains, drains);
+    assert_eq!(opened.gossip.as_deref().and_then(codec::decode::<PersistedGossip>), Some(saved()));
     assert_eq!(opened.legacy, None);
     let status = &opened.status;
     assert_eq!(
-        (status.term, status.leader, status.part),
+        (status.term, status.leader, status.participating),
         (4, NodeId::NOBODY, false),
         "others are asked first"
     );
-    assert_eq!((status.agreed, status.applied), (27, 20));
-    assert_eq!((status.witness.boots, status.witness.term, status.witness.last), (6, 4, (4, 28)));
-    assert_eq!(status.witnesses, witnesses());
-    assert_eq!(status.conf, image().snapshot.conf);
+    assert_eq!((status.committed, status.applied), (27, 20));
+    assert_eq!(
+        (status.own_progress.boot_count, status.own_progress.term, status.own_progress.last_entry),
+        (6, 4, (4, 28))
+    );
+    assert_eq!(status.reported_progress, witnesses());
+    assert_eq!(status.configuration, image().snapshot.configuration);
     let mut all = Vec::new();
     while all.len() < 7 {
-        if let Output::Applied(applied) = next(&outputs).unwrap() {
+        if let StoreEvent::Applied(applied) = next(&outputs).unwrap() {
             all.extend(applied);
         }
     }
@@ -145,18 +148,18 @@
 fn a_store_written_now_has_the_tables_keys_and_bytes_of_the_fixture() {
     let folder = folder("dump");
     let mut wanted: Vec<String> = [
-        ("dropped", codec::write(&image().dropped)),
-        ("form", codec::write(&1_u32)),
-        ("hard", codec::write(&image().hard)),
-        ("identity", codec::write(&identity())),
-        ("learned", codec::write(&codec::write(&saved()))),
-        ("marks", codec::write(&marks())),
-        ("snapshot", codec::write(&image().snapshot)),
-        ("witnesses", codec::write(&witnesses())),
+        ("dropped", codec::encode(&image().compacted)),
+        ("form", codec::encode(&1_u32)),
+        ("hard", codec::encode(&image().hard_state)),
+        ("identity", codec::encode(&identity())),
+        ("learned", codec::encode(&codec::encode(&saved()))),
+        ("marks", codec::encode(&marks())),
+        ("snapshot", codec::encode(&image().snapshot)),
+        ("witnesses", codec::encode(&witnesses())),
     ]
     .map(|(key, value)| format!("meta {key} = {}", hex(&value)))
     .into();
-    wanted.extend(entries().iter().map(|e| format!("log {} = {}", e.index, hex(&codec::write(e)))));
+    wanted.extend(entries().iter().map(|e| format!("log {} = {}", e.index, hex(&codec::encode(e)))));
     assert_eq!(dump(&copy(&folder, "b1.store", false)), wanted);
     let path = folder.join("now.store");
     make(&path);
@@ -169,20 +172,20 @@
 fn what_the_owner_keeps_lies_under_the_keys_of_the_fixture() {
     let folder = folder("keeps");
     let path = folder.join("b1.store");
-    let (mut disk, held) = Disk::open(&path).unwrap();
+    let (mut disk, held) = DurableStorage::open(&path).unwrap();
     disk.identity.id = B1;
-    disk.write(&image().whole(), &[("identity", codec::write(&disk.identity))]).unwrap();
-    let held = Held { image: disk.image().unwrap(), ..held };
+    disk.write(&image().full_write(), &[("identity", codec::encode(&disk.identity))]).unwrap();
+    let held = StoreContents { raft: disk.read_raft_state().unwrap(), ..held };
     let (_, inputs, outputs) = store_thread::start(disk, held, &Limits::for_sockets(1024)).unwrap();
     let heartbeat = |from: NodeId, term| {
         let mut m = eraftpb::Message { from: from.0, to: B1.0, term, ..Default::default() };
         m.set_msg_type(eraftpb::MessageType::MsgHeartbeat);
-        Letter::of(m).unwrap()
+        RaftMessage::of(m).unwrap()
     };
-    inputs.send(Input::Letters(vec![heartbeat(B2, 4), heartbeat(B3, 3)])).unwrap();
-    inputs.send(Input::Learned(codec::write(&saved()))).unwrap();
-    inputs.send(Input::Marks(marks(), 77)).unwrap();
-    while !matches!(next(&outputs).unwrap(), Output::Saved(77)) {}
+    inputs.send(StoreCommand::RaftMessages(vec![heartbeat(B2, 4), heartbeat(B3, 3)])).unwrap();
+    inputs.send(StoreCommand::PersistGossip(codec::encode(&saved()))).unwrap();
+    inputs.send(StoreCommand::PersistDrains(marks(), 77)).unwrap();
+    while !matches!(next(&outputs).unwrap(), StoreEvent::DrainsPersisted(77)) {}
     drop(inputs);
     while next(&outputs).is_some() {}
     let kept = dump(&path);
@@ -193,21 +196,21 @@
         assert_eq!(of(&kept), of(&fixture));
     }
     let heard = [B2, B3].map(|id| (id, (0_u64, if id == B2 { 4_u64 } else { 3 }, (0_u64, 0_u64))));
-    let heard = codec::write(&std::collections::BTreeMap::from(heard));
+    let heard = codec::encode(&std::collections::BTreeMap::from(heard));
     assert!(kept.contains(&format!("meta witnesses = {}", hex(&heard))), "{kept:#?}");
     fs::remove_dir_all(folder).unwrap();
 }
 
 /// Writes the fixture's store with this build.
 fn make(path: &Path) {
-    let (disk, _) = Disk::open(path).unwrap();
+    let (disk, _) = DurableStorage::open(path).unwrap();
     let more = [
-        ("identity", codec::write(&identity())),
-        ("learned", codec::write(&codec::write(&saved()))),
-        ("marks", codec::write(&marks())),
-        ("witnesses", codec::write(&witnesses())),
+        ("identity", codec::encode(&identity())),
+        ("learned", codec::encode(&codec::encode(&saved()))),
+        ("marks", codec::encode(&marks())),
+        ("witnesses", codec::encode(&witnesses())),
     ];
-    disk.write(&image().whole(), &more).unwrap();
+    disk.write(&image().full_write(), &more).unwrap();
     drop(disk);
     let mut db = Database::open(path).unwrap();
     while db.compact().unwrap() {}
@@ -226,12 +229,12 @@
 }
 
 /// What tests/fixtures/store-0.2.0.txt says.
-fn old_store() -> Legacy {
-    Legacy {
+fn old_store() -> LegacyStore {
+    LegacyStore {
         hosts: vec![
             (
                 "odd\tname\\x".into(),
-                HostRecord { leaving: true, ..host("127.0.0.1:7003", 70_000, 201, 0.75) },
+                HostRecord { draining: true, ..host("127.0.0.1:7003", 70_000, 201, 0.75) },
             ),
             (
                 "s-1".into(),
@@ -259,13 +262,13 @@
     assert_eq!(
         old.changes("b1"),
         [
-            Change::Settings { by: "b1".into(), changed, text },
+            Change::Settings { read_by: "b1".into(), changed_at: changed, text },
             Change::Inventory {
-                by: "b1".into(),
-                changed: Timestamp::from_micros(1_780_000_000_333_444),
-                base: 0,
-                set: old.hosts,
-                gone: Vec::new(),
+                read_by: "b1".into(),
+                changed_at: Timestamp::from_micros(1_780_000_000_333_444),
+                base_version: 0,
+                upserts: old.hosts,
+                removals: Vec::new(),
             },
         ]
     );
@@ -276,12 +279,12 @@
     let folder = folder("old");
     let path = folder.join("b1.store");
     fs::write(&path, old_text()).unwrap();
-    let (disk, held) = Disk::open(&path).unwrap();
+    let (disk, held) = DurableStorage::open(&path).unwrap();
     assert_eq!(held.legacy, Some(old_store()));
-    assert!(held.image.is_new() && held.marks.is_empty() && held.notes.len() == 1, "{:?}", held.notes);
+    assert!(held.raft.is_new() && held.drains.is_empty() && held.notes.len() == 1, "{:?}", held.notes);
     drop(disk);
     assert_eq!(fs::read_to_string(folder.join("b1.store.old")).unwrap(), old_text());
-    assert_eq!(Disk::open(&path).unwrap().1.legacy, None, "once");
+    assert_eq!(DurableStorage::open(&path).unwrap().1.legacy, None, "once");
     fs::remove_dir_all(folder).unwrap();
 }
 
@@ -297,7 +300,7 @@
     // What was learned is worth nothing after an hour: here it was written now.
     let mut learned = saved();
     learned.at.wall = Timestamp::from_micros(now());
-    put(&path, "learned", &codec::write(&codec::write(&learned)));
+    put(&path, "learned", &codec::encode(&codec::encode(&learned)));
     let file = folder.join("operator.yaml");
     fs::write(&file, OPERATOR).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_brookpass"));
--- a/tests/stored_records.rs
+++ b/tests/stored_records.rs
@@ -5,10 +5,12 @@
 
 use brookpass::ids::{GroupId, NodeId, ZoneId};
 use brookpass::store::codec;
-use brookpass::store::records::{Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
-use brookpass::store::state_machine::{Change, Membership, State};
-use brookpass::store::storage::{Identity, Marks, Witness};
-use brookpass::store::zone_weights::Why;
+use brookpass::store::records::{
+    Configuration, HardState, HostRecord, LogEntry, MembershipStep, SnapshotRecord,
+};
+use brookpass::store::state_machine::{Change, ClusterState, MembershipChange};
+use brookpass::store::storage::{DrainList, NodeIdentity, PersistedProgress};
+use brookpass::store::zone_weights::WeightReason;
 use brookpass::time::Timestamp;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -29,9 +31,9 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
 {
-    let bytes = codec::write(&value);
+    let bytes = codec::encode(&value);
     let fault = move |bytes: &[u8]| {
-        let read: Option<T> = codec::read(bytes);
+        let read: Option<T> = codec::decode(bytes);
         (read.as_ref() != Some(&value)).then(|| format!("{read:?} is read, not {value:?}"))
     };
     Record { name, bytes, fault: Box::new(fault) }
@@ -43,13 +45,13 @@
         group: GroupId(70_000),
         zone: ZoneId(201),
         weight: 0.75,
-        leaving: true,
+        draining: true,
         started_at: Some(Timestamp::from_micros(1_780_000_000_000_123)),
     }
 }
 
-fn conf() -> Conf {
-    Conf {
+fn conf() -> Configuration {
+    Configuration {
         voters: vec![NodeId(1), NodeId(300)],
         learners: vec![NodeId(3)],
         voters_outgoing: vec![NodeId(4), NodeId(5), NodeId(6)],
@@ -59,15 +61,15 @@
 }
 
 /// A state with something in every field, and zones with a share for every reason.
-fn full_state() -> State {
+fn full_state() -> ClusterState {
     let mut state = snapshot_state();
     state.founders = BTreeSet::from(["b8".to_string(), "b9".to_string()]);
     state.hosts.insert("s-9".into(), full_host());
-    state.zones = BTreeMap::from([
-        (ZoneId(3), share(1000, Why::Returns, 41, 1)),
-        (ZoneId(4), share(0, Why::Lost, 42, 2)),
-        (ZoneId(5), share(750, Why::Slow, 43, 3)),
-        (ZoneId(6), share(125, Why::Operator, 44, 4)),
+    state.zone_weights = BTreeMap::from([
+        (ZoneId(3), share(1000, WeightReason::Returns, 41, 1)),
+        (ZoneId(4), share(0, WeightReason::Lost, 42, 2)),
+        (ZoneId(5), share(750, WeightReason::Slow, 43, 3)),
+        (ZoneId(6), share(125, WeightReason::Operator, 44, 4)),
     ]);
     state
 }
@@ -78,39 +80,39 @@
         (
             "change-undrain",
             "proposal-undrain",
-            Change::Undrain { host: "s-1-2".into(), marks: vec![mark(B1, 6), mark(B3, 7)] },
+            Change::Undrain { host: "s-1-2".into(), drains: vec![mark(B1, 6), mark(B3, 7)] },
         ),
         (
             "change-inventory",
             "proposal-inventory",
             Change::Inventory {
-                by: "b2".into(),
-                changed: Timestamp::from_micros(1_790_000_000_000_321),
-                base: 77,
-                set: vec![("s-9".into(), full_host()), ("s-8".into(), host("[fd00::8]:7002", 8, 2, 1.5))],
-                gone: vec!["s-6".into(), "s-7".into()],
+                read_by: "b2".into(),
+                changed_at: Timestamp::from_micros(1_790_000_000_000_321),
+                base_version: 77,
+                upserts: vec![("s-9".into(), full_host()), ("s-8".into(), host("[fd00::8]:7002", 8, 2, 1.5))],
+                removals: vec!["s-6".into(), "s-7".into()],
             },
         ),
         (
             "change-settings",
             "proposal-settings",
             Change::Settings {
-                by: "b3".into(),
-                changed: Timestamp::from_micros(-5),
+                read_by: "b3".into(),
+                changed_at: Timestamp::from_micros(-5),
                 text: "limits.probes=true\nservices.count=1\n".into(),
             },
         ),
         (
             "change-zone",
             "proposal-zone",
-            Change::Zone { zone: ZoneId(9), share: share(333, Why::Operator, 1_000, 12) },
+            Change::ZoneWeight { zone: ZoneId(9), weight: share(333, WeightReason::Operator, 1_000, 12) },
         ),
         (
             "change-regions",
             "proposal-regions",
             Change::Regions {
-                by: "b1".into(),
-                changed: Timestamp::from_micros(1_790_000_000_000_654),
+                read_by: "b1".into(),
+                changed_at: Timestamp::from_micros(1_790_000_000_000_654),
                 regions: BTreeMap::from([(ZoneId(1), "north".to_string()), (ZoneId(2), "süd".to_string())]),
             },
         ),
@@ -118,48 +120,52 @@
 }
 
 fn records() -> Vec<Record> {
-    let membership = |steps, comes| Membership { steps, comes };
+    let membership = |steps, comes| MembershipChange { steps, joining: comes };
     let mut all = vec![
         record("form", 1_u32),
         record("dropped", (18_u64, 2_u64)),
-        record("identity", Identity { id: B1, boots: 5, place: (2049, 131_072) }),
-        record("hard", Hard { term: 4, vote: B2, commit: 1_000 }),
+        record("identity", NodeIdentity { id: B1, boot_count: 5, file: (2049, 131_072) }),
+        record("hard", HardState { term: 4, vote: B2, commit: 1_000 }),
         record("conf", conf()),
         record(
             "snapshot",
-            SnapshotRecord { index: 20, term: 3, conf: conf(), state: codec::write(&full_state()) },
+            SnapshotRecord { index: 20, term: 3, configuration: conf(), state: codec::encode(&full_state()) },
         ),
-        record("witness", Witness { boots: 3, term: 4, last: (5, 600) }),
+        record("witness", PersistedProgress { boot_count: 3, term: 4, last_entry: (5, 600) }),
         record("witnesses", witnesses()),
         record("marks", marks()),
-        record::<Marks>("marks-none", Vec::new()),
+        record::<DrainList>("marks-none", Vec::new()),
         record("saved", saved()),
-        record("learned", codec::write(&saved())),
+        record("learned", codec::encode(&saved())),
         record("host", full_host()),
         record("host-v6-unstarted", host("[fd00::8]:7002", 8, 2, 1.5)),
-        record("entry-change", LogEntry { index: 300, term: 9, kind: 0, bytes: vec![1, 2, 0xff] }),
-        record("entry-members", LogEntry { index: 301, term: 10, kind: 2, bytes: vec![3] }),
-        record("entry-empty", LogEntry { index: 302, term: 11, kind: 0, bytes: Vec::new() }),
-        record("step-vote", Step::Vote(B2)),
-        record("step-follow", Step::Follow(B3)),
-        record("step-remove", Step::Remove(B8)),
-        record("membership-vote", membership(vec![Step::Vote(B2)], None)),
+        record("entry-change", LogEntry { index: 300, term: 9, kind: 0, payload: vec![1, 2, 0xff] }),
+        record("entry-members", LogEntry { index: 301, term: 10, kind: 2, payload: vec![3] }),
+        record("entry-empty", LogEntry { index: 302, term: 11, kind: 0, payload: Vec::new() }),
+        record("step-vote", MembershipStep::AddVoter(B2)),
+        record("step-follow", MembershipStep::AddLearner(B3)),
+        record("step-remove", MembershipStep::Remove(B8)),
+        record("membership-vote", membership(vec![MembershipStep::AddVoter(B2)], None)),
         record(
             "membership-all",
             membership(
-                vec![Step::Vote(B2), Step::Follow(B5), Step::Remove(B8)],
+                vec![
+                    MembershipStep::AddVoter(B2),
+                    MembershipStep::AddLearner(B5),
+                    MembershipStep::Remove(B8),
+                ],
                 Some((B5, member("b5", "127.0.0.1:5"))),
             ),
         ),
-        record("why-returns", Why::Returns),
-        record("why-lost", Why::Lost),
-        record("why-slow", Why::Slow),
-        record("why-operator", Why::Operator),
-        record("share", share(875, Why::Slow, 400, 7)),
+        record("why-returns", WeightReason::Returns),
+        record("why-lost", WeightReason::Lost),
+        record("why-slow", WeightReason::Slow),
+        record("why-operator", WeightReason::Operator),
+        record("share", share(875, WeightReason::Slow, 400, 7)),
         record("mark", mark(B3, 70_000)),
         record("member-v6", member("b3", "[::1]:3")),
         record("source", source("b2", -9, 10)),
-        record("state-new", State::default()),
+        record("state-new", ClusterState::default()),
         record("state", full_state()),
     ];
     for (name, whole, change) in changes() {
@@ -205,17 +211,17 @@
     assert_eq!(golden().into_keys().collect::<BTreeSet<_>>(), compared);
 }
 
-fn without_regions() -> State {
-    State { regions: Default::default(), ..full_state() }
+fn without_regions() -> ClusterState {
+    ClusterState { regions: Default::default(), ..full_state() }
 }
 
-fn without_shares() -> State {
-    State { zones: BTreeMap::new(), ..without_regions() }
+fn without_shares() -> ClusterState {
+    ClusterState { zone_weights: BTreeMap::new(), ..without_regions() }
 }
 
 /// The bytes of a state from which the last `missing` ones are cut, as a version wrote it that lacked these fields.
-fn earlier(state: &State, missing: usize) -> Vec<u8> {
-    let bytes = codec::write(state);
+fn earlier(state: &ClusterState, missing: usize) -> Vec<u8> {
+    let bytes = codec::encode(state);
     let body = &bytes[4..bytes.len() - missing];
     [&crc32fast::hash(body).to_be_bytes()[..], body].concat()
 }
@@ -226,11 +232,11 @@
     for (name, wanted) in
         [("state-without-regions", without_regions()), ("state-without-shares", without_shares())]
     {
-        assert_eq!(codec::read::<State>(&golden[name]), None, "{name} is of an earlier form");
-        assert_eq!(State::read(&golden[name]), Some(wanted), "{name}");
+        assert_eq!(codec::decode::<ClusterState>(&golden[name]), None, "{name} is of an earlier form");
+        assert_eq!(ClusterState::decode(&golden[name]), Some(wanted), "{name}");
     }
-    assert_eq!(State::read(&golden["state"]), Some(full_state()));
-    assert_eq!(State::read(&golden["state-new"]), Some(State::default()));
+    assert_eq!(ClusterState::decode(&golden["state"]), Some(full_state()));
+    assert_eq!(ClusterState::decode(&golden["state-new"]), Some(ClusterState::default()));
 }
 
 /// The check sum comes first, as four bytes with the highest first; what follows is postcard's form of the value.
