--- a/src/fleet/admin_api.rs
+++ b/src/fleet/admin_api.rs
@@ -117,7 +117,7 @@
         None => (404, format!("no zone {name:?} with hosts")),
         Some(Err(why)) => (409, format!("not done: {why}")),
         Some(Ok((share, ChangeOutcome::Agreed))) => {
-            (200, format!("{name} gets {} of 1000 by move {}", share.permille, share.version))
+            (200, format!("{name} gets {} of 1000 by move {}", share.part, share.number))
         }
         Some(Ok(_)) => (503, "not done: no majority agreed in time. Say it again later".into()),
     }
@@ -145,13 +145,14 @@
     let beliefs = table.learned.primary_beliefs().iter().map(|(group, b)| {
         format!(
             "group {group} primary {} heard by {} {} ms ago",
-            b.host,
-            name(b.by),
-            (now - b.at).as_millis()
+            b.endpoint,
+            name(b.observer),
+            (now - b.observed_at).as_millis()
         )
     });
-    let guesses = table.learned.restored_primaries(&table.state).into_iter().map(|(group, (host, at))| {
-        format!("group {group} guess {host} from before this start, {} ms ago", (now - at).as_millis())
+    let guesses = table.learned.restored_primaries(&table.state).into_iter().map(|(group, restored)| {
+        let age = (now - restored.observed_at).as_millis();
+        format!("group {group} guess {} from before this start, {age} ms ago", restored.endpoint)
     });
     beliefs.chain(guesses).chain(table.learned.describe(now, name)).collect::<Vec<_>>().join("\n")
 }
@@ -164,7 +165,7 @@
         _ if table.removed => "removed",
         _ if table.state.fleet == 0 => "none",
         _ if table.status.leader == me => "leads",
-        _ if table.status.configuration.voters.contains(&me) => "voter",
+        _ if table.status.conf.voters.contains(&me) => "voter",
         _ => "follower",
     }
 }
@@ -175,23 +176,23 @@
     let heard = table.heard.iter().filter(|(id, h)| {
         table.state.members.contains_key(id) && h.at.elapsed() < fleet.limits.peer_gone_timeout
     });
-    let unsent: u64 = fleet.links().iter().map(|w| w.dropped.get()).sum();
+    let unsent: u64 = fleet.links().iter().map(|w| w.dropped_messages()).sum();
     let (away, moves) = fleet.zone_figures();
     let lines = [
         ("members", table.state.members.len() as u64, 'g'),
-        ("voters", table.status.configuration.voters.len() as u64, 'g'),
+        ("voters", table.status.conf.voters.len() as u64, 'g'),
         ("heard", heard.count() as u64, 'g'),
         ("led", u64::from(table.status.leader != NodeId::NOBODY), 'g'),
         ("leads", u64::from(table.status.leader == table.identity.id), 'g'),
         ("term", table.status.term, 'g'),
-        ("agreed", table.status.committed, 'g'),
+        ("agreed", table.status.agreed, 'g'),
         ("lag", table.lag(), 'g'),
         ("unagreed_drains", table.marks.all().len() as u64, 'g'),
-        ("log_bytes", table.status.log_size.0 as u64, 'g'),
+        ("log_bytes", table.status.log.0 as u64, 'g'),
         ("dropped", table.dropped + table.status.dropped.0, 'c'),
         ("unsent", unsent, 'c'),
         ("panics", table.status.dropped.1, 'c'),
-        ("disk_writes", table.status.disk_writes, 'c'),
+        ("disk_writes", table.status.writes, 'c'),
         ("recovery_step", fleet.service().step as u64, 'g'),
         ("zones_away", away, 'g'),
         ("zone_moves", moves, 'c'),
@@ -221,7 +222,7 @@
     let _ = writeln!(
         out,
         "agreed {} applied {} digest {:08x} lag {lag}",
-        status.committed, table.applied, table.state.digest
+        status.agreed, table.applied, table.state.digest
     );
     let stale =
         table.state.fleet == 0 || status.leader == NodeId::NOBODY || table.removed || table.broken.is_some();
@@ -258,7 +259,7 @@
         let _ = writeln!(out, "broken {why}");
     }
     for (host, mark) in table.marks.all() {
-        let _ = writeln!(out, "unagreed drain {host} said by {} {}", name(mark.node), mark.sequence);
+        let _ = writeln!(out, "unagreed drain {host} said by {} {}", name(mark.by), mark.number);
     }
     for host in table.state.drains.keys() {
         let _ = writeln!(out, "drain {host}");
@@ -267,8 +268,8 @@
         let _ = writeln!(
             out,
             "settings of {} changed {} version {}",
-            source.read_by,
-            source.changed_at.as_millis(),
+            source.by,
+            source.changed.as_millis(),
             source.version
         );
     }
@@ -283,22 +284,22 @@
         let _ = writeln!(
             out,
             "inventory of {} changed {} version {} hosts {}; {own}",
-            source.read_by,
-            source.changed_at.as_millis(),
+            source.by,
+            source.changed.as_millis(),
             source.version,
             table.state.hosts.len()
         );
     }
     for (id, member) in &table.state.members {
-        let votes = if status.configuration.voters.contains(id) { "voter" } else { "follower" };
+        let votes = if status.conf.voters.contains(id) { "voter" } else { "follower" };
         let word = match table.heard.get(id) {
             _ if *id == table.identity.id => "this daemon".to_string(),
             None => "never heard".to_string(),
             Some(h) => format!(
                 "heard {} ms ago agreed {} applied {} leader {}",
                 (now - h.at).as_millis(),
-                h.beat.agreed,
-                h.beat.applied.0,
+                h.beat.commit_index,
+                h.beat.applied.index,
                 name(h.beat.leader)
             ),
         };
@@ -312,12 +313,12 @@
     for (id, name) in table.state.removed.iter().rev().take(8) {
         let _ = writeln!(out, "removed {name} {id:016x}");
     }
-    let full: u64 = fleet.links().iter().map(|w| w.dropped.get()).sum();
+    let full: u64 = fleet.links().iter().map(|w| w.dropped_messages()).sum();
     let _ = writeln!(
         out,
         "dropped frames {} letters {} unsent {full} panics {}",
         table.dropped, status.dropped.0, status.dropped.1
     );
-    let _ = write!(out, "log bytes {} entries {}", status.log_size.0, status.log_size.1);
+    let _ = write!(out, "log bytes {} entries {}", status.log.0, status.log.1);
     out
 }
--- a/src/fleet/gossip/endpoint_summary.rs
+++ b/src/fleet/gossip/endpoint_summary.rs
@@ -1,51 +1,61 @@
-//! What is known of an endpoint now.
+//! What is known about one endpoint at this moment, for the decisions on recovery.
 
-use super::restored::RestoredHistory;
-use super::{GossipState, MOMENT, OLD};
+use super::primary_beliefs::MAX_CLAIM_AGE;
+use super::restored::RestoredEndpoint;
+use super::state::{GossipState, MAX_RECENT_AGE};
 use crate::time::Timestamp;
 
-/// What is known of a host by words of a moment ago.
+/// What is known about an endpoint from recent observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointSummary {
-    /// It called itself the primary.
-    pub primary: bool,
-    /// Daemons that last heard it call itself that, and not too long ago.
-    pub named: usize,
-    /// It told a position.
-    pub proven: bool,
-    /// When it started, as far as known.
-    pub started: Option<Timestamp>,
-    /// Requests a second that it bore when warm, by what it served all daemons together at its best before this
-    /// daemon's start, and the part of its capacity that it said this took.
-    pub bore: f64,
-    /// It said which part that was.
-    pub said: bool,
-    /// Those that it serves for them now.
-    pub serves: f64,
+    /// It called itself the primary, to this process or recently to a peer.
+    pub is_primary: bool,
+    /// Nodes to which it last called itself the primary, and not too long ago.
+    pub primary_claims: usize,
+    /// It reported a log position, to this process or recently to a peer.
+    pub position_known: bool,
+    /// When it started; `None`: not known.
+    pub started_at: Option<Timestamp>,
+    /// Requests per second that it bears when warm, from what it served for all peers together before this start and
+    /// the part of its capacity that it reported this to take; 0: not known.
+    pub warm_capacity_rps: f64,
+    /// It reported itself which part of its capacity was in use.
+    pub utilization_reported: bool,
+    /// Requests per second that it serves for all peers together now.
+    pub current_rate_rps: f64,
 }
 
 impl GossipState {
-    /// What is known of a host now. This daemon's own evidence is of this start; others' counts if it is of a moment
-    /// ago. What was heard before the host's last start says nothing any more but what it bore.
-    pub fn endpoint_summary(&self, now: Timestamp, host: &str) -> EndpointSummary {
-        let started = self.started_at(host);
-        let mut moment = EndpointSummary { started, ..EndpointSummary::default() };
-        let mut rate = 0;
-        let own = self.rates.get(host).map_or(0.0, |served| served.rate(now));
-        for (by, e) in self.all.iter().filter_map(|(by, hosts)| Some((by, hosts.get(host)?))) {
-            rate += if *by == self.me || now - e.at > MOMENT { 0 } else { u64::from(e.rate) };
-            if started.is_some_and(|at| e.at < at) {
+    /// What is known about an endpoint now.
+    ///
+    /// This process's own observations are all of this start; those of peers count if they are recent. Nothing that
+    /// was observed before the endpoint's last start counts, except for its capacity.
+    pub fn endpoint_summary(&self, now: Timestamp, endpoint: &str) -> EndpointSummary {
+        let restored = self.restored.get(endpoint);
+        let started_at = self.started_at(endpoint);
+        let mut summary = EndpointSummary {
+            started_at,
+            warm_capacity_rps: restored.map_or(0.0, RestoredEndpoint::warm_capacity_rps),
+            utilization_reported: restored.is_some_and(RestoredEndpoint::reported_utilization),
+            ..EndpointSummary::default()
+        };
+        let mut peer_rate_milli = 0;
+        for (node, observation) in self.observations.about(endpoint) {
+            let is_own = node == self.local_node;
+            let age = observation.age(now);
+            if !is_own && age <= MAX_RECENT_AGE {
+                peer_rate_milli += u64::from(observation.service_rate_milli);
+            }
+            if started_at.is_some_and(|started_at| observation.observed_at < started_at) {
                 continue;
             }
-            let recent = *by == self.me || now - e.at < MOMENT;
-            moment.primary |= recent && e.primary;
-            moment.proven |= recent && e.position.is_known();
-            moment.named += usize::from(e.primary && now - e.at < OLD);
+            let is_recent = is_own || age < MAX_RECENT_AGE;
+            summary.is_primary |= is_recent && observation.is_primary;
+            summary.position_known |= is_recent && observation.position.is_known();
+            summary.primary_claims += usize::from(observation.is_primary && age < MAX_CLAIM_AGE);
         }
-        let before = self.before.get(host);
-        moment.bore = before.map_or(0.0, RestoredHistory::bears);
-        moment.said = before.is_some_and(|b| b.said.0 > 0.0);
-        moment.serves = own + rate as f64 / 1000.0;
-        moment
+        let own_rate_rps = self.service_rates.get(endpoint).map_or(0.0, |rate| rate.rate_rps(now));
+        summary.current_rate_rps = own_rate_rps + peer_rate_milli as f64 / 1000.0;
+        summary
     }
 }
--- a/src/fleet/gossip/primary_beliefs.rs
+++ b/src/fleet/gossip/primary_beliefs.rs
@@ -1,64 +1,90 @@
-//! Who is believed to be primary.
+//! Which endpoint of each group is believed to be the primary.
 
-use super::{GossipState, OLD};
+use super::observation_table::{ObservationTable, ObservationsOfNode};
 use crate::ids::{GroupId, NodeId};
-use crate::store::state_machine::ClusterState;
-use crate::time::Timestamp;
+use crate::store::state_machine::State;
+use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Who is believed to be the primary of a group.
+/// An older claim to be the primary is not believed: a failover takes less than this.
+pub(super) const MAX_CLAIM_AGE: TimeDelta = TimeDelta::from_secs(60);
+
+/// The endpoint that is believed to be the primary of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrimaryBelief {
-    /// The host.
-    pub host: String,
-    /// When it last called itself that, in this daemon's time.
-    pub at: Timestamp,
-    /// Who heard it.
-    pub by: NodeId,
+    /// The endpoint's name.
+    pub endpoint: String,
+    /// When it last called itself the primary, by this process's clock.
+    pub observed_at: Timestamp,
+    /// The node that observed it.
+    pub observer: NodeId,
 }
 
-impl GossipState {
-    /// Works out who is primary where, from evidence that is not too old; what is new since the last time. What
-    /// this daemon heard of a host itself voids every word of others about it from before, and a later primary
-    /// is never replaced by an earlier one.
-    pub fn update_beliefs(&mut self, now: Timestamp, state: &ClusterState) -> Vec<(GroupId, PrimaryBelief)> {
-        let empty = BTreeMap::new();
-        let own = self.all.get(&self.me).unwrap_or(&empty);
-        let mut found: BTreeMap<GroupId, PrimaryBelief> = BTreeMap::new();
-        for (by, hosts) in &self.all {
-            for (host, e) in hosts.iter().filter(|(_, e)| e.primary && now - e.at < OLD) {
-                let Some(group) = state.hosts.get(host).map(|h| h.group) else { continue };
-                let voided = *by != self.me && own.get(host).is_some_and(|o| o.at >= e.at);
-                if voided || found.get(&group).is_some_and(|b| (b.at, b.by) >= (e.at, *by)) {
-                    continue;
-                }
-                found.insert(group, PrimaryBelief { host: host.clone(), at: e.at, by: *by });
-            }
-        }
-        let mut new = Vec::new();
-        for (group, belief) in found {
-            let old = self.beliefs.get(&group);
-            if old.is_some_and(|old| old.at > belief.at) {
+/// The beliefs about all groups. A belief only gives way to a later claim.
+#[derive(Debug, Default)]
+pub(super) struct PrimaryBeliefs {
+    by_group: BTreeMap<GroupId, PrimaryBelief>,
+}
+
+impl PrimaryBeliefs {
+    pub(super) fn by_group(&self) -> &BTreeMap<GroupId, PrimaryBelief> {
+        &self.by_group
+    }
+
+    /// Takes in the latest claims, and returns the groups whose believed primary has changed.
+    pub(super) fn update(
+        &mut self,
+        now: Timestamp,
+        local_node: NodeId,
+        observations: &ObservationTable,
+        state: &State,
+    ) -> BTreeMap<GroupId, PrimaryBelief> {
+        let mut changed = BTreeMap::new();
+        for (group, belief) in latest_claims(now, local_node, observations, state) {
+            let known = self.by_group.get(&group);
+            if known.is_some_and(|known| known.observed_at > belief.observed_at) {
                 continue;
             }
-            if old.is_none_or(|old| old.host != belief.host) {
-                new.push((group, belief.clone()));
+            if known.is_none_or(|known| known.endpoint != belief.endpoint) {
+                changed.insert(group, belief.clone());
             }
-            self.beliefs.insert(group, belief);
+            self.by_group.insert(group, belief);
         }
-        self.beliefs.retain(|group, b| state.hosts.get(&b.host).is_some_and(|h| h.group == *group));
-        new
-    }
-
-    /// Who is believed to be the primary of each group.
-    pub fn primary_beliefs(&self) -> &BTreeMap<GroupId, PrimaryBelief> {
-        &self.beliefs
+        self.by_group.retain(|group, belief| {
+            state.hosts.get(&belief.endpoint).is_some_and(|host| host.group == *group)
+        });
+        changed
     }
+}
 
-    /// Whether a group's primary is known: the host that is believed to be that has not said otherwise since.
-    pub fn is_primary_known(&self, group: GroupId) -> bool {
-        let Some(belief) = self.beliefs.get(&group) else { return false };
-        let words = self.all.values().filter_map(|hosts| hosts.get(&belief.host));
-        words.max_by_key(|e| e.at).is_none_or(|last| last.primary)
+/// The latest claim to be the primary of each group, among those that are neither too old nor contradicted.
+fn latest_claims(
+    now: Timestamp,
+    local_node: NodeId,
+    observations: &ObservationTable,
+    state: &State,
+) -> BTreeMap<GroupId, PrimaryBelief> {
+    let no_observations = ObservationsOfNode::new();
+    let own_observations = observations.by_node.get(&local_node).unwrap_or(&no_observations);
+    let mut claims: BTreeMap<GroupId, PrimaryBelief> = BTreeMap::new();
+    for (observer, endpoint, observation) in observations.iter() {
+        if !observation.is_primary || observation.age(now) >= MAX_CLAIM_AGE {
+            continue;
+        }
+        let Some(group) = state.hosts.get(endpoint).map(|host| host.group) else { continue };
+        // What this process observed itself voids every earlier observation of a peer about the same endpoint.
+        let own = own_observations.get(endpoint);
+        let contradicted =
+            observer != local_node && own.is_some_and(|own| own.observed_at >= observation.observed_at);
+        let earlier_than_known = claims
+            .get(&group)
+            .is_some_and(|known| (known.observed_at, known.observer) >= (observation.observed_at, observer));
+        if contradicted || earlier_than_known {
+            continue;
+        }
+        let belief =
+            PrimaryBelief { endpoint: endpoint.clone(), observed_at: observation.observed_at, observer };
+        claims.insert(group, belief);
     }
+    claims
 }
--- a/src/fleet/gossip/restored.rs
+++ b/src/fleet/gossip/restored.rs
@@ -1,89 +1,137 @@
-//! What was known before this start.
+//! What was known about endpoints before this start, as read from disk.
+//!
+//! It is good for first guesses only: it is sent to nobody, proves nothing, and gives way to whatever is observed
+//! after the start.
 
-use super::service_rate::RATE;
-use super::{GossipRecord, GossipState};
+use super::record::GossipRecord;
+use super::service_rate::RATE_DECAY;
 use crate::engine::PeerObservation;
 use crate::ids::GroupId;
-use crate::store::state_machine::ClusterState;
+use crate::store::state_machine::State;
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// RestoredHistory what a host says of its capacity is believed so many answers count as if all of it had been in use.
-const DOUBT: f64 = 4.0;
-/// What says that less is in use says no more than that: loads are rounded, and come by chance.
-const LEAST_USED: f64 = 0.1;
+/// The utilization that an endpoint reported is weighed against this many answers at full utilization: a few reports
+/// alone must not make its capacity look many times what it served.
+const PRIOR_ANSWERS_AT_FULL_UTILIZATION: f64 = 4.0;
+/// A lower utilization than this says no more than this: endpoints round it, and it varies by chance.
+const MIN_UTILIZATION: f64 = 0.1;
 
-/// What was known of a host before this start.
+/// A guess at the primary of a group, from before this start.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RestoredPrimary {
+    /// The endpoint's name.
+    pub endpoint: String,
+    /// When it last called itself the primary, by this process's clock.
+    pub observed_at: Timestamp,
+}
+
+/// What was known about one endpoint before this start.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct RestoredHistory {
+pub(super) struct RestoredEndpoint {
     /// When it last called itself the primary.
-    pub(super) primary: Option<Timestamp>,
-    /// The greatest position that it told, and when.
-    pub(super) position: (LogPosition, Timestamp),
-    /// Thousandths of a request that it served a second, for all daemons.
-    pub(super) rate: u32,
-    /// The part of these for which it said what was in use, and that times the part in use.
-    pub(super) said: (f64, f64),
+    primary_at: Option<Timestamp>,
+    /// The greatest log position that it reported, and when.
+    position: LogPosition,
+    position_at: Timestamp,
+    /// What it served for all peers together, in thousandths of a request per second.
+    service_rate_milli: u32,
+    /// Requests per second for which the endpoint reported its utilization, and these weighted by that utilization.
+    reported_rate_rps: f64,
+    utilized_rate_rps: f64,
 }
 
-impl RestoredHistory {
-    /// Requests a second that it bears when warm: what it served, by the part of its capacity that this took, as far
-    /// as that rests on enough answers.
-    pub(super) fn bears(&self) -> f64 {
-        let rate = f64::from(self.rate) / 1000.0;
-        let (said, used) = self.said;
-        if said <= 0.0 {
-            return rate;
+impl RestoredEndpoint {
+    fn add(&mut self, record: &GossipRecord, observed_at: Timestamp) {
+        if record.is_primary {
+            self.primary_at = self.primary_at.max(Some(observed_at));
+        }
+        if (record.position, observed_at) > (self.position, self.position_at) {
+            self.position = record.position;
+            self.position_at = observed_at;
+        }
+        self.service_rate_milli = self.service_rate_milli.saturating_add(record.service_rate_milli);
+        if record.utilization_permille > 0 {
+            let rate_rps = f64::from(record.service_rate_milli) / 1000.0;
+            let utilization = f64::from(record.utilization_permille.min(1000)) / 1000.0;
+            self.reported_rate_rps += rate_rps;
+            self.utilized_rate_rps += rate_rps * utilization;
         }
-        let answers = said * RATE.as_micros_f64() / 1e6;
-        let used = (used / said * answers + DOUBT) / (answers + DOUBT);
-        rate / used.max(LEAST_USED)
+    }
+
+    /// Whether the endpoint reported which part of its capacity was in use.
+    pub(super) fn reported_utilization(&self) -> bool {
+        self.reported_rate_rps > 0.0
+    }
+
+    /// Requests per second that the endpoint bears when warm: what it served, divided by the part of its capacity that
+    /// this took, as far as that rests on enough answers.
+    pub(super) fn warm_capacity_rps(&self) -> f64 {
+        let rate_rps = f64::from(self.service_rate_milli) / 1000.0;
+        if !self.reported_utilization() {
+            return rate_rps;
+        }
+        let answers = self.reported_rate_rps * RATE_DECAY.as_micros_f64() / 1e6;
+        let reported = self.utilized_rate_rps / self.reported_rate_rps;
+        let prior = PRIOR_ANSWERS_AT_FULL_UTILIZATION;
+        let utilization = (reported * answers + prior) / (answers + prior);
+        rate_rps / utilization.max(MIN_UTILIZATION)
     }
 }
 
-impl GossipState {
-    /// What was known before this start, older by `since` than when it was written: for guesses only.
-    pub fn restore(&mut self, now: Timestamp, words: &[GossipRecord], since: TimeDelta) {
-        for word in words.iter().filter(|w| w.age >= TimeDelta::ZERO) {
-            let at = now.saturating_sub(word.age).saturating_sub(since);
-            let known = self.before.entry(word.host.clone()).or_default();
-            if word.primary {
-                known.primary = known.primary.max(Some(at));
-            }
-            known.position = known.position.max((word.position, at));
-            known.rate = known.rate.saturating_add(word.rate);
-            if word.used > 0 {
-                let rate = f64::from(word.rate) / 1000.0;
-                let used = f64::from(word.used.min(1000)) / 1000.0;
-                known.said = (known.said.0 + rate, known.said.1 + rate * used);
+/// What was known about all endpoints before this start.
+#[derive(Debug, Default)]
+pub(super) struct RestoredGossip {
+    by_endpoint: BTreeMap<String, RestoredEndpoint>,
+}
+
+impl RestoredGossip {
+    /// Takes in records that were written `elapsed` before `now`.
+    pub(super) fn add(&mut self, now: Timestamp, records: &[GossipRecord], elapsed: TimeDelta) {
+        for record in records {
+            if record.age < TimeDelta::ZERO {
+                continue;
             }
+            let observed_at = now.saturating_sub(record.age).saturating_sub(elapsed);
+            self.by_endpoint.entry(record.endpoint.clone()).or_default().add(record, observed_at);
         }
     }
 
-    /// Positions from before this start. Each is proof only of what its host once said: one that now tells less has
-    /// gone back.
-    pub fn restored_positions(&self) -> Vec<PeerObservation> {
-        let told = |(host, b): (&String, &RestoredHistory)| PeerObservation {
-            endpoint_name: host.clone(),
-            primary: b.primary.is_some(),
-            position: b.position.0,
-            observed_at: b.position.1,
-            replaces_poll: false,
-        };
-        self.before.iter().map(told).collect()
+    pub(super) fn get(&self, endpoint: &str) -> Option<&RestoredEndpoint> {
+        self.by_endpoint.get(endpoint)
+    }
+
+    /// The greatest known log position of each endpoint.
+    pub(super) fn positions(&self) -> Vec<PeerObservation> {
+        let mut positions = Vec::new();
+        for (endpoint, restored) in &self.by_endpoint {
+            positions.push(PeerObservation {
+                endpoint_name: endpoint.clone(),
+                primary: restored.primary_at.is_some(),
+                position: restored.position,
+                observed_at: restored.position_at,
+                replaces_poll: false,
+            });
+        }
+        positions
     }
 
-    /// First guesses at the primaries of groups of which nothing was heard since the start, from what was known
-    /// before it; of several hosts of a group the one that called itself that last.
-    pub fn restored_primaries(&self, state: &ClusterState) -> BTreeMap<GroupId, (String, Timestamp)> {
-        let mut found: BTreeMap<GroupId, (String, Timestamp)> = BTreeMap::new();
-        for (host, at) in self.before.iter().filter_map(|(host, b)| Some((host, b.primary?))) {
-            let Some(group) = state.hosts.get(host).map(|h| h.group) else { continue };
-            let later = found.get(&group).is_none_or(|(_, known)| *known < at);
-            if later && !self.beliefs.contains_key(&group) {
-                found.insert(group, (host.clone(), at));
+    /// The endpoint of each group that last called itself the primary. Endpoints that `state` does not list, and groups
+    /// for which `is_known` holds, are left out.
+    pub(super) fn primaries(
+        &self,
+        state: &State,
+        is_known: impl Fn(GroupId) -> bool,
+    ) -> BTreeMap<GroupId, RestoredPrimary> {
+        let mut primaries: BTreeMap<GroupId, RestoredPrimary> = BTreeMap::new();
+        for (endpoint, restored) in &self.by_endpoint {
+            let Some(observed_at) = restored.primary_at else { continue };
+            let Some(group) = state.hosts.get(endpoint).map(|host| host.group) else { continue };
+            let is_later = primaries.get(&group).is_none_or(|known| known.observed_at < observed_at);
+            if is_later && !is_known(group) {
+                primaries.insert(group, RestoredPrimary { endpoint: endpoint.clone(), observed_at });
             }
         }
-        found
+        primaries
     }
 }
--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -11,19 +11,19 @@
         let touched = self.touched.replace(Touched::Hosts(BTreeSet::new()));
         let present = self.clock.now();
         let away = self.zoning.borrow().reduced_zones(present, &table.state).into_iter();
-        let gone = |zone| table.state.zone_weight(zone).reason == WeightReason::Lost;
+        let gone = |zone| table.state.share(zone).why == Why::Lost;
         let only: BTreeMap<ZoneId, BTreeSet<GroupId>> =
             away.map(|zone| (zone, crate::fleet::zones::groups_confined_to(zone, &table.state))).collect();
         let now = |name: &String| {
             let drained = table.state.is_drained(name) || table.marks.is_draining(name);
-            let listed = table.state.hosts.get(name).map(|host| host.endpoint_record(name, drained))?;
+            let listed = table.state.hosts.get(name).map(|host| host.listed(name, drained))?;
             let started_at = listed.started_at.max(self.restarts.borrow().reported_start(name));
             let host = EndpointRecord { started_at, ..listed };
             // Where nobody knows the primary each host may be it, but for those that are gone.
             let belief = table.learned.primary_beliefs().get(&host.group);
-            let zone = belief.and_then(|b| table.state.hosts.get(&b.host)).map(|h| h.zone);
+            let zone = belief.and_then(|b| table.state.hosts.get(&b.endpoint)).map(|h| h.zone);
             let known = table.learned.is_primary_known(host.group) && !zone.is_some_and(gone);
-            let primary = belief.is_some_and(|b| b.host == *name) || !known && !gone(host.zone);
+            let primary = belief.is_some_and(|b| b.endpoint == *name) || !known && !gone(host.zone);
             let alone = only.get(&host.zone).is_some_and(|groups| groups.contains(&host.group));
             Some(self.zoning.borrow().apply_weight(present, host, &table.state, primary, alone))
         };
@@ -60,6 +60,6 @@
     pub fn current_endpoint_list(&self) -> Option<EndpointUpdate> {
         let table = self.table();
         table.state.inventory.as_ref()?;
-        Some(table.state.endpoint_list(table.applied, |host| table.marks.is_draining(host)))
+        Some(table.state.listing(table.applied, |host| table.marks.is_draining(host)))
     }
 }
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -12,8 +12,8 @@
                 let group = table.state.hosts.get(&f.endpoint_name)?.group;
                 // One that has only just stepped down says nothing about its group's log.
                 let another =
-                    table.learned.primary_beliefs().get(&group).filter(|b| b.host != f.endpoint_name);
-                if !f.primary || another.is_some_and(|b| Some(b.at) > f.started_at) {
+                    table.learned.primary_beliefs().get(&group).filter(|b| b.endpoint != f.endpoint_name);
+                if !f.primary || another.is_some_and(|b| Some(b.observed_at) > f.started_at) {
                     return None;
                 }
                 // Where it went back, or where it stands at a commit of before its start: nothing lies between.
@@ -32,7 +32,8 @@
         let urgent = {
             let mut table = self.change();
             let Table { learned, state, .. } = &mut *table;
-            let urgent = learned.observe(now, facts, self.returns());
+            let urgency = if self.returns() { GossipUrgency::Immediate } else { GossipUrgency::Routine };
+            let urgent = learned.observe(now, facts, urgency) == GossipUrgency::Immediate;
             learned.update_beliefs(now, state);
             urgent
         };
@@ -53,7 +54,7 @@
             let known = digests.entry(way.peer_id()).or_default();
             let words =
                 learned.records_missing_from(now, known, |id| id != me, self.limits.observations_per_message);
-            let Some(last) = words.iter().map(|w| w.count).max() else { continue };
+            let Some(last) = words.iter().map(|w| w.version).max() else { continue };
             if way.send(&PeerMessage::GossipRecords(words).encode()) {
                 // Until it says itself what it knows: what was lost on the way is sent again then.
                 known.retain(|(id, _)| *id != me);
@@ -72,7 +73,7 @@
         let words = table.learned.records_to_persist(self.clock.now());
         let saved = PersistedGossip { at: clocks(&self.clock), words, breaks: kept.1.clone() };
         log::debug!("fleet: {} words on hosts are kept", saved.words.len());
-        if self.send_to_store(StoreCommand::PersistGossip(codec::encode(&saved))) {
+        if self.send_to_store(Input::Learned(records::write(&saved))) {
             *self.kept.borrow_mut() = kept;
         }
     }
@@ -80,8 +81,9 @@
     /// Hints for a module that starts: who is believed to be primary where, and first guesses from before.
     pub fn first_hints(&self) -> Vec<Vec<u8>> {
         let table = self.table();
-        let believed = table.learned.primary_beliefs().values().map(|b| (b.host.clone(), b.at));
+        let believed = table.learned.primary_beliefs().values().map(|b| (b.endpoint.clone(), b.observed_at));
         let guessed = table.learned.restored_primaries(&table.state).into_values();
+        let guessed = guessed.map(|restored| (restored.endpoint, restored.observed_at));
         let all = believed.chain(guessed);
         all.map(|(host, at)| PrimaryHint { endpoint: id_of(&host), at }.write()).collect()
     }
--- a/src/fleet/runtime/message_dispatch.rs
+++ b/src/fleet/runtime/message_dispatch.rs
@@ -35,18 +35,18 @@
         }
         match frame {
             PeerMessage::RaftMessages(letters) => {
-                let (own, strange): (Vec<RaftMessage>, Vec<RaftMessage>) =
+                let (own, strange): (Vec<Letter>, Vec<Letter>) =
                     letters.into_iter().partition(|l| l.from == from.id);
                 if !strange.is_empty() {
                     self.count_dropped_message("not of its sender");
                 }
                 if !own.is_empty() {
-                    self.send_to_store(StoreCommand::RaftMessages(own));
+                    self.send_to_store(Input::Letters(own));
                 }
             }
             PeerMessage::ForwardedProposal(proposal) if proposal.from == from.id => {
                 if self.table().state.is_complete() {
-                    self.send_to_store(StoreCommand::Propose(proposal));
+                    self.send_to_store(Input::Propose(proposal));
                 }
             }
             PeerMessage::MembershipRequest(name, wish) => {
@@ -100,7 +100,7 @@
                         .into_iter()
                         .for_each(|t| drop(self.told.0.try_send(t)));
                 }
-                let hosts: Vec<String> = words.iter().map(|w| w.host.clone()).collect();
+                let hosts: Vec<String> = words.iter().map(|w| w.endpoint.clone()).collect();
                 let new = {
                     let mut table = self.change();
                     let Table { learned, state, .. } = &mut *table;
@@ -109,12 +109,12 @@
                 };
                 self.detect_restarts(now, hosts.iter());
                 let me = self.table().identity.id;
-                for (group, belief) in new.into_iter().filter(|(_, b)| b.by != me) {
+                for (group, belief) in new.into_iter().filter(|(_, b)| b.observer != me) {
                     log::info!(
                         "fleet: group {group}: another daemon has heard that {} is primary",
-                        belief.host
+                        belief.endpoint
                     );
-                    let hint = PrimaryHint { endpoint: id_of(&belief.host), at: belief.at };
+                    let hint = PrimaryHint { endpoint: id_of(&belief.endpoint), at: belief.observed_at };
                     let _ = self.hints.0.try_send(hint.write());
                 }
             }
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -82,18 +82,18 @@
             .count()
             + 1;
         let seen = |(name, host): (&String, &HostRecord)| {
-            let drained = host.draining || table.state.is_drained(name) || table.marks.is_draining(name);
+            let drained = host.leaving || table.state.is_drained(name) || table.marks.is_draining(name);
             let moment = table.learned.endpoint_summary(now, name);
-            let started = moment.started.max(host.started_at);
+            let started = moment.started_at.max(host.started_at);
             (!drained).then(|| EndpointView {
                 group: host.group,
-                primary: moment.primary,
-                named: moment.named,
-                proven: moment.proven,
+                primary: moment.is_primary,
+                named: moment.primary_claims,
+                proven: moment.position_known,
                 age: started.map(|at| now - at),
-                bore: moment.bore,
-                said: moment.said,
-                serves: moment.serves,
+                bore: moment.warm_capacity_rps,
+                said: moment.utilization_reported,
+                serves: moment.current_rate_rps,
             })
         };
         let hosts = if listed { table.state.hosts.iter().filter_map(seen).collect() } else { Vec::new() };
