--- a/src/fleet/admin_api.rs
+++ b/src/fleet/admin_api.rs
@@ -117,7 +117,7 @@
         None => (404, format!("no zone {name:?} with hosts")),
         Some(Err(why)) => (409, format!("not done: {why}")),
         Some(Ok((share, ChangeOutcome::Agreed))) => {
-            (200, format!("{name} gets {} of 1000 by move {}", share.part, share.number))
+            (200, format!("{name} gets {} of 1000 by move {}", share.permille, share.version))
         }
         Some(Ok(_)) => (503, "not done: no majority agreed in time. Say it again later".into()),
     }
@@ -165,7 +165,7 @@
         _ if table.removed => "removed",
         _ if table.state.fleet == 0 => "none",
         _ if table.status.leader == me => "leads",
-        _ if table.status.conf.voters.contains(&me) => "voter",
+        _ if table.status.configuration.voters.contains(&me) => "voter",
         _ => "follower",
     }
 }
@@ -180,19 +180,19 @@
     let (away, moves) = fleet.zone_figures();
     let lines = [
         ("members", table.state.members.len() as u64, 'g'),
-        ("voters", table.status.conf.voters.len() as u64, 'g'),
+        ("voters", table.status.configuration.voters.len() as u64, 'g'),
         ("heard", heard.count() as u64, 'g'),
         ("led", u64::from(table.status.leader != NodeId::NOBODY), 'g'),
         ("leads", u64::from(table.status.leader == table.identity.id), 'g'),
         ("term", table.status.term, 'g'),
-        ("agreed", table.status.agreed, 'g'),
+        ("agreed", table.status.committed, 'g'),
         ("lag", table.lag(), 'g'),
         ("unagreed_drains", table.marks.all().len() as u64, 'g'),
-        ("log_bytes", table.status.log.0 as u64, 'g'),
+        ("log_bytes", table.status.log_size.0 as u64, 'g'),
         ("dropped", table.dropped + table.status.dropped.0, 'c'),
         ("unsent", unsent, 'c'),
         ("panics", table.status.dropped.1, 'c'),
-        ("disk_writes", table.status.writes, 'c'),
+        ("disk_writes", table.status.disk_writes, 'c'),
         ("recovery_step", fleet.service().step as u64, 'g'),
         ("zones_away", away, 'g'),
         ("zone_moves", moves, 'c'),
@@ -222,7 +222,7 @@
     let _ = writeln!(
         out,
         "agreed {} applied {} digest {:08x} lag {lag}",
-        status.agreed, table.applied, table.state.digest
+        status.committed, table.applied, table.state.digest
     );
     let stale =
         table.state.fleet == 0 || status.leader == NodeId::NOBODY || table.removed || table.broken.is_some();
@@ -259,7 +259,7 @@
         let _ = writeln!(out, "broken {why}");
     }
     for (host, mark) in table.marks.all() {
-        let _ = writeln!(out, "unagreed drain {host} said by {} {}", name(mark.by), mark.number);
+        let _ = writeln!(out, "unagreed drain {host} said by {} {}", name(mark.node), mark.sequence);
     }
     for host in table.state.drains.keys() {
         let _ = writeln!(out, "drain {host}");
@@ -268,8 +268,8 @@
         let _ = writeln!(
             out,
             "settings of {} changed {} version {}",
-            source.by,
-            source.changed.as_millis(),
+            source.read_by,
+            source.changed_at.as_millis(),
             source.version
         );
     }
@@ -284,14 +284,14 @@
         let _ = writeln!(
             out,
             "inventory of {} changed {} version {} hosts {}; {own}",
-            source.by,
-            source.changed.as_millis(),
+            source.read_by,
+            source.changed_at.as_millis(),
             source.version,
             table.state.hosts.len()
         );
     }
     for (id, member) in &table.state.members {
-        let votes = if status.conf.voters.contains(id) { "voter" } else { "follower" };
+        let votes = if status.configuration.voters.contains(id) { "voter" } else { "follower" };
         let word = match table.heard.get(id) {
             _ if *id == table.identity.id => "this daemon".to_string(),
             None => "never heard".to_string(),
@@ -319,6 +319,6 @@
         "dropped frames {} letters {} unsent {full} panics {}",
         table.dropped, status.dropped.0, status.dropped.1
     );
-    let _ = write!(out, "log bytes {} entries {}", status.log.0, status.log.1);
+    let _ = write!(out, "log bytes {} entries {}", status.log_size.0, status.log_size.1);
     out
 }
--- a/src/fleet/gossip/primary_beliefs.rs
+++ b/src/fleet/gossip/primary_beliefs.rs
@@ -2,7 +2,7 @@
 
 use super::observation_table::{ObservationTable, ObservationsOfNode};
 use crate::ids::{GroupId, NodeId};
-use crate::store::state_machine::State;
+use crate::store::state_machine::ClusterState;
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
         now: Timestamp,
         local_node: NodeId,
         observations: &ObservationTable,
-        state: &State,
+        state: &ClusterState,
     ) -> BTreeMap<GroupId, PrimaryBelief> {
         let mut changed = BTreeMap::new();
         for (group, belief) in latest_claims(now, local_node, observations, state) {
@@ -62,7 +62,7 @@
     now: Timestamp,
     local_node: NodeId,
     observations: &ObservationTable,
-    state: &State,
+    state: &ClusterState,
 ) -> BTreeMap<GroupId, PrimaryBelief> {
     let no_observations = ObservationsOfNode::new();
     let own_observations = observations.by_node.get(&local_node).unwrap_or(&no_observations);
--- a/src/fleet/gossip/restored.rs
+++ b/src/fleet/gossip/restored.rs
@@ -7,7 +7,7 @@
 use super::service_rate::RATE_DECAY;
 use crate::engine::PeerObservation;
 use crate::ids::GroupId;
-use crate::store::state_machine::State;
+use crate::store::state_machine::ClusterState;
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
@@ -120,7 +120,7 @@
     /// for which `is_known` holds, are left out.
     pub(super) fn primaries(
         &self,
-        state: &State,
+        state: &ClusterState,
         is_known: impl Fn(GroupId) -> bool,
     ) -> BTreeMap<GroupId, RestoredPrimary> {
         let mut primaries: BTreeMap<GroupId, RestoredPrimary> = BTreeMap::new();
--- a/src/fleet/gossip/state.rs
+++ b/src/fleet/gossip/state.rs
@@ -8,7 +8,7 @@
 use crate::engine::PeerObservation;
 use crate::engine::observations::Observation;
 use crate::ids::{GroupId, NodeId};
-use crate::store::state_machine::State;
+use crate::store::state_machine::ClusterState;
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
@@ -144,13 +144,13 @@
 
     /// Takes in the records of a peer. Left out are endpoints that the committed list lacks, nodes that are no members,
     /// this node's own observations, and records whose age cannot be true.
-    pub fn merge(&mut self, now: Timestamp, records: Vec<GossipRecord>, state: &State) {
+    pub fn merge(&mut self, now: Timestamp, records: Vec<GossipRecord>, state: &ClusterState) {
         for record in records {
             self.merge_one(now, record, state);
         }
     }
 
-    fn merge_one(&mut self, now: Timestamp, record: GossipRecord, state: &State) {
+    fn merge_one(&mut self, now: Timestamp, record: GossipRecord, state: &ClusterState) {
         let observer = record.observer;
         let is_member = state.members.contains_key(&observer);
         if observer == self.local_node || !is_member || !record.has_plausible_age() {
@@ -173,7 +173,7 @@
 
     /// Forgets endpoints that are no longer listed, and nodes that are no members or were not heard for
     /// [`MAX_RECORD_AGE`].
-    pub fn remove_departed(&mut self, now: Timestamp, state: &State) {
+    pub fn remove_departed(&mut self, now: Timestamp, state: &ClusterState) {
         let local_node = self.local_node;
         self.known_versions.retain(|node, known| {
             let is_current = state.members.contains_key(node) && now - known.received_at < MAX_RECORD_AGE;
@@ -189,7 +189,11 @@
 
     /// Works out which endpoints are primaries from recent observations, and returns the groups whose believed primary
     /// has changed. A later claim is never replaced by an earlier one.
-    pub fn update_beliefs(&mut self, now: Timestamp, state: &State) -> BTreeMap<GroupId, PrimaryBelief> {
+    pub fn update_beliefs(
+        &mut self,
+        now: Timestamp,
+        state: &ClusterState,
+    ) -> BTreeMap<GroupId, PrimaryBelief> {
         self.primary_beliefs.update(now, self.local_node, &self.observations, state)
     }
 
@@ -236,7 +240,7 @@
     }
 
     /// Guesses from before this start at the primaries of groups about which nothing was observed since.
-    pub fn restored_primaries(&self, state: &State) -> BTreeMap<GroupId, RestoredPrimary> {
+    pub fn restored_primaries(&self, state: &ClusterState) -> BTreeMap<GroupId, RestoredPrimary> {
         self.restored.primaries(state, |group| self.primary_beliefs().contains_key(&group))
     }
 
--- a/src/fleet/gossip/tests.rs
+++ b/src/fleet/gossip/tests.rs
@@ -3,7 +3,7 @@
 use crate::engine::observations::UtilizationSamples;
 use crate::ids::{GroupId, NodeId, ZoneId};
 use crate::store::records::HostRecord;
-use crate::store::state_machine::{Member, State};
+use crate::store::state_machine::{ClusterState, Member};
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,20 +14,20 @@
     Timestamp::ZERO + seconds * S
 }
 
-fn state(members: u64, hosts: usize) -> State {
+fn state(members: u64, hosts: usize) -> ClusterState {
     let member = |n| Member { name: format!("b{n}"), address: ([127, 0, 0, 1], n as u16).into() };
     let host = |n: usize| HostRecord {
         address: ([127, 0, 0, 1], 1).into(),
         group: GroupId(n as u32 / 3),
         zone: ZoneId(0),
         weight: 1.0,
-        leaving: false,
+        draining: false,
         started_at: None,
     };
-    State {
+    ClusterState {
         members: (1..=members).map(|n| (NodeId(n), member(n))).collect(),
         hosts: (0..hosts).map(|n| (format!("s-{n}"), host(n))).collect(),
-        ..State::default()
+        ..ClusterState::default()
     }
 }
 
--- a/src/fleet/recovery/first_election.rs
+++ b/src/fleet/recovery/first_election.rs
@@ -1,66 +1,99 @@
-//! Who stands for election first after a start. No I/O.
+//! Which node starts the first election after a start.
 //!
-//! An election comes by itself after 10 to 20 ticks without a word of a leader, since one that is there speaks that
-//! often. After a loss of power there is none to wait for: once enough of the voters are heard and none of them knows
-//! a leader, the one whose log is the newest asks for the lead at once. That it gets it, and that nobody gets it
-//! twice, is the agreement's matter: a wrong guess here costs an exchange of letters.
+//! Elections come by themselves after 10 to 20 ticks without a heartbeat of a leader, since a leader sends one that
+//! often. After a power failure there is no leader to wait for: once enough voters are heard and none of them knows a
+//! leader, the one with the newest log starts an election at once. Raft decides whether it wins, and that nobody wins a
+//! term twice: a wrong guess here costs one exchange of messages.
 
 use crate::ids::NodeId;
 use crate::time::{TimeDelta, Timestamp};
 use std::cmp::Reverse;
 
-/// Where some voters are silent those that are heard wait this long for them: one of them may know more.
-const WAIT: TimeDelta = TimeDelta::from_millis(150);
-/// One that got no answer asks again after this.
-const AGAIN: TimeDelta = TimeDelta::from_millis(150);
+/// While some voters are silent, those of a majority wait this long for them: one of them may have a newer log.
+const SILENT_VOTER_WAIT: TimeDelta = TimeDelta::from_millis(150);
+/// A node whose election brought no leader starts the next one after this.
+const ELECTION_RETRY: TimeDelta = TimeDelta::from_millis(150);
+
+/// The last entry of a node's log. The order is that of Raft's election restriction: by term, then by index.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LogEnd {
+    /// Its term.
+    pub term: u64,
+    /// Its index.
+    pub index: u64,
+}
 
 /// What is known of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Voter {
-    /// Who it is.
+    /// The node.
     pub id: NodeId,
-    /// The last entry of its log: its term and its place.
-    pub last: (u64, u64),
-    /// The leader that it knows; 0: none.
+    /// The last entry of its log.
+    pub log_end: LogEnd,
+    /// The leader that it knows; [`NodeId::NOBODY`]: none.
     pub leader: NodeId,
 }
 
-/// What a daemon has done for a leader since its start.
+impl Voter {
+    fn knows_leader(&self) -> bool {
+        self.leader != NodeId::NOBODY
+    }
+
+    /// Whether this voter rather than `other` is to be elected: the newer log, of equal ones the lower id.
+    fn precedes(&self, other: &Voter) -> bool {
+        (self.log_end, Reverse(self.id)) > (other.log_end, Reverse(other.id))
+    }
+}
+
+/// The first election as one node sees it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstElection {
-    /// Since when it hears a majority of the voters.
-    majority: Option<Timestamp>,
-    /// When it last stood.
-    stood: Option<Timestamp>,
-    /// It has known a leader: from then on elections come by themselves.
-    led: bool,
+    /// Since when a majority of the voters is heard.
+    majority_since: Option<Timestamp>,
+    /// When this node last started an election.
+    started_at: Option<Timestamp>,
+    /// This node has known a leader since its start: from then on elections come by themselves.
+    leader_known: bool,
 }
 
 impl FirstElection {
-    /// Whether this daemon stands for election now. `heard`: the other voters that are heard and take part.
-    pub fn is_due(&mut self, now: Timestamp, me: Voter, voters: &[NodeId], heard: &[Voter]) -> bool {
-        self.led |= me.leader != NodeId::NOBODY;
-        let there = heard.iter().filter(|v| voters.contains(&v.id)).count() + 1;
-        self.majority = self.majority.or(Some(now)).filter(|_| there * 2 > voters.len());
-        let waited = self.majority.map_or(TimeDelta::ZERO, |at| now - at);
-        let rests = self.stood.is_some_and(|at| now - at < AGAIN);
-        let due = !self.led && !rests && stands(me, voters, heard, waited);
-        self.stood = if due { Some(now) } else { self.stood };
-        due
+    /// Whether this node starts an election now. `heard`: the other nodes that are heard and take part in the
+    /// consensus.
+    pub fn is_due(&mut self, now: Timestamp, local: Voter, voters: &[NodeId], heard: &[Voter]) -> bool {
+        self.leader_known |= local.knows_leader();
+        let reachable = heard.iter().filter(|voter| voters.contains(&voter.id)).count() + 1;
+        if reachable * 2 > voters.len() {
+            self.majority_since.get_or_insert(now);
+        } else {
+            self.majority_since = None;
+        }
+        let waited = self.majority_since.map_or(TimeDelta::ZERO, |since| now - since);
+        let started_recently = self.started_at.is_some_and(|started_at| now - started_at < ELECTION_RETRY);
+        let is_due = !self.leader_known && !started_recently && is_candidate(local, voters, heard, waited);
+        if is_due {
+            self.started_at = Some(now);
+        }
+        is_due
     }
 }
 
-/// Whether it is this daemon's turn. `waited`: for how long a majority of all has been heard.
-fn stands(me: Voter, voters: &[NodeId], heard: &[Voter], waited: TimeDelta) -> bool {
-    let heard: Vec<&Voter> = heard.iter().filter(|v| voters.contains(&v.id) && v.id != me.id).collect();
-    let there = heard.len() + 1;
-    let led = me.leader != NodeId::NOBODY || heard.iter().any(|v| v.leader != NodeId::NOBODY);
-    let newest = |v: &Voter| (v.last, Reverse(v.id));
-    voters.contains(&me.id)
-        && !led
-        && there * 2 > voters.len()
-        && (there == voters.len() || waited >= WAIT)
-        && heard.iter().all(|v| newest(v) < newest(&me))
+/// Whether the local node is the one to be elected. `waited`: how long a majority of all voters has been heard.
+fn is_candidate(local: Voter, voters: &[NodeId], heard: &[Voter], waited: TimeDelta) -> bool {
+    if !voters.contains(&local.id) || local.knows_leader() {
+        return false;
+    }
+    let mut reachable = 1;
+    for voter in heard {
+        if !voters.contains(&voter.id) || voter.id == local.id {
+            continue;
+        }
+        if voter.knows_leader() || !local.precedes(voter) {
+            return false;
+        }
+        reachable += 1;
+    }
+    let is_majority = reachable * 2 > voters.len();
+    is_majority && (reachable == voters.len() || waited >= SILENT_VOTER_WAIT)
 }
 
 #[cfg(test)]
--- a/src/fleet/recovery/phases.rs
+++ b/src/fleet/recovery/phases.rs
@@ -1,56 +1,61 @@
-//! In which order service returns, and at which pace where hosts are cold. No I/O.
+//! The phases in which service returns after a start.
 //!
-//! 1. Drains and the agreed list: before that nothing is let in.
-//! 2. Writes, group by group: its primary has answered, here or to another daemon a moment ago, or a majority of the
-//!    daemons names it.
-//! 3. Reads, group by group: a host's position is proven.
+//! 1. List: drains and the committed endpoint list are awaited; nothing is admitted before.
+//! 2. Writes, group by group: the group's primary has answered, here or recently to a peer, or a majority of the nodes
+//!    names it.
+//! 3. Reads, group by group: the log position of an endpoint is known.
 //! 4. The rest, once all groups have both.
 //!
-//! A group that gets no such proof is opened after [`PATIENCE`] all the same: from then on the module looks for its
-//! primary with the requests themselves, as ever. A group whose hosts are all cold opens at a pace: this daemon's part
-//! of what they bear. What all daemons let in together stays below [`TOGETHER`] of the load under which a cold host
-//! falls, whoever hears whom.
+//! A group without such proof is opened after [`PROOF_TIMEOUT`] all the same: from then on the router looks for its
+//! primary with the requests themselves, as it does at any other time. A group whose endpoints are all cold opens at a
+//! limited rate: this process's share of what they bear (see [`super::slow_start`]).
 
+use super::slow_start::{AdmissionShare, SlowStartPolicy};
 use crate::engine::admission::{AdmissionMode, AdmissionPolicy, CapacitySource, GroupAdmission};
 use crate::ids::GroupId;
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A group is opened without proof after this.
-pub const PATIENCE: TimeDelta = TimeDelta::from_millis(600);
-/// Hosts are asked in turn for so long, and until all have answered, but no longer than [`LEAST`]: a position is worth
-/// something for a second, and whoever waits for another's word of it has its reads go to the primary.
-pub const FIRST: TimeDelta = TimeDelta::from_secs(1);
-/// Service is not as ever before this.
-pub const LEAST: TimeDelta = TimeDelta::from_secs(2);
-/// Of the load under which a cold host falls, all daemons together let in so much.
-pub const TOGETHER: f64 = 0.8;
-/// Of that, daemons that hear no majority take so much together.
-pub const APART: f64 = 0.5;
-/// What a host bears at the least when it is warm, in requests a second: nobody may have seen it at work.
-pub const UNSEEN: f64 = 10.0;
-/// What is waited for at first.
+/// A group is opened without proof after this: clients should not wait longer for what the router finds out anyway.
+pub const PROOF_TIMEOUT: TimeDelta = TimeDelta::from_millis(600);
+/// Endpoints are polled in turn with peers for at least this long: a log position is worth something for a second.
+pub const MIN_SHARED_POLLING: TimeDelta = TimeDelta::from_secs(1);
+/// Recovery is not done before this, and shared polling does not last longer, although some endpoint may not have
+/// answered: a process that waits for a peer's observation sends its reads to the primary meanwhile.
+pub const MIN_RECOVERY_TIME: TimeDelta = TimeDelta::from_secs(2);
+/// The capacity of a warm endpoint that was never seen at work, in requests per second: a low guess that gives
+/// admission a rate to grow from.
+const MIN_WARM_CAPACITY_RPS: f64 = 10.0;
+/// Retry-after hint for requests rejected while a group is closed to admission.
+const CLOSED_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
+/// More groups than this are counted instead of named.
+const MAX_NAMED_GROUPS: usize = 8;
+
+/// What the first phase waits for, as operators see it.
 pub const WAITING_FOR_LIST: &str = "a majority's word of what is agreed";
-/// Whoever is turned away from a group that is shut comes back after this.
-const AGAIN: TimeDelta = TimeDelta::from_millis(100);
 
-/// How far service has returned.
+/// How far service has returned, in order. The numeric value is a metric.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryPhase {
-    /// Drains and the agreed list are awaited.
+    /// Drains and the committed list are awaited.
     #[default]
     List,
     /// Primaries are awaited.
     Writes,
-    /// Positions are awaited.
+    /// Log positions are awaited.
     Reads,
-    /// All is served; where hosts are cold, at a pace.
+    /// All requests are served, at a limited rate where endpoints are cold.
     Rest,
-    /// All is as ever.
+    /// Recovery is over.
     Done,
 }
 
+/// Former name of [`RecoveryPhase`], for the parts that still use it.
+pub type Step = RecoveryPhase;
+/// Former name of [`SlowStartPolicy`], for the parts that still use it.
+pub type Cold = SlowStartPolicy;
+
 impl fmt::Display for RecoveryPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -63,220 +68,272 @@
     }
 }
 
-/// How cold hosts behave, by the settings.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SlowStartPolicy {
-    /// The share of its capacity that one has at its start.
-    pub share: f64,
-    /// It has all of it after this.
-    pub warm_up: TimeDelta,
-    /// It falls over above this multiple of what it has.
-    pub multiple: f64,
-}
-
-impl SlowStartPolicy {
-    /// The share of its capacity that a host has for certain, so long after its start.
-    pub fn capacity_share(&self, age: Option<TimeDelta>) -> f64 {
-        let Some(age) = age else { return 1.0 };
-        let grown =
-            age.or_zero().as_micros_f64() / self.warm_up.max(TimeDelta::from_micros(1)).as_micros_f64();
-        (self.share + (1.0 - self.share) * grown).min(1.0)
-    }
-}
-
-/// Former name of [`SlowStartPolicy`], for the parts that still use it.
-pub type Cold = SlowStartPolicy;
-
-/// Former name of [`RecoveryPhase`], for the parts that still use it.
-pub type Step = RecoveryPhase;
-
-/// What is known of a host.
+/// What is known of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointView {
     /// Its group.
     pub group: GroupId,
-    /// It called itself the primary, here or to another daemon a moment ago.
-    pub primary: bool,
-    /// Daemons that heard it call itself that, by their last words of this group.
-    pub named: usize,
-    /// It told its position, here or to another daemon a moment ago.
-    pub proven: bool,
-    /// How long ago it started, where that is known.
+    /// It called itself the primary, to this process or recently to a peer.
+    pub is_primary: bool,
+    /// Nodes to which it last called itself the primary.
+    pub primary_claims: usize,
+    /// It reported its log position, to this process or recently to a peer.
+    pub position_known: bool,
+    /// How long ago it started; `None`: not known.
     pub age: Option<TimeDelta>,
-    /// Requests a second that it bears from all daemons together when warm, by what it did before; 0: not known.
-    pub bore: f64,
-    /// It said itself which part of its capacity that took.
-    pub said: bool,
-    /// Those that it serves for them now: it bears at least as many.
-    pub serves: f64,
+    /// Requests per second that it bears from all processes together when warm; 0: not known.
+    pub warm_capacity_rps: f64,
+    /// It reported itself which part of its capacity was in use.
+    pub utilization_reported: bool,
+    /// Requests per second that it serves for all processes now: it bears at least these.
+    pub current_rate_rps: f64,
+}
+
+impl EndpointView {
+    /// Whether anything was heard of it since its start.
+    fn was_heard(&self) -> bool {
+        self.position_known || self.is_primary || self.age.is_some()
+    }
+
+    /// Requests per second that it bears now.
+    fn capacity_rps(&self, policy: SlowStartPolicy) -> f64 {
+        let warm_capacity = self.warm_capacity_rps.max(MIN_WARM_CAPACITY_RPS);
+        (warm_capacity * policy.capacity_share(self.age)).max(self.current_rate_rps)
+    }
 }
 
-/// All that the order depends on.
+/// All that the phases depend on.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveryView {
     /// The present.
     pub now: Timestamp,
-    /// The list is there.
-    pub listed: bool,
-    /// Daemons of the fleet.
-    pub members: usize,
-    /// Those that are heard, with this one.
-    pub heard: usize,
-    /// The hosts that may be used.
-    pub hosts: Vec<EndpointView>,
+    /// The committed endpoint list has been received.
+    pub list_received: bool,
+    /// Members of the fleet.
+    pub member_count: usize,
+    /// Members that are heard, this one included.
+    pub reachable_count: usize,
+    /// The endpoints that are not drained.
+    pub endpoints: Vec<EndpointView>,
 }
 
 /// What holds now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveryDecision {
-    /// The step.
-    pub step: RecoveryPhase,
-    /// What is waited for, in words; empty: nothing.
-    pub waits: String,
-    /// On which terms requests are let in; `None`: all are.
-    pub terms: Option<AdmissionPolicy>,
-    /// Hosts are asked in turn with other daemons that return.
-    pub turns: bool,
+    /// The phase.
+    pub phase: RecoveryPhase,
+    /// What is waited for, as operators see it; empty: nothing.
+    pub waiting_for: String,
+    /// How requests are admitted; `None`: all are.
+    pub admission: Option<AdmissionPolicy>,
+    /// Endpoints are polled in turn with peers that recover as well.
+    pub share_polling: bool,
 }
 
-/// The order of one daemon's return.
-#[derive(Clone, Debug)]
-pub struct RecoverySchedule {
-    cold: SlowStartPolicy,
-    listed: Option<Timestamp>,
-    /// By group: writes and reads were opened.
-    opened: BTreeMap<GroupId, [bool; 2]>,
-    step: RecoveryPhase,
+/// Which requests of a group have been admitted: they stay so.
+#[derive(Clone, Copy, Debug, Default)]
+struct OpenedGroup {
+    writes: bool,
+    reads: bool,
+}
+
+/// The state of all groups at one moment.
+#[derive(Default)]
+struct Survey {
+    admission: BTreeMap<GroupId, GroupAdmission>,
+    closed_to_writes: Vec<GroupId>,
+    closed_to_reads: Vec<GroupId>,
+    paced: Vec<GroupId>,
 }
 
-/// This daemon's part of what all may let in, as a multiple of what hosts bear: `(at first, at the most)`. Whoever
-/// hears a majority shares with those it hears what the others leave; whoever hears none takes its part of all
-/// members, since the others may be there and serve.
-pub fn part(members: usize, heard: usize, multiple: f64) -> (f64, f64) {
-    let members = members.max(1);
-    let heard = heard.clamp(1, members);
-    let all = multiple * TOGETHER;
-    if heard * 2 <= members {
-        let most = all * APART / members as f64;
-        return ((1.0 / members as f64).min(most), most);
+impl Survey {
+    fn all_are_open(&self) -> bool {
+        self.closed_to_writes.is_empty() && self.closed_to_reads.is_empty()
+    }
+
+    /// The phase, and what it waits for.
+    fn phase(&self, elapsed: TimeDelta) -> (RecoveryPhase, String) {
+        if !self.closed_to_writes.is_empty() {
+            return (RecoveryPhase::Writes, format!("the primary of {}", group_names(&self.closed_to_writes)));
+        }
+        if !self.closed_to_reads.is_empty() {
+            let groups = group_names(&self.closed_to_reads);
+            return (RecoveryPhase::Reads, format!("a proven position in {groups}"));
+        }
+        if !self.paced.is_empty() {
+            return (RecoveryPhase::Rest, format!("cold hosts of {}", group_names(&self.paced)));
+        }
+        if elapsed < MIN_RECOVERY_TIME {
+            return (RecoveryPhase::Rest, "the first answers of all hosts".to_string());
+        }
+        (RecoveryPhase::Done, String::new())
     }
-    let apart = all * APART * (members - heard) as f64 / members as f64;
-    let most = (all - apart) / heard as f64;
-    ((1.0 / heard as f64).min(most), most)
 }
 
-fn names(groups: &[GroupId]) -> String {
-    let some: Vec<String> = groups.iter().take(8).map(GroupId::to_string).collect();
-    let more = groups.len().saturating_sub(8);
-    let more = if more > 0 { format!(" and {more} more") } else { String::new() };
-    format!("group {}{more}", some.join(", "))
+/// The recovery of one process. Phases only go forward, and what was opened is not closed again.
+#[derive(Clone, Debug)]
+pub struct RecoverySchedule {
+    policy: SlowStartPolicy,
+    list_received_at: Option<Timestamp>,
+    opened: BTreeMap<GroupId, OpenedGroup>,
+    phase: RecoveryPhase,
 }
 
 impl RecoverySchedule {
-    /// Nothing is there yet.
-    pub fn new(cold: SlowStartPolicy) -> RecoverySchedule {
-        RecoverySchedule { cold, listed: None, opened: BTreeMap::new(), step: RecoveryPhase::List }
+    /// The schedule of a process that knows nothing yet.
+    pub fn new(policy: SlowStartPolicy) -> RecoverySchedule {
+        RecoverySchedule {
+            policy,
+            list_received_at: None,
+            opened: BTreeMap::new(),
+            phase: RecoveryPhase::List,
+        }
     }
 
-    /// Where things stand. What was opened is not shut again, and no step is gone back.
+    /// Moves on by what is known now.
     pub fn advance(&mut self, view: &RecoveryView) -> RecoveryDecision {
-        if !view.listed {
-            let waits = WAITING_FOR_LIST.to_string();
-            let terms = Some(AdmissionPolicy {
-                groups: BTreeMap::new(),
-                admit_eventual_reads: false,
-                retry_after: AGAIN,
-            });
-            return RecoveryDecision { step: self.step, waits, terms, turns: true };
+        if !view.list_received {
+            return self.wait_for_list();
         }
-        let listed = *self.listed.get_or_insert(view.now);
-        let out_of_patience = view.now - listed >= PATIENCE;
+        let elapsed = view.now - *self.list_received_at.get_or_insert(view.now);
         let mut groups: BTreeMap<GroupId, Vec<&EndpointView>> = BTreeMap::new();
-        view.hosts.iter().for_each(|host| groups.entry(host.group).or_default().push(host));
+        for endpoint in &view.endpoints {
+            groups.entry(endpoint.group).or_default().push(endpoint);
+        }
         self.opened.retain(|group, _| groups.contains_key(group));
-        let (mut shut, mut ways) = ([Vec::new(), Vec::new()], BTreeMap::new());
-        let mut paced = Vec::new();
-        for (group, hosts) in &groups {
-            let opened = self.opened.entry(*group).or_default();
-            let primary = hosts.iter().position(|h| h.primary || h.named * 2 > view.members);
-            opened[0] |= primary.is_some() || out_of_patience;
-            opened[1] |= hosts.iter().any(|h| h.proven) || out_of_patience;
-            let mut both = RecoverySchedule::ways(self.cold, view, hosts, primary);
-            for (side, way) in both.iter_mut().enumerate().filter(|(side, _)| !opened[*side]) {
-                *way = AdmissionMode::Closed(AGAIN);
-                shut[side].push(*group);
-            }
-            if both.iter().any(|way| matches!(way, AdmissionMode::Paced { .. })) {
-                paced.push(*group);
-            }
-            ways.insert(*group, GroupAdmission { writes: both[0], reads: both[1] });
+        let mut survey = Survey::default();
+        for (group, endpoints) in &groups {
+            self.admit_group(view, elapsed, *group, endpoints, &mut survey);
         }
-        let rest = shut.iter().all(Vec::is_empty);
-        let (step, waits) = match () {
-            _ if !shut[0].is_empty() => {
-                (RecoveryPhase::Writes, format!("the primary of {}", names(&shut[0])))
-            }
-            _ if !shut[1].is_empty() => {
-                (RecoveryPhase::Reads, format!("a proven position in {}", names(&shut[1])))
-            }
-            _ if !paced.is_empty() => (RecoveryPhase::Rest, format!("cold hosts of {}", names(&paced))),
-            _ if view.now - listed < LEAST => {
-                (RecoveryPhase::Rest, "the first answers of all hosts".to_string())
-            }
-            _ => (RecoveryPhase::Done, String::new()),
+        let (phase, waiting_for) = survey.phase(elapsed);
+        self.phase = self.phase.max(phase);
+        let all_known = view.endpoints.iter().all(|endpoint| endpoint.position_known);
+        let share_polling = elapsed < MIN_SHARED_POLLING || elapsed < MIN_RECOVERY_TIME && !all_known;
+        let admission = AdmissionPolicy {
+            admit_eventual_reads: survey.all_are_open(),
+            groups: survey.admission,
+            retry_after: CLOSED_RETRY_AFTER,
         };
-        self.step = self.step.max(step);
-        let terms = (self.step != RecoveryPhase::Done).then_some(AdmissionPolicy {
-            groups: ways,
-            admit_eventual_reads: rest,
-            retry_after: AGAIN,
-        });
-        let turn = view.now - listed;
-        let turns = turn < FIRST || turn < LEAST && !view.hosts.iter().all(|h| h.proven);
-        RecoveryDecision { step: self.step, waits, terms, turns }
+        let is_done = self.phase == RecoveryPhase::Done;
+        RecoveryDecision {
+            phase: self.phase,
+            waiting_for,
+            admission: (!is_done).then_some(admission),
+            share_polling,
+        }
     }
 
-    /// How writes and reads go to the hosts of a group; `primary`: which of them is known to be that.
-    fn ways(
-        cold: SlowStartPolicy,
-        view: &RecoveryView,
-        hosts: &[&EndpointView],
-        primary: Option<usize>,
-    ) -> [AdmissionMode; 2] {
-        let Some(n) = primary else {
-            return [
-                RecoverySchedule::way(cold, view, hosts, true),
-                RecoverySchedule::way(cold, view, hosts, false),
-            ];
+    /// Nothing is admitted before the list is there.
+    fn wait_for_list(&self) -> RecoveryDecision {
+        let admission = AdmissionPolicy {
+            groups: BTreeMap::new(),
+            admit_eventual_reads: false,
+            retry_after: CLOSED_RETRY_AFTER,
         };
-        let others: Vec<&EndpointView> = [&hosts[..n], &hosts[n + 1..]].concat();
-        // One that is alone serves the reads too.
-        let readers = if others.is_empty() { hosts } else { &others };
-        [
-            RecoverySchedule::way(cold, view, &hosts[n..=n], false),
-            RecoverySchedule::way(cold, view, readers, false),
-        ]
+        RecoveryDecision {
+            phase: self.phase,
+            waiting_for: WAITING_FOR_LIST.to_string(),
+            admission: Some(admission),
+            share_polling: true,
+        }
     }
 
-    /// How requests go to these hosts; `any`: each of them may turn out to be the one that takes them.
-    fn way(cold: SlowStartPolicy, view: &RecoveryView, hosts: &[&EndpointView], any: bool) -> AdmissionMode {
-        // One that has said nothing yet is not taken for warm beside one that is known to be cold, nor for any help.
-        let heard: Vec<&EndpointView> =
-            hosts.iter().copied().filter(|h| h.proven || h.primary || h.age.is_some()).collect();
-        // Where one of them is warm the module spares the others by itself.
-        if heard.is_empty() || heard.iter().any(|h| cold.capacity_share(h.age) >= 1.0) {
-            return AdmissionMode::Open;
+    /// Decides on one group, and notes in `survey` how it is admitted.
+    fn admit_group(
+        &mut self,
+        view: &RecoveryView,
+        elapsed: TimeDelta,
+        group: GroupId,
+        endpoints: &[&EndpointView],
+        survey: &mut Survey,
+    ) {
+        let is_named_primary = |endpoint: &&EndpointView| {
+            endpoint.is_primary || endpoint.primary_claims * 2 > view.member_count
+        };
+        let primary = endpoints.iter().position(is_named_primary);
+        let proof_timed_out = elapsed >= PROOF_TIMEOUT;
+        let opened = self.opened.entry(group).or_default();
+        opened.writes |= primary.is_some() || proof_timed_out;
+        opened.reads |= endpoints.iter().any(|endpoint| endpoint.position_known) || proof_timed_out;
+
+        let mut admission = group_admission(self.policy, view, endpoints, primary);
+        if !opened.writes {
+            admission.writes = AdmissionMode::Closed(CLOSED_RETRY_AFTER);
+            survey.closed_to_writes.push(group);
+        }
+        if !opened.reads {
+            admission.reads = AdmissionMode::Closed(CLOSED_RETRY_AFTER);
+            survey.closed_to_reads.push(group);
         }
-        let bears = |h: &&EndpointView| (h.bore.max(UNSEEN) * cold.capacity_share(h.age)).max(h.serves);
-        let all = heard.iter().map(bears);
-        let bears = if any { all.fold(f64::MAX, f64::min) } else { all.sum() };
-        let (first, most) = part(view.members, view.heard, cold.multiple);
-        let capacity_source = match heard.iter().all(|h| h.said) {
-            true => CapacitySource::Reported,
-            false => CapacitySource::Estimated,
+        let is_paced = |mode| matches!(mode, AdmissionMode::Paced { .. });
+        if is_paced(admission.writes) || is_paced(admission.reads) {
+            survey.paced.push(group);
+        }
+        survey.admission.insert(group, admission);
+    }
+}
+
+/// How an open group's requests are admitted; `primary`: the index of its primary, if that is known.
+fn group_admission(
+    policy: SlowStartPolicy,
+    view: &RecoveryView,
+    endpoints: &[&EndpointView],
+    primary: Option<usize>,
+) -> GroupAdmission {
+    let Some(primary) = primary else {
+        // Each of them may turn out to be the primary: writes have to suit the weakest.
+        return GroupAdmission {
+            writes: admission_mode(policy, view, endpoints, weakest_capacity),
+            reads: admission_mode(policy, view, endpoints, total_capacity),
         };
-        AdmissionMode::Paced { capacity_per_s: bears * first, max_per_s: bears * most, capacity_source }
+    };
+    let replicas: Vec<&EndpointView> = [&endpoints[..primary], &endpoints[primary + 1..]].concat();
+    // A primary that is alone in its group serves the reads too.
+    let readers = if replicas.is_empty() { endpoints } else { &replicas };
+    GroupAdmission {
+        writes: admission_mode(policy, view, &endpoints[primary..=primary], total_capacity),
+        reads: admission_mode(policy, view, readers, total_capacity),
+    }
+}
+
+/// How requests to these endpoints are admitted; `capacity` adds up what the endpoints bear, in requests per second.
+fn admission_mode(
+    policy: SlowStartPolicy,
+    view: &RecoveryView,
+    endpoints: &[&EndpointView],
+    capacity: fn(SlowStartPolicy, &[&EndpointView]) -> f64,
+) -> AdmissionMode {
+    // One that was not heard yet is neither taken for warm beside one that is known to be cold, nor for any help.
+    let heard: Vec<&EndpointView> =
+        endpoints.iter().copied().filter(|endpoint| endpoint.was_heard()).collect();
+    // Where one of them is warm the router spares the others by itself.
+    if heard.is_empty() || heard.iter().any(|endpoint| policy.is_warm(endpoint.age)) {
+        return AdmissionMode::Open;
     }
+    let capacity_rps = capacity(policy, &heard);
+    let share = AdmissionShare::new(view.member_count, view.reachable_count, policy.multiple);
+    let all_reported = heard.iter().all(|endpoint| endpoint.utilization_reported);
+    AdmissionMode::Paced {
+        capacity_per_s: capacity_rps * share.initial,
+        max_per_s: capacity_rps * share.maximum,
+        capacity_source: if all_reported { CapacitySource::Reported } else { CapacitySource::Estimated },
+    }
+}
+
+fn total_capacity(policy: SlowStartPolicy, endpoints: &[&EndpointView]) -> f64 {
+    endpoints.iter().map(|endpoint| endpoint.capacity_rps(policy)).sum()
+}
+
+fn weakest_capacity(policy: SlowStartPolicy, endpoints: &[&EndpointView]) -> f64 {
+    endpoints.iter().map(|endpoint| endpoint.capacity_rps(policy)).fold(f64::MAX, f64::min)
+}
+
+/// The groups as operators see them.
+fn group_names(groups: &[GroupId]) -> String {
+    let named: Vec<String> = groups.iter().take(MAX_NAMED_GROUPS).map(GroupId::to_string).collect();
+    let unnamed = groups.len().saturating_sub(MAX_NAMED_GROUPS);
+    let more = if unnamed > 0 { format!(" and {unnamed} more") } else { String::new() };
+    format!("group {}{more}", named.join(", "))
 }
 
 #[cfg(test)]
--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -11,12 +11,12 @@
         let touched = self.touched.replace(Touched::Hosts(BTreeSet::new()));
         let present = self.clock.now();
         let away = self.zoning.borrow().reduced_zones(present, &table.state).into_iter();
-        let gone = |zone| table.state.share(zone).why == Why::Lost;
+        let gone = |zone| table.state.zone_weight(zone).reason == WeightReason::Lost;
         let only: BTreeMap<ZoneId, BTreeSet<GroupId>> =
             away.map(|zone| (zone, crate::fleet::zones::groups_confined_to(zone, &table.state))).collect();
         let now = |name: &String| {
             let drained = table.state.is_drained(name) || table.marks.is_draining(name);
-            let listed = table.state.hosts.get(name).map(|host| host.listed(name, drained))?;
+            let listed = table.state.hosts.get(name).map(|host| host.endpoint_record(name, drained))?;
             let started_at = listed.started_at.max(self.restarts.borrow().reported_start(name));
             let host = EndpointRecord { started_at, ..listed };
             // Where nobody knows the primary each host may be it, but for those that are gone.
@@ -60,6 +60,6 @@
     pub fn current_endpoint_list(&self) -> Option<EndpointUpdate> {
         let table = self.table();
         table.state.inventory.as_ref()?;
-        Some(table.state.listing(table.applied, |host| table.marks.is_draining(host)))
+        Some(table.state.endpoint_list(table.applied, |host| table.marks.is_draining(host)))
     }
 }
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -73,7 +73,7 @@
         let words = table.learned.records_to_persist(self.clock.now());
         let saved = PersistedGossip { at: clocks(&self.clock), words, breaks: kept.1.clone() };
         log::debug!("fleet: {} words on hosts are kept", saved.words.len());
-        if self.send_to_store(Input::Learned(records::write(&saved))) {
+        if self.send_to_store(StoreCommand::PersistGossip(codec::encode(&saved))) {
             *self.kept.borrow_mut() = kept;
         }
     }
--- a/src/fleet/runtime/message_dispatch.rs
+++ b/src/fleet/runtime/message_dispatch.rs
@@ -35,18 +35,18 @@
         }
         match frame {
             PeerMessage::RaftMessages(letters) => {
-                let (own, strange): (Vec<Letter>, Vec<Letter>) =
+                let (own, strange): (Vec<RaftMessage>, Vec<RaftMessage>) =
                     letters.into_iter().partition(|l| l.from == from.id);
                 if !strange.is_empty() {
                     self.count_dropped_message("not of its sender");
                 }
                 if !own.is_empty() {
-                    self.send_to_store(Input::Letters(own));
+                    self.send_to_store(StoreCommand::RaftMessages(own));
                 }
             }
             PeerMessage::ForwardedProposal(proposal) if proposal.from == from.id => {
                 if self.table().state.is_complete() {
-                    self.send_to_store(Input::Propose(proposal));
+                    self.send_to_store(StoreCommand::Propose(proposal));
                 }
             }
             PeerMessage::MembershipRequest(name, wish) => {
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -31,12 +31,14 @@
 use crate::net::until;
 use crate::primary_hint::PrimaryHint;
 use crate::routing::{Availability, EndpointId};
-use crate::store::raft_node::{Applied, What};
-use crate::store::records::{self, FleetId, HostRecord, Letter};
-use crate::store::state_machine::{Change, Effect, Member, Proposal, State};
-use crate::store::storage::Identity;
-use crate::store::store_thread::{Input, Opened, Output, Status};
-use crate::store::zone_weights::Why;
+use crate::store::codec;
+use crate::store::raft_message::RaftMessage;
+use crate::store::raft_node::{AppliedContent, AppliedEntry};
+use crate::store::records::{FleetId, HostRecord};
+use crate::store::state_machine::{ApplyResult, Change, ClusterState, Member, Proposal};
+use crate::store::storage::NodeIdentity;
+use crate::store::store_thread::{OpenedStore, StoreCommand, StoreEvent, StoreStatus};
+use crate::store::zone_weights::WeightReason;
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -110,8 +112,11 @@
 impl PeerStatus {
     /// What a daemon says of itself when it is met.
     fn met(hello: &Handshake) -> PeerStatus {
-        let beat =
-            Heartbeat { term: hello.witness.term, last_entry: hello.witness.last, ..Heartbeat::default() };
+        let beat = Heartbeat {
+            term: hello.witness.term,
+            last_entry: hello.witness.last_entry,
+            ..Heartbeat::default()
+        };
         PeerStatus { at: Instant::now(), name: hello.name.clone(), beat, leaderless: None }
     }
 }
@@ -125,13 +130,13 @@
 /// All that the driver knows.
 pub struct Table {
     /// Who this daemon is, by its disk.
-    pub identity: Identity,
+    pub identity: NodeIdentity,
     /// What is agreed.
-    pub state: State,
+    pub state: ClusterState,
     /// The last place of the log that was taken in.
     pub applied: u64,
     /// How things stand with the agreement.
-    pub status: Status,
+    pub status: StoreStatus,
     /// Drains that are not agreed.
     pub marks: PendingDrains,
     /// What this daemon's own files say.
@@ -178,7 +183,7 @@
 
     /// Places of the log that this daemon has yet to take in, by what anybody said to be agreed.
     pub fn lag(&self) -> u64 {
-        let told = self.heard.values().map(|h| h.beat.commit_index).chain([self.status.agreed]).max();
+        let told = self.heard.values().map(|h| h.beat.commit_index).chain([self.status.committed]).max();
         told.unwrap_or(0).saturating_sub(self.applied)
     }
 }
@@ -191,13 +196,13 @@
     pub limits: Rc<Limits>,
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
-    inputs: SyncSender<Input>,
+    inputs: SyncSender<StoreCommand>,
     table: RefCell<Table>,
     ways: RefCell<BTreeMap<SocketAddr, Rc<PeerLink>>>,
     /// Those who wait for what changes.
     waiting: RefCell<Vec<Sender<()>>>,
     /// Changes that were said here and wait for the log.
-    tokens: RefCell<BTreeMap<u64, Option<Effect>>>,
+    tokens: RefCell<BTreeMap<u64, Option<ApplyResult>>>,
     next: Cell<u64>,
     saved: Cell<u64>,
     saving: Cell<u64>,
@@ -263,11 +268,11 @@
         limits: Rc<Limits>,
         clock: Clock,
         executor: Rc<LocalExecutor<'static>>,
-        opened: Opened,
-        inputs: SyncSender<Input>,
+        opened: OpenedStore,
+        inputs: SyncSender<StoreCommand>,
     ) -> Rc<Fleet> {
         let now = Instant::now();
-        let Opened { identity, state, status, marks, learned: kept, legacy } = opened;
+        let OpenedStore { identity, state, status, drains: marks, gossip: kept, legacy } = opened;
         let mut marks = PendingDrains::new(marks);
         let legacy = legacy.map_or(Vec::new(), |old| {
             for host in &old.drains {
@@ -278,7 +283,7 @@
         marks.remove_settled(&state);
         let mut learned = GossipState::new(identity.id, clock.now().as_micros().max(0) as u64);
         let mut breaks = LogRollbacks::default();
-        if let Some(saved) = kept.and_then(|bytes| records::read::<PersistedGossip>(&bytes)) {
+        if let Some(saved) = kept.and_then(|bytes| codec::decode::<PersistedGossip>(&bytes)) {
             for b in &saved.breaks {
                 breaks.record(*b);
             }
@@ -386,7 +391,7 @@
 
     /// Hands something to the agreement's thread; false: its queue is full, the disk is slow. Whoever still means
     /// it says it again, and letters are lost as on any way.
-    fn send_to_store(&self, input: Input) -> bool {
+    fn send_to_store(&self, input: StoreCommand) -> bool {
         let told = self.inputs.try_send(input).is_ok();
         if !told {
             log::debug!("store: the queue is full");
@@ -402,7 +407,7 @@
     /// Whether somebody leads, and all is taken in that anybody said to be agreed.
     pub fn is_current(&self) -> bool {
         let table = self.table();
-        let led = table.status.leader != NodeId::NOBODY && table.status.part;
+        let led = table.status.leader != NodeId::NOBODY && table.status.participating;
         // The leader's own word: one that leads no more is not heard as the leader.
         let leader = table.status.leader == table.identity.id
             || table.heard.get(&table.status.leader).is_some_and(|h| h.beat.term == table.status.term);
@@ -423,7 +428,7 @@
             id: table.identity.id,
             name: self.me.name.clone(),
             address: self.me.address,
-            witness: table.status.witness,
+            witness: table.status.own_progress,
         }
     }
 
@@ -432,9 +437,9 @@
         PeerMessage::Heartbeat(Heartbeat {
             leader: table.status.leader,
             term: table.status.term,
-            last_entry: table.status.witness.last,
-            participates: table.status.part,
-            commit_index: table.status.agreed,
+            last_entry: table.status.own_progress.last_entry,
+            participates: table.status.participating,
+            commit_index: table.status.committed,
             applied: AppliedPosition { index: table.applied, digest: table.state.digest },
             pending_drains_digest: table.marks.digest(),
             reachable_peers: self.recently_heard_peers(&table),
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -82,7 +82,7 @@
             .count()
             + 1;
         let seen = |(name, host): (&String, &HostRecord)| {
-            let drained = host.leaving || table.state.is_drained(name) || table.marks.is_draining(name);
+            let drained = host.draining || table.state.is_drained(name) || table.marks.is_draining(name);
             let moment = table.learned.endpoint_summary(now, name);
             let started = moment.started_at.max(host.started_at);
             (!drained).then(|| EndpointView {
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -5,11 +5,16 @@
 use brookpass::fleet::gossip::{GossipRecord, GossipVersion};
 use brookpass::fleet::recovery::{ClockReading, PersistedGossip};
 use brookpass::ids::{GroupId, NodeId, ZoneId};
-use brookpass::store::raft_node::Image;
-use brookpass::store::records::{self, Conf, Hard, HostRecord, LogEntry, SnapshotRecord, Step};
-use brookpass::store::state_machine::{Change, DrainMark, Member, Membership, Proposal, Source, State};
-use brookpass::store::storage::{Identity, Marks, Witness};
-use brookpass::store::zone_weights::{Share, Why};
+use brookpass::store::codec;
+use brookpass::store::raft_node::RaftPersistentState;
+use brookpass::store::records::{
+    Configuration, HardState, HostRecord, LogEntry, MembershipStep, SnapshotRecord,
+};
+use brookpass::store::state_machine::{
+    Change, ClusterState, DrainId, Member, MembershipChange, Proposal, Provenance,
+};
+use brookpass::store::storage::{DrainList, NodeIdentity, PersistedProgress};
+use brookpass::store::zone_weights::{WeightReason, ZoneWeight};
 use brookpass::time::{LogPosition, TimeDelta, Timestamp};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::collections::{BTreeMap, BTreeSet};
@@ -50,8 +55,8 @@
     (0..text.len()).step_by(2).map(|n| u8::from_str_radix(&text[n..n + 2], 16).unwrap()).collect()
 }
 
-pub fn mark(by: NodeId, number: u64) -> DrainMark {
-    DrainMark { by, number }
+pub fn mark(by: NodeId, number: u64) -> DrainId {
+    DrainId { node: by, sequence: number }
 }
 
 pub fn address(text: &str) -> SocketAddr {
@@ -62,12 +67,12 @@
     Member { name: name.into(), address: address(at) }
 }
 
-pub fn source(by: &str, changed: i64, version: u64) -> Source {
-    Source { by: by.into(), changed: Timestamp::from_micros(changed), version }
+pub fn source(by: &str, changed: i64, version: u64) -> Provenance {
+    Provenance { read_by: by.into(), changed_at: Timestamp::from_micros(changed), version }
 }
 
-pub fn share(part: u16, why: Why, number: u64, failed: u8) -> Share {
-    Share { part, why, number, failed }
+pub fn share(part: u16, why: WeightReason, number: u64, failed: u8) -> ZoneWeight {
+    ZoneWeight { permille: part, reason: why, version: number, failed_returns: failed }
 }
 
 pub fn host(at: &str, group: u32, zone: u8, weight: f64) -> HostRecord {
@@ -76,7 +81,7 @@
         group: GroupId(group),
         zone: ZoneId(zone),
         weight,
-        leaving: false,
+        draining: false,
         started_at: None,
     }
 }
@@ -85,8 +90,8 @@
     Proposal { from, token, change }
 }
 
-pub fn drain(host: &str, mark: DrainMark) -> Change {
-    Change::Drain { host: host.into(), mark }
+pub fn drain(host: &str, mark: DrainId) -> Change {
+    Change::Drain { host: host.into(), drain: mark }
 }
 
 fn regions(all: &[(ZoneId, &str)]) -> BTreeMap<ZoneId, String> {
@@ -101,8 +106,8 @@
     services.1.repeat=by_key\nservices.1.target=0.6\nservices.count=2\n";
 
 /// The agreed state in the fixture's snapshot, at entry 20.
-pub fn snapshot_state() -> State {
-    State {
+pub fn snapshot_state() -> ClusterState {
+    ClusterState {
         fleet: FLEET,
         members: BTreeMap::from([
             (B1, member("b1", "127.0.0.1:1")),
@@ -126,18 +131,18 @@
             ),
             ("s-2-0".to_string(), host("127.0.0.1:20", 2, 0, 1.0)),
             ("s-2-1".to_string(), host("127.0.0.1:21", 2, 1, 1.0)),
-            ("s-2-2".to_string(), HostRecord { leaving: true, ..host("127.0.0.1:22", 2, 2, 1.0) }),
+            ("s-2-2".to_string(), HostRecord { draining: true, ..host("127.0.0.1:22", 2, 2, 1.0) }),
         ]),
         drains: BTreeMap::from([
             ("s-1-1".to_string(), BTreeSet::from([mark(B1, 4), mark(B2, 8)])),
             ("s-1-2".to_string(), BTreeSet::from([mark(B2, 7)])),
         ]),
-        undone: BTreeMap::from([(mark(B3, 1), 14)]),
-        former: BTreeSet::from([0xf0f0]),
+        undone_drains: BTreeMap::from([(mark(B3, 1), 14)]),
+        previous_fleets: BTreeSet::from([0xf0f0]),
         digest: 0xd16e_57ab,
-        zones: BTreeMap::from([
-            (ZoneId(1), share(500, Why::Slow, 1, 2)),
-            (ZoneId(2), share(0, Why::Operator, 3, 0)),
+        zone_weights: BTreeMap::from([
+            (ZoneId(1), share(500, WeightReason::Slow, 1, 2)),
+            (ZoneId(2), share(0, WeightReason::Operator, 3, 0)),
         ]),
         regions: (
             Timestamp::from_micros(1_790_000_000_444_000),
@@ -152,31 +157,44 @@
         index,
         term,
         kind: 0,
-        bytes: records::write(&proposal(from, token, change)),
+        payload: codec::encode(&proposal(from, token, change)),
+    };
+    let members = |index, change: MembershipChange| LogEntry {
+        index,
+        term: 3,
+        kind: 2,
+        payload: codec::encode(&change),
     };
-    let members =
-        |index, change: Membership| LogEntry { index, term: 3, kind: 2, bytes: records::write(&change) };
     vec![
         change(19, 2, B3, 31, drain("s-1-1", mark(B2, 8))),
-        LogEntry { index: 20, term: 3, kind: 0, bytes: Vec::new() },
+        LogEntry { index: 20, term: 3, kind: 0, payload: Vec::new() },
         change(21, 3, B3, 32, drain("s-2-0", mark(B3, 2))),
-        change(22, 3, B2, 33, Change::Undrain { host: "s-1-2".into(), marks: vec![mark(B2, 7)] }),
-        change(23, 3, B2, 34, Change::Zone { zone: ZoneId(1), share: share(250, Why::Lost, 2, 3) }),
+        change(22, 3, B2, 33, Change::Undrain { host: "s-1-2".into(), drains: vec![mark(B2, 7)] }),
+        change(
+            23,
+            3,
+            B2,
+            34,
+            Change::ZoneWeight { zone: ZoneId(1), weight: share(250, WeightReason::Lost, 2, 3) },
+        ),
         change(
             24,
             3,
             B1,
             35,
             Change::Regions {
-                by: "b1".into(),
-                changed: Timestamp::from_micros(1_790_000_000_555_000),
+                read_by: "b1".into(),
+                changed_at: Timestamp::from_micros(1_790_000_000_555_000),
                 regions: regions(&[(ZoneId(0), "north"), (ZoneId(1), "north"), (ZoneId(2), "south")]),
             },
         ),
-        members(25, Membership { steps: vec![Step::Remove(B8)], comes: None }),
+        members(25, MembershipChange { steps: vec![MembershipStep::Remove(B8)], joining: None }),
         members(
             26,
-            Membership { steps: vec![Step::Follow(B5)], comes: Some((B5, member("b5", "127.0.0.1:5"))) },
+            MembershipChange {
+                steps: vec![MembershipStep::AddLearner(B5)],
+                joining: Some((B5, member("b5", "127.0.0.1:5"))),
+            },
         ),
         change(
             27,
@@ -184,11 +202,11 @@
             B3,
             36,
             Change::Inventory {
-                by: "b3".into(),
-                changed: Timestamp::from_micros(1_790_000_000_666_000),
-                base: 15,
-                set: vec![("s-3-0".into(), host("127.0.0.1:30", 3, 0, 4.0))],
-                gone: vec!["s-2-1".into()],
+                read_by: "b3".into(),
+                changed_at: Timestamp::from_micros(1_790_000_000_666_000),
+                base_version: 15,
+                upserts: vec![("s-3-0".into(), host("127.0.0.1:30", 3, 0, 4.0))],
+                removals: vec!["s-2-1".into()],
             },
         ),
         change(28, 4, B2, 37, drain("s-1-0", mark(B2, 11))),
@@ -196,16 +214,16 @@
 }
 
 /// What became of the state by entry 27; `digest` is the check sum there.
-pub fn agreed_state(digest: u32) -> State {
+pub fn agreed_state(digest: u32) -> ClusterState {
     let mut state = snapshot_state();
     state.drains = BTreeMap::from([
         ("s-1-1".to_string(), BTreeSet::from([mark(B1, 4), mark(B2, 8)])),
         ("s-2-0".to_string(), BTreeSet::from([mark(B3, 2)])),
     ]);
-    state.undone = BTreeMap::from([(mark(B3, 1), 14), (mark(B2, 7), 22)]);
-    state.zones = BTreeMap::from([
-        (ZoneId(1), share(250, Why::Lost, 2, 3)),
-        (ZoneId(2), share(0, Why::Operator, 3, 0)),
+    state.undone_drains = BTreeMap::from([(mark(B3, 1), 14), (mark(B2, 7), 22)]);
+    state.zone_weights = BTreeMap::from([
+        (ZoneId(1), share(250, WeightReason::Lost, 2, 3)),
+        (ZoneId(2), share(0, WeightReason::Operator, 3, 0)),
     ]);
     state.regions = (
         Timestamp::from_micros(1_790_000_000_555_000),
@@ -222,33 +240,37 @@
 }
 
 /// The agreement in the fixture.
-pub fn image() -> Image {
-    Image {
-        hard: Hard { term: 4, vote: B2, commit: 27 },
+pub fn image() -> RaftPersistentState {
+    RaftPersistentState {
+        hard_state: HardState { term: 4, vote: B2, commit: 27 },
         snapshot: SnapshotRecord {
             index: 20,
             term: 3,
-            conf: Conf { voters: vec![B1, B2], learners: vec![B3, B8], ..Conf::default() },
-            state: records::write(&snapshot_state()),
+            configuration: Configuration {
+                voters: vec![B1, B2],
+                learners: vec![B3, B8],
+                ..Configuration::default()
+            },
+            state: codec::encode(&snapshot_state()),
         },
-        dropped: (18, 2),
+        compacted: (18, 2),
         entries: entries(),
     }
 }
 
 /// Who the fixture's daemon is. The place is of no file that there is.
-pub fn identity() -> Identity {
-    Identity { id: B1, boots: 5, place: (11, 12) }
+pub fn identity() -> NodeIdentity {
+    NodeIdentity { id: B1, boot_count: 5, file: (11, 12) }
 }
 
-pub fn marks() -> Marks {
+pub fn marks() -> DrainList {
     vec![("s-2-0".into(), mark(B1, 9)), ("s-1-0".into(), mark(B1, 10))]
 }
 
-pub fn witnesses() -> BTreeMap<NodeId, Witness> {
+pub fn witnesses() -> BTreeMap<NodeId, PersistedProgress> {
     BTreeMap::from([
-        (B2, Witness { boots: 3, term: 4, last: (4, 28) }),
-        (B3, Witness { boots: 2, term: 3, last: (3, 27) }),
+        (B2, PersistedProgress { boot_count: 3, term: 4, last_entry: (4, 28) }),
+        (B3, PersistedProgress { boot_count: 2, term: 3, last_entry: (3, 27) }),
     ])
 }
 
@@ -307,8 +329,8 @@
     std::fs::write(&path, std::fs::read(fixtures().join("member.store")).unwrap()).unwrap();
     if adopted {
         let meta = std::fs::metadata(&path).unwrap();
-        let own = Identity { place: (meta.dev(), meta.ino()), ..identity() };
-        put(&path, "identity", &records::write(&own));
+        let own = NodeIdentity { file: (meta.dev(), meta.ino()), ..identity() };
+        put(&path, "identity", &codec::encode(&own));
     }
     path
 }
