--- a/src/fleet/recovery/first_election/tests.rs
+++ b/src/fleet/recovery/first_election/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 fn voter(id: u64, index: u64) -> Voter {
-    Voter { id: NodeId(id), last: (3, index), leader: NodeId::NOBODY }
+    Voter { id: NodeId(id), log_end: LogEnd { term: 3, index }, leader: NodeId::NOBODY }
 }
 
-/// Guards against two that stand against one another although they hear each other, against one that stands beside
-/// a leader or without a majority, and against nobody standing. Seeded: any logs, any part heard.
+/// Guards against two candidates that hear each other, against a candidate beside a leader or without a majority, and
+/// against none at all. Seeded: any logs, any subset of the voters up.
 #[test]
-fn of_those_that_hear_one_another_exactly_one_stands_and_it_has_the_newest_log() {
+fn of_the_voters_that_hear_one_another_exactly_one_is_candidate_and_it_has_the_newest_log() {
     for seed in 0..2_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let size = rng.u64(1..=9);
@@ -17,46 +17,62 @@
             let one = voter(id.0, rng.u64(0..3));
             up.extend((rng.u8(..4) > 0).then_some(one));
         }
-        let led = rng.u8(..5) == 0;
-        let waited = if rng.bool() { WAIT } else { TimeDelta::ZERO };
-        let mut standing = Vec::new();
-        for (n, me) in up.iter().enumerate() {
+        let leader_known = rng.u8(..5) == 0;
+        let waited = if rng.bool() { SILENT_VOTER_WAIT } else { TimeDelta::ZERO };
+        let mut candidates = Vec::new();
+        for (n, local) in up.iter().enumerate() {
             let mut others: Vec<Voter> = [&up[..n], &up[n + 1..]].concat();
-            // One that only follows, and a stranger, have no say.
+            // A learner or a stranger has no vote.
             others.push(voter(77, 99));
-            if led && let Some(other) = others.first_mut().filter(|v| v.id < NodeId(77)) {
+            if leader_known && let Some(other) = others.first_mut().filter(|v| v.id < NodeId(77)) {
                 other.leader = NodeId(5);
             }
-            if stands(*me, &voters, &others, waited) {
-                standing.push(*me);
+            if is_candidate(*local, &voters, &others, waited) {
+                candidates.push(*local);
             }
         }
         let majority = up.len() * 2 > voters.len();
-        let whole = up.len() == voters.len();
-        let due = majority && (whole || waited >= WAIT) && !(led && up.len() > 1);
-        assert_eq!(standing.len(), usize::from(due), "seed {seed}: {standing:?}");
-        let newest = up.iter().map(|v| v.last).max();
-        assert!(standing.iter().all(|v| Some(v.last) == newest), "seed {seed}");
+        let all_up = up.len() == voters.len();
+        let due = majority && (all_up || waited >= SILENT_VOTER_WAIT) && !(leader_known && up.len() > 1);
+        assert_eq!(candidates.len(), usize::from(due), "seed {seed}: {candidates:?}");
+        let newest = up.iter().map(|v| v.log_end).max();
+        assert!(candidates.iter().all(|v| Some(v.log_end) == newest), "seed {seed}");
     }
 }
 
-/// Guards against letters without end, and against one that stands again because a leader has fallen silent.
+/// Guards against elections without end, and against one that is started because a known leader has fallen silent.
 #[test]
-fn it_stands_again_after_a_while_and_never_once_it_has_known_a_leader() {
-    let (mut lead, voters, me) = (FirstElection::default(), [1, 2, 3].map(NodeId), voter(1, 5));
-    let two = [voter(2, 5)];
+fn an_election_is_retried_after_a_pause_and_never_once_a_leader_was_known() {
+    let (mut election, voters, local) = (FirstElection::default(), [1, 2, 3].map(NodeId), voter(1, 5));
+    let second = [voter(2, 5)];
     let (at, tick) = (|wait: TimeDelta| Timestamp::ZERO + wait, TimeDelta::from_micros(1));
-    assert!(!lead.is_due(at(TimeDelta::ZERO), me, &voters, &two), "the third one may know more");
-    assert!(!lead.is_due(at(WAIT), me, &voters, &[]) && !lead.is_due(at(WAIT + tick), me, &voters, &two));
-    assert!(lead.is_due(at(2 * WAIT + tick), me, &voters, &two));
-    assert!(!lead.is_due(at(2 * WAIT + AGAIN), me, &voters, &two));
-    assert!(lead.is_due(at(2 * WAIT + tick + AGAIN), me, &voters, &two));
-    assert!(!lead.is_due(at(5 * WAIT), Voter { leader: NodeId(2), ..me }, &voters, &two));
-    assert!(!lead.is_due(at(9 * WAIT), me, &voters, &two));
+    assert!(
+        !election.is_due(at(TimeDelta::ZERO), local, &voters, &second),
+        "the third voter may have a newer log"
+    );
+    assert!(
+        !election.is_due(at(SILENT_VOTER_WAIT), local, &voters, &[])
+            && !election.is_due(at(SILENT_VOTER_WAIT + tick), local, &voters, &second)
+    );
+    assert!(election.is_due(at(2 * SILENT_VOTER_WAIT + tick), local, &voters, &second));
+    assert!(!election.is_due(at(2 * SILENT_VOTER_WAIT + ELECTION_RETRY), local, &voters, &second));
+    assert!(election.is_due(at(2 * SILENT_VOTER_WAIT + tick + ELECTION_RETRY), local, &voters, &second));
+    assert!(!election.is_due(
+        at(5 * SILENT_VOTER_WAIT),
+        Voter { leader: NodeId(2), ..local },
+        &voters,
+        &second
+    ));
+    assert!(!election.is_due(at(9 * SILENT_VOTER_WAIT), local, &voters, &second));
 }
 
 #[test]
-fn one_that_only_follows_never_stands() {
-    assert!(!stands(voter(9, 50), &[1, 2, 3].map(NodeId), &[voter(1, 1), voter(2, 1), voter(3, 1)], WAIT));
-    assert!(stands(voter(1, 0), &[NodeId(1)], &[], TimeDelta::ZERO));
+fn a_learner_is_never_candidate() {
+    assert!(!is_candidate(
+        voter(9, 50),
+        &[1, 2, 3].map(NodeId),
+        &[voter(1, 1), voter(2, 1), voter(3, 1)],
+        SILENT_VOTER_WAIT
+    ));
+    assert!(is_candidate(voter(1, 0), &[NodeId(1)], &[], TimeDelta::ZERO));
 }
--- a/src/fleet/recovery/phases.rs
+++ b/src/fleet/recovery/phases.rs
@@ -154,7 +154,10 @@
     /// The phase, and what it waits for.
     fn phase(&self, elapsed: TimeDelta) -> (RecoveryPhase, String) {
         if !self.closed_to_writes.is_empty() {
-            return (RecoveryPhase::Writes, format!("the primary of {}", group_names(&self.closed_to_writes)));
+            return (
+                RecoveryPhase::Writes,
+                format!("the primary of {}", group_names(&self.closed_to_writes)),
+            );
         }
         if !self.closed_to_reads.is_empty() {
             let groups = group_names(&self.closed_to_reads);
@@ -247,9 +250,8 @@
         endpoints: &[&EndpointView],
         survey: &mut Survey,
     ) {
-        let is_named_primary = |endpoint: &&EndpointView| {
-            endpoint.is_primary || endpoint.primary_claims * 2 > view.member_count
-        };
+        let is_named_primary =
+            |endpoint: &&EndpointView| endpoint.is_primary || endpoint.primary_claims * 2 > view.member_count;
         let primary = endpoints.iter().position(is_named_primary);
         let proof_timed_out = elapsed >= PROOF_TIMEOUT;
         let opened = self.opened.entry(group).or_default();
--- a/src/fleet/recovery/slow_start.rs
+++ b/src/fleet/recovery/slow_start.rs
@@ -59,7 +59,8 @@
             let maximum = safe_load * MINORITY_LOAD_FRACTION / members as f64;
             return AdmissionShare { initial: (1.0 / members as f64).min(maximum), maximum };
         }
-        let left_to_others = safe_load * MINORITY_LOAD_FRACTION * (members - reachable) as f64 / members as f64;
+        let left_to_others =
+            safe_load * MINORITY_LOAD_FRACTION * (members - reachable) as f64 / members as f64;
         let maximum = (safe_load - left_to_others) / reachable as f64;
         AdmissionShare { initial: (1.0 / reachable as f64).min(maximum), maximum }
     }
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -70,9 +70,9 @@
         if table.learned.is_empty() || *self.kept.borrow() == kept {
             return;
         }
-        let words = table.learned.records_to_persist(self.clock.now());
-        let saved = PersistedGossip { at: clocks(&self.clock), words, breaks: kept.1.clone() };
-        log::debug!("fleet: {} words on hosts are kept", saved.words.len());
+        let records = table.learned.records_to_persist(self.clock.now());
+        let saved = PersistedGossip { written_at: clocks(&self.clock), records, rollbacks: kept.1.clone() };
+        log::debug!("gossip: {} records written to disk", saved.records.len());
         if self.send_to_store(StoreCommand::PersistGossip(codec::encode(&saved))) {
             *self.kept.borrow_mut() = kept;
         }
@@ -119,6 +119,6 @@
 
 /// The machine's clocks now.
 pub(super) fn clocks(clock: &Clock) -> ClockReading {
-    let (boot, up) = Clock::machine();
-    ClockReading { wall: clock.now(), boot, up }
+    let (boot_id, uptime) = Clock::machine();
+    ClockReading { wall: clock.now(), boot_id, uptime }
 }
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -10,9 +10,10 @@
 use super::pending_drains::PendingDrains;
 use super::recovery::first_election::FirstElection;
 use super::recovery::phases::{
-    EndpointView, RecoveryDecision, RecoveryPhase, RecoverySchedule, SlowStartPolicy, WAITING_FOR_LIST,
+    EndpointView, RecoveryDecision, RecoveryPhase, RecoverySchedule, WAITING_FOR_LIST,
 };
 use super::recovery::restart_detector::{KnownEndpoint, RestartDetector};
+use super::recovery::slow_start::SlowStartPolicy;
 use super::recovery::{ClockReading, PersistedGossip, RestoredAge, restored_age};
 use super::zones::{EvacuationPolicy, ZoneState};
 use crate::clock::Clock;
@@ -284,16 +285,16 @@
         let mut learned = GossipState::new(identity.id, clock.now().as_micros().max(0) as u64);
         let mut breaks = LogRollbacks::default();
         if let Some(saved) = kept.and_then(|bytes| codec::decode::<PersistedGossip>(&bytes)) {
-            for b in &saved.breaks {
+            for b in &saved.rollbacks {
                 breaks.record(*b);
             }
-            match restored_age(&saved.at, &clocks(&clock)) {
+            match restored_age(&saved.written_at, &clocks(&clock)) {
                 RestoredAge::Usable(since) => {
                     log::info!(
                         "fleet: what was learned before is {} ms old; it is a first guess",
                         since.as_millis()
                     );
-                    learned.restore(clock.now(), &saved.words, since);
+                    learned.restore(clock.now(), &saved.records, since);
                 }
                 RestoredAge::Unusable(why) => log::warn!("fleet: what was learned before is not used: {why}"),
             }
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -26,9 +26,9 @@
         let mut order = self.order.borrow_mut();
         let Some(own) = order.as_mut() else { return (None, None) };
         let stand = own.advance(&self.recovery_inputs(now, listed));
-        let turns = stand.turns.then(|| self.poll_participants());
-        let terms = stand.terms.clone();
-        if stand.step == RecoveryPhase::Done {
+        let turns = stand.share_polling.then(|| self.poll_participants());
+        let terms = stand.admission.clone();
+        if stand.phase == RecoveryPhase::Done {
             *order = None;
         }
         drop(order);
@@ -39,22 +39,22 @@
     pub(super) fn record_recovery_status(&self, stand: &RecoveryDecision) {
         let mut service = self.service.borrow_mut();
         let now = Instant::now();
-        if (service.step, &service.waits) == (stand.step, &stand.waits) {
+        if (service.step, &service.waits) == (stand.phase, &stand.waiting_for) {
             return;
         }
         let since = (now - service.began).as_millis();
-        if service.step != stand.step {
-            let waits = if stand.waits.is_empty() { "nothing" } else { &stand.waits };
+        if service.step != stand.phase {
+            let waits = if stand.waiting_for.is_empty() { "nothing" } else { &stand.waiting_for };
             // Steps that others' words have made short are told too.
             let passed = [RecoveryPhase::Writes, RecoveryPhase::Reads, RecoveryPhase::Rest].into_iter();
-            for step in passed.filter(|step| (service.step < *step) && (*step < stand.step)) {
+            for step in passed.filter(|step| (service.step < *step) && (*step < stand.phase)) {
                 log::info!("recovery: step {step}, {since} ms after the start; waits for nothing");
             }
-            log::info!("recovery: step {}, {since} ms after the start; waits for {waits}", stand.step);
+            log::info!("recovery: step {}, {since} ms after the start; waits for {waits}", stand.phase);
             service.since = now;
         }
-        (service.step, service.waits) = (stand.step, stand.waits.clone());
-        if stand.step == RecoveryPhase::Done {
+        (service.step, service.waits) = (stand.phase, stand.waiting_for.clone());
+        if stand.phase == RecoveryPhase::Done {
             service.done = Some(now);
         }
     }
@@ -87,17 +87,23 @@
             let started = moment.started_at.max(host.started_at);
             (!drained).then(|| EndpointView {
                 group: host.group,
-                primary: moment.is_primary,
-                named: moment.primary_claims,
-                proven: moment.position_known,
+                is_primary: moment.is_primary,
+                primary_claims: moment.primary_claims,
+                position_known: moment.position_known,
                 age: started.map(|at| now - at),
-                bore: moment.warm_capacity_rps,
-                said: moment.utilization_reported,
-                serves: moment.current_rate_rps,
+                warm_capacity_rps: moment.warm_capacity_rps,
+                utilization_reported: moment.utilization_reported,
+                current_rate_rps: moment.current_rate_rps,
             })
         };
         let hosts = if listed { table.state.hosts.iter().filter_map(seen).collect() } else { Vec::new() };
-        crate::fleet::recovery::phases::RecoveryView { now, listed, members, heard, hosts }
+        crate::fleet::recovery::phases::RecoveryView {
+            now,
+            list_received: listed,
+            member_count: members,
+            reachable_count: heard,
+            endpoints: hosts,
+        }
     }
 
     /// Notes which of these hosts have started a moment ago. The module is told, and spares them; but where no host of
@@ -116,23 +122,23 @@
             }
             let known = |(name, host): (&'_ String, &HostRecord)| KnownEndpoint {
                 group: host.group,
-                listed: host.started_at,
-                started: table.learned.started_at(name),
-                heard: table.learned.last_heard(name),
+                listed_start: host.started_at,
+                observed_start: table.learned.started_at(name),
+                last_heard: table.learned.last_heard(name),
             };
             let all = table.state.hosts.iter().map(|h| (h.0.as_str(), known(h))).collect();
             restarts.record(now, cold, hosts.into_iter(), &all)
         };
-        if news.group_cold && !self.returns() {
+        if news.group_is_cold && !self.returns() {
             log::warn!(
                 "recovery: a group's hosts have all started a moment ago; service returns to it in order"
             );
             self.returns_by(cold);
             *self.service.borrow_mut() = RecoveryStatus::new("");
         }
-        if !news.spared.is_empty() {
-            log::info!("fleet: started a moment ago, and cold: {}", news.spared.join(", "));
-            self.mark_endpoints_changed(news.spared);
+        if !news.slow_starting.is_empty() {
+            log::info!("fleet: started a moment ago, and cold: {}", news.slow_starting.join(", "));
+            self.mark_endpoints_changed(news.slow_starting);
             self.notify_watchers();
         }
     }
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -276,12 +276,12 @@
 
 pub fn saved() -> PersistedGossip {
     PersistedGossip {
-        at: ClockReading {
+        written_at: ClockReading {
             wall: Timestamp::from_micros(1_790_000_000_777_000),
-            boot: "6f1c0e0e-2c5b-4d0f".into(),
-            up: TimeDelta::from_micros(86_400_123_456),
+            boot_id: "6f1c0e0e-2c5b-4d0f".into(),
+            uptime: TimeDelta::from_micros(86_400_123_456),
         },
-        words: vec![
+        records: vec![
             GossipRecord {
                 observer: B1,
                 version: GossipVersion { incarnation: 1_790_000_000_000_001, sequence: 17 },
@@ -307,7 +307,7 @@
                 utilization_permille: 0,
             },
         ],
-        breaks: vec![
+        rollbacks: vec![
             LogRollback {
                 group: GroupId(1),
                 from: LogPosition::from_micros(1_780_000_000_100_000),
