--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -4,7 +4,7 @@
 use super::{Executor, Leave, accept, carry, open_door, signal, signalled, until_drained};
 use crate::clock::Clock;
 use crate::config::{Limits, Machine};
-use crate::engine::classes::Classes;
+use crate::engine::classes::{Classes, IdempotencyKey};
 use crate::engine::{self, Command, Control, EngineHandle, Input};
 use crate::fleet::admin_api;
 use crate::fleet::recovery::phases::{Cold, Step};
@@ -98,7 +98,7 @@
         }
         if !told && began.elapsed() > limits.file_check_interval * 4 {
             told = true;
-            log::warn!("not ready: no settings are agreed yet; {}", fleet.table().stand.0);
+            log::warn!("not ready: no settings are agreed yet; {}", fleet.bootstrap_status());
         }
         let _ = until(Instant::now() + limits.file_check_interval, changed.recv()).await;
     }
@@ -232,7 +232,7 @@
     for class in
         [Some(&operator.service.query), operator.service.session.as_ref(), Some(&operator.service.update)]
     {
-        if let Some(name) = class.filter(|name| classes.find(name, true).is_none()) {
+        if let Some(name) = class.filter(|name| classes.find(name, IdempotencyKey::Present).is_none()) {
             return Err(format!("{}: the settings name no service {name:?}", operator.path.display()));
         }
     }
--- a/src/engine/admission/tests.rs
+++ b/src/engine/admission/tests.rs
@@ -1,11 +1,15 @@
+use super::paced_rate::{BURST_LENGTH, MIN_BURST_REQUESTS};
 use super::*;
+use crate::routing::Consistency;
 
-const S: TimeDelta = TimeDelta::from_secs(1);
+const SECOND: TimeDelta = TimeDelta::from_secs(1);
 const MS: TimeDelta = TimeDelta::from_millis(1);
-const G: GroupId = GroupId(1);
+const GROUP: GroupId = GroupId(1);
+const OTHER_GROUP: GroupId = GroupId(2);
+const WRITE: usize = 0;
 
-/// From the first moment on, one each millisecond.
-fn moments(length: TimeDelta) -> impl Iterator<Item = Timestamp> {
+/// One instant in each millisecond, from zero on.
+fn instants(length: TimeDelta) -> impl Iterator<Item = Timestamp> {
     (0..length / MS).map(|n| Timestamp::ZERO + MS * n)
 }
 
@@ -25,203 +29,230 @@
         class(Consistency::Session, 1.0),
         class(Consistency::Eventual, 0.5),
     ];
-    Settings { classes, max_retry_after: Some(S), ..Settings::default() }
+    Settings { classes, max_retry_after: Some(SECOND), ..Settings::default() }
 }
 
-fn gate() -> AdmissionController {
+fn controller() -> AdmissionController {
     AdmissionController::new(&settings(), 1)
 }
 
-fn terms(writes: AdmissionMode, reads: AdmissionMode, rest: bool) -> Option<AdmissionPolicy> {
+fn policy(
+    writes: AdmissionMode,
+    reads: AdmissionMode,
+    admit_eventual_reads: bool,
+) -> Option<AdmissionPolicy> {
     Some(AdmissionPolicy {
-        groups: BTreeMap::from([(G, GroupAdmission { writes, reads })]),
-        admit_eventual_reads: rest,
+        groups: BTreeMap::from([(GROUP, GroupAdmission { writes, reads })]),
+        admit_eventual_reads,
         retry_after: MS * 300,
     })
 }
 
+fn paced(capacity_per_s: f64, max_per_s: f64, capacity_source: CapacitySource) -> AdmissionMode {
+    AdmissionMode::Paced { capacity_per_s, max_per_s, capacity_source }
+}
+
+fn is_admitted(controller: &mut AdmissionController, now: Timestamp, class: usize, group: GroupId) -> bool {
+    controller.admit(now, class, group) == AdmissionDecision::Admitted
+}
+
+/// The retry-after hint of a request; `None`: it is admitted.
+fn retry_after(controller: &mut AdmissionController, class: usize, group: GroupId) -> Option<TimeDelta> {
+    match controller.admit(Timestamp::ZERO, class, group) {
+        AdmissionDecision::Admitted => None,
+        AdmissionDecision::Rejected { retry_after } => Some(retry_after),
+    }
+}
+
+/// Which of the four classes are admitted.
+fn admitted_classes(controller: &mut AdmissionController) -> Vec<bool> {
+    (0..4).map(|class| is_admitted(controller, Timestamp::ZERO, class, GROUP)).collect()
+}
+
 #[test]
-fn kinds_return_one_after_the_other_and_groups_that_are_not_named_wait() {
-    let mut gate = gate();
+fn kinds_open_one_after_the_other_and_unlisted_groups_stay_closed() {
+    let (open, closed) = (AdmissionMode::Open, AdmissionMode::Closed(MS * 200));
+    let mut controller = controller();
     assert!(
-        (0..4).all(|class| gate.admit(Timestamp::ZERO, class, GroupId(9)).is_ok()),
-        "without terms all are let in"
+        (0..4).all(|class| is_admitted(&mut controller, Timestamp::ZERO, class, GroupId(9))),
+        "without a policy everything is admitted"
     );
-    let seen = |gate: &mut AdmissionController| {
-        (0..4).map(|c| gate.admit(Timestamp::ZERO, c, G).is_ok()).collect::<Vec<_>>()
-    };
-    gate.set(Timestamp::ZERO, terms(AdmissionMode::Closed(MS * 200), AdmissionMode::Closed(MS * 200), false));
-    assert_eq!(seen(&mut gate), [false; 4]);
-    let waits: Vec<TimeDelta> = (0..100).filter_map(|_| gate.admit(Timestamp::ZERO, 0, G).err()).collect();
+    controller.set_policy(Timestamp::ZERO, policy(closed, closed, false));
+    assert_eq!(admitted_classes(&mut controller), [false; 4]);
+    let hints: Vec<TimeDelta> = (0..100).filter_map(|_| retry_after(&mut controller, WRITE, GROUP)).collect();
     for from in (200..400).step_by(20).map(|n| MS * n) {
-        assert!((8..=12).contains(&waits.iter().filter(|w| (from..from + MS * 20).contains(*w)).count()));
+        let within = hints.iter().filter(|hint| (from..from + MS * 20).contains(*hint)).count();
+        assert!((8..=12).contains(&within));
     }
-    gate.set(Timestamp::ZERO, terms(AdmissionMode::Open, AdmissionMode::Closed(MS * 200), false));
-    assert_eq!(seen(&mut gate), [true, false, false, false]);
-    gate.set(Timestamp::ZERO, terms(AdmissionMode::Open, AdmissionMode::Open, false));
-    assert_eq!(seen(&mut gate), [true, true, true, false]);
-    gate.set(Timestamp::ZERO, terms(AdmissionMode::Open, AdmissionMode::Open, true));
+    controller.set_policy(Timestamp::ZERO, policy(open, closed, false));
+    assert_eq!(admitted_classes(&mut controller), [true, false, false, false]);
+    controller.set_policy(Timestamp::ZERO, policy(open, open, false));
+    assert_eq!(admitted_classes(&mut controller), [true, true, true, false]);
+    controller.set_policy(Timestamp::ZERO, policy(open, open, true));
     assert!(
-        seen(&mut gate) == [true; 4]
-            && gate.admit(Timestamp::ZERO, 0, GroupId(2)).is_err_and(|w| w >= MS * 300)
+        admitted_classes(&mut controller) == [true; 4]
+            && retry_after(&mut controller, WRITE, OTHER_GROUP).is_some_and(|hint| hint >= MS * 300)
     );
-    gate.set(Timestamp::ZERO, None);
-    assert!(gate.admit(Timestamp::ZERO, 0, GroupId(2)).is_ok());
+    controller.set_policy(Timestamp::ZERO, None);
+    assert!(is_admitted(&mut controller, Timestamp::ZERO, WRITE, OTHER_GROUP));
 }
 
-/// Guards against a pace that is left, and against a wave: those that are turned away come back one after the
-/// other. Seeded: any arrivals, any outcomes.
+/// Requests at any times with any outcomes: when each was admitted, and when the others were told to return.
+fn random_requests(
+    seed: u64,
+    rng: &mut fastrand::Rng,
+    mode: AdmissionMode,
+) -> (Vec<Timestamp>, Vec<Timestamp>) {
+    let mut controller = controller();
+    controller.set_policy(Timestamp::ZERO, policy(mode, AdmissionMode::Open, true));
+    let mut now = Timestamp::ZERO;
+    let (mut admitted, mut returns) = (Vec::new(), Vec::new());
+    for _ in 0..3_000 {
+        now += TimeDelta::from_micros(rng.i64(0..4_000));
+        match controller.admit(now, WRITE, GROUP) {
+            AdmissionDecision::Admitted => {
+                admitted.push(now);
+                let overloaded = rng.u8(..20) == 0;
+                let outcome = if overloaded { AttemptOutcome::Overloaded } else { AttemptOutcome::Served };
+                let took = TimeDelta::from_micros(rng.i64(0..500_000));
+                controller.record_attempt(now + TimeDelta::from_micros(1), WRITE, GROUP, took, outcome);
+            }
+            AdmissionDecision::Rejected { retry_after } => {
+                assert!((MIN_RETRY_AFTER..=SECOND).contains(&retry_after), "seed {seed}: {retry_after:?}");
+                returns.push(now + retry_after);
+            }
+        }
+    }
+    (admitted, returns)
+}
+
+/// The rate never exceeds its bound, and rejected requests do not return all at once. Seeded.
 #[test]
-fn no_more_are_let_in_than_the_bound_and_the_others_come_back_one_by_one() {
+fn admitted_requests_stay_below_the_bound_and_rejected_ones_return_one_by_one() {
     for seed in 0..300 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut gate = gate();
-        let (start, most) = (rng.f64() * 40.0 + 1.0, rng.f64() * 200.0 + 1.0);
-        gate.set(
-            Timestamp::ZERO,
-            terms(
-                AdmissionMode::Paced {
-                    capacity_per_s: start,
-                    max_per_s: most,
-                    capacity_source: CapacitySource::Estimated,
-                },
-                AdmissionMode::Open,
-                true,
-            ),
-        );
-        let (mut now, mut let_in) = (Timestamp::ZERO, Vec::new());
-        let mut back: Vec<Timestamp> = Vec::new();
-        for _ in 0..3_000 {
-            now += TimeDelta::from_micros(rng.i64(0..4_000));
-            match gate.admit(now, 0, G) {
-                Ok(()) => {
-                    let_in.push(now);
-                    let outcome =
-                        if rng.u8(..20) == 0 { AttemptOutcome::Overloaded } else { AttemptOutcome::Served };
-                    let took = TimeDelta::from_micros(rng.i64(0..500_000));
-                    gate.ended(now + TimeDelta::from_micros(1), 0, G, took, outcome);
-                }
-                Err(wait) => {
-                    assert!((SOON..=S).contains(&wait), "seed {seed}: {wait:?}");
-                    back.push(now + wait);
-                }
-            }
-        }
-        for (n, from) in let_in.iter().enumerate() {
-            let second = let_in[n..].iter().take_while(|at| **at - *from < S).count() as f64;
-            let burst = (most * BURST.as_micros_f64() / 1e6).max(ONES);
-            assert!(second <= most + burst + 2.0, "seed {seed}: {second} in a second, {most} at most");
+        let (capacity, max) = (rng.f64() * 40.0 + 1.0, rng.f64() * 200.0 + 1.0);
+        let mode = paced(capacity, max, CapacitySource::Estimated);
+        let (admitted, mut returns) = random_requests(seed, &mut rng, mode);
+        for (n, from) in admitted.iter().enumerate() {
+            let second = admitted[n..].iter().take_while(|at| **at - *from < SECOND).count() as f64;
+            let burst = (max * BURST_LENGTH.as_micros_f64() / 1e6).max(MIN_BURST_REQUESTS);
+            assert!(second <= max + burst + 2.0, "seed {seed}: {second} in a second, {max} at most");
         }
-        back.sort_unstable();
-        let crowd = back.windows(40).filter(|w| w[39] - w[0] < MS).count();
-        assert!(crowd * 20 <= back.len(), "seed {seed}: {crowd} crowds among {}", back.len());
+        returns.sort_unstable();
+        let crowds = returns.windows(40).filter(|window| window[39] - window[0] < MS).count();
+        assert!(crowds * 20 <= returns.len(), "seed {seed}: {crowds} crowds among {}", returns.len());
     }
 }
 
-/// Guards against a pace that hosts do not bear, and against one that never gets to what they do.
+/// A request at the simulated endpoint.
+struct Sent {
+    process: usize,
+    sent_at: Timestamp,
+    done_at: Timestamp,
+    outcome: AttemptOutcome,
+}
+
+fn take_done(in_flight: &mut Vec<Sent>, now: Timestamp) -> Vec<Sent> {
+    in_flight.extract_if(.., |sent| sent.done_at <= now).collect()
+}
+
+/// The rate neither stays above the endpoints' capacity nor below it.
 #[test]
-fn the_pace_finds_what_hosts_bear() {
-    for bears in [5.0f64, 40.0, 300.0] {
-        let mut gate = gate();
-        gate.set(
-            Timestamp::ZERO,
-            terms(
-                AdmissionMode::Paced {
-                    capacity_per_s: 10.0,
-                    max_per_s: 1_000.0,
-                    capacity_source: CapacitySource::Estimated,
-                },
-                AdmissionMode::Open,
-                true,
-            ),
-        );
-        // One after the other: when each was sent, and is done or was turned away.
-        let mut out: Vec<(Timestamp, Timestamp, AttemptOutcome)> = Vec::new();
-        let (mut free, mut served, mut most) = (0.0f64, 0, 0);
-        for now in moments(8 * S) {
-            for (sent, _, outcome) in out.extract_if(.., |(_, done, _)| *done <= now).collect::<Vec<_>>() {
-                served += u32::from(now > Timestamp::ZERO + 4 * S && outcome == AttemptOutcome::Served);
-                gate.ended(now, 0, G, now - sent, outcome);
+fn the_rate_converges_to_the_capacity() {
+    for capacity in [5.0f64, 40.0, 300.0] {
+        let mut controller = controller();
+        let mode = paced(10.0, 1_000.0, CapacitySource::Estimated);
+        controller.set_policy(Timestamp::ZERO, policy(mode, AdmissionMode::Open, true));
+        // The endpoint serves one request after the other and rejects what its queue does not hold.
+        let mut in_flight: Vec<Sent> = Vec::new();
+        let (mut free_at_micros, mut served, mut most_in_flight) = (0.0f64, 0, 0);
+        for now in instants(8 * SECOND) {
+            for Sent { sent_at, outcome, .. } in take_done(&mut in_flight, now) {
+                let counts = now > Timestamp::ZERO + 4 * SECOND && outcome == AttemptOutcome::Served;
+                served += u32::from(counts);
+                controller.record_attempt(now, WRITE, GROUP, now - sent_at, outcome);
             }
-            if gate.admit(now, 0, G).is_ok() {
-                if out.len() as f64 > bears.max(4.0) {
-                    out.push((now, now + MS, AttemptOutcome::Overloaded));
+            if is_admitted(&mut controller, now, WRITE, GROUP) {
+                if in_flight.len() as f64 > capacity.max(4.0) {
+                    let outcome = AttemptOutcome::Overloaded;
+                    in_flight.push(Sent { process: 0, sent_at: now, done_at: now + MS, outcome });
                     continue;
                 }
-                free = free.max(now.as_micros() as f64) + 1e6 / bears;
-                out.push((now, Timestamp::from_micros(free as i64), AttemptOutcome::Served));
+                free_at_micros = free_at_micros.max(now.as_micros() as f64) + 1e6 / capacity;
+                let done_at = Timestamp::from_micros(free_at_micros as i64);
+                in_flight.push(Sent { process: 0, sent_at: now, done_at, outcome: AttemptOutcome::Served });
             }
-            most = most.max(out.len());
+            most_in_flight = most_in_flight.max(in_flight.len());
         }
-        assert!((most as f64) < bears + 6.0, "{bears}: {most} at once");
+        assert!((most_in_flight as f64) < capacity + 6.0, "{capacity}: {most_in_flight} at once");
         let rate = f64::from(served) / 4.0;
-        assert!(rate > bears * 0.85 && rate < bears * 1.1, "{bears}: {rate}");
+        assert!(rate > capacity * 0.85 && rate < capacity * 1.1, "{capacity}: {rate}");
     }
 }
 
-/// Guards against a wave that grows with the number of daemons, and against queues at hosts that said what they
-/// bear: longer ones make reads go to primaries. Seeded: more is wanted of one host than it bears.
+/// The first burst must not grow with the number of processes, and no long queue may build up at endpoints that
+/// reported their capacity: it makes the router send reads to primaries. Seeded: demand exceeds the capacity.
 #[test]
-fn what_hosts_said_that_they_bear_is_used_without_a_queue_by_any_number_of_daemons() {
-    const BEARS: f64 = 25.0;
-    for (daemons, seed) in [1, 3, 12].into_iter().flat_map(|d| (0..12).map(move |seed| (d, seed))) {
+fn a_reported_capacity_is_used_without_a_queue_by_any_number_of_processes() {
+    const CAPACITY_PER_S: f64 = 25.0;
+    for (processes, seed) in [1, 3, 12].into_iter().flat_map(|n| (0..12).map(move |seed| (n, seed))) {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let bears = BEARS / daemons as f64;
-        let way = AdmissionMode::Paced {
-            capacity_per_s: bears,
-            max_per_s: bears * 3.2,
-            capacity_source: CapacitySource::Reported,
-        };
-        let mut gates: Vec<AdmissionController> =
-            (0..daemons).map(|n| AdmissionController::new(&settings(), seed * 100 + n)).collect();
-        gates.iter_mut().for_each(|gate| gate.set(Timestamp::ZERO, terms(way, AdmissionMode::Open, true)));
-        let mut out: Vec<(Timestamp, Timestamp, usize)> = Vec::new();
-        let (mut free, mut first, mut served, mut worst) = (0.0f64, 0, 0, TimeDelta::ZERO);
-        for now in moments(6 * S) {
-            for (sent, done, n) in out.extract_if(.., |(_, done, _)| *done <= now).collect::<Vec<_>>() {
-                served += u32::from(now > Timestamp::ZERO + S);
-                worst = worst.max(done - sent);
-                gates[n].ended(now, 0, G, done - sent, AttemptOutcome::Served);
+        let share = CAPACITY_PER_S / processes as f64;
+        let mode = paced(share, share * 3.2, CapacitySource::Reported);
+        let mut controllers: Vec<AdmissionController> =
+            (0..processes).map(|n| AdmissionController::new(&settings(), seed * 100 + n)).collect();
+        for controller in &mut controllers {
+            controller.set_policy(Timestamp::ZERO, policy(mode, AdmissionMode::Open, true));
+        }
+        let mut in_flight: Vec<Sent> = Vec::new();
+        let (mut free_at_micros, mut first, mut served) = (0.0f64, 0, 0);
+        let mut worst = TimeDelta::ZERO;
+        for now in instants(6 * SECOND) {
+            for Sent { process, sent_at, done_at, outcome } in take_done(&mut in_flight, now) {
+                let took = done_at - sent_at;
+                served += u32::from(now > Timestamp::ZERO + SECOND);
+                worst = worst.max(took);
+                controllers[process].record_attempt(now, WRITE, GROUP, took, outcome);
             }
-            let n = rng.usize(..gates.len());
-            if rng.f64() < BEARS * 1.5 / 1_000.0 && gates[n].admit(now, 0, G).is_ok() {
-                first += u32::from(now < Timestamp::ZERO + S / 5);
-                free = free.max(now.as_micros() as f64) + 1e6 / BEARS;
-                out.push((now, Timestamp::from_micros(free as i64), n));
+            let process = rng.usize(..controllers.len());
+            let arrives = rng.f64() < CAPACITY_PER_S * 1.5 / 1_000.0;
+            if arrives && is_admitted(&mut controllers[process], now, WRITE, GROUP) {
+                first += u32::from(now < Timestamp::ZERO + SECOND / 5);
+                free_at_micros = free_at_micros.max(now.as_micros() as f64) + 1e6 / CAPACITY_PER_S;
+                let done_at = Timestamp::from_micros(free_at_micros as i64);
+                in_flight.push(Sent { process, sent_at: now, done_at, outcome: AttemptOutcome::Served });
             }
         }
-        let what = format!("{daemons} daemons, seed {seed}: {first} at first, {served}, worst {worst:?}");
-        assert!(first <= 8, "{what}");
-        assert!(f64::from(served) > BEARS * 5.0 * 0.8, "{what}");
-        assert!(worst < MS * 700, "{what}");
+        let context =
+            format!("{processes} processes, seed {seed}: {first} at first, {served}, worst {worst:?}");
+        assert!(first <= 8, "{context}");
+        assert!(f64::from(served) > CAPACITY_PER_S * 5.0 * 0.8, "{context}");
+        assert!(worst < MS * 700, "{context}");
     }
 }
 
-/// Guards against work of little worth that takes the place of better work.
+/// Requests of low priority must not take the place of others.
 #[test]
-fn the_class_that_is_worth_more_goes_first() {
-    let mut gate = gate();
-    gate.set(
-        Timestamp::ZERO,
-        terms(
-            AdmissionMode::Open,
-            AdmissionMode::Paced {
-                capacity_per_s: 100.0,
-                max_per_s: 100.0,
-                capacity_source: CapacitySource::Estimated,
-            },
-            true,
-        ),
-    );
-    let mut let_in = [0; 4];
-    for now in moments(2 * S).step_by(4) {
+fn the_class_of_greater_priority_weight_goes_first() {
+    let mut controller = controller();
+    let reads = paced(100.0, 100.0, CapacitySource::Estimated);
+    controller.set_policy(Timestamp::ZERO, policy(AdmissionMode::Open, reads, true));
+    let mut admitted = [0; 4];
+    for now in instants(2 * SECOND).step_by(4) {
         for class in [3, 2, 1] {
-            let_in[class] += u32::from(gate.admit(now, class, G).is_ok());
+            admitted[class] += u32::from(is_admitted(&mut controller, now, class, GROUP));
         }
     }
-    assert!(let_in[1] > 150 && let_in[2] + let_in[3] < 60, "{let_in:?}");
+    assert!(admitted[1] > 150 && admitted[2] + admitted[3] < 60, "{admitted:?}");
+    let ranks: Vec<_> = controller.classes.iter().map(|class| (class.classes_above, class.kind)).collect();
     assert_eq!(
-        gate.ranks,
-        [(0, RequestKind::Write), (0, RequestKind::Read), (1, RequestKind::Read), (2, RequestKind::Rest)]
+        ranks,
+        [
+            (0, RequestKind::Write),
+            (0, RequestKind::Read),
+            (1, RequestKind::Read),
+            (2, RequestKind::EventualRead)
+        ]
     );
 }
--- a/src/engine/classes.rs
+++ b/src/engine/classes.rs
@@ -1,77 +1,95 @@
-//! Classes by name, as both fronts look them up.
+//! Request classes by name, as the client-facing servers look them up.
 
-use crate::routing::{Consistency, Idempotency, Settings, TimeDelta};
+use crate::routing::{Class, Consistency, Idempotency, Settings, TimeDelta};
+
+/// Whether a request carries an idempotency key.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum IdempotencyKey {
+    /// It does: endpoints drop a repeat of it.
+    Present,
+    /// It does not: a repeat of it runs again.
+    Absent,
+}
 
-/// The classes of a service.
 #[derive(Clone, Debug)]
-pub struct Classes {
-    names: Vec<String>,
-    /// For a keyed class, the number of its twin for requests that carry no key.
-    keyless: Vec<Option<usize>>,
-    kinds: Vec<Option<Consistency>>,
-    deadlines: Vec<Option<TimeDelta>>,
+struct NamedClass {
+    name: String,
+    /// For a keyed class, the number of its variant for requests without a key.
+    keyless_variant: Option<usize>,
+    consistency: Option<Consistency>,
+    deadline: Option<TimeDelta>,
 }
 
+/// The request classes of a service, in the order of their class numbers.
+#[derive(Clone, Debug)]
+pub struct Classes(Vec<NamedClass>);
+
 impl Classes {
-    /// Names the classes of `settings`, and adds a twin to each keyed class. A repeat of a request without
-    /// a key is dropped by nobody, so the twin may be repeated only where it never ran.
+    /// Names the classes of `settings`, and appends to the settings a keyless variant of each keyed class.
+    ///
+    /// No endpoint drops the repeat of a request without a key. The variant is therefore not idempotent: a request
+    /// of it is retried only where the earlier attempt certainly never ran.
     pub fn new(names: Vec<String>, settings: &mut Settings) -> Classes {
         settings.classes.truncate(names.len());
-        let mut keyless = Vec::new();
-        for n in 0..settings.classes.len() {
-            let twin = (settings.classes[n].idempotency == Some(Idempotency::Keyed))
-                .then_some(settings.classes.len());
-            if twin.is_some() {
-                let class = crate::routing::Class {
-                    idempotency: Some(Idempotency::NonIdempotent),
-                    ..settings.classes[n].clone()
-                };
-                settings.classes.push(class);
+        let mut named = Vec::new();
+        let mut variants = Vec::new();
+        for (name, class) in names.into_iter().zip(&settings.classes) {
+            let mut keyless_variant = None;
+            if class.idempotency == Some(Idempotency::Keyed) {
+                keyless_variant = Some(settings.classes.len() + variants.len());
+                variants.push(Class { idempotency: Some(Idempotency::NonIdempotent), ..class.clone() });
             }
-            keyless.push(twin);
-        }
-        let named = &settings.classes[..keyless.len()];
-        Classes {
-            kinds: named.iter().map(|c| c.consistency).collect(),
-            deadlines: named.iter().map(|c| c.deadline).collect(),
-            names,
-            keyless,
+            let (consistency, deadline) = (class.consistency, class.deadline);
+            named.push(NamedClass { name, keyless_variant, consistency, deadline });
         }
+        settings.classes.append(&mut variants);
+        Classes(named)
     }
 
-    /// Names of the classes, and for every class number, twins included, that of its name.
-    pub fn names(&self) -> (&[String], Vec<usize>) {
-        let own = 0..self.keyless.len();
-        let mut named: Vec<usize> = own.clone().collect();
-        // Twins were added in the order of their classes.
-        named.extend(own.filter(|n| self.keyless[*n].is_some()));
-        (&self.names[..self.keyless.len()], named)
+    /// The names of the classes, in the order of their numbers. Keyless variants have none of their own.
+    pub fn names(&self) -> impl Iterator<Item = &str> {
+        self.0.iter().map(|class| class.name.as_str())
     }
 
-    /// The number of a class by its name, for a request with or without a key.
-    pub fn find(&self, name: &str, keyed: bool) -> Option<usize> {
-        let n = self.names.iter().take(self.keyless.len()).position(|c| c == name)?;
-        Some(self.keyless[n].filter(|_| !keyed).unwrap_or(n))
+    /// For every class number, keyless variants included, the index of its name in [`Classes::names`].
+    pub fn name_indices(&self) -> Vec<usize> {
+        let mut indices: Vec<usize> = (0..self.0.len()).collect();
+        // Variants were appended in the order of their classes.
+        for (index, class) in self.0.iter().enumerate() {
+            if class.keyless_variant.is_some() {
+                indices.push(index);
+            }
+        }
+        indices
+    }
+
+    /// The number of the class of that name for a request with or without an idempotency key.
+    pub fn find(&self, name: &str, key: IdempotencyKey) -> Option<usize> {
+        let number = self.0.iter().position(|class| class.name == name)?;
+        match key {
+            IdempotencyKey::Present => Some(number),
+            IdempotencyKey::Absent => Some(self.0[number].keyless_variant.unwrap_or(number)),
+        }
     }
 
-    fn kind(&self, name: &str) -> Option<Consistency> {
-        self.names.iter().position(|c| c == name).and_then(|n| self.kinds.get(n).copied().flatten())
+    fn class(&self, name: &str) -> Option<&NamedClass> {
+        self.0.iter().find(|class| class.name == name)
     }
 
-    /// Whether a class writes.
+    /// Whether requests of the class write.
     pub fn writes(&self, name: &str) -> bool {
-        self.kind(name) == Some(Consistency::Write)
+        self.class(name).and_then(|class| class.consistency) == Some(Consistency::Write)
     }
 
-    /// Whether what a class answers includes a position that its client names.
+    /// Whether an answer of the class reflects a log position that its client states.
     pub fn sees_positions(&self, name: &str) -> bool {
-        matches!(self.kind(name), Some(Consistency::Session | Consistency::Strong | Consistency::Write))
+        let consistency = self.class(name).and_then(|class| class.consistency);
+        matches!(consistency, Some(Consistency::Session | Consistency::Strong | Consistency::Write))
     }
 
-    /// The deadline of a class.
+    /// How long a client waits for a request of the class, all attempts included.
     pub fn deadline(&self, name: &str) -> Option<TimeDelta> {
-        let n = self.names.iter().position(|c| c == name)?;
-        self.deadlines.get(n).copied().flatten()
+        self.class(name)?.deadline
     }
 }
 
--- a/src/engine/handle.rs
+++ b/src/engine/handle.rs
@@ -1,23 +1,24 @@
-//! The way to the engine.
+//! The handle by which other parts reach the engine's thread.
 
+use super::message::{Control, FinalAnswer, Input, Submission};
 use super::metrics::{Gauges, Metrics};
-use super::{Control, FinalAnswer, Input, Submission, observations, outcome_window};
+use super::observations::Observation;
+use super::outcome_window::OutcomeCounts;
 use crate::clock::Clock;
-use crate::routing::*;
+use crate::routing::{IncomingRequest, RequestId, TimeDelta, Timestamp};
 use async_channel::{Receiver, Sender};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 
-/// A front's and a host side's way to the core.
+/// A handle to the engine; clones reach the same engine.
 pub struct EngineHandle<W, A> {
-    pub(super) inputs: Sender<Input<W, A>>,
-    pub(super) control: Sender<Control>,
-    pub(super) next: Arc<AtomicU64>,
-    /// The longest time that a client gave a request, in microseconds.
-    pub(super) client_timeout: Arc<AtomicI64>,
-    pub(super) metrics: Arc<Metrics>,
-    pub(super) clock: Clock,
+    inputs: Sender<Input<W, A>>,
+    control: Sender<Control>,
+    next_request_id: Arc<AtomicU64>,
+    longest_client_timeout_micros: Arc<AtomicI64>,
+    metrics: Arc<Metrics>,
+    clock: Clock,
 }
 
 impl<W, A> Clone for EngineHandle<W, A> {
@@ -25,8 +26,8 @@
         EngineHandle {
             inputs: self.inputs.clone(),
             control: self.control.clone(),
-            next: self.next.clone(),
-            client_timeout: self.client_timeout.clone(),
+            next_request_id: self.next_request_id.clone(),
+            longest_client_timeout_micros: self.longest_client_timeout_micros.clone(),
             metrics: self.metrics.clone(),
             clock: self.clock.clone(),
         }
@@ -34,69 +35,84 @@
 }
 
 impl<W, A> EngineHandle<W, A> {
-    /// The program's clock.
+    pub(super) fn new(
+        inputs: Sender<Input<W, A>>,
+        control: Sender<Control>,
+        metrics: Arc<Metrics>,
+        clock: Clock,
+    ) -> EngineHandle<W, A> {
+        EngineHandle {
+            inputs,
+            control,
+            next_request_id: Arc::new(AtomicU64::new(1)),
+            longest_client_timeout_micros: Arc::default(),
+            metrics,
+            clock,
+        }
+    }
+
+    /// The process's clock.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// What is counted.
+    /// The process's counters.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// What holds now; the core answers ahead of requests that wait. `None`: it has ended.
+    /// The values of the gauges. `None`: the engine has ended.
     pub async fn gauges(&self) -> Option<Gauges> {
-        let (reply, gauges) = async_channel::bounded(1);
-        self.control(Control::Gauges(reply)).await;
-        gauges.recv().await.ok()
+        self.ask(Control::Gauges).await
+    }
+
+    /// The observations of endpoints since the last call. `None`: the engine has ended.
+    pub async fn observations(&self) -> Option<Vec<Observation>> {
+        self.ask(Control::Observations).await
     }
 
-    /// What hosts have told since the last time. `None`: the core has ended.
-    pub async fn observations(&self) -> Option<Vec<observations::Observation>> {
-        let (reply, facts) = async_channel::bounded(1);
-        self.control(Control::Observations(reply)).await;
-        facts.recv().await.ok()
+    /// How attempts at each endpoint ended lately, by the endpoint's name. `None`: the engine has ended.
+    pub async fn outcome_counts(&self) -> Option<BTreeMap<String, OutcomeCounts>> {
+        self.ask(Control::OutcomeCounts).await
     }
 
-    /// Hands in a request; waits while the queue is full. `None`: the core has ended.
+    /// Sends a control message that carries the sender of its reply, and waits for the reply.
+    async fn ask<T>(&self, question: impl FnOnce(Sender<T>) -> Control) -> Option<T> {
+        let (sender, reply) = async_channel::bounded(1);
+        self.control(question(sender)).await;
+        reply.recv().await.ok()
+    }
+
+    /// Submits a request, whose id is assigned here; waits while the engine's queue is full. The final answer arrives
+    /// at the receiver. `None`: the engine has ended.
     pub async fn submit(
         &self,
-        ask: IncomingRequest,
+        request: IncomingRequest,
         deadline: Timestamp,
         work: W,
     ) -> Option<(RequestId, Receiver<FinalAnswer<A>>)> {
-        let id = RequestId(self.next.fetch_add(1, Ordering::Relaxed));
-        self.client_timeout.fetch_max((deadline - self.clock.now()).as_micros(), Ordering::Relaxed);
+        let id = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
+        let client_timeout = deadline - self.clock.now();
+        self.longest_client_timeout_micros.fetch_max(client_timeout.as_micros(), Ordering::Relaxed);
         let (reply, answer) = async_channel::bounded(1);
-        let request = Submission { ask: IncomingRequest { id, ..ask }, deadline, work, reply };
-        self.inputs.send(Input::Request(request)).await.ok()?;
+        let request = IncomingRequest { id, ..request };
+        let submission = Submission { request, deadline, work, reply };
+        self.inputs.send(Input::Request(submission)).await.ok()?;
         Some((id, answer))
     }
 
-    /// What was seen of each host within the last moment. `None`: the core has ended.
-    pub async fn outcome_counts(&self) -> Option<BTreeMap<String, outcome_window::OutcomeCounts>> {
-        let (reply, outcomes) = async_channel::bounded(1);
-        self.control(Control::OutcomeCounts(reply)).await;
-        outcomes.recv().await.ok()
-    }
-
-    /// The longest time that a client has given a request; `None` before the first.
+    /// The longest time that a client has given a request; `None` before the first request.
     pub fn client_timeout(&self) -> Option<TimeDelta> {
-        let longest = TimeDelta::from_micros(self.client_timeout.load(Ordering::Relaxed));
-        Some(longest).filter(|p| *p > TimeDelta::ZERO)
-    }
-
-    /// Whether inputs wait.
-    pub fn backlog(&self) -> usize {
-        self.inputs.len()
+        let longest = TimeDelta::from_micros(self.longest_client_timeout_micros.load(Ordering::Relaxed));
+        (longest > TimeDelta::ZERO).then_some(longest)
     }
 
-    /// Hands in anything else.
+    /// Sends any other input; waits while the engine's queue is full. An engine that has ended ignores it.
     pub async fn input(&self, input: Input<W, A>) {
         let _ = self.inputs.send(input).await;
     }
 
-    /// Hands in what goes ahead of queued requests.
+    /// Sends a control message, which is handled before any input that waits. An engine that has ended ignores it.
     pub async fn control(&self, control: Control) {
         let _ = self.control.send(control).await;
     }
--- a/src/engine/log_rollback.rs
+++ b/src/engine/log_rollback.rs
@@ -1,64 +1,68 @@
-//! Positions that a group has lost: its primary went back behind them. No I/O.
+//! Ranges of a group's log that were lost because its primary went back behind them. No I/O.
 //!
-//! A host that lost its power may have lost what it had not synced. A session that wrote such a commit is told so:
-//! older data would pass for its own, and so would newer data in which its write is missing.
+//! An endpoint that lost power may have lost commits that it had not synced. A session that names a lost commit must
+//! be told so: older data would pass for data that contains its write, and newer data without the write would too.
 
 use crate::routing::{GroupId, LogPosition};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Breaks that are remembered for a group; the oldest go.
-const BREAKS: usize = 16;
+/// Bounds the memory of a group's rollbacks, and the messages that carry them to peers: the one with the lowest
+/// position is forgotten first.
+const MAX_ROLLBACKS_PER_GROUP: usize = 16;
 
-/// Commits after `from` up to `to` are gone.
+/// Commits of a group after `from`, up to and including `to`, are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogRollback {
     /// The group.
     pub group: GroupId,
     /// The position to which its primary went back.
     pub from: LogPosition,
-    /// When the question went out that it answered with that position: no commit of before can be later, and none
-    /// after it is earlier, as far as the clocks of hosts are right.
+    /// When the request was sent that the primary answered with `from`. As far as the endpoints' clocks are right,
+    /// every commit from before the rollback is earlier than this, and every commit after it is later.
     pub to: LogPosition,
 }
 
-/// All breaks that are known.
+/// All known rollbacks, by group and ordered by position.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogRollbacks(BTreeMap<GroupId, Vec<LogRollback>>);
 
 impl LogRollbacks {
-    /// Whether nothing is new in a break.
-    pub fn is_known(&self, one: LogRollback) -> bool {
-        self.0.get(&one.group).is_some_and(|known| known.iter().any(|b| b.from == one.from && b.to >= one.to))
+    /// Whether a known rollback covers this one.
+    pub fn is_known(&self, rollback: LogRollback) -> bool {
+        let covers = |known: &LogRollback| known.from == rollback.from && known.to >= rollback.to;
+        self.0.get(&rollback.group).is_some_and(|known| known.iter().any(covers))
     }
 
-    /// Notes a break; true: it was not known. One that was noticed by several daemons is one.
-    pub fn record(&mut self, new: LogRollback) -> bool {
-        if new.to <= new.from {
+    /// Records a rollback; whether it adds anything to what was known. Rollbacks to the same position are one that
+    /// several processes noticed at different times.
+    pub fn record(&mut self, rollback: LogRollback) -> bool {
+        if rollback.to <= rollback.from {
             return false;
         }
-        let known = self.0.entry(new.group).or_default();
-        if let Some(old) = known.iter_mut().find(|b| b.from == new.from) {
-            // At the later time the host still stood there.
-            let later = new.to > old.to;
-            old.to = old.to.max(new.to);
-            return later;
+        let known = self.0.entry(rollback.group).or_default();
+        if let Some(same) = known.iter_mut().find(|known| known.from == rollback.from) {
+            // The endpoint still stood at that position at the later time.
+            let extends = rollback.to > same.to;
+            same.to = same.to.max(rollback.to);
+            return extends;
         }
-        known.push(new);
+        known.push(rollback);
         known.sort_unstable();
-        if known.len() > BREAKS {
+        if known.len() > MAX_ROLLBACKS_PER_GROUP {
             known.remove(0);
         }
         true
     }
 
-    /// Whether a commit at this position was lost: the position behind which its group went back.
+    /// Whether the commit at this position was lost: the position to which its group went back.
     pub fn lost(&self, group: GroupId, commit: LogPosition) -> Option<LogPosition> {
         let known = self.0.get(&group)?;
-        known.iter().find(|b| b.from < commit && commit <= b.to).map(|b| b.from)
+        let rollback = known.iter().find(|rollback| rollback.from < commit && commit <= rollback.to)?;
+        Some(rollback.from)
     }
 
-    /// All of them.
+    /// All known rollbacks.
     pub fn all(&self) -> Vec<LogRollback> {
         self.0.values().flatten().copied().collect()
     }
--- a/src/engine/message.rs
+++ b/src/engine/message.rs
@@ -1,101 +1,109 @@
 //! What goes into the engine and what comes out of it.
+//!
+//! `W` is the work of a request and `A` its answer; both are opaque to the engine.
 
+use super::admission::AdmissionPolicy;
 use super::endpoints::{EndpointChange, EndpointUpdate};
 use super::metrics::Gauges;
-use super::{admission, observations, outcome_window};
+use super::observations::Observation;
+use super::outcome_window::OutcomeCounts;
 use crate::ids::NodeId;
-use crate::routing::*;
+use crate::routing::{
+    AttemptOutcome, EndpointId, IncomingRequest, LoadReport, LogPosition, ReplicaStatus, RequestId,
+    TimeDelta, Timestamp,
+};
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The one final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer<A> {
-    /// Served, with what the host gave.
+    /// Served, with the endpoint's answer.
     Served(A),
-    /// Not done; trying again is harmless.
+    /// Rejected without effect; trying again is harmless.
     Rejected {
-        /// When to come back.
+        /// When the client should try again; `None`: at any time.
         retry_after: Option<TimeDelta>,
-        /// The time of the request was over.
+        /// The request's deadline has passed.
         overdue: bool,
     },
-    /// Failed; nothing is promised about its effect.
+    /// Failed; it may or may not have had an effect.
     Failed {
-        /// The time of the request was over.
+        /// The request's deadline has passed.
         overdue: bool,
     },
-    /// No list names the group that was asked for.
+    /// The endpoint list has never named the request's group.
     UnknownGroup,
 }
 
-/// A client's request as a front hands it in; the core numbers it.
+/// A client's request as it is submitted to the engine.
 #[derive(Clone, Debug)]
 pub struct Submission<W, A> {
-    /// What the module is asked; its id is the ticket's.
-    pub ask: IncomingRequest,
+    /// The request as the router takes it, with the id that the engine's handle assigned.
+    pub request: IncomingRequest,
     /// When the client stops waiting.
     pub deadline: Timestamp,
-    /// What is sent to a host, opaque to the core.
+    /// What is sent to an endpoint.
     pub work: W,
-    /// Where the final answer goes.
+    /// Receives the final answer.
     pub reply: Sender<FinalAnswer<A>>,
 }
 
-/// How an attempt ended, as the host side saw it.
+/// How an attempt ended, as the backend pool reports it.
 #[derive(Clone, Debug)]
 pub struct AttemptReport<A> {
     /// The request.
     pub id: RequestId,
-    /// The attempt.
+    /// The attempt's number among those of the request.
     pub attempt: u8,
-    /// The outcome.
+    /// How it ended.
     pub outcome: AttemptOutcome,
-    /// What the host told about itself.
+    /// The role and log position that the endpoint reported with its answer.
     pub replica_status: Option<ReplicaStatus>,
-    /// Its load report.
+    /// The load report that came with the answer; empty where there is none.
     pub report: LoadReport,
-    /// The answer, where it was served.
+    /// The answer, if the attempt was served.
     pub answer: Option<A>,
 }
 
-/// What comes in from fronts and host sides.
+/// Inputs from client connections, the backend pool and peers, handled in order of arrival.
 #[derive(Clone, Debug)]
 pub enum Input<W, A> {
-    /// A request.
+    /// A client's request.
     Request(Submission<W, A>),
-    /// The client of a request has gone.
+    /// The client of a request has disconnected.
     RequestCancelled(RequestId),
-    /// An answer too long to be held back has begun: what it is, while the rest is still to come.
+    /// An endpoint has begun to send an answer that is too long to be buffered. The answer is the client's from now
+    /// on; the end of the attempt is still to come.
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt's number among those of the request.
         attempt: u8,
-        /// The answer.
+        /// The answer, whose remainder is streamed.
         answer: A,
     },
     /// An attempt ended.
     AttemptFinished(AttemptReport<A>),
-    /// A probe came back, with what the host told; `None`: nothing.
+    /// A probe of an endpoint ended.
     ProbeFinished {
-        /// The member.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Time since it was sent.
+        /// How long it took.
         took: TimeDelta,
-        /// Its load report.
+        /// The endpoint's load report; `None`: the probe failed.
         report: Option<LoadReport>,
     },
-    /// A message of a peer.
+    /// A gossip message of a peer's router.
     PeerMessage {
-        /// Its number.
+        /// The peer's number.
         from: u16,
         /// The message.
         bytes: Vec<u8>,
     },
 }
 
-/// What another daemon heard a host say of itself, or this one before its start.
+/// An observation of an endpoint that a peer made, or this process before its last start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerObservation {
     /// The endpoint's name.
@@ -111,7 +119,7 @@
     pub replaces_poll: bool,
 }
 
-/// Who asks hosts in turn.
+/// The poolers that share the polling of endpoints; see [`super::poll_scheduler`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollParticipants {
     /// This process.
@@ -120,100 +128,100 @@
     pub peers: Vec<NodeId>,
 }
 
-/// What comes in ahead of everything else.
+/// Inputs that are handled before any [`Input`] that waits.
 #[derive(Clone, Debug)]
 pub enum Control {
-    /// A list, or changes to it.
+    /// A new endpoint list or changes to the last one.
     EndpointList {
-        /// The list.
+        /// The update.
         list: EndpointUpdate,
-        /// It was remembered from before the start.
+        /// It is a list from before the start of the process and may be out of date.
         cached: bool,
     },
-    /// What holds now is told there.
+    /// Asks for the values of the gauges.
     Gauges(Sender<Gauges>),
-    /// What hosts have told since the last time is told there.
-    Observations(Sender<Vec<observations::Observation>>),
-    /// What was seen of each host within the last moment is told there, by its name.
-    OutcomeCounts(Sender<BTreeMap<String, outcome_window::OutcomeCounts>>),
-    /// Nothing more is to be waited for from these hosts: reads that are out there and overdue are asked elsewhere.
+    /// Asks for the observations of endpoints since the last such request.
+    Observations(Sender<Vec<Observation>>),
+    /// Asks how attempts at each endpoint ended lately, by the endpoint's name.
+    OutcomeCounts(Sender<BTreeMap<String, OutcomeCounts>>),
+    /// Cancels reads in flight at the named endpoints that are overdue, so that the router retries them elsewhere.
     CancelOverdueReads(BTreeSet<String>),
-    /// What other daemons heard hosts say, or this one before its start.
+    /// Observations that peers made, or this process before its last start.
     PeerObservations(Vec<PeerObservation>),
-    /// The terms on which requests are let in; `None`: all are.
-    SetAdmission(Option<admission::AdmissionPolicy>),
-    /// Hosts are asked in turn with these other daemons; `None`: whenever the module wants it.
+    /// Sets the admission policy; `None`: everything is admitted.
+    SetAdmission(Option<AdmissionPolicy>),
+    /// Sets with whom the polling of endpoints is shared; `None`: with nobody.
     SetPollParticipants(Option<PollParticipants>),
-    /// Whatever is open gets its final answer now: the program ends.
+    /// The process is about to exit: every open request gets its final answer now, and no new one is taken.
     FinishAll,
-    /// End the thread.
+    /// Ends the engine's thread.
     Stop,
 }
 
-/// How current the data of an answer must be. The module sends only where it knows that; a host side that
-/// is told the position of each answer checks it once more.
+/// How current the data of an answer must be. The router sends an attempt only to endpoints of which it knows that; a
+/// backend protocol that reports the position of each answer checks the answer as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// As it comes.
+    /// Data of any age.
     Any,
-    /// No older than this when it is sent.
+    /// No older than this when the attempt is sent.
     MaxAge(TimeDelta),
-    /// From this point in time or later.
+    /// Including every commit before this point in time.
     CommittedSince(Timestamp),
 }
 
-/// What a host side is asked to do.
+/// What the engine wants done: by the backend pool, discovery or gossip.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command<W> {
     /// Send an attempt.
     SendAttempt {
         /// The request.
         id: RequestId,
-        /// Its number among the request's attempts.
+        /// The attempt's number among those of the request.
         attempt: u8,
-        /// The module's name for the host, handed back with what it tells of itself.
+        /// The endpoint's id, to be returned with what it reports about itself.
         endpoint: EndpointId,
-        /// The host's name.
+        /// The endpoint's name.
         host: String,
         /// The work.
         work: W,
-        /// When to abandon it.
+        /// When to stop waiting for the answer.
         until: Timestamp,
-        /// After this it may not be sent any more: an earlier attempt may have run, and what drops repeats of it
-        /// forgets it then.
+        /// The attempt must not be sent after this: an earlier attempt may have run, and its idempotency key is
+        /// forgotten then.
         send_by: Option<Timestamp>,
-        /// How current its answer must be.
+        /// How current the data of the answer must be.
         freshness: Freshness,
     },
-    /// Ask a host about itself.
+    /// Ask an endpoint for its load report.
     Probe {
-        /// The module's name for it, handed back.
+        /// The endpoint's id, to be returned with the report.
         endpoint: EndpointId,
-        /// The host's name.
+        /// The endpoint's name.
         host: String,
     },
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt's number among those of the request.
         attempt: u8,
     },
-    /// These hosts are new or changed.
+    /// Endpoints that are new, changed or gone.
     UpdateEndpoints(Vec<EndpointChange>),
-    /// Close idle connections to a host.
+    /// Close idle connections to the endpoint with this name.
     CloseIdle(String),
-    /// A message for peers.
+    /// Send a gossip message to peers' routers.
     SendToPeers {
-        /// Its number; `None`: all.
+        /// The peer's number; `None`: all peers.
         to: Option<u16>,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// The whole list is wanted.
+    /// Fetch the whole endpoint list.
     FetchList,
-    /// Another daemon has just heard this host: it need not be asked about itself before anything else.
+    /// A peer has just observed the endpoint with this name: its connections need no probe before their first use.
     SkipInitialProbe(String),
-    /// A host has begun anew: what hosts have told is to be read now.
+    /// An endpoint has restarted or its log went back: observations should be read at once.
     ObservationsPending,
 }
--- a/src/engine/metrics.rs
+++ b/src/engine/metrics.rs
@@ -1,78 +1,103 @@
-//! What the pooler reports of itself: counts that grow from the start of the process, fed by the core for every
-//! front, and the text that an operator is given.
+//! The process's metrics: counters since its start, gauges, and the text in which operators read both.
 
 use super::classes::Classes;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How a request ended.
+/// How a request ended, as the metrics count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served.
+    /// It was served.
     Success,
-    /// Refused.
+    /// It was rejected without effect.
     Overload,
-    /// Failed.
+    /// It failed, or its client disconnected.
     Error,
 }
 
-/// What holds at the moment of the question.
+/// Values that hold at the moment of reading.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken and not ended.
+    /// Requests that have been taken in and have not ended.
     pub concurrent: usize,
-    /// Hosts on the list.
+    /// Endpoints on the list.
     pub targets: usize,
-    /// Those among them that the module avoids.
+    /// Endpoints on the list to which the router sends nothing new now.
     pub disabled: usize,
 }
 
-/// The counts.
+/// Counters of one class name.
+#[derive(Debug, Default)]
+struct ClassCounters {
+    success: AtomicU64,
+    overload: AtomicU64,
+    error: AtomicU64,
+}
+
+impl ClassCounters {
+    fn of(&self, outcome: RequestOutcome) -> &AtomicU64 {
+        match outcome {
+            RequestOutcome::Success => &self.success,
+            RequestOutcome::Overload => &self.overload,
+            RequestOutcome::Error => &self.error,
+        }
+    }
+}
+
+/// The process's counters. They only grow.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Names of the classes, each with its counts by [`End`].
-    classes: Vec<(String, [AtomicU64; 3])>,
-    /// For every number of a class, that of its name: a class and its twin without keys are one.
-    named: Vec<usize>,
+    /// Names of the classes, each with its counters.
+    classes: Vec<(String, ClassCounters)>,
+    /// For every class number, the index into `classes`: a class and its keyless variant count as one.
+    name_indices: Vec<usize>,
     dispatches: AtomicU64,
 }
 
 impl Metrics {
-    /// Nothing has happened yet. All classes are there, also those that no request names.
+    /// All counters at zero. Every class is listed from the start, also without a request.
     pub fn new(classes: &Classes) -> Metrics {
-        let (names, named) = classes.names();
-        let classes = names.iter().map(|name| (name.clone(), Default::default())).collect();
-        Metrics { classes, named, dispatches: AtomicU64::new(0) }
+        let counters = classes.names().map(|name| (name.to_string(), ClassCounters::default()));
+        Metrics {
+            classes: counters.collect(),
+            name_indices: classes.name_indices(),
+            dispatches: AtomicU64::new(0),
+        }
     }
 
-    /// A request of this class has its final answer.
-    pub fn ended(&self, class: usize, end: RequestOutcome) {
-        if let Some((_, counts)) = self.named.get(class).and_then(|n| self.classes.get(*n)) {
-            counts[end as usize].fetch_add(1, Ordering::Relaxed);
+    /// Counts the end of a request of the class with this number.
+    pub fn record_outcome(&self, class: usize, outcome: RequestOutcome) {
+        let index = self.name_indices.get(class);
+        if let Some((_, counters)) = index.and_then(|index| self.classes.get(*index)) {
+            counters.of(outcome).fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// An attempt was written whole to a host.
+    /// Counts an attempt that was written in full to an endpoint.
     pub fn dispatched(&self) {
         self.dispatches.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The figures as text, a line each.
+    /// All values in the StatsD line format: `name:value|c` for counters and `name:value|g` for gauges.
     pub fn text(&self, gauges: Gauges) -> String {
-        let mut out = String::new();
-        for (name, counts) in &self.classes {
-            for (what, count) in ["success", "overload", "error"].iter().zip(counts) {
-                let _ = writeln!(out, "svc.{what}.{name}:{}|c", count.load(Ordering::Relaxed));
+        let mut text = String::new();
+        let outcomes = [
+            ("success", RequestOutcome::Success),
+            ("overload", RequestOutcome::Overload),
+            ("error", RequestOutcome::Error),
+        ];
+        for (class, counters) in &self.classes {
+            for (label, outcome) in outcomes {
+                let count = counters.of(outcome).load(Ordering::Relaxed);
+                let _ = writeln!(text, "svc.{label}.{class}:{count}|c");
             }
         }
-        let _ = writeln!(out, "svc.dispatches:{}|c", self.dispatches.load(Ordering::Relaxed));
+        let _ = writeln!(text, "svc.dispatches:{}|c", self.dispatches.load(Ordering::Relaxed));
         let Gauges { concurrent, targets, disabled } = gauges;
-        for (name, value) in
-            [("concurrent", concurrent), ("targets", targets), ("targets_disabled", disabled)]
-        {
-            let _ = writeln!(out, "svc.{name}:{value}|g");
-        }
-        out
+        let _ = writeln!(text, "svc.concurrent:{concurrent}|g");
+        let _ = writeln!(text, "svc.targets:{targets}|g");
+        let _ = writeln!(text, "svc.targets_disabled:{disabled}|g");
+        text
     }
 }
 
--- a/src/engine/metrics/tests.rs
+++ b/src/engine/metrics/tests.rs
@@ -1,21 +1,23 @@
 use super::*;
+use crate::engine::classes::IdempotencyKey;
 use crate::routing::{Class, Idempotency, Settings};
 
-/// Guards against a keyed class that is told as two, and against classes that are missing until they are asked.
+/// A keyed class and its keyless variant are listed as one, and a class is listed before its first request.
 #[test]
-fn every_class_of_the_settings_is_told_once_with_both_kinds_of_its_requests() {
-    let class = |repeat| Class { idempotency: Some(repeat), ..Class::default() };
+fn every_class_is_listed_once_and_counts_requests_with_and_without_a_key() {
+    let class = |idempotency| Class { idempotency: Some(idempotency), ..Class::default() };
     let mut settings = Settings {
         classes: vec![class(Idempotency::Keyed), class(Idempotency::Idempotent)],
         ..Settings::default()
     };
     let classes = Classes::new(vec!["write".into(), "read".into()], &mut settings);
     let metrics = Metrics::new(&classes);
-    for keyed in [true, false] {
-        metrics.ended(classes.find("write", keyed).unwrap(), RequestOutcome::Success);
+    for key in [IdempotencyKey::Present, IdempotencyKey::Absent] {
+        metrics.record_outcome(classes.find("write", key).unwrap(), RequestOutcome::Success);
     }
-    metrics.ended(classes.find("write", false).unwrap(), RequestOutcome::Error);
-    metrics.ended(99, RequestOutcome::Error);
+    let keyless = classes.find("write", IdempotencyKey::Absent).unwrap();
+    metrics.record_outcome(keyless, RequestOutcome::Error);
+    metrics.record_outcome(99, RequestOutcome::Error);
     metrics.dispatched();
     let text = metrics.text(Gauges { concurrent: 3, targets: 5, disabled: 1 });
     let lines: Vec<&str> = text.lines().collect();
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,7 +1,13 @@
-//! The core: the thread that owns the decision module, and the queue by which fronts reach it.
+//! The engine: the thread that owns the router, and everything between the router and the rest of the process.
 //!
-//! Nothing here knows a wire. A front hands in a request with its work `W` as an opaque value and gets one
-//! [`FinalAnswer`] with an answer `A`; a host side carries out [`Command`]s and reports how each attempt ended.
+//! The engine knows no protocol. A client connection submits a request with its work `W`, an opaque value, by an
+//! [`EngineHandle`] and receives one [`FinalAnswer`] with an answer `A`. The router decides where attempts are sent;
+//! the engine turns its actions into [`Command`]s, which the backend pool carries out, and reports how each attempt
+//! ended.
+//!
+//! Where to start: `message.rs` is what goes in and comes out, `thread.rs` the event loop, `request_engine.rs` the state
+//! behind it; [`admission`] rejects requests while service recovers; [`observations`],
+//! [`outcome_window`] and [`poll_scheduler`] are what a fleet of poolers shares about endpoints.
 
 pub mod admission;
 pub mod classes;
@@ -14,11 +20,14 @@
 pub mod observations;
 pub mod outcome_window;
 pub mod poll_scheduler;
-pub mod request_engine;
+mod request_engine;
 mod thread;
 
 pub use handle::EngineHandle;
-pub use message::*;
+pub use message::{
+    AttemptReport, Command, Control, FinalAnswer, Freshness, Input, PeerObservation, PollParticipants,
+    Submission,
+};
 
 use crate::clock::Clock;
 use crate::config::Limits;
@@ -28,12 +37,15 @@
 use metrics::Metrics;
 use request_engine::RequestEngine;
 use std::sync::Arc;
-use std::sync::atomic::AtomicU64;
 
-/// The way to the core, and the commands that come out of it.
+/// A handle to a started engine, and the commands that come out of it.
 pub type Started<W, A> = (EngineHandle<W, A>, Receiver<Command<W>>);
 
-/// Starts the thread that owns the module.
+/// Starts the engine's thread. `seed` is that of the router's random choices.
+///
+/// # Errors
+///
+/// The operating system could not start a thread.
 pub fn start<W, A>(
     settings: Settings,
     classes: &Classes,
@@ -45,15 +57,15 @@
     W: Clone + Send + 'static,
     A: Send + 'static,
 {
-    let (inputs, queue) = async_channel::bounded(limits.input_queue);
-    let (control, urgent) = async_channel::bounded(limits.input_queue);
-    // Never full to block on: each open request has one attempt out at the most.
-    let (commands, out) = async_channel::unbounded();
+    let (input_sender, inputs) = async_channel::bounded(limits.input_queue);
+    let (control_sender, control) = async_channel::bounded(limits.input_queue);
+    // Unbounded, so that the engine never blocks: each open request has at most one attempt in flight.
+    let (commands, command_receiver) = async_channel::unbounded();
     let metrics = Arc::new(Metrics::new(classes));
-    let owner = RequestEngine::new(settings, seed, limits, metrics.clone());
-    let own_clock = clock.clone();
+    let engine = RequestEngine::new(settings, seed, limits, metrics.clone());
+    let channels = thread::Channels { inputs, control, commands };
+    let thread_clock = clock.clone();
     let builder = std::thread::Builder::new().name("module".into());
-    builder.spawn(move || thread::run(owner, &own_clock, &urgent, &queue, &commands))?;
-    let (next, client_timeout) = (Arc::new(AtomicU64::new(1)), Arc::default());
-    Ok((EngineHandle { inputs, control, next, client_timeout, metrics, clock }, out))
+    builder.spawn(move || thread::run(engine, &thread_clock, &channels))?;
+    Ok((EngineHandle::new(input_sender, control_sender, metrics, clock), command_receiver))
 }
--- a/src/engine/observations.rs
+++ b/src/engine/observations.rs
@@ -1,12 +1,14 @@
-//! What hosts last told of themselves, for whoever passes it on. Fed by the owner, read now and then. No I/O.
+//! This process's own observations of endpoints: what they last reported about themselves, for gossip to peers. Fed by
+//! the request engine, read from time to time by the fleet. No I/O.
 
 use crate::routing::{EndpointId, LogPosition, ReplicaStatus, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Positions are told in whole milliseconds.
-const ROUNDING: TimeDelta = TimeDelta::from_millis(1);
+/// Endpoints report positions in whole milliseconds: a position may appear this much lower than it is.
+const POSITION_ROUNDING: TimeDelta = TimeDelta::from_millis(1);
 
-/// Starts of a host that differ by no more are one: hosts tell how long they run, each time a little differently.
+/// Start times of an endpoint that differ by no more are the same start: endpoints report how long they have run, and
+/// the time of the report's arrival varies.
 pub const START_TIME_TOLERANCE: TimeDelta = TimeDelta::from_secs(2);
 
 /// The utilization that an endpoint reported, summed over several reports.
@@ -50,24 +52,101 @@
     pub regression: Option<LogRegression>,
 }
 
-/// What is known of a host, since it was last read or, of `top`, ever.
+/// An endpoint's report about itself, as it arrives with an answer.
+#[derive(Clone, Copy, Debug)]
+pub struct EndpointReport {
+    /// Its role and log position.
+    pub replica_status: ReplicaStatus,
+    /// How long it has run; `None` where it does not say.
+    pub uptime: Option<TimeDelta>,
+    /// When the request was sent that it answered.
+    pub requested_at: Timestamp,
+    /// When the answer arrived.
+    pub arrived_at: Timestamp,
+}
+
+/// The highest log position that an endpoint reported.
+#[derive(Clone, Copy, Debug)]
+struct HighestPosition {
+    position: LogPosition,
+    arrived_at: Timestamp,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct LatestStatus {
+    replica_status: ReplicaStatus,
+    arrived_at: Timestamp,
+}
+
+/// What is known of one endpoint. The counts and the regression are of the time since observations were last taken.
 #[derive(Clone, Copy, Debug, Default)]
 struct EndpointHistory {
-    replica_status: Option<(ReplicaStatus, Timestamp)>,
-    up: Option<Timestamp>,
+    latest: Option<LatestStatus>,
+    /// When it started, by the uptime that it reports.
+    started_at: Option<Timestamp>,
+    /// When a regression of its log showed that it, a primary, had restarted.
+    restarted_at: Option<Timestamp>,
+    highest: Option<HighestPosition>,
     served: u32,
     utilization: UtilizationSamples,
     regression: Option<LogRegression>,
-    /// The greatest position that it told, and when that had come.
-    top: Option<(LogPosition, Timestamp)>,
-    /// It began anew, as its position shows: it was the primary and went back.
-    anew: Option<Timestamp>,
 }
 
-/// What one host told since the last time.
+impl EndpointHistory {
+    /// Whether a report shows that the endpoint restarted, by its uptime; if so, the new start is recorded.
+    fn record_uptime(&mut self, report: &EndpointReport) -> bool {
+        let Some(uptime) = report.uptime.filter(|uptime| *uptime >= TimeDelta::ZERO) else { return false };
+        let started_at = report.arrived_at.saturating_sub(uptime);
+        if self.started_at.is_some_and(|known| started_at <= known + START_TIME_TOLERANCE) {
+            return false;
+        }
+        self.started_at = Some(started_at);
+        true
+    }
+
+    /// Whether a report shows that the endpoint's log went back.
+    fn record_position(&mut self, report: &EndpointReport) -> bool {
+        let EndpointReport { replica_status, requested_at, arrived_at, .. } = *report;
+        let position = replica_status.position;
+        if !position.is_known() {
+            return false;
+        }
+        // Answers overtake each other: only the answer to a request that was sent after the higher position had
+        // arrived shows that the log went back.
+        let went_back = self.highest.is_some_and(|highest| {
+            highest.arrived_at < requested_at && position + POSITION_ROUNDING < highest.position
+        });
+        if went_back {
+            self.regression = Some(LogRegression { position, requested_at });
+            // A replica may have been given an older copy while it ran; a primary has lost what it had.
+            if replica_status.primary {
+                self.restarted_at = Some(arrived_at);
+            }
+        }
+        if went_back || self.highest.is_none_or(|highest| position >= highest.position) {
+            self.highest = Some(HighestPosition { position, arrived_at });
+        }
+        went_back
+    }
+
+    /// The history as an observation; counts and regression start over.
+    fn take(&mut self) -> Option<NewObservation> {
+        let LatestStatus { replica_status, arrived_at } = self.latest?;
+        Some(NewObservation {
+            replica_status,
+            observed_at: arrived_at,
+            started_at: self.started_at.max(self.restarted_at),
+            served: std::mem::take(&mut self.served),
+            utilization: std::mem::take(&mut self.utilization),
+            regression: self.regression.take(),
+        })
+    }
+}
+
+/// What is new of one endpoint since observations were last taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewObservation {
-    /// The last mark, with when it came.
+    /// The last role and position that it reported.
     pub replica_status: ReplicaStatus,
     /// See [`Observation::observed_at`].
     pub observed_at: Timestamp,
@@ -81,118 +160,96 @@
     pub regression: Option<LogRegression>,
 }
 
-/// What is new since it was last read. Off until somebody reads it.
+/// The observations of all endpoints. Reports are recorded only once observations have been taken for the first time:
+/// without a fleet nobody reads them.
 #[derive(Debug, Default)]
 pub struct Observations {
-    on: bool,
-    all: BTreeMap<EndpointId, EndpointHistory>,
+    recording: bool,
+    histories: BTreeMap<EndpointId, EndpointHistory>,
+    /// An endpoint restarted or its log went back since [`Observations::take_urgent`] was last called.
     urgent: bool,
-    new: BTreeSet<EndpointId>,
+    /// Endpoints that reported since observations were last taken.
+    updated: BTreeSet<EndpointId>,
 }
 
 impl Observations {
-    /// A host has told something, in answer to a question that went out at `sent`. `up`: how long it has run, if it
-    /// says so.
-    pub fn note(
-        &mut self,
-        endpoint: EndpointId,
-        replica_status: Option<ReplicaStatus>,
-        up: Option<TimeDelta>,
-        sent: Timestamp,
-        at: Timestamp,
-    ) {
-        let Some(replica_status) = replica_status.filter(|_| self.on) else { return };
-        let told = self.all.entry(endpoint).or_default();
-        told.replica_status = Some((replica_status, at));
-        let started = up.filter(|up| *up >= TimeDelta::ZERO).map(|up| at.saturating_sub(up));
-        if started > told.up.map(|known| known + START_TIME_TOLERANCE) {
-            self.urgent = true;
-            told.up = started;
-        }
-        self.new.insert(endpoint);
-        if !replica_status.position.is_known() {
+    /// Records an endpoint's report about itself.
+    pub fn record(&mut self, endpoint: EndpointId, report: EndpointReport) {
+        if !self.recording {
             return;
         }
-        // Answers overtake one another: only one that was asked for after a greater position had come shows that
-        // the host went back.
-        let went_back =
-            told.top.is_some_and(|(top, came)| came < sent && replica_status.position + ROUNDING < top);
-        if went_back {
-            told.regression = Some(LogRegression { position: replica_status.position, requested_at: sent });
-            self.urgent = true;
-            // A replica may have been given an older copy while it ran; a primary has lost what it had.
-            told.anew = if replica_status.primary { Some(at) } else { told.anew };
-        }
-        if went_back || told.top.is_none_or(|(top, _)| replica_status.position >= top) {
-            told.top = Some((replica_status.position, at));
-        }
+        let history = self.histories.entry(endpoint).or_default();
+        let EndpointReport { replica_status, arrived_at, .. } = report;
+        history.latest = Some(LatestStatus { replica_status, arrived_at });
+        let restarted = history.record_uptime(&report);
+        let went_back = history.record_position(&report);
+        self.urgent |= restarted || went_back;
+        self.updated.insert(endpoint);
     }
 
-    /// Whether something is new that must not wait until it is read: a host has begun anew. Once.
-    pub fn is_urgent(&mut self) -> bool {
+    /// Whether observations should be taken at once, since an endpoint restarted or its log went back; true once for
+    /// each such event.
+    pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.urgent)
     }
 
-    /// A host has served something.
-    pub fn served(&mut self, endpoint: EndpointId) {
-        if self.on
-            && let Some(told) = self.all.get_mut(&endpoint)
-        {
-            told.served += 1;
+    /// Counts an attempt that an endpoint served.
+    pub fn record_served(&mut self, endpoint: EndpointId) {
+        if !self.recording {
+            return;
+        }
+        if let Some(history) = self.histories.get_mut(&endpoint) {
+            history.served += 1;
         }
     }
 
-    /// A host has said which part of its capacity is in use.
-    pub fn used(&mut self, endpoint: EndpointId, util: f64) {
-        if self.on
-            && let Some(told) = self.all.get_mut(&endpoint)
-        {
-            told.utilization.sum += util.clamp(0.0, 1.0);
-            told.utilization.count += 1;
+    /// Adds a report of which share of its capacity an endpoint has in use.
+    pub fn record_utilization(&mut self, endpoint: EndpointId, utilization: f64) {
+        if !self.recording {
+            return;
+        }
+        if let Some(history) = self.histories.get_mut(&endpoint) {
+            history.utilization.sum += utilization.clamp(0.0, 1.0);
+            history.utilization.count += 1;
         }
     }
 
-    /// What was known of a host's position before, or by others: when it had come there.
-    pub fn known(&mut self, endpoint: EndpointId, position: LogPosition, came: Timestamp) {
-        let told = self.all.entry(endpoint).or_default();
-        if position.is_known() && told.top.is_none_or(|(top, _)| position > top) && told.regression.is_none()
-        {
-            told.top = Some((position, came));
+    /// Records a position that an endpoint reported to a peer, or to this process before its start.
+    pub fn record_external_position(
+        &mut self,
+        endpoint: EndpointId,
+        position: LogPosition,
+        observed_at: Timestamp,
+    ) {
+        let history = self.histories.entry(endpoint).or_default();
+        let is_higher = history.highest.is_none_or(|highest| position > highest.position);
+        if position.is_known() && is_higher && history.regression.is_none() {
+            history.highest = Some(HighestPosition { position, arrived_at: observed_at });
         }
     }
 
-    /// When a host was last heard here.
-    pub fn heard(&self, endpoint: EndpointId) -> Option<Timestamp> {
-        self.all.get(&endpoint).and_then(|told| told.replica_status).map(|(_, at)| at)
+    /// When an endpoint last reported to this process.
+    pub fn last_report_at(&self, endpoint: EndpointId) -> Option<Timestamp> {
+        let latest = self.histories.get(&endpoint)?.latest?;
+        Some(latest.arrived_at)
     }
 
-    /// Forgets hosts that are gone.
-    pub fn retain(&mut self, stays: impl Fn(EndpointId) -> bool) {
-        self.all.retain(|endpoint, _| stays(*endpoint));
-        self.new.retain(|endpoint| stays(*endpoint));
+    /// Forgets the endpoints for which `keep` is false.
+    pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
+        self.histories.retain(|endpoint, _| keep(*endpoint));
+        self.updated.retain(|endpoint| keep(*endpoint));
     }
 
-    /// What was told since the last time.
+    /// Takes the observations of all endpoints that reported since the last call. The first call starts recording.
     pub fn take(&mut self) -> Vec<(EndpointId, NewObservation)> {
-        self.on = true;
-        let new = std::mem::take(&mut self.new);
-        let all = &mut self.all;
-        let one = |endpoint: EndpointId| {
-            let told = all.get_mut(&endpoint)?;
-            let (replica_status, at) = told.replica_status?;
-            let served = std::mem::take(&mut told.served);
-            let utilization = std::mem::take(&mut told.utilization);
-            let new = NewObservation {
-                replica_status,
-                observed_at: at,
-                started_at: told.up.max(told.anew),
-                served,
-                utilization,
-                regression: told.regression.take(),
-            };
-            Some((endpoint, new))
-        };
-        new.into_iter().filter_map(one).collect()
+        self.recording = true;
+        let mut taken = Vec::new();
+        for endpoint in std::mem::take(&mut self.updated) {
+            if let Some(new) = self.histories.get_mut(&endpoint).and_then(EndpointHistory::take) {
+                taken.push((endpoint, new));
+            }
+        }
+        taken
     }
 }
 
--- a/src/engine/outcome_window.rs
+++ b/src/engine/outcome_window.rs
@@ -1,33 +1,39 @@
-//! What became of the attempts at each host within the last moments, for whoever judges zones by it. Fed by the
-//! owner, read now and then. No I/O.
+//! A sliding window of how the attempts at each endpoint ended, from which the fleet detects failing zones. Fed by the
+//! request engine, read from time to time. No I/O.
 //!
-//! An attempt that is still out counts as silent before its time is over: in a zone that has gone nothing ends.
+//! An attempt in flight counts as unanswered before its timeout: in a zone that has failed no attempt ends.
 
 use crate::routing::{AttemptOutcome, EndpointId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// A moment, in parts that fade one by one.
-const PARTS: i64 = 6;
-const PART: TimeDelta = TimeDelta::from_millis(100);
-/// How long a moment is.
-pub const WINDOW_LENGTH: TimeDelta = TimeDelta::from_micros(PARTS * PART.as_micros());
-/// An answer is late that took so many times the usual of its class, and this more.
-const LATE: f64 = 5.0;
-const JITTER: TimeDelta = TimeDelta::from_millis(30);
-/// An attempt that is out is silent after that time, and no sooner than after this.
-const SILENT: TimeDelta = TimeDelta::from_millis(400);
-/// What has failed at a host since its last answer is told for so long: it is tried seldom then, and nobody would know
-/// that it is still gone. Less than a zone stays left.
-const HELD: TimeDelta = TimeDelta::from_secs(2);
-/// So many of a kind are.
-const FEW: u32 = 4;
-/// No attempt is out for so long.
-const LONG: TimeDelta = TimeDelta::from_secs(600);
-/// The usual is what sound hosts take: slower answers raise it slowly, faster ones lower it soon.
-const RISE: f64 = 0.01;
-const FALL: f64 = 0.1;
-
-/// What one host did with the attempts of one daemon within the last moments.
+/// The window consists of this many buckets, which expire one by one.
+const BUCKETS: i64 = 6;
+const BUCKET_LENGTH: TimeDelta = TimeDelta::from_millis(100);
+/// How far the window reaches back.
+pub const WINDOW_LENGTH: TimeDelta = TimeDelta::from_micros(BUCKETS * BUCKET_LENGTH.as_micros());
+/// An answer is late that took more than this multiple of its class's usual latency, plus [`LATENCY_JITTER`].
+const LATE_FACTOR: f64 = 5.0;
+/// Latency that scheduling and the network add to any answer.
+const LATENCY_JITTER: TimeDelta = TimeDelta::from_millis(30);
+/// No attempt is overdue before this time: a short pause of an endpoint is no failure. Also the bound of a class whose
+/// usual latency is not known yet.
+const MIN_OVERDUE: TimeDelta = TimeDelta::from_millis(400);
+/// How long failures since an endpoint's last answer are reported. A failed endpoint is tried seldom; its failures
+/// would expire between two attempts. Shorter than a zone stays evacuated.
+const FAILURE_RETENTION: TimeDelta = TimeDelta::from_secs(2);
+/// At most this many failures of each kind are reported beyond the window.
+const MAX_RETAINED_FAILURES: u32 = 4;
+/// How long the time of an endpoint's last answer is kept. No attempt is in flight for longer.
+const LAST_ANSWER_RETENTION: TimeDelta = TimeDelta::from_secs(600);
+/// Weight of a slower answer in the moving average of a class's latency. Small: the average is to stay at the latency
+/// of healthy endpoints while others are slow.
+const BASELINE_RISE: f64 = 0.01;
+/// Weight of a faster answer in that average.
+const BASELINE_FALL: f64 = 0.1;
+/// Weight of a report in the moving average of an endpoint's utilization.
+const UTILIZATION_SMOOTHING: f64 = 0.1;
+
+/// How the attempts of one process at one endpoint ended within the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
     /// Answered within the usual time of their class.
@@ -43,6 +49,29 @@
 }
 
 impl OutcomeCounts {
+    /// What one ended attempt counts as; `None`: it says nothing about its endpoint.
+    fn of_attempt(outcome: AttemptOutcome, took: TimeDelta, bounds: LatencyBounds) -> Option<OutcomeCounts> {
+        let mut counts = OutcomeCounts::default();
+        match outcome {
+            AttemptOutcome::Served if took > bounds.late_after => counts.late = 1,
+            AttemptOutcome::Served
+            | AttemptOutcome::Misdirected
+            | AttemptOutcome::Overloaded
+            | AttemptOutcome::Error => counts.on_time = 1,
+            AttemptOutcome::ConnectFailed => counts.connect_failed = 1,
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset => counts.unanswered = 1,
+            // One that was cancelled early might still have been answered on time.
+            AttemptOutcome::Cancelled if took > bounds.overdue_after => counts.unanswered = 1,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return None,
+        }
+        Some(counts)
+    }
+
+    /// Whether the endpoint answered.
+    fn is_answered(&self) -> bool {
+        self.on_time + self.late > 0
+    }
+
     fn add(&mut self, other: &OutcomeCounts) {
         self.on_time += other.on_time;
         self.late += other.late;
@@ -56,141 +85,170 @@
     }
 }
 
-/// An attempt that is out.
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
-    /// Where.
+    /// The endpoint to which it was sent.
     pub endpoint: EndpointId,
-    /// Its class.
+    /// The number of its request's class.
     pub class: usize,
     /// When it was sent.
-    pub sent: Timestamp,
+    pub sent_at: Timestamp,
+}
+
+/// The latencies that a class's answers are held against.
+#[derive(Clone, Copy, Debug)]
+struct LatencyBounds {
+    late_after: TimeDelta,
+    overdue_after: TimeDelta,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Bucket {
+    /// The time since the clock's zero, in bucket lengths.
+    index: i64,
+    counts: OutcomeCounts,
+}
+
+impl Bucket {
+    fn index_at(now: Timestamp) -> i64 {
+        now.since(Timestamp::ZERO) / BUCKET_LENGTH
+    }
 }
 
-/// All hosts. Off until somebody reads it: nothing is kept for nobody.
+/// Failures since an endpoint's last answer.
+#[derive(Clone, Copy, Debug, Default)]
+struct RecentFailures {
+    counts: OutcomeCounts,
+    last_at: Timestamp,
+}
+
+/// The window of all endpoints. Nothing is recorded until it is read for the first time: without a fleet nobody reads
+/// it.
 #[derive(Debug, Default)]
 pub struct OutcomeWindow {
-    on: bool,
-    /// By host, the number of the part and what was seen in it.
-    all: BTreeMap<EndpointId, Vec<(i64, OutcomeCounts)>>,
-    usual: BTreeMap<usize, f64>,
-    busy: BTreeMap<EndpointId, f64>,
-    /// When each last answered an attempt: one that answers questions about itself alone does no work.
-    answered: BTreeMap<EndpointId, Timestamp>,
-    /// What failed since, and when last.
-    failed: BTreeMap<EndpointId, (OutcomeCounts, Timestamp)>,
+    recording: bool,
+    buckets: BTreeMap<EndpointId, Vec<Bucket>>,
+    /// By class number, the moving average of answers' latencies in microseconds.
+    usual_latency_micros: BTreeMap<usize, f64>,
+    /// The moving average of the utilization that endpoints report, from 0 to 1.
+    utilization: BTreeMap<EndpointId, f64>,
+    /// When each endpoint last answered an attempt. Answers to health checks do not count: they take no work.
+    last_answer_at: BTreeMap<EndpointId, Timestamp>,
+    recent_failures: BTreeMap<EndpointId, RecentFailures>,
 }
 
 impl OutcomeWindow {
-    fn bound(&self, class: usize) -> TimeDelta {
-        self.usual.get(&class).map_or(SILENT, |usual| TimeDelta::from_micros_f64(usual * LATE)) + JITTER
+    fn bounds(&self, class: usize) -> LatencyBounds {
+        let bound = match self.usual_latency_micros.get(&class) {
+            Some(usual) => TimeDelta::from_micros_f64(usual * LATE_FACTOR),
+            None => MIN_OVERDUE,
+        };
+        let late_after = bound + LATENCY_JITTER;
+        LatencyBounds { late_after, overdue_after: late_after.max(MIN_OVERDUE) }
     }
 
-    /// An attempt that is out for longer is overdue.
-    fn client_timeout(&self, class: usize) -> TimeDelta {
-        self.bound(class).max(SILENT)
-    }
-
-    /// An attempt has ended. Whoever stops waiting early says nothing about the host.
-    pub fn ended(
-        &mut self,
-        now: Timestamp,
-        endpoint: EndpointId,
-        class: usize,
-        took: TimeDelta,
-        outcome: AttemptOutcome,
-    ) {
-        if !self.on {
+    /// Records the end of an attempt.
+    pub fn record(&mut self, now: Timestamp, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
+        if !self.recording {
             return;
         }
-        let bound = self.bound(class);
-        let mut seen = OutcomeCounts::default();
-        match outcome {
-            AttemptOutcome::Served if took > bound => seen.late = 1,
-            AttemptOutcome::Served
-            | AttemptOutcome::Misdirected
-            | AttemptOutcome::Overloaded
-            | AttemptOutcome::Error => seen.on_time = 1,
-            AttemptOutcome::ConnectFailed => seen.connect_failed = 1,
-            AttemptOutcome::TimedOut | AttemptOutcome::Reset => seen.unanswered = 1,
-            AttemptOutcome::Cancelled if took > self.client_timeout(class) => seen.unanswered = 1,
-            _ => return,
-        }
+        let InFlightAttempt { endpoint, class, sent_at } = *attempt;
+        let took = now - sent_at;
+        let Some(counts) = OutcomeCounts::of_attempt(outcome, took, self.bounds(class)) else { return };
         if outcome == AttemptOutcome::Served {
-            let usual = self.usual.entry(class).or_insert(took.as_micros_f64());
-            let weight = if took.as_micros_f64() > *usual { RISE } else { FALL };
-            *usual += (took.as_micros_f64() - *usual) * weight;
+            self.record_latency(class, took);
         }
-        if seen.on_time + seen.late > 0 {
-            self.answered.insert(endpoint, now);
-            self.failed.remove(&endpoint);
+        if counts.is_answered() {
+            self.last_answer_at.insert(endpoint, now);
+            self.recent_failures.remove(&endpoint);
         } else {
-            let (failed, at) = self.failed.entry(endpoint).or_default();
-            failed.add(&seen);
-            *at = now;
+            let failures = self.recent_failures.entry(endpoint).or_default();
+            failures.counts.add(&counts);
+            failures.last_at = now;
         }
-        let part = now.since(Timestamp::ZERO) / PART;
-        let parts = self.all.entry(endpoint).or_default();
-        parts.retain(|(n, _)| part - n < PARTS);
-        match parts.last_mut() {
-            Some((n, known)) if *n == part => known.add(&seen),
-            _ => parts.push((part, seen)),
+        self.count(now, endpoint, counts);
+    }
+
+    fn record_latency(&mut self, class: usize, took: TimeDelta) {
+        let took = took.as_micros_f64();
+        let usual = self.usual_latency_micros.entry(class).or_insert(took);
+        let weight = if took > *usual { BASELINE_RISE } else { BASELINE_FALL };
+        *usual += (took - *usual) * weight;
+    }
+
+    fn count(&mut self, now: Timestamp, endpoint: EndpointId, counts: OutcomeCounts) {
+        let index = Bucket::index_at(now);
+        let buckets = self.buckets.entry(endpoint).or_default();
+        buckets.retain(|bucket| index - bucket.index < BUCKETS);
+        match buckets.last_mut() {
+            Some(bucket) if bucket.index == index => bucket.counts.add(&counts),
+            _ => buckets.push(Bucket { index, counts }),
         }
     }
 
-    /// A host has said which part of its capacity is in use.
-    pub fn busy(&mut self, endpoint: EndpointId, util: f64) {
-        if !self.on {
+    /// Records an endpoint's report of the share of its capacity in use, from 0 to 1.
+    pub fn record_utilization(&mut self, endpoint: EndpointId, utilization: f64) {
+        if !self.recording {
             return;
         }
-        let known = self.busy.entry(endpoint).or_insert(util);
-        *known += (util.clamp(0.0, 1.0) - *known) * FALL;
+        let average = self.utilization.entry(endpoint).or_insert(utilization);
+        *average += (utilization.clamp(0.0, 1.0) - *average) * UTILIZATION_SMOOTHING;
     }
 
-    /// Whether an attempt has been out for longer than any sound answer of its class takes.
-    pub fn is_overdue(&self, now: Timestamp, out: &InFlightAttempt) -> bool {
-        now - out.sent > self.client_timeout(out.class)
+    /// Whether an attempt has been in flight for longer than a healthy endpoint takes for its class.
+    pub fn is_overdue(&self, now: Timestamp, attempt: &InFlightAttempt) -> bool {
+        now - attempt.sent_at > self.bounds(attempt.class).overdue_after
     }
 
-    /// What was seen of each host within the last moment. `out`: the attempts that are out now.
+    /// How attempts at each endpoint ended within the window; `in_flight`: all attempts that have not ended. The first
+    /// call starts recording.
     pub fn read(
         &mut self,
         now: Timestamp,
-        out: impl Iterator<Item = InFlightAttempt>,
+        in_flight: impl Iterator<Item = InFlightAttempt>,
     ) -> BTreeMap<EndpointId, OutcomeCounts> {
-        self.on = true;
-        let part = now.since(Timestamp::ZERO) / PART;
-        self.all.retain(|_, parts| {
-            parts.retain(|(n, _)| part - n < PARTS);
-            !parts.is_empty()
-        });
-        self.answered.retain(|_, at| now - *at < LONG);
-        self.failed.retain(|_, (_, at)| now - *at < HELD);
-        let OutcomeWindow { all, busy, .. } = self;
-        busy.retain(|endpoint, _| all.contains_key(endpoint));
-        let mut seen: BTreeMap<EndpointId, OutcomeCounts> = BTreeMap::new();
-        for (endpoint, parts) in &self.all {
-            parts.iter().for_each(|(_, s)| seen.entry(*endpoint).or_default().add(s));
+        self.recording = true;
+        self.expire(now);
+        let mut counts: BTreeMap<EndpointId, OutcomeCounts> = BTreeMap::new();
+        for (endpoint, buckets) in &self.buckets {
+            let sum = counts.entry(*endpoint).or_default();
+            buckets.iter().for_each(|bucket| sum.add(&bucket.counts));
         }
-        for (endpoint, (failed, _)) in &self.failed {
-            let seen = seen.entry(*endpoint).or_default();
-            seen.unanswered = seen.unanswered.max(failed.unanswered.min(FEW));
-            seen.connect_failed = seen.connect_failed.max(failed.connect_failed.min(FEW));
+        for (endpoint, failures) in &self.recent_failures {
+            let sum = counts.entry(*endpoint).or_default();
+            let retained = &failures.counts;
+            sum.unanswered = sum.unanswered.max(retained.unanswered.min(MAX_RETAINED_FAILURES));
+            sum.connect_failed = sum.connect_failed.max(retained.connect_failed.min(MAX_RETAINED_FAILURES));
         }
-        for one in out.filter(|out| self.is_overdue(now, out)) {
-            let seen = seen.entry(one.endpoint).or_default();
-            // Whatever comes of it, it is late: where one request in three gets lost its host answers the others.
-            if self.answered.get(&one.endpoint).is_some_and(|at| *at >= one.sent) {
-                seen.late += 1;
+        for attempt in in_flight.filter(|attempt| self.is_overdue(now, attempt)) {
+            let sum = counts.entry(attempt.endpoint).or_default();
+            // An endpoint that has answered another attempt since is slow or lost one message: that is no failure.
+            if self.last_answer_at.get(&attempt.endpoint).is_some_and(|at| *at >= attempt.sent_at) {
+                sum.late += 1;
             } else {
-                seen.unanswered += 1;
+                sum.unanswered += 1;
             }
         }
-        for (endpoint, seen) in &mut seen {
-            seen.utilization_permille =
-                self.busy.get(endpoint).map_or(0, |busy| ((busy * 1000.0) as u16).max(1));
+        for (endpoint, sum) in &mut counts {
+            if let Some(utilization) = self.utilization.get(endpoint) {
+                // At least 1: 0 stands for an endpoint that reports none.
+                sum.utilization_permille = ((utilization * 1000.0) as u16).max(1);
+            }
+        }
+        counts
+    }
+
+    fn expire(&mut self, now: Timestamp) {
+        let index = Bucket::index_at(now);
+        for buckets in self.buckets.values_mut() {
+            buckets.retain(|bucket| index - bucket.index < BUCKETS);
         }
-        seen
+        self.buckets.retain(|_, buckets| !buckets.is_empty());
+        self.last_answer_at.retain(|_, at| now - *at < LAST_ANSWER_RETENTION);
+        self.recent_failures.retain(|_, failures| now - failures.last_at < FAILURE_RETENTION);
+        let buckets = &self.buckets;
+        self.utilization.retain(|endpoint, _| buckets.contains_key(endpoint));
     }
 }
 
--- a/src/engine/outcome_window/tests.rs
+++ b/src/engine/outcome_window/tests.rs
@@ -1,100 +1,122 @@
 use super::*;
 
-const A: EndpointId = EndpointId { ip: [0; 4], port: 1 };
+const ENDPOINT: EndpointId = EndpointId { ip: [0; 4], port: 1 };
 const MS: TimeDelta = TimeDelta::from_millis(1);
 
 fn at(since: TimeDelta) -> Timestamp {
     Timestamp::ZERO + since
 }
 
-/// Somebody reads it.
-fn outcomes() -> OutcomeWindow {
-    let mut outcomes = OutcomeWindow::default();
-    assert!(outcomes.read(Timestamp::ZERO, std::iter::empty()).is_empty());
-    outcomes
+/// A window that has been read, so that it records.
+fn recording_window() -> OutcomeWindow {
+    let mut window = OutcomeWindow::default();
+    assert!(window.read(Timestamp::ZERO, std::iter::empty()).is_empty());
+    window
 }
 
-/// Guards against memory that grows with hosts that come and go where nobody ever looks.
+/// Records an attempt of class 0 that ended now and took this long.
+fn record(
+    window: &mut OutcomeWindow,
+    now: Timestamp,
+    endpoint: EndpointId,
+    took: TimeDelta,
+    outcome: AttemptOutcome,
+) {
+    window.record(now, &InFlightAttempt { endpoint, class: 0, sent_at: now - took }, outcome);
+}
+
+/// Memory must not grow with endpoints that come and go where nobody ever reads the window.
 #[test]
-fn nothing_is_kept_before_somebody_reads_it_nor_of_what_is_long_gone() {
-    let mut outcomes = OutcomeWindow::default();
-    outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::Served);
-    outcomes.busy(A, 0.5);
-    assert!(outcomes.read(at(MS), std::iter::empty()).is_empty());
-    outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::Served);
-    outcomes.busy(A, 0.5);
-    outcomes.read(at(LONG), std::iter::empty());
-    let kept = (outcomes.all.len(), outcomes.busy.len(), outcomes.answered.len(), outcomes.failed.len());
+fn nothing_is_kept_before_the_first_read_nor_after_it_has_expired() {
+    let mut window = OutcomeWindow::default();
+    record(&mut window, Timestamp::ZERO, ENDPOINT, MS, AttemptOutcome::Served);
+    window.record_utilization(ENDPOINT, 0.5);
+    assert!(window.read(at(MS), std::iter::empty()).is_empty());
+    record(&mut window, Timestamp::ZERO, ENDPOINT, MS, AttemptOutcome::Served);
+    window.record_utilization(ENDPOINT, 0.5);
+    window.read(at(LAST_ANSWER_RETENTION), std::iter::empty());
+    let kept = (
+        window.buckets.len(),
+        window.utilization.len(),
+        window.last_answer_at.len(),
+        window.recent_failures.len(),
+    );
     assert_eq!(kept, (0, 0, 0, 0));
 }
 
-/// Guards against a silence that is seen only when requests are given up, and against one that is laid to a host
-/// which goes on answering.
+/// A failure must show before requests time out, and not at an endpoint that goes on answering.
 #[test]
-fn what_is_out_too_long_is_silent_unless_its_host_was_heard_since() {
-    let mut outcomes = outcomes();
-    (0..50).for_each(|n| outcomes.ended(at(n * 10 * MS), A, 0, 5 * MS, AttemptOutcome::Served));
-    let out = |sent| [InFlightAttempt { endpoint: A, class: 0, sent }].into_iter();
-    // It last answered at 490.
-    assert_eq!(outcomes.read(at(880 * MS), out(at(500 * MS))).get(&A).map_or(0, |s| s.unanswered), 0);
-    assert_eq!(outcomes.read(at(950 * MS), out(at(500 * MS)))[&A].unanswered, 1);
-    let seen = outcomes.read(at(950 * MS), out(at(480 * MS)))[&A];
-    assert_eq!((seen.unanswered, seen.late), (0, 1), "it has answered since, but not this one");
-    outcomes.ended(at(960 * MS), A, 0, 5 * MS, AttemptOutcome::Served);
-    assert_eq!(outcomes.read(at(970 * MS), out(at(500 * MS)))[&A].unanswered, 0);
-    assert!(outcomes.read(at(5_000 * MS), std::iter::empty()).is_empty(), "what is old has faded");
+fn an_overdue_attempt_is_unanswered_unless_its_endpoint_has_answered_since() {
+    let mut window = recording_window();
+    for n in 0..50 {
+        record(&mut window, at(n * 10 * MS), ENDPOINT, 5 * MS, AttemptOutcome::Served);
+    }
+    let sent = |sent_at| [InFlightAttempt { endpoint: ENDPOINT, class: 0, sent_at }].into_iter();
+    // It last answered at 490 ms.
+    let unanswered =
+        |counts: &BTreeMap<EndpointId, OutcomeCounts>| counts.get(&ENDPOINT).map_or(0, |c| c.unanswered);
+    assert_eq!(unanswered(&window.read(at(880 * MS), sent(at(500 * MS)))), 0);
+    assert_eq!(window.read(at(950 * MS), sent(at(500 * MS)))[&ENDPOINT].unanswered, 1);
+    let counts = window.read(at(950 * MS), sent(at(480 * MS)))[&ENDPOINT];
+    assert_eq!((counts.unanswered, counts.late), (0, 1), "it has answered since, but not this attempt");
+    record(&mut window, at(960 * MS), ENDPOINT, 5 * MS, AttemptOutcome::Served);
+    assert_eq!(window.read(at(970 * MS), sent(at(500 * MS)))[&ENDPOINT].unanswered, 0);
+    assert!(window.read(at(5_000 * MS), std::iter::empty()).is_empty(), "old outcomes have expired");
 }
 
-/// Guards against a host that is gone, is tried seldom for that, and is forgotten between two tries.
+/// A failed endpoint is tried seldom and must not be forgotten between two attempts.
 #[test]
-fn what_failed_last_is_told_until_the_host_answers_or_a_while_has_passed() {
-    let mut outcomes = outcomes();
-    (0..9).for_each(|_| outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::ConnectFailed));
+fn failures_are_retained_until_the_endpoint_answers_or_they_expire() {
+    let mut window = recording_window();
+    for _ in 0..9 {
+        record(&mut window, Timestamp::ZERO, ENDPOINT, MS, AttemptOutcome::ConnectFailed);
+    }
     let none = std::iter::empty;
-    assert_eq!(outcomes.read(at(MS), none())[&A].connect_failed, 9);
-    assert_eq!(outcomes.read(at(1_900 * MS), none())[&A].connect_failed, FEW);
-    assert!(outcomes.read(at(HELD), none()).is_empty());
-    outcomes.ended(at(HELD), A, 0, MS, AttemptOutcome::Reset);
-    outcomes.ended(at(HELD), A, 0, MS, AttemptOutcome::Served);
-    assert!(outcomes.read(at(HELD + 700 * MS), none()).is_empty(), "it has answered");
+    assert_eq!(window.read(at(MS), none())[&ENDPOINT].connect_failed, 9);
+    assert_eq!(window.read(at(1_900 * MS), none())[&ENDPOINT].connect_failed, MAX_RETAINED_FAILURES);
+    assert!(window.read(at(FAILURE_RETENTION), none()).is_empty());
+    record(&mut window, at(FAILURE_RETENTION), ENDPOINT, MS, AttemptOutcome::Reset);
+    record(&mut window, at(FAILURE_RETENTION), ENDPOINT, MS, AttemptOutcome::Served);
+    assert!(window.read(at(FAILURE_RETENTION + 700 * MS), none()).is_empty(), "it has answered");
 }
 
-/// Guards against a usual that follows a slow zone until nothing there is late any more. Seeded: a third of the
-/// answers slow by ten times.
+/// The usual latency must not follow a slow zone until nothing there is late any more. Seeded: a third of the answers
+/// takes ten times as long.
 #[test]
-fn a_third_that_is_slow_stays_late() {
+fn a_third_of_slow_answers_stays_late() {
     for seed in 0..50 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut outcomes, b) = (outcomes(), EndpointId { ip: [0; 4], port: 2 });
+        let (mut window, slow_endpoint) = (recording_window(), EndpointId { ip: [0; 4], port: 2 });
         for n in 0..2_000 {
             let usual = rng.i64(10..20) * MS;
             let slow = n > 300 && rng.u8(..3) == 0;
-            let (endpoint, took) = if slow { (b, usual * 10) } else { (A, usual) };
-            outcomes.ended(at(n * MS), endpoint, 0, took, AttemptOutcome::Served);
+            let (endpoint, took) = if slow { (slow_endpoint, usual * 10) } else { (ENDPOINT, usual) };
+            record(&mut window, at(n * MS), endpoint, took, AttemptOutcome::Served);
         }
-        let seen = outcomes.read(at(2_000 * MS), std::iter::empty());
-        assert!(seen[&A].late * 10 < seen[&A].on_time, "seed {seed}: {seen:?}");
-        assert!(seen[&b].late > seen[&b].on_time, "seed {seed}: {seen:?}");
+        let counts = window.read(at(2_000 * MS), std::iter::empty());
+        assert!(counts[&ENDPOINT].late * 10 < counts[&ENDPOINT].on_time, "seed {seed}: {counts:?}");
+        assert!(counts[&slow_endpoint].late > counts[&slow_endpoint].on_time, "seed {seed}: {counts:?}");
     }
 }
 
 #[test]
-fn each_outcome_counts_as_what_it_says_of_the_host() {
-    let mut outcomes = outcomes();
-    let all = [
+fn each_outcome_counts_as_what_it_says_of_the_endpoint() {
+    let mut window = recording_window();
+    let outcomes = [
         AttemptOutcome::Served,
         AttemptOutcome::Misdirected,
         AttemptOutcome::ConnectFailed,
         AttemptOutcome::TimedOut,
         AttemptOutcome::Reset,
     ];
-    all.into_iter().for_each(|outcome| outcomes.ended(at(MS), A, 0, MS, outcome));
-    outcomes.ended(at(MS), A, 0, MS, AttemptOutcome::Cancelled);
-    outcomes.ended(at(MS), A, 0, 500 * MS, AttemptOutcome::Cancelled);
-    let seen = outcomes.read(at(2 * MS), std::iter::empty())[&A];
-    assert_eq!(
-        seen,
-        OutcomeCounts { on_time: 2, late: 0, unanswered: 3, connect_failed: 1, utilization_permille: 0 }
-    );
-    assert_eq!(seen.total(), 6);
+    for outcome in outcomes {
+        record(&mut window, at(MS), ENDPOINT, MS, outcome);
+    }
+    record(&mut window, at(MS), ENDPOINT, MS, AttemptOutcome::Cancelled);
+    record(&mut window, at(MS), ENDPOINT, 500 * MS, AttemptOutcome::Cancelled);
+    let counts = window.read(at(2 * MS), std::iter::empty())[&ENDPOINT];
+    let expected =
+        OutcomeCounts { on_time: 2, late: 0, unanswered: 3, connect_failed: 1, utilization_permille: 0 };
+    assert_eq!(counts, expected);
+    assert_eq!(counts.total(), 6);
 }
--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -1,290 +1,260 @@
-//! The owner of the module: the request table, attempts that are out, and timers. No I/O.
+//! The router with everything that belongs to its requests: the request table, attempts in flight, timers. No I/O.
 //!
-//! What it guards for every front: one final answer for each request, one attempt out at a time, results
-//! that come after the end are told to the module and dropped, and a client that has gone ends its attempt.
-
-use super::admission::{AdmissionController, AdmissionPolicy};
-use super::endpoints::{EndpointRegistry, EndpointUpdate};
-use super::load_report::{self, report_of};
-use super::metrics::{Gauges, Metrics, RequestOutcome};
-use super::observations::{NewObservation, Observation, Observations};
-use super::outcome_window::{InFlightAttempt, OutcomeCounts, OutcomeWindow};
-use super::poll_scheduler::{PollDecision, PollScheduler};
-use super::{
-    AttemptReport, Command, FinalAnswer, Freshness, Input, PeerObservation, PollParticipants, Submission,
-};
-use crate::Router;
-use crate::config::Limits;
-use crate::routing::*;
-use async_channel::Sender;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::panic::{AssertUnwindSafe, catch_unwind};
-use std::sync::Arc;
-
-/// Clocks of hosts may be ahead by this.
-const AHEAD: TimeDelta = TimeDelta::from_secs(1);
+//! Invariants, whatever the router and the backend pool do:
+//!
+//! - Each request gets exactly one final answer.
+//! - At most one attempt of a request is in flight.
+//! - What arrives for a request that has ended is reported to the router and otherwise dropped.
+//! - The attempt of a client that disconnects is cancelled.
+//!
+//! This file has construction and the dispatch of inputs, events and actions. Requests are in `request_table` and
+//! `requests`, attempts in `attempts`, health checks in `polling`, timers in `timers`.
 
 mod attempts;
+mod plausibility;
 mod polling;
 mod request_table;
+mod requests;
 mod timers;
 
-struct Open<W, A> {
-    work: W,
-    reply: Sender<FinalAnswer<A>>,
-    deadline: Timestamp,
-    attempts: u8,
-    /// When the first attempt was sent that may have run.
-    first_ran: Option<Timestamp>,
-    freshness: Freshness,
-    class: usize,
-    group: GroupId,
-}
+use super::admission::AdmissionController;
+use super::endpoints::{EndpointRegistry, EndpointUpdate};
+use super::message::{Command, Control, Input};
+use super::metrics::{Gauges, Metrics};
+use super::observations::Observations;
+use super::outcome_window::OutcomeWindow;
+use crate::Router;
+use crate::config::Limits;
+use crate::routing::{Action, Event, ListKind, Settings, Timestamp};
+use attempts::InFlightTable;
+use polling::EndpointPolls;
+use request_table::RequestTable;
+use std::collections::VecDeque;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+use std::sync::Arc;
+use timers::RouterTimers;
 
-/// What a host told about itself, unless it cannot be: none is ahead of the present, and a position that is
-/// would pass for fresh for ever.
-fn believed(now: Timestamp, replica_status: Option<ReplicaStatus>) -> Option<ReplicaStatus> {
-    let replica_status = replica_status.filter(|m| m.position.commit_time(Timestamp::ZERO) <= now + AHEAD)?;
-    Some(ReplicaStatus {
-        position: replica_status.position.min(LogPosition::of_commit(now, Timestamp::ZERO)),
-        ..replica_status
-    })
+/// Whether the engine's thread goes on after a control message.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AfterControl {
+    /// It does.
+    Continue,
+    /// It ends.
+    Stop,
 }
 
-/// What a final answer counts as.
-fn end_of<A>(answer: &FinalAnswer<A>) -> RequestOutcome {
-    match answer {
-        FinalAnswer::Served(_) => RequestOutcome::Success,
-        FinalAnswer::Rejected { .. } => RequestOutcome::Overload,
-        FinalAnswer::Failed { .. } | FinalAnswer::UnknownGroup => RequestOutcome::Error,
-    }
+/// Whether new requests are taken.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Intake {
+    Open,
+    /// The process is about to exit.
+    Finished,
 }
 
-/// The module with all that belongs to its requests.
+/// The router and the state around it. Methods append the commands that they lead to.
 pub struct RequestEngine<W, A> {
     router: Router,
     settings: Settings,
+    /// The seed of the present router.
     seed: u64,
     endpoints: EndpointRegistry,
-    most: usize,
-    overdue: TimeDelta,
-    open: BTreeMap<RequestId, Open<W, A>>,
-    /// Requests whose answer has begun, with their class; nothing more is owed, but their client may go.
-    begun: BTreeMap<RequestId, usize>,
-    out: BTreeMap<(RequestId, u8), InFlightAttempt>,
-    deadlines: BTreeSet<(Timestamp, RequestId)>,
-    timers: BTreeSet<(Timestamp, u64)>,
-    events: VecDeque<Event>,
+    requests: RequestTable<W, A>,
+    in_flight: InFlightTable,
+    timers: RouterTimers,
+    polls: EndpointPolls,
+    admission: AdmissionController,
+    observations: Observations,
+    outcome_window: OutcomeWindow,
+    intake: Intake,
+    /// Events that the router has not handled yet.
+    pending_events: VecDeque<Event>,
+    /// Actions of the event being handled; kept for its allocation.
     actions: Vec<Action>,
-    metrics: Arc<Metrics>,
-    facts: Observations,
-    outcomes: OutcomeWindow,
-    gate: AdmissionController,
-    /// Questions to hosts, where these are asked in turn with other daemons.
-    asks: Option<PollScheduler<EndpointId>>,
-    /// What hosts last told, to answer a question that need not be asked.
-    reports: BTreeMap<EndpointId, LoadReport>,
-    /// The program ends: nothing more is taken.
-    ended: bool,
-    /// Questions to hosts that are out: when each went.
-    asked: BTreeMap<EndpointId, Timestamp>,
 }
 
 impl<W: Clone, A> RequestEngine<W, A> {
-    /// An owner of a fresh module.
+    /// An engine with a new router and without a list. `seed` is that of the router's random choices.
     pub fn new(settings: Settings, seed: u64, limits: &Limits, metrics: Arc<Metrics>) -> Self {
         RequestEngine {
             router: Router::new(settings.clone(), seed),
-            gate: AdmissionController::new(&settings, seed),
-            asks: None,
-            reports: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            admission: AdmissionController::new(&settings, seed),
             settings,
             seed,
             endpoints: EndpointRegistry::default(),
-            most: limits.open_requests,
-            overdue: TimeDelta::from(limits.deadline_grace),
-            open: BTreeMap::new(),
-            begun: BTreeMap::new(),
-            out: BTreeMap::new(),
-            deadlines: BTreeSet::new(),
-            timers: BTreeSet::new(),
-            events: VecDeque::new(),
+            requests: RequestTable::new(limits, metrics),
+            in_flight: InFlightTable::default(),
+            timers: RouterTimers::default(),
+            polls: EndpointPolls::default(),
+            observations: Observations::default(),
+            outcome_window: OutcomeWindow::default(),
+            intake: Intake::Open,
+            pending_events: VecDeque::new(),
             actions: Vec::new(),
-            metrics,
-            facts: Observations::default(),
-            outcomes: OutcomeWindow::default(),
-            ended: false,
         }
     }
 
-    /// What holds now. What is avoided is the module's to tell.
-    pub fn gauges(&self, now: Timestamp) -> Gauges {
-        let (targets, disabled) = self.router.avoids(now);
-        Gauges { concurrent: self.open.len() + self.begun.len(), targets, disabled }
-    }
-
-    /// The terms on which requests are let in.
-    pub fn admit(&mut self, now: Timestamp, terms: Option<AdmissionPolicy>) {
-        self.gate.set(now, terms);
-    }
-
-    /// Takes in a list.
-    pub fn list(
+    /// Handles a control message. A reply that nobody waits for any more is dropped.
+    pub fn handle_control(
         &mut self,
         now: Timestamp,
-        list: &EndpointUpdate,
-        cached: bool,
+        control: Control,
         commands: &mut Vec<Command<W>>,
-    ) {
-        let (kind, entries, changed) = self.endpoints.apply(list, cached);
-        if changed.iter().any(|h| h.gone) {
-            let endpoints = &self.endpoints;
-            self.facts.retain(|endpoint| endpoints.host(endpoint).is_some());
-            self.reports.retain(|endpoint, _| endpoints.host(*endpoint).is_some());
-            self.asked.retain(|endpoint, _| endpoints.host(*endpoint).is_some());
-        }
-        // Before the module's own commands: an attempt must find its host known, or known to be closed.
-        if !changed.is_empty() {
-            commands.push(Command::UpdateEndpoints(changed));
+    ) -> AfterControl {
+        match control {
+            Control::EndpointList { list, cached } => {
+                let kind = match (cached, list.whole) {
+                    (true, _) => ListKind::Cached,
+                    (false, true) => ListKind::Full,
+                    (false, false) => ListKind::Delta,
+                };
+                self.apply_endpoint_list(now, &list, kind, commands);
+            }
+            Control::Gauges(reply) => drop(reply.try_send(self.gauges(now))),
+            Control::Observations(reply) => drop(reply.try_send(self.take_observations())),
+            Control::OutcomeCounts(reply) => drop(reply.try_send(self.outcome_counts(now))),
+            Control::CancelOverdueReads(endpoint_names) => {
+                self.cancel_overdue_reads(now, &endpoint_names, commands);
+            }
+            Control::PeerObservations(observations) => {
+                self.handle_peer_observations(now, observations, commands);
+            }
+            Control::SetAdmission(policy) => self.admission.set_policy(now, policy),
+            Control::SetPollParticipants(participants) => {
+                self.set_poll_participants(now, participants, commands);
+            }
+            Control::FinishAll => self.finish_all(now, commands),
+            Control::Stop => return AfterControl::Stop,
         }
-        self.tell(now, Event::EndpointList { kind, entries }, commands);
+        AfterControl::Continue
     }
 
-    /// Takes in what a front or a host side has to say.
-    pub fn input(&mut self, now: Timestamp, input: Input<W, A>, commands: &mut Vec<Command<W>>) {
+    /// Handles an input from a client connection, the backend pool or a peer.
+    pub fn handle_input(&mut self, now: Timestamp, input: Input<W, A>, commands: &mut Vec<Command<W>>) {
         match input {
-            Input::Request(request) => self.take(now, request, commands),
-            Input::RequestCancelled(id) => {
-                let open = self.open.remove(&id);
-                if let Some(open) = &open {
-                    self.deadlines.remove(&(open.deadline + self.overdue, id));
-                }
-                let class = open.as_ref().map(|open| open.class).or(self.begun.remove(&id));
-                if let Some(class) = class {
-                    // Its client has gone: whatever is still to come reaches nobody.
-                    self.metrics.ended(class, RequestOutcome::Error);
-                    self.tell(now, Event::RequestCancelled { id }, commands);
-                }
-            }
+            Input::Request(submission) => self.accept(now, submission, commands),
+            Input::RequestCancelled(id) => self.cancel_request(now, id, commands),
             Input::ResponseStarted { id, attempt, answer } => {
-                let Some(flight) = self.out.get(&(id, attempt)) else { return };
-                let endpoint = flight.endpoint;
-                // One that was given up meanwhile has its answer: this one is dropped, which ends the attempt.
-                if self.open.contains_key(&id) {
-                    self.begin(id, answer);
-                    self.tell(now, Event::ResponseStarted { id, attempt, endpoint }, commands);
-                }
+                self.start_response(now, id, attempt, answer, commands);
             }
-            Input::AttemptFinished(ended) => self.ended(now, ended, commands),
+            Input::AttemptFinished(report) => self.finish_attempt(now, report, commands),
             Input::ProbeFinished { endpoint, took, report } => {
-                let (ok, report) = (report.is_some(), self.credible(now, report.unwrap_or_default()));
-                let sent = self.asked.remove(&endpoint).unwrap_or(Timestamp::ZERO);
-                if let (Some(position), Some(role)) = (self.field(&report, "x0"), self.field(&report, "x1")) {
-                    let replica_status = ReplicaStatus {
-                        primary: role >= 0.5,
-                        position: LogPosition::from_micros((position * 1e6) as i64),
-                    };
-                    self.facts.note(
-                        endpoint,
-                        believed(now, Some(replica_status)),
-                        self.up(&report),
-                        sent,
-                        now,
-                    );
-                    self.learned(now, endpoint, report);
-                }
-                self.tell(now, Event::ProbeFinished { endpoint, ok, took, report }, commands);
+                self.finish_probe(now, endpoint, took, report, commands);
             }
             Input::PeerMessage { from, bytes } => {
-                self.tell(now, Event::PeerMessage { from, bytes }, commands)
+                self.dispatch(now, Event::PeerMessage { from, bytes }, commands);
             }
         }
     }
 
-    fn tell(&mut self, now: Timestamp, event: Event, commands: &mut Vec<Command<W>>) {
-        self.events.push_back(event);
-        if self.facts.is_urgent() {
+    /// When [`RequestEngine::run_due`] has something to do next.
+    pub fn next_due(&self) -> Option<Timestamp> {
+        let due = [self.timers.next_due(), self.requests.next_deadline(), self.polls.next_due()];
+        due.into_iter().flatten().min()
+    }
+
+    /// Sends deferred polls, fires timers and fails requests whose time has come.
+    pub fn run_due(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
+        self.send_due_polls(now, commands);
+        self.handle_pending_events(now, commands);
+        while let Some(timer) = self.timers.pop_due(now) {
+            self.dispatch(now, Event::TimerFired { timer }, commands);
+        }
+        self.fail_overdue_requests(now, commands);
+    }
+
+    fn gauges(&self, now: Timestamp) -> Gauges {
+        let (targets, disabled) = self.router.avoids(now);
+        Gauges { concurrent: self.requests.concurrent(), targets, disabled }
+    }
+
+    fn apply_endpoint_list(
+        &mut self,
+        now: Timestamp,
+        update: &EndpointUpdate,
+        kind: ListKind,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        let applied = self.endpoints.apply(update);
+        if applied.changed.iter().any(|endpoint| endpoint.gone) {
+            let endpoints = &self.endpoints;
+            self.observations.retain(|endpoint| endpoints.get(endpoint).is_some());
+            self.polls.retain(|endpoint| endpoints.get(endpoint).is_some());
+        }
+        // Before the commands that the router's actions lead to: the backend pool must know an endpoint, or know that
+        // it is closed, when an attempt for it arrives.
+        if !applied.changed.is_empty() {
+            commands.push(Command::UpdateEndpoints(applied.changed));
+        }
+        self.dispatch(now, Event::EndpointList { kind, entries: applied.entries }, commands);
+    }
+
+    /// Has the router handle an event, after those that are pending.
+    fn dispatch(&mut self, now: Timestamp, event: Event, commands: &mut Vec<Command<W>>) {
+        self.pending_events.push_back(event);
+        if self.observations.take_urgent() {
             commands.push(Command::ObservationsPending);
         }
-        self.work_off(now, commands);
+        self.handle_pending_events(now, commands);
     }
 
-    /// Tells the module what waits, and does what it says.
-    fn work_off(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
-        while let Some(event) = self.events.pop_front() {
+    /// Has the router handle all pending events, those included that its own actions lead to.
+    fn handle_pending_events(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
+        while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
-            let handled = catch_unwind(AssertUnwindSafe(|| self.router.handle(now, event, &mut actions)));
-            if handled.is_err() {
-                self.restart(commands);
+            let handle = AssertUnwindSafe(|| self.router.handle(now, event, &mut actions));
+            if catch_unwind(handle).is_err() {
+                self.replace_router(commands);
                 continue;
             }
             for action in actions.drain(..) {
-                self.act(now, action, commands);
+                self.perform(now, action, commands);
             }
             self.actions = actions;
         }
     }
 
-    /// The module panicked, and its state cannot be trusted: all that is open fails, all that is out is called
-    /// off, and a fresh module starts from the list, as after a restart of the process.
-    fn restart(&mut self, commands: &mut Vec<Command<W>>) {
-        log::error!("the module panicked; a fresh one takes over, {} requests fail", self.open.len());
-        for id in self.open.keys().copied().collect::<Vec<_>>() {
-            self.finish(id, FinalAnswer::Failed { overdue: false });
-        }
-        let out = std::mem::take(&mut self.out);
-        commands.extend(out.into_keys().map(|(id, attempt)| Command::Cancel { id, attempt }));
-        self.begun.clear();
+    /// Replaces a router that panicked, since its state cannot be trusted: all open requests fail, all attempts in
+    /// flight are cancelled, and a new router starts from the endpoint list, as after a restart of the process.
+    fn replace_router(&mut self, commands: &mut Vec<Command<W>>) {
+        log::error!(
+            "engine: the router panicked and is replaced: {} open requests fail",
+            self.requests.len()
+        );
+        self.requests.fail_all();
+        commands.extend(self.in_flight.cancel_all());
         self.timers.clear();
-        self.events.clear();
+        self.pending_events.clear();
+        // Another seed: the same random choices might lead to the same panic.
         self.seed = self.seed.wrapping_add(1);
         self.router = Router::new(self.settings.clone(), self.seed);
         let entries = self.endpoints.entries();
-        self.events.push_back(Event::EndpointList { kind: ListKind::Cached, entries });
+        self.pending_events.push_back(Event::EndpointList { kind: ListKind::Cached, entries });
     }
 
-    fn act(&mut self, now: Timestamp, action: Action, commands: &mut Vec<Command<W>>) {
+    /// Carries out an action of the router.
+    fn perform(&mut self, now: Timestamp, action: Action, commands: &mut Vec<Command<W>>) {
         match action {
-            Action::Send { id, endpoint, stop_at } => self.send(now, id, endpoint, stop_at, commands),
-            Action::Reject { id, retry_after } => {
-                let overdue = self.is_late(now, id);
-                self.finish(id, FinalAnswer::Rejected { retry_after, overdue });
-            }
-            Action::Fail { id } => {
-                let overdue = self.is_late(now, id);
-                self.finish(id, FinalAnswer::Failed { overdue });
+            Action::Send { id, endpoint, stop_at } => {
+                self.send_attempt(now, id, endpoint, stop_at, commands);
             }
+            Action::Reject { id, retry_after } => self.requests.reject(now, id, retry_after),
+            Action::Fail { id } => self.requests.fail(now, id),
             Action::Cancel { id, attempt } => {
-                if self.out.contains_key(&(id, attempt)) {
+                if self.in_flight.contains(id, attempt) {
                     commands.push(Command::Cancel { id, attempt });
                 }
             }
-            Action::SetTimer { span, timer } => drop(self.timers.insert((now + span.or_zero(), timer))),
-            Action::Probe { endpoint } => {
-                let name = self.endpoints.host(endpoint).map(|h| h.name.as_str()).unwrap_or_default();
-                match self.asks.as_mut().map_or(PollDecision::Now, |asks| asks.wanted(now, endpoint, name)) {
-                    PollDecision::Now => self.probe(now, endpoint, commands),
-                    PollDecision::Later => {}
-                    PollDecision::Known => {
-                        let report = self.reports.get(&endpoint).copied().unwrap_or_default();
-                        self.events.push_back(Event::ProbeFinished {
-                            endpoint,
-                            ok: report.count > 0,
-                            took: TimeDelta::ZERO,
-                            report,
-                        });
-                    }
-                }
-            }
-            // Discovery is watched from the start to the end, whoever asks.
+            Action::SetTimer { span, timer } => self.timers.set(now + span.or_zero(), timer),
+            Action::Probe { endpoint } => self.request_poll(now, endpoint, commands),
+            // Discovery watches the list from the start of the process to its end, whether or not the router asks.
             Action::Subscribe { on: _ } | Action::FetchList => commands.push(Command::FetchList),
             Action::CloseIdle { endpoint } => {
-                let host = self.endpoints.host(endpoint).map(|h| h.name.clone());
-                commands.extend(host.map(Command::CloseIdle));
+                if let Some(endpoint) = self.endpoints.get(endpoint) {
+                    commands.push(Command::CloseIdle(endpoint.name.clone()));
+                }
             }
             Action::SendToPeers { to, bytes } => commands.push(Command::SendToPeers { to, bytes }),
-            Action::Log { text } => log::info!("module: {text}"),
+            Action::Log { text } => log::info!("router: {text}"),
         }
     }
 }
--- a/src/engine/request_engine/attempts.rs
+++ b/src/engine/request_engine/attempts.rs
@@ -1,114 +1,217 @@
-//! Attempts: sent, ended, called off.
+//! Attempts: sent, ended, cancelled, and what their outcomes say of endpoints.
 
-use super::*;
+use super::RequestEngine;
+use super::plausibility::{plausible_report, plausible_status};
+use crate::engine::load_report::{self, ReportField};
+use crate::engine::message::{AttemptReport, Command, FinalAnswer};
+use crate::engine::metrics::RequestOutcome;
+use crate::engine::outcome_window::{InFlightAttempt, OutcomeCounts};
+use crate::routing::{
+    AttemptFinished, AttemptOutcome, Class, EndpointId, Event, Idempotency, LoadReport, ReplicaStatus,
+    RequestId, TimeDelta, Timestamp,
+};
+use std::collections::{BTreeMap, BTreeSet};
 
-impl<W: Clone, A> RequestEngine<W, A> {
-    /// What was seen of each host within the last moment.
-    pub fn outcomes(&mut self, now: Timestamp) -> BTreeMap<String, OutcomeCounts> {
-        let RequestEngine { outcomes, out, endpoints, .. } = self;
-        let seen = outcomes.read(now, out.values().copied()).into_iter();
-        seen.filter_map(|(endpoint, seen)| Some((endpoints.host(endpoint)?.name.clone(), seen))).collect()
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId {
+    request: RequestId,
+    attempt: u8,
+}
+
+/// The attempts that were sent and have not ended. An attempt stays after its request has ended, until its own end.
+#[derive(Debug, Default)]
+pub(super) struct InFlightTable(BTreeMap<AttemptId, InFlightAttempt>);
+
+impl InFlightTable {
+    pub(super) fn get(&self, request: RequestId, attempt: u8) -> Option<&InFlightAttempt> {
+        self.0.get(&AttemptId { request, attempt })
     }
 
-    /// Reads that are out at these hosts and overdue are called off; the module asks them elsewhere, as far as their
-    /// class permits. Nothing else is: what may have written is waited for.
-    pub fn call_off(&mut self, now: Timestamp, hosts: &BTreeSet<String>, commands: &mut Vec<Command<W>>) {
-        for (&(id, attempt), flight) in &self.out {
-            let class = self.settings.classes.get(flight.class);
-            let is_safe = class.is_some_and(|c| c.idempotency == Some(Idempotency::Idempotent));
-            let named = self.endpoints.host(flight.endpoint).is_some_and(|h| hosts.contains(&h.name));
-            if is_safe && named && self.open.contains_key(&id) && self.outcomes.is_overdue(now, flight) {
-                commands.push(Command::Cancel { id, attempt });
-            }
-        }
+    pub(super) fn contains(&self, request: RequestId, attempt: u8) -> bool {
+        self.get(request, attempt).is_some()
     }
 
-    pub(super) fn ended(&mut self, now: Timestamp, ended: AttemptReport<A>, commands: &mut Vec<Command<W>>) {
-        let AttemptReport { id, attempt, outcome, replica_status, report, answer } = ended;
-        let replica_status = believed(now, replica_status);
-        let report = self.credible(now, report);
-        let Some(flight) = self.out.remove(&(id, attempt)) else { return };
-        self.facts.note(flight.endpoint, replica_status, self.up(&report), flight.sent, now);
-        if self.endpoints.host(flight.endpoint).is_some_and(|h| h.open) {
-            self.outcomes.ended(now, flight.endpoint, flight.class, now - flight.sent, outcome);
-            if let Some(util) = self.field(&report, "util") {
-                self.outcomes.busy(flight.endpoint, util);
-                self.facts.used(flight.endpoint, util);
-            }
+    /// Whether any attempt of a request is in flight.
+    fn has_attempt_of(&self, request: RequestId) -> bool {
+        let first = AttemptId { request, attempt: 0 };
+        let last = AttemptId { request, attempt: u8::MAX };
+        self.0.range(first..=last).next().is_some()
+    }
+
+    /// Number of attempts in flight at each endpoint.
+    pub(super) fn count_by_endpoint(&self) -> BTreeMap<EndpointId, u16> {
+        let mut counts: BTreeMap<EndpointId, u16> = BTreeMap::new();
+        for in_flight in self.0.values() {
+            *counts.entry(in_flight.endpoint).or_default() += 1;
         }
-        let served = outcome == AttemptOutcome::Served;
-        if served {
-            self.facts.served(flight.endpoint);
+        counts
+    }
+
+    /// Forgets all attempts: the commands that cancel them.
+    pub(super) fn cancel_all<W>(&mut self) -> impl Iterator<Item = Command<W>> + use<W> {
+        let attempts = std::mem::take(&mut self.0).into_keys();
+        attempts.map(|AttemptId { request, attempt }| Command::Cancel { id: request, attempt })
+    }
+}
+
+impl<W: Clone, A> RequestEngine<W, A> {
+    /// Sends an attempt as the router wants it. One that may not be sent is reported back to the router as ended.
+    pub(super) fn send_attempt(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        endpoint: EndpointId,
+        stop_at: Option<Timestamp>,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else {
+            log::error!("engine: request {id}: the router sent an attempt after the final answer");
+            return;
+        };
+        let attempt = request.attempts;
+        request.attempts = request.attempts.saturating_add(1);
+        if self.in_flight.has_attempt_of(id) {
+            log::error!("engine: request {id}: attempt {attempt} not sent: another one is in flight");
+            self.report_unsent_attempt(id, attempt, endpoint, AttemptOutcome::NotSent);
+            return;
         }
-        if let Some(open) = self.open.get_mut(&id) {
+        let Some(target) = self.endpoints.get(endpoint) else {
+            log::error!("engine: request {id}: attempt {attempt} not sent: its endpoint is not on the list");
+            self.report_unsent_attempt(id, attempt, endpoint, AttemptOutcome::ConnectFailed);
+            return;
+        };
+        let class = self.settings.classes.get(request.class);
+        commands.push(Command::SendAttempt {
+            id,
+            attempt,
+            endpoint,
+            host: target.name.clone(),
+            work: request.work.clone(),
+            until: stop_at.map_or(request.deadline, |stop_at| stop_at.min(request.deadline)),
+            send_by: request.first_may_have_run_at.and_then(|first| key_expiry(class, first)),
+            freshness: request.freshness,
+        });
+        let in_flight = InFlightAttempt { endpoint, class: request.class, sent_at: now };
+        self.in_flight.0.insert(AttemptId { request: id, attempt }, in_flight);
+    }
+
+    fn report_unsent_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u8,
+        endpoint: EndpointId,
+        outcome: AttemptOutcome,
+    ) {
+        self.pending_events.push_back(Event::AttemptFinished(AttemptFinished {
+            id,
+            attempt,
+            endpoint,
+            took: TimeDelta::ZERO,
+            outcome,
+            finished: false,
+            replica_status: None,
+            report: LoadReport::default(),
+        }));
+    }
+
+    /// An attempt has ended. The answer of a request that has ended before is dropped.
+    pub(super) fn finish_attempt(
+        &mut self,
+        now: Timestamp,
+        report: AttemptReport<A>,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        let AttemptReport { id, attempt, outcome, replica_status, report, answer } = report;
+        let Some(in_flight) = self.in_flight.0.remove(&AttemptId { request: id, attempt }) else { return };
+        let replica_status = plausible_status(now, replica_status);
+        let report = plausible_report(&self.settings, now, report);
+        self.observe_attempt(now, &in_flight, outcome, replica_status, &report);
+        let took = now - in_flight.sent_at;
+        if let Some(request) = self.requests.get_mut(id) {
             if outcome.may_have_run() {
-                open.first_ran.get_or_insert(flight.sent);
+                request.first_may_have_run_at.get_or_insert(in_flight.sent_at);
             }
-            self.gate.ended(now, open.class, open.group, now - flight.sent, outcome);
+            self.admission.record_attempt(now, request.class, request.group, took, outcome);
         }
+        let served = outcome == AttemptOutcome::Served;
         if let Some(answer) = answer.filter(|_| served) {
-            // One that was given up meanwhile has its answer: this one is dropped.
-            self.finish(id, FinalAnswer::Served(answer));
-        }
-        // Counted once it is whole: what broke off in its midst is no success.
-        if let Some(class) = self.begun.remove(&id) {
-            self.metrics.ended(class, if served { RequestOutcome::Success } else { RequestOutcome::Error });
+            self.requests.finish(id, FinalAnswer::Served(answer));
         }
+        // A streamed answer is counted only now: one that broke off is no success.
+        let stream_outcome = if served { RequestOutcome::Success } else { RequestOutcome::Error };
+        self.requests.finish_stream(id, stream_outcome);
         let event = AttemptFinished {
             id,
             attempt,
-            endpoint: flight.endpoint,
-            took: now - flight.sent,
+            endpoint: in_flight.endpoint,
+            took,
             outcome,
-            finished: !self.open.contains_key(&id),
+            finished: !self.requests.is_open(id),
             replica_status,
             report,
         };
-        self.tell(now, Event::AttemptFinished(event), commands);
+        self.dispatch(now, Event::AttemptFinished(event), commands);
     }
 
-    pub(super) fn send(
+    /// Records what an attempt's end says of its endpoint.
+    fn observe_attempt(
         &mut self,
         now: Timestamp,
-        id: RequestId,
-        endpoint: EndpointId,
-        stop_at: Option<Timestamp>,
+        in_flight: &InFlightAttempt,
+        outcome: AttemptOutcome,
+        replica_status: Option<ReplicaStatus>,
+        report: &LoadReport,
+    ) {
+        let endpoint = in_flight.endpoint;
+        self.observe_report(now, endpoint, replica_status, report, in_flight.sent_at);
+        if self.endpoints.get(endpoint).is_some_and(|endpoint| endpoint.open) {
+            self.outcome_window.record(now, in_flight, outcome);
+            let fields = &self.settings.report_fields;
+            if let Some(utilization) = load_report::value(fields, report, ReportField::Utilization) {
+                self.outcome_window.record_utilization(endpoint, utilization);
+                self.observations.record_utilization(endpoint, utilization);
+            }
+        }
+        if outcome == AttemptOutcome::Served {
+            self.observations.record_served(endpoint);
+        }
+    }
+
+    /// Cancels reads in flight at the named endpoints that are overdue. The router retries them elsewhere, as far as
+    /// their class permits. Requests that may have written are waited for.
+    pub(super) fn cancel_overdue_reads(
+        &mut self,
+        now: Timestamp,
+        endpoint_names: &BTreeSet<String>,
         commands: &mut Vec<Command<W>>,
     ) {
-        let Some(open) = self.open.get_mut(&id) else {
-            log::error!("request {id}: the module sent it after its end");
-            return;
-        };
-        let attempt = open.attempts;
-        open.attempts = open.attempts.saturating_add(1);
-        let out = self.out.range((id, 0)..=(id, u8::MAX)).next().is_some();
-        let host = self.endpoints.host(endpoint).filter(|_| !out);
-        let Some(host) = host else {
-            // A second copy is never sent, nor can one be to a host that no list names any more.
-            log::error!("request {id}: attempt {attempt} was not allowed out");
-            let outcome = if out { AttemptOutcome::NotSent } else { AttemptOutcome::ConnectFailed };
-            let event = AttemptFinished {
-                id,
-                attempt,
-                endpoint,
-                took: TimeDelta::ZERO,
-                outcome,
-                finished: false,
-                replica_status: None,
-                report: LoadReport::default(),
-            };
-            self.events.push_back(Event::AttemptFinished(event));
-            return;
-        };
-        let until = stop_at.map_or(open.deadline, |at| at.min(open.deadline));
-        let send_by = open.first_ran.and_then(|first| {
-            let class = self.settings.classes.get(open.class)?;
-            (class.idempotency == Some(Idempotency::Keyed))
-                .then(|| first + class.key_window.unwrap_or(TimeDelta::ZERO))
-        });
-        let (host, work, freshness, class) =
-            (host.name.clone(), open.work.clone(), open.freshness, open.class);
-        self.out.insert((id, attempt), InFlightAttempt { endpoint, class, sent: now });
-        commands.push(Command::SendAttempt { id, attempt, endpoint, host, work, until, send_by, freshness });
+        for (&AttemptId { request: id, attempt }, in_flight) in &self.in_flight.0 {
+            let class = self.settings.classes.get(in_flight.class);
+            let is_read = class.is_some_and(|class| class.idempotency == Some(Idempotency::Idempotent));
+            let endpoint = self.endpoints.get(in_flight.endpoint);
+            let is_named = endpoint.is_some_and(|endpoint| endpoint_names.contains(&endpoint.name));
+            let is_overdue = self.outcome_window.is_overdue(now, in_flight);
+            if is_read && is_named && is_overdue && self.requests.is_open(id) {
+                commands.push(Command::Cancel { id, attempt });
+            }
+        }
     }
+
+    /// How attempts at each endpoint ended lately, by the endpoint's name.
+    pub(super) fn outcome_counts(&mut self, now: Timestamp) -> BTreeMap<String, OutcomeCounts> {
+        let mut named = BTreeMap::new();
+        for (endpoint, counts) in self.outcome_window.read(now, self.in_flight.0.values().copied()) {
+            if let Some(endpoint) = self.endpoints.get(endpoint) {
+                named.insert(endpoint.name.clone(), counts);
+            }
+        }
+        named
+    }
+}
+
+/// When the key of a keyed request is forgotten whose first attempt that may have run was sent at `first_sent_at`: a
+/// repeat sent later might run again. `None`: the class has no keys.
+fn key_expiry(class: Option<&Class>, first_sent_at: Timestamp) -> Option<Timestamp> {
+    let class = class.filter(|class| class.idempotency == Some(Idempotency::Keyed))?;
+    Some(first_sent_at + class.key_window.unwrap_or(TimeDelta::ZERO))
 }
--- a/src/engine/request_engine/polling.rs
+++ b/src/engine/request_engine/polling.rs
@@ -1,117 +1,225 @@
-//! Questions to hosts, and what hosts and others tell.
+//! Health checks: probes of endpoints, shared with peers, and what endpoints report about themselves.
+//!
+//! The router asks for probes. While several poolers start at once, a poll schedule decides whether one is sent: a
+//! recent observation by a peer may replace it.
 
-use super::*;
+use super::RequestEngine;
+use super::plausibility::{is_plausible_position, plausible_report, plausible_status, plausible_uptime};
+use crate::engine::load_report::{self, PRIMARY_THRESHOLD, ReportField, report_of};
+use crate::engine::message::{Command, PeerObservation, PollParticipants};
+use crate::engine::observations::{EndpointReport, Observation};
+use crate::engine::poll_scheduler::{PollDecision, PollScheduler};
+use crate::routing::{EndpointId, Event, LoadReport, LogPosition, ReplicaStatus, TimeDelta, Timestamp};
+use std::collections::BTreeMap;
+
+/// The engine's polls of endpoints.
+#[derive(Debug, Default)]
+pub(super) struct EndpointPolls {
+    /// `None`: polls are shared with nobody; each is sent when the router asks for it.
+    schedule: Option<PollScheduler<EndpointId>>,
+    /// While polls are shared, the last load report of each endpoint: it answers polls that need not be sent.
+    latest_reports: BTreeMap<EndpointId, LoadReport>,
+    /// When each poll that is in flight was sent.
+    sent_at: BTreeMap<EndpointId, Timestamp>,
+}
+
+impl EndpointPolls {
+    /// When the next deferred poll has its turn.
+    pub(super) fn next_due(&self) -> Option<Timestamp> {
+        self.schedule.as_ref().and_then(PollScheduler::next_due)
+    }
+
+    /// Forgets what is known of endpoints for which `keep` is false.
+    pub(super) fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
+        self.latest_reports.retain(|endpoint, _| keep(*endpoint));
+        self.sent_at.retain(|endpoint, _| keep(*endpoint));
+    }
+
+    /// An endpoint's report is known, from its own answer or from a peer.
+    fn observed(&mut self, now: Timestamp, endpoint: EndpointId, report: LoadReport) {
+        if report.count == 0 {
+            return;
+        }
+        if let Some(schedule) = &mut self.schedule {
+            schedule.observed(now, endpoint);
+            self.latest_reports.insert(endpoint, report);
+        }
+    }
+}
 
 impl<W: Clone, A> RequestEngine<W, A> {
-    /// Hosts are asked in turn with others from now on, or whenever the module wants it.
-    pub fn turns(&mut self, now: Timestamp, turns: Option<PollParticipants>, commands: &mut Vec<Command<W>>) {
-        match (turns, &mut self.asks) {
-            (Some(PollParticipants { peers, .. }), Some(asks)) => asks.hears(peers),
-            (Some(PollParticipants { local, peers }), none) => *none = Some(PollScheduler::new(local, peers)),
-            (None, asks) => {
-                for endpoint in asks.take().map(PollScheduler::end).unwrap_or_default() {
-                    self.probe(now, endpoint, commands);
-                }
-                self.reports.clear();
-                self.work_off(now, commands);
+    /// Sets with whom polls are shared; `None`: with nobody. Polls that were deferred are sent then.
+    pub(super) fn set_poll_participants(
+        &mut self,
+        now: Timestamp,
+        participants: Option<PollParticipants>,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        if let Some(PollParticipants { local, peers }) = participants {
+            match &mut self.polls.schedule {
+                Some(schedule) => schedule.set_peers(peers),
+                none => *none = Some(PollScheduler::new(local, peers)),
             }
+            return;
+        }
+        let schedule = self.polls.schedule.take();
+        for endpoint in schedule.map(PollScheduler::into_deferred).unwrap_or_default() {
+            self.send_probe(now, endpoint, commands);
         }
+        self.polls.latest_reports.clear();
+        self.handle_pending_events(now, commands);
     }
 
-    /// Takes in what others heard hosts say. What this daemon heard itself, and later, counts for more.
-    pub fn told(&mut self, now: Timestamp, all: Vec<PeerObservation>, commands: &mut Vec<Command<W>>) {
-        for PeerObservation { endpoint_name: host, primary, position, observed_at: at, replaces_poll } in all
-        {
-            let Some(endpoint) = self.endpoints.find(&host) else { continue };
-            let committed = position.commit_time(Timestamp::ZERO);
-            let later = self.facts.heard(endpoint).is_some_and(|own| own >= at);
-            if !later && committed <= now + AHEAD {
-                self.facts.known(endpoint, position, at);
+    /// The router asks for a poll of an endpoint.
+    pub(super) fn request_poll(
+        &mut self,
+        now: Timestamp,
+        endpoint: EndpointId,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        let name = self.endpoints.get(endpoint).map_or("", |endpoint| endpoint.name.as_str());
+        let decision = match &mut self.polls.schedule {
+            Some(schedule) => schedule.request(now, endpoint, name),
+            None => PollDecision::Send,
+        };
+        match decision {
+            PollDecision::Send => self.send_probe(now, endpoint, commands),
+            PollDecision::Defer => {}
+            PollDecision::AlreadyAnswered => {
+                let report = self.polls.latest_reports.get(&endpoint).copied().unwrap_or_default();
+                let (ok, took) = (report.count > 0, TimeDelta::ZERO);
+                self.pending_events.push_back(Event::ProbeFinished { endpoint, ok, took, report });
             }
-            if later || !replaces_poll || committed > now + AHEAD || self.asks.is_none() {
-                continue;
+        }
+    }
+
+    /// Sends the deferred polls whose turn has come.
+    pub(super) fn send_due_polls(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
+        let Some(schedule) = &mut self.polls.schedule else { return };
+        for endpoint in schedule.take_due(now) {
+            self.send_probe(now, endpoint, commands);
+        }
+    }
+
+    /// Sends a probe; it fails at once where the endpoint is not open.
+    fn send_probe(&mut self, now: Timestamp, endpoint: EndpointId, commands: &mut Vec<Command<W>>) {
+        match self.endpoints.get(endpoint).filter(|endpoint| endpoint.open) {
+            Some(target) => {
+                self.polls.sent_at.insert(endpoint, now);
+                commands.push(Command::Probe { endpoint, host: target.name.clone() });
+            }
+            None => {
+                let (took, report) = (TimeDelta::ZERO, LoadReport::default());
+                self.pending_events.push_back(Event::ProbeFinished { endpoint, ok: false, took, report });
             }
-            let report = report_of(&self.settings.report_fields, |field| match field {
-                "x0" => Some(position.as_micros() as f64 / 1e6),
-                "x1" => Some(f64::from(u8::from(primary))),
-                _ => None,
-            });
-            self.learned(now, endpoint, report);
-            commands.push(Command::SkipInitialProbe(host));
-            self.tell(
-                now,
-                Event::ProbeFinished { endpoint, ok: true, took: TimeDelta::ZERO, report },
-                commands,
-            );
         }
     }
 
-    /// A host's report is known now, to whoever wants it within a moment.
-    pub(super) fn learned(&mut self, now: Timestamp, endpoint: EndpointId, report: LoadReport) {
-        if let Some(asks) = self.asks.as_mut().filter(|_| report.count > 0) {
-            asks.told(now, endpoint);
-            self.reports.insert(endpoint, report);
+    /// A probe has ended; `None`: it failed.
+    pub(super) fn finish_probe(
+        &mut self,
+        now: Timestamp,
+        endpoint: EndpointId,
+        took: TimeDelta,
+        report: Option<LoadReport>,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        let ok = report.is_some();
+        let report = plausible_report(&self.settings, now, report.unwrap_or_default());
+        let sent_at = self.polls.sent_at.remove(&endpoint).unwrap_or(Timestamp::ZERO);
+        if let Some(replica_status) = self.replica_status(&report) {
+            let replica_status = plausible_status(now, Some(replica_status));
+            self.observe_report(now, endpoint, replica_status, &report, sent_at);
+            self.polls.observed(now, endpoint, report);
         }
+        self.dispatch(now, Event::ProbeFinished { endpoint, ok, took, report }, commands);
     }
 
-    /// The value of a report's field.
-    pub(super) fn field(&self, report: &LoadReport, name: &str) -> Option<f64> {
-        load_report::field(&self.settings.report_fields, report, name)
+    /// The role and position in a load report; `None` where it lacks one of them.
+    fn replica_status(&self, report: &LoadReport) -> Option<ReplicaStatus> {
+        let fields = &self.settings.report_fields;
+        let position_seconds = load_report::value(fields, report, ReportField::Position)?;
+        let role = load_report::value(fields, report, ReportField::Role)?;
+        let position = LogPosition::from_micros((position_seconds * 1e6) as i64);
+        Some(ReplicaStatus { primary: role >= PRIMARY_THRESHOLD, position })
     }
 
-    /// How long a host has run, by its report.
-    pub(super) fn up(&self, report: &LoadReport) -> Option<TimeDelta> {
-        self.field(report, "up")
-            .filter(|up| (0.0..1e10).contains(up))
-            .map(|up| TimeDelta::from_micros_f64(up * 1e6))
+    /// Records an endpoint's report about itself, in answer to a request sent at `requested_at`.
+    pub(super) fn observe_report(
+        &mut self,
+        now: Timestamp,
+        endpoint: EndpointId,
+        replica_status: Option<ReplicaStatus>,
+        report: &LoadReport,
+        requested_at: Timestamp,
+    ) {
+        let Some(replica_status) = replica_status else { return };
+        let uptime = plausible_uptime(&self.settings, report);
+        let report = EndpointReport { replica_status, uptime, requested_at, arrived_at: now };
+        self.observations.record(endpoint, report);
     }
 
-    /// Asks a host about itself.
-    pub(super) fn probe(&mut self, now: Timestamp, endpoint: EndpointId, commands: &mut Vec<Command<W>>) {
-        let host = self.endpoints.host(endpoint).filter(|h| h.open).map(|h| h.name.clone());
-        match host {
-            Some(host) => {
-                self.asked.insert(endpoint, now);
-                commands.push(Command::Probe { endpoint, host });
-            }
-            None => {
-                let report = LoadReport::default();
-                self.events.push_back(Event::ProbeFinished {
-                    endpoint,
-                    ok: false,
-                    took: TimeDelta::ZERO,
-                    report,
-                });
-            }
+    /// Handles observations by peers, or of before the start of the process. Newer ones by this process prevail.
+    pub(super) fn handle_peer_observations(
+        &mut self,
+        now: Timestamp,
+        observations: Vec<PeerObservation>,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        for observation in observations {
+            self.handle_peer_observation(now, observation, commands);
         }
     }
 
-    /// A load report, or an empty one where its position cannot be.
-    pub(super) fn credible(&self, now: Timestamp, report: LoadReport) -> LoadReport {
-        let zero = self.settings.zero.unwrap_or(Timestamp::ZERO).as_micros() as f64;
-        let cannot_be = |x0: f64| zero + x0 * 1e6 > (now + AHEAD).as_micros() as f64 || x0 < 0.0;
-        if self.field(&report, "x0").is_some_and(cannot_be) { LoadReport::default() } else { report }
+    fn handle_peer_observation(
+        &mut self,
+        now: Timestamp,
+        observation: PeerObservation,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        let PeerObservation { endpoint_name, primary, position, observed_at, replaces_poll } = observation;
+        let Some(endpoint) = self.endpoints.find(&endpoint_name) else { return };
+        let own_report_at = self.observations.last_report_at(endpoint);
+        if own_report_at.is_some_and(|own| own >= observed_at) || !is_plausible_position(now, position) {
+            return;
+        }
+        self.observations.record_external_position(endpoint, position, observed_at);
+        if !replaces_poll || self.polls.schedule.is_none() {
+            return;
+        }
+        let report = report_of(&self.settings.report_fields, |field| {
+            if field == ReportField::Position.name() {
+                Some(position.as_micros() as f64 / 1e6)
+            } else if field == ReportField::Role.name() {
+                Some(f64::from(u8::from(primary)))
+            } else {
+                None
+            }
+        });
+        self.polls.observed(now, endpoint, report);
+        commands.push(Command::SkipInitialProbe(endpoint_name));
+        let event = Event::ProbeFinished { endpoint, ok: true, took: TimeDelta::ZERO, report };
+        self.dispatch(now, event, commands);
     }
 
-    /// What hosts have told since this was last asked.
-    pub fn facts(&mut self) -> Vec<Observation> {
-        let new = self.facts.take();
-        let mut out: BTreeMap<EndpointId, u16> = BTreeMap::new();
-        self.out.values().for_each(|flight| *out.entry(flight.endpoint).or_default() += 1);
-        let fact = |(endpoint, new): (EndpointId, NewObservation)| {
-            let host = self.endpoints.host(endpoint)?;
-            Some(Observation {
-                endpoint_name: host.name.clone(),
+    /// Takes the observations of endpoints since the last call.
+    pub(super) fn take_observations(&mut self) -> Vec<Observation> {
+        let in_flight = self.in_flight.count_by_endpoint();
+        let mut observations = Vec::new();
+        for (endpoint, new) in self.observations.take() {
+            let Some(listed) = self.endpoints.get(endpoint) else { continue };
+            observations.push(Observation {
+                endpoint_name: listed.name.clone(),
                 primary: new.replica_status.primary,
                 position: new.replica_status.position,
                 observed_at: new.observed_at,
-                in_flight: out.get(&endpoint).copied().unwrap_or(0),
-                started_at: new.started_at.max(host.started_at),
+                in_flight: in_flight.get(&endpoint).copied().unwrap_or(0),
+                started_at: new.started_at.max(listed.started_at),
                 served: new.served,
                 utilization: new.utilization,
                 regression: new.regression,
-            })
-        };
-        new.into_iter().filter_map(fact).collect()
+            });
+        }
+        observations
     }
 }
--- /dev/null
+++ b/src/engine/request_engine/requests.rs
@@ -0,0 +1,114 @@
+//! Requests: taken in or rejected, answered, cancelled.
+
+use super::request_table::OpenRequest;
+use super::{Intake, RequestEngine};
+use crate::engine::admission::AdmissionDecision;
+use crate::engine::message::{Command, FinalAnswer, Freshness, Submission};
+use crate::routing::{Class, Consistency, Event, IncomingRequest, RequestId, TimeDelta, Timestamp};
+
+impl<W: Clone, A> RequestEngine<W, A> {
+    /// Takes in a request, unless it has to be answered at once.
+    pub(super) fn accept(
+        &mut self,
+        now: Timestamp,
+        submission: Submission<W, A>,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        let Submission { request, deadline, work, reply } = submission;
+        if let Some(answer) = self.immediate_answer(now, &request) {
+            self.requests.refuse(request.class, &reply, answer);
+            return;
+        }
+        let open = OpenRequest {
+            work,
+            reply,
+            deadline,
+            attempts: 0,
+            first_may_have_run_at: None,
+            freshness: required_freshness(self.settings.classes.get(request.class), &request, now),
+            class: request.class,
+            group: request.group,
+        };
+        self.requests.insert(request.id, open);
+        let client_timeout = (deadline - now).or_zero();
+        self.dispatch(now, Event::Request(IncomingRequest { client_timeout, ..request }), commands);
+    }
+
+    /// The answer to a request that is not taken in.
+    fn immediate_answer(&mut self, now: Timestamp, request: &IncomingRequest) -> Option<FinalAnswer<A>> {
+        if !self.endpoints.knows_group(request.group) {
+            return Some(FinalAnswer::UnknownGroup);
+        }
+        if self.intake == Intake::Finished || self.requests.is_full() {
+            return Some(FinalAnswer::Rejected { retry_after: None, overdue: false });
+        }
+        match self.admission.admit(now, request.class, request.group) {
+            AdmissionDecision::Admitted => None,
+            AdmissionDecision::Rejected { retry_after } => {
+                Some(FinalAnswer::Rejected { retry_after: Some(retry_after), overdue: false })
+            }
+        }
+    }
+
+    /// The client of a request has disconnected: no answer can reach it any more.
+    pub(super) fn cancel_request(&mut self, now: Timestamp, id: RequestId, commands: &mut Vec<Command<W>>) {
+        if self.requests.cancel(id) {
+            self.dispatch(now, Event::RequestCancelled { id }, commands);
+        }
+    }
+
+    /// An endpoint has begun to send an answer that is streamed. The answer of a request that has ended meanwhile is
+    /// dropped, which ends the attempt.
+    pub(super) fn start_response(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        attempt: u8,
+        answer: A,
+        commands: &mut Vec<Command<W>>,
+    ) {
+        let Some(in_flight) = self.in_flight.get(id, attempt) else { return };
+        let endpoint = in_flight.endpoint;
+        if self.requests.is_open(id) {
+            self.requests.start_stream(id, answer);
+            self.dispatch(now, Event::ResponseStarted { id, attempt, endpoint }, commands);
+        }
+    }
+
+    /// Fails the requests that the router has not answered by their deadline and its grace.
+    pub(super) fn fail_overdue_requests(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
+        while let Some(id) = self.requests.fail_next_expired(now) {
+            log::warn!("engine: request {id}: no answer by its deadline");
+            self.dispatch(now, Event::RequestCancelled { id }, commands);
+        }
+    }
+
+    /// Answers all open requests, since the process is about to exit and they would go unanswered. A request without
+    /// an attempt is rejected, and so is any that arrives from now on: trying it again is harmless.
+    pub(super) fn finish_all(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
+        self.intake = Intake::Finished;
+        for id in self.requests.open_ids() {
+            let attempts = self.requests.get_mut(id).map_or(0, |request| request.attempts);
+            let answer = match attempts {
+                0 => FinalAnswer::Rejected { retry_after: None, overdue: false },
+                _ => FinalAnswer::Failed { overdue: false },
+            };
+            self.requests.finish(id, answer);
+            self.dispatch(now, Event::RequestCancelled { id }, commands);
+        }
+    }
+}
+
+/// How current the data of a request's answer must be.
+fn required_freshness(class: Option<&Class>, request: &IncomingRequest, now: Timestamp) -> Freshness {
+    let Some(class) = class else { return Freshness::Any };
+    match class.consistency {
+        Some(Consistency::Bounded) => Freshness::MaxAge(class.max_age.unwrap_or(TimeDelta::ZERO)),
+        Some(Consistency::Session) => match request.last_commit_age {
+            Some(age) => Freshness::CommittedSince(now - age),
+            None => Freshness::Any,
+        },
+        Some(Consistency::Strong) => Freshness::CommittedSince(now),
+        Some(Consistency::Write | Consistency::Eventual) | None => Freshness::Any,
+    }
+}
--- a/src/engine/request_engine/tests.rs
+++ b/src/engine/request_engine/tests.rs
@@ -1,17 +1,27 @@
-//! The request table: one final answer each, whatever comes in which order.
-
-use super::super::classes::Classes;
-use super::super::endpoints::EndpointRecord;
+use super::plausibility::{plausible_report, plausible_status};
 use super::*;
+use crate::engine::classes::Classes;
+use crate::engine::endpoints::EndpointRecord;
+use crate::engine::message::{AttemptReport, FinalAnswer, Freshness, Submission};
+use crate::routing::{
+    AttemptOutcome, Class, Consistency, GroupId, Idempotency, IncomingRequest, LoadReport, LogPosition,
+    ReplicaStatus, ReplicationLagPolicy, RequestId, TimeDelta,
+};
 use async_channel::Receiver;
 
-type Out = Vec<Command<&'static str>>;
+type TestInput = Input<&'static str, &'static str>;
+type TestAnswer = Receiver<FinalAnswer<&'static str>>;
+type Commands = Vec<Command<&'static str>>;
+
+const REJECTED: FinalAnswer<&'static str> = FinalAnswer::Rejected { retry_after: None, overdue: false };
+const FAILED: FinalAnswer<&'static str> = FinalAnswer::Failed { overdue: false };
 
 fn at(micros: i64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
 
-fn owner() -> (RequestEngine<&'static str, &'static str>, Out) {
+/// An engine with one class of bounded reads, room for three requests, and two endpoints on its list.
+fn engine() -> (RequestEngine<&'static str, &'static str>, Commands) {
     let class = Class {
         latency_objective: Some(TimeDelta::from_millis(500)),
         idempotency: Some(Idempotency::Idempotent),
@@ -19,42 +29,45 @@
         max_age: Some(TimeDelta::from_millis(800)),
         ..Class::default()
     };
-    let settings = Settings {
+    let mut settings = Settings {
         classes: vec![class],
         may_cancel: Some(true),
         replication_lag_policy: Some(ReplicationLagPolicy::WaitThenReject),
         ..Settings::default()
     };
-    let mut settings = settings;
     let metrics = Arc::new(Metrics::new(&Classes::new(vec!["read".into()], &mut settings)));
     let limits = Limits { open_requests: 3, ..Limits::for_sockets(64) };
-    let mut owner = RequestEngine::new(settings, 1, &limits, metrics);
-    let mut out = Out::new();
-    let list = EndpointUpdate {
-        index: 1,
-        whole: true,
-        entries: vec![EndpointRecord::plain("a"), EndpointRecord::plain("b")],
-    };
-    owner.list(at(1_000), &list, false, &mut out);
-    assert!(matches!(&out[..], [Command::UpdateEndpoints(hosts)] if hosts.len() == 2));
-    (owner, Out::new())
+    let mut engine = RequestEngine::new(settings, 1, &limits, metrics);
+    let mut commands = Commands::new();
+    let entries = vec![EndpointRecord::plain("a"), EndpointRecord::plain("b")];
+    apply_list(&mut engine, at(1_000), 1, entries, &mut commands);
+    assert!(matches!(&commands[..], [Command::UpdateEndpoints(changed)] if changed.len() == 2));
+    (engine, Commands::new())
 }
 
-fn request(
-    id: u64,
-    last_commit_age: Option<TimeDelta>,
-) -> (Input<&'static str, &'static str>, Receiver<FinalAnswer<&'static str>>) {
+fn apply_list(
+    engine: &mut RequestEngine<&'static str, &'static str>,
+    now: Timestamp,
+    index: u64,
+    entries: Vec<EndpointRecord>,
+    commands: &mut Commands,
+) {
+    let list = EndpointUpdate { index, whole: true, entries };
+    engine.handle_control(now, Control::EndpointList { list, cached: false }, commands);
+}
+
+fn request(id: u64, last_commit_age: Option<TimeDelta>) -> (TestInput, TestAnswer) {
     let (reply, answer) = async_channel::bounded(1);
-    let ask = IncomingRequest {
+    let request = IncomingRequest {
         id: RequestId(id),
         group: GroupId(1),
         last_commit_age,
         ..IncomingRequest::default()
     };
-    (Input::Request(Submission { ask, deadline: at(1_000_000), work: "w", reply }), answer)
+    (Input::Request(Submission { request, deadline: at(1_000_000), work: "work", reply }), answer)
 }
 
-fn ended(id: u64, attempt: u8, outcome: AttemptOutcome) -> Input<&'static str, &'static str> {
+fn attempt_finished(id: u64, attempt: u8, outcome: AttemptOutcome) -> TestInput {
     let answer = (outcome == AttemptOutcome::Served).then_some("value");
     let replica_status = Some(ReplicaStatus { primary: true, position: LogPosition::UNKNOWN });
     Input::AttemptFinished(AttemptReport {
@@ -67,159 +80,159 @@
     })
 }
 
+fn cancel(id: u64) -> Command<&'static str> {
+    Command::Cancel { id: RequestId(id), attempt: 0 }
+}
+
 #[test]
-fn one_final_answer_and_late_results_are_dropped() {
-    let (mut owner, mut out) = owner();
+fn a_request_gets_one_final_answer_and_later_results_are_dropped() {
+    let (mut engine, mut commands) = engine();
     let (input, answer) = request(1, None);
-    owner.input(at(2_000), input, &mut out);
-    let freshness = Freshness::MaxAge(TimeDelta::from_millis(800));
-    assert!(
-        matches!(&out[..], [Command::SendAttempt { id: RequestId(1), attempt: 0, freshness: n, .. }] if *n == freshness)
-    );
-    owner.input(at(3_000), ended(1, 0, AttemptOutcome::Served), &mut out);
-    owner.input(at(4_000), ended(1, 0, AttemptOutcome::Served), &mut out);
+    engine.handle_input(at(2_000), input, &mut commands);
+    let expected = Freshness::MaxAge(TimeDelta::from_millis(800));
+    assert!(matches!(
+        &commands[..],
+        [Command::SendAttempt { id: RequestId(1), attempt: 0, freshness, .. }] if *freshness == expected
+    ));
+    engine.handle_input(at(3_000), attempt_finished(1, 0, AttemptOutcome::Served), &mut commands);
+    engine.handle_input(at(4_000), attempt_finished(1, 0, AttemptOutcome::Served), &mut commands);
     assert_eq!(answer.try_recv(), Ok(FinalAnswer::Served("value")));
     assert!(answer.try_recv().is_err());
-    assert_eq!(owner.open(), 0);
+    assert_eq!(engine.requests.len(), 0);
 }
 
-/// Guards against work for nobody, and against an answer to a client that has gone.
+/// No work for nobody, and no answer to a client that has disconnected.
 #[test]
-fn a_client_that_goes_has_its_attempt_called_off() {
-    let (mut owner, mut out) = owner();
+fn the_attempt_of_a_disconnected_client_is_cancelled() {
+    let (mut engine, mut commands) = engine();
     let (input, answer) = request(1, None);
-    owner.input(at(2_000), input, &mut out);
-    out.clear();
-    owner.input(at(3_000), Input::RequestCancelled(RequestId(1)), &mut out);
-    assert_eq!(out, [Command::Cancel { id: RequestId(1), attempt: 0 }]);
-    owner.input(at(4_000), ended(1, 0, AttemptOutcome::Served), &mut out);
+    engine.handle_input(at(2_000), input, &mut commands);
+    commands.clear();
+    engine.handle_input(at(3_000), Input::RequestCancelled(RequestId(1)), &mut commands);
+    assert_eq!(commands, [cancel(1)]);
+    engine.handle_input(at(4_000), attempt_finished(1, 0, AttemptOutcome::Served), &mut commands);
     assert!(answer.try_recv().is_err());
 }
 
-/// Guards against an answer that was begun and is cut off with its client.
+/// A streamed answer is not cut off by its deadline, but by the disconnect of its client.
 #[test]
-fn an_answer_that_has_begun_is_final_and_ends_with_its_client() {
-    let (mut owner, mut out) = owner();
+fn a_streamed_answer_is_final_and_ends_with_its_client() {
+    let (mut engine, mut commands) = engine();
     let (input, answer) = request(1, None);
-    owner.input(at(2_000), input, &mut out);
-    out.clear();
-    owner.input(
-        at(3_000),
-        Input::ResponseStarted { id: RequestId(1), attempt: 0, answer: "begun" },
-        &mut out,
-    );
-    assert_eq!(answer.try_recv(), Ok(FinalAnswer::Served("begun")));
-    owner.due(at(5_000_000), &mut out);
-    assert!(!out.contains(&Command::Cancel { id: RequestId(1), attempt: 0 }), "its deadline no longer binds");
-    owner.input(at(5_000_000), Input::RequestCancelled(RequestId(1)), &mut out);
-    assert!(out.contains(&Command::Cancel { id: RequestId(1), attempt: 0 }));
+    engine.handle_input(at(2_000), input, &mut commands);
+    commands.clear();
+    let started = Input::ResponseStarted { id: RequestId(1), attempt: 0, answer: "started" };
+    engine.handle_input(at(3_000), started, &mut commands);
+    assert_eq!(answer.try_recv(), Ok(FinalAnswer::Served("started")));
+    engine.run_due(at(5_000_000), &mut commands);
+    assert!(!commands.contains(&cancel(1)), "its deadline no longer applies");
+    engine.handle_input(at(5_000_000), Input::RequestCancelled(RequestId(1)), &mut commands);
+    assert!(commands.contains(&cancel(1)));
 }
 
 #[test]
-fn too_many_requests_and_unknown_groups_are_answered_at_once() {
-    let (mut owner, mut out) = owner();
+fn requests_beyond_the_limit_and_of_unknown_groups_are_answered_at_once() {
+    let (mut engine, mut commands) = engine();
     let answers: Vec<_> = (1..=4)
         .map(|id| {
             let (input, answer) = request(id, None);
-            owner.input(at(2_000), input, &mut out);
+            engine.handle_input(at(2_000), input, &mut commands);
             answer
         })
         .collect();
-    assert_eq!(answers[3].try_recv(), Ok(FinalAnswer::Rejected { retry_after: None, overdue: false }));
-    let (Input::Request(mut s), answer) = request(9, None) else { return };
-    s.ask.group = GroupId(7);
-    owner.input(at(2_000), Input::Request(s), &mut out);
+    assert_eq!(answers[3].try_recv(), Ok(REJECTED));
+    let (Input::Request(mut submission), answer) = request(9, None) else { return };
+    submission.request.group = GroupId(7);
+    engine.handle_input(at(2_000), Input::Request(submission), &mut commands);
     assert_eq!(answer.try_recv(), Ok(FinalAnswer::UnknownGroup));
 }
 
-/// Guards against requests that are lost at the end of the program.
+/// No request goes unanswered when the process exits.
 #[test]
-fn at_the_end_all_that_is_open_is_answered() {
-    let (mut owner, mut out) = owner();
+fn finish_all_answers_every_open_request() {
+    let (mut engine, mut commands) = engine();
     let (input, sent) = request(1, None);
-    owner.input(at(2_000), input, &mut out);
-    let draining = EndpointUpdate { index: 2, whole: true, entries: Vec::new() };
-    owner.list(at(2_500), &draining, false, &mut out);
-    let (input, held) = request(2, None);
-    owner.input(at(3_000), input, &mut out);
-    assert!(held.try_recv().is_err() && sent.try_recv().is_err());
-    out.clear();
-    owner.end(at(4_000), &mut out);
-    assert_eq!(sent.try_recv(), Ok(FinalAnswer::Failed { overdue: false }));
-    assert_eq!(held.try_recv(), Ok(FinalAnswer::Rejected { retry_after: None, overdue: false }));
-    assert_eq!((owner.open(), out), (0, vec![Command::Cancel { id: RequestId(1), attempt: 0 }]));
+    engine.handle_input(at(2_000), input, &mut commands);
+    apply_list(&mut engine, at(2_500), 2, Vec::new(), &mut commands);
+    let (input, queued) = request(2, None);
+    engine.handle_input(at(3_000), input, &mut commands);
+    assert!(queued.try_recv().is_err() && sent.try_recv().is_err());
+    commands.clear();
+    engine.handle_control(at(4_000), Control::FinishAll, &mut commands);
+    assert_eq!(sent.try_recv(), Ok(FAILED));
+    assert_eq!(queued.try_recv(), Ok(REJECTED));
+    assert_eq!((engine.requests.len(), commands), (0, vec![cancel(1)]));
 }
 
-/// Guards against a position or a report out of this world: it would pass for fresh for ever.
+/// A position from the future would make its endpoint appear up to date forever.
 #[test]
-fn a_host_that_claims_to_be_ahead_of_the_present_is_not_believed() {
-    let (mut owner, _) = owner();
-    owner.settings.report_fields = vec!["x0".into()];
+fn positions_from_the_future_are_not_believed() {
+    let settings = Settings { report_fields: vec!["x0".into()], ..engine().0.settings };
     let report = |x0| LoadReport { values: [x0; 4], count: 1 };
-    for (x0, believed) in [(4.5, 1), (7.0, 0), (f64::MAX, 0), (-1.0, 0)] {
-        assert_eq!(owner.credible(at(5_000_000), report(x0)).count, believed, "{x0}");
+    for (x0, count) in [(4.5, 1), (7.0, 0), (f64::MAX, 0), (-1.0, 0)] {
+        assert_eq!(plausible_report(&settings, at(5_000_000), report(x0)).count, count, "{x0}");
     }
-    let told = |micros| Some(ReplicaStatus { primary: false, position: LogPosition::from_micros(micros) });
-    assert_eq!(believed(at(5_000_000), told(4_000_000)), told(4_000_000));
-    assert_eq!(believed(at(5_000_000), told(5_000_001)), told(5_000_000), "a clock that is a little ahead");
-    assert_eq!(believed(at(5_000_000), told(i64::MAX)), None);
+    let status = |micros| Some(ReplicaStatus { primary: false, position: LogPosition::from_micros(micros) });
+    assert_eq!(plausible_status(at(5_000_000), status(4_000_000)), status(4_000_000));
+    assert_eq!(
+        plausible_status(at(5_000_000), status(5_000_001)),
+        status(5_000_000),
+        "a clock that is slightly ahead"
+    );
+    assert_eq!(plausible_status(at(5_000_000), status(i64::MAX)), None);
 }
 
-/// Guards against a fault of the module that would end the process and all that it has taken.
+/// A fault of the router must not end the process with all its requests.
 #[test]
-fn a_module_that_panics_is_replaced_and_goes_on_from_the_list() {
-    let (mut owner, mut out) = owner();
+fn a_router_that_panics_is_replaced_and_continues_from_the_list() {
+    let (mut engine, mut commands) = engine();
     let (input, open) = request(1, None);
-    owner.input(at(2_000), input, &mut out);
-    out.clear();
-    // An age that no front hands in, since its arithmetic overflows.
+    engine.handle_input(at(2_000), input, &mut commands);
+    commands.clear();
+    // An age that no client connection submits, since arithmetic on it overflows.
     let (poison, answer) = request(2, Some(TimeDelta::from_micros(i64::MIN)));
-    owner.input(at(3_000), poison, &mut out);
-    assert_eq!(answer.try_recv(), Ok(FinalAnswer::Failed { overdue: false }));
-    assert_eq!(open.try_recv(), Ok(FinalAnswer::Failed { overdue: false }));
-    assert_eq!(out, [Command::Cancel { id: RequestId(1), attempt: 0 }]);
-    owner.input(at(3_500), ended(1, 0, AttemptOutcome::Cancelled), &mut out);
-    out.clear();
+    engine.handle_input(at(3_000), poison, &mut commands);
+    assert_eq!(answer.try_recv(), Ok(FAILED));
+    assert_eq!(open.try_recv(), Ok(FAILED));
+    assert_eq!(commands, [cancel(1)]);
+    engine.handle_input(at(3_500), attempt_finished(1, 0, AttemptOutcome::Cancelled), &mut commands);
+    commands.clear();
     let (input, answer) = request(3, None);
-    owner.input(at(4_000), input, &mut out);
-    assert!(matches!(&out[..], [Command::SendAttempt { id: RequestId(3), .. }]), "{out:?}");
-    owner.input(at(5_000), ended(3, 0, AttemptOutcome::Served), &mut out);
+    engine.handle_input(at(4_000), input, &mut commands);
+    assert!(matches!(&commands[..], [Command::SendAttempt { id: RequestId(3), .. }]), "{commands:?}");
+    engine.handle_input(at(5_000), attempt_finished(3, 0, AttemptOutcome::Served), &mut commands);
     assert_eq!(answer.try_recv(), Ok(FinalAnswer::Served("value")));
 }
 
-/// Guards against a request that is taken after the last answers of a program that ends, and that nobody answers.
+/// No request is taken that nobody would answer any more.
 #[test]
-fn what_comes_after_the_last_answers_is_refused_at_once() {
-    let (mut owner, mut out) = owner();
-    owner.end(at(2_000), &mut out);
+fn a_request_after_finish_all_is_rejected_at_once() {
+    let (mut engine, mut commands) = engine();
+    engine.handle_control(at(2_000), Control::FinishAll, &mut commands);
     let (input, late) = request(1, None);
-    owner.input(at(3_000), input, &mut out);
-    assert_eq!(late.try_recv(), Ok(FinalAnswer::Rejected { retry_after: None, overdue: false }));
-    assert!(out.is_empty() && owner.open() == 0, "{out:?}");
+    engine.handle_input(at(3_000), input, &mut commands);
+    assert_eq!(late.try_recv(), Ok(REJECTED));
+    assert!(commands.is_empty() && engine.requests.len() == 0, "{commands:?}");
 }
 
-/// Guards against a repeat that the host side may write whenever its connection comes up: it is told until when what
-/// drops repeats remembers the first attempt that may have run.
+/// The backend pool may send a retry whenever its connection is made: it has to know how long the idempotency key of
+/// the first attempt that may have run is remembered.
 #[test]
-fn a_repeat_of_a_keyed_request_carries_the_end_of_its_window() {
-    let (mut owner, mut out) = owner();
-    owner.settings.classes[0].idempotency = Some(Idempotency::Keyed);
-    owner.settings.classes[0].key_window = Some(TimeDelta::from_millis(300));
+fn a_retry_of_a_keyed_request_carries_the_expiry_of_its_key() {
+    let (mut engine, mut commands) = engine();
+    engine.settings.classes[0].idempotency = Some(Idempotency::Keyed);
+    engine.settings.classes[0].key_window = Some(TimeDelta::from_millis(300));
     let (input, _answer) = request(1, None);
-    owner.input(at(2_000), input, &mut out);
-    let send_by = |out: &Out| match out.last() {
+    engine.handle_input(at(2_000), input, &mut commands);
+    let send_by = |commands: &Commands| match commands.last() {
         Some(Command::SendAttempt { send_by, .. }) => *send_by,
         other => panic!("{other:?}"),
     };
-    assert_eq!(send_by(&out), None, "nothing has run");
-    owner.input(at(10_000), ended(1, 0, AttemptOutcome::ConnectFailed), &mut out);
-    assert_eq!(send_by(&out), None, "it never ran");
-    let Some(Command::SendAttempt { attempt, .. }) = out.last().cloned() else { return };
+    assert_eq!(send_by(&commands), None, "nothing has run");
+    engine.handle_input(at(10_000), attempt_finished(1, 0, AttemptOutcome::ConnectFailed), &mut commands);
+    assert_eq!(send_by(&commands), None, "it never ran");
+    let Some(Command::SendAttempt { attempt, .. }) = commands.last().cloned() else { return };
     assert_eq!(attempt, 1);
-    owner.input(at(20_000), ended(1, 1, AttemptOutcome::Reset), &mut out);
-    assert_eq!(
-        send_by(&out),
-        Some(at(10_000 + 300_000)),
-        "counted from the send of the one that may have run"
-    );
+    engine.handle_input(at(20_000), attempt_finished(1, 1, AttemptOutcome::Reset), &mut commands);
+    assert_eq!(send_by(&commands), Some(at(10_000 + 300_000)), "counted from the attempt that may have run");
 }
--- a/src/engine/request_engine/timers.rs
+++ b/src/engine/request_engine/timers.rs
@@ -1,37 +1,36 @@
-//! What is due when.
+//! Timers of the router.
 
-use super::*;
+use crate::routing::Timestamp;
+use std::collections::BTreeSet;
 
-impl<W: Clone, A> RequestEngine<W, A> {
-    /// When something is due next.
-    pub fn next_due(&self) -> Option<Timestamp> {
-        let timer = self.timers.first().map(|(at, _)| *at);
-        let deadline = self.deadlines.first().map(|(at, _)| *at);
-        let turn = self.asks.as_ref().and_then(PollScheduler::next);
-        timer.into_iter().chain(deadline).chain(turn).min()
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct RouterTimer {
+    due_at: Timestamp,
+    /// The router's number for it.
+    number: u64,
+}
+
+/// The timers that the router has set, by due time. Setting the same timer for the same time twice has no effect.
+#[derive(Debug, Default)]
+pub(super) struct RouterTimers(BTreeSet<RouterTimer>);
+
+impl RouterTimers {
+    pub(super) fn set(&mut self, due_at: Timestamp, number: u64) {
+        self.0.insert(RouterTimer { due_at, number });
+    }
+
+    /// Removes the earliest timer if it is due, and returns its number.
+    pub(super) fn pop_due(&mut self, now: Timestamp) -> Option<u64> {
+        let earliest = self.0.first().filter(|timer| timer.due_at <= now)?.number;
+        self.0.pop_first();
+        Some(earliest)
+    }
+
+    pub(super) fn next_due(&self) -> Option<Timestamp> {
+        self.0.first().map(|timer| timer.due_at)
     }
 
-    /// Fires what is due.
-    pub fn due(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
-        for endpoint in self.asks.as_mut().map(|asks| asks.due(now)).unwrap_or_default() {
-            self.probe(now, endpoint, commands);
-        }
-        self.work_off(now, commands);
-        while let Some(&(at, timer)) = self.timers.first()
-            && at <= now
-        {
-            self.timers.pop_first();
-            self.tell(now, Event::TimerFired { timer }, commands);
-        }
-        while let Some(&(at, id)) = self.deadlines.first()
-            && at <= now
-        {
-            self.deadlines.pop_first();
-            if self.open.contains_key(&id) {
-                log::warn!("request {id}: no answer at its deadline");
-                self.finish(id, FinalAnswer::Failed { overdue: true });
-                self.tell(now, Event::RequestCancelled { id }, commands);
-            }
-        }
+    pub(super) fn clear(&mut self) {
+        self.0.clear();
     }
 }
--- a/src/engine/thread.rs
+++ b/src/engine/thread.rs
@@ -1,64 +1,66 @@
-//! The thread that owns the module.
+//! The event loop of the engine's thread.
 
-use super::request_engine::RequestEngine;
-use super::{Command, Control, Input};
+use super::message::{Command, Control, Input};
+use super::request_engine::{AfterControl, RequestEngine};
 use crate::clock::Clock;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
 
-enum Woken<W, A> {
+/// The channels between the engine's thread and the rest of the process.
+pub(super) struct Channels<W, A> {
+    pub(super) inputs: Receiver<Input<W, A>>,
+    pub(super) control: Receiver<Control>,
+    pub(super) commands: Sender<Command<W>>,
+}
+
+/// What the event loop waits for.
+enum Wakeup<W, A> {
     Control(Control),
     Input(Input<W, A>),
-    Timer,
-    Over,
+    TimerDue,
+    /// All handles have been dropped.
+    Disconnected,
 }
 
-pub(super) fn run<W: Clone, A>(
-    mut owner: RequestEngine<W, A>,
-    clock: &Clock,
-    urgent: &Receiver<Control>,
-    queue: &Receiver<Input<W, A>>,
-    commands: &Sender<Command<W>>,
-) {
-    let mut out = Vec::new();
+/// Runs an engine until it is stopped, all its handles are gone, or nobody receives its commands any more.
+pub(super) fn run<W: Clone, A>(mut engine: RequestEngine<W, A>, clock: &Clock, channels: &Channels<W, A>) {
+    let mut commands = Vec::new();
     loop {
-        owner.due(clock.now(), &mut out);
-        for command in out.drain(..) {
-            if commands.try_send(command).is_err() {
+        engine.run_due(clock.now(), &mut commands);
+        for command in commands.drain(..) {
+            if channels.commands.try_send(command).is_err() {
                 return;
             }
         }
-        let next = owner.next_due();
-        let control = async { urgent.recv().await.map_or(Woken::Over, Woken::Control) };
-        let input = async { queue.recv().await.map_or(Woken::Over, Woken::Input) };
-        let timer = async {
-            match next {
-                Some(at) => drop(Timer::at(clock.instant(at)).await),
-                None => future::pending().await,
-            }
-            Woken::Timer
-        };
-        // In this order: what discovery told counts before any request that waits.
-        match future::block_on(future::or(control, future::or(input, timer))) {
-            Woken::Control(Control::EndpointList { list, cached }) => {
-                owner.list(clock.now(), &list, cached, &mut out)
-            }
-            Woken::Control(Control::Gauges(reply)) => drop(reply.try_send(owner.gauges(clock.now()))),
-            Woken::Control(Control::Observations(reply)) => drop(reply.try_send(owner.facts())),
-            Woken::Control(Control::OutcomeCounts(reply)) => {
-                drop(reply.try_send(owner.outcomes(clock.now())))
-            }
-            Woken::Control(Control::CancelOverdueReads(hosts)) => {
-                owner.call_off(clock.now(), &hosts, &mut out)
-            }
-            Woken::Control(Control::PeerObservations(told)) => owner.told(clock.now(), told, &mut out),
-            Woken::Control(Control::SetAdmission(terms)) => owner.admit(clock.now(), terms),
-            Woken::Control(Control::SetPollParticipants(turns)) => owner.turns(clock.now(), turns, &mut out),
-            Woken::Control(Control::FinishAll) => owner.end(clock.now(), &mut out),
-            Woken::Input(input) => owner.input(clock.now(), input, &mut out),
-            Woken::Timer => {}
-            Woken::Control(Control::Stop) | Woken::Over => return,
+        match next_wakeup(&engine, clock, channels) {
+            Wakeup::Control(control) => match engine.handle_control(clock.now(), control, &mut commands) {
+                AfterControl::Continue => {}
+                AfterControl::Stop => return,
+            },
+            Wakeup::Input(input) => engine.handle_input(clock.now(), input, &mut commands),
+            Wakeup::TimerDue => {}
+            Wakeup::Disconnected => return,
         }
     }
 }
+
+/// Blocks until there is something to do. Control messages come first: a new endpoint list must count before any
+/// request that waits.
+fn next_wakeup<W: Clone, A>(
+    engine: &RequestEngine<W, A>,
+    clock: &Clock,
+    channels: &Channels<W, A>,
+) -> Wakeup<W, A> {
+    let next_due = engine.next_due();
+    let control = async { channels.control.recv().await.map_or(Wakeup::Disconnected, Wakeup::Control) };
+    let input = async { channels.inputs.recv().await.map_or(Wakeup::Disconnected, Wakeup::Input) };
+    let timer = async {
+        match next_due {
+            Some(due_at) => drop(Timer::at(clock.instant(due_at)).await),
+            None => future::pending().await,
+        }
+        Wakeup::TimerDue
+    };
+    future::block_on(future::or(control, future::or(input, timer)))
+}
--- a/src/net/postgres/front.rs
+++ b/src/net/postgres/front.rs
@@ -5,7 +5,7 @@
 use super::session::{Session, State, Step};
 use super::statement::{self, Statement};
 use crate::config::Limits;
-use crate::engine::classes::Classes;
+use crate::engine::classes::{Classes, IdempotencyKey};
 use crate::engine::{EngineHandle, FinalAnswer, Input};
 use crate::net::connection::{ClientConnection, ReadEvent};
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
@@ -110,7 +110,8 @@
     }
 
     fn ask(&self, s: &Statement) -> Option<IncomingRequest> {
-        let class = self.classes.find(&s.class, s.keyed)?;
+        let key = if s.keyed { IdempotencyKey::Present } else { IdempotencyKey::Absent };
+        let class = self.classes.find(&s.class, key)?;
         let now = self.handle.clock().now();
         // The module wants the age of the session's last commit; a clock a little ahead makes it no older.
         let last_commit_age = s.after.map(|at| (now - at.commit_time(Timestamp::ZERO)).or_zero());
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -5,7 +5,7 @@
 use super::{CLASS, COME_BACK, GROUP, POSITION};
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::engine::classes::Classes;
+use crate::engine::classes::{Classes, IdempotencyKey};
 use crate::engine::log_rollback::LogRollbacks;
 use crate::engine::{EngineHandle, FinalAnswer, Input};
 use crate::net::buffer::Buffer;
@@ -190,7 +190,8 @@
         let s = &self.service;
         let query = s.session.as_ref().filter(|_| operation.position.is_some()).unwrap_or(&s.query);
         let name = operation.class.as_ref().unwrap_or(if operation.update { &s.update } else { query });
-        let class = self.classes.find(name, operation.key.is_some());
+        let key = operation.key.as_ref().map_or(IdempotencyKey::Absent, |_| IdempotencyKey::Present);
+        let class = self.classes.find(name, key);
         let class = class.ok_or_else(|| Refusal(400, format!("{CLASS}: no class {name:?}")))?;
         // An update that goes the way of reads would reach a replica.
         if operation.update && !self.classes.writes(name) {
