--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! Who comes into the fleet and who goes: the leader's next step, one at a time. No I/O.
+//! Changes of the membership: the leader's next step, one at a time. No I/O.
 
 use super::bootstrap::Handshake;
 use crate::ids::NodeId;
@@ -6,53 +6,64 @@
 use crate::store::records::{Configuration, MembershipStep};
 use crate::store::state_machine::{ClusterState, MAX_MEMBERS, Member, MembershipChange};
 use crate::time::TimeDelta;
+use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A daemon that lags behind by no more entries than this has caught up.
-const CLOSE: u64 = 64;
+/// A node has caught up if its log lacks no more committed entries than this: few enough for it to vote or lead at once
+/// without holding up the others.
+const CAUGHT_UP_ENTRIES: u64 = 64;
 
-/// What an operator wants of a daemon.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
+/// What an operator requests of a member. The order of variants is part of the message format.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MembershipRequest {
-    /// It is to have a vote.
+    /// The member is to have a vote.
     GrantVote,
-    /// It is to go.
+    /// The member is to leave the fleet.
     Remove,
 }
 
-/// What a voter says of the leader and of whom it hears.
+/// An operator's request, with the name of the member that it is about.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct MemberRequest {
+    /// The member's name.
+    pub member: String,
+    /// What is requested of it.
+    pub request: MembershipRequest,
+}
+
+/// What a voter reports of the leader and of its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VoterStatus {
-    /// It has known no leader for so long.
-    pub leaderless: TimeDelta,
-    /// Whom it hears.
-    pub hears: BTreeSet<NodeId>,
+    /// How long it has known no leader.
+    pub leaderless_for: TimeDelta,
+    /// The nodes that it hears.
+    pub reachable_peers: BTreeSet<NodeId>,
 }
 
 /// All that the leader knows.
 pub struct MembershipView<'a> {
-    /// The leader.
-    pub me: NodeId,
-    /// What is agreed.
+    /// The leader, which is this node.
+    pub local_node: NodeId,
+    /// The committed state.
     pub state: &'a ClusterState,
-    /// Who votes and who follows.
-    pub conf: &'a Configuration,
-    /// The last place that is agreed.
-    pub agreed: u64,
-    /// How far the others are.
+    /// The voters and learners.
+    pub configuration: &'a Configuration,
+    /// The index of the last committed entry.
+    pub commit_index: u64,
+    /// How far the logs of the other nodes are.
     pub progress: &'a [PeerProgress],
-    /// Daemons that were met a moment ago and are no members.
+    /// Nodes that were met recently and are no members.
     pub candidates: &'a BTreeMap<NodeId, Handshake>,
-    /// How long ago each member was last heard.
-    pub silent: &'a BTreeMap<NodeId, TimeDelta>,
-    /// The leader has led for so long.
+    /// How long ago each node was last heard.
+    pub silent_for: &'a BTreeMap<NodeId, TimeDelta>,
+    /// How long this node has led.
     pub led_for: TimeDelta,
-    /// What each voter that is heard says.
-    pub words: &'a BTreeMap<NodeId, VoterStatus>,
-    /// What operators want, by name.
-    pub wishes: &'a BTreeSet<(String, MembershipRequest)>,
-    /// Silent for so long, a member counts as gone.
-    pub gone: TimeDelta,
+    /// What each voter that is heard reports.
+    pub voter_statuses: &'a BTreeMap<NodeId, VoterStatus>,
+    /// What operators request.
+    pub requests: &'a BTreeSet<MemberRequest>,
+    /// A node that was silent for this long counts as gone.
+    pub gone_after: TimeDelta,
 }
 
 /// What the leader is to do next.
@@ -60,43 +71,65 @@
 pub enum MembershipAction {
     /// Nothing.
     Nothing,
-    /// Propose this.
+    /// Propose this change.
     Propose(MembershipChange),
-    /// Hand the lead over first: it is itself the one to go.
+    /// Hand leadership over to this node.
     TransferLeadership(NodeId),
 }
 
 impl MembershipView<'_> {
-    fn caught_up(&self, id: NodeId) -> bool {
-        self.progress.iter().any(|p| p.id == id && p.recently_active && p.match_index + CLOSE >= self.agreed)
+    /// The next step. Nothing is proposed while an earlier change is still being carried out.
+    pub fn next_action(&self) -> MembershipAction {
+        if !self.configuration.voters_outgoing.is_empty() {
+            return MembershipAction::Nothing;
+        }
+        if let Some(successor) = self.better_heard_leader() {
+            return MembershipAction::TransferLeadership(successor);
+        }
+        match self.learner_to_promote().or_else(|| self.candidate_to_add()) {
+            Some(change) => MembershipAction::Propose(change),
+            None => self.requested_removal(),
+        }
+    }
+
+    fn has_caught_up(&self, id: NodeId) -> bool {
+        let has_caught_up = |progress: &PeerProgress| {
+            progress.recently_active && progress.match_index + CAUGHT_UP_ENTRIES >= self.commit_index
+        };
+        self.progress.iter().any(|progress| progress.id == id && has_caught_up(progress))
     }
 
     fn is_gone(&self, id: NodeId) -> bool {
-        id != self.me && self.silent.get(&id).is_none_or(|span| *span >= self.gone)
+        let is_silent = || self.silent_for.get(&id).is_none_or(|silent_for| *silent_for >= self.gone_after);
+        id != self.local_node && is_silent()
     }
 
-    fn wishes(&self, name: &str, wish: MembershipRequest) -> bool {
-        self.wishes.contains(&(name.to_string(), wish))
+    fn is_requested(&self, member: &str, request: MembershipRequest) -> bool {
+        self.requests.contains(&MemberRequest { member: member.to_string(), request })
     }
 
-    /// Another member of the same name: an earlier self that has lost its disk.
-    fn former(&self, id: NodeId, name: &str) -> Option<NodeId> {
-        self.state.members.iter().find(|(other, m)| **other != id && m.name == name).map(|(other, _)| *other)
+    /// Another member of the same name: the same node before it lost its disk.
+    fn predecessor(&self, id: NodeId, name: &str) -> Option<NodeId> {
+        let mut members = self.state.members.iter();
+        let predecessor = members.find(|(other, member)| **other != id && member.name == name);
+        predecessor.map(|(other, _)| *other)
     }
 
-    fn comes(&self) -> Option<MembershipChange> {
+    /// The first candidate that may join, as a learner.
+    fn candidate_to_add(&self) -> Option<MembershipChange> {
         if self.state.members.len() >= MAX_MEMBERS {
             return None;
         }
-        for (id, hello) in self.candidates {
+        for (id, handshake) in self.candidates {
             if self.state.members.contains_key(id) || self.state.removed.contains_key(id) {
                 continue;
             }
-            // One of the same name that is still there: two daemons must not pass for one.
-            if self.former(*id, &hello.name).is_some_and(|former| !self.is_gone(former)) {
+            // While the member of the same name is there, two nodes would pass for one.
+            let predecessor = self.predecessor(*id, &handshake.name);
+            if predecessor.is_some_and(|predecessor| !self.is_gone(predecessor)) {
                 continue;
             }
-            let member = Member { name: hello.name.clone(), address: hello.address };
+            let member = Member { name: handshake.name.clone(), address: handshake.address };
             return Some(MembershipChange {
                 steps: vec![MembershipStep::AddLearner(*id)],
                 joining: Some((*id, member)),
@@ -105,95 +138,118 @@
         None
     }
 
-    fn rises(&self) -> Option<MembershipChange> {
-        let plain = |steps| Some(MembershipChange { steps, joining: None });
-        for id in self.conf.learners.iter().filter(|id| self.caught_up(**id)) {
-            let name = self.state.members.get(id).map_or("", |m| m.name.as_str());
-            match self.former(*id, name) {
-                Some(former) if self.is_gone(former) => {
-                    let votes = self.conf.voters.contains(&former);
-                    let mut steps = vec![MembershipStep::Remove(former)];
-                    if votes || self.state.founders.contains(name) {
-                        steps.push(MembershipStep::AddVoter(*id));
-                    }
-                    return plain(steps);
+    /// The first learner that has caught up and takes its predecessor's place, or is to vote.
+    fn learner_to_promote(&self) -> Option<MembershipChange> {
+        for id in &self.configuration.learners {
+            if !self.has_caught_up(*id) {
+                continue;
+            }
+            let name = self.state.members.get(id).map_or("", |member| member.name.as_str());
+            let is_founder = self.state.founders.contains(name);
+            let steps = match self.predecessor(*id, name) {
+                Some(predecessor) if self.is_gone(predecessor) => {
+                    let votes = is_founder || self.configuration.voters.contains(&predecessor);
+                    replacement_steps(predecessor, *id, votes)
                 }
-                Some(_) => {}
-                None if self.state.founders.contains(name)
-                    || self.wishes(name, MembershipRequest::GrantVote) =>
-                {
-                    return plain(vec![MembershipStep::AddVoter(*id)]);
+                Some(_) => continue,
+                None if is_founder || self.is_requested(name, MembershipRequest::GrantVote) => {
+                    vec![MembershipStep::AddVoter(*id)]
                 }
-                None => {}
-            }
+                None => continue,
+            };
+            return Some(MembershipChange { steps, joining: None });
         }
         None
     }
 
-    fn goes(&self) -> MembershipAction {
+    /// The removal of the first member that an operator wants to leave. The last voter stays. A leader that is to leave
+    /// hands over leadership first.
+    fn requested_removal(&self) -> MembershipAction {
+        let voters = &self.configuration.voters;
         for (id, member) in &self.state.members {
-            if !self.wishes(&member.name, MembershipRequest::Remove) {
+            if !self.is_requested(&member.name, MembershipRequest::Remove) {
                 continue;
             }
-            let votes = self.conf.voters.contains(id);
-            if votes && self.conf.voters.len() == 1 {
+            let is_last_voter = voters.len() == 1 && voters.contains(id);
+            if is_last_voter {
                 continue;
             }
-            if *id == self.me {
-                let heirs = self.conf.voters.iter().filter(|v| **v != self.me && self.caught_up(**v));
-                return heirs
-                    .min()
-                    .map_or(MembershipAction::Nothing, |heir| MembershipAction::TransferLeadership(*heir));
+            if *id == self.local_node {
+                return self.transfer_to_any_voter();
             }
-            return MembershipAction::Propose(MembershipChange {
-                steps: vec![MembershipStep::Remove(*id)],
-                joining: None,
-            });
+            let steps = vec![MembershipStep::Remove(*id)];
+            return MembershipAction::Propose(MembershipChange { steps, joining: None });
         }
         MembershipAction::Nothing
     }
 
-    /// One to lead instead: where a voter that is there has not heard this leader for long, it would never learn
-    /// what is agreed. Whoever leads next is heard by more of the voters than this one.
-    fn yields(&self) -> Option<NodeId> {
-        let there = |id: &&NodeId| **id != self.me && self.words.contains_key(id) && !self.is_gone(**id);
-        let voters: Vec<&NodeId> = self.conf.voters.iter().filter(there).collect();
-        // What was said while another one led is no word about this one: the lead would go round and round.
-        let deaf = |id: &&&NodeId| self.words[**id].leaderless.min(self.led_for) >= self.gone;
-        if !voters.iter().any(|id| deaf(&id)) {
-            return None;
+    fn transfer_to_any_voter(&self) -> MembershipAction {
+        let voters = self.configuration.voters.iter().copied();
+        let successors = voters.filter(|voter| *voter != self.local_node && self.has_caught_up(*voter));
+        match successors.min() {
+            Some(successor) => MembershipAction::TransferLeadership(successor),
+            None => MembershipAction::Nothing,
         }
-        let hearers = |leader: NodeId| {
-            let hears = |id: &&&NodeId| {
-                ***id != leader
-                    && self.words[**id].hears.contains(&leader)
-                    && !(leader == self.me && deaf(id))
-            };
-            voters.iter().filter(hears).count()
-        };
-        // The one that goes now hears its heir as well, or it would be the next to learn nothing.
-        let own = hearers(self.me);
-        let heirs = voters.iter().filter(|id| self.caught_up(***id) && !deaf(id));
-        heirs
-            .map(|id| (hearers(**id) + 1, std::cmp::Reverse(**id)))
-            .filter(|(n, _)| *n > own)
-            .max()
-            .map(|(_, id)| id.0)
     }
 
-    /// The next step.
-    pub fn next_action(&self) -> MembershipAction {
-        if !self.conf.voters_outgoing.is_empty() {
-            return MembershipAction::Nothing;
-        }
-        if let Some(heir) = self.yields() {
-            return MembershipAction::TransferLeadership(heir);
+    /// A node to lead instead of this one, if a voter that is there has not heard this leader for too long: it would
+    /// never learn what is committed. The successor is heard by more voters than this node, the lowest id of those that
+    /// are heard by most.
+    fn better_heard_leader(&self) -> Option<NodeId> {
+        let reachable = self.reachable_voters();
+        if !reachable.iter().any(|voter| self.is_deaf_to_leader(*voter)) {
+            return None;
         }
-        match self.rises().or_else(|| self.comes()) {
-            Some(change) => MembershipAction::Propose(change),
-            None => self.goes(),
+        let own_hearers = self.hearers(&reachable, self.local_node);
+        let mut best: Option<(usize, NodeId)> = None;
+        for candidate in &reachable {
+            if !self.has_caught_up(*candidate) || self.is_deaf_to_leader(*candidate) {
+                continue;
+            }
+            // This node hears its successor as well, or it would be the next to learn nothing.
+            let hearers = self.hearers(&reachable, *candidate) + 1;
+            let is_better = best.is_none_or(|(most_hearers, id)| {
+                hearers > most_hearers || hearers == most_hearers && *candidate < id
+            });
+            if hearers > own_hearers && is_better {
+                best = Some((hearers, *candidate));
+            }
         }
+        best.map(|(_, id)| id)
+    }
+
+    /// The other voters that are heard and report their status.
+    fn reachable_voters(&self) -> Vec<NodeId> {
+        let is_reachable = |voter: &NodeId| {
+            *voter != self.local_node && self.voter_statuses.contains_key(voter) && !self.is_gone(*voter)
+        };
+        self.configuration.voters.iter().copied().filter(is_reachable).collect()
+    }
+
+    /// Whether a voter has not heard this leader for too long. What it reported while another node led says nothing
+    /// about this one: leadership would go round in circles.
+    fn is_deaf_to_leader(&self, voter: NodeId) -> bool {
+        let leaderless_for = self.voter_statuses[&voter].leaderless_for;
+        leaderless_for.min(self.led_for) >= self.gone_after
+    }
+
+    /// How many of these voters hear `node`.
+    fn hearers(&self, voters: &[NodeId], node: NodeId) -> usize {
+        let hears = |voter: &&NodeId| {
+            let is_deaf = node == self.local_node && self.is_deaf_to_leader(**voter);
+            **voter != node && !is_deaf && self.voter_statuses[*voter].reachable_peers.contains(&node)
+        };
+        voters.iter().filter(hears).count()
+    }
+}
+
+/// A learner takes its predecessor's place in one step, with its vote if it had one.
+fn replacement_steps(predecessor: NodeId, learner: NodeId, votes: bool) -> Vec<MembershipStep> {
+    let mut steps = vec![MembershipStep::Remove(predecessor)];
+    if votes {
+        steps.push(MembershipStep::AddVoter(learner));
     }
+    steps
 }
 
 #[cfg(test)]
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -1,5 +1,7 @@
-//! Drains that are not agreed yet. They act where they are known, also where no majority can be reached, until
-//! the log has said what became of them. No I/O.
+//! Drains that are not committed yet. No I/O.
+//!
+//! Such a drain acts wherever it is known, also where no majority can be reached, until the log has resolved it: it
+//! was committed, or undone.
 
 use crate::ids::NodeId;
 use crate::store::codec;
@@ -7,115 +9,127 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Drains that wait for a majority.
+/// Drains that wait for a majority, by endpoint name.
 #[derive(Debug, Default)]
 pub struct PendingDrains {
-    open: BTreeMap<(String, DrainId), Option<Timestamp>>,
-    hosts: BTreeMap<String, usize>,
-    last: u64,
-    /// Grows with every change.
+    /// When each drain was last proposed by this node as the leader; `None`: not yet.
+    proposed_at: BTreeMap<(String, DrainId), Option<Timestamp>>,
+    /// The number of pending drains of each endpoint that has any.
+    count_by_endpoint: BTreeMap<String, usize>,
+    last_sequence: u64,
     version: u64,
 }
 
 impl PendingDrains {
-    /// What a disk held.
-    pub fn new(held: Vec<(String, DrainId)>) -> PendingDrains {
-        let mut marks = PendingDrains::default();
-        held.into_iter().for_each(|(host, mark)| {
-            marks.add(host, mark);
-        });
-        marks
+    /// The drains that the disk held.
+    pub fn new(persisted: Vec<(String, DrainId)>) -> PendingDrains {
+        let mut drains = PendingDrains::default();
+        for (endpoint, id) in persisted {
+            drains.add(endpoint, id);
+        }
+        drains
     }
 
-    fn add(&mut self, host: String, mark: DrainId) -> bool {
-        let key = (host, mark);
-        if self.open.contains_key(&key) {
-            return false;
+    fn add(&mut self, endpoint: String, id: DrainId) {
+        let key = (endpoint, id);
+        if self.proposed_at.contains_key(&key) {
+            return;
         }
-        *self.hosts.entry(key.0.clone()).or_default() += 1;
-        self.open.insert(key, None);
+        *self.count_by_endpoint.entry(key.0.clone()).or_default() += 1;
+        self.proposed_at.insert(key, None);
         self.version += 1;
-        true
     }
 
-    /// A drain is said here; `now` makes its number one that this daemon never used, also after a restart.
-    pub fn request_drain(&mut self, host: &str, by: NodeId, now: Timestamp) -> DrainId {
-        let own = self.open.keys().find(|(h, m)| h == host && m.node == by);
-        if let Some((_, mark)) = own {
-            return *mark;
+    fn remove(&mut self, drain: &(String, DrainId)) {
+        self.proposed_at.remove(drain);
+        let (endpoint, _) = drain;
+        if let Some(count) = self.count_by_endpoint.get_mut(endpoint) {
+            *count -= 1;
+            if *count == 0 {
+                self.count_by_endpoint.remove(endpoint);
+            }
         }
-        self.last = (self.last + 1).max(now.as_micros().max(0) as u64);
-        let mark = DrainId { node: by, sequence: self.last };
-        self.add(host.to_string(), mark);
-        mark
     }
 
-    /// Takes in what another daemon holds, as far as the log has not settled it; true: something was new. More
-    /// than `most` are not kept.
-    pub fn merge(&mut self, others: Vec<(String, DrainId)>, state: &ClusterState, most: usize) -> bool {
-        let before = self.version;
-        for (host, mark) in others {
-            if !state.is_resolved(&host, mark) && self.open.len() < most {
-                self.add(host, mark);
+    /// Drains an endpoint on behalf of this node; one that this node drains already keeps its id. `now` makes the
+    /// sequence number one that this node has never used, also after a restart that lost its disk.
+    pub fn request_drain(&mut self, endpoint: &str, local_node: NodeId, now: Timestamp) -> DrainId {
+        for (drained, id) in self.proposed_at.keys() {
+            if drained == endpoint && id.node == local_node {
+                return *id;
             }
         }
-        self.version != before
+        let time_sequence = now.as_micros().max(0) as u64;
+        self.last_sequence = (self.last_sequence + 1).max(time_sequence);
+        let id = DrainId { node: local_node, sequence: self.last_sequence };
+        self.add(endpoint.to_string(), id);
+        id
     }
 
-    /// Forgets what the log has settled, and says what that was.
-    pub fn remove_settled(&mut self, state: &ClusterState) -> Vec<(String, DrainId)> {
-        let settled: Vec<(String, DrainId)> =
-            self.open.keys().filter(|(host, mark)| state.is_resolved(host, *mark)).cloned().collect();
-        for key in &settled {
-            self.open.remove(key);
-            if let Some(count) = self.hosts.get_mut(&key.0) {
-                *count -= 1;
-                if *count == 0 {
-                    self.hosts.remove(&key.0);
-                }
+    /// Takes in the pending drains of a peer that the log has not resolved, up to `limit` drains in all. Returns whether
+    /// any of them was new.
+    pub fn merge(&mut self, received: Vec<(String, DrainId)>, state: &ClusterState, limit: usize) -> bool {
+        let version_before = self.version;
+        for (endpoint, id) in received {
+            if !state.is_resolved(&endpoint, id) && self.proposed_at.len() < limit {
+                self.add(endpoint, id);
             }
         }
-        self.version += u64::from(!settled.is_empty());
-        settled
+        self.version != version_before
+    }
+
+    /// Removes the drains that the log has resolved, and returns them.
+    pub fn remove_settled(&mut self, state: &ClusterState) -> Vec<(String, DrainId)> {
+        let is_resolved = |drain: &&(String, DrainId)| state.is_resolved(&drain.0, drain.1);
+        let resolved: Vec<(String, DrainId)> = self.proposed_at.keys().filter(is_resolved).cloned().collect();
+        for drain in &resolved {
+            self.remove(drain);
+        }
+        if !resolved.is_empty() {
+            self.version += 1;
+        }
+        resolved
     }
 
-    /// Whether a host is drained by one of them.
-    pub fn is_draining(&self, host: &str) -> bool {
-        self.hosts.contains_key(host)
+    /// Whether any of them drains this endpoint.
+    pub fn is_draining(&self, endpoint: &str) -> bool {
+        self.count_by_endpoint.contains_key(endpoint)
     }
 
-    /// Those of a host.
-    pub fn drains_of(&self, host: &str) -> BTreeSet<DrainId> {
-        self.open.keys().filter(|(h, _)| h == host).map(|(_, mark)| *mark).collect()
+    /// The pending drains of an endpoint.
+    pub fn drains_of(&self, endpoint: &str) -> BTreeSet<DrainId> {
+        let keys = self.proposed_at.keys();
+        keys.filter(|(drained, _)| drained == endpoint).map(|(_, id)| *id).collect()
     }
 
-    /// All of them.
+    /// All of them, with their endpoints.
     pub fn all(&self) -> Vec<(String, DrainId)> {
-        self.open.keys().cloned().collect()
+        self.proposed_at.keys().cloned().collect()
     }
 
-    /// Whether none waits.
+    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.proposed_at.is_empty()
     }
 
-    /// Grows with every change.
+    /// A number that grows with every change, for writing them to disk only when they have changed.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Alike at daemons that hold the same.
+    /// A checksum that is equal on nodes with the same drains; 0: there is none.
     pub fn digest(&self) -> u32 {
-        if self.open.is_empty() { 0 } else { crc32fast::hash(&codec::encode(&self.all())) }
+        if self.is_empty() { 0 } else { crc32fast::hash(&codec::encode(&self.all())) }
     }
 
-    /// What the leader has to put into the log: each at once, and again where it was not settled for `insist`.
-    pub fn due_proposals(&mut self, now: Timestamp, insist: TimeDelta) -> Vec<Change> {
+    /// The drains that the leader has to propose: each at once, and again every `retry_interval` until the log has
+    /// resolved it.
+    pub fn due_proposals(&mut self, now: Timestamp, retry_interval: TimeDelta) -> Vec<Change> {
         let mut due = Vec::new();
-        for ((host, mark), proposed) in &mut self.open {
-            if proposed.is_none_or(|at| now - at >= insist) {
-                *proposed = Some(now);
-                due.push(Change::Drain { host: host.clone(), drain: *mark });
+        for ((endpoint, id), proposed_at) in &mut self.proposed_at {
+            if proposed_at.is_none_or(|proposed_at| now - proposed_at >= retry_interval) {
+                *proposed_at = Some(now);
+                due.push(Change::Drain { host: endpoint.clone(), drain: *id });
             }
         }
         due
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -299,7 +299,7 @@
     let path = copy(&folder, "fleet.store", true);
     // What was learned is worth nothing after an hour: here it was written now.
     let mut learned = saved();
-    learned.at.wall = Timestamp::from_micros(now());
+    learned.written_at.wall = Timestamp::from_micros(now());
     put(&path, "learned", &codec::encode(&codec::encode(&learned)));
     let file = folder.join("operator.yaml");
     fs::write(&file, OPERATOR).unwrap();
