--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -18,7 +18,7 @@
 use crate::net::until;
 use crate::routing::{Settings, TimeDelta};
 use crate::store::storage::{DurableStorage, StoreContents};
-use crate::store::store_thread;
+use crate::store::store_thread::{self, RunningStore};
 use async_io::{Async, Timer};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -156,7 +156,7 @@
     log::info!("{}: store at http://{at}", operator.name);
     let listener =
         connection_limiter::open(operator.listen).map_err(|e| format!("{}: {e}", operator.listen))?;
-    let (opened, inputs, outputs) = store_thread::start(disk, held, &limits)?;
+    let RunningStore { opened, commands, events } = store_thread::start(disk, held, &limits)?;
     let me = Me {
         name: operator.name.clone(),
         address: operator.store.advertise.unwrap_or(at),
@@ -170,7 +170,7 @@
         idle_check_interval: limits.file_check_interval,
         ..limits.clone()
     });
-    let fleet = Fleet::new(me, few.clone(), clock.clone(), executor.clone(), opened, inputs);
+    let fleet = Fleet::new(me, few.clone(), clock.clone(), executor.clone(), opened, commands);
     fleet.read_files(|own| *own = files);
     let operator = Rc::new(operator);
 
@@ -190,7 +190,7 @@
     serving.detach();
     {
         let (hears, goes) = (fleet.clone(), fleet.clone());
-        executor.spawn(async move { hears.hear_store(&outputs).await }).detach();
+        executor.spawn(async move { hears.hear_store(&events).await }).detach();
         executor.spawn(async move { goes.go_on().await }).detach();
     }
     // Clients that come before anything can be served are told when to come back.
--- a/src/fleet/admin_api.rs
+++ b/src/fleet/admin_api.rs
@@ -9,6 +9,7 @@
 use crate::net::connection::ClientConnection;
 use crate::net::http::server::{self, Next, Request};
 use crate::routing::Availability;
+use crate::store::state_machine::{InventoryDifference, PendingDrain, ServiceSettings};
 use crate::time::Timestamp;
 use std::fmt::Write;
 use std::rc::Rc;
@@ -163,7 +164,7 @@
     match () {
         _ if table.broken.is_some() => "broken",
         _ if table.removed => "removed",
-        _ if table.state.fleet == 0 => "none",
+        _ if table.state.fleet.is_none() => "none",
         _ if table.status.leader == me => "leads",
         _ if table.status.configuration.voters.contains(&me) => "voter",
         _ => "follower",
@@ -188,10 +189,10 @@
         ("agreed", table.status.committed, 'g'),
         ("lag", table.lag(), 'g'),
         ("unagreed_drains", table.marks.all().len() as u64, 'g'),
-        ("log_bytes", table.status.log_size.0 as u64, 'g'),
-        ("dropped", table.dropped + table.status.dropped.0, 'c'),
+        ("log_bytes", table.status.log_size.bytes as u64, 'g'),
+        ("dropped", table.dropped + table.status.dropped_messages, 'c'),
         ("unsent", unsent, 'c'),
-        ("panics", table.status.dropped.1, 'c'),
+        ("panics", table.status.raft_restarts, 'c'),
         ("disk_writes", table.status.disk_writes, 'c'),
         ("recovery_step", fleet.service().step as u64, 'g'),
         ("zones_away", away, 'g'),
@@ -224,8 +225,10 @@
         "agreed {} applied {} digest {:08x} lag {lag}",
         status.committed, table.applied, table.state.digest
     );
-    let stale =
-        table.state.fleet == 0 || status.leader == NodeId::NOBODY || table.removed || table.broken.is_some();
+    let stale = table.state.fleet.is_none()
+        || status.leader == NodeId::NOBODY
+        || table.removed
+        || table.broken.is_some();
     let _ = writeln!(
         out,
         "serves {}",
@@ -235,7 +238,7 @@
             (Some(_), true) => "with what was last agreed: no majority is known",
         }
     );
-    if table.state.fleet == 0 {
+    if table.state.fleet.is_none() {
         let _ = writeln!(out, "waits {} ms: {}", (now - table.stand.1).as_millis(), table.stand.0);
     }
     let service = fleet.service();
@@ -258,13 +261,13 @@
     if let Some(why) = &table.broken {
         let _ = writeln!(out, "broken {why}");
     }
-    for (host, mark) in table.marks.all() {
-        let _ = writeln!(out, "unagreed drain {host} said by {} {}", name(mark.node), mark.sequence);
+    for PendingDrain { host, drain } in table.marks.all() {
+        let _ = writeln!(out, "unagreed drain {host} said by {} {}", name(drain.node), drain.sequence);
     }
     for host in table.state.drains.keys() {
         let _ = writeln!(out, "drain {host}");
     }
-    if let Some((source, _)) = &table.state.settings {
+    if let Some(ServiceSettings { provenance: source, .. }) = &table.state.settings {
         let _ = writeln!(
             out,
             "settings of {} changed {} version {}",
@@ -277,7 +280,7 @@
         let own = match (&table.files.hosts, table.differs) {
             (None, _) => "no file of its own".to_string(),
             (_, None) => "its own file says the same".to_string(),
-            (_, Some((added, changed, missing))) => {
+            (_, Some(InventoryDifference { added, changed, missing })) => {
                 format!("its own file adds {added}, changes {changed}, lacks {missing}")
             }
         };
@@ -317,8 +320,8 @@
     let _ = writeln!(
         out,
         "dropped frames {} letters {} unsent {full} panics {}",
-        table.dropped, status.dropped.0, status.dropped.1
+        table.dropped, status.dropped_messages, status.raft_restarts
     );
-    let _ = write!(out, "log bytes {} entries {}", status.log_size.0, status.log_size.1);
+    let _ = write!(out, "log bytes {} entries {}", status.log_size.bytes, status.log_size.entries);
     out
 }
--- a/src/fleet/bootstrap.rs
+++ b/src/fleet/bootstrap.rs
@@ -4,8 +4,7 @@
 //! whether it founds one or what it waits for; [`judge_handshake`] says whether a peer may exchange messages
 //! with this node.
 
-use crate::ids::NodeId;
-use crate::store::records::FleetId;
+use crate::ids::{FleetId, NodeId};
 use crate::store::state_machine::ClusterState;
 use crate::store::storage::PersistedProgress;
 use serde::{Deserialize, Serialize};
@@ -51,7 +50,7 @@
     known: Option<&PersistedProgress>,
     handshake: &Handshake,
 ) -> HandshakeVerdict {
-    if state.fleet == 0 {
+    if state.fleet.is_none() {
         // A node without a fleet has nothing to compare the peer with.
         return HandshakeVerdict::Accepted;
     }
@@ -61,7 +60,7 @@
     if state.removed.contains_key(&handshake.id) {
         return HandshakeVerdict::RemovedMember;
     }
-    if handshake.fleet == 0 {
+    if handshake.fleet.is_none() {
         let members = state.members.values().map(|member| (member.name.clone(), member.address));
         return HandshakeVerdict::NotYetMember(members.collect());
     }
@@ -76,7 +75,7 @@
 
 /// Whether nodes of these fleets may exchange messages: they are of one fleet, or one of them has none yet.
 pub fn fleets_are_compatible(one: FleetId, other: FleetId) -> bool {
-    one == other || one == 0 || other == 0
+    one == other || one.is_none() || other.is_none()
 }
 
 /// What a node without a fleet does. Operators read the `Display` text.
@@ -129,7 +128,7 @@
     /// that they have none either; so at most one node founds without an operator. On an operator's order the
     /// node that got it founds, with the peers that have answered.
     pub fn state(&self) -> BootstrapState {
-        if let Some(member) = self.answers.values().find(|peer| peer.fleet != 0) {
+        if let Some(member) = self.answers.values().find(|peer| !peer.fleet.is_none()) {
             return BootstrapState::AwaitsAdmission(member.fleet);
         }
         let others = self.answers.values().filter(|peer| peer.id != self.id);
--- a/src/fleet/bootstrap/tests.rs
+++ b/src/fleet/bootstrap/tests.rs
@@ -1,13 +1,14 @@
 //! Which node founds a fleet, and how handshakes are judged.
 
 use super::*;
+use crate::store::records::EntryId;
 use crate::store::state_machine::Member;
 
 /// The handshake of node `id`.
-fn handshake(name: &str, id: u64, fleet: FleetId) -> Handshake {
+fn handshake(name: &str, id: u64, fleet: u128) -> Handshake {
     let address = ([127, 0, 0, 1], id as u16).into();
-    let witness = PersistedProgress { boot_count: 3, term: 5, last_entry: (4, 90) };
-    Handshake { fleet, id: NodeId(id), name: name.into(), address, witness }
+    let witness = PersistedProgress { boot_count: 3, term: 5, last_entry: EntryId { term: 4, index: 90 } };
+    Handshake { fleet: FleetId(fleet), id: NodeId(id), name: name.into(), address, witness }
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -77,7 +78,10 @@
         BootstrapState::FoundsFleet(["a".to_string()].into())
     );
     answers.insert(address(2), handshake("c", 3, 77));
-    assert_eq!(state_when_ordered("b", 2, &configured, &answers), BootstrapState::AwaitsAdmission(77));
+    assert_eq!(
+        state_when_ordered("b", 2, &configured, &answers),
+        BootstrapState::AwaitsAdmission(FleetId(77))
+    );
     answers.insert(address(2), handshake("b", 3, 0));
     assert_eq!(state_of("b", 2, &configured, &answers), BootstrapState::DuplicateName("b".into()));
 }
@@ -87,7 +91,7 @@
 fn a_handshake_is_compared_with_the_fleet_and_with_earlier_reports() {
     let mut state = ClusterState::default();
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 0)), HandshakeVerdict::Accepted);
-    state.fleet = 7;
+    state.fleet = FleetId(7);
     state.members.insert(NodeId(1), Member { name: "a".into(), address: address(1) });
     state.removed.insert(NodeId(9), "x".into());
     assert_eq!(
@@ -97,15 +101,21 @@
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 8)), HandshakeVerdict::OtherFleet);
     assert_eq!(judge_handshake(&state, None, &handshake("x", 9, 7)), HandshakeVerdict::RemovedMember);
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 7)), HandshakeVerdict::Accepted);
-    state.previous_fleets.insert(6);
+    state.previous_fleets.insert(FleetId(6));
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 6)), HandshakeVerdict::SupersededFleet);
     let reported = handshake("b", 2, 7).witness;
     for (known, expected) in [
         (reported, HandshakeVerdict::Accepted),
         (PersistedProgress { boot_count: 4, ..reported }, HandshakeVerdict::OutdatedStorage),
         (PersistedProgress { term: 6, ..reported }, HandshakeVerdict::OutdatedStorage),
-        (PersistedProgress { last_entry: (4, 91), ..reported }, HandshakeVerdict::OutdatedStorage),
-        (PersistedProgress { last_entry: (3, 99), ..reported }, HandshakeVerdict::Accepted),
+        (
+            PersistedProgress { last_entry: EntryId { term: 4, index: 91 }, ..reported },
+            HandshakeVerdict::OutdatedStorage,
+        ),
+        (
+            PersistedProgress { last_entry: EntryId { term: 3, index: 99 }, ..reported },
+            HandshakeVerdict::Accepted,
+        ),
     ] {
         assert_eq!(judge_handshake(&state, Some(&known), &handshake("b", 2, 7)), expected, "{known:?}");
     }
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -4,7 +4,7 @@
 use crate::ids::NodeId;
 use crate::store::raft_node::PeerProgress;
 use crate::store::records::{Configuration, MembershipStep};
-use crate::store::state_machine::{ClusterState, MAX_MEMBERS, Member, MembershipChange};
+use crate::store::state_machine::{ClusterState, JoiningMember, MAX_MEMBERS, Member, MembershipChange};
 use crate::time::TimeDelta;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -132,7 +132,7 @@
             let member = Member { name: handshake.name.clone(), address: handshake.address };
             return Some(MembershipChange {
                 steps: vec![MembershipStep::AddLearner(*id)],
-                joining: Some((*id, member)),
+                joining: Some(JoiningMember { id: *id, member }),
             });
         }
         None
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::ids::FleetId;
 use crate::store::storage::PersistedProgress;
 
 /// A simulated fleet: every step that is proposed is committed and carried out.
@@ -25,7 +26,7 @@
     fn new(founders: &[&str]) -> SimulatedFleet {
         let founders = founders.iter().map(|f| f.to_string()).collect();
         SimulatedFleet {
-            state: ClusterState::found_fleet(7, NodeId(1), member("a"), founders),
+            state: ClusterState::found_fleet(FleetId(7), NodeId(1), member("a"), founders),
             configuration: Configuration { voters: vec![NodeId(1)], ..Configuration::default() },
             progress: vec![PeerProgress { id: NodeId(1), match_index: 100, recently_active: true }],
             candidates: BTreeMap::new(),
@@ -39,7 +40,7 @@
     fn meet(&mut self, id: u64, name: &str) {
         let id = NodeId(id);
         let (address, witness) = (([127, 0, 0, 1], 9).into(), PersistedProgress::default());
-        let handshake = Handshake { fleet: 0, id, name: name.into(), address, witness };
+        let handshake = Handshake { fleet: FleetId::NONE, id, name: name.into(), address, witness };
         self.candidates.insert(id, handshake);
         self.silent_for.insert(id, TimeDelta::ZERO);
     }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -16,8 +16,8 @@
 use crate::routing::EndpointId;
 use crate::store::codec;
 use crate::store::raft_message::RaftMessage;
-use crate::store::state_machine::Proposal;
-use crate::store::storage::DrainList;
+use crate::store::records::EntryId;
+use crate::store::state_machine::{PendingDrain, Proposal};
 use crate::time::TimeDelta;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
     /// What an operator wants of the node of this name, for the leader to carry out.
     MembershipRequest(String, MembershipRequest),
     /// All drains that the sender holds and that are not committed yet.
-    PendingDrains(DrainList),
+    PendingDrains(Vec<PendingDrain>),
     /// The sender's state, sent periodically and when its leader, term or participation changes.
     Heartbeat(Heartbeat),
     /// Which gossip the sender has, by the node that it comes from.
@@ -76,7 +76,7 @@
     /// Its consensus term.
     pub term: u64,
     /// The last entry in its log: term and index.
-    pub last_entry: (u64, u64),
+    pub last_entry: EntryId,
     /// It participates in the consensus: it receives messages and votes.
     pub participates: bool,
     /// The last log index that it knows to be committed.
--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -2,9 +2,10 @@
 //! node of the next version exchanges messages with nodes of this one.
 
 use super::*;
-use crate::ids::{GroupId, ZoneId};
+use crate::ids::{FleetId, GroupId, ZoneId};
+use crate::store::records::EntryId;
 use crate::store::records::HostRecord;
-use crate::store::state_machine::{Change, DrainId};
+use crate::store::state_machine::{Change, DrainId, PendingDrain};
 use crate::store::storage::PersistedProgress;
 use crate::store::zone_weights::{WeightReason, ZoneWeight};
 use crate::time::{LogPosition, Timestamp};
@@ -19,11 +20,15 @@
 
 fn handshake(name: &str, fleet: u128) -> Handshake {
     Handshake {
-        fleet,
+        fleet: FleetId(fleet),
         id: NodeId(0x1122_3344_5566_7788),
         name: name.into(),
         address: "127.0.0.1:8891".parse().unwrap(),
-        witness: PersistedProgress { boot_count: 3, term: 500, last_entry: (499, 70_000) },
+        witness: PersistedProgress {
+            boot_count: 3,
+            term: 500,
+            last_entry: EntryId { term: 499, index: 70_000 },
+        },
     }
 }
 
@@ -180,7 +185,7 @@
     Heartbeat {
         leader: NodeId(7),
         term: 300,
-        last_entry: (299, 70_001),
+        last_entry: EntryId { term: 299, index: 70_001 },
         participates: true,
         commit_index: 70_002,
         applied: AppliedPosition { index: 70_003, digest: 0xdead_beef },
@@ -232,8 +237,8 @@
 fn messages() -> Vec<(&'static str, PeerMessage)> {
     let fleet = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
     let marks = vec![
-        ("s-1-1".to_string(), DrainId { node: NodeId(5), sequence: 6 }),
-        ("s-2".to_string(), DrainId { node: NodeId(7), sequence: 800 }),
+        PendingDrain { host: "s-1-1".to_string(), drain: DrainId { node: NodeId(5), sequence: 6 } },
+        PendingDrain { host: "s-2".to_string(), drain: DrainId { node: NodeId(7), sequence: 800 } },
     ];
     let v6 = Handshake { address: "[::1]:8892".parse().unwrap(), ..handshake("b1", 0) };
     let digest = vec![
--- a/src/fleet/message/tests.rs
+++ b/src/fleet/message/tests.rs
@@ -8,7 +8,7 @@
     let heartbeat = Heartbeat {
         leader: NodeId(7),
         term: 3,
-        last_entry: (3, 9),
+        last_entry: EntryId { term: 3, index: 9 },
         participates: true,
         commit_index: 9,
         applied: AppliedPosition { index: 9, digest: 77 },
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -5,7 +5,7 @@
 
 use crate::ids::NodeId;
 use crate::store::codec;
-use crate::store::state_machine::{Change, ClusterState, DrainId};
+use crate::store::state_machine::{Change, ClusterState, DrainId, PendingDrain};
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub struct PendingDrains {
     /// When each drain was last proposed by this node as the leader; `None`: not yet.
-    proposed_at: BTreeMap<(String, DrainId), Option<Timestamp>>,
+    proposed_at: BTreeMap<PendingDrain, Option<Timestamp>>,
     /// The number of pending drains of each endpoint that has any.
     count_by_endpoint: BTreeMap<String, usize>,
     last_sequence: u64,
@@ -22,31 +22,29 @@
 
 impl PendingDrains {
     /// The drains that the disk held.
-    pub fn new(persisted: Vec<(String, DrainId)>) -> PendingDrains {
+    pub fn new(persisted: Vec<PendingDrain>) -> PendingDrains {
         let mut drains = PendingDrains::default();
-        for (endpoint, id) in persisted {
-            drains.add(endpoint, id);
+        for drain in persisted {
+            drains.add(drain);
         }
         drains
     }
 
-    fn add(&mut self, endpoint: String, id: DrainId) {
-        let key = (endpoint, id);
-        if self.proposed_at.contains_key(&key) {
+    fn add(&mut self, drain: PendingDrain) {
+        if self.proposed_at.contains_key(&drain) {
             return;
         }
-        *self.count_by_endpoint.entry(key.0.clone()).or_default() += 1;
-        self.proposed_at.insert(key, None);
+        *self.count_by_endpoint.entry(drain.host.clone()).or_default() += 1;
+        self.proposed_at.insert(drain, None);
         self.version += 1;
     }
 
-    fn remove(&mut self, drain: &(String, DrainId)) {
+    fn remove(&mut self, drain: &PendingDrain) {
         self.proposed_at.remove(drain);
-        let (endpoint, _) = drain;
-        if let Some(count) = self.count_by_endpoint.get_mut(endpoint) {
+        if let Some(count) = self.count_by_endpoint.get_mut(&drain.host) {
             *count -= 1;
             if *count == 0 {
-                self.count_by_endpoint.remove(endpoint);
+                self.count_by_endpoint.remove(&drain.host);
             }
         }
     }
@@ -54,34 +52,34 @@
     /// Drains an endpoint on behalf of this node; one that this node drains already keeps its id. `now` makes the
     /// sequence number one that this node has never used, also after a restart that lost its disk.
     pub fn request_drain(&mut self, endpoint: &str, local_node: NodeId, now: Timestamp) -> DrainId {
-        for (drained, id) in self.proposed_at.keys() {
-            if drained == endpoint && id.node == local_node {
-                return *id;
+        for pending in self.proposed_at.keys() {
+            if pending.host == endpoint && pending.drain.node == local_node {
+                return pending.drain;
             }
         }
         let time_sequence = now.as_micros().max(0) as u64;
         self.last_sequence = (self.last_sequence + 1).max(time_sequence);
         let id = DrainId { node: local_node, sequence: self.last_sequence };
-        self.add(endpoint.to_string(), id);
+        self.add(PendingDrain { host: endpoint.to_string(), drain: id });
         id
     }
 
     /// Takes in the pending drains of a peer that the log has not resolved, up to `limit` drains in all. Returns whether
     /// any of them was new.
-    pub fn merge(&mut self, received: Vec<(String, DrainId)>, state: &ClusterState, limit: usize) -> bool {
+    pub fn merge(&mut self, received: Vec<PendingDrain>, state: &ClusterState, limit: usize) -> bool {
         let version_before = self.version;
-        for (endpoint, id) in received {
-            if !state.is_resolved(&endpoint, id) && self.proposed_at.len() < limit {
-                self.add(endpoint, id);
+        for drain in received {
+            if !state.is_resolved(&drain.host, drain.drain) && self.proposed_at.len() < limit {
+                self.add(drain);
             }
         }
         self.version != version_before
     }
 
     /// Removes the drains that the log has resolved, and returns them.
-    pub fn remove_settled(&mut self, state: &ClusterState) -> Vec<(String, DrainId)> {
-        let is_resolved = |drain: &&(String, DrainId)| state.is_resolved(&drain.0, drain.1);
-        let resolved: Vec<(String, DrainId)> = self.proposed_at.keys().filter(is_resolved).cloned().collect();
+    pub fn remove_settled(&mut self, state: &ClusterState) -> Vec<PendingDrain> {
+        let is_resolved = |drain: &&PendingDrain| state.is_resolved(&drain.host, drain.drain);
+        let resolved: Vec<PendingDrain> = self.proposed_at.keys().filter(is_resolved).cloned().collect();
         for drain in &resolved {
             self.remove(drain);
         }
@@ -99,11 +97,11 @@
     /// The pending drains of an endpoint.
     pub fn drains_of(&self, endpoint: &str) -> BTreeSet<DrainId> {
         let keys = self.proposed_at.keys();
-        keys.filter(|(drained, _)| drained == endpoint).map(|(_, id)| *id).collect()
+        keys.filter(|pending| pending.host == endpoint).map(|pending| pending.drain).collect()
     }
 
     /// All of them, with their endpoints.
-    pub fn all(&self) -> Vec<(String, DrainId)> {
+    pub fn all(&self) -> Vec<PendingDrain> {
         self.proposed_at.keys().cloned().collect()
     }
 
@@ -126,10 +124,10 @@
     /// resolved it.
     pub fn due_proposals(&mut self, now: Timestamp, retry_interval: TimeDelta) -> Vec<Change> {
         let mut due = Vec::new();
-        for ((endpoint, id), proposed_at) in &mut self.proposed_at {
+        for (pending, proposed_at) in &mut self.proposed_at {
             if proposed_at.is_none_or(|proposed_at| now - proposed_at >= retry_interval) {
                 *proposed_at = Some(now);
-                due.push(Change::Drain { host: endpoint.clone(), drain: *id });
+                due.push(Change::Drain { host: pending.host.clone(), drain: pending.drain });
             }
         }
         due
--- a/src/fleet/pending_drains/tests.rs
+++ b/src/fleet/pending_drains/tests.rs
@@ -72,7 +72,9 @@
         PendingDrains::default().request_drain("a", local_node, at(5_000)).sequence > first.sequence,
         "after a restart that lost the disk"
     );
-    let many = (0..50).map(|n| (format!("s-{n}"), DrainId { node: NodeId(9), sequence: n })).collect();
+    let many = (0..50)
+        .map(|n| PendingDrain { host: format!("s-{n}"), drain: DrainId { node: NodeId(9), sequence: n } })
+        .collect();
     assert!(drains.merge(many, &ClusterState::default(), 10));
     assert_eq!(drains.all().len(), 10);
     assert_ne!(drains.digest(), 0);
--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -60,12 +60,12 @@
         self.commit_change(change).await
     }
 
-    pub(super) fn receive_pending_drains(&self, marks: Vec<(String, crate::store::state_machine::DrainId)>) {
+    pub(super) fn receive_pending_drains(&self, drains: Vec<PendingDrain>) {
         let new = {
             let mut table = self.change();
-            self.mark_endpoints_changed(marks.iter().map(|(host, _)| host.clone()));
+            self.mark_endpoints_changed(drains.iter().map(|pending| pending.host.clone()));
             let Table { marks: own, state, .. } = &mut *table;
-            own.merge(marks, state, self.limits.pending_drains)
+            own.merge(drains, state, self.limits.pending_drains)
         };
         if new {
             self.notify_watchers();
@@ -81,7 +81,7 @@
         let table = self.table();
         let version = table.marks.version();
         if self.saving.get() < version
-            && self.send_to_store(StoreCommand::PersistDrains(table.marks.all(), version))
+            && self.send_to_store(StoreCommand::PersistDrains { drains: table.marks.all(), version })
         {
             self.saving.set(version);
         }
--- a/src/fleet/runtime/event_loop.rs
+++ b/src/fleet/runtime/event_loop.rs
@@ -65,12 +65,12 @@
             || !table.wishes.is_empty()
             || !table.candidates.is_empty()
             || !table.state.is_complete()
-            || table.state.fleet == 0
+            || table.state.fleet.is_none()
             || !table.status.participating
             || !self.proposed.borrow().is_empty();
         match () {
             // It may have to stand for election.
-            _ if self.returns() && table.status.leader == NodeId::NOBODY && table.state.fleet != 0 => {
+            _ if self.returns() && table.status.leader == NodeId::NOBODY && !table.state.fleet.is_none() => {
                 self.limits.raft_tick
             }
             _ if waits => self.limits.proposal_retry_interval,
--- a/src/fleet/runtime/founding.rs
+++ b/src/fleet/runtime/founding.rs
@@ -5,20 +5,20 @@
 impl Fleet {
     /// An operator's word: form a fleet with whoever has answered. False: there is one already.
     pub fn form_fleet(&self) -> bool {
-        if self.table().state.fleet != 0 {
+        if !self.table().state.fleet.is_none() {
             return false;
         }
         self.change().word = true;
         self.found_fleet_if_due();
         self.table().stand.0 == BootstrapState::FoundsFleet(BTreeSet::new()).to_string()
-            || self.table().state.fleet != 0
+            || !self.table().state.fleet.is_none()
     }
 
     /// Founds a fleet where this daemon is the one to do it.
     pub(super) fn found_fleet_if_due(&self) {
         let stand = {
             let table = self.table();
-            if table.state.fleet != 0 || table.removed || table.broken.is_some() {
+            if !table.state.fleet.is_none() || table.removed || table.broken.is_some() {
                 return;
             }
             let bootstrap = Bootstrap {
@@ -34,7 +34,7 @@
         if let BootstrapState::FoundsFleet(others) = stand {
             let id = self.table().identity.id;
             let member = Member { name: self.me.name.clone(), address: self.me.address };
-            let fleet: FleetId = fastrand::u128(1..);
+            let fleet = FleetId::random();
             self.send_to_store(StoreCommand::FoundFleet(Box::new(ClusterState::found_fleet(
                 fleet, id, member, others,
             ))));
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -24,7 +24,7 @@
 use crate::engine::observations::{Observation, START_TIME_TOLERANCE};
 use crate::engine::{PeerObservation, PollParticipants};
 use crate::ids::NodeId;
-use crate::ids::{GroupId, ZoneId};
+use crate::ids::{FleetId, GroupId, ZoneId};
 use crate::inventory::Inventory;
 use crate::net::buffer::Buffer;
 use crate::net::connection::ClientConnection;
@@ -34,10 +34,12 @@
 use crate::routing::{Availability, EndpointId};
 use crate::store::codec;
 use crate::store::raft_message::RaftMessage;
-use crate::store::raft_node::{AppliedContent, AppliedEntry};
-use crate::store::records::{FleetId, HostRecord};
-use crate::store::state_machine::{ApplyResult, Change, ClusterState, Member, Proposal};
-use crate::store::storage::NodeIdentity;
+use crate::store::raft_node::{AppliedContent, AppliedEntry, SnapshotDelivery};
+use crate::store::records::HostRecord;
+use crate::store::state_machine::{
+    ApplyResult, Change, ClusterState, InventoryDifference, Member, PendingDrain, Proposal,
+};
+use crate::store::storage::{IdentityResetReason, NodeIdentity};
 use crate::store::store_thread::{OpenedStore, StoreCommand, StoreEvent, StoreStatus};
 use crate::store::zone_weights::WeightReason;
 use crate::time::{LogPosition, TimeDelta, Timestamp};
@@ -169,7 +171,7 @@
     /// Why there is no agreed configuration, or none to act on, since when.
     pub stand: (String, Instant),
     /// How this daemon's inventory file differs from the agreed one: added, changed, missing.
-    pub differs: Option<(usize, usize, usize)>,
+    pub differs: Option<InventoryDifference>,
     /// Frames that were out of form or from strangers.
     pub dropped: u64,
     /// Since when this daemon leads.
@@ -402,7 +404,7 @@
 
     /// The agreed settings.
     pub fn settings(&self) -> Option<String> {
-        self.table().state.settings.as_ref().map(|(_, text)| text.clone())
+        self.table().state.settings.as_ref().map(|settings| settings.text.clone())
     }
 
     /// Whether somebody leads, and all is taken in that anybody said to be agreed.
--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -6,7 +6,7 @@
     /// What an operator has to know before this daemon goes on alone from what it has; an error: it must not.
     pub fn recovery_preview(&self) -> Result<String, String> {
         let table = self.table();
-        if table.state.fleet == 0 || table.removed || table.broken.is_some() {
+        if table.state.fleet.is_none() || table.removed || table.broken.is_some() {
             return Err("there is nothing here to go on from".into());
         }
         if table.status.leader != NodeId::NOBODY {
@@ -42,7 +42,7 @@
         log::warn!("fleet: an operator has this daemon go on alone: {}", text.replace('\n', "; "));
         let table = self.table();
         let member = Member { name: self.me.name.clone(), address: self.me.address };
-        let state = table.state.force_new_fleet(fastrand::u128(1..), table.identity.id, member);
+        let state = table.state.force_new_fleet(FleetId::random(), table.identity.id, member);
         if self.send_to_store(StoreCommand::ForceNewFleet(Box::new(state))) {
             Ok(text)
         } else {
--- a/src/fleet/runtime/own_files.rs
+++ b/src/fleet/runtime/own_files.rs
@@ -18,10 +18,11 @@
         if self.compared.replace((*changed, source.version)) == (*changed, source.version) {
             return;
         }
-        let differs = Some(table.state.inventory_difference(hosts)).filter(|d| *d != (0, 0, 0));
+        let differs =
+            Some(table.state.inventory_difference(hosts)).filter(|difference| !difference.is_empty());
         if differs != table.differs {
             match differs {
-                Some((added, changed, missing)) => log::warn!(
+                Some(InventoryDifference { added, changed, missing }) => log::warn!(
                     "fleet: the inventory of {} counts; this daemon's own file adds {added}, changes {changed} and lacks {missing} hosts",
                     source.read_by
                 ),
@@ -36,7 +37,7 @@
         let wanted: Vec<(String, Change)> = {
             let table = self.table();
             let state = &table.state;
-            if state.fleet == 0
+            if state.fleet.is_none()
                 || !state.is_complete()
                 || table.removed
                 || table.status.leader == NodeId::NOBODY
@@ -46,13 +47,13 @@
             let mut wanted = Vec::new();
             let old = |c: &&Change| match c {
                 Change::Settings { changed_at: changed, .. } => {
-                    state.settings.as_ref().is_none_or(|(s, _)| *changed > s.changed_at)
+                    state.settings.as_ref().is_none_or(|settings| *changed > settings.provenance.changed_at)
                 }
                 _ => state.inventory.is_none(),
             };
             wanted.extend(table.legacy.iter().filter(old).map(|c| (format!("legacy {c:?}"), c.clone())));
             if let Some((text, changed)) = &table.files.settings
-                && state.settings.as_ref().is_none_or(|(s, _)| *changed > s.changed_at)
+                && state.settings.as_ref().is_none_or(|settings| *changed > settings.provenance.changed_at)
             {
                 let (by, text) = (self.me.name.clone(), text.clone());
                 wanted.push((
@@ -61,9 +62,9 @@
                 ));
             }
             if let Some((Inventory { regions, .. }, changed)) = &table.files.hosts
-                && *changed > state.regions.0
+                && *changed > state.regions.changed_at
                 && state.inventory.as_ref().is_some_and(|i| *changed >= i.changed_at)
-                && *regions != state.regions.1
+                && *regions != state.regions.by_zone
             {
                 let (by, changed, regions) = (self.me.name.clone(), *changed, regions.clone());
                 wanted.push((
--- a/src/fleet/runtime/peer_sessions.rs
+++ b/src/fleet/runtime/peer_sessions.rs
@@ -57,12 +57,12 @@
             log::info!("fleet: {} is {} ({verdict:?})", way.address, other.name);
         }
         table.heard.entry(other.id).or_insert_with(|| PeerStatus::met(&other));
-        if fleet == 0 {
+        if fleet.is_none() {
             table.met.insert(way.address, other.clone());
         }
         let goes = match verdict {
             HandshakeVerdict::Accepted => {
-                if fleet != 0 && other.fleet == fleet {
+                if !fleet.is_none() && other.fleet == fleet {
                     table.welcomes.insert(other.id);
                 }
                 bootstrap::fleets_are_compatible(fleet, other.fleet)
@@ -75,7 +75,7 @@
             HandshakeVerdict::OutdatedStorage if table.state.members.contains_key(&other.id) => {
                 log::warn!("fleet: {} knows more of this daemon than its disk does", other.name);
                 drop(table);
-                self.send_to_store(StoreCommand::ResetIdentity("older"));
+                self.send_to_store(StoreCommand::ResetIdentity(IdentityResetReason::OutdatedStorage));
                 return false;
             }
             HandshakeVerdict::RemovedMember if other.fleet == fleet && !table.removed => {
@@ -86,18 +86,21 @@
                 );
                 false
             }
-            HandshakeVerdict::SupersededFleet if table.status.leader == NodeId::NOBODY && fleet != 0 => {
+            HandshakeVerdict::SupersededFleet
+                if table.status.leader == NodeId::NOBODY && !fleet.is_none() =>
+            {
                 log::warn!(
                     "fleet: {} is of a fleet that goes on from this one; this daemon goes over",
                     other.name
                 );
                 // What was drained here stays so until the new fleet has ended it.
                 let Table { marks, state, .. } = &mut *table;
-                let drains =
-                    state.drains.iter().flat_map(|(host, m)| m.iter().map(move |m| (host.clone(), *m)));
+                let drains = state.drains.iter().flat_map(|(host, m)| {
+                    m.iter().map(move |m| PendingDrain { host: host.clone(), drain: *m })
+                });
                 marks.merge(drains.collect(), &ClusterState::default(), self.limits.pending_drains);
                 drop(table);
-                self.send_to_store(StoreCommand::ResetIdentity("recovered"));
+                self.send_to_store(StoreCommand::ResetIdentity(IdentityResetReason::SupersededFleet));
                 return false;
             }
             HandshakeVerdict::OutdatedStorage
--- a/src/fleet/runtime/store_events.rs
+++ b/src/fleet/runtime/store_events.rs
@@ -39,7 +39,7 @@
                     table.identity = identity;
                     table.welcomes.clear();
                     // What was agreed goes on to be served until the fleet has told it again.
-                    table.state.fleet = 0;
+                    table.state.fleet = FleetId::NONE;
                     table.removed = false;
                     drop(table);
                     self.saving.set(0);
@@ -65,7 +65,8 @@
             let sent =
                 self.link_to(to).is_some_and(|way| way.send(&PeerMessage::RaftMessages(letters).encode()));
             if whole {
-                self.send_to_store(StoreCommand::SnapshotSent(to, sent));
+                let delivery = if sent { SnapshotDelivery::Sent } else { SnapshotDelivery::Failed };
+                self.send_to_store(StoreCommand::SnapshotSent { to, delivery });
             }
         }
     }
@@ -112,7 +113,11 @@
             table.told.clear();
         }
         let is_member = table.state.members.contains_key(&me);
-        if table.state.fleet != 0 && table.state.removed.contains_key(&me) && !is_member && !table.removed {
+        if !table.state.fleet.is_none()
+            && table.state.removed.contains_key(&me)
+            && !is_member
+            && !table.removed
+        {
             table.removed = true;
             log::warn!(
                 "fleet: this daemon was removed; it serves with what it last knew and agrees to nothing"
@@ -120,7 +125,7 @@
         }
         let Table { marks, state, .. } = &mut *table;
         let settled = marks.remove_settled(state);
-        self.mark_endpoints_changed(settled.iter().map(|(host, _)| host.clone()));
+        self.mark_endpoints_changed(settled.iter().map(|pending| pending.host.clone()));
         let settled = !settled.is_empty();
         drop(table);
         if settled {
--- a/src/fleet/runtime/tests.rs
+++ b/src/fleet/runtime/tests.rs
@@ -9,7 +9,7 @@
 fn what_a_full_queue_turned_away_is_handed_in_again() {
     let limits = Rc::new(Limits::for_sockets(64));
     let (disk, held) = DurableStorage::in_memory().unwrap();
-    let (opened, ..) = store_thread::start(disk, held, &limits).unwrap();
+    let opened = store_thread::start(disk, held, &limits).unwrap().opened;
     let (inputs, queue) = sync_channel(1);
     let me = Me {
         name: "b1".into(),
@@ -26,7 +26,7 @@
     fleet.persist_pending_drains();
     assert!(matches!(queue.try_recv(), Ok(StoreCommand::StartParticipating)));
     fleet.persist_pending_drains();
-    assert!(matches!(queue.try_recv(), Ok(StoreCommand::PersistDrains(marks, _)) if marks.len() == 1));
+    assert!(matches!(queue.try_recv(), Ok(StoreCommand::PersistDrains { drains, .. }) if drains.len() == 1));
     fleet.persist_pending_drains();
     assert!(queue.try_recv().is_err(), "it is kept once");
 }
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -174,7 +174,8 @@
         let mut out = String::new();
         for (zone, verdict) in &verdicts {
             let share = table.state.zone_weight(*zone);
-            let region = table.state.regions.1.get(zone).map_or(String::new(), |r| format!(" of region {r}"));
+            let region =
+                table.state.regions.by_zone.get(zone).map_or(String::new(), |r| format!(" of region {r}"));
             let looks = match verdict {
                 ZoneHealth::CutOff(ids) => {
                     format!(
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identities that several parts of the program share: requests, groups, zones, endpoints and nodes of the consensus.
+//! Identities that several parts of the program share: requests, groups, zones, endpoints, nodes of the
+//! consensus and fleets.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -80,3 +81,30 @@
         fmt::LowerHex::fmt(&self.0, f)
     }
 }
+
+/// A fleet: the set of nodes that share one replicated log. Drawn at random when the fleet is founded.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct FleetId(pub u128);
+
+impl FleetId {
+    /// No fleet: the node has not joined one yet.
+    pub const NONE: FleetId = FleetId(0);
+
+    /// A new identity. Never [`FleetId::NONE`].
+    pub fn random() -> FleetId {
+        FleetId(fastrand::u128(1..))
+    }
+
+    /// Whether this is no fleet.
+    pub fn is_none(self) -> bool {
+        self == FleetId::NONE
+    }
+}
+
+/// As log lines and operators' answers print it, with `{:032x}`.
+impl fmt::LowerHex for FleetId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        fmt::LowerHex::fmt(&self.0, f)
+    }
+}
--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -6,9 +6,9 @@
 
 use super::codec;
 use super::raft_message::RaftMessage;
-use super::records::{Configuration, FleetId, HardState, LogEntry, SnapshotRecord};
+use super::records::{Configuration, EntryId, HardState, LogEntry, SnapshotRecord, Vote};
 use super::state_machine::{ApplyResult, ClusterState, MembershipChange, Proposal};
-use crate::ids::NodeId;
+use crate::ids::{FleetId, NodeId};
 use raft::eraftpb::{self, ConfChangeV2, EntryType};
 use raft::{
     Config, GetEntriesContext, RaftState, RawNode, Ready, SnapshotStatus, StateRole, Storage, StorageError,
@@ -28,7 +28,7 @@
     /// A state, entries up to which need not be applied again.
     pub snapshot: SnapshotRecord,
     /// The last entry that is no longer held, and its term.
-    pub compacted: (u64, u64),
+    pub compacted: EntryId,
     /// Those after it.
     pub entries: Vec<LogEntry>,
 }
@@ -43,7 +43,7 @@
     /// A whole state.
     pub snapshot: Option<SnapshotRecord>,
     /// The last entry that is dropped, and its term.
-    pub compacted: Option<(u64, u64)>,
+    pub compacted: Option<EntryId>,
 }
 
 impl RaftWrite {
@@ -60,18 +60,18 @@
         RaftPersistentState {
             hard_state: HardState { term: 1, vote: NodeId::NOBODY, commit: 1 },
             snapshot: SnapshotRecord { index: 1, term: 1, configuration: conf, state: codec::encode(state) },
-            compacted: (1, 1),
+            compacted: EntryId { term: 1, index: 1 },
             entries: Vec::new(),
         }
     }
 
     /// The disk of the only member of a fleet that goes on from a state, after this entry and term.
-    pub fn force_new_fleet(state: &ClusterState, id: NodeId, last: (u64, u64)) -> RaftPersistentState {
-        let (index, term) = (last.0 + 1, last.1 + 1);
+    pub fn force_new_fleet(state: &ClusterState, id: NodeId, last: EntryId) -> RaftPersistentState {
+        let (index, term) = (last.index + 1, last.term + 1);
         let mut image = RaftPersistentState::found_fleet(state, id);
         image.hard_state = HardState { term, vote: NodeId::NOBODY, commit: index };
         (image.snapshot.index, image.snapshot.term) = (index, term);
-        image.compacted = (index, term);
+        image.compacted = EntryId { term, index };
         image
     }
 
@@ -95,9 +95,9 @@
             self.entries.retain(|e| e.index < first.index);
             self.entries.extend(write.entries.iter().cloned());
         }
-        if let Some(dropped) = write.compacted {
-            self.compacted = dropped;
-            self.entries.retain(|e| e.index > dropped.0);
+        if let Some(compacted) = write.compacted {
+            self.compacted = compacted;
+            self.entries.retain(|e| e.index > compacted.index);
         }
     }
 
@@ -106,9 +106,12 @@
         self.snapshot.index == 0
     }
 
-    /// The last entry that it holds, and its term.
-    pub fn last_entry(&self) -> (u64, u64) {
-        self.entries.last().map_or(self.compacted, |e| (e.index, e.term)).max(self.compacted)
+    /// The last entry that it holds.
+    pub fn last_entry(&self) -> EntryId {
+        match self.entries.last() {
+            Some(entry) if entry.index > self.compacted.index => entry.id(),
+            _ => self.compacted,
+        }
     }
 }
 
@@ -116,7 +119,7 @@
 struct MemoryLog {
     hard_state: HardState,
     configuration: Configuration,
-    compacted: (u64, u64),
+    compacted: EntryId,
     entries: VecDeque<eraftpb::Entry>,
     bytes: usize,
     state: ClusterState,
@@ -126,11 +129,11 @@
 
 impl MemoryLog {
     fn last(&self) -> u64 {
-        self.entries.back().map_or(self.compacted.0, |e| e.index)
+        self.entries.back().map_or(self.compacted.index, |e| e.index)
     }
 
     fn at(&self, index: u64) -> Option<&eraftpb::Entry> {
-        let place = index.checked_sub(self.compacted.0 + 1)?;
+        let place = index.checked_sub(self.compacted.index + 1)?;
         self.entries.get(place as usize)
     }
 
@@ -156,7 +159,7 @@
     fn restore(&mut self, record: &SnapshotRecord, state: ClusterState) {
         (self.applied, self.applied_term) = (record.index, record.term);
         (self.configuration, self.state) = (record.configuration.clone(), state);
-        self.compacted = (record.index, record.term);
+        self.compacted = record.last_entry();
         self.entries.clear();
         self.bytes = 0;
     }
@@ -184,7 +187,7 @@
         max_size: impl Into<Option<u64>>,
         _: GetEntriesContext,
     ) -> raft::Result<Vec<eraftpb::Entry>> {
-        if low <= self.compacted.0 {
+        if low <= self.compacted.index {
             return Err(StorageError::Compacted.into());
         }
         if high > self.last() + 1 {
@@ -205,20 +208,20 @@
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
-        if index == self.compacted.0 {
-            return Ok(self.compacted.1);
+        if index == self.compacted.index {
+            return Ok(self.compacted.term);
         }
         if index == self.applied && self.applied_term > 0 {
             return Ok(self.applied_term);
         }
-        if index < self.compacted.0 {
+        if index < self.compacted.index {
             return Err(StorageError::Compacted.into());
         }
         self.at(index).map(|e| e.term).ok_or_else(|| StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.compacted.0 + 1)
+        Ok(self.compacted.index + 1)
     }
 
     fn last_index(&self) -> raft::Result<u64> {
@@ -268,6 +271,33 @@
     pub write: RaftWrite,
 }
 
+/// Whether a snapshot was handed to the connection to a peer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SnapshotDelivery {
+    /// It was.
+    Sent,
+    /// It was not: there is no connection, or its queue is full.
+    Failed,
+}
+
+/// Size of the log in memory.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LogSize {
+    /// Bytes of its entries, with an allowance for each.
+    pub bytes: usize,
+    /// Its entries.
+    pub entries: usize,
+}
+
+/// What follows from a write that is on the disk.
+#[derive(Debug, Default)]
+pub struct CompletedWrite {
+    /// Messages to send now.
+    pub messages: Vec<RaftMessage>,
+    /// What was agreed and taken in.
+    pub applied: Vec<AppliedEntry>,
+}
+
 /// How far another daemon is, as the leader sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProgress {
@@ -293,11 +323,11 @@
         let state =
             if fresh { Some(ClusterState::default()) } else { ClusterState::decode(&image.snapshot.state) };
         let state = state.ok_or("the state is out of form")?;
-        if image.last_entry().0 < image.hard_state.commit.max(image.snapshot.index) {
+        if image.last_entry().index < image.hard_state.commit.max(image.snapshot.index) {
             return Err("the log ends before what was agreed".into());
         }
-        let gaps = image.entries.iter().zip(image.compacted.0 + 1..).any(|(e, wanted)| e.index != wanted);
-        if gaps || image.snapshot.index < image.compacted.0 {
+        let gaps = image.entries.iter().zip(image.compacted.index + 1..).any(|(e, wanted)| e.index != wanted);
+        if gaps || image.snapshot.index < image.compacted.index {
             return Err("the log has gaps".into());
         }
         let entries: Option<VecDeque<_>> = image.entries.into_iter().map(LogEntry::entry).collect();
@@ -354,9 +384,14 @@
         self.node.raft.raft_log.committed
     }
 
-    /// The last entry that is held, and the term.
-    pub fn last(&self) -> (u64, u64) {
-        (self.node.raft.raft_log.last_index(), self.node.raft.term)
+    /// The index of the last entry that is held.
+    pub fn last_index(&self) -> u64 {
+        self.node.raft.raft_log.last_index()
+    }
+
+    /// The current term.
+    pub fn term(&self) -> u64 {
+        self.node.raft.term
     }
 
     /// The term of an entry that is held; 0: it is not.
@@ -365,8 +400,8 @@
     }
 
     /// Whom the disk has this daemon's vote for, in the term that the disk has; 0: nobody.
-    pub fn written_vote(&self) -> (u64, NodeId) {
-        (self.node.store().hard_state.term, self.node.store().hard_state.vote)
+    pub fn written_vote(&self) -> Vote {
+        self.node.store().hard_state.cast_vote()
     }
 
     /// The leader, as far as this daemon knows; 0: none.
@@ -385,8 +420,8 @@
     }
 
     /// Bytes of the log in memory, and its entries.
-    pub fn log_size(&self) -> (usize, usize) {
-        (self.node.store().bytes, self.node.store().entries.len())
+    pub fn log_size(&self) -> LogSize {
+        LogSize { bytes: self.node.store().bytes, entries: self.node.store().entries.len() }
     }
 
     /// Entries that are held and not known as agreed: what restricts in them acts all the same.
@@ -436,7 +471,7 @@
         if message.has_snapshot() && message.get_snapshot().get_metadata().index > 0 {
             // A state that cannot be read, or another fleet's, must not replace what is here.
             let state = ClusterState::decode(&message.get_snapshot().data);
-            let ours = |s: &ClusterState| self.fleet_id() == 0 || s.fleet == self.fleet_id();
+            let ours = |s: &ClusterState| self.fleet_id().is_none() || s.fleet == self.fleet_id();
             if !state.as_ref().is_some_and(ours) {
                 return false;
             }
@@ -475,8 +510,12 @@
     }
 
     /// A snapshot was handed to the way to this daemon, or could not be.
-    pub fn report_snapshot(&mut self, to: NodeId, sent: bool) {
-        self.node.report_snapshot(to.0, if sent { SnapshotStatus::Finish } else { SnapshotStatus::Failure });
+    pub fn report_snapshot(&mut self, to: NodeId, delivery: SnapshotDelivery) {
+        let status = match delivery {
+            SnapshotDelivery::Sent => SnapshotStatus::Finish,
+            SnapshotDelivery::Failed => SnapshotStatus::Failure,
+        };
+        self.node.report_snapshot(to.0, status);
     }
 
     /// Hands the lead to another daemon.
@@ -507,7 +546,7 @@
         let entries = ready.entries().iter().cloned().map(LogEntry::of).collect();
         let fresh = !ready.snapshot().get_metadata().index.eq(&0);
         let snapshot = fresh.then(|| SnapshotRecord::of(ready.snapshot()));
-        let dropped = snapshot.as_ref().map(|s| (s.index, s.term));
+        let dropped = snapshot.as_ref().map(SnapshotRecord::last_entry);
         Some(PendingReady {
             ready,
             messages: send,
@@ -516,7 +555,7 @@
     }
 
     /// The write of a step is on the disk: what goes out now, and what was taken in.
-    pub fn complete_write(&mut self, pending: PendingReady) -> (Vec<RaftMessage>, Vec<AppliedEntry>) {
+    pub fn complete_write(&mut self, pending: PendingReady) -> CompletedWrite {
         let PendingReady { mut ready, write, .. } = pending;
         let mut applied = Vec::new();
         let log = self.node.mut_store();
@@ -541,7 +580,7 @@
         let committed = light.take_committed_entries();
         self.apply(committed, &mut applied);
         self.node.advance_apply();
-        (letters.into_iter().filter_map(RaftMessage::of).collect(), applied)
+        CompletedWrite { messages: letters.into_iter().filter_map(RaftMessage::of).collect(), applied }
     }
 
     fn apply(&mut self, entries: Vec<eraftpb::Entry>, applied: &mut Vec<AppliedEntry>) {
@@ -582,15 +621,15 @@
 
     /// Drops the older half of a log that is longer than these bytes or entries; what is to be written for it.
     /// Those that are further behind get the whole state.
-    pub fn compact(&mut self, bytes: usize, entries: usize) -> Option<RaftWrite> {
+    pub fn compact(&mut self, limit: LogSize) -> Option<RaftWrite> {
         let log = self.node.mut_store();
-        if log.bytes <= bytes && log.entries.len() <= entries {
+        if log.bytes <= limit.bytes && log.entries.len() <= limit.entries {
             return None;
         }
         let mut dropped = log.compacted;
-        while log.bytes > bytes / 2 || log.entries.len() > entries / 2 {
+        while log.bytes > limit.bytes / 2 || log.entries.len() > limit.entries / 2 {
             match log.entries.front() {
-                Some(e) if e.index <= log.applied => dropped = (e.index, e.term),
+                Some(e) if e.index <= log.applied => dropped = EntryId { term: e.term, index: e.index },
                 _ => break,
             }
             log.bytes -= log.entries.pop_front().map_or(0, |e| size(&e));
--- a/src/store/raft_node/tests.rs
+++ b/src/store/raft_node/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 use crate::store::records::MembershipStep;
-use crate::store::state_machine::{Change, DrainId, Member};
+use crate::store::state_machine::{Change, DrainId, JoiningMember, Member};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn image(voters: &[NodeId]) -> RaftPersistentState {
     let members = voters.iter().map(|id| {
         (*id, Member { name: format!("b{id}"), address: ([127, 0, 0, 1], 1000 + id.0 as u16).into() })
     });
-    let state = ClusterState { fleet: 7, members: members.collect(), ..ClusterState::default() };
+    let state = ClusterState { fleet: FleetId(7), members: members.collect(), ..ClusterState::default() };
     let mut image = RaftPersistentState::found_fleet(&state, voters[0]);
     image.snapshot.configuration.voters = voters.to_vec();
     image
@@ -27,7 +27,7 @@
     undone: BTreeSet<DrainId>,
     said: u64,
     /// Log bounds: small, so that snapshots are sent.
-    bounds: (usize, usize),
+    bounds: LogSize,
     check_majority: bool,
 }
 
@@ -46,7 +46,7 @@
             drained: BTreeSet::new(),
             undone: BTreeSet::new(),
             said: 0,
-            bounds: (4096, 8),
+            bounds: LogSize { bytes: 4096, entries: 8 },
             check_majority: true,
         }
     }
@@ -58,8 +58,9 @@
 
     /// Whether a majority of the voters has an entry on its disk.
     fn held(&self, index: u64, voters: &[NodeId]) -> bool {
-        let holds =
-            |id: &NodeId| self.disks.get(id).is_some_and(|d| d.last_entry().0.max(d.snapshot.index) >= index);
+        let holds = |id: &NodeId| {
+            self.disks.get(id).is_some_and(|d| d.last_entry().index.max(d.snapshot.index) >= index)
+        };
         voters.iter().filter(|id| holds(id)).count() > voters.len() / 2
     }
 
@@ -77,9 +78,9 @@
                 continue;
             }
             let node = self.nodes.get_mut(&id).unwrap();
-            let (letters, applied) = node.complete_write(pending);
+            let CompletedWrite { messages: letters, applied } = node.complete_write(pending);
             let voters = node.configuration().voters;
-            if let Some(write) = node.compact(self.bounds.0, self.bounds.1) {
+            if let Some(write) = node.compact(self.bounds) {
                 self.disks.get_mut(&id).unwrap().apply_write(&write);
             }
             self.post.extend(letters);
@@ -103,7 +104,7 @@
         }
         for letter in &self.post {
             if letter.carries_state() && letter.from == id {
-                self.nodes.get_mut(&id).unwrap().report_snapshot(letter.to, true);
+                self.nodes.get_mut(&id).unwrap().report_snapshot(letter.to, SnapshotDelivery::Sent);
             }
         }
     }
@@ -207,7 +208,7 @@
             assert!(in_force != world.undone.contains(mark), "seed {seed}: {mark:?} of {host}");
         }
         changes += world.history.len();
-        snapshots += world.disks.values().filter(|d| d.compacted.0 > 1).count();
+        snapshots += world.disks.values().filter(|d| d.compacted.index > 1).count();
     }
     assert!(
         changes > 20_000 && snapshots > 1_000,
@@ -267,7 +268,10 @@
         let member = Member { name: format!("b{id}"), address: ([127, 0, 0, 1], id.0 as u16).into() };
         lead(
             &mut world,
-            MembershipChange { steps: vec![MembershipStep::AddLearner(id)], joining: Some((id, member)) },
+            MembershipChange {
+                steps: vec![MembershipStep::AddLearner(id)],
+                joining: Some(JoiningMember { id, member }),
+            },
         );
         assert_eq!(world.nodes[&id].state(), world.nodes[&NodeId(1)].state());
         assert!(world.nodes[&id].configuration().learners.contains(&id));
@@ -302,7 +306,7 @@
     let foreign = SnapshotRecord {
         index: 9,
         term: 9,
-        state: codec::encode(&ClusterState { fleet: 8, ..ClusterState::default() }),
+        state: codec::encode(&ClusterState { fleet: FleetId(8), ..ClusterState::default() }),
         configuration: Configuration::default(),
     };
     let broken = SnapshotRecord { state: vec![1, 2, 3], ..foreign.clone() };
@@ -315,10 +319,10 @@
         RaftMessage { kind: 7, snapshot: Some(broken), ..good.clone() },
     ] {
         assert!(!node.receive(bad.clone()), "{bad:?}");
-        assert_eq!(node.last(), (1, 1), "{bad:?}");
+        assert_eq!((node.last_index(), node.term()), (1, 1), "{bad:?}");
     }
     assert!(node.receive(good));
-    assert_eq!((node.last(), node.leader()), ((1, 2), NodeId(2)));
+    assert_eq!((node.last_index(), node.term(), node.leader()), (1, 2, NodeId(2)));
 }
 
 /// Guards against a disk that is believed though parts of it are missing.
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -12,9 +12,6 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A fleet's identity.
-pub type FleetId = u128;
-
 /// A host as the agreed inventory has it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
@@ -61,6 +58,37 @@
     }
 }
 
+/// Identifies an entry of the log. Ordered as Raft compares logs: by term, then by index. The default is before every
+/// entry.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct EntryId {
+    /// The term in which a leader appended the entry.
+    pub term: u64,
+    /// The position in the log.
+    pub index: u64,
+}
+
+/// The stored form of the last entry that compaction dropped: the index comes first here.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CompactionRecord {
+    /// The entry's index.
+    pub index: u64,
+    /// Its term.
+    pub term: u64,
+}
+
+impl From<EntryId> for CompactionRecord {
+    fn from(entry: EntryId) -> CompactionRecord {
+        CompactionRecord { index: entry.index, term: entry.term }
+    }
+}
+
+impl From<CompactionRecord> for EntryId {
+    fn from(record: CompactionRecord) -> EntryId {
+        EntryId { term: record.term, index: record.index }
+    }
+}
+
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
@@ -85,6 +113,22 @@
     pub commit: u64,
 }
 
+/// A vote in a term.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Vote {
+    /// The term.
+    pub term: u64,
+    /// Who got it; [`NodeId::NOBODY`]: nobody.
+    pub candidate: NodeId,
+}
+
+impl HardState {
+    /// The vote in its term.
+    pub fn cast_vote(&self) -> Vote {
+        Vote { term: self.term, candidate: self.vote }
+    }
+}
+
 /// Who has a say.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
@@ -114,6 +158,11 @@
 }
 
 impl LogEntry {
+    /// Its term and index.
+    pub fn id(&self) -> EntryId {
+        EntryId { term: self.term, index: self.index }
+    }
+
     /// Of the library's entry. A change of the membership keeps our form of it in the context.
     pub fn of(e: eraftpb::Entry) -> LogEntry {
         let member = e.entry_type != EntryType::EntryNormal;
@@ -173,6 +222,11 @@
 }
 
 impl SnapshotRecord {
+    /// The last entry whose effect it contains.
+    pub fn last_entry(&self) -> EntryId {
+        EntryId { term: self.term, index: self.index }
+    }
+
     /// Of the library's.
     pub fn of(s: &eraftpb::Snapshot) -> SnapshotRecord {
         let meta = s.get_metadata();
--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -2,11 +2,10 @@
 //! same order make the same state at every daemon.
 
 use super::codec;
-use super::records::{FleetId, HostRecord, MembershipStep};
+use super::records::{HostRecord, MembershipStep};
 use super::zone_weights::ZoneWeight;
 use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
-use crate::ids::NodeId;
-use crate::ids::ZoneId;
+use crate::ids::{FleetId, NodeId, ZoneId};
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,6 +27,15 @@
     pub sequence: u64,
 }
 
+/// A drain of a host that the log may not have resolved yet.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct PendingDrain {
+    /// The host's name.
+    pub host: String,
+    /// Which drain of it this is.
+    pub drain: DrainId,
+}
+
 /// A daemon of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
@@ -112,13 +120,22 @@
     pub change: Change,
 }
 
+/// A daemon that becomes a member.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct JoiningMember {
+    /// Its id.
+    pub id: NodeId,
+    /// What the members know of it.
+    pub member: Member,
+}
+
 /// A change of the membership.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MembershipChange {
     /// What the consensus is to do, all at once.
     pub steps: Vec<MembershipStep>,
     /// A daemon that comes in.
-    pub joining: Option<(NodeId, Member)>,
+    pub joining: Option<JoiningMember>,
 }
 
 /// Where settings or an inventory come from.
@@ -132,6 +149,42 @@
     pub version: u64,
 }
 
+/// The settings of the service, as they are agreed.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ServiceSettings {
+    /// Where they come from.
+    pub provenance: Provenance,
+    /// A line for each path.
+    pub text: String,
+}
+
+/// The regions of zones, as they are agreed.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RegionMap {
+    /// When the file that says so was last changed.
+    pub changed_at: Timestamp,
+    /// The region of each zone that has one.
+    pub by_zone: BTreeMap<ZoneId, String>,
+}
+
+/// How a file's hosts differ from the agreed inventory.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct InventoryDifference {
+    /// Hosts that only the file names.
+    pub added: usize,
+    /// Hosts that both name, with other properties.
+    pub changed: usize,
+    /// Hosts that the file lacks.
+    pub missing: usize,
+}
+
+impl InventoryDifference {
+    /// Whether there is none.
+    pub fn is_empty(&self) -> bool {
+        *self == InventoryDifference::default()
+    }
+}
+
 /// The state that all daemons agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterState {
@@ -144,7 +197,7 @@
     /// Names of daemons that founded the fleet with the first one and are still to come in.
     pub founders: BTreeSet<String>,
     /// The settings of the service.
-    pub settings: Option<(Provenance, String)>,
+    pub settings: Option<ServiceSettings>,
     /// Where the inventory comes from; `None` before the first one.
     pub inventory: Option<Provenance>,
     /// Its hosts.
@@ -160,7 +213,7 @@
     /// Shares of zones that were ever moved.
     pub zone_weights: BTreeMap<ZoneId, ZoneWeight>,
     /// Regions by zone, and when the file that said so was changed.
-    pub regions: (Timestamp, BTreeMap<ZoneId, String>),
+    pub regions: RegionMap,
 }
 
 /// What became of a change.
@@ -185,8 +238,8 @@
 
     /// Zones of the same region as this one, itself among them.
     pub fn zones_in_region(&self, zone: ZoneId) -> Vec<ZoneId> {
-        let Some(region) = self.regions.1.get(&zone) else { return vec![zone] };
-        self.regions.1.iter().filter(|(_, r)| *r == region).map(|(z, _)| *z).collect()
+        let Some(region) = self.regions.by_zone.get(&zone) else { return vec![zone] };
+        self.regions.by_zone.iter().filter(|(_, r)| *r == region).map(|(z, _)| *z).collect()
     }
 
     /// The share of a zone.
@@ -279,11 +332,11 @@
                 ApplyResult::Done
             }
             Change::Settings { read_by: by, changed_at: changed, text } => {
-                if self.settings.as_ref().is_some_and(|(known, _)| *changed <= known.changed_at) {
+                if self.settings.as_ref().is_some_and(|known| *changed <= known.provenance.changed_at) {
                     return ApplyResult::Superseded;
                 }
                 let source = Provenance { read_by: by.clone(), changed_at: *changed, version: index };
-                self.settings = Some((source, text.clone()));
+                self.settings = Some(ServiceSettings { provenance: source, text: text.clone() });
                 ApplyResult::Done
             }
             Change::ZoneWeight { zone, weight: share } => {
@@ -299,10 +352,10 @@
                 ApplyResult::Done
             }
             Change::Regions { changed_at: changed, regions, .. } => {
-                if *changed <= self.regions.0 {
+                if *changed <= self.regions.changed_at {
                     return ApplyResult::Superseded;
                 }
-                self.regions = (*changed, regions.clone());
+                self.regions = RegionMap { changed_at: *changed, by_zone: regions.clone() };
                 ApplyResult::Done
             }
         }
@@ -310,8 +363,8 @@
 
     /// Takes in a change of the membership. The consensus has the last word on who votes.
     pub fn apply_membership(&mut self, change: &MembershipChange) {
-        if let Some((id, member)) = &change.joining {
-            self.members.insert(*id, member.clone());
+        if let Some(joining) = &change.joining {
+            self.members.insert(joining.id, joining.member.clone());
         }
         for step in &change.steps {
             match step {
@@ -395,7 +448,7 @@
     }
 
     /// How a file's hosts differ from the agreed ones: added, changed, missing.
-    pub fn inventory_difference(&self, hosts: &[EndpointRecord]) -> (usize, usize, usize) {
+    pub fn inventory_difference(&self, hosts: &[EndpointRecord]) -> InventoryDifference {
         let (mut added, mut changed) = (0, 0);
         for listed in hosts {
             match self.hosts.get(&listed.name) {
@@ -410,7 +463,8 @@
             }
         }
         let named: BTreeSet<&str> = hosts.iter().map(|h| h.name.as_str()).collect();
-        (added, changed, self.hosts.keys().filter(|n| !named.contains(n.as_str())).count())
+        let missing = self.hosts.keys().filter(|n| !named.contains(n.as_str())).count();
+        InventoryDifference { added, changed, missing }
     }
 }
 
--- a/src/store/state_machine/tests.rs
+++ b/src/store/state_machine/tests.rs
@@ -91,16 +91,17 @@
 #[test]
 fn a_fleet_is_complete_when_its_founders_vote_or_are_gone() {
     let member = |n: u16| Member { name: format!("b{n}"), address: ([127, 0, 0, 1], n).into() };
-    let mut s = ClusterState::found_fleet(7, NodeId(1), member(1), ["b2", "b3"].map(String::from).into());
+    let mut s =
+        ClusterState::found_fleet(FleetId(7), NodeId(1), member(1), ["b2", "b3"].map(String::from).into());
     s.apply_membership(&MembershipChange {
         steps: vec![MembershipStep::AddLearner(NodeId(2))],
-        joining: Some((NodeId(2), member(2))),
+        joining: Some(JoiningMember { id: NodeId(2), member: member(2) }),
     });
     assert!(!s.is_complete() && s.members.len() == 2);
     s.apply_membership(&MembershipChange { steps: vec![MembershipStep::AddVoter(NodeId(2))], joining: None });
     s.apply_membership(&MembershipChange {
         steps: vec![MembershipStep::AddLearner(NodeId(3))],
-        joining: Some((NodeId(3), member(3))),
+        joining: Some(JoiningMember { id: NodeId(3), member: member(3) }),
     });
     s.apply_membership(&MembershipChange { steps: vec![MembershipStep::Remove(NodeId(3))], joining: None });
     assert!(s.is_complete());
@@ -159,6 +160,9 @@
 fn what_a_file_says_differently_is_counted() {
     let mut s = ClusterState::default();
     read(&mut s, 1, &[host("x", 1), host("y", 2)], 1);
-    assert_eq!(s.inventory_difference(&[host("x", 1), host("y", 2)]), (0, 0, 0));
-    assert_eq!(s.inventory_difference(&[host("x", 9), host("z", 2)]), (1, 1, 1));
+    assert_eq!(s.inventory_difference(&[host("x", 1), host("y", 2)]), InventoryDifference::default());
+    assert_eq!(
+        s.inventory_difference(&[host("x", 9), host("z", 2)]),
+        InventoryDifference { added: 1, changed: 1, missing: 1 }
+    );
 }
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -4,8 +4,8 @@
 use super::codec;
 use super::legacy;
 use super::raft_node::{RaftPersistentState, RaftWrite};
-use super::records::{HardState, LogEntry, SnapshotRecord};
-use super::state_machine::DrainId;
+use super::records::{CompactionRecord, EntryId, HardState, LogEntry, SnapshotRecord};
+use super::state_machine::PendingDrain;
 use crate::ids::NodeId;
 use redb::backends::InMemoryBackend;
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
@@ -25,6 +25,15 @@
 /// Memory that the library may keep of the file.
 const CACHE: usize = 1 << 20;
 
+/// Where a file lies. A copy of it lies elsewhere.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FileId {
+    /// The number of the device.
+    pub device: u64,
+    /// The number of the file on it.
+    pub inode: u64,
+}
+
 /// Who this daemon is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeIdentity {
@@ -33,7 +42,29 @@
     /// Starts with this file.
     pub boot_count: u64,
     /// The file's device and number: those of a copy are others.
-    pub file: (u64, u64),
+    pub file: FileId,
+}
+
+/// Why a node gives up its identity and starts as a new one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum IdentityResetReason {
+    /// Peers remember more of this node than its disk holds: the disk is an older copy.
+    OutdatedStorage,
+    /// An operator founded the fleet anew, without this node.
+    SupersededFleet,
+    /// What the disk holds cannot be used.
+    Damaged,
+}
+
+impl IdentityResetReason {
+    /// What is appended to the name of the file that is set aside.
+    pub fn file_suffix(self) -> &'static str {
+        match self {
+            IdentityResetReason::OutdatedStorage => "older",
+            IdentityResetReason::SupersededFleet => "recovered",
+            IdentityResetReason::Damaged => "damaged",
+        }
+    }
 }
 
 /// What a daemon has told of itself once: a disk that knows less is an older one.
@@ -43,8 +74,8 @@
     pub boot_count: u64,
     /// The term that it was in.
     pub term: u64,
-    /// Term and place of the last entry that it said it holds.
-    pub last_entry: (u64, u64),
+    /// The last entry that it said it holds.
+    pub last_entry: EntryId,
 }
 
 impl PersistedProgress {
@@ -61,16 +92,13 @@
     }
 }
 
-/// Drains that are not agreed yet, with their hosts.
-pub type DrainList = Vec<(String, DrainId)>;
-
 /// What the disk held at the start.
 #[derive(Clone, Debug, Default)]
 pub struct StoreContents {
     /// The agreement.
     pub raft: RaftPersistentState,
     /// Drains that were not agreed.
-    pub drains: DrainList,
+    pub drains: Vec<PendingDrain>,
     /// What the others said.
     pub reported_progress: BTreeMap<NodeId, PersistedProgress>,
     /// What was learned of the hosts, as the fleet wrote it; soft, so one that is damaged is not there.
@@ -120,7 +148,7 @@
     let mut image = RaftPersistentState {
         hard_state: value::<HardState>(&meta, "hard")?.unwrap_or_default(),
         snapshot: value::<SnapshotRecord>(&meta, "snapshot")?.unwrap_or_default(),
-        compacted: value(&meta, "dropped")?.unwrap_or_default(),
+        compacted: value::<CompactionRecord>(&meta, "dropped")?.unwrap_or_default().into(),
         entries: Vec::new(),
     };
     for row in reading.open_table(LOG).map_err(text)?.iter().map_err(text)? {
@@ -160,9 +188,9 @@
     Ok(to)
 }
 
-fn place(path: &Path) -> Result<(u64, u64), String> {
+fn place(path: &Path) -> Result<FileId, String> {
     let meta = fs::metadata(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok((meta.dev(), meta.ino()))
+    Ok(FileId { device: meta.dev(), inode: meta.ino() })
 }
 
 impl DurableStorage {
@@ -253,7 +281,8 @@
     }
 
     fn fresh(db: Database, path: Option<PathBuf>) -> Result<DurableStorage, String> {
-        let identity = NodeIdentity { id: NodeId(fastrand::u64(1..)), boot_count: 1, file: (0, 0) };
+        let identity =
+            NodeIdentity { id: NodeId(fastrand::u64(1..)), boot_count: 1, file: FileId::default() };
         let mut writing = db.begin_write().map_err(text)?;
         writing.set_durability(Durability::Immediate).map_err(text)?;
         {
@@ -283,9 +312,10 @@
             if let Some(snapshot) = &write.snapshot {
                 meta.insert("snapshot", &codec::encode(snapshot)[..]).map_err(text)?;
             }
-            if let Some(dropped) = &write.compacted {
-                meta.insert("dropped", &codec::encode(dropped)[..]).map_err(text)?;
-                log.retain_in(..=dropped.0, |_, _| false).map_err(text)?;
+            if let Some(compacted) = write.compacted {
+                let record = CompactionRecord::from(compacted);
+                meta.insert("dropped", &codec::encode(&record)[..]).map_err(text)?;
+                log.retain_in(..=compacted.index, |_, _| false).map_err(text)?;
             }
             if let Some(first) = write.entries.first() {
                 log.retain_in(first.index.., |_, _| false).map_err(text)?;
@@ -307,11 +337,11 @@
     }
 
     /// Gives this identity up: the file is set aside, and the disk is that of a new daemon.
-    pub fn reset_identity(self, why: &str) -> Result<DurableStorage, String> {
+    pub fn reset_identity(self, reason: IdentityResetReason) -> Result<DurableStorage, String> {
         let path = self.path.clone();
         drop(self.db);
         let Some(path) = path else { return Ok(DurableStorage::in_memory()?.0) };
-        set_aside(&path, why)?;
+        set_aside(&path, reason.file_suffix())?;
         Ok(DurableStorage::open(&path)?.0)
     }
 }
--- a/src/store/storage/tests.rs
+++ b/src/store/storage/tests.rs
@@ -1,6 +1,7 @@
 //! The disk under power loss and damage, on a store of bytes that forgets what was not synced.
 
 use super::*;
+use crate::ids::FleetId;
 use crate::store::state_machine::ClusterState;
 
 use std::ops::Bound;
@@ -90,25 +91,28 @@
 }
 
 fn founded() -> RaftPersistentState {
-    RaftPersistentState::found_fleet(&ClusterState { fleet: 7, ..ClusterState::default() }, NodeId(1))
+    RaftPersistentState::found_fleet(
+        &ClusterState { fleet: FleetId(7), ..ClusterState::default() },
+        NodeId(1),
+    )
 }
 
 /// One write of a random kind, as the agreement makes them.
 fn any_write(rng: &mut fastrand::Rng, image: &RaftPersistentState) -> RaftWrite {
-    let (last, term) = (image.last_entry().0, image.hard_state.term);
+    let (last, term) = (image.last_entry().index, image.hard_state.term);
     match rng.u8(..10) {
         0 => RaftWrite {
             hard_state: Some(HardState { term: term + 1, vote: NodeId(2), ..image.hard_state }),
             ..RaftWrite::default()
         },
-        1 if last > image.compacted.0 + 4 => {
-            let dropped = (image.compacted.0 + 2, term);
-            let snapshot = SnapshotRecord { index: dropped.0 + 1, ..image.snapshot.clone() };
+        1 if last > image.compacted.index + 4 => {
+            let dropped = EntryId { term, index: image.compacted.index + 2 };
+            let snapshot = SnapshotRecord { index: dropped.index + 1, ..image.snapshot.clone() };
             RaftWrite { snapshot: Some(snapshot), compacted: Some(dropped), ..RaftWrite::default() }
         }
         n => {
             // Now and then entries that were never agreed are replaced.
-            let back = if n == 2 && last > image.compacted.0 + 2 { 1 } else { 0 };
+            let back = if n == 2 && last > image.compacted.index + 2 { 1 } else { 0 };
             let from = last + 1 - back;
             let entries = (from..from + rng.u64(1..4)).map(|i| entry(i, term, rng.usize(..3000)));
             RaftWrite { entries: entries.collect(), ..RaftWrite::default() }
@@ -135,7 +139,7 @@
             let mut lost = None;
             for _ in 0..12 {
                 let write = any_write(&mut rng, &image);
-                if disk.write(&write, &[("marks", codec::encode(&DrainList::new()))]).is_err() {
+                if disk.write(&write, &[("marks", codec::encode(&Vec::<PendingDrain>::new()))]).is_err() {
                     lost = Some(write);
                     break;
                 }
@@ -187,7 +191,7 @@
     assert_ne!(disk.identity.id, id);
     assert!(held.raft.is_new() && held.notes[0].contains("a copy"), "{:?}", held.notes);
     assert!(folder.join("copy.store.damaged").exists(), "nothing is thrown away");
-    let disk = disk.reset_identity("older").unwrap();
+    let disk = disk.reset_identity(IdentityResetReason::OutdatedStorage).unwrap();
     assert!(folder.join("copy.store.older").exists() && disk.read_raft_state().unwrap().is_new());
     let _ = fs::remove_dir_all(folder);
 }
--- a/src/store/store_thread.rs
+++ b/src/store/store_thread.rs
@@ -4,11 +4,12 @@
 use super::codec;
 use super::raft_message::RaftMessage;
 use super::raft_node::{
-    AppliedContent, AppliedEntry, PeerProgress, RaftNode, RaftPersistentState, RaftWrite,
+    AppliedContent, AppliedEntry, CompletedWrite, LogSize, PeerProgress, RaftNode, RaftPersistentState,
+    RaftWrite, SnapshotDelivery,
 };
-use super::records::{Configuration, HardState};
-use super::state_machine::{ApplyResult, Change, ClusterState, MembershipChange, Proposal};
-use super::storage::{DrainList, DurableStorage, NodeIdentity, PersistedProgress, StoreContents};
+use super::records::{Configuration, EntryId, HardState, LogEntry, SnapshotRecord};
+use super::state_machine::{ApplyResult, Change, ClusterState, MembershipChange, PendingDrain, Proposal};
+use super::storage::{DurableStorage, IdentityResetReason, NodeIdentity, PersistedProgress, StoreContents};
 use crate::config::Limits;
 use crate::ids::NodeId;
 use async_channel::{Receiver, Sender};
@@ -29,7 +30,12 @@
     /// A change of the membership, if this daemon leads.
     ChangeMembership(MembershipChange),
     /// Drains that are not agreed yet, to be kept; the number comes back when they are on the disk.
-    PersistDrains(DrainList, u64),
+    PersistDrains {
+        /// All of them.
+        drains: Vec<PendingDrain>,
+        /// Their version, for [`StoreEvent::DrainsPersisted`].
+        version: u64,
+    },
     /// What was learned of the hosts, to be kept.
     PersistGossip(Vec<u8>),
     /// A new fleet begins with this state.
@@ -39,7 +45,7 @@
     /// Others that this daemon may ask have found nothing wrong with its disk: it takes part.
     StartParticipating,
     /// This daemon is not the one that its disk says: it becomes a new one.
-    ResetIdentity(&'static str),
+    ResetIdentity(IdentityResetReason),
     /// Another daemon is to lead.
     TransferLeadership(NodeId),
     /// If this daemon leads it says so now: somebody has come who may have missed it.
@@ -47,7 +53,12 @@
     /// This daemon asks for the lead, if nobody is known to lead.
     Campaign,
     /// A whole state was handed to the way to a daemon, or was not.
-    SnapshotSent(NodeId, bool),
+    SnapshotSent {
+        /// To whom.
+        to: NodeId,
+        /// What became of it.
+        delivery: SnapshotDelivery,
+    },
     /// The way to a daemon is broken.
     PeerUnreachable(NodeId),
 }
@@ -88,12 +99,14 @@
     pub configuration: Configuration,
     /// How far the others are, where this daemon leads.
     pub peer_progress: Vec<PeerProgress>,
-    /// Bytes of the log, and its entries.
-    pub log_size: (usize, usize),
+    /// The size of the log in memory.
+    pub log_size: LogSize,
     /// What others said of themselves.
     pub reported_progress: BTreeMap<NodeId, PersistedProgress>,
-    /// Letters that were dropped, and times that the agreement had to be read anew.
-    pub dropped: (u64, u64),
+    /// Messages that were dropped: out of form, or while this node takes no part.
+    pub dropped_messages: u64,
+    /// Times that the consensus library panicked and its state was read again from the disk.
+    pub raft_restarts: u64,
     /// Writes to the disk since the start, each of them synced.
     pub disk_writes: u64,
 }
@@ -107,7 +120,7 @@
     /// How things stand.
     pub status: StoreStatus,
     /// Drains that are not agreed.
-    pub drains: DrainList,
+    pub drains: Vec<PendingDrain>,
     /// What was learned of the hosts before this start, as the fleet wrote it.
     pub gossip: Option<Vec<u8>>,
     /// A store of the old form.
@@ -136,17 +149,24 @@
     heard: bool,
     /// A write of nothing but how far is agreed waits for the next one.
     commit: Option<HardState>,
-    dropped: (u64, u64),
+    dropped_messages: u64,
+    raft_restarts: u64,
     told: StoreStatus,
     out: Sender<StoreEvent>,
 }
 
+/// A store whose thread runs.
+pub struct RunningStore {
+    /// What it held at the start.
+    pub opened: OpenedStore,
+    /// Commands to the thread. The queue is bounded; the thread ends when the last sender is dropped.
+    pub commands: SyncSender<StoreCommand>,
+    /// Events of the thread.
+    pub events: Receiver<StoreEvent>,
+}
+
 /// Starts the thread on what a disk held.
-pub fn start(
-    disk: DurableStorage,
-    held: StoreContents,
-    limits: &Limits,
-) -> Result<(OpenedStore, SyncSender<StoreCommand>, Receiver<StoreEvent>), String> {
+pub fn start(disk: DurableStorage, held: StoreContents, limits: &Limits) -> Result<RunningStore, String> {
     let (inputs, queue) = mpsc::sync_channel(limits.input_queue);
     // The sockets' thread takes what comes as it comes, and drops what it cannot send.
     let (out, outputs) = async_channel::unbounded();
@@ -162,7 +182,7 @@
         Ok(replica) => (disk, replica),
         Err(e) => {
             log::warn!("store: {e}; set aside, this daemon is a new one");
-            let disk = disk.reset_identity("damaged")?;
+            let disk = disk.reset_identity(IdentityResetReason::Damaged)?;
             let replica = RaftNode::new(disk.identity.id, RaftPersistentState::default())?;
             (disk, replica)
         }
@@ -181,12 +201,13 @@
         witnesses,
         heard: false,
         commit: None,
-        dropped: (0, 0),
+        dropped_messages: 0,
+        raft_restarts: 0,
         told: StoreStatus::default(),
         out,
     };
     let open = owner.replica.uncommitted_proposals().into_iter().filter_map(|p| match p.change {
-        Change::Drain { host, drain: mark } => Some((host, mark)),
+        Change::Drain { host, drain } => Some(PendingDrain { host, drain }),
         _ => None,
     });
     // A drain that is in the log acts, whether or not this disk knows that it was agreed.
@@ -197,7 +218,7 @@
         OpenedStore { identity, state, status: owner.told.clone(), drains: marks, gossip: learned, legacy };
     let thread = std::thread::Builder::new().name("store".into());
     thread.spawn(move || owner.run(&queue)).map_err(|e| format!("store: {e}"))?;
-    Ok((opened, inputs, outputs))
+    Ok(RunningStore { opened, commands: inputs, events: outputs })
 }
 
 impl StoreThread {
@@ -235,7 +256,7 @@
     }
 
     fn status(&self) -> StoreStatus {
-        let (last, term) = self.replica.last();
+        let (last, term) = (self.replica.last_index(), self.replica.term());
         StoreStatus {
             leader: self.replica.leader(),
             term,
@@ -244,14 +265,15 @@
             own_progress: PersistedProgress {
                 boot_count: self.boots,
                 term,
-                last_entry: (self.replica.term_at(last), last),
+                last_entry: EntryId { term: self.replica.term_at(last), index: last },
             },
             participating: self.part,
             configuration: self.replica.configuration(),
             peer_progress: self.replica.peer_progress(),
             log_size: self.replica.log_size(),
             reported_progress: self.witnesses.clone(),
-            dropped: self.dropped,
+            dropped_messages: self.dropped_messages,
+            raft_restarts: self.raft_restarts,
             disk_writes: self.disk.as_ref().map_or(0, |disk| disk.write_count.get()),
         }
     }
@@ -286,7 +308,7 @@
         match catch_unwind(AssertUnwindSafe(|| work(&mut self.replica))) {
             Ok(done) => Some(done),
             Err(_) => {
-                self.dropped.1 += 1;
+                self.raft_restarts += 1;
                 log::error!("the agreement ended in a panic; it is read anew from the disk");
                 self.reread();
                 None
@@ -326,15 +348,15 @@
                 for letter in letters {
                     self.hear(&letter);
                     if !self.part || self.guarded(|r| r.receive(letter)) != Some(true) {
-                        self.dropped.0 += 1;
+                        self.dropped_messages += 1;
                     }
                 }
             }
             StoreCommand::Propose(proposal) => self.propose(proposal),
             StoreCommand::ChangeMembership(change) => drop(self.guarded(|r| r.propose_membership(&change))),
-            StoreCommand::PersistDrains(marks, number) => {
-                if self.write(&RaftWrite::default(), &[("marks", codec::encode(&marks))]) {
-                    self.tell(StoreEvent::DrainsPersisted(number));
+            StoreCommand::PersistDrains { drains, version } => {
+                if self.write(&RaftWrite::default(), &[("marks", codec::encode(&drains))]) {
+                    self.tell(StoreEvent::DrainsPersisted(version));
                 }
             }
             StoreCommand::PersistGossip(bytes) => {
@@ -342,8 +364,11 @@
             }
             StoreCommand::FoundFleet(state) => self.found(&state),
             StoreCommand::ForceNewFleet(state) => {
-                let image =
-                    RaftPersistentState::force_new_fleet(&state, self.replica.id(), self.replica.last());
+                let image = RaftPersistentState::force_new_fleet(
+                    &state,
+                    self.replica.id(),
+                    EntryId { term: self.replica.term(), index: self.replica.last_index() },
+                );
                 self.begin(&image);
             }
             StoreCommand::StartParticipating => {
@@ -353,7 +378,7 @@
                     self.guarded(RaftNode::campaign);
                 }
             }
-            StoreCommand::ResetIdentity(why) => self.renounce(why),
+            StoreCommand::ResetIdentity(reason) => self.reset_identity(reason),
             StoreCommand::TransferLeadership(to) => drop(self.guarded(|r| r.transfer_leadership(to))),
             StoreCommand::Campaign if self.part && self.replica.leader() == NodeId::NOBODY => {
                 log::debug!("store: asks for the lead");
@@ -361,7 +386,9 @@
             }
             StoreCommand::Campaign => {}
             StoreCommand::BroadcastHeartbeat => drop(self.guarded(RaftNode::broadcast_heartbeat)),
-            StoreCommand::SnapshotSent(to, sent) => drop(self.guarded(|r| r.report_snapshot(to, sent))),
+            StoreCommand::SnapshotSent { to, delivery } => {
+                self.guarded(|r| r.report_snapshot(to, delivery));
+            }
             StoreCommand::PeerUnreachable(id) => drop(self.guarded(|r| r.report_unreachable(id))),
         }
     }
@@ -369,8 +396,9 @@
     /// Remembers what another daemon has said of its disk.
     fn hear(&mut self, letter: &RaftMessage) {
         let Some(term) = letter.promised() else { return };
-        let held = letter.acknowledged().filter(|i| *i <= self.replica.last().0);
-        let last = held.map_or((0, 0), |index| (self.replica.term_at(index), index));
+        let held = letter.acknowledged().filter(|i| *i <= self.replica.last_index());
+        let last =
+            held.map_or(EntryId::default(), |index| EntryId { term: self.replica.term_at(index), index });
         let now = PersistedProgress { boot_count: 0, term, last_entry: last };
         let known = self.witnesses.entry(letter.from).or_default();
         let before = *known;
@@ -403,7 +431,7 @@
     }
 
     fn found(&mut self, state: &ClusterState) {
-        if self.replica.fleet_id() != 0 {
+        if !self.replica.fleet_id().is_none() {
             return;
         }
         let image = RaftPersistentState::found_fleet(state, self.replica.id());
@@ -420,9 +448,9 @@
         }
     }
 
-    fn renounce(&mut self, why: &str) {
+    fn reset_identity(&mut self, reason: IdentityResetReason) {
         let Some(disk) = self.disk.take() else { return };
-        match disk.reset_identity(why) {
+        match disk.reset_identity(reason) {
             Ok(disk) => {
                 let identity = disk.identity.clone();
                 match RaftNode::new(identity.id, RaftPersistentState::default()) {
@@ -447,8 +475,10 @@
         }
         match disk.write(&write, &more) {
             Ok(()) => {
-                let last = write.entries.last().map(|e| (e.index, e.term));
-                if let Some((index, term)) = last.or(write.snapshot.as_ref().map(|s| (s.index, s.term))) {
+                let last = write.entries.last().map(LogEntry::id);
+                if let Some(EntryId { term, index }) =
+                    last.or(write.snapshot.as_ref().map(SnapshotRecord::last_entry))
+                {
                     log::debug!("store: holds {index} of term {term}");
                 }
                 true
@@ -470,14 +500,18 @@
             }
             // How far is agreed need not be on the disk: the leader tells it again.
             let mut write = pending.write.clone();
-            let kept = write.hard_state.filter(|h| (h.term, h.vote) == self.replica.written_vote());
+            let kept = write.hard_state.filter(|h| h.cast_vote() == self.replica.written_vote());
             if kept.is_some() && (RaftWrite { hard_state: None, ..write.clone() }).is_empty() {
                 self.commit = write.hard_state.take();
             }
             if !write.is_empty() && !self.write(&write, &[]) {
                 return true;
             }
-            let Some((letters, applied)) = self.guarded(|r| r.complete_write(pending)) else { continue };
+            let Some(CompletedWrite { messages: letters, applied }) =
+                self.guarded(|r| r.complete_write(pending))
+            else {
+                continue;
+            };
             // Only now: nothing may go into the log in the midst of a step.
             for number in confirmed {
                 if let Some(waiting) = self.waiting.remove(&number) {
@@ -490,8 +524,8 @@
             if !applied.is_empty() {
                 self.tell(StoreEvent::Applied(applied));
             }
-            let bounds = (self.limits.log_bytes, self.limits.log_entries);
-            if let Some(Some(write)) = self.guarded(|r| r.compact(bounds.0, bounds.1)) {
+            let limit = LogSize { bytes: self.limits.log_bytes, entries: self.limits.log_entries };
+            if let Some(Some(write)) = self.guarded(|r| r.compact(limit)) {
                 self.write(&write, &[]);
             }
         }
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -10,11 +10,11 @@
 use brookpass::store::codec;
 use brookpass::store::legacy::{self, LegacyStore};
 use brookpass::store::raft_message::RaftMessage;
-use brookpass::store::raft_node::{AppliedContent, AppliedEntry, RaftNode, RaftWrite};
-use brookpass::store::records::{Configuration, HostRecord, LogEntry};
+use brookpass::store::raft_node::{AppliedContent, AppliedEntry, CompletedWrite, RaftNode, RaftWrite};
+use brookpass::store::records::{CompactionRecord, Configuration, EntryId, HostRecord, LogEntry, Vote};
 use brookpass::store::state_machine::{ApplyResult, Change};
 use brookpass::store::storage::{DurableStorage, StoreContents};
-use brookpass::store::store_thread::{self, StoreCommand, StoreEvent};
+use brookpass::store::store_thread::{self, RunningStore, StoreCommand, StoreEvent};
 use brookpass::time::Timestamp;
 use brookpass_lab::process::Process;
 use brookpass_lab::{eventually, http, now};
@@ -88,7 +88,7 @@
     let mut all = Vec::new();
     while let Some(pending) = replica.next_ready() {
         assert_eq!(pending.write, RaftWrite::default());
-        let (letters, applied) = replica.complete_write(pending);
+        let CompletedWrite { messages: letters, applied } = replica.complete_write(pending);
         assert_eq!(letters, []);
         all.extend(applied);
     }
@@ -96,8 +96,14 @@
     assert_eq!(replica.state(), &agreed_state(DIGESTS[6]));
     let conf = Configuration { voters: vec![B1, B2], learners: vec![B3, B5], ..Configuration::default() };
     assert_eq!(replica.configuration(), conf);
-    assert_eq!((replica.applied(), replica.committed(), replica.last()), (27, 27, (28, 4)));
-    assert_eq!((replica.written_vote(), replica.term_at(18), replica.term_at(28)), ((4, B2), 2, 4));
+    assert_eq!(
+        (replica.applied(), replica.committed(), replica.last_index(), replica.term()),
+        (27, 27, 28, 4)
+    );
+    assert_eq!(
+        (replica.written_vote(), replica.term_at(18), replica.term_at(28)),
+        (Vote { term: 4, candidate: B2 }, 2, 4)
+    );
 }
 
 fn next(outputs: &Receiver<StoreEvent>) -> Option<StoreEvent> {
@@ -109,12 +115,13 @@
     let folder = folder("owner");
     let path = copy(&folder, "b1.store", true);
     let (disk, held) = DurableStorage::open(&path).unwrap();
-    let (opened, inputs, outputs) = store_thread::start(disk, held, &Limits::for_sockets(1024)).unwrap();
+    let RunningStore { opened, commands: inputs, events: outputs } =
+        store_thread::start(disk, held, &Limits::for_sockets(1024)).unwrap();
     assert_eq!((opened.identity.id, opened.identity.boot_count), (B1, 6));
     assert_eq!(opened.state, snapshot_state());
     // Drains in the log after the snapshot act as well, agreed or not.
     let mut drains = marks();
-    drains.extend([("s-2-0".to_string(), mark(B3, 2)), ("s-1-0".to_string(), mark(B2, 11))]);
+    drains.extend([pending("s-2-0", mark(B3, 2)), pending("s-1-0", mark(B2, 11))]);
     assert_eq!(opened.drains, drains);
     assert_eq!(opened.gossip.as_deref().and_then(codec::decode::<PersistedGossip>), Some(saved()));
     assert_eq!(opened.legacy, None);
@@ -127,7 +134,7 @@
     assert_eq!((status.committed, status.applied), (27, 20));
     assert_eq!(
         (status.own_progress.boot_count, status.own_progress.term, status.own_progress.last_entry),
-        (6, 4, (4, 28))
+        (6, 4, EntryId { term: 4, index: 28 })
     );
     assert_eq!(status.reported_progress, witnesses());
     assert_eq!(status.configuration, image().snapshot.configuration);
@@ -148,7 +155,7 @@
 fn a_store_written_now_has_the_tables_keys_and_bytes_of_the_fixture() {
     let folder = folder("dump");
     let mut wanted: Vec<String> = [
-        ("dropped", codec::encode(&image().compacted)),
+        ("dropped", codec::encode(&CompactionRecord::from(image().compacted))),
         ("form", codec::encode(&1_u32)),
         ("hard", codec::encode(&image().hard_state)),
         ("identity", codec::encode(&identity())),
@@ -176,7 +183,8 @@
     disk.identity.id = B1;
     disk.write(&image().full_write(), &[("identity", codec::encode(&disk.identity))]).unwrap();
     let held = StoreContents { raft: disk.read_raft_state().unwrap(), ..held };
-    let (_, inputs, outputs) = store_thread::start(disk, held, &Limits::for_sockets(1024)).unwrap();
+    let RunningStore { commands: inputs, events: outputs, .. } =
+        store_thread::start(disk, held, &Limits::for_sockets(1024)).unwrap();
     let heartbeat = |from: NodeId, term| {
         let mut m = eraftpb::Message { from: from.0, to: B1.0, term, ..Default::default() };
         m.set_msg_type(eraftpb::MessageType::MsgHeartbeat);
@@ -184,7 +192,7 @@
     };
     inputs.send(StoreCommand::RaftMessages(vec![heartbeat(B2, 4), heartbeat(B3, 3)])).unwrap();
     inputs.send(StoreCommand::PersistGossip(codec::encode(&saved()))).unwrap();
-    inputs.send(StoreCommand::PersistDrains(marks(), 77)).unwrap();
+    inputs.send(StoreCommand::PersistDrains { drains: marks(), version: 77 }).unwrap();
     while !matches!(next(&outputs).unwrap(), StoreEvent::DrainsPersisted(77)) {}
     drop(inputs);
     while next(&outputs).is_some() {}
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -4,16 +4,17 @@
 use brookpass::engine::log_rollback::LogRollback;
 use brookpass::fleet::gossip::{GossipRecord, GossipVersion};
 use brookpass::fleet::recovery::{ClockReading, PersistedGossip};
-use brookpass::ids::{GroupId, NodeId, ZoneId};
+use brookpass::ids::{FleetId, GroupId, NodeId, ZoneId};
 use brookpass::store::codec;
 use brookpass::store::raft_node::RaftPersistentState;
 use brookpass::store::records::{
-    Configuration, HardState, HostRecord, LogEntry, MembershipStep, SnapshotRecord,
+    Configuration, EntryId, HardState, HostRecord, LogEntry, MembershipStep, SnapshotRecord,
 };
 use brookpass::store::state_machine::{
-    Change, ClusterState, DrainId, Member, MembershipChange, Proposal, Provenance,
+    Change, ClusterState, DrainId, JoiningMember, Member, MembershipChange, PendingDrain, Proposal,
+    Provenance, RegionMap, ServiceSettings,
 };
-use brookpass::store::storage::{DrainList, NodeIdentity, PersistedProgress};
+use brookpass::store::storage::{FileId, NodeIdentity, PersistedProgress};
 use brookpass::store::zone_weights::{WeightReason, ZoneWeight};
 use brookpass::time::{LogPosition, TimeDelta, Timestamp};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
@@ -32,7 +33,7 @@
 pub const B5: NodeId = NodeId(0x5b5b_0000_0000_0005);
 pub const B7: NodeId = NodeId(0x7b7b_0000_0000_0007);
 pub const B8: NodeId = NodeId(0x8b8b_0000_0000_0008);
-pub const FLEET: u128 = 0xf1ee_7000_0000_0000_0000_0000_0000_0042;
+pub const FLEET: FleetId = FleetId(0xf1ee_7000_0000_0000_0000_0000_0000_0042);
 
 pub fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
@@ -117,7 +118,10 @@
         ]),
         removed: BTreeMap::from([(B7, "b7".to_string())]),
         founders: BTreeSet::new(),
-        settings: Some((source("b2", 1_790_000_000_111_000, 12), SETTINGS.to_string())),
+        settings: Some(ServiceSettings {
+            provenance: source("b2", 1_790_000_000_111_000, 12),
+            text: SETTINGS.to_string(),
+        }),
         inventory: Some(source("b3", 1_790_000_000_222_000, 15)),
         hosts: BTreeMap::from([
             ("s-1-0".to_string(), host("127.0.0.1:10", 1, 0, 1.0)),
@@ -138,16 +142,16 @@
             ("s-1-2".to_string(), BTreeSet::from([mark(B2, 7)])),
         ]),
         undone_drains: BTreeMap::from([(mark(B3, 1), 14)]),
-        previous_fleets: BTreeSet::from([0xf0f0]),
+        previous_fleets: BTreeSet::from([FleetId(0xf0f0)]),
         digest: 0xd16e_57ab,
         zone_weights: BTreeMap::from([
             (ZoneId(1), share(500, WeightReason::Slow, 1, 2)),
             (ZoneId(2), share(0, WeightReason::Operator, 3, 0)),
         ]),
-        regions: (
-            Timestamp::from_micros(1_790_000_000_444_000),
-            regions(&[(ZoneId(0), "north"), (ZoneId(1), "south")]),
-        ),
+        regions: RegionMap {
+            changed_at: Timestamp::from_micros(1_790_000_000_444_000),
+            by_zone: regions(&[(ZoneId(0), "north"), (ZoneId(1), "south")]),
+        },
     }
 }
 
@@ -193,7 +197,7 @@
             26,
             MembershipChange {
                 steps: vec![MembershipStep::AddLearner(B5)],
-                joining: Some((B5, member("b5", "127.0.0.1:5"))),
+                joining: Some(JoiningMember { id: B5, member: member("b5", "127.0.0.1:5") }),
             },
         ),
         change(
@@ -225,10 +229,10 @@
         (ZoneId(1), share(250, WeightReason::Lost, 2, 3)),
         (ZoneId(2), share(0, WeightReason::Operator, 3, 0)),
     ]);
-    state.regions = (
-        Timestamp::from_micros(1_790_000_000_555_000),
-        regions(&[(ZoneId(0), "north"), (ZoneId(1), "north"), (ZoneId(2), "south")]),
-    );
+    state.regions = RegionMap {
+        changed_at: Timestamp::from_micros(1_790_000_000_555_000),
+        by_zone: regions(&[(ZoneId(0), "north"), (ZoneId(1), "north"), (ZoneId(2), "south")]),
+    };
     state.members.remove(&B8);
     state.members.insert(B5, member("b5", "127.0.0.1:5"));
     state.removed.insert(B8, "b8".to_string());
@@ -253,24 +257,28 @@
             },
             state: codec::encode(&snapshot_state()),
         },
-        compacted: (18, 2),
+        compacted: EntryId { term: 2, index: 18 },
         entries: entries(),
     }
 }
 
 /// Who the fixture's daemon is. The place is of no file that there is.
 pub fn identity() -> NodeIdentity {
-    NodeIdentity { id: B1, boot_count: 5, file: (11, 12) }
+    NodeIdentity { id: B1, boot_count: 5, file: FileId { device: 11, inode: 12 } }
+}
+
+pub fn pending(host: &str, drain: DrainId) -> PendingDrain {
+    PendingDrain { host: host.into(), drain }
 }
 
-pub fn marks() -> DrainList {
-    vec![("s-2-0".into(), mark(B1, 9)), ("s-1-0".into(), mark(B1, 10))]
+pub fn marks() -> Vec<PendingDrain> {
+    vec![pending("s-2-0", mark(B1, 9)), pending("s-1-0", mark(B1, 10))]
 }
 
 pub fn witnesses() -> BTreeMap<NodeId, PersistedProgress> {
     BTreeMap::from([
-        (B2, PersistedProgress { boot_count: 3, term: 4, last_entry: (4, 28) }),
-        (B3, PersistedProgress { boot_count: 2, term: 3, last_entry: (3, 27) }),
+        (B2, PersistedProgress { boot_count: 3, term: 4, last_entry: EntryId { term: 4, index: 28 } }),
+        (B3, PersistedProgress { boot_count: 2, term: 3, last_entry: EntryId { term: 3, index: 27 } }),
     ])
 }
 
@@ -329,7 +337,7 @@
     std::fs::write(&path, std::fs::read(fixtures().join("member.store")).unwrap()).unwrap();
     if adopted {
         let meta = std::fs::metadata(&path).unwrap();
-        let own = NodeIdentity { file: (meta.dev(), meta.ino()), ..identity() };
+        let own = NodeIdentity { file: FileId { device: meta.dev(), inode: meta.ino() }, ..identity() };
         put(&path, "identity", &codec::encode(&own));
     }
     path
--- a/tests/stored_records.rs
+++ b/tests/stored_records.rs
@@ -6,10 +6,10 @@
 use brookpass::ids::{GroupId, NodeId, ZoneId};
 use brookpass::store::codec;
 use brookpass::store::records::{
-    Configuration, HardState, HostRecord, LogEntry, MembershipStep, SnapshotRecord,
+    Configuration, EntryId, HardState, HostRecord, LogEntry, MembershipStep, SnapshotRecord,
 };
-use brookpass::store::state_machine::{Change, ClusterState, MembershipChange};
-use brookpass::store::storage::{DrainList, NodeIdentity, PersistedProgress};
+use brookpass::store::state_machine::{Change, ClusterState, JoiningMember, MembershipChange, PendingDrain};
+use brookpass::store::storage::{FileId, NodeIdentity, PersistedProgress};
 use brookpass::store::zone_weights::WeightReason;
 use brookpass::time::Timestamp;
 use serde::Serialize;
@@ -124,17 +124,23 @@
     let mut all = vec![
         record("form", 1_u32),
         record("dropped", (18_u64, 2_u64)),
-        record("identity", NodeIdentity { id: B1, boot_count: 5, file: (2049, 131_072) }),
+        record(
+            "identity",
+            NodeIdentity { id: B1, boot_count: 5, file: FileId { device: 2049, inode: 131_072 } },
+        ),
         record("hard", HardState { term: 4, vote: B2, commit: 1_000 }),
         record("conf", conf()),
         record(
             "snapshot",
             SnapshotRecord { index: 20, term: 3, configuration: conf(), state: codec::encode(&full_state()) },
         ),
-        record("witness", PersistedProgress { boot_count: 3, term: 4, last_entry: (5, 600) }),
+        record(
+            "witness",
+            PersistedProgress { boot_count: 3, term: 4, last_entry: EntryId { term: 5, index: 600 } },
+        ),
         record("witnesses", witnesses()),
         record("marks", marks()),
-        record::<DrainList>("marks-none", Vec::new()),
+        record::<Vec<PendingDrain>>("marks-none", Vec::new()),
         record("saved", saved()),
         record("learned", codec::encode(&saved())),
         record("host", full_host()),
@@ -154,7 +160,7 @@
                     MembershipStep::AddLearner(B5),
                     MembershipStep::Remove(B8),
                 ],
-                Some((B5, member("b5", "127.0.0.1:5"))),
+                Some(JoiningMember { id: B5, member: member("b5", "127.0.0.1:5") }),
             ),
         ),
         record("why-returns", WeightReason::Returns),
