--- /dev/null
+++ b/src/fleet/admin_api/mod.rs
@@ -0,0 +1,178 @@
+//! The operators' HTTP interface at the store's address, on loopback only. The same address serves the connections of
+//! peers.
+//!
+//! The texts and status codes of all answers are an interface that scripts use: the golden answers hold them.
+
+mod description;
+mod metrics;
+
+pub use self::description::{NodeRole, describe_fleet, node_role};
+pub use self::metrics::figures;
+
+use super::membership::MembershipRequest;
+use super::runtime::{
+    DrainOutcome, Fleet, MembershipRequestError, RecoveryError, RecoveryPlan, ZoneCommandFailure,
+};
+use super::zones::ZoneCommand;
+use crate::net::buffer::Buffer;
+use crate::net::connection::ClientConnection;
+use crate::net::http::server::{self, Next, Request};
+use std::rc::Rc;
+
+/// An answer to an operator.
+struct Answer {
+    status: u16,
+    text: String,
+}
+
+impl Answer {
+    fn new(status: u16, text: impl Into<String>) -> Answer {
+        Answer { status, text: text.into() }
+    }
+
+    fn nothing_here() -> Answer {
+        Answer::new(404, "nothing is here")
+    }
+
+    /// Nothing was done because no majority committed it in time.
+    fn no_majority() -> Answer {
+        Answer::new(503, "not done: no majority agreed in time. Say it again later")
+    }
+}
+
+/// Serves one connection, of an operator or of a peer.
+pub async fn serve(fleet: Rc<Fleet>, mut connection: ClientConnection) {
+    let mut buffer = Buffer::default();
+    loop {
+        let request = match server::next(&mut connection, &mut buffer, &fleet.limits).await {
+            Next::Over => break,
+            Next::Refused(status, reason) => {
+                let refusal = server::answer(status, &[("Connection", "close")], &reason);
+                let _ = connection.write(&refusal).await;
+                break;
+            }
+            Next::Request(request) if Fleet::is_peer_connection(&request) => {
+                return fleet.serve_peer(connection, buffer).await;
+            }
+            Next::Request(request) => request,
+        };
+        let Answer { status, text } = answer(&fleet, &request).await;
+        let stays_open = request.keeps_open() && !connection.ends();
+        let is_written = connection.write(&server::answer(status, &[], &text)).await.is_ok();
+        if !is_written || !stays_open {
+            break;
+        }
+    }
+    let _ = connection.linger().await;
+}
+
+async fn answer(fleet: &Fleet, request: &Request) -> Answer {
+    let (path, _) = request.target();
+    let method = request.head.line[0].as_str();
+    // A page in a browser on this machine could drain endpoints otherwise.
+    if request.head.get("origin").is_some() {
+        return Answer::new(403, "not for web pages");
+    }
+    match (method, path) {
+        ("GET", "/hosts") => Answer::new(200, description::describe_endpoints(fleet)),
+        ("GET", "/fleet/learned") => Answer::new(200, description::describe_gossip(fleet)),
+        ("GET", "/zones") => Answer::new(200, fleet.describe_zones().trim_end()),
+        ("GET", "/fleet") => Answer::new(200, describe_fleet(fleet)),
+        ("GET", "/fleet/recover") => answer_recovery(fleet.plan_recovery()),
+        ("POST", "/fleet/recover") => answer_recovery(fleet.recover_on_order()),
+        ("POST", "/fleet/form") => match fleet.found_fleet_on_order() {
+            Ok(()) => Answer::new(200, "a fleet is formed"),
+            Err(error) => Answer::new(409, error.to_string()),
+        },
+        ("POST", _) => answer_command(fleet, path).await,
+        ("GET", _) => Answer::nothing_here(),
+        _ => Answer::new(405, "GET or POST"),
+    }
+}
+
+fn answer_recovery(result: Result<RecoveryPlan, RecoveryError>) -> Answer {
+    match result {
+        Ok(plan) => Answer::new(200, plan.to_string().trim_end()),
+        Err(error) => Answer::new(409, error.to_string()),
+    }
+}
+
+/// Carries out a command that needs this node's fleet.
+async fn answer_command(fleet: &Fleet, path: &str) -> Answer {
+    if fleet.agreed().is_removed() {
+        return Answer::new(409, "this daemon was removed from its fleet: say it to another one");
+    }
+    if let Some(endpoint) = path.strip_prefix("/drain/") {
+        return drain(fleet, endpoint).await;
+    }
+    if let Some(endpoint) = path.strip_prefix("/undrain/") {
+        return undrain(fleet, endpoint).await;
+    }
+    if let Some((zone, command)) = path.strip_prefix("/zone/").and_then(|rest| rest.rsplit_once('/')) {
+        return command_zone(fleet, zone, command).await;
+    }
+    if let Some(name) = path.strip_prefix("/fleet/vote/") {
+        return change_membership(fleet, name, MembershipRequest::GrantVote).await;
+    }
+    if let Some(name) = path.strip_prefix("/fleet/leave/") {
+        return change_membership(fleet, name, MembershipRequest::Remove).await;
+    }
+    Answer::nothing_here()
+}
+
+async fn drain(fleet: &Fleet, endpoint: &str) -> Answer {
+    match fleet.drain(endpoint).await {
+        Ok(DrainOutcome::Committed) => Answer::new(200, format!("{endpoint} drained")),
+        Ok(DrainOutcome::AwaitsMajority) => Answer::new(
+            202,
+            format!("{endpoint} drained here and wherever this daemon is heard; waits for a majority"),
+        ),
+        Err(error) => Answer::new(404, error.to_string()),
+    }
+}
+
+async fn undrain(fleet: &Fleet, endpoint: &str) -> Answer {
+    let is_known = fleet.agreed().state().hosts.contains_key(endpoint);
+    if fleet.undrain(endpoint).await.is_err() {
+        let text =
+            format!("not done: no majority agreed in time; {endpoint} stays drained. Say it again later");
+        return Answer::new(503, text);
+    }
+    if !is_known {
+        return Answer::new(404, format!("no host {endpoint:?}"));
+    }
+    if fleet.agreed().state().is_drained(endpoint) {
+        return Answer::new(409, format!("{endpoint} stays drained: it was drained again meanwhile"));
+    }
+    Answer::new(200, format!("{endpoint} in service"))
+}
+
+async fn command_zone(fleet: &Fleet, zone: &str, command: &str) -> Answer {
+    let command = match command {
+        "leave" => ZoneCommand::Evacuate,
+        "return" => ZoneCommand::Return,
+        "return-now" => ZoneCommand::ReturnNow,
+        "hold" => ZoneCommand::Hold,
+        _ => return Answer::nothing_here(),
+    };
+    match fleet.command_zone(zone, command).await {
+        Ok(weight) => {
+            let text = format!("{zone} gets {} of 1000 by move {}", weight.permille, weight.version);
+            Answer::new(200, text)
+        }
+        Err(ZoneCommandFailure::NoMajority(_)) => Answer::no_majority(),
+        Err(error @ ZoneCommandFailure::UnknownZone(_)) => Answer::new(404, error.to_string()),
+        Err(error @ (ZoneCommandFailure::Refused(_) | ZoneCommandFailure::Superseded)) => {
+            Answer::new(409, error.to_string())
+        }
+    }
+}
+
+async fn change_membership(fleet: &Fleet, name: &str, request: MembershipRequest) -> Answer {
+    match (fleet.change_membership(name, request).await, request) {
+        (Ok(()), MembershipRequest::GrantVote) => Answer::new(200, format!("{name} votes")),
+        (Ok(()), MembershipRequest::Remove) => Answer::new(200, format!("{name} has left")),
+        (Err(error @ MembershipRequestError::UnknownMember(_)), _) => Answer::new(404, error.to_string()),
+        (Err(MembershipRequestError::NoMajority(_)), _) => Answer::no_majority(),
+    }
+}
--- a/src/fleet/peer_link.rs
+++ b/src/fleet/peer_link.rs
@@ -47,6 +47,15 @@
     Close,
 }
 
+/// Where the address of a peer comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LinkOrigin {
+    /// The operator's file names it.
+    OperatorFile,
+    /// The fleet names it: a member's address, or that of a fleet to join.
+    Fleet,
+}
+
 /// Why a connection ended.
 #[derive(Debug)]
 enum DisconnectReason {
@@ -109,8 +118,8 @@
 pub struct PeerLink {
     /// The peer's address.
     pub address: SocketAddr,
-    /// The operator's file names this address; otherwise it was learned from the fleet.
-    pub is_configured: bool,
+    /// Where the address comes from.
+    pub origin: LinkOrigin,
     last_handshake: RefCell<Option<Handshake>>,
     is_up: Cell<bool>,
     dropped_messages: Cell<u64>,
@@ -126,12 +135,12 @@
 
 impl PeerLink {
     /// A link that is not connected yet.
-    pub fn new(address: SocketAddr, is_configured: bool, limits: &Limits) -> PeerLink {
+    pub fn new(address: SocketAddr, origin: LinkOrigin, limits: &Limits) -> PeerLink {
         let (max_queued_messages, max_queued_bytes) = limits.peer_queue;
         let (queue_sender, queue_receiver) = async_channel::bounded(max_queued_messages);
         PeerLink {
             address,
-            is_configured,
+            origin,
             last_handshake: RefCell::default(),
             is_up: Cell::new(false),
             dropped_messages: Cell::new(0),
--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -1,89 +1,188 @@
-//! Drains: said here, heard of others, kept on the disk.
+//! Drains: requested by operators here, received from peers, kept on disk until the log has settled them.
+//!
+//! A drain only takes traffic away, so it acts wherever it is known, also without a majority. The end of a drain
+//! gives traffic back and needs the consensus.
 
-use super::*;
+use super::Fleet;
+use super::proposals::NoMajority;
+use crate::fleet::message::PeerMessage;
+use crate::fleet::pending_drains::PendingDrains;
+use crate::net::until;
+use crate::store::state_machine::{Change, DrainId};
+use crate::store::store_thread::StoreCommand;
+use async_channel::Receiver;
+use std::collections::BTreeSet;
+use std::time::Instant;
+
+/// Drains that are not committed yet, and which version of them is on disk.
+pub struct DrainState {
+    pending: PendingDrains,
+    /// The last version that was handed to the store's thread.
+    submitted_version: u64,
+    /// The last version that is on disk.
+    persisted_version: u64,
+}
+
+impl DrainState {
+    /// Drains that the storage held.
+    pub(super) fn new(pending: PendingDrains) -> DrainState {
+        DrainState { pending, submitted_version: 0, persisted_version: 0 }
+    }
+
+    /// Drains that are not committed yet.
+    pub fn pending(&self) -> &PendingDrains {
+        &self.pending
+    }
+
+    /// The same, to be changed.
+    pub(super) fn pending_mut(&mut self) -> &mut PendingDrains {
+        &mut self.pending
+    }
+
+    /// The store's thread has written this version.
+    pub(super) fn record_persisted(&mut self, version: u64) {
+        self.persisted_version = self.persisted_version.max(version);
+    }
+
+    /// The storage is a new one: everything has to be written again.
+    pub(super) fn storage_replaced(&mut self) {
+        self.submitted_version = 0;
+    }
+}
+
+/// How far a drain has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DrainOutcome {
+    /// It is committed.
+    Committed,
+    /// It acts here and at the peers that are reached, and awaits a majority.
+    AwaitsMajority,
+}
+
+/// The committed inventory has no endpoint of this name.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("no host {0:?}")]
+pub struct UnknownEndpoint(pub String);
 
 impl Fleet {
-    /// Drains a host: here and wherever this daemon is heard at once, for good once a majority has it. `None`:
-    /// there is no such host.
-    pub async fn drain(&self, host: &str) -> Option<ChangeOutcome> {
+    /// Drains an endpoint: at once here and at all peers that are reached, for good once a majority has committed
+    /// it. Returns when that is so, or after the agreement timeout, once the drain is on disk.
+    ///
+    /// # Errors
+    ///
+    /// [`UnknownEndpoint`] where the inventory has no such endpoint.
+    pub async fn drain(&self, endpoint: &str) -> Result<DrainOutcome, UnknownEndpoint> {
         let mark = {
-            let mut table = self.change();
-            if !table.state.hosts.contains_key(host) {
-                return None;
+            let agreed = self.agreed();
+            if !agreed.state().hosts.contains_key(endpoint) {
+                return Err(UnknownEndpoint(endpoint.to_string()));
             }
-            if table.state.is_drained(host) {
-                return Some(ChangeOutcome::Agreed);
+            if agreed.state().is_drained(endpoint) {
+                return Ok(DrainOutcome::Committed);
             }
-            let (me, now) = (table.identity.id, self.clock.now());
-            self.mark_endpoints_changed([host.to_string()]);
-            table.marks.request_drain(host, me, now)
+            self.mark_endpoints_changed([endpoint.to_string()]);
+            let mut drains = self.drains.borrow_mut();
+            drains.pending.request_drain(endpoint, agreed.local_id(), self.clock.now())
         };
-        log::info!("fleet: {host} is drained here");
-        self.notify_watchers();
-        self.broadcast(&PeerMessage::PendingDrains(self.table().marks.all()));
+        log::info!("fleet: endpoint {endpoint} is drained here");
+        self.changes.notify();
+        self.broadcast_pending_drains();
         self.persist_pending_drains();
         self.act_as_leader();
-        let version = self.table().marks.version();
-        let woken = self.watch();
-        let agreed = async {
-            while !self.table().state.is_resolved(host, mark) {
-                let _ = woken.recv().await;
-            }
-        };
-        if until(Instant::now() + self.limits.agreement_timeout, agreed).await.is_some() {
-            return Some(ChangeOutcome::Agreed);
+        let version = self.drains().pending.version();
+        let changed = self.changes.subscribe();
+        let committed = self.wait_until_settled(endpoint, mark, &changed);
+        if until(Instant::now() + self.limits.agreement_timeout, committed).await.is_some() {
+            return Ok(DrainOutcome::Committed);
         }
-        let saved = async {
-            while self.saved.get() < version && self.table().broken.is_none() {
-                let _ = woken.recv().await;
-            }
-        };
-        until(Instant::now() + self.limits.agreement_timeout, saved).await;
-        Some(if self.table().state.is_resolved(host, mark) {
-            ChangeOutcome::Agreed
-        } else {
-            ChangeOutcome::Here
-        })
+        let persisted = self.wait_until_persisted(version, &changed);
+        until(Instant::now() + self.limits.agreement_timeout, persisted).await;
+        let is_committed = self.agreed().state().is_resolved(endpoint, mark);
+        Ok(if is_committed { DrainOutcome::Committed } else { DrainOutcome::AwaitsMajority })
     }
 
-    /// Ends the drains of a host that this daemon has heard of, once a majority agrees.
-    pub async fn undrain(&self, host: &str) -> ChangeOutcome {
-        let marks: BTreeSet<_> = {
-            let table = self.table();
-            let agreed = table.state.drains.get(host).into_iter().flatten().copied();
-            agreed.chain(table.marks.drains_of(host)).collect()
-        };
+    /// Ends the drains of an endpoint that this node knows of, once a majority has committed that.
+    ///
+    /// # Errors
+    ///
+    /// [`NoMajority`] where that took longer than the agreement timeout; the endpoint stays drained.
+    pub async fn undrain(&self, endpoint: &str) -> Result<(), NoMajority> {
+        let marks = self.known_drains(endpoint);
         if marks.is_empty() {
-            return ChangeOutcome::Agreed;
+            return Ok(());
         }
-        let change = Change::Undrain { host: host.to_string(), drains: marks.into_iter().collect() };
+        let change = Change::Undrain { host: endpoint.to_string(), drains: marks.into_iter().collect() };
         self.commit_change(change).await
     }
 
-    pub(super) fn receive_pending_drains(&self, drains: Vec<PendingDrain>) {
-        let new = {
-            let mut table = self.change();
-            self.mark_endpoints_changed(drains.iter().map(|pending| pending.host.clone()));
-            let Table { marks: own, state, .. } = &mut *table;
-            own.merge(drains, state, self.limits.pending_drains)
+    /// The drains of an endpoint, committed or not.
+    fn known_drains(&self, endpoint: &str) -> BTreeSet<DrainId> {
+        let mut marks = self.drains().pending.drains_of(endpoint);
+        if let Some(committed) = self.agreed().state().drains.get(endpoint) {
+            marks.extend(committed);
+        }
+        marks
+    }
+
+    /// Waits until the log has settled a drain.
+    async fn wait_until_settled(&self, endpoint: &str, mark: DrainId, changed: &Receiver<()>) {
+        while !self.agreed().state().is_resolved(endpoint, mark) {
+            let _ = changed.recv().await;
+        }
+    }
+
+    /// Waits until a version of the pending drains is on disk, or the storage has failed.
+    async fn wait_until_persisted(&self, version: u64, changed: &Receiver<()>) {
+        while self.drains().persisted_version < version && self.agreed().storage_failure().is_none() {
+            let _ = changed.recv().await;
+        }
+    }
+
+    /// Merges the pending drains of a peer. What is new is sent on: a peer that the sender does not reach may be
+    /// reached from here.
+    pub(super) fn receive_pending_drains(&self, received: Vec<(String, DrainId)>) {
+        let has_changed = {
+            let agreed = self.agreed();
+            self.mark_endpoints_changed(received.iter().map(|(endpoint, _)| endpoint.clone()));
+            let mut drains = self.drains.borrow_mut();
+            drains.pending.merge(received, agreed.state(), self.limits.pending_drains)
         };
-        if new {
-            self.notify_watchers();
+        if has_changed {
+            self.changes.notify();
             self.persist_pending_drains();
-            // Whoever the one that said it does not reach hears it from here.
-            self.broadcast(&PeerMessage::PendingDrains(self.table().marks.all()));
+            self.broadcast_pending_drains();
             self.act_as_leader();
         }
     }
 
-    /// Keeps drains that are not agreed on the disk.
+    /// Forgets pending drains that the log has settled.
+    pub(super) fn remove_settled_drains(&self) {
+        let settled = {
+            let agreed = self.agreed();
+            self.drains.borrow_mut().pending.remove_settled(agreed.state())
+        };
+        if settled.is_empty() {
+            return;
+        }
+        self.mark_endpoints_changed(settled.into_iter().map(|(endpoint, _)| endpoint));
+        self.persist_pending_drains();
+    }
+
+    /// Has the store's thread write the pending drains, if they have changed. A full queue is tried again with the
+    /// next round of the event loop.
     pub(super) fn persist_pending_drains(&self) {
-        let table = self.table();
-        let version = table.marks.version();
-        if self.saving.get() < version
-            && self.send_to_store(StoreCommand::PersistDrains { drains: table.marks.all(), version })
+        let mut drains = self.drains.borrow_mut();
+        let version = drains.pending.version();
+        if drains.submitted_version < version
+            && self.send_to_store(StoreCommand::PersistDrains(drains.pending.all(), version))
         {
-            self.saving.set(version);
+            drains.submitted_version = version;
         }
     }
+
+    /// Sends all pending drains to all peers.
+    fn broadcast_pending_drains(&self) {
+        let drains = self.drains().pending.all();
+        self.broadcast(&PeerMessage::PendingDrains(drains));
+    }
 }
--- /dev/null
+++ b/src/fleet/runtime/first_election.rs
@@ -0,0 +1,54 @@
+//! Starts an election at once after a start, where this node is the one to do it.
+
+use super::Fleet;
+use crate::fleet::recovery::first_election::{LogEnd, Voter};
+use crate::store::store_thread::StoreCommand;
+
+impl Fleet {
+    /// Starts an election, if it is this node's turn.
+    pub(super) fn campaign_if_due(&self) {
+        let agreed = self.agreed();
+        let status = agreed.status();
+        if !status.participating || !agreed.has_fleet() || agreed.is_removed() {
+            return;
+        }
+        let local = Voter {
+            id: agreed.local_id(),
+            log_end: log_end(status.own_progress.last_entry),
+            leader: status.leader,
+        };
+        let voters = &status.configuration.voters;
+        let reachable = self.reachable_voters();
+        if self.first_election.borrow_mut().is_due(self.clock.now(), local, voters, &reachable) {
+            log::info!(
+                "raft: election started: no leader is known to {} reachable nodes of {} voters",
+                reachable.len() + 1,
+                voters.len()
+            );
+            self.send_to_store(StoreCommand::Campaign);
+        }
+    }
+
+    /// Peers that participate, are heard here and can be sent messages.
+    fn reachable_voters(&self) -> Vec<Voter> {
+        let peers = self.peers();
+        let mut reachable = Vec::new();
+        for id in self.recently_heard_peers() {
+            let Some(status) = peers.status(id) else { continue };
+            let heartbeat = &status.heartbeat;
+            if heartbeat.participates && peers.link_to(id).is_some() {
+                reachable.push(Voter {
+                    id,
+                    log_end: log_end(heartbeat.last_entry),
+                    leader: heartbeat.leader,
+                });
+            }
+        }
+        reachable
+    }
+}
+
+/// The last entry of a log as the store and heartbeats state it.
+fn log_end((term, index): (u64, u64)) -> LogEnd {
+    LogEnd { term, index }
+}
--- a/src/fleet/runtime/membership_requests.rs
+++ b/src/fleet/runtime/membership_requests.rs
@@ -1,103 +1,177 @@
-//! What operators want of members, and what a leader does about it.
+//! Changes of the membership: what operators request, and the leader's next step.
 
-use super::*;
+use super::Fleet;
+use super::proposals::NoMajority;
+use crate::fleet::membership::{
+    MemberRequest, MembershipAction, MembershipRequest, MembershipView, VoterStatus,
+};
+use crate::fleet::message::PeerMessage;
+use crate::fleet::peer_link::sleep_or_wake;
+use crate::ids::NodeId;
+use crate::net::until;
+use crate::store::state_machine::{Change, Proposal};
+use crate::store::store_thread::StoreCommand;
+use crate::time::TimeDelta;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+/// What operators request of members, until it is done or the request has expired.
+pub(super) struct MembershipRequests {
+    requested_at: BTreeMap<MemberRequest, Instant>,
+    max_requests: usize,
+}
+
+impl MembershipRequests {
+    /// Without requests.
+    pub(super) fn new(max_requests: usize) -> MembershipRequests {
+        MembershipRequests { requested_at: BTreeMap::new(), max_requests }
+    }
+
+    /// Notes a request for the member of this name, unless there are too many.
+    pub(super) fn record(&mut self, member: String, request: MembershipRequest) {
+        if self.requested_at.len() < self.max_requests {
+            self.requested_at.insert(MemberRequest { member, request }, Instant::now());
+        }
+    }
+
+    /// Whether there is none.
+    pub(super) fn is_empty(&self) -> bool {
+        self.requested_at.is_empty()
+    }
+
+    /// Forgets requests that were not repeated for `age`.
+    fn expire(&mut self, age: Duration) {
+        let now = Instant::now();
+        self.requested_at.retain(|_, requested_at| now - *requested_at < age);
+    }
+
+    fn current(&self) -> BTreeSet<MemberRequest> {
+        self.requested_at.keys().cloned().collect()
+    }
+}
+
+/// Why a request of an operator was not carried out.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum MembershipRequestError {
+    /// The fleet has no member of this name.
+    #[error("no daemon {0:?} in the fleet")]
+    UnknownMember(String),
+    /// It took too long.
+    #[error(transparent)]
+    NoMajority(#[from] NoMajority),
+}
 
 impl Fleet {
-    /// Has a daemon of this name get a vote, or go. `None`: there is none of this name.
-    pub async fn request_membership_change(
+    /// Has the member of this name get a vote, or leave. Returns once that is applied here.
+    ///
+    /// # Errors
+    ///
+    /// [`MembershipRequestError`] where there is no such member, or it took longer than two agreement timeouts.
+    pub async fn change_membership(
         &self,
         name: &str,
-        wish: MembershipRequest,
-    ) -> Option<ChangeOutcome> {
-        let done = |table: &Table| {
-            let mut ids = table.state.members.iter().filter(|(_, m)| m.name == name).map(|(id, _)| id);
-            match wish {
-                MembershipRequest::GrantVote => ids.any(|id| table.status.configuration.voters.contains(id)),
-                MembershipRequest::Remove => ids.next().is_none(),
-            }
-        };
-        if !self.table().state.members.values().any(|m| m.name == name) {
-            return None;
+        request: MembershipRequest,
+    ) -> Result<(), MembershipRequestError> {
+        if !self.agreed().state().members.values().any(|member| member.name == name) {
+            return Err(MembershipRequestError::UnknownMember(name.to_string()));
         }
-        let woken = self.watch();
-        let work = async {
-            loop {
-                if done(&self.table()) {
-                    return;
-                }
-                self.record_membership_request(name.to_string(), wish);
-                let (leader, me) = (self.table().status.leader, self.table().identity.id);
-                if leader != me
-                    && let Some(way) = self.link_to(leader)
-                {
-                    way.send(&PeerMessage::MembershipRequest(name.to_string(), wish).encode());
-                }
-                crate::fleet::peer_link::sleep_or_wake(self.limits.proposal_retry_interval, &woken).await;
+        let carried_out = self.request_until_carried_out(name, request);
+        let result = until(Instant::now() + self.limits.agreement_timeout * 2, carried_out).await;
+        Ok(result.ok_or(NoMajority)?)
+    }
+
+    /// Repeats a request to the leader until it is carried out.
+    async fn request_until_carried_out(&self, name: &str, request: MembershipRequest) {
+        let changed = self.changes.subscribe();
+        while !self.is_carried_out(name, request) {
+            self.requests.borrow_mut().record(name.to_string(), request);
+            let (leader, is_leader) = {
+                let agreed = self.agreed();
+                (agreed.status().leader, agreed.is_leader())
+            };
+            if !is_leader && let Some(link) = self.link_to(leader) {
+                link.send(&PeerMessage::MembershipRequest(name.to_string(), request).encode());
             }
-        };
-        let done = until(Instant::now() + self.limits.agreement_timeout * 2, work).await;
-        Some(if done.is_some() { ChangeOutcome::Agreed } else { ChangeOutcome::Not })
+            sleep_or_wake(self.limits.proposal_retry_interval, &changed).await;
+        }
     }
 
-    pub(super) fn record_membership_request(&self, name: String, wish: MembershipRequest) {
-        let mut table = self.change();
-        if table.wishes.len() < self.limits.fleet_nodes {
-            table.wishes.insert((name, wish), Instant::now());
+    fn is_carried_out(&self, name: &str, request: MembershipRequest) -> bool {
+        let agreed = self.agreed();
+        let members = agreed.state().members.iter();
+        let mut ids = members.filter(|(_, member)| member.name == name).map(|(id, _)| id);
+        match request {
+            MembershipRequest::GrantVote => ids.any(|id| agreed.status().configuration.voters.contains(id)),
+            MembershipRequest::Remove => ids.next().is_none(),
         }
     }
 
-    /// What a leader does now and then, and after each change.
+    /// What a leader does periodically and after each change: proposes the drains that are not committed yet, and
+    /// takes the next step of the membership.
     pub(super) fn act_as_leader(&self) {
-        let mut table = self.change();
-        let me = table.identity.id;
-        if table.status.leader != me || !table.status.participating {
+        if !self.agreed().is_active_leader() {
             return;
         }
-        let insist = TimeDelta::from(self.limits.proposal_retry_interval);
-        let due = if table.state.is_complete() {
-            table.marks.due_proposals(self.clock.now(), insist)
-        } else {
-            Vec::new()
-        };
-        let now = Instant::now();
-        table.wishes.retain(|_, at| now - *at < self.limits.agreement_timeout);
-        let recent = self.limits.peer_gone_timeout;
-        table.candidates.retain(|_, (_, at)| now - *at < recent);
-        let next = {
-            let candidates = table.candidates.iter().map(|(id, (hello, _))| (*id, hello.clone())).collect();
-            let silent = table.heard.iter().map(|(id, h)| (*id, TimeDelta::from(now - h.at))).collect();
-            let wishes = table.wishes.keys().cloned().collect();
-            let word = |h: &PeerStatus| VoterStatus {
-                leaderless: h.leaderless.map_or(TimeDelta::ZERO, |at| TimeDelta::from(now - at)),
-                hears: h.beat.reachable_peers.iter().copied().collect(),
-            };
-            let words = table.heard.iter().map(|(id, h)| (*id, word(h))).collect();
-            let view = MembershipView {
-                me,
-                state: &table.state,
-                conf: &table.status.configuration,
-                agreed: table.status.committed,
-                progress: &table.status.peer_progress,
-                candidates: &candidates,
-                silent: &silent,
-                led_for: table.leads.map_or(TimeDelta::ZERO, |at| TimeDelta::from(now - at)),
-                words: &words,
-                wishes: &wishes,
-                gone: TimeDelta::from(self.limits.peer_gone_timeout),
-            };
-            view.next_action()
-        };
-        drop(table);
-        for change in due {
-            let proposal = Proposal { from: me, token: self.next_token(), change };
-            self.send_to_store(StoreCommand::Propose(proposal));
+        let due_drains = self.due_drain_proposals();
+        self.requests.borrow_mut().expire(self.limits.agreement_timeout);
+        self.peers.borrow_mut().expire_candidates(self.limits.peer_gone_timeout);
+        let action = self.next_membership_action();
+        let from = self.agreed().local_id();
+        for change in due_drains {
+            let token = self.next_token();
+            self.send_to_store(StoreCommand::Propose(Proposal { from, token, change }));
         }
-        match next {
-            MembershipAction::Nothing => true,
-            MembershipAction::Propose(change) => self.send_to_store(StoreCommand::ChangeMembership(change)),
+        match action {
+            MembershipAction::Nothing => {}
+            MembershipAction::Propose(change) => {
+                self.send_to_store(StoreCommand::ChangeMembership(change));
+            }
             MembershipAction::TransferLeadership(to) => {
-                self.send_to_store(StoreCommand::TransferLeadership(to))
+                self.send_to_store(StoreCommand::TransferLeadership(to));
             }
+        }
+    }
+
+    /// Pending drains that were not proposed within the retry interval. Until all founders vote the fleet commits
+    /// nothing but its membership.
+    fn due_drain_proposals(&self) -> Vec<Change> {
+        if !self.agreed().state().is_complete() {
+            return Vec::new();
+        }
+        let retry_interval = TimeDelta::from(self.limits.proposal_retry_interval);
+        self.drains.borrow_mut().pending_mut().due_proposals(self.clock.now(), retry_interval)
+    }
+
+    /// The leader's next step, by what the members report.
+    fn next_membership_action(&self) -> MembershipAction {
+        let (agreed, peers, now) = (self.agreed(), self.peers(), Instant::now());
+        let mut candidates = BTreeMap::new();
+        for (id, candidate) in peers.candidates() {
+            candidates.insert(*id, candidate.handshake.clone());
+        }
+        let mut silence: BTreeMap<NodeId, TimeDelta> = BTreeMap::new();
+        let mut voters = BTreeMap::new();
+        for (id, status) in peers.statuses() {
+            silence.insert(*id, TimeDelta::from(now - status.last_heard));
+            let leaderless_for =
+                status.leaderless_since.map_or(TimeDelta::ZERO, |since| (now - since).into());
+            let reachable_peers = status.heartbeat.reachable_peers.iter().copied().collect();
+            voters.insert(*id, VoterStatus { leaderless_for, reachable_peers });
+        }
+        let status = agreed.status();
+        let view = MembershipView {
+            local_node: agreed.local_id(),
+            state: agreed.state(),
+            configuration: &status.configuration,
+            commit_index: status.committed,
+            progress: &status.peer_progress,
+            candidates: &candidates,
+            silent_for: &silence,
+            led_for: agreed.leading_since().map_or(TimeDelta::ZERO, |since| (now - since).into()),
+            voter_statuses: &voters,
+            requests: &self.requests.borrow().current(),
+            gone_after: TimeDelta::from(self.limits.peer_gone_timeout),
         };
+        view.next_action()
     }
 }
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -1,460 +1,323 @@
-//! Carries out what the fleet's decisions say: keeps the ways to the others open, hands letters to the thread
-//! that owns the agreement and takes in what it agreed on.
-
-use self::gossip::clocks;
-use super::bootstrap::{self, Bootstrap, BootstrapState, Handshake, HandshakeVerdict};
-use super::gossip::{GossipState, GossipUrgency, GossipVersion};
-use super::membership::{MembershipAction, MembershipRequest, MembershipView, VoterStatus};
-use super::message::{AppliedPosition, DecodedMessage, HandshakeReply, Heartbeat, PeerMessage};
-use super::peer_link::{LinkDecision, PATH, PROTOCOL, PeerLink, PeerLinkEvents};
+//! The runtime of the fleet: carries out what the modules beside it decide, over connections, timers and the store's
+//! thread.
+//!
+//! Start at [`Fleet`], then [`event_loop`] for what is done periodically, [`store_events`] for what the consensus
+//! reports, and [`message_dispatch`] for what a peer's message leads to. All of it runs on one thread. Each piece of
+//! state has one owner, in a `RefCell` of its own; a borrow never lasts across an `await`.
+//!
+//! | file | what it does | state that it owns |
+//! | --- | --- | --- |
+//! | `agreed_state` | applies committed entries | [`AgreedState`] |
+//! | `change_notifier` | wakes tasks that wait for a change | `ChangeNotifier` |
+//! | `drains` | drains that are not committed yet | [`DrainState`] |
+//! | `endpoint_list` | the list that the engine is given | `EndpointChanges` |
+//! | `event_loop` | periodic work | |
+//! | `first_election` | an election at once after a start | `FirstElection` |
+//! | `founding` | how this node comes into a fleet | [`FoundingState`] |
+//! | `gossip` | exchange of observations, hints for the engine | [`GossipExchange`], `EngineQueues` |
+//! | `incoming_connection` | connections that peers open | |
+//! | `log_rollbacks` | lost ranges of groups' logs | `LogRollbacks` |
+//! | `membership_requests` | operators' requests, the leader's next step | `MembershipRequests` |
+//! | `message_dispatch` | what a message leads to | |
+//! | `operator_recovery` | recovery without a majority | |
+//! | `outgoing_links` | connections that this node opens | |
+//! | `own_files` | the operator's files against the committed state | [`OwnFiles`] |
+//! | `peer_directory` | links, last heartbeats, candidates | [`PeerDirectory`] |
+//! | `proposals` | changes on their way into the log | `PendingProposals` |
+//! | `recovery` | how service returns after a start | `RecoveryProgress` |
+//! | `store_events` | events of the store's thread | |
+//! | `zones` | evacuation and return of zones | [`ZoneControl`] |
+
+use super::bootstrap::Handshake;
+use super::message::{AppliedPosition, Heartbeat, PeerMessage};
+use super::peer_link::PeerLink;
 use super::pending_drains::PendingDrains;
 use super::recovery::first_election::FirstElection;
-use super::recovery::phases::{
-    EndpointView, RecoveryDecision, RecoveryPhase, RecoverySchedule, WAITING_FOR_LIST,
-};
-use super::recovery::restart_detector::{KnownEndpoint, RestartDetector};
-use super::recovery::slow_start::SlowStartPolicy;
-use super::recovery::{ClockReading, PersistedGossip, RestoredAge, restored_age};
-use super::zones::{EvacuationPolicy, ZoneState};
+use super::zones::EvacuationPolicy;
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::engine::admission::AdmissionPolicy;
-use crate::engine::endpoints::{EndpointRecord, EndpointUpdate, id_of};
-use crate::engine::log_rollback::{LogRollback, LogRollbacks};
-use crate::engine::observations::{Observation, START_TIME_TOLERANCE};
-use crate::engine::{PeerObservation, PollParticipants};
+use crate::engine::log_rollback::LogRollbacks;
 use crate::ids::NodeId;
-use crate::ids::{FleetId, GroupId, ZoneId};
-use crate::inventory::Inventory;
-use crate::net::buffer::Buffer;
-use crate::net::connection::ClientConnection;
-use crate::net::http::server::{self, Request};
-use crate::net::until;
-use crate::primary_hint::PrimaryHint;
-use crate::routing::{Availability, EndpointId};
-use crate::store::codec;
-use crate::store::raft_message::RaftMessage;
-use crate::store::raft_node::{AppliedContent, AppliedEntry, SnapshotDelivery};
-use crate::store::records::HostRecord;
-use crate::store::state_machine::{
-    ApplyResult, Change, ClusterState, InventoryDifference, Member, PendingDrain, Proposal,
-};
-use crate::store::storage::{IdentityResetReason, NodeIdentity};
-use crate::store::store_thread::{OpenedStore, StoreCommand, StoreEvent, StoreStatus};
-use crate::store::zone_weights::WeightReason;
-use crate::time::{LogPosition, TimeDelta, Timestamp};
-use async_channel::{Receiver, Sender};
+use crate::store::store_thread::{OpenedStore, StoreCommand};
+use crate::time::Timestamp;
+use async_channel::Receiver;
 use async_executor::LocalExecutor;
-use async_io::Timer;
-use std::cell::{Cell, Ref, RefCell, RefMut};
-use std::collections::{BTreeMap, BTreeSet};
+use std::cell::{Ref, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::mpsc::SyncSender;
-use std::time::{Duration, Instant};
 
+mod agreed_state;
+mod change_notifier;
+mod daemon_names;
 mod drains;
 mod endpoint_list;
 mod event_loop;
-mod first;
+mod first_election;
 mod founding;
 mod gossip;
-mod incoming_link;
+mod incoming_connection;
 mod log_rollbacks;
 mod membership_requests;
 mod message_dispatch;
 mod operator_recovery;
+mod outgoing_links;
 mod own_files;
-mod peer_sessions;
+mod peer_directory;
 mod proposals;
 mod recovery;
 mod store_events;
 mod zones;
 
-/// What groups have lost is said again for so long.
-const LATELY: TimeDelta = TimeDelta::from_secs(60);
-
-/// What this daemon's own files say, each with when it was last changed.
-#[derive(Clone, Debug, Default)]
-pub struct Files {
-    /// The settings of the operator's file.
-    pub settings: Option<(String, Timestamp)>,
-    /// The inventory.
-    pub hosts: Option<(Inventory, Timestamp)>,
-}
-
-/// What of the learned state lies on the disk: whose words, and what groups have lost.
-type Kept = (Vec<(NodeId, GossipVersion)>, Vec<LogRollback>);
-
-/// Who this daemon is to the others.
+pub use self::agreed_state::AgreedState;
+pub use self::daemon_names::Me;
+pub use self::drains::{DrainOutcome, DrainState, UnknownEndpoint};
+pub use self::founding::{FoundingState, NotFounded};
+pub use self::gossip::GossipExchange;
+pub use self::membership_requests::MembershipRequestError;
+pub use self::operator_recovery::{RecoveryError, RecoveryPlan};
+pub use self::own_files::{Files, InventoryDifference, OwnFiles};
+pub use self::peer_directory::{Candidate, PeerDirectory, PeerStatus};
+pub use self::proposals::NoMajority;
+pub use self::recovery::{RecoveryRules, RecoveryStatus};
+pub use self::zones::{ZoneCommandFailure, ZoneControl, ZoneMetrics};
+
+use self::change_notifier::ChangeNotifier;
+use self::endpoint_list::EndpointChanges;
+use self::gossip::EngineQueues;
+use self::membership_requests::MembershipRequests;
+use self::proposals::PendingProposals;
+use self::recovery::RecoveryProgress;
+
+/// A peer counts as reachable while a message of it is younger than this many heartbeat intervals: one heartbeat may be
+/// lost.
+const REACHABLE_HEARTBEATS: u32 = 3;
+
+/// What this node is to its peers, by its operator's file.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct LocalNode {
     /// Its name.
     pub name: String,
-    /// Where it is reached.
+    /// Where peers reach it.
     pub address: SocketAddr,
-    /// Addresses of others that its own file names.
+    /// The addresses of peers in its operator's file.
     pub named: Vec<SocketAddr>,
-    /// How it leaves zones.
+    /// How zones are evacuated, and their names.
     pub leaving: EvacuationPolicy,
 }
 
-/// What was last heard of another daemon.
-#[derive(Clone, Debug)]
-pub struct PeerStatus {
-    /// When.
-    pub at: Instant,
-    /// Its name.
-    pub name: String,
-    /// Its last word.
-    pub beat: Heartbeat,
-    /// Since when it has known no leader.
-    pub leaderless: Option<Instant>,
-}
-
-impl PeerStatus {
-    /// What a daemon says of itself when it is met.
-    fn met(hello: &Handshake) -> PeerStatus {
-        let beat = Heartbeat {
-            term: hello.witness.term,
-            last_entry: hello.witness.last_entry,
-            ..Heartbeat::default()
-        };
-        PeerStatus { at: Instant::now(), name: hello.name.clone(), beat, leaderless: None }
-    }
-}
-
-/// Hosts that may have changed in the list.
-enum Touched {
-    All,
-    Hosts(BTreeSet<String>),
-}
-
-/// All that the driver knows.
-pub struct Table {
-    /// Who this daemon is, by its disk.
-    pub identity: NodeIdentity,
-    /// What is agreed.
-    pub state: ClusterState,
-    /// The last place of the log that was taken in.
-    pub applied: u64,
-    /// How things stand with the agreement.
-    pub status: StoreStatus,
-    /// Drains that are not agreed.
-    pub marks: PendingDrains,
-    /// What this daemon's own files say.
-    pub files: Files,
-    /// What a store of the old form said.
-    pub legacy: Vec<Change>,
-    /// Daemons that are no members and were met, with when.
-    pub candidates: BTreeMap<NodeId, (Handshake, Instant)>,
-    /// What others said of themselves while there was no fleet.
-    pub met: BTreeMap<SocketAddr, Handshake>,
-    /// Addresses at which a fleet's members are said to be.
-    pub told: BTreeMap<SocketAddr, String>,
-    /// What the fleet has learned of the hosts.
-    pub learned: GossipState,
-    /// What each of the others knows of that, by its last word.
-    pub digests: BTreeMap<NodeId, Vec<(NodeId, GossipVersion)>>,
-    /// The last word of each.
-    pub heard: BTreeMap<NodeId, PeerStatus>,
-    /// Members that have found nothing wrong with this daemon's disk.
-    pub welcomes: BTreeSet<NodeId>,
-    /// What operators want, with when it was last said.
-    pub wishes: BTreeMap<(String, MembershipRequest), Instant>,
-    /// An operator has said that a fleet is to be formed with whoever has answered.
-    pub word: bool,
-    /// This daemon was removed from its fleet.
-    pub removed: bool,
-    /// The disk failed.
-    pub broken: Option<String>,
-    /// Why there is no agreed configuration, or none to act on, since when.
-    pub stand: (String, Instant),
-    /// How this daemon's inventory file differs from the agreed one: added, changed, missing.
-    pub differs: Option<InventoryDifference>,
-    /// Frames that were out of form or from strangers.
-    pub dropped: u64,
-    /// Since when this daemon leads.
-    pub leads: Option<Instant>,
-}
-
-impl Table {
-    /// The name of a member; of another one its id.
-    pub fn name(&self, id: NodeId) -> String {
-        self.state.members.get(&id).map_or(format!("{id:016x}"), |m| m.name.clone())
-    }
-
-    /// Places of the log that this daemon has yet to take in, by what anybody said to be agreed.
-    pub fn lag(&self) -> u64 {
-        let told = self.heard.values().map(|h| h.beat.commit_index).chain([self.status.committed]).max();
-        told.unwrap_or(0).saturating_sub(self.applied)
-    }
-}
-
-/// The fleet as one of its daemons sees it.
+/// The fleet as one of its nodes sees it, and this node's part in it.
 pub struct Fleet {
-    /// Who this daemon is to the others.
-    pub me: Me,
+    local: LocalNode,
     /// The program's limits.
     pub limits: Rc<Limits>,
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
-    inputs: SyncSender<StoreCommand>,
-    table: RefCell<Table>,
-    ways: RefCell<BTreeMap<SocketAddr, Rc<PeerLink>>>,
-    /// Those who wait for what changes.
-    waiting: RefCell<Vec<Sender<()>>>,
-    /// Changes that were said here and wait for the log.
-    tokens: RefCell<BTreeMap<u64, Option<ApplyResult>>>,
-    next: Cell<u64>,
-    saved: Cell<u64>,
-    saving: Cell<u64>,
-    hints: (Sender<Vec<u8>>, Receiver<Vec<u8>>),
-    proposed: RefCell<BTreeMap<String, (u64, Instant)>>,
-    /// Closed when all connections are to be opened anew.
-    epoch: RefCell<(Sender<()>, Receiver<()>)>,
-    compared: Cell<(Timestamp, u64)>,
-    touched: RefCell<Touched>,
-    /// What lies on the disk of what was learned.
-    kept: RefCell<Kept>,
-    /// What groups have lost; the front looks at it.
+    /// The queue of the store's thread. Bounded: see [`Fleet::send_to_store`].
+    store: SyncSender<StoreCommand>,
+    changes: ChangeNotifier,
+    agreed: RefCell<AgreedState>,
+    own_files: RefCell<OwnFiles>,
+    proposals: RefCell<PendingProposals>,
+    drains: RefCell<DrainState>,
+    requests: RefCell<MembershipRequests>,
+    founding: RefCell<FoundingState>,
+    peers: RefCell<PeerDirectory>,
+    first_election: RefCell<FirstElection>,
+    gossip: RefCell<GossipExchange>,
+    engine_queues: EngineQueues,
+    /// Lost ranges of groups' logs. The SPARQL front reads them.
     pub breaks: Rc<RefCell<LogRollbacks>>,
-    /// In which order service returns; `None`: it has, or this daemon has no settings yet.
-    order: RefCell<Option<RecoverySchedule>>,
-    service: RefCell<RecoveryStatus>,
-    restarts: RefCell<RestartDetector>,
-    cold: Cell<Option<SlowStartPolicy>>,
-    told: (Sender<PeerObservation>, Receiver<PeerObservation>),
-    zoning: RefCell<ZoneState>,
-    /// Moves of zones that were proposed here a moment ago: by zone, its number and when.
-    moving: RefCell<BTreeMap<ZoneId, (u64, Instant)>>,
-    lead: RefCell<FirstElection>,
-}
-
-/// How far this daemon's service has returned.
-#[derive(Clone, Debug)]
-pub struct RecoveryStatus {
-    /// The step.
-    pub step: RecoveryPhase,
-    /// What is waited for.
-    pub waits: String,
-    /// Since when.
-    pub since: Instant,
-    /// When this daemon started.
-    pub began: Instant,
-    /// When all was as ever.
-    pub done: Option<Instant>,
-}
-
-impl RecoveryStatus {
-    fn new(waits: &str) -> RecoveryStatus {
-        let now = Instant::now();
-        RecoveryStatus { step: RecoveryPhase::List, waits: waits.into(), since: now, began: now, done: None }
-    }
-}
-
-/// What became of a change that an operator asked for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChangeOutcome {
-    /// It is agreed.
-    Agreed,
-    /// It holds here, and waits for a majority.
-    Here,
-    /// It does not hold: there was no majority in time.
-    Not,
+    recovery: RefCell<RecoveryProgress>,
+    zones: RefCell<ZoneControl>,
+    endpoint_changes: RefCell<EndpointChanges>,
 }
 
 impl Fleet {
-    /// The fleet, before anything is heard of the others.
+    /// The fleet by what the store held, before anything is heard from peers. `store` is the queue of the store's
+    /// thread.
     pub fn new(
-        me: Me,
+        local: LocalNode,
         limits: Rc<Limits>,
         clock: Clock,
         executor: Rc<LocalExecutor<'static>>,
         opened: OpenedStore,
-        inputs: SyncSender<StoreCommand>,
+        store: SyncSender<StoreCommand>,
     ) -> Rc<Fleet> {
-        let now = Instant::now();
-        let OpenedStore { identity, state, status, drains: marks, gossip: kept, legacy } = opened;
-        let mut marks = PendingDrains::new(marks);
-        let legacy = legacy.map_or(Vec::new(), |old| {
-            for host in &old.drains {
-                marks.request_drain(host, identity.id, clock.now());
-            }
-            old.changes(&me.name)
-        });
-        marks.remove_settled(&state);
-        let mut learned = GossipState::new(identity.id, clock.now().as_micros().max(0) as u64);
-        let mut breaks = LogRollbacks::default();
-        if let Some(saved) = kept.and_then(|bytes| codec::decode::<PersistedGossip>(&bytes)) {
-            for b in &saved.rollbacks {
-                breaks.record(*b);
-            }
-            match restored_age(&saved.written_at, &clocks(&clock)) {
-                RestoredAge::Usable(since) => {
-                    log::info!(
-                        "fleet: what was learned before is {} ms old; it is a first guess",
-                        since.as_millis()
-                    );
-                    learned.restore(clock.now(), &saved.records, since);
-                }
-                RestoredAge::Unusable(why) => log::warn!("fleet: what was learned before is not used: {why}"),
+        let OpenedStore { identity, state, status, drains, gossip: stored_gossip, legacy } = opened;
+        let mut drains = PendingDrains::new(drains);
+        let mut legacy_changes = Vec::new();
+        if let Some(legacy) = legacy {
+            // A store of version 0.2.0 holds drains by name alone: they become drains of this node.
+            for endpoint in &legacy.drains {
+                drains.request_drain(endpoint, identity.id, clock.now());
             }
+            legacy_changes = legacy.changes(&local.name);
         }
-        let table = Table {
-            learned,
-            digests: BTreeMap::new(),
-            applied: status.applied,
-            identity,
-            state,
-            status,
-            marks,
-            files: Files::default(),
-            legacy,
-            candidates: BTreeMap::new(),
-            met: BTreeMap::new(),
-            told: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            welcomes: BTreeSet::new(),
-            wishes: BTreeMap::new(),
-            word: false,
-            removed: false,
-            broken: None,
-            stand: ("starts".into(), now),
-            differs: None,
-            dropped: 0,
-            leads: None,
-        };
+        drains.remove_settled(&state);
+        let mut gossip = gossip::new_gossip_state(identity.id, &clock);
+        let mut log_rollbacks = LogRollbacks::default();
+        gossip::restore_gossip(stored_gossip, &clock, &mut gossip, &mut log_rollbacks);
         Rc::new(Fleet {
-            zoning: RefCell::new(ZoneState::new(me.leaving.clone())),
-            moving: RefCell::default(),
-            lead: RefCell::default(),
-            me,
+            changes: ChangeNotifier::default(),
+            agreed: RefCell::new(AgreedState::new(identity, state, status)),
+            own_files: RefCell::new(OwnFiles::new(legacy_changes)),
+            proposals: RefCell::new(PendingProposals::new(clock.now())),
+            drains: RefCell::new(DrainState::new(drains)),
+            requests: RefCell::new(MembershipRequests::new(limits.fleet_nodes)),
+            founding: RefCell::new(FoundingState::new()),
+            peers: RefCell::new(PeerDirectory::new(limits.fleet_nodes)),
+            first_election: RefCell::default(),
+            gossip: RefCell::new(GossipExchange::new(gossip)),
+            engine_queues: EngineQueues::new(),
+            breaks: Rc::new(RefCell::new(log_rollbacks)),
+            recovery: RefCell::new(RecoveryProgress::new()),
+            zones: RefCell::new(ZoneControl::new(local.leaving.clone())),
+            endpoint_changes: RefCell::new(EndpointChanges::All),
+            local,
             limits,
-            // A token of an earlier start must not answer a call of this one.
-            next: Cell::new(clock.now().as_micros().max(0) as u64),
             clock,
             executor,
-            inputs,
-            table: RefCell::new(table),
-            ways: RefCell::default(),
-            waiting: RefCell::default(),
-            tokens: RefCell::default(),
-            saved: Cell::new(0),
-            saving: Cell::new(0),
-            hints: async_channel::bounded(64),
-            proposed: RefCell::default(),
-            epoch: RefCell::new(async_channel::bounded(1)),
-            compared: Cell::default(),
-            touched: RefCell::new(Touched::All),
-            kept: RefCell::default(),
-            breaks: Rc::new(RefCell::new(breaks)),
-            order: RefCell::default(),
-            service: RefCell::new(RecoveryStatus::new(WAITING_FOR_LIST)),
-            restarts: RefCell::default(),
-            cold: Cell::default(),
-            told: async_channel::bounded(4096),
+            store,
         })
     }
 
-    /// Looks at what is known.
-    pub fn table(&self) -> Ref<'_, Table> {
-        self.table.borrow()
+    /// What this node is to its peers.
+    pub fn local(&self) -> &LocalNode {
+        &self.local
     }
 
-    /// The present.
+    /// The present, by this node's clock.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    fn change(&self) -> RefMut<'_, Table> {
-        self.table.borrow_mut()
+    /// What is committed, and this node's part in the consensus.
+    pub fn agreed(&self) -> Ref<'_, AgreedState> {
+        self.agreed.borrow()
     }
 
-    /// The ways to the others.
-    pub fn links(&self) -> Vec<Rc<PeerLink>> {
-        self.ways.borrow().values().cloned().collect()
+    /// The peers.
+    pub fn peers(&self) -> Ref<'_, PeerDirectory> {
+        self.peers.borrow()
     }
 
-    fn link_to(&self, id: NodeId) -> Option<Rc<PeerLink>> {
-        self.ways.borrow().values().find(|w| w.is_up() && w.peer_id() == id).cloned()
+    /// What is known of the endpoints.
+    pub fn gossip(&self) -> Ref<'_, GossipExchange> {
+        self.gossip.borrow()
     }
 
-    /// A wake-up at every change of what is known, from now on.
-    pub fn watch(&self) -> Receiver<()> {
-        let (wake, woken) = async_channel::bounded(1);
-        self.waiting.borrow_mut().push(wake);
-        woken
+    /// Drains that are not committed yet.
+    pub fn drains(&self) -> Ref<'_, DrainState> {
+        self.drains.borrow()
     }
 
-    fn notify_watchers(&self) {
-        // One that is full wakes its receiver as it is; one whose receiver is gone is forgotten.
-        self.waiting.borrow_mut().retain(|w| w.try_send(()).is_ok() || !w.is_closed());
+    /// This node's own files.
+    pub fn own_files(&self) -> Ref<'_, OwnFiles> {
+        self.own_files.borrow()
     }
 
-    /// Hands something to the agreement's thread; false: its queue is full, the disk is slow. Whoever still means
-    /// it says it again, and letters are lost as on any way.
-    fn send_to_store(&self, input: StoreCommand) -> bool {
-        let told = self.inputs.try_send(input).is_ok();
-        if !told {
-            log::debug!("store: the queue is full");
-        }
-        told
+    /// How this node comes into a fleet.
+    pub fn founding(&self) -> Ref<'_, FoundingState> {
+        self.founding.borrow()
     }
 
-    /// The agreed settings.
-    pub fn settings(&self) -> Option<String> {
-        self.table().state.settings.as_ref().map(|settings| settings.text.clone())
+    /// The committed settings.
+    pub fn committed_settings(&self) -> Option<String> {
+        self.agreed().state().settings.as_ref().map(|(_, text)| text.clone())
     }
 
-    /// Whether somebody leads, and all is taken in that anybody said to be agreed.
-    pub fn is_current(&self) -> bool {
-        let table = self.table();
-        let led = table.status.leader != NodeId::NOBODY && table.status.participating;
-        // The leader's own word: one that leads no more is not heard as the leader.
-        let leader = table.status.leader == table.identity.id
-            || table.heard.get(&table.status.leader).is_some_and(|h| h.beat.term == table.status.term);
-        table.removed || table.broken.is_some() || led && leader && table.lag() == 0
+    /// Receives a message after every change of what is known, from now on.
+    pub fn subscribe(&self) -> Receiver<()> {
+        self.changes.subscribe()
     }
 
-    fn broadcast(&self, frame: &PeerMessage) {
-        let bytes = frame.encode();
-        for way in self.links().iter().filter(|w| w.is_up()) {
-            way.send(&bytes);
+    /// Whether everything is applied here that any node has reported as committed, and the leader itself has confirmed
+    /// its term. Holds also for a node that takes no part any more: nothing new will come.
+    pub fn is_up_to_date(&self) -> bool {
+        let agreed = self.agreed();
+        if agreed.is_retired() {
+            return true;
+        }
+        let status = agreed.status();
+        if !agreed.has_leader() || !status.participating {
+            return false;
         }
+        // The leader's own heartbeat: a former leader reports a former term.
+        let peers = self.peers();
+        let leader_term = peers.status(status.leader).map(|leader| leader.heartbeat.term);
+        let is_confirmed = agreed.is_leader() || leader_term == Some(status.term);
+        is_confirmed && self.replication_lag() == 0
+    }
+
+    /// Log entries that are not applied here, of those that any node has reported as committed.
+    pub fn replication_lag(&self) -> u64 {
+        let agreed = self.agreed();
+        let highest = self.peers().highest_commit_index().max(Some(agreed.status().committed));
+        highest.unwrap_or(0).saturating_sub(agreed.applied_index())
     }
 
+    /// This node's handshake.
     fn own_handshake(&self) -> Handshake {
-        let table = self.table();
+        let agreed = self.agreed();
         Handshake {
-            fleet: table.state.fleet,
-            id: table.identity.id,
-            name: self.me.name.clone(),
-            address: self.me.address,
-            witness: table.status.own_progress,
+            fleet: agreed.state().fleet,
+            id: agreed.local_id(),
+            name: self.local.name.clone(),
+            address: self.local.address,
+            witness: agreed.status().own_progress,
         }
     }
 
+    /// This node's heartbeat.
     fn own_heartbeat(&self) -> PeerMessage {
-        let table = self.table();
+        let agreed = self.agreed();
+        let status = agreed.status();
         PeerMessage::Heartbeat(Heartbeat {
-            leader: table.status.leader,
-            term: table.status.term,
-            last_entry: table.status.own_progress.last_entry,
-            participates: table.status.participating,
-            commit_index: table.status.committed,
-            applied: AppliedPosition { index: table.applied, digest: table.state.digest },
-            pending_drains_digest: table.marks.digest(),
-            reachable_peers: self.recently_heard_peers(&table),
-            recovering: self.returns(),
+            leader: status.leader,
+            term: status.term,
+            last_entry: status.own_progress.last_entry,
+            participates: status.participating,
+            commit_index: status.committed,
+            applied: AppliedPosition { index: agreed.applied_index(), digest: agreed.state().digest },
+            pending_drains_digest: self.drains().pending().digest(),
+            reachable_peers: self.recently_heard_peers(),
+            recovering: self.is_recovering(),
         })
     }
 
-    /// Daemons that were heard within the last moment.
-    fn recently_heard_peers(&self, table: &Table) -> Vec<NodeId> {
-        let recent = |h: &&PeerStatus| h.at.elapsed() < self.limits.heartbeat_interval * 3;
-        let all = table.heard.iter().filter(|(_, h)| recent(h)).map(|(id, _)| *id);
-        all.take(self.limits.fleet_nodes).collect()
+    /// Peers from which a message arrived recently.
+    fn recently_heard_peers(&self) -> Vec<NodeId> {
+        let age = self.limits.heartbeat_interval * REACHABLE_HEARTBEATS;
+        self.peers().heard_within(age, self.limits.fleet_nodes)
+    }
+
+    /// Hands a command to the store's thread; returns whether it was queued. The queue is full where the disk is slow:
+    /// callers repeat what they still need, and messages of the consensus may be lost as on any connection.
+    fn send_to_store(&self, command: StoreCommand) -> bool {
+        let is_queued = self.store.try_send(command).is_ok();
+        if !is_queued {
+            log::debug!("store: queue full, command dropped");
+        }
+        is_queued
+    }
+
+    /// Sends a message to all peers.
+    fn broadcast(&self, message: &PeerMessage) {
+        let bytes = message.encode();
+        for link in self.peers().links().filter(|link| link.is_up()) {
+            link.send(&bytes);
+        }
+    }
+
+    /// The link to a node, if messages can be sent on it.
+    fn link_to(&self, id: NodeId) -> Option<Rc<PeerLink>> {
+        self.peers().link_to(id)
+    }
+
+    /// Has all connections opened again, in both directions: this node's handshake has changed.
+    fn reconnect_all(&self) {
+        self.peers.borrow_mut().reconnect_all();
     }
 }
 
--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -1,52 +1,122 @@
-//! How a daemon goes on alone on an operator's word.
+//! Recovery without a majority: on an operator's order one node goes on alone, as a new fleet.
+//!
+//! Where most voters are lost for good the program does not decide by itself. The new fleet names the one that it
+//! supersedes; nodes that are still of that one and know no leader give up their identity and join.
 
-use super::*;
+use super::Fleet;
+use crate::store::state_machine::Member;
+use crate::store::store_thread::StoreCommand;
+use std::fmt;
+
+/// What an operator has to know before the order: what would be lost.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecoveryPlan {
+    /// The last log index that this node has applied.
+    applied_index: u64,
+    others: Vec<OtherMember>,
+}
+
+/// What another member has that this node may lack.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct OtherMember {
+    name: String,
+    data: MemberData,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum MemberData {
+    /// It has this many committed changes that this node lacks.
+    Newer {
+        changes: u64,
+    },
+    NotNewer,
+    /// It was not heard within [`crate::config::Limits::peer_gone_timeout`].
+    Unknown,
+}
+
+impl fmt::Display for RecoveryPlan {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        writeln!(
+            f,
+            "this daemon goes on alone from what was agreed up to {}, as a new fleet; the others come over",
+            self.applied_index
+        )?;
+        for OtherMember { name, data } in &self.others {
+            match data {
+                MemberData::Newer { changes } => {
+                    writeln!(f, "{name} has more: {changes} changes would be lost; recover there instead")?;
+                }
+                MemberData::NotNewer => writeln!(f, "{name} has no more than this daemon")?,
+                MemberData::Unknown => writeln!(
+                    f,
+                    "{name} is not heard: whatever it alone has would be lost, but for its drains"
+                )?,
+            }
+        }
+        Ok(())
+    }
+}
+
+/// Why this node must not go on alone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RecoveryError {
+    /// This node has no fleet, was removed from it, or its storage failed.
+    #[error("there is nothing here to go on from")]
+    NothingToRecover,
+    /// A leader is known.
+    #[error("a majority is there: nothing has to be recovered")]
+    MajorityPresent,
+    /// The queue of the store's thread is full.
+    #[error("nothing was done: the disk is slow; say it again")]
+    StoreBusy,
+}
 
 impl Fleet {
-    /// What an operator has to know before this daemon goes on alone from what it has; an error: it must not.
-    pub fn recovery_preview(&self) -> Result<String, String> {
-        let table = self.table();
-        if table.state.fleet.is_none() || table.removed || table.broken.is_some() {
-            return Err("there is nothing here to go on from".into());
+    /// What going on alone would mean.
+    ///
+    /// # Errors
+    ///
+    /// [`RecoveryError`] where this node must not do it.
+    pub fn plan_recovery(&self) -> Result<RecoveryPlan, RecoveryError> {
+        let agreed = self.agreed();
+        if !agreed.has_fleet() || agreed.is_retired() {
+            return Err(RecoveryError::NothingToRecover);
         }
-        if table.status.leader != NodeId::NOBODY {
-            return Err("a majority is there: nothing has to be recovered".into());
+        if agreed.has_leader() {
+            return Err(RecoveryError::MajorityPresent);
         }
-        let (last, me) = (table.applied, table.identity.id);
-        let mut text = format!(
-            "this daemon goes on alone from what was agreed up to {last}, as a new fleet; the others come over\n"
-        );
-        for (id, member) in table.state.members.iter().filter(|(id, _)| **id != me) {
-            let heard = table.heard.get(id).filter(|h| h.at.elapsed() < self.limits.peer_gone_timeout);
-            text += &match heard {
-                Some(h) if h.beat.commit_index > last => {
-                    format!(
-                        "{} has more: {} changes would be lost; recover there instead\n",
-                        member.name,
-                        h.beat.commit_index - last
-                    )
-                }
-                Some(_) => format!("{} has no more than this daemon\n", member.name),
-                None => format!(
-                    "{} is not heard: whatever it alone has would be lost, but for its drains\n",
-                    member.name
-                ),
+        let applied_index = agreed.applied_index();
+        let peers = self.peers();
+        let mut others = Vec::new();
+        for (id, member) in agreed.state().members.iter().filter(|(id, _)| **id != agreed.local_id()) {
+            let status = peers.status(*id);
+            let heard = status.filter(|status| status.last_heard.elapsed() < self.limits.peer_gone_timeout);
+            let data = match heard.map(|status| status.heartbeat.commit_index) {
+                Some(index) if index > applied_index => MemberData::Newer { changes: index - applied_index },
+                Some(_) => MemberData::NotNewer,
+                None => MemberData::Unknown,
             };
+            others.push(OtherMember { name: member.name.clone(), data });
         }
-        Ok(text)
+        Ok(RecoveryPlan { applied_index, others })
     }
 
-    /// An operator's word: this daemon goes on alone from what it has, and the others come over.
-    pub fn recover(&self) -> Result<String, String> {
-        let text = self.recovery_preview()?;
-        log::warn!("fleet: an operator has this daemon go on alone: {}", text.replace('\n', "; "));
-        let table = self.table();
-        let member = Member { name: self.me.name.clone(), address: self.me.address };
-        let state = table.state.force_new_fleet(FleetId::random(), table.identity.id, member);
+    /// Goes on alone from what is applied here, as a new fleet, on an operator's order. Returns what that means.
+    ///
+    /// # Errors
+    ///
+    /// [`RecoveryError`] where this node must not do it, or could not.
+    pub fn recover_on_order(&self) -> Result<RecoveryPlan, RecoveryError> {
+        let plan = self.plan_recovery()?;
+        let summary = plan.to_string().replace('\n', "; ");
+        log::warn!("fleet: recovery without a majority, on an operator's order: {summary}");
+        let agreed = self.agreed();
+        let member = Member { name: self.local.name.clone(), address: self.local.address };
+        let state = agreed.state().force_new_fleet(FleetId::random(), agreed.local_id(), member);
         if self.send_to_store(StoreCommand::ForceNewFleet(Box::new(state))) {
-            Ok(text)
+            Ok(plan)
         } else {
-            Err("nothing was done: the disk is slow; say it again".into())
+            Err(RecoveryError::StoreBusy)
         }
     }
 }
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -1,145 +1,259 @@
-//! How service returns.
+//! How service returns after a start: which phase this node has reached, by what the fleet knows; and the same for
+//! endpoints of a group that have all started a moment ago.
 
-use super::*;
+use super::Fleet;
+use crate::engine::PollParticipants;
+use crate::engine::admission::AdmissionPolicy;
+use crate::fleet::recovery::phases::{
+    EndpointView, RecoveryDecision, RecoveryPhase, RecoverySchedule, RecoveryView, WAITING_FOR_LIST,
+};
+use crate::fleet::recovery::restart_detector::{KnownEndpoint, RestartDetector, RestartReport};
+use crate::fleet::recovery::slow_start::SlowStartPolicy;
+use crate::store::records::HostRecord;
+use crate::time::Timestamp;
+use std::collections::BTreeMap;
+use std::time::Instant;
 
-impl Fleet {
-    /// Whether service has yet to return in full.
-    pub fn returns(&self) -> bool {
-        self.service.borrow().done.is_none()
+/// How far this node's service has returned.
+#[derive(Clone, Debug)]
+pub struct RecoveryStatus {
+    /// The phase.
+    pub step: RecoveryPhase,
+    /// What it waits for; empty for nothing.
+    pub waits_for: String,
+    /// Since when it has been in that phase.
+    pub since: Instant,
+    /// When the recovery started.
+    pub started_at: Instant,
+    /// When it was complete.
+    pub done_at: Option<Instant>,
+}
+
+impl RecoveryStatus {
+    fn starting(waits_for: &str) -> RecoveryStatus {
+        let now = Instant::now();
+        RecoveryStatus {
+            step: RecoveryPhase::List,
+            waits_for: waits_for.into(),
+            since: now,
+            started_at: now,
+            done_at: None,
+        }
     }
 
-    /// How far it has.
-    pub fn service(&self) -> RecoveryStatus {
-        self.service.borrow().clone()
+    /// Takes over a decision, and logs a change of the phase.
+    fn update(&mut self, decision: &RecoveryDecision) {
+        if self.step == decision.phase && self.waits_for == decision.waiting_for {
+            return;
+        }
+        let now = Instant::now();
+        if self.step != decision.phase {
+            self.log_phase_change(decision, now);
+            self.since = now;
+        }
+        self.step = decision.phase;
+        self.waits_for = decision.waiting_for.clone();
+        if decision.phase == RecoveryPhase::Done {
+            self.done_at = Some(now);
+        }
     }
 
-    /// The settings are there: service can return by them.
-    pub fn returns_by(&self, cold: SlowStartPolicy) {
-        self.cold.set(Some(cold));
-        *self.order.borrow_mut() = Some(RecoverySchedule::new(cold));
+    /// Logs the new phase, and those that were passed at once because of what peers had observed.
+    fn log_phase_change(&self, decision: &RecoveryDecision, now: Instant) {
+        let elapsed = (now - self.started_at).as_millis();
+        for passed in [RecoveryPhase::Writes, RecoveryPhase::Reads, RecoveryPhase::Rest] {
+            if self.step < passed && passed < decision.phase {
+                log::info!("recovery: phase {passed}: {elapsed} ms after the start, waiting for nothing");
+            }
+        }
+        let waits_for = if decision.waiting_for.is_empty() { "nothing" } else { &decision.waiting_for };
+        log::info!(
+            "recovery: phase {}: {elapsed} ms after the start, waiting for {waits_for}",
+            decision.phase
+        );
     }
+}
 
-    /// What holds now while service returns; `listed`: the core has the list. Once it has returned there are no terms
-    /// and no turns.
-    pub fn return_on(&self, listed: bool) -> (Option<AdmissionPolicy>, Option<PollParticipants>) {
-        let now = self.clock.now();
-        let mut order = self.order.borrow_mut();
-        let Some(own) = order.as_mut() else { return (None, None) };
-        let stand = own.advance(&self.recovery_inputs(now, listed));
-        let turns = stand.share_polling.then(|| self.poll_participants());
-        let terms = stand.admission.clone();
-        if stand.phase == RecoveryPhase::Done {
-            *order = None;
+/// What the engine may do while service returns.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RecoveryRules {
+    /// Which requests are admitted; `None`: all.
+    pub admission: Option<AdmissionPolicy>,
+    /// The peers with which this node takes turns in polling; `None`: it polls all endpoints by itself.
+    pub poll_participants: Option<PollParticipants>,
+}
+
+/// This node's recovery.
+pub(super) struct RecoveryProgress {
+    /// `None` before the settings are known, and once service has returned.
+    schedule: Option<RecoverySchedule>,
+    status: RecoveryStatus,
+    restarts: RestartDetector,
+    /// `None` before the settings are known.
+    slow_start: Option<SlowStartPolicy>,
+}
+
+impl RecoveryProgress {
+    /// The state at the start.
+    pub(super) fn new() -> RecoveryProgress {
+        RecoveryProgress {
+            schedule: None,
+            status: RecoveryStatus::starting(WAITING_FOR_LIST),
+            restarts: RestartDetector::default(),
+            slow_start: None,
         }
-        drop(order);
-        self.record_recovery_status(&stand);
-        (terms, turns)
     }
 
-    pub(super) fn record_recovery_status(&self, stand: &RecoveryDecision) {
-        let mut service = self.service.borrow_mut();
-        let now = Instant::now();
-        if (service.step, &service.waits) == (stand.phase, &stand.waiting_for) {
-            return;
+    /// How endpoints behave after their start, once the settings are known.
+    pub(super) fn slow_start(&self) -> Option<SlowStartPolicy> {
+        self.slow_start
+    }
+
+    /// The start of an endpoint that the engine was told of.
+    pub(super) fn reported_start(&self, endpoint: &str) -> Option<Timestamp> {
+        self.restarts.reported_start(endpoint)
+    }
+
+    fn start_schedule(&mut self, slow_start: SlowStartPolicy) {
+        self.slow_start = Some(slow_start);
+        self.schedule = Some(RecoverySchedule::new(slow_start));
+    }
+}
+
+impl Fleet {
+    /// Whether service has not returned in full yet.
+    pub fn is_recovering(&self) -> bool {
+        self.recovery.borrow().status.done_at.is_none()
+    }
+
+    /// How far service has returned.
+    pub fn recovery_status(&self) -> RecoveryStatus {
+        self.recovery.borrow().status.clone()
+    }
+
+    /// The settings are known: service can return by them.
+    pub fn start_recovery(&self, slow_start: SlowStartPolicy) {
+        self.recovery.borrow_mut().start_schedule(slow_start);
+    }
+
+    /// What the engine may do now. `has_list`: the engine has the endpoint list.
+    pub fn advance_recovery(&self, has_list: bool) -> RecoveryRules {
+        if self.recovery.borrow().schedule.is_none() {
+            return RecoveryRules::default();
+        }
+        let view = self.recovery_view(has_list);
+        let mut recovery = self.recovery.borrow_mut();
+        let Some(schedule) = recovery.schedule.as_mut() else { return RecoveryRules::default() };
+        let decision = schedule.advance(&view);
+        if decision.phase == RecoveryPhase::Done {
+            recovery.schedule = None;
         }
-        let since = (now - service.began).as_millis();
-        if service.step != stand.phase {
-            let waits = if stand.waiting_for.is_empty() { "nothing" } else { &stand.waiting_for };
-            // Steps that others' words have made short are told too.
-            let passed = [RecoveryPhase::Writes, RecoveryPhase::Reads, RecoveryPhase::Rest].into_iter();
-            for step in passed.filter(|step| (service.step < *step) && (*step < stand.phase)) {
-                log::info!("recovery: step {step}, {since} ms after the start; waits for nothing");
+        recovery.status.update(&decision);
+        drop(recovery);
+        let poll_participants = decision.share_polling.then(|| self.poll_participants());
+        RecoveryRules { admission: decision.admission, poll_participants }
+    }
+
+    /// Members that recover as well and are heard: endpoints are polled in turn with them.
+    fn poll_participants(&self) -> PollParticipants {
+        let (agreed, peers) = (self.agreed(), self.peers());
+        let mut recovering = self.recently_heard_peers();
+        recovering.retain(|id| {
+            let is_recovering = peers.status(*id).is_some_and(|status| status.heartbeat.recovering);
+            is_recovering && agreed.is_member(*id)
+        });
+        PollParticipants { local: agreed.local_id(), peers: recovering }
+    }
+
+    /// What the phase depends on.
+    fn recovery_view(&self, has_list: bool) -> RecoveryView {
+        let now = self.clock.now();
+        let agreed = self.agreed();
+        let heard = self.recently_heard_peers();
+        let heard_members = heard.iter().filter(|id| agreed.is_member(**id)).count();
+        let mut endpoints = Vec::new();
+        if has_list {
+            for (name, record) in &agreed.state().hosts {
+                endpoints.extend(self.endpoint_view(now, name, record));
             }
-            log::info!("recovery: step {}, {since} ms after the start; waits for {waits}", stand.phase);
-            service.since = now;
         }
-        (service.step, service.waits) = (stand.phase, stand.waiting_for.clone());
-        if stand.phase == RecoveryPhase::Done {
-            service.done = Some(now);
+        RecoveryView {
+            now,
+            list_received: has_list,
+            member_count: agreed.state().members.len().max(1),
+            reachable_count: heard_members + 1,
+            endpoints,
         }
     }
 
-    /// Others that return as well and are heard: hosts are asked in turn with them.
-    pub(super) fn poll_participants(&self) -> PollParticipants {
-        let table = self.table();
-        let hears = self.recently_heard_peers(&table);
-        let returns = |id: &NodeId| table.heard.get(id).is_some_and(|h| h.beat.recovering);
-        let others = hears.into_iter().filter(returns).filter(|id| table.state.members.contains_key(id));
-        PollParticipants { local: table.identity.id, peers: others.collect() }
+    /// What is known of an endpoint; `None` where it is drained.
+    fn endpoint_view(&self, now: Timestamp, name: &str, record: &HostRecord) -> Option<EndpointView> {
+        let is_drained = self.agreed().state().is_drained(name) || self.drains().pending().is_draining(name);
+        if record.draining || is_drained {
+            return None;
+        }
+        let summary = self.gossip().state().endpoint_summary(now, name);
+        let started_at = summary.started_at.max(record.started_at);
+        Some(EndpointView {
+            group: record.group,
+            is_primary: summary.is_primary,
+            primary_claims: summary.primary_claims,
+            position_known: summary.position_known,
+            age: started_at.map(|started_at| now - started_at),
+            warm_capacity_rps: summary.warm_capacity_rps,
+            utilization_reported: summary.utilization_reported,
+            current_rate_rps: summary.current_rate_rps,
+        })
     }
 
-    pub(super) fn recovery_inputs(
+    /// Detects which of these endpoints have started a moment ago. The engine is told, and spares them; but where no
+    /// endpoint of a group is warm, service returns to the group by phases, at the rate that its endpoints bear.
+    pub(super) fn detect_restarts<'a>(&self, now: Timestamp, endpoints: impl Iterator<Item = &'a String>) {
+        let Some(slow_start) = self.recovery.borrow().slow_start else { return };
+        let report = self.report_restarts(now, slow_start, endpoints);
+        if report.group_is_cold && !self.is_recovering() {
+            log::warn!(
+                "recovery: all endpoints of a group have just started; service returns to it by phases"
+            );
+            let mut recovery = self.recovery.borrow_mut();
+            recovery.start_schedule(slow_start);
+            recovery.status = RecoveryStatus::starting("");
+        }
+        if !report.slow_starting.is_empty() {
+            log::info!("fleet: endpoints that have just started: {}", report.slow_starting.join(", "));
+            self.mark_endpoints_changed(report.slow_starting);
+            self.changes.notify();
+        }
+    }
+
+    fn report_restarts<'a>(
         &self,
         now: Timestamp,
-        listed: bool,
-    ) -> crate::fleet::recovery::phases::RecoveryView {
-        let table = self.table();
-        let members = table.state.members.len().max(1);
-        let heard = self
-            .recently_heard_peers(&table)
-            .iter()
-            .filter(|id| table.state.members.contains_key(id))
-            .count()
-            + 1;
-        let seen = |(name, host): (&String, &HostRecord)| {
-            let drained = host.draining || table.state.is_drained(name) || table.marks.is_draining(name);
-            let moment = table.learned.endpoint_summary(now, name);
-            let started = moment.started_at.max(host.started_at);
-            (!drained).then(|| EndpointView {
-                group: host.group,
-                is_primary: moment.is_primary,
-                primary_claims: moment.primary_claims,
-                position_known: moment.position_known,
-                age: started.map(|at| now - at),
-                warm_capacity_rps: moment.warm_capacity_rps,
-                utilization_reported: moment.utilization_reported,
-                current_rate_rps: moment.current_rate_rps,
-            })
-        };
-        let hosts = if listed { table.state.hosts.iter().filter_map(seen).collect() } else { Vec::new() };
-        crate::fleet::recovery::phases::RecoveryView {
-            now,
-            list_received: listed,
-            member_count: members,
-            reachable_count: heard,
-            endpoints: hosts,
-        }
-    }
-
-    /// Notes which of these hosts have started a moment ago. The module is told, and spares them; but where no host of
-    /// a group is warm, service returns to it in order and at the pace of what they bore before.
-    pub(super) fn detect_restarts<'a>(&self, now: Timestamp, hosts: impl Iterator<Item = &'a String>) {
-        let Some(cold) = self.cold.get() else { return };
-        let news = {
-            let table = self.table();
-            let mut restarts = self.restarts.borrow_mut();
-            let is_cold = |host: &&String| {
-                table.learned.started_at(host).is_some_and(|started| now - started < cold.warm_up)
-            };
-            let hosts: Vec<String> = hosts.filter(is_cold).cloned().collect();
-            if hosts.is_empty() && !restarts.has_undecided() {
-                return;
+        slow_start: SlowStartPolicy,
+        endpoints: impl Iterator<Item = &'a String>,
+    ) -> RestartReport {
+        let (agreed, gossip) = (self.agreed(), self.gossip());
+        let state = gossip.state();
+        let mut cold: Vec<String> = Vec::new();
+        for endpoint in endpoints {
+            if state.started_at(endpoint).is_some_and(|started_at| now - started_at < slow_start.warm_up) {
+                cold.push(endpoint.clone());
             }
-            let known = |(name, host): (&'_ String, &HostRecord)| KnownEndpoint {
-                group: host.group,
-                listed_start: host.started_at,
-                observed_start: table.learned.started_at(name),
-                last_heard: table.learned.last_heard(name),
-            };
-            let all = table.state.hosts.iter().map(|h| (h.0.as_str(), known(h))).collect();
-            restarts.record(now, cold, hosts.into_iter(), &all)
-        };
-        if news.group_is_cold && !self.returns() {
-            log::warn!(
-                "recovery: a group's hosts have all started a moment ago; service returns to it in order"
-            );
-            self.returns_by(cold);
-            *self.service.borrow_mut() = RecoveryStatus::new("");
         }
-        if !news.slow_starting.is_empty() {
-            log::info!("fleet: started a moment ago, and cold: {}", news.slow_starting.join(", "));
-            self.mark_endpoints_changed(news.slow_starting);
-            self.notify_watchers();
+        let restarts = &mut self.recovery.borrow_mut().restarts;
+        if cold.is_empty() && !restarts.has_undecided() {
+            return RestartReport::default();
+        }
+        let mut known: BTreeMap<&str, KnownEndpoint> = BTreeMap::new();
+        for (name, record) in &agreed.state().hosts {
+            let endpoint = KnownEndpoint {
+                group: record.group,
+                listed_start: record.started_at,
+                observed_start: state.started_at(name),
+                last_heard: state.last_heard(name),
+            };
+            known.insert(name, endpoint);
         }
+        restarts.record(now, slow_start, cold.into_iter(), &known)
     }
 }
--- a/src/fleet/runtime/store_events.rs
+++ b/src/fleet/runtime/store_events.rs
@@ -1,180 +1,139 @@
-//! What the agreement's thread says.
+//! Events of the store's thread: messages to send, committed entries to apply, and the state of consensus and
+//! storage.
 
-use super::*;
+use super::Fleet;
+use super::agreed_state::AppliedEffect;
+use super::gossip::new_gossip_state;
+use crate::fleet::message::PeerMessage;
+use crate::ids::NodeId;
+use crate::store::raft_message::RaftMessage;
+use crate::store::raft_node::AppliedEntry;
+use crate::store::state_machine::{Change, Proposal};
+use crate::store::storage::NodeIdentity;
+use crate::store::store_thread::{StoreCommand, StoreEvent, StoreStatus};
+use async_channel::Receiver;
+use std::collections::BTreeMap;
 
 impl Fleet {
-    /// Takes in what the agreement's thread says, for ever; comes back with why when it has failed.
-    pub async fn hear_store(&self, outputs: &Receiver<StoreEvent>) {
-        while let Ok(output) = outputs.recv().await {
-            match output {
-                StoreEvent::RaftMessages(letters) => self.send_raft_messages(letters),
-                StoreEvent::Applied(applied) => self.apply(applied),
-                StoreEvent::Status(status) => {
-                    let mut table = self.change();
-                    if table.status.leader != status.leader || table.status.term != status.term {
-                        let name =
-                            |id| table.state.members.get(&id).map_or("nobody".into(), |m| m.name.clone());
-                        log::info!("fleet: term {}, {} leads", status.term, name(status.leader));
-                    }
-                    let leads = status.leader == table.identity.id;
-                    table.leads = table.leads.filter(|_| leads).or(leads.then(Instant::now));
-                    let word = |s: &StoreStatus| (s.leader, s.term, s.participating);
-                    let turned = word(&table.status) != word(&status);
-                    table.status = *status;
-                    drop(table);
-                    if turned {
-                        // Whoever returns waits for the leader's own word, or stands once all can hear it.
-                        self.broadcast(&self.own_heartbeat());
-                    }
-                    self.notify_watchers();
-                }
-                StoreEvent::DrainsPersisted(version) => {
-                    self.saved.set(self.saved.get().max(version));
-                    self.notify_watchers();
-                }
-                StoreEvent::IdentityReset(identity) => {
-                    log::warn!("fleet: this daemon begins anew, as {:016x}", identity.id);
-                    let mut table = self.change();
-                    table.learned = GossipState::new(identity.id, self.clock.now().as_micros().max(0) as u64);
-                    table.identity = identity;
-                    table.welcomes.clear();
-                    // What was agreed goes on to be served until the fleet has told it again.
-                    table.state.fleet = FleetId::NONE;
-                    table.removed = false;
-                    drop(table);
-                    self.saving.set(0);
-                    self.persist_pending_drains();
-                    self.reconnect_all();
-                }
-                StoreEvent::StorageFailed(why) => {
-                    log::error!(
-                        "store: {why}; this daemon agrees to nothing any more, and serves with what it has"
-                    );
-                    self.change().broken = Some(why);
-                    self.notify_watchers();
-                }
-            }
+    /// Handles the events of the store's thread until that has ended.
+    pub async fn handle_store_events(&self, events: &Receiver<StoreEvent>) {
+        while let Ok(event) = events.recv().await {
+            self.handle_store_event(event);
         }
     }
 
-    pub(super) fn send_raft_messages(&self, letters: Vec<RaftMessage>) {
-        let mut by: BTreeMap<NodeId, Vec<RaftMessage>> = BTreeMap::new();
-        letters.into_iter().for_each(|l| by.entry(l.to).or_default().push(l));
-        for (to, letters) in by {
-            let whole = letters.iter().any(RaftMessage::carries_state);
-            let sent =
-                self.link_to(to).is_some_and(|way| way.send(&PeerMessage::RaftMessages(letters).encode()));
-            if whole {
-                let delivery = if sent { SnapshotDelivery::Sent } else { SnapshotDelivery::Failed };
-                self.send_to_store(StoreCommand::SnapshotSent { to, delivery });
+    fn handle_store_event(&self, event: StoreEvent) {
+        match event {
+            StoreEvent::RaftMessages(messages) => self.send_raft_messages(messages),
+            StoreEvent::Applied(entries) => self.apply(entries),
+            StoreEvent::Status(status) => self.update_status(*status),
+            StoreEvent::DrainsPersisted(version) => {
+                self.drains.borrow_mut().record_persisted(version);
+                self.changes.notify();
+            }
+            StoreEvent::IdentityReset(identity) => self.renew_identity(identity),
+            StoreEvent::StorageFailed(reason) => {
+                log::error!(
+                    "store: {reason}; this node participates in the consensus no more, and serves with what it has"
+                );
+                self.agreed.borrow_mut().record_storage_failure(reason.to_string());
+                self.changes.notify();
             }
         }
     }
 
-    pub(super) fn apply(&self, applied: Vec<AppliedEntry>) {
-        let mut table = self.change();
-        let (fleet, me) = (table.state.fleet, table.identity.id);
-        for one in applied {
-            match one.content {
-                AppliedContent::Snapshot(state) => {
-                    table.state = *state;
-                    *self.touched.borrow_mut() = Touched::All;
-                }
-                AppliedContent::Change(Proposal { from, token, change }) => {
-                    self.mark_endpoints_changed(named(&change));
-                    let effect = table.state.apply(one.index, &change);
-                    log::debug!(
-                        "fleet: agreed {} {:08x}: {}",
-                        one.index,
-                        one.digest,
-                        describe(&change, effect)
-                    );
-                    if from == me
-                        && let Some(waits) = self.tokens.borrow_mut().get_mut(&token)
-                    {
-                        *waits = Some(effect);
-                    }
-                }
-                AppliedContent::Membership(change) => {
-                    table.state.apply_membership(&change);
-                    if !change.steps.is_empty() {
-                        log::info!("fleet: members: {:?}", change.steps);
-                    }
-                }
-                AppliedContent::Empty => {}
+    /// Sends the messages of the consensus. What does not fit is dropped: the consensus repeats what it needs, but has
+    /// to be told what became of a snapshot.
+    fn send_raft_messages(&self, messages: Vec<RaftMessage>) {
+        let mut by_receiver: BTreeMap<NodeId, Vec<RaftMessage>> = BTreeMap::new();
+        for message in messages {
+            by_receiver.entry(message.to).or_default().push(message);
+        }
+        for (receiver, messages) in by_receiver {
+            let has_snapshot = messages.iter().any(RaftMessage::carries_state);
+            let is_sent = match self.link_to(receiver) {
+                Some(link) => link.send(&PeerMessage::RaftMessages(messages).encode()),
+                None => false,
+            };
+            if has_snapshot {
+                self.send_to_store(StoreCommand::SnapshotSent(receiver, is_sent));
             }
-            table.applied = one.index;
-            table.state.digest = one.digest;
         }
-        let joined = table.state.fleet != fleet;
-        if joined {
-            log::info!("fleet: {} is of fleet {:032x}", self.me.name, table.state.fleet);
-            table.met.clear();
-            table.told.clear();
+    }
+
+    /// Takes over the state of the consensus. Peers are told at once where leader, term or participation has changed:
+    /// one that starts waits for the leader's own heartbeat, or starts an election once all can be reached.
+    fn update_status(&self, status: StoreStatus) {
+        let has_changed = self.agreed.borrow_mut().update_status(status);
+        if has_changed {
+            self.broadcast(&self.own_heartbeat());
         }
-        let is_member = table.state.members.contains_key(&me);
-        if !table.state.fleet.is_none()
-            && table.state.removed.contains_key(&me)
-            && !is_member
-            && !table.removed
-        {
-            table.removed = true;
+        self.changes.notify();
+    }
+
+    /// The store has given this node a new identity: it joins the fleet as a new node.
+    fn renew_identity(&self, identity: NodeIdentity) {
+        log::warn!("fleet: this node has a new identity, {:016x}", identity.id);
+        self.gossip.borrow_mut().replace_state(new_gossip_state(identity.id, &self.clock));
+        self.agreed.borrow_mut().renew_identity(identity);
+        self.peers.borrow_mut().clear_acceptances();
+        self.drains.borrow_mut().storage_replaced();
+        self.persist_pending_drains();
+        self.reconnect_all();
+    }
+
+    /// Applies committed entries, and does what follows from the new state.
+    fn apply(&self, entries: Vec<AppliedEntry>) {
+        let fleet_before = self.agreed().state().fleet;
+        for entry in entries {
+            self.apply_entry(entry);
+        }
+        let fleet = self.agreed().state().fleet;
+        let has_joined = fleet != fleet_before;
+        if has_joined {
+            log::info!("fleet: {} belongs to fleet {fleet:032x}", self.local.name);
+            self.founding.borrow_mut().clear();
+        }
+        if self.agreed().is_newly_removed() {
+            self.agreed.borrow_mut().mark_removed();
             log::warn!(
-                "fleet: this daemon was removed; it serves with what it last knew and agrees to nothing"
+                "fleet: this node was removed; it serves with what it last knew and participates no more"
             );
         }
-        let Table { marks, state, .. } = &mut *table;
-        let settled = marks.remove_settled(state);
-        self.mark_endpoints_changed(settled.iter().map(|pending| pending.host.clone()));
-        let settled = !settled.is_empty();
-        drop(table);
-        if settled {
-            self.persist_pending_drains();
-        }
-        if joined {
+        self.remove_settled_drains();
+        if has_joined {
             self.reconnect_all();
         }
         self.apply_zone_weights(self.clock.now());
         self.compare_own_inventory();
-        self.notify_watchers();
+        self.changes.notify();
         self.propose_own_files();
     }
 
-    /// All connections are opened anew, both ways: what was said at their beginning has changed.
-    pub(super) fn reconnect_all(&self) {
-        self.links().iter().for_each(|w| w.reconnect());
-        let (before, _) = self.epoch.replace(async_channel::bounded(1));
-        before.close();
-    }
-}
-
-/// Hosts that a change may change in the list.
-fn named(change: &Change) -> Vec<String> {
-    match change {
-        Change::Drain { host, .. } | Change::Undrain { host, .. } => vec![host.clone()],
-        Change::Inventory { upserts: set, removals: gone, .. } => {
-            set.iter().map(|(n, _)| n).chain(gone).cloned().collect()
+    fn apply_entry(&self, entry: AppliedEntry) {
+        let effect = self.agreed.borrow_mut().apply(entry);
+        match effect {
+            AppliedEffect::StateReplaced => self.endpoint_changes.borrow_mut().record_all(),
+            AppliedEffect::Changed(Proposal { from, token, change }) => {
+                self.mark_endpoints_changed(endpoints_of(change));
+                if from == self.agreed().local_id() {
+                    self.proposals.borrow_mut().record_applied(token);
+                }
+            }
+            AppliedEffect::Nothing => {}
         }
-        Change::Settings { .. } | Change::ZoneWeight { .. } | Change::Regions { .. } => Vec::new(),
     }
 }
 
-fn describe(change: &Change, effect: ApplyResult) -> String {
+/// Endpoints whose entry in the list may change by this change.
+fn endpoints_of(change: Change) -> Vec<String> {
     match change {
-        Change::Drain { host, .. } => format!("drain {host}: {effect:?}"),
-        Change::Undrain { host, .. } => format!("undrain {host}: {effect:?}"),
-        Change::Inventory { read_by: by, upserts: set, removals: gone, .. } => {
-            format!("inventory of {by}, {} set, {} gone: {effect:?}", set.len(), gone.len())
-        }
-        Change::Settings { read_by: by, .. } => format!("settings of {by}: {effect:?}"),
-        Change::Regions { read_by: by, regions, .. } => {
-            format!("regions of {} zones by {by}: {effect:?}", regions.len())
-        }
-        Change::ZoneWeight { zone, weight: share } => {
-            format!(
-                "zone {zone} to {} by move {}, {:?}: {effect:?}",
-                share.permille, share.version, share.reason
-            )
+        Change::Drain { host, .. } | Change::Undrain { host, .. } => vec![host],
+        Change::Inventory { upserts, removals, .. } => {
+            let mut endpoints: Vec<String> = upserts.into_iter().map(|(endpoint, _)| endpoint).collect();
+            endpoints.extend(removals);
+            endpoints
         }
+        Change::Settings { .. } | Change::ZoneWeight { .. } | Change::Regions { .. } => Vec::new(),
     }
 }
--- a/src/fleet/runtime/tests.rs
+++ b/src/fleet/runtime/tests.rs
@@ -1,32 +1,30 @@
-//! Guards against drains that are not kept.
+//! That drains reach the disk where the store's queue was full.
 
 use super::*;
 use crate::store::{storage::DurableStorage, store_thread};
 use std::sync::mpsc::sync_channel;
 
-/// Guards against a drain that is never kept because the disk was slow in the moment it was said.
+/// Guards against a drain that never reaches the disk because the disk was slow when it was requested.
 #[test]
-fn what_a_full_queue_turned_away_is_handed_in_again() {
+fn drains_that_a_full_store_queue_rejected_are_submitted_again() {
     let limits = Rc::new(Limits::for_sockets(64));
-    let (disk, held) = DurableStorage::in_memory().unwrap();
-    let opened = store_thread::start(disk, held, &limits).unwrap().opened;
-    let (inputs, queue) = sync_channel(1);
-    let me = Me {
+    let (storage, stored) = DurableStorage::in_memory().unwrap();
+    let (opened, ..) = store_thread::start(storage, stored, &limits).unwrap();
+    let (commands, queue) = sync_channel(1);
+    let local = LocalNode {
         name: "b1".into(),
         address: ([127, 0, 0, 1], 1).into(),
         named: Vec::new(),
         leaving: EvacuationPolicy::default(),
     };
-    let fleet = Fleet::new(me, limits, Clock::start(), Rc::default(), opened, inputs);
-    assert!(
-        fleet.send_to_store(StoreCommand::StartParticipating)
-            && !fleet.send_to_store(StoreCommand::StartParticipating)
-    );
-    fleet.change().marks.request_drain("s-1", NodeId(7), Timestamp::from_micros(1));
+    let fleet = Fleet::new(local, limits, Clock::start(), Rc::default(), opened, commands);
+    let is_queued = || fleet.send_to_store(StoreCommand::StartParticipating);
+    assert!(is_queued() && !is_queued());
+    fleet.drains.borrow_mut().pending_mut().request_drain("s-1", NodeId(7), Timestamp::from_micros(1));
     fleet.persist_pending_drains();
     assert!(matches!(queue.try_recv(), Ok(StoreCommand::StartParticipating)));
     fleet.persist_pending_drains();
-    assert!(matches!(queue.try_recv(), Ok(StoreCommand::PersistDrains { drains, .. }) if drains.len() == 1));
+    assert!(matches!(queue.try_recv(), Ok(StoreCommand::PersistDrains(drains, _)) if drains.len() == 1));
     fleet.persist_pending_drains();
-    assert!(queue.try_recv().is_err(), "it is kept once");
+    assert!(queue.try_recv().is_err(), "each version is submitted once");
 }
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -1,11 +1,17 @@
-//! Carries out what is decided on zones: hears and tells sights, has moves agreed, shapes the list.
+//! The runtime of zones: collects outcomes of attempts, exchanges them with the peers, proposes moves of traffic where
+//! this node leads, and has the endpoint list follow.
 
-use super::{ChangeOutcome, Fleet, PeerMessage, Proposal, Table};
+use super::Fleet;
+use super::agreed_state::AgreedState;
+use super::proposals::NoMajority;
 use crate::engine::outcome_window::OutcomeCounts;
-use crate::fleet::zones::{self, ZoneCommand, ZoneHealth, ZoneOutcomes};
-use crate::ids::NodeId;
-use crate::ids::ZoneId;
-use crate::store::state_machine::Change;
+use crate::fleet::message::PeerMessage;
+use crate::fleet::zones::{
+    EvacuationPolicy, ZoneCommand, ZoneCommandError, ZoneHealth, ZoneMove, ZoneReport, ZoneReports,
+    ZoneState, assess_zones, populated_zones,
+};
+use crate::ids::{NodeId, ZoneId};
+use crate::store::state_machine::{Change, Proposal};
 use crate::store::store_thread::StoreCommand;
 use crate::store::zone_weights::{FULL_WEIGHT_PERMILLE, ZoneWeight};
 use crate::time::Timestamp;
@@ -13,205 +19,304 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// A move that was proposed is not said again for so long.
-const SAID: Duration = Duration::from_millis(300);
+/// A move that was proposed is not proposed again before this: committing one takes less.
+const MOVE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
+
+/// A move of a zone's traffic that was proposed.
+struct ProposedMove {
+    version: u64,
+    proposed_at: Instant,
+}
+
+/// What is known of zones, and the moves that this node has proposed.
+pub struct ZoneControl {
+    state: ZoneState,
+    proposed: BTreeMap<ZoneId, ProposedMove>,
+}
+
+impl ZoneControl {
+    /// Nothing is known.
+    pub(super) fn new(policy: EvacuationPolicy) -> ZoneControl {
+        ZoneControl { state: ZoneState::new(policy), proposed: BTreeMap::new() }
+    }
+
+    /// What is known of zones.
+    pub(super) fn state(&self) -> &ZoneState {
+        &self.state
+    }
+
+    /// Forgets moves that may be proposed again.
+    fn expire_proposed(&mut self) {
+        self.proposed.retain(|_, proposed| proposed.proposed_at.elapsed() < MOVE_RETRY_INTERVAL);
+    }
+
+    /// Notes that a move is proposed; returns whether it is a new one.
+    fn record_proposed(&mut self, due: &ZoneMove) -> bool {
+        let ZoneMove { zone, weight } = *due;
+        if self.proposed.get(&zone).is_some_and(|proposed| proposed.version == weight.version) {
+            return false;
+        }
+        let proposed = ProposedMove { version: weight.version, proposed_at: Instant::now() };
+        self.proposed.insert(zone, proposed);
+        true
+    }
+}
+
+/// Counts of zones for the metrics.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ZoneMetrics {
+    /// Zones that do not get all of their reads from this node.
+    pub reduced_zones: u64,
+    /// Moves of traffic that were committed.
+    pub committed_moves: u64,
+}
+
+/// Why an operator's command for a zone was not carried out.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ZoneCommandFailure {
+    /// No zone of this name has endpoints.
+    #[error("no zone {0:?} with hosts")]
+    UnknownZone(String),
+    /// The command is not allowed now.
+    #[error("not done: {0}")]
+    Refused(#[from] ZoneCommandError),
+    /// Another move was committed at the same time.
+    #[error("not done: it moved meanwhile; say it again")]
+    Superseded,
+    /// It took too long.
+    #[error(transparent)]
+    NoMajority(#[from] NoMajority),
+}
 
 impl Fleet {
-    /// Looks at what this daemon saw of hosts within the last moment: tells the others, leaves zones alone, and
-    /// decides where this daemon leads. Hosts from which nothing more is to be waited for.
-    pub fn look_at_zones(&self, seen: &BTreeMap<String, OutcomeCounts>) -> BTreeSet<String> {
+    /// Takes in the recent outcomes of attempts at endpoints: tells the peers, evacuates zones that only this node does
+    /// not reach, and proposes moves where this node leads. Returns endpoints in abandoned zones: overdue answers from
+    /// these are not waited for.
+    pub fn update_zones(&self, outcomes: &BTreeMap<String, OutcomeCounts>) -> BTreeSet<String> {
         let now = self.clock.now();
+        self.record_outcomes(outcomes);
+        self.evacuate_locally(now);
+        self.propose_zone_moves(now);
+        self.apply_zone_weights(now);
+        let (agreed, zones) = (self.agreed(), self.zones.borrow());
+        let abandoned = zones.state.abandoned_zones(now, agreed.state());
+        if abandoned.is_empty() {
+            return BTreeSet::new();
+        }
+        let endpoints = agreed.state().hosts.iter().filter(|(_, host)| abandoned.contains(&host.zone));
+        endpoints.map(|(name, _)| name.clone()).collect()
+    }
+
+    /// Takes in outcomes, and tells the peers at once where something is wrong.
+    fn record_outcomes(&self, outcomes: &BTreeMap<String, OutcomeCounts>) {
         let urgent = {
-            let table = self.table();
-            self.zoning.borrow_mut().record_outcomes(seen, &table.state)
+            let agreed = self.agreed();
+            self.zones.borrow_mut().state.record_outcomes(outcomes, agreed.state())
         };
-        if let Some(sights) = urgent {
-            let seen: BTreeMap<u8, &ZoneOutcomes> =
-                sights.iter().map(|(zone, sight)| (zone.0, sight)).collect();
-            log::debug!("zones: seen {seen:?}");
-            self.broadcast(&PeerMessage::ZoneOutcomes(sights));
-        }
-        let lost = self.zoning.borrow_mut().update_local_evacuation(now, &self.table().state);
-        for zone in lost {
-            let zoning = self.zoning.borrow();
+        if let Some(by_zone) = urgent {
+            log::debug!("zones: outcomes {by_zone:?}");
+            self.broadcast(&PeerMessage::ZoneOutcomes(by_zone));
+        }
+    }
+
+    /// Evacuates zones for this node alone, where only it does not reach them.
+    fn evacuate_locally(&self, now: Timestamp) {
+        let agreed = self.agreed();
+        let mut zones = self.zones.borrow_mut();
+        let evacuated = zones.state.update_local_evacuation(now, agreed.state());
+        for zone in evacuated {
             log::warn!(
-                "zones: this daemon leaves {} for itself: {:?}",
-                zoning.name(zone),
-                zoning.own_outcomes().get(&zone)
+                "zones: local evacuation of {}: {:?}",
+                zones.state.name(zone),
+                zones.state.own_outcomes().get(&zone)
             );
         }
-        self.propose_zone_moves(now);
-        self.apply_zone_weights(now);
-        let (table, zoning) = (self.table(), self.zoning.borrow());
-        let hopeless = zoning.abandoned_zones(now, &table.state);
-        if hopeless.is_empty() {
-            return BTreeSet::new();
-        }
-        let hosts = table.state.hosts.iter().filter(|(_, host)| hopeless.contains(&host.zone));
-        hosts.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Another daemon's sights.
-    pub(super) fn receive_zone_observations(&self, by: NodeId, sights: BTreeMap<ZoneId, ZoneOutcomes>) {
-        if self.table().state.members.contains_key(&by) {
-            self.zoning.borrow_mut().record_report(self.clock.now(), by, sights);
+    /// Takes in the outcomes of a member.
+    pub(super) fn receive_zone_outcomes(&self, sender: NodeId, outcomes: ZoneReport) {
+        if self.agreed().is_member(sender) {
+            self.zones.borrow_mut().state.record_report(self.clock.now(), sender, outcomes);
         }
     }
 
-    /// The sights of this daemon, said with each beat while there are any.
-    pub(super) fn broadcast_zone_observations(&self) {
-        let sights = self.zoning.borrow().own_outcomes().clone();
-        if !sights.is_empty() {
-            self.broadcast(&PeerMessage::ZoneOutcomes(sights));
+    /// Sends this node's outcomes to the peers, if there are any.
+    pub(super) fn broadcast_zone_outcomes(&self) {
+        let outcomes = self.zones.borrow().state.own_outcomes().clone();
+        if !outcomes.is_empty() {
+            self.broadcast(&PeerMessage::ZoneOutcomes(outcomes));
         }
     }
 
-    /// Where this daemon leads it proposes the next moves.
+    /// Proposes the moves of traffic that are due, where this node leads.
     fn propose_zone_moves(&self, now: Timestamp) {
-        let mut proposals = Vec::new();
-        {
-            let table = self.table();
-            let me = table.identity.id;
-            if table.status.leader != me || !table.status.participating || !table.state.is_complete() {
-                return;
-            }
-            let warmth = |zone| self.warmth(&table, zone, now);
-            let mut zoning = self.zoning.borrow_mut();
-            let due = zoning.next_moves(now, me, &table.state, warmth);
-            let mut moving = self.moving.borrow_mut();
-            moving.retain(|_, (_, at)| at.elapsed() < SAID);
-            for (zone, share) in due {
-                if moving.get(&zone).is_some_and(|(number, _)| *number == share.version) {
-                    continue;
-                }
-                moving.insert(zone, (share.version, Instant::now()));
-                let words = zoning.current_reports(now, me, &table.state);
-                let words: Vec<String> = words
-                    .iter()
-                    .filter_map(|(id, own)| Some((id, own.get(&zone)?)))
-                    .map(|(id, seen)| format!("{} {seen}", table.name(*id)))
-                    .collect();
-                log::info!(
-                    "zones: move {} of {} to {} of {FULL_WEIGHT_PERMILLE} is proposed, {:?}; seen: {}",
-                    share.version,
-                    zoning.name(zone),
-                    share.permille,
-                    share.reason,
-                    words.join("; ")
-                );
-                let change = Change::ZoneWeight { zone, weight: share };
-                proposals.push(Proposal { from: me, token: self.next_token(), change });
-            }
+        let due = self.due_zone_moves(now);
+        let from = self.agreed().local_id();
+        for ZoneMove { zone, weight } in due {
+            let (token, change) = (self.next_token(), Change::ZoneWeight { zone, weight });
+            self.send_to_store(StoreCommand::Propose(Proposal { from, token, change }));
+        }
+    }
+
+    /// The moves of traffic that are due and were not just proposed.
+    fn due_zone_moves(&self, now: Timestamp) -> Vec<ZoneMove> {
+        let agreed = self.agreed();
+        if !agreed.is_active_leader() || !agreed.state().is_complete() {
+            return Vec::new();
         }
-        for proposal in proposals {
-            self.send_to_store(StoreCommand::Propose(proposal));
+        let capacity_share = |zone| self.zone_capacity_share(&agreed, zone, now);
+        let mut zones = self.zones.borrow_mut();
+        let mut due = zones.state.next_moves(now, agreed.local_id(), agreed.state(), capacity_share);
+        zones.expire_proposed();
+        due.retain(|due| zones.record_proposed(due));
+        for ZoneMove { zone, weight } in &due {
+            let reports = zones.state.current_reports(now, agreed.local_id(), agreed.state());
+            log::info!(
+                "zones: move {} of {} to {} of {FULL_WEIGHT_PERMILLE} is proposed, {:?}; reports: {}",
+                weight.version,
+                zones.state.name(*zone),
+                weight.permille,
+                weight.reason,
+                describe_reports(&reports, *zone, &agreed)
+            );
         }
+        due
     }
 
-    /// The share of its capacity that a zone has, by the youngest of its hosts.
-    fn warmth(&self, table: &Table, zone: ZoneId, now: Timestamp) -> f64 {
-        let Some(cold) = self.cold.get() else { return 1.0 };
-        let own = table.state.hosts.iter().filter(|(_, host)| host.zone == zone);
-        let started = own.map(|(name, host)| table.learned.started_at(name).max(host.started_at));
-        started.map(|at| cold.capacity_share(at.map(|at| now - at))).fold(1.0, f64::min)
+    /// The share of its capacity that a zone has, by the endpoint that started last.
+    fn zone_capacity_share(&self, agreed: &AgreedState, zone: ZoneId, now: Timestamp) -> f64 {
+        let Some(slow_start) = self.recovery.borrow().slow_start() else { return 1.0 };
+        let gossip = self.gossip();
+        let mut lowest = 1.0_f64;
+        for (name, record) in agreed.state().hosts.iter().filter(|(_, record)| record.zone == zone) {
+            let started_at = gossip.state().started_at(name).max(record.started_at);
+            lowest = lowest.min(slow_start.capacity_share(started_at.map(|started_at| now - started_at)));
+        }
+        lowest
     }
 
-    /// Has the list follow the shares.
+    /// Has the endpoint list follow the weights of zones.
     pub(super) fn apply_zone_weights(&self, now: Timestamp) {
-        let moved = self.zoning.borrow_mut().take_changed(now, &self.table().state);
-        let table = self.table();
-        let zoning = self.zoning.borrow();
-        // Where a zone is away its hosts are looked at each time: one of them may have become its group's primary.
-        let changed = &moved | &zoning.reduced_zones(now, &table.state);
-        if changed.is_empty() {
+        let agreed = self.agreed();
+        let changed = self.zones.borrow_mut().state.take_changed(now, agreed.state());
+        let zones = self.zones.borrow();
+        // A zone with less than its full weight is looked at each time: one of its endpoints may have become a primary.
+        let affected = &changed | &zones.state.reduced_zones(now, agreed.state());
+        if affected.is_empty() {
             return;
         }
-        for zone in &moved {
-            let share = table.state.zone_weight(*zone);
+        for zone in changed {
+            let committed = agreed.state().zone_weight(zone);
             log::info!(
-                "zones: {} gets {} of {FULL_WEIGHT_PERMILLE} from now on; agreed: {} by move {}, {:?}",
-                zoning.name(*zone),
-                zoning.effective_permille(now, *zone, &table.state),
-                share.permille,
-                share.version,
-                share.reason
+                "zones: {} has weight {} of {FULL_WEIGHT_PERMILLE} now; committed: {} by move {}, {:?}",
+                zones.state.name(zone),
+                zones.state.effective_permille(now, zone, agreed.state()),
+                committed.permille,
+                committed.version,
+                committed.reason
             );
         }
-        let hosts = table.state.hosts.iter().filter(|(_, host)| changed.contains(&host.zone));
-        self.mark_endpoints_changed(hosts.map(|(name, _)| name.clone()));
-        drop((table, zoning));
-        self.notify_watchers();
+        let endpoints = agreed.state().hosts.iter().filter(|(_, host)| affected.contains(&host.zone));
+        self.mark_endpoints_changed(endpoints.map(|(name, _)| name.clone()));
+        self.changes.notify();
     }
 
-    /// An operator's word on a zone. `None`: there is no such zone.
-    pub async fn order_zone(
+    /// Carries out an operator's command for the zone of this name; returns the weight that was committed.
+    ///
+    /// # Errors
+    ///
+    /// [`ZoneCommandFailure`] where there is no such zone, the command is refused, or it was not committed in time.
+    pub async fn command_zone(
         &self,
         name: &str,
-        order: ZoneCommand,
-    ) -> Option<Result<(ZoneWeight, ChangeOutcome), String>> {
-        let (zone, share) = {
-            let table = self.table();
-            let zoning = self.zoning.borrow();
-            let zone =
-                zoning.find(name).filter(|zone| zones::populated_zones(&table.state).contains(zone))?;
-            match zoning.weight_for_command(order, zone, &table.state) {
-                Ok(share) => (zone, share),
-                Err(why) => return Some(Err(why)),
-            }
-        };
-        log::info!("zones: an operator's word on {name}: {order:?}");
-        let outcome = self.commit_change(Change::ZoneWeight { zone, weight: share }).await;
-        // Another move may have come between.
-        let overtaken = outcome == ChangeOutcome::Agreed && self.table().state.zone_weight(zone) != share;
-        Some(if overtaken { Err("it moved meanwhile; say it again".into()) } else { Ok((share, outcome)) })
+        command: ZoneCommand,
+    ) -> Result<ZoneWeight, ZoneCommandFailure> {
+        let (zone, weight) = self.weight_for_command(name, command)?;
+        log::info!("zones: an operator's command for {name}: {command:?}");
+        self.commit_change(Change::ZoneWeight { zone, weight }).await?;
+        if self.agreed().state().zone_weight(zone) != weight {
+            return Err(ZoneCommandFailure::Superseded);
+        }
+        Ok(weight)
     }
 
-    /// All zones with their state, reason and evidence, a line for each fact.
+    /// The zone of this name, and the weight that a command gives it.
+    fn weight_for_command(
+        &self,
+        name: &str,
+        command: ZoneCommand,
+    ) -> Result<(ZoneId, ZoneWeight), ZoneCommandFailure> {
+        let (agreed, zones) = (self.agreed(), self.zones.borrow());
+        let populated = populated_zones(agreed.state());
+        let found = zones.state.find(name).filter(|zone| populated.contains(zone));
+        let zone = found.ok_or_else(|| ZoneCommandFailure::UnknownZone(name.to_string()))?;
+        let weight = zones.state.weight_for_command(command, zone, agreed.state())?;
+        Ok((zone, weight))
+    }
+
+    /// All zones with their weight, its reason and the reports of the members, for operators: a line for each fact.
     pub fn describe_zones(&self) -> String {
-        let (table, zoning, now) = (self.table(), self.zoning.borrow(), self.clock.now());
-        let sights = zoning.current_reports(now, table.identity.id, &table.state);
-        let verdicts = zones::assess_zones(&sights, &table.state);
+        let (agreed, zones, now) = (self.agreed(), self.zones.borrow(), self.clock.now());
+        let state = agreed.state();
+        let reports = zones.state.current_reports(now, agreed.local_id(), state);
         let mut out = String::new();
-        for (zone, verdict) in &verdicts {
-            let share = table.state.zone_weight(*zone);
+        for (zone, health) in assess_zones(&reports, state) {
+            let name = zones.state.name(zone);
+            let weight = state.zone_weight(zone);
             let region =
-                table.state.regions.by_zone.get(zone).map_or(String::new(), |r| format!(" of region {r}"));
-            let looks = match verdict {
-                ZoneHealth::CutOff(ids) => {
-                    format!(
-                        "cut off from {}",
-                        ids.iter().map(|id| table.name(*id)).collect::<Vec<_>>().join(", ")
-                    )
-                }
-                other => format!("{other:?}").to_lowercase(),
-            };
+                state.regions.by_zone.get(&zone).map_or(String::new(), |region| format!(" of region {region}"));
             let _ = writeln!(
                 out,
-                "zone {} gets {} of {FULL_WEIGHT_PERMILLE}, agreed {} by move {}, {:?}, failed {}; looks {looks}{region}",
-                zoning.name(*zone),
-                zoning.effective_permille(now, *zone, &table.state),
-                share.permille,
-                share.version,
-                share.reason,
-                share.failed_returns
+                "zone {name} gets {} of {FULL_WEIGHT_PERMILLE}, agreed {} by move {}, {:?}, failed {}; looks {}{region}",
+                zones.state.effective_permille(now, zone, state),
+                weight.permille,
+                weight.version,
+                weight.reason,
+                weight.failed_returns,
+                describe_health(&health, &agreed)
             );
-            for (id, own) in &sights {
-                let Some(s) = own.get(zone) else { continue };
-                let (zone, by) = (zoning.name(*zone), table.name(*id));
+            for (id, by_zone) in &reports {
+                let Some(outcomes) = by_zone.get(&zone) else { continue };
                 let _ = writeln!(
                     out,
-                    "zone {zone} seen by {by} {s} hosts {} gone {} busy {}",
-                    s.hosts, s.gone, s.busy
+                    "zone {name} seen by {} {outcomes} hosts {} gone {} busy {}",
+                    agreed.node_name(*id),
+                    outcomes.endpoints_tried,
+                    outcomes.endpoints_failed,
+                    outcomes.utilization_permille
                 );
             }
         }
         out
     }
 
-    /// Zones that do not get all of their reads here, and moves that were agreed.
-    pub fn zone_figures(&self) -> (u64, u64) {
-        let (table, zoning, now) = (self.table(), self.zoning.borrow(), self.clock.now());
-        let away = zoning.reduced_zones(now, &table.state).len();
-        (away as u64, table.state.zone_weights.values().map(|s| s.version).sum())
+    /// Counts of zones for the metrics.
+    pub fn zone_metrics(&self) -> ZoneMetrics {
+        let (agreed, zones) = (self.agreed(), self.zones.borrow());
+        let reduced = zones.state.reduced_zones(self.clock.now(), agreed.state());
+        let committed_moves = agreed.state().zone_weights.values().map(|weight| weight.version).sum();
+        ZoneMetrics { reduced_zones: reduced.len() as u64, committed_moves }
+    }
+}
+
+/// What the members report of a zone, for the log.
+fn describe_reports(reports: &ZoneReports, zone: ZoneId, agreed: &AgreedState) -> String {
+    let mut described: Vec<String> = Vec::new();
+    for (id, by_zone) in reports {
+        if let Some(outcomes) = by_zone.get(&zone) {
+            described.push(format!("{} {outcomes}", agreed.node_name(*id)));
+        }
+    }
+    described.join("; ")
+}
+
+/// A zone's health as operators read it.
+fn describe_health(health: &ZoneHealth, agreed: &AgreedState) -> String {
+    match health {
+        ZoneHealth::CutOff(nodes) => {
+            let names: Vec<String> = nodes.iter().map(|id| agreed.node_name(*id)).collect();
+            format!("cut off from {}", names.join(", "))
+        }
+        other => other.label().to_string(),
     }
 }
--- a/tests/fleet_recovery.rs
+++ b/tests/fleet_recovery.rs
@@ -33,7 +33,7 @@
     };
     let count = |n: usize| {
         let log = lab.daemons[n].process.as_ref().unwrap().log();
-        log.iter().filter(|l| l.contains("words on hosts are kept")).count()
+        log.iter().filter(|l| l.contains("gossip records are written to disk")).count()
     };
     let number = AtomicU64::new(1_000_000);
     for n in 0..lab.daemons.len() {
@@ -70,8 +70,8 @@
     lab.set_clock(2, -60_000);
     power_on(lab);
     let said = |lab: &Lab, n: usize, words: &str| lab.daemons[n].process.as_ref().unwrap().line(words);
-    assert!(said(lab, 0, "it is a first guess").contains("ms old"));
-    assert!(said(lab, 2, "what was learned before is not used").contains("the clock"));
+    assert!(said(lab, 0, "used for first guesses").contains("ms old"));
+    assert!(said(lab, 2, "gossip on disk is not used").contains("the clock"));
     for n in [0, 1] {
         let text = http::call(lab.daemons[n].store, "GET", "/fleet/learned").unwrap().text();
         assert!(text.contains("group 1 guess s-1-") || text.contains("group 1 primary s-1-"), "{text}");
--- a/tests/fleet_recovery_power.rs
+++ b/tests/fleet_recovery_power.rs
@@ -56,7 +56,7 @@
 /// Waits until each daemon has written what it knows to its disk while it served.
 fn kept(lab: &Lab) {
     for n in 0..lab.daemons.len() {
-        lab.daemons[n].process.as_ref().unwrap().line("words on hosts are kept");
+        lab.daemons[n].process.as_ref().unwrap().line("gossip records are written to disk");
     }
 }
 
@@ -79,7 +79,7 @@
     let on = now();
     lab.start_together(&[0, 1, 2, 3, 4]);
     (0..5).for_each(|n| lab.ready(n));
-    let stood = (0..5).filter(|n| lab.log(*n).iter().any(|l| l.contains("this daemon stands"))).count();
+    let stood = (0..5).filter(|n| lab.log(*n).iter().any(|l| l.contains("raft: election started"))).count();
     assert!(stood >= 1, "nobody waits for an election to come by itself");
     let before = load.served(off - 1_000_000, off);
     eventually("service is back at half of what it was", || {
@@ -95,7 +95,7 @@
     for n in 0..5 {
         assert_eq!(lab.leaves(n, "s-4-2"), Some(true));
         let log = lab.log(n);
-        let steps = ["step 2 of 4", "step 4 of 4"].map(|step| place(&log, step));
+        let steps = ["phase 2 of 4", "phase 4 of 4"].map(|step| place(&log, step));
         assert!(steps[0] < steps[1]);
     }
     check::agreement(&lab.logs(), 5).unwrap();
@@ -297,7 +297,7 @@
             read(lab, n, kept);
             knows(lab, n)[seen.min(knows(lab, n).len())..]
                 .iter()
-                .any(|l| l.contains("words on hosts are kept"))
+                .any(|l| l.contains("gossip records are written to disk"))
         });
     }
     (0..3).for_each(|n| lab.kill(n));
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -151,7 +151,7 @@
     eventually("nobody leads", || (0..3).all(|n| lab.fact(n, "leader") == "none"));
     silence(&lab, "z-1", true);
     // Each in its own time, and only where it asked enough there to know: the module avoids silent hosts by itself.
-    let left = |n: usize| lab.log(n).iter().any(|l| l.contains("this daemon leaves z-1 for itself"));
+    let left = |n: usize| lab.log(n).iter().any(|l| l.contains("zones: local evacuation of z-1"));
     eventually("one leaves the zone for itself", || (0..3).any(left));
     thread::sleep(Duration::from_millis(1_500));
     let known = now();
@@ -285,7 +285,7 @@
     let until = now();
     for n in [0, 2] {
         assert_eq!(lab.zone(n, "z-1"), Some((1000, 1000)));
-        assert!(!lab.log(n).iter().any(|line| line.contains("for itself")), "daemon {n} reaches it");
+        assert!(!lab.log(n).iter().any(|line| line.contains("local evacuation")), "daemon {n} reaches it");
     }
     lab.cut_zone(1, "z-1", false);
     // Now it reaches nothing at all, and says so of every zone.
