--- a/src/fleet/admin_api/description.rs
+++ b/src/fleet/admin_api/description.rs
@@ -1,9 +1,10 @@
 //! What operators read about the fleet: a line for each fact.
 
 use crate::engine::endpoints::EndpointRecord;
-use crate::fleet::runtime::{AgreedState, Fleet, InventoryDifference};
+use crate::fleet::runtime::{AgreedState, Fleet};
 use crate::ids::NodeId;
 use crate::routing::Availability;
+use crate::store::state_machine::{InventoryDifference, PendingDrain, ServiceSettings};
 use crate::time::Timestamp;
 use std::fmt::{self, Write};
 use std::time::Instant;
@@ -172,7 +173,7 @@
 }
 
 fn write_drains(out: &mut String, fleet: &Fleet) -> fmt::Result {
-    for (endpoint, drain) in fleet.drains().pending().all() {
+    for PendingDrain { host: endpoint, drain } in fleet.drains().pending().all() {
         let node = node_name(fleet, drain.node);
         writeln!(out, "unagreed drain {endpoint} said by {node} {}", drain.sequence)?;
     }
@@ -185,7 +186,7 @@
 fn write_sources(out: &mut String, fleet: &Fleet) -> fmt::Result {
     let agreed = fleet.agreed();
     let state = agreed.state();
-    if let Some((source, _)) = &state.settings {
+    if let Some(ServiceSettings { provenance: source, .. }) = &state.settings {
         let changed_at = source.changed_at.as_millis();
         writeln!(out, "settings of {} changed {changed_at} version {}", source.read_by, source.version)?;
     }
@@ -258,7 +259,8 @@
     let (agreed, peers) = (fleet.agreed(), fleet.peers());
     let status = agreed.status();
     let unsent: u64 = peers.links().map(|link| link.dropped_messages()).sum();
-    let (rejected, dropped, panics) = (peers.rejected_messages(), status.dropped_messages, status.raft_restarts);
+    let (rejected, dropped, panics) =
+        (peers.rejected_messages(), status.dropped_messages, status.raft_restarts);
     writeln!(out, "dropped frames {rejected} letters {dropped} unsent {unsent} panics {panics}")?;
     write!(out, "log bytes {} entries {}", status.log_size.bytes, status.log_size.entries)
 }
--- a/src/fleet/runtime/agreed_state.rs
+++ b/src/fleet/runtime/agreed_state.rs
@@ -1,6 +1,6 @@
 //! What the consensus has committed, as this node has applied it, and this node's part in the consensus.
 
-use crate::ids::NodeId;
+use crate::ids::{FleetId, NodeId};
 use crate::store::raft_node::{AppliedContent, AppliedEntry};
 use crate::store::state_machine::{ApplyResult, Change, ClusterState, Proposal};
 use crate::store::storage::NodeIdentity;
--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -8,7 +8,7 @@
 use crate::fleet::message::PeerMessage;
 use crate::fleet::pending_drains::PendingDrains;
 use crate::net::until;
-use crate::store::state_machine::{Change, DrainId};
+use crate::store::state_machine::{Change, DrainId, PendingDrain};
 use crate::store::store_thread::StoreCommand;
 use async_channel::Receiver;
 use std::collections::BTreeSet;
@@ -140,10 +140,10 @@
 
     /// Merges the pending drains of a peer. What is new is sent on: a peer that the sender does not reach may be
     /// reached from here.
-    pub(super) fn receive_pending_drains(&self, received: Vec<(String, DrainId)>) {
+    pub(super) fn receive_pending_drains(&self, received: Vec<PendingDrain>) {
         let has_changed = {
             let agreed = self.agreed();
-            self.mark_endpoints_changed(received.iter().map(|(endpoint, _)| endpoint.clone()));
+            self.mark_endpoints_changed(received.iter().map(|pending| pending.host.clone()));
             let mut drains = self.drains.borrow_mut();
             drains.pending.merge(received, agreed.state(), self.limits.pending_drains)
         };
@@ -164,7 +164,7 @@
         if settled.is_empty() {
             return;
         }
-        self.mark_endpoints_changed(settled.into_iter().map(|(endpoint, _)| endpoint));
+        self.mark_endpoints_changed(settled.into_iter().map(|pending| pending.host));
         self.persist_pending_drains();
     }
 
@@ -174,7 +174,7 @@
         let mut drains = self.drains.borrow_mut();
         let version = drains.pending.version();
         if drains.submitted_version < version
-            && self.send_to_store(StoreCommand::PersistDrains(drains.pending.all(), version))
+            && self.send_to_store(StoreCommand::PersistDrains { drains: drains.pending.all(), version })
         {
             drains.submitted_version = version;
         }
--- a/src/fleet/runtime/first_election.rs
+++ b/src/fleet/runtime/first_election.rs
@@ -1,7 +1,7 @@
 //! Starts an election at once after a start, where this node is the one to do it.
 
 use super::Fleet;
-use crate::fleet::recovery::first_election::{LogEnd, Voter};
+use crate::fleet::recovery::first_election::Voter;
 use crate::store::store_thread::StoreCommand;
 
 impl Fleet {
@@ -14,7 +14,7 @@
         }
         let local = Voter {
             id: agreed.local_id(),
-            log_end: log_end(status.own_progress.last_entry),
+            last_entry: status.own_progress.last_entry,
             leader: status.leader,
         };
         let voters = &status.configuration.voters;
@@ -39,7 +39,7 @@
             if heartbeat.participates && peers.link_to(id).is_some() {
                 reachable.push(Voter {
                     id,
-                    log_end: log_end(heartbeat.last_entry),
+                    last_entry: heartbeat.last_entry,
                     leader: heartbeat.leader,
                 });
             }
@@ -47,8 +47,3 @@
         reachable
     }
 }
-
-/// The last entry of a log as the store and heartbeats state it.
-fn log_end((term, index): (u64, u64)) -> LogEnd {
-    LogEnd { term, index }
-}
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -76,7 +76,7 @@
 pub use self::gossip::GossipExchange;
 pub use self::membership_requests::MembershipRequestError;
 pub use self::operator_recovery::{RecoveryError, RecoveryPlan};
-pub use self::own_files::{Files, InventoryDifference, OwnFiles};
+pub use self::own_files::{Files, OwnFiles};
 pub use self::peer_directory::{Candidate, PeerDirectory, PeerStatus};
 pub use self::proposals::NoMajority;
 pub use self::recovery::{RecoveryRules, RecoveryStatus};
@@ -224,7 +224,7 @@
 
     /// The committed settings.
     pub fn committed_settings(&self) -> Option<String> {
-        self.agreed().state().settings.as_ref().map(|(_, text)| text.clone())
+        self.agreed().state().settings.as_ref().map(|settings| settings.text.clone())
     }
 
     /// Receives a message after every change of what is known, from now on.
--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -4,6 +4,7 @@
 //! supersedes; nodes that are still of that one and know no leader give up their identity and join.
 
 use super::Fleet;
+use crate::ids::FleetId;
 use crate::store::state_machine::Member;
 use crate::store::store_thread::StoreCommand;
 use std::fmt;
--- a/src/fleet/runtime/outgoing_links.rs
+++ b/src/fleet/runtime/outgoing_links.rs
@@ -5,7 +5,8 @@
 use crate::fleet::message::{HandshakeReply, PeerMessage};
 use crate::fleet::peer_link::{LinkDecision, LinkOrigin, PeerLink, PeerLinkEvents};
 use crate::ids::NodeId;
-use crate::store::state_machine::ClusterState;
+use crate::store::state_machine::{ClusterState, PendingDrain};
+use crate::store::storage::IdentityResetReason;
 use crate::store::store_thread::StoreCommand;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -122,7 +123,7 @@
         let mut committed = Vec::new();
         for (endpoint, drains) in &self.agreed().state().drains {
             for drain in drains {
-                committed.push((endpoint.clone(), *drain));
+                committed.push(PendingDrain { host: endpoint.clone(), drain: *drain });
             }
         }
         let limit = self.limits.pending_drains;
--- a/src/fleet/runtime/own_files.rs
+++ b/src/fleet/runtime/own_files.rs
@@ -5,7 +5,7 @@
 
 use super::Fleet;
 use crate::inventory::Inventory;
-use crate::store::state_machine::{Change, ClusterState, Proposal};
+use crate::store::state_machine::{Change, ClusterState, InventoryDifference, Proposal};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
@@ -18,17 +18,6 @@
     pub hosts: Option<(Inventory, Timestamp)>,
 }
 
-/// How this node's inventory file differs from the committed inventory, in endpoints.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct InventoryDifference {
-    /// Endpoints that only the file has.
-    pub added: usize,
-    /// Endpoints that the file describes differently.
-    pub changed: usize,
-    /// Endpoints that the file lacks.
-    pub missing: usize,
-}
-
 /// This node's own files, and what a store of version 0.2.0 held.
 pub struct OwnFiles {
     files: Files,
@@ -70,10 +59,8 @@
         if self.compared.replace(versions) == Some(versions) {
             return;
         }
-        let (added, changed, missing) = state.inventory_difference(hosts);
-        let difference = InventoryDifference { added, changed, missing };
-        let is_same = difference == InventoryDifference { added: 0, changed: 0, missing: 0 };
-        let difference = if is_same { None } else { Some(difference) };
+        let difference = state.inventory_difference(hosts);
+        let difference = if difference.is_empty() { None } else { Some(difference) };
         if difference == self.inventory_difference {
             return;
         }
@@ -120,9 +107,12 @@
     /// Regions follow only an inventory file that is at least as new as the committed one.
     fn regions_change(&self, state: &ClusterState, local_name: &str) -> Option<FileChange> {
         let (Inventory { regions, .. }, changed) = self.files.hosts.as_ref()?;
-        let (regions_changed, committed_regions) = &state.regions;
+        let committed = &state.regions;
         let inventory = state.inventory.as_ref()?;
-        if changed <= regions_changed || *changed < inventory.changed_at || regions == committed_regions {
+        if *changed <= committed.changed_at
+            || *changed < inventory.changed_at
+            || *regions == committed.by_zone
+        {
             return None;
         }
         let key = format!("regions {}", changed.as_micros());
@@ -144,7 +134,7 @@
 
 /// Whether settings changed at `changed` are newer than the committed ones.
 fn are_settings_newer(changed: Timestamp, state: &ClusterState) -> bool {
-    state.settings.as_ref().is_none_or(|(committed, _)| changed > committed.changed_at)
+    state.settings.as_ref().is_none_or(|committed| changed > committed.provenance.changed_at)
 }
 
 /// What a store of version 0.2.0 held counts where nothing newer is committed.
--- a/src/fleet/runtime/store_events.rs
+++ b/src/fleet/runtime/store_events.rs
@@ -7,7 +7,7 @@
 use crate::fleet::message::PeerMessage;
 use crate::ids::NodeId;
 use crate::store::raft_message::RaftMessage;
-use crate::store::raft_node::AppliedEntry;
+use crate::store::raft_node::{AppliedEntry, SnapshotDelivery};
 use crate::store::state_machine::{Change, Proposal};
 use crate::store::storage::NodeIdentity;
 use crate::store::store_thread::{StoreCommand, StoreEvent, StoreStatus};
@@ -56,7 +56,8 @@
                 None => false,
             };
             if has_snapshot {
-                self.send_to_store(StoreCommand::SnapshotSent(receiver, is_sent));
+                let delivery = if is_sent { SnapshotDelivery::Sent } else { SnapshotDelivery::Failed };
+                self.send_to_store(StoreCommand::SnapshotSent { to: receiver, delivery });
             }
         }
     }
--- a/src/fleet/runtime/tests.rs
+++ b/src/fleet/runtime/tests.rs
@@ -9,7 +9,7 @@
 fn drains_that_a_full_store_queue_rejected_are_submitted_again() {
     let limits = Rc::new(Limits::for_sockets(64));
     let (storage, stored) = DurableStorage::in_memory().unwrap();
-    let (opened, ..) = store_thread::start(storage, stored, &limits).unwrap();
+    let opened = store_thread::start(storage, stored, &limits).unwrap().opened;
     let (commands, queue) = sync_channel(1);
     let local = LocalNode {
         name: "b1".into(),
@@ -24,7 +24,7 @@
     fleet.persist_pending_drains();
     assert!(matches!(queue.try_recv(), Ok(StoreCommand::StartParticipating)));
     fleet.persist_pending_drains();
-    assert!(matches!(queue.try_recv(), Ok(StoreCommand::PersistDrains(drains, _)) if drains.len() == 1));
+    assert!(matches!(queue.try_recv(), Ok(StoreCommand::PersistDrains { drains, .. }) if drains.len() == 1));
     fleet.persist_pending_drains();
     assert!(queue.try_recv().is_err(), "each version is submitted once");
 }
