--- a/src/fleet/gossip/tests.rs
+++ b/src/fleet/gossip/tests.rs
@@ -1,6 +1,5 @@
 use super::*;
-use crate::engine::observations::Observation;
-use crate::engine::observations::UtilizationSamples;
+use crate::engine::observations::{Observation, UtilizationSamples};
 use crate::ids::{GroupId, NodeId, ZoneId};
 use crate::store::records::HostRecord;
 use crate::store::state_machine::{ClusterState, Member};
@@ -45,75 +44,124 @@
     }
 }
 
+/// Four nodes whose clocks differ, over a network that loses, repeats and reorders messages.
+struct Network {
+    rng: fastrand::Rng,
+    state: ClusterState,
+    nodes: Vec<GossipState>,
+    clock_skew: Vec<TimeDelta>,
+    in_transit: Vec<(usize, Vec<GossipRecord>)>,
+    now: Timestamp,
+    /// The endpoints that are primaries, of two groups with three endpoints each.
+    primaries: [usize; 2],
+}
+
+impl Network {
+    fn new(seed: u64) -> Network {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        Network {
+            state: state(4, 6),
+            nodes: (1..=4).map(|n| GossipState::new(NodeId(n), 1)).collect(),
+            clock_skew: (0..4).map(|_| TimeDelta::from_micros(rng.i64(-5_000_000..5_000_000))).collect(),
+            in_transit: Vec::new(),
+            now: sec(100),
+            primaries: [0, 3],
+            rng,
+        }
+    }
+
+    /// The time by a node's clock.
+    fn clock(&self, node: usize) -> Timestamp {
+        self.now + self.clock_skew[node]
+    }
+
+    fn records_between(&self, from: usize, to: usize) -> Vec<GossipRecord> {
+        let digest = self.nodes[to].digest();
+        self.nodes[from].records_missing_from(self.clock(from), &digest, |_| false, 3)
+    }
+
+    fn deliver(&mut self, to: usize, records: Vec<GossipRecord>) {
+        let now = self.clock(to);
+        self.nodes[to].merge(now, records, &self.state);
+    }
+
+    /// A failover, an observation, a message that is sent, delivered or lost, or nothing.
+    fn step(&mut self) {
+        self.now += TimeDelta::from_micros(self.rng.i64(0..500_000));
+        let (node, other) = (self.rng.usize(..4), self.rng.usize(..4));
+        match self.rng.u8(..10) {
+            0 => {
+                let group = self.rng.usize(..2);
+                self.primaries[group] = group * 3 + self.rng.usize(..3);
+            }
+            1..=4 => {
+                let endpoint = self.rng.usize(..6);
+                let now = self.clock(node);
+                let observed = observation(endpoint, self.primaries.contains(&endpoint), now);
+                self.nodes[node].observe(now, &[observed], GossipUrgency::Routine);
+            }
+            5 | 6 if node != other => {
+                let records = self.records_between(node, other);
+                self.in_transit.push((other, records));
+            }
+            7 | 8 if !self.in_transit.is_empty() => {
+                let index = self.rng.usize(..self.in_transit.len());
+                let is_repeated = self.rng.bool();
+                let (to, records) = if is_repeated {
+                    self.in_transit[index].clone()
+                } else {
+                    self.in_transit.swap_remove(index)
+                };
+                self.deliver(to, records);
+            }
+            9 => drop(self.in_transit.pop()),
+            _ => {}
+        }
+    }
+
+    /// All nodes exchange what they know until they know the same.
+    fn exchange_all(&mut self) {
+        for _ in 0..40 {
+            for from in 0..4 {
+                for to in (0..4).filter(|to| *to != from) {
+                    let records = self.records_between(from, to);
+                    self.deliver(to, records);
+                }
+            }
+        }
+    }
+}
+
 /// Seeded: messages in any order, lost and repeated, and clocks that differ. In the end all nodes know the same, and
 /// the beliefs of each only move on to later claims.
 #[test]
 fn any_schedule_converges_and_beliefs_never_go_back() {
     for seed in 0..400 {
-        let mut rng = fastrand::Rng::with_seed(seed);
-        let state = state(4, 6);
-        let mut nodes: Vec<GossipState> = (1..=4).map(|n| GossipState::new(NodeId(n), 1)).collect();
-        let skew: Vec<TimeDelta> =
-            (0..4).map(|_| TimeDelta::from_micros(rng.i64(-5_000_000..5_000_000))).collect();
-        let mut in_transit: Vec<(usize, Vec<GossipRecord>)> = Vec::new();
-        let (mut now, mut primaries) = (sec(100), [0, 3]);
+        let mut network = Network::new(seed);
         let mut last: Vec<BTreeMap<GroupId, PrimaryBelief>> = vec![BTreeMap::new(); 4];
         for _ in 0..300 {
-            now += TimeDelta::from_micros(rng.i64(0..500_000));
-            let (a, b) = (rng.usize(..4), rng.usize(..4));
-            match rng.u8(..10) {
-                0 => {
-                    let group = rng.usize(..2);
-                    primaries[group] = group * 3 + rng.usize(..3);
-                }
-                1..=4 => {
-                    let host = rng.usize(..6);
-                    let at = now + skew[a];
-                    nodes[a].observe(
-                        at,
-                        &[observation(host, primaries.contains(&host), at)],
-                        GossipUrgency::Routine,
-                    );
-                }
-                5 | 6 if a != b => {
-                    let digest = nodes[b].digest();
-                    in_transit.push((b, nodes[a].records_missing_from(now + skew[a], &digest, |_| false, 3)));
-                }
-                7 | 8 if !in_transit.is_empty() => {
-                    let at = rng.usize(..in_transit.len());
-                    let (to, records) =
-                        if rng.bool() { in_transit[at].clone() } else { in_transit.swap_remove(at) };
-                    nodes[to].merge(now + skew[to], records, &state);
-                }
-                9 => drop(in_transit.pop()),
-                _ => {}
-            }
-            for (n, node) in nodes.iter_mut().enumerate() {
-                node.update_beliefs(now + skew[n], &state);
+            network.step();
+            for (n, last) in last.iter_mut().enumerate() {
+                let now = network.clock(n);
+                let node = &mut network.nodes[n];
+                node.update_beliefs(now, &network.state);
                 for (group, belief) in node.primary_beliefs() {
-                    if let Some(before) = last[n].get(group) {
+                    if let Some(before) = last.get(group) {
                         assert!(
                             belief.observed_at >= before.observed_at,
                             "seed {seed}: {before:?} gave way to {belief:?}"
                         );
                     }
                 }
-                last[n] = node.primary_beliefs().clone();
-            }
-        }
-        for _ in 0..40 {
-            for a in 0..4 {
-                for b in (0..4).filter(|b| *b != a) {
-                    let digest = nodes[b].digest();
-                    let records = nodes[a].records_missing_from(now + skew[a], &digest, |_| false, 3);
-                    nodes[b].merge(now + skew[b], records, &state);
-                }
+                *last = node.primary_beliefs().clone();
             }
         }
+        network.exchange_all();
+        let nodes = &network.nodes;
         let digests: BTreeSet<_> = nodes.iter().map(GossipState::digest).collect();
         assert_eq!(digests.len(), 1, "seed {seed}");
-        let lines = |n: &GossipState| n.describe(Timestamp::ZERO, |id| id.to_string()).len();
-        assert!(nodes.iter().all(|n| lines(n) == lines(&nodes[0])), "seed {seed}");
+        let lines = |node: &GossipState| node.describe(Timestamp::ZERO, |id| id.to_string()).len();
+        assert!(nodes.iter().all(|node| lines(node) == lines(&nodes[0])), "seed {seed}");
     }
 }
 
--- a/src/fleet/zones/tests.rs
+++ b/src/fleet/zones/tests.rs
@@ -21,14 +21,17 @@
     }
 }
 
+/// The reports of nodes 1, 2, …, each with its outcomes in zones 0, 1, ….
 fn reports(all: &[&[ZoneOutcomes]]) -> ZoneReports {
-    let own = |own: &&[ZoneOutcomes]| own.iter().enumerate().map(|(z, s)| (ZoneId(z as u8), *s)).collect();
-    all.iter().enumerate().map(|(n, s)| (NodeId(n as u64 + 1), own(s))).collect()
+    let report = |zones: &&[ZoneOutcomes]| -> ZoneReport {
+        zones.iter().enumerate().map(|(zone, outcomes)| (ZoneId(zone as u8), *outcomes)).collect()
+    };
+    all.iter().enumerate().map(|(n, zones)| (NodeId(n as u64 + 1), report(zones))).collect()
 }
 
 #[test]
 fn a_lost_zone_is_told_from_a_slow_one_a_cut_link_chance_and_an_isolated_node() {
-    let (g, s) = (answering(20), silent(20));
+    let (ok, lost) = (answering(20), silent(20));
     let late = ZoneOutcomes { late: 15, on_time: 5, ..ZoneOutcomes::default() };
     let unlucky = ZoneOutcomes {
         on_time: 15,
@@ -45,35 +48,38 @@
         endpoints_total: 4,
         ..ZoneOutcomes::default()
     };
-    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[s, g], &[s, g], &[g, g]])), ZoneHealth::Lost);
+    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[lost, ok], &[lost, ok], &[ok, ok]])), ZoneHealth::Lost);
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[s, g], &[g, g], &[g, g]])),
+        assess_zone(ZoneId(0), &reports(&[&[lost, ok], &[ok, ok], &[ok, ok]])),
         ZoneHealth::CutOff(BTreeSet::from([NodeId(1)]))
     );
-    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[late, g], &[late, g], &[g, g]])), ZoneHealth::Slow);
-    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[unlucky, g], &[g, g]])), ZoneHealth::Healthy);
-    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[unlucky, g], &[unlucky, g]])), ZoneHealth::Degraded);
+    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[late, ok], &[late, ok], &[ok, ok]])), ZoneHealth::Slow);
+    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[unlucky, ok], &[ok, ok]])), ZoneHealth::Healthy);
+    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[unlucky, ok], &[unlucky, ok]])), ZoneHealth::Degraded);
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[s, s], &[g, g]])),
+        assess_zone(ZoneId(0), &reports(&[&[lost, lost], &[ok, ok]])),
         ZoneHealth::Healthy,
         "its own link is cut"
     );
-    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[silent(2), g], &[answering(2), g]])), ZoneHealth::Unknown);
+    assert_eq!(
+        assess_zone(ZoneId(0), &reports(&[&[silent(2), ok], &[answering(2), ok]])),
+        ZoneHealth::Unknown
+    );
     // Many nodes with few attempts each have enough together.
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[silent(2), g], &[silent(2), g], &[silent(1), g]])),
+        assess_zone(ZoneId(0), &reports(&[&[silent(2), ok], &[silent(2), ok], &[silent(1), ok]])),
         ZoneHealth::Lost
     );
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[one_dead, g], &[g, g]])),
+        assess_zone(ZoneId(0), &reports(&[&[one_dead, ok], &[ok, ok]])),
         ZoneHealth::CutOff(BTreeSet::from([NodeId(1)]))
     );
     assert_ne!(
-        assess_zone(ZoneId(0), &reports(&[&[one_dead, g]])),
+        assess_zone(ZoneId(0), &reports(&[&[one_dead, ok]])),
         ZoneHealth::Lost,
         "one endpoint of four is all that was tried"
     );
-    let one_each = &[&[one_dead, g][..], &[one_dead, g], &[one_dead, g]];
+    let one_each = &[&[one_dead, ok][..], &[one_dead, ok], &[one_dead, ok]];
     assert_eq!(
         assess_zone(ZoneId(0), &reports(one_each)),
         ZoneHealth::Lost,
@@ -82,11 +88,11 @@
     // A node that reports every zone as lost, with however many attempts.
     let exaggerating = silent(u32::MAX);
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[exaggerating, exaggerating], &[g, g], &[g, g]])),
+        assess_zone(ZoneId(0), &reports(&[&[exaggerating, exaggerating], &[ok, ok], &[ok, ok]])),
         ZoneHealth::Healthy
     );
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[exaggerating, g], &[g, g], &[g, g]])),
+        assess_zone(ZoneId(0), &reports(&[&[exaggerating, ok], &[ok, ok], &[ok, ok]])),
         ZoneHealth::CutOff(BTreeSet::from([NodeId(1)]))
     );
 }
@@ -168,14 +174,14 @@
                 }
                 world.weights.insert(zone, weight);
                 assert!(
-                    world.weights.values().any(|s| s.permille > 0),
+                    world.weights.values().any(|weight| weight.permille > 0),
                     "seed {seed}: all zones are evacuated"
                 );
                 moves.push((now, zone, weight));
             }
         }
         assert!(
-            world.weights.values().all(|s| s.permille == FULL_WEIGHT_PERMILLE),
+            world.weights.values().all(|weight| weight.permille == FULL_WEIGHT_PERMILLE),
             "seed {seed}: {:?}",
             world.weights
         );
@@ -196,7 +202,7 @@
 #[test]
 fn a_slow_zone_is_evacuated_as_far_as_the_others_can_carry_it_and_a_lost_one_wholly() {
     let late = ZoneOutcomes { late: 20, ..ZoneOutcomes::default() };
-    let (g, s) = (answering(20), silent(20));
+    let (ok, lost) = (answering(20), silent(20));
     let weights: BTreeMap<ZoneId, ZoneWeight> = (0..2).map(|z| (ZoneId(z), ZoneWeight::default())).collect();
     let loads = BTreeMap::from([
         (ZoneId(0), ZoneLoad { reads_rps: 100.0, capacity_rps: 150.0 }),
@@ -205,15 +211,15 @@
     let (mut controller, zero) = (EvacuationController::default(), Timestamp::ZERO);
     let own = |zone| vec![zone];
     assert!(
-        controller.next_moves(zero, &weights, own, &reports(&[&[late, g]]), &loads).is_empty(),
+        controller.next_moves(zero, &weights, own, &reports(&[&[late, ok]]), &loads).is_empty(),
         "not with the first report"
     );
     let ZoneMove { zone, weight } =
-        controller.next_moves(zero + MIN_STEP_TIME, &weights, own, &reports(&[&[late, g]]), &loads)[0];
+        controller.next_moves(zero + MIN_STEP_TIME, &weights, own, &reports(&[&[late, ok]]), &loads)[0];
     // The other zone can carry 35 of its 100 reads.
     assert_eq!((zone, weight.permille, weight.reason), (ZoneId(0), 650, WeightReason::Slow));
     let ZoneMove { zone, weight } =
-        EvacuationController::default().next_moves(zero, &weights, own, &reports(&[&[s, g]]), &loads)[0];
+        EvacuationController::default().next_moves(zero, &weights, own, &reports(&[&[lost, ok]]), &loads)[0];
     assert_eq!((zone, weight.permille, weight.reason), (ZoneId(0), 0, WeightReason::Lost));
     // Both are slow: nothing would be gained. Only one is left that works: it stays.
     assert!(
@@ -226,7 +232,7 @@
         ZoneId(0),
         ZoneWeight { permille: 0, reason: WeightReason::Lost, version: 1, failed_returns: 0 },
     );
-    let both = reports(&[&[ZoneOutcomes::default(), s], &[ZoneOutcomes::default(), s]]);
+    let both = reports(&[&[ZoneOutcomes::default(), lost], &[ZoneOutcomes::default(), lost]]);
     assert!(EvacuationController::default().next_moves(zero, &one_left, own, &both, &loads).is_empty());
     // A zone that an operator evacuated returns on a command only.
     let mut held = weights.clone();
@@ -238,7 +244,7 @@
     for now in [zero, zero + EvacuationBackoff::default().longest * 2] {
         assert!(
             controller
-                .next_moves(now, &held, own, &reports(&[&[ZoneOutcomes::default(), g]]), &loads)
+                .next_moves(now, &held, own, &reports(&[&[ZoneOutcomes::default(), ok]]), &loads)
                 .is_empty()
         );
     }
@@ -248,7 +254,7 @@
 /// evacuated one after the other, and against one zone's fault that is taken for its region's.
 #[test]
 fn a_lost_region_is_evacuated_wholly_and_a_lost_zone_alone() {
-    let (g, s, none) = (answering(20), silent(20), ZoneOutcomes::default());
+    let (ok, lost, none) = (answering(20), silent(20), ZoneOutcomes::default());
     let weights: BTreeMap<ZoneId, ZoneWeight> = (0..4).map(|z| (ZoneId(z), ZoneWeight::default())).collect();
     let loads = BTreeMap::new();
     // Zones 0, 1 and 2 are a region.
@@ -263,12 +269,24 @@
         );
         due.into_iter().map(|ZoneMove { zone, weight }| (zone.0, weight.permille)).collect()
     };
-    assert_eq!(left(&[&[s, silent(3), none, g], &[s, none, none, g]]), [(0, 0), (1, 0), (2, 0)]);
-    assert_eq!(left(&[&[s, s, g, g], &[s, s, g, g]]), [(0, 0), (1, 0)], "one of its zones works");
-    assert_eq!(left(&[&[s, none, none, g], &[s, none, none, g]]), [(0, 0)], "nothing was tried elsewhere");
-    assert_eq!(left(&[&[s, s, s, s], &[s, s, s, s]]), [], "no zone is left to move to");
+    assert_eq!(left(&[&[lost, silent(3), none, ok], &[lost, none, none, ok]]), [(0, 0), (1, 0), (2, 0)]);
+    assert_eq!(
+        left(&[&[lost, lost, ok, ok], &[lost, lost, ok, ok]]),
+        [(0, 0), (1, 0)],
+        "one of its zones works"
+    );
+    assert_eq!(
+        left(&[&[lost, none, none, ok], &[lost, none, none, ok]]),
+        [(0, 0)],
+        "nothing was tried elsewhere"
+    );
+    assert_eq!(
+        left(&[&[lost, lost, lost, lost], &[lost, lost, lost, lost]]),
+        [],
+        "no zone is left to move to"
+    );
     // The same without regions: few attempts tell nothing.
-    let seen = reports(&[&[s, silent(3), none, g], &[s, none, none, g]]);
+    let seen = reports(&[&[lost, silent(3), none, ok], &[lost, none, none, ok]]);
     let alone = EvacuationController::default().next_moves(
         Timestamp::ZERO,
         &weights,
