--- a/src/fleet/recovery/first_election.rs
+++ b/src/fleet/recovery/first_election.rs
@@ -6,6 +6,7 @@
 //! term twice: a wrong guess here costs one exchange of messages.
 
 use crate::ids::NodeId;
+use crate::store::records::EntryId;
 use crate::time::{TimeDelta, Timestamp};
 use std::cmp::Reverse;
 
@@ -14,22 +15,13 @@
 /// A node whose election brought no leader starts the next one after this.
 const ELECTION_RETRY: TimeDelta = TimeDelta::from_millis(150);
 
-/// The last entry of a node's log. The order is that of Raft's election restriction: by term, then by index.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LogEnd {
-    /// Its term.
-    pub term: u64,
-    /// Its index.
-    pub index: u64,
-}
-
 /// What is known of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Voter {
     /// The node.
     pub id: NodeId,
     /// The last entry of its log.
-    pub log_end: LogEnd,
+    pub last_entry: EntryId,
     /// The leader that it knows; [`NodeId::NOBODY`]: none.
     pub leader: NodeId,
 }
@@ -39,9 +31,10 @@
         self.leader != NodeId::NOBODY
     }
 
-    /// Whether this voter rather than `other` is to be elected: the newer log, of equal ones the lower id.
+    /// Whether this voter rather than `other` is to be elected: the newer log by term, then index, as in Raft; of equal
+    /// ones the lower id.
     fn precedes(&self, other: &Voter) -> bool {
-        (self.log_end, Reverse(self.id)) > (other.log_end, Reverse(other.id))
+        (self.last_entry, Reverse(self.id)) > (other.last_entry, Reverse(other.id))
     }
 }
 
--- a/src/fleet/recovery/first_election/tests.rs
+++ b/src/fleet/recovery/first_election/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn voter(id: u64, index: u64) -> Voter {
-    Voter { id: NodeId(id), log_end: LogEnd { term: 3, index }, leader: NodeId::NOBODY }
+    Voter { id: NodeId(id), last_entry: EntryId { term: 3, index }, leader: NodeId::NOBODY }
 }
 
 /// Guards against two candidates that hear each other, against a candidate beside a leader or without a majority, and
@@ -35,8 +35,8 @@
         let all_up = up.len() == voters.len();
         let due = majority && (all_up || waited >= SILENT_VOTER_WAIT) && !(leader_known && up.len() > 1);
         assert_eq!(candidates.len(), usize::from(due), "seed {seed}: {candidates:?}");
-        let newest = up.iter().map(|v| v.log_end).max();
-        assert!(candidates.iter().all(|v| Some(v.log_end) == newest), "seed {seed}");
+        let newest = up.iter().map(|v| v.last_entry).max();
+        assert!(candidates.iter().all(|v| Some(v.last_entry) == newest), "seed {seed}");
     }
 }
 
--- a/src/fleet/runtime/first_election.rs
+++ b/src/fleet/runtime/first_election.rs
@@ -37,11 +37,7 @@
             let Some(status) = peers.status(id) else { continue };
             let heartbeat = &status.heartbeat;
             if heartbeat.participates && peers.link_to(id).is_some() {
-                reachable.push(Voter {
-                    id,
-                    last_entry: heartbeat.last_entry,
-                    leader: heartbeat.leader,
-                });
+                reachable.push(Voter { id, last_entry: heartbeat.last_entry, leader: heartbeat.leader });
             }
         }
         reachable
