--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -1,4 +1,4 @@
-//! Drains: requested by operators here, received from peers, kept on disk until the log has settled them.
+//! Drains: requested by operators here, received from peers, kept on disk until the log has resolved them.
 //!
 //! A drain only takes traffic away, so it acts wherever it is known, also without a majority. The end of a drain
 //! gives traffic back and needs the consensus.
@@ -72,7 +72,7 @@
     ///
     /// [`UnknownEndpoint`] where the inventory has no such endpoint.
     pub async fn drain(&self, endpoint: &str) -> Result<DrainOutcome, UnknownEndpoint> {
-        let mark = {
+        let drain_id = {
             let agreed = self.agreed();
             if !agreed.state().hosts.contains_key(endpoint) {
                 return Err(UnknownEndpoint(endpoint.to_string()));
@@ -91,13 +91,13 @@
         self.act_as_leader();
         let version = self.drains().pending.version();
         let changed = self.changes.subscribe();
-        let committed = self.wait_until_settled(endpoint, mark, &changed);
+        let committed = self.wait_until_resolved(endpoint, drain_id, &changed);
         if until(Instant::now() + self.limits.agreement_timeout, committed).await.is_some() {
             return Ok(DrainOutcome::Committed);
         }
         let persisted = self.wait_until_persisted(version, &changed);
         until(Instant::now() + self.limits.agreement_timeout, persisted).await;
-        let is_committed = self.agreed().state().is_resolved(endpoint, mark);
+        let is_committed = self.agreed().state().is_resolved(endpoint, drain_id);
         Ok(if is_committed { DrainOutcome::Committed } else { DrainOutcome::AwaitsMajority })
     }
 
@@ -107,26 +107,26 @@
     ///
     /// [`NoMajority`] where that took longer than the agreement timeout; the endpoint stays drained.
     pub async fn undrain(&self, endpoint: &str) -> Result<(), NoMajority> {
-        let marks = self.known_drains(endpoint);
-        if marks.is_empty() {
+        let drains = self.known_drains(endpoint);
+        if drains.is_empty() {
             return Ok(());
         }
-        let change = Change::Undrain { host: endpoint.to_string(), drains: marks.into_iter().collect() };
+        let change = Change::Undrain { host: endpoint.to_string(), drains: drains.into_iter().collect() };
         self.commit_change(change).await
     }
 
     /// The drains of an endpoint, committed or not.
     fn known_drains(&self, endpoint: &str) -> BTreeSet<DrainId> {
-        let mut marks = self.drains().pending.drains_of(endpoint);
+        let mut known = self.drains().pending.drains_of(endpoint);
         if let Some(committed) = self.agreed().state().drains.get(endpoint) {
-            marks.extend(committed);
+            known.extend(committed);
         }
-        marks
+        known
     }
 
-    /// Waits until the log has settled a drain.
-    async fn wait_until_settled(&self, endpoint: &str, mark: DrainId, changed: &Receiver<()>) {
-        while !self.agreed().state().is_resolved(endpoint, mark) {
+    /// Waits until the log has resolved a drain: it is committed, or was undone.
+    async fn wait_until_resolved(&self, endpoint: &str, drain_id: DrainId, changed: &Receiver<()>) {
+        while !self.agreed().state().is_resolved(endpoint, drain_id) {
             let _ = changed.recv().await;
         }
     }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Forgets pending drains that the log has settled.
+    /// Forgets pending drains that the log has resolved.
     pub(super) fn remove_settled_drains(&self) {
         let settled = {
             let agreed = self.agreed();
--- a/src/fleet/runtime/founding.rs
+++ b/src/fleet/runtime/founding.rs
@@ -3,8 +3,8 @@
 use super::Fleet;
 use crate::fleet::bootstrap::{Bootstrap, BootstrapState, Handshake};
 use crate::fleet::peer_link::PeerLink;
-use crate::ids::NodeId;
 use crate::ids::FleetId;
+use crate::ids::NodeId;
 use crate::store::state_machine::{ClusterState, Member};
 use crate::store::store_thread::StoreCommand;
 use std::collections::{BTreeMap, BTreeSet};
--- a/src/fleet/runtime/outgoing_links.rs
+++ b/src/fleet/runtime/outgoing_links.rs
@@ -30,8 +30,8 @@
         }
     }
 
-    /// The addresses of all peers. One that the operator's file names replaces what the fleet says of the same node:
-    /// the file may name a way to it that only works from here.
+    /// The addresses of all peers. Where the operator's file names an address of a node, the address that the fleet
+    /// has of it is left out: the file knows how that node is reached from here.
     fn wanted_links(&self) -> BTreeMap<SocketAddr, LinkOrigin> {
         let (agreed, peers, founding) = (self.agreed(), self.peers(), self.founding());
         let mut configured_ids: BTreeSet<NodeId> = BTreeSet::new();
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -1,5 +1,5 @@
-//! How service returns after a start: which phase this node has reached, by what the fleet knows; and the same for
-//! endpoints of a group that have all started a moment ago.
+//! How service returns after a start: which phase this node has reached, by what the fleet knows. Service returns in
+//! the same way to a group whose endpoints have all restarted.
 
 use super::Fleet;
 use crate::engine::PollParticipants;
@@ -79,7 +79,7 @@
 pub struct RecoveryRules {
     /// Which requests are admitted; `None`: all.
     pub admission: Option<AdmissionPolicy>,
-    /// The peers with which this node takes turns in polling; `None`: it polls all endpoints by itself.
+    /// The peers with which this node takes turns in polling; `None`: it polls all endpoints alone.
     pub poll_participants: Option<PollParticipants>,
 }
 
@@ -206,8 +206,8 @@
         })
     }
 
-    /// Detects which of these endpoints have started a moment ago. The engine is told, and spares them; but where no
-    /// endpoint of a group is warm, service returns to the group by phases, at the rate that its endpoints bear.
+    /// Detects which of these endpoints have restarted. The engine is told, and sends them less while they are cold; but
+    /// where no endpoint of a group is warm, service returns to the group by phases, at the rate that they bear.
     pub(super) fn detect_restarts<'a>(&self, now: Timestamp, endpoints: impl Iterator<Item = &'a String>) {
         let Some(slow_start) = self.recovery.borrow().slow_start else { return };
         let report = self.report_restarts(now, slow_start, endpoints);
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -263,8 +263,11 @@
         for (zone, health) in assess_zones(&reports, state) {
             let name = zones.state.name(zone);
             let weight = state.zone_weight(zone);
-            let region =
-                state.regions.by_zone.get(&zone).map_or(String::new(), |region| format!(" of region {region}"));
+            let region = state
+                .regions
+                .by_zone
+                .get(&zone)
+                .map_or(String::new(), |region| format!(" of region {region}"));
             let _ = writeln!(
                 out,
                 "zone {name} gets {} of {FULL_WEIGHT_PERMILLE}, agreed {} by move {}, {:?}, failed {}; looks {}{region}",
