--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -4,140 +4,28 @@
 use super::codec;
 use super::records::{HostRecord, MembershipStep};
 use super::zone_weights::ZoneWeight;
-use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
 use crate::ids::{FleetId, NodeId, ZoneId};
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
+mod change;
+mod inventory;
+
+pub use change::{
+    ApplyResult, Change, DrainId, JoiningMember, Member, MembershipChange, PendingDrain, Proposal,
+};
+pub use inventory::InventoryDifference;
+
 /// Hosts that an inventory may name. The same at all daemons, as all that decides here.
 pub const MAX_HOSTS: usize = 20_000;
+
 /// Daemons that a fleet may have, those that only follow included.
 pub const MAX_MEMBERS: usize = 32;
+
 /// Marks that were undone, and daemons that were removed, which are remembered.
 const MAX_REMEMBERED: usize = 10_000;
 
-/// One drain that was said: who said it, and that daemon's count of what it said. It is undone only by whoever
-/// had heard of it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct DrainId {
-    /// The daemon.
-    pub node: NodeId,
-    /// Its count.
-    pub sequence: u64,
-}
-
-/// A drain of a host that the log may not have resolved yet.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct PendingDrain {
-    /// The host's name.
-    pub host: String,
-    /// Which drain of it this is.
-    pub drain: DrainId,
-}
-
-/// A daemon of the fleet.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Member {
-    /// Its name in its operator's file.
-    pub name: String,
-    /// Where the others reach it, unless their own files say otherwise.
-    pub address: std::net::SocketAddr,
-}
-
-/// A change that is proposed.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Change {
-    /// Nothing new to a host.
-    Drain {
-        /// The host's name.
-        host: String,
-        /// Which drain this is.
-        drain: DrainId,
-    },
-    /// These drains of a host end; others of it stay.
-    Undrain {
-        /// The host's name.
-        host: String,
-        /// The drains that the one who says it had heard of.
-        drains: Vec<DrainId>,
-    },
-    /// What an inventory file says differently from the agreed one.
-    Inventory {
-        /// The daemon that read the file.
-        read_by: String,
-        /// When the file was last changed.
-        changed_at: Timestamp,
-        /// The version of the agreed inventory that this was compared with.
-        base_version: u64,
-        /// New and changed hosts.
-        upserts: Vec<(String, HostRecord)>,
-        /// Hosts that are gone.
-        removals: Vec<String>,
-    },
-    /// The settings of the service.
-    Settings {
-        /// The daemon that read the file.
-        read_by: String,
-        /// When the file was last changed.
-        changed_at: Timestamp,
-        /// A line for each path.
-        text: String,
-    },
-    /// A zone gets this part of its usual reads.
-    ZoneWeight {
-        /// Its number.
-        zone: ZoneId,
-        /// The share; its number is one more than that of the one before.
-        weight: ZoneWeight,
-    },
-    /// What an inventory file says of regions.
-    Regions {
-        /// The daemon that read the file.
-        read_by: String,
-        /// When the file was last changed.
-        changed_at: Timestamp,
-        /// By zone.
-        regions: BTreeMap<ZoneId, String>,
-    },
-}
-
-impl Change {
-    /// Whether it only takes away: such a change acts where it is said before it is agreed.
-    pub fn only_restricts(&self) -> bool {
-        matches!(self, Change::Drain { .. })
-    }
-}
-
-/// A change on its way into the log.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Proposal {
-    /// Whose it is.
-    pub from: NodeId,
-    /// That daemon's number for it.
-    pub token: u64,
-    /// What is to change.
-    pub change: Change,
-}
-
-/// A daemon that becomes a member.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JoiningMember {
-    /// Its id.
-    pub id: NodeId,
-    /// What the members know of it.
-    pub member: Member,
-}
-
-/// A change of the membership.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct MembershipChange {
-    /// What the consensus is to do, all at once.
-    pub steps: Vec<MembershipStep>,
-    /// A daemon that comes in.
-    pub joining: Option<JoiningMember>,
-}
-
 /// Where settings or an inventory come from.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Provenance {
@@ -167,24 +55,6 @@
     pub by_zone: BTreeMap<ZoneId, String>,
 }
 
-/// How a file's hosts differ from the agreed inventory.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct InventoryDifference {
-    /// Hosts that only the file names.
-    pub added: usize,
-    /// Hosts that both name, with other properties.
-    pub changed: usize,
-    /// Hosts that the file lacks.
-    pub missing: usize,
-}
-
-impl InventoryDifference {
-    /// Whether there is none.
-    pub fn is_empty(&self) -> bool {
-        *self == InventoryDifference::default()
-    }
-}
-
 /// The state that all daemons agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterState {
@@ -216,19 +86,6 @@
     pub regions: RegionMap,
 }
 
-/// What became of a change.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ApplyResult {
-    /// It is in force.
-    Done,
-    /// It was agreed before, or something newer was.
-    Superseded,
-    /// It was compared with a version that is no longer the last one.
-    StaleBase,
-    /// It is out of bounds.
-    Rejected,
-}
-
 impl ClusterState {
     /// From its bytes; those of a version that knew no regions, or no shares either, are read too.
     pub fn decode(bytes: &[u8]) -> Option<ClusterState> {
@@ -398,74 +255,6 @@
             });
         }
     }
-
-    /// The list as it is agreed, with hosts closed that `also` names: drains that are not agreed yet.
-    pub fn endpoint_list(&self, index: u64, also: impl Fn(&str) -> bool) -> EndpointUpdate {
-        let one = |(name, host): (&String, &HostRecord)| {
-            host.endpoint_record(name, self.is_drained(name) || also(name))
-        };
-        EndpointUpdate { index, whole: true, entries: self.hosts.iter().map(one).collect() }
-    }
-
-    /// What a file's hosts change in the agreed inventory; `None`: the agreed one is as new, or says the same.
-    /// A host that is new to a list in use starts cold, and so does one that has moved: nobody has seen what it
-    /// bears.
-    pub fn inventory_change(
-        &self,
-        by: &str,
-        hosts: &[EndpointRecord],
-        changed: Timestamp,
-        now: Timestamp,
-    ) -> Option<Change> {
-        if self.inventory.as_ref().is_some_and(|i| changed <= i.changed_at) {
-            return None;
-        }
-        let running = self.inventory.is_some();
-        let (mut set, mut named) = (Vec::new(), BTreeSet::new());
-        for listed in hosts {
-            named.insert(listed.name.as_str());
-            let old = self.hosts.get(&listed.name);
-            let known = old.filter(|o| o.address == listed.address);
-            let started_at = match (listed.started_at, known) {
-                (Some(stated), _) => Some(stated),
-                (None, Some(known)) => known.started_at,
-                (None, None) => running.then_some(now),
-            };
-            let new = HostRecord { started_at, ..HostRecord::from_endpoint_record(listed) };
-            if old != Some(&new) {
-                set.push((listed.name.clone(), new));
-            }
-        }
-        let gone: Vec<String> = self.hosts.keys().filter(|n| !named.contains(n.as_str())).cloned().collect();
-        let base = self.inventory.as_ref().map_or(0, |i| i.version);
-        Some(Change::Inventory {
-            read_by: by.to_string(),
-            changed_at: changed,
-            base_version: base,
-            upserts: set,
-            removals: gone,
-        })
-    }
-
-    /// How a file's hosts differ from the agreed ones: added, changed, missing.
-    pub fn inventory_difference(&self, hosts: &[EndpointRecord]) -> InventoryDifference {
-        let (mut added, mut changed) = (0, 0);
-        for listed in hosts {
-            match self.hosts.get(&listed.name) {
-                None => added += 1,
-                Some(known) => {
-                    let stated = listed.started_at.or(known.started_at);
-                    changed += usize::from(
-                        *known
-                            != HostRecord { started_at: stated, ..HostRecord::from_endpoint_record(listed) },
-                    );
-                }
-            }
-        }
-        let named: BTreeSet<&str> = hosts.iter().map(|h| h.name.as_str()).collect();
-        let missing = self.hosts.keys().filter(|n| !named.contains(n.as_str())).count();
-        InventoryDifference { added, changed, missing }
-    }
 }
 
 #[cfg(test)]
--- a/src/store/state_machine/tests.rs
+++ b/src/store/state_machine/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::engine::endpoints::EndpointRecord;
 use crate::routing::Availability;
 
 fn host(name: &str, port: u16) -> EndpointRecord {
--- a/src/store/storage/tests.rs
+++ b/src/store/storage/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::ids::FleetId;
+use crate::store::records::EntryId;
 use crate::store::state_machine::ClusterState;
 
 use std::ops::Bound;
