--- a/src/fleet/admin_api/mod.rs
+++ b/src/fleet/admin_api/mod.rs
@@ -9,7 +9,7 @@
 pub use self::description::{NodeRole, describe_fleet, node_role};
 pub use self::metrics::figures;
 
-use super::membership::MembershipRequest;
+use super::membership::{MemberRequest, MembershipRequest};
 use super::runtime::{
     DrainOutcome, Fleet, MembershipRequestError, RecoveryError, RecoveryPlan, ZoneCommandFailure,
 };
@@ -169,7 +169,8 @@
 }
 
 async fn change_membership(fleet: &Fleet, name: &str, request: MembershipRequest) -> Answer {
-    match (fleet.change_membership(name, request).await, request) {
+    let member_request = MemberRequest { member: name.to_string(), request };
+    match (fleet.change_membership(member_request).await, request) {
         (Ok(()), MembershipRequest::GrantVote) => Answer::new(200, format!("{name} votes")),
         (Ok(()), MembershipRequest::Remove) => Answer::new(200, format!("{name} has left")),
         (Err(error @ MembershipRequestError::UnknownMember(_)), _) => Answer::new(404, error.to_string()),
--- a/src/fleet/bootstrap.rs
+++ b/src/fleet/bootstrap.rs
@@ -5,7 +5,7 @@
 //! with this node.
 
 use crate::ids::{FleetId, NodeId};
-use crate::store::state_machine::ClusterState;
+use crate::store::state_machine::{ClusterState, Member};
 use crate::store::storage::PersistedProgress;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,16 @@
     /// Where its peers reach it.
     pub address: SocketAddr,
     /// How far its storage is, for peers to detect one that was put back to an earlier copy.
-    pub witness: PersistedProgress,
+    pub progress: PersistedProgress,
+}
+
+/// A member of a fleet, for a node that is to join it.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct MemberAddress {
+    /// Its name.
+    pub name: String,
+    /// Where its peers reach it.
+    pub address: SocketAddr,
 }
 
 /// The answer to a handshake. The order of the variants is that of the bytes.
@@ -40,8 +49,8 @@
     OutdatedStorage,
     /// An operator founded this fleet anew from the sender's, which it supersedes.
     SupersededFleet,
-    /// The sender is not a member of the fleet yet; these are the names and addresses of the members.
-    NotYetMember(Vec<(String, SocketAddr)>),
+    /// The sender is not a member of the fleet yet; these are the members.
+    NotYetMember(Vec<MemberAddress>),
 }
 
 /// Judges the handshake of a peer. `known` is the furthest that this peer's storage was ever reported to be.
@@ -61,14 +70,16 @@
         return HandshakeVerdict::RemovedMember;
     }
     if handshake.fleet.is_none() {
-        let members = state.members.values().map(|member| (member.name.clone(), member.address));
-        return HandshakeVerdict::NotYetMember(members.collect());
+        let members = state.members.values();
+        let addresses =
+            members.map(|Member { name, address }| MemberAddress { name: name.clone(), address: *address });
+        return HandshakeVerdict::NotYetMember(addresses.collect());
     }
     if handshake.fleet != state.fleet {
         return HandshakeVerdict::OtherFleet;
     }
     match known {
-        Some(known) if known.is_ahead_of(&handshake.witness) => HandshakeVerdict::OutdatedStorage,
+        Some(known) if known.is_ahead_of(&handshake.progress) => HandshakeVerdict::OutdatedStorage,
         _ => HandshakeVerdict::Accepted,
     }
 }
--- a/src/fleet/bootstrap/tests.rs
+++ b/src/fleet/bootstrap/tests.rs
@@ -7,8 +7,8 @@
 /// The handshake of node `id`.
 fn handshake(name: &str, id: u64, fleet: u128) -> Handshake {
     let address = ([127, 0, 0, 1], id as u16).into();
-    let witness = PersistedProgress { boot_count: 3, term: 5, last_entry: EntryId { term: 4, index: 90 } };
-    Handshake { fleet: FleetId(fleet), id: NodeId(id), name: name.into(), address, witness }
+    let progress = PersistedProgress { boot_count: 3, term: 5, last_entry: EntryId { term: 4, index: 90 } };
+    Handshake { fleet: FleetId(fleet), id: NodeId(id), name: name.into(), address, progress }
 }
 
 fn address(port: u16) -> SocketAddr {
@@ -96,14 +96,14 @@
     state.removed.insert(NodeId(9), "x".into());
     assert_eq!(
         judge_handshake(&state, None, &handshake("b", 2, 0)),
-        HandshakeVerdict::NotYetMember(vec![("a".into(), address(1))])
+        HandshakeVerdict::NotYetMember(vec![MemberAddress { name: "a".into(), address: address(1) }])
     );
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 8)), HandshakeVerdict::OtherFleet);
     assert_eq!(judge_handshake(&state, None, &handshake("x", 9, 7)), HandshakeVerdict::RemovedMember);
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 7)), HandshakeVerdict::Accepted);
     state.previous_fleets.insert(FleetId(6));
     assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 6)), HandshakeVerdict::SupersededFleet);
-    let reported = handshake("b", 2, 7).witness;
+    let reported = handshake("b", 2, 7).progress;
     for (known, expected) in [
         (reported, HandshakeVerdict::Accepted),
         (PersistedProgress { boot_count: 4, ..reported }, HandshakeVerdict::OutdatedStorage),
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -22,8 +22,8 @@
     Remove,
 }
 
-/// An operator's request, with the name of the member that it is about.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+/// An operator's request, with the name of the member that it is about. Field order is part of the message format.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberRequest {
     /// The member's name.
     pub member: String,
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -39,8 +39,8 @@
 
     fn meet(&mut self, id: u64, name: &str) {
         let id = NodeId(id);
-        let (address, witness) = (([127, 0, 0, 1], 9).into(), PersistedProgress::default());
-        let handshake = Handshake { fleet: FleetId::NONE, id, name: name.into(), address, witness };
+        let (address, progress) = (([127, 0, 0, 1], 9).into(), PersistedProgress::default());
+        let handshake = Handshake { fleet: FleetId::NONE, id, name: name.into(), address, progress };
         self.candidates.insert(id, handshake);
         self.silent_for.insert(id, TimeDelta::ZERO);
     }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -7,8 +7,8 @@
 //! Ages are sent, never times: the clocks of nodes may differ.
 
 use super::bootstrap::{Handshake, HandshakeVerdict};
-use super::gossip::{GossipRecord, GossipVersion};
-use super::membership::MembershipRequest;
+use super::gossip::{GossipDigest, GossipRecord};
+use super::membership::MemberRequest;
 use super::zones::ZoneOutcomes;
 use crate::engine::log_rollback::LogRollback;
 use crate::ids::NodeId;
@@ -36,14 +36,14 @@
     RaftMessages(Vec<RaftMessage>),
     /// A change for the leader to put into the log.
     ForwardedProposal(Proposal),
-    /// What an operator wants of the node of this name, for the leader to carry out.
-    MembershipRequest(String, MembershipRequest),
+    /// What an operator requests of a member, for the leader to carry out.
+    MembershipRequest(MemberRequest),
     /// All drains that the sender holds and that are not committed yet.
     PendingDrains(Vec<PendingDrain>),
     /// The sender's state, sent periodically and when its leader, term or participation changes.
     Heartbeat(Heartbeat),
     /// Which gossip the sender has, by the node that it comes from.
-    GossipDigest(Vec<(NodeId, GossipVersion)>),
+    GossipDigest(GossipDigest),
     /// Gossip that the receiver lacks by its last digest.
     GossipRecords(Vec<GossipRecord>),
     /// An endpoint has reported to be the primary.
--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -2,6 +2,9 @@
 //! node of the next version exchanges messages with nodes of this one.
 
 use super::*;
+use crate::fleet::bootstrap::MemberAddress;
+use crate::fleet::gossip::GossipVersion;
+use crate::fleet::membership::MembershipRequest;
 use crate::ids::{FleetId, GroupId, ZoneId};
 use crate::store::records::EntryId;
 use crate::store::records::HostRecord;
@@ -24,7 +27,7 @@
         id: NodeId(0x1122_3344_5566_7788),
         name: name.into(),
         address: "127.0.0.1:8891".parse().unwrap(),
-        witness: PersistedProgress {
+        progress: PersistedProgress {
             boot_count: 3,
             term: 500,
             last_entry: EntryId { term: 499, index: 70_000 },
@@ -34,8 +37,8 @@
 
 fn verdicts() -> Vec<(&'static str, PeerMessage)> {
     let candidate = vec![
-        ("b0".to_string(), "127.0.0.1:8001".parse().unwrap()),
-        ("b1".to_string(), "[::1]:8002".parse().unwrap()),
+        MemberAddress { name: "b0".to_string(), address: "127.0.0.1:8001".parse().unwrap() },
+        MemberAddress { name: "b1".to_string(), address: "[::1]:8002".parse().unwrap() },
     ];
     [
         ("verdict welcome", HandshakeVerdict::Accepted),
@@ -254,8 +257,20 @@
     let mut all = vec![
         ("hello", PeerMessage::Handshake(handshake("b0", fleet))),
         ("hello without a fleet at an IPv6 address", PeerMessage::Handshake(v6)),
-        ("wish vote", PeerMessage::MembershipRequest("b3".into(), MembershipRequest::GrantVote)),
-        ("wish leave", PeerMessage::MembershipRequest("b4".into(), MembershipRequest::Remove)),
+        (
+            "wish vote",
+            PeerMessage::MembershipRequest(MemberRequest {
+                member: "b3".into(),
+                request: MembershipRequest::GrantVote,
+            }),
+        ),
+        (
+            "wish leave",
+            PeerMessage::MembershipRequest(MemberRequest {
+                member: "b4".into(),
+                request: MembershipRequest::Remove,
+            }),
+        ),
         ("marks", PeerMessage::PendingDrains(marks)),
         ("beat", PeerMessage::Heartbeat(heartbeat())),
         ("beat of one that returns", PeerMessage::Heartbeat(recovering)),
@@ -309,8 +324,12 @@
                 Change::Regions { .. } => "regions",
             },
         ),
-        PeerMessage::MembershipRequest(_, MembershipRequest::GrantVote) => ("wish", "vote"),
-        PeerMessage::MembershipRequest(_, MembershipRequest::Remove) => ("wish", "leave"),
+        PeerMessage::MembershipRequest(MemberRequest { request: MembershipRequest::GrantVote, .. }) => {
+            ("wish", "vote")
+        }
+        PeerMessage::MembershipRequest(MemberRequest { request: MembershipRequest::Remove, .. }) => {
+            ("wish", "leave")
+        }
         PeerMessage::PendingDrains(_) => ("marks", ""),
         PeerMessage::Heartbeat(_) => ("beat", ""),
         PeerMessage::GossipDigest(_) => ("digest", ""),
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -7,9 +7,7 @@
 use crate::engine::endpoints::id_of;
 use crate::engine::log_rollback::{LogRollback, LogRollbacks};
 use crate::engine::observations::Observation;
-use crate::fleet::gossip::{
-    GossipDigest, GossipRecord, GossipState, GossipUrgency, GossipVersion, PrimaryBelief,
-};
+use crate::fleet::gossip::{GossipDigest, GossipRecord, GossipState, GossipUrgency, PrimaryBelief};
 use crate::fleet::message::{EndpointBytes, PeerMessage};
 use crate::fleet::recovery::{ClockReading, PersistedGossip, RestoredAge, restored_age};
 use crate::ids::{GroupId, NodeId};
@@ -166,7 +164,7 @@
     }
 
     /// Answers the digest of a peer with what the peer lacks.
-    pub(super) fn receive_gossip_digest(&self, sender: NodeId, digest: Vec<(NodeId, GossipVersion)>) {
+    pub(super) fn receive_gossip_digest(&self, sender: NodeId, digest: GossipDigest) {
         let records = {
             let peers = self.peers();
             let heard_by_sender = match peers.status(sender) {
--- a/src/fleet/runtime/membership_requests.rs
+++ b/src/fleet/runtime/membership_requests.rs
@@ -27,10 +27,10 @@
         MembershipRequests { requested_at: BTreeMap::new(), max_requests }
     }
 
-    /// Notes a request for the member of this name, unless there are too many.
-    pub(super) fn record(&mut self, member: String, request: MembershipRequest) {
+    /// Notes a request, unless there are too many.
+    pub(super) fn record(&mut self, request: MemberRequest) {
         if self.requested_at.len() < self.max_requests {
-            self.requested_at.insert(MemberRequest { member, request }, Instant::now());
+            self.requested_at.insert(request, Instant::now());
         }
     }
 
@@ -62,45 +62,41 @@
 }
 
 impl Fleet {
-    /// Has the member of this name get a vote, or leave. Returns once that is applied here.
+    /// Has a member get a vote, or leave. Returns once that is applied here.
     ///
     /// # Errors
     ///
     /// [`MembershipRequestError`] where there is no such member, or it took longer than two agreement timeouts.
-    pub async fn change_membership(
-        &self,
-        name: &str,
-        request: MembershipRequest,
-    ) -> Result<(), MembershipRequestError> {
-        if !self.agreed().state().members.values().any(|member| member.name == name) {
-            return Err(MembershipRequestError::UnknownMember(name.to_string()));
+    pub async fn change_membership(&self, request: MemberRequest) -> Result<(), MembershipRequestError> {
+        if !self.agreed().state().members.values().any(|member| member.name == request.member) {
+            return Err(MembershipRequestError::UnknownMember(request.member));
         }
-        let carried_out = self.request_until_carried_out(name, request);
+        let carried_out = self.request_until_carried_out(&request);
         let result = until(Instant::now() + self.limits.agreement_timeout * 2, carried_out).await;
         Ok(result.ok_or(NoMajority)?)
     }
 
     /// Repeats a request to the leader until it is carried out.
-    async fn request_until_carried_out(&self, name: &str, request: MembershipRequest) {
+    async fn request_until_carried_out(&self, request: &MemberRequest) {
         let changed = self.changes.subscribe();
-        while !self.is_carried_out(name, request) {
-            self.requests.borrow_mut().record(name.to_string(), request);
+        while !self.is_carried_out(request) {
+            self.requests.borrow_mut().record(request.clone());
             let (leader, is_leader) = {
                 let agreed = self.agreed();
                 (agreed.status().leader, agreed.is_leader())
             };
             if !is_leader && let Some(link) = self.link_to(leader) {
-                link.send(&PeerMessage::MembershipRequest(name.to_string(), request).encode());
+                link.send(&PeerMessage::MembershipRequest(request.clone()).encode());
             }
             sleep_or_wake(self.limits.proposal_retry_interval, &changed).await;
         }
     }
 
-    fn is_carried_out(&self, name: &str, request: MembershipRequest) -> bool {
+    fn is_carried_out(&self, request: &MemberRequest) -> bool {
         let agreed = self.agreed();
         let members = agreed.state().members.iter();
-        let mut ids = members.filter(|(_, member)| member.name == name).map(|(id, _)| id);
-        match request {
+        let mut ids = members.filter(|(_, member)| member.name == request.member).map(|(id, _)| id);
+        match request.request {
             MembershipRequest::GrantVote => ids.any(|id| agreed.status().configuration.voters.contains(id)),
             MembershipRequest::Remove => ids.next().is_none(),
         }
--- a/src/fleet/runtime/message_dispatch.rs
+++ b/src/fleet/runtime/message_dispatch.rs
@@ -63,8 +63,8 @@
                     self.send_to_store(StoreCommand::Propose(proposal));
                 }
             }
-            PeerMessage::MembershipRequest(name, request) => {
-                self.requests.borrow_mut().record(name, request);
+            PeerMessage::MembershipRequest(request) => {
+                self.requests.borrow_mut().record(request);
                 self.changes.notify();
             }
             PeerMessage::PendingDrains(drains) => self.receive_pending_drains(drains),
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -265,7 +265,7 @@
             id: agreed.local_id(),
             name: self.local.name.clone(),
             address: self.local.address,
-            witness: agreed.status().own_progress,
+            progress: agreed.status().own_progress,
         }
     }
 
--- a/src/fleet/runtime/outgoing_links.rs
+++ b/src/fleet/runtime/outgoing_links.rs
@@ -1,7 +1,7 @@
 //! The links that this node opens: to which addresses, and what the answers to its handshake mean.
 
 use super::Fleet;
-use crate::fleet::bootstrap::{self, Handshake, HandshakeVerdict};
+use crate::fleet::bootstrap::{self, Handshake, HandshakeVerdict, MemberAddress};
 use crate::fleet::message::{HandshakeReply, PeerMessage};
 use crate::fleet::peer_link::{LinkDecision, LinkOrigin, PeerLink, PeerLinkEvents};
 use crate::ids::NodeId;
@@ -110,9 +110,12 @@
     }
 
     /// Members of a fleet that this node may join, as one of them reports.
-    fn remember_members(&self, members: Vec<(String, SocketAddr)>) {
-        let others = members.into_iter().filter(|(name, _)| *name != self.local.name);
-        let known = others.map(|(name, address)| (address, name)).take(self.limits.fleet_nodes).collect();
+    fn remember_members(&self, members: Vec<MemberAddress>) {
+        let others = members.into_iter().filter(|member| member.name != self.local.name);
+        let mut known = BTreeMap::new();
+        for MemberAddress { name, address } in others.take(self.limits.fleet_nodes) {
+            known.insert(address, name);
+        }
         self.founding.borrow_mut().set_known_members(known);
     }
 
--- a/src/fleet/runtime/peer_directory.rs
+++ b/src/fleet/runtime/peer_directory.rs
@@ -27,8 +27,8 @@
     /// What a handshake says of its sender.
     fn from_handshake(handshake: &Handshake) -> PeerStatus {
         let heartbeat = Heartbeat {
-            term: handshake.witness.term,
-            last_entry: handshake.witness.last_entry,
+            term: handshake.progress.term,
+            last_entry: handshake.progress.last_entry,
             ..Heartbeat::default()
         };
         let name = handshake.name.clone();
