--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -121,3 +121,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/fleet/runtime/operator_recovery/tests.rs
@@ -0,0 +1,22 @@
+//! The text that an operator reads before one node goes on alone.
+
+use super::*;
+
+/// Guards against an operator who is not told what would be lost.
+#[test]
+fn the_plan_names_every_member_with_what_it_may_have_more() {
+    let other = |name: &str, data| OtherMember { name: name.into(), data };
+    let others = vec![
+        other("b1", MemberData::Newer { changes: 3 }),
+        other("b2", MemberData::NotNewer),
+        other("b3", MemberData::Unknown),
+    ];
+    let plan = RecoveryPlan { applied_index: 42, others };
+    assert_eq!(
+        plan.to_string(),
+        "this daemon goes on alone from what was agreed up to 42, as a new fleet; the others come over\n\
+         b1 has more: 3 changes would be lost; recover there instead\n\
+         b2 has no more than this daemon\n\
+         b3 is not heard: whatever it alone has would be lost, but for its drains\n"
+    );
+}
--- a/src/fleet/runtime/peer_directory.rs
+++ b/src/fleet/runtime/peer_directory.rs
@@ -231,3 +231,6 @@
         self.rejected_messages
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/fleet/runtime/proposals.rs
+++ b/src/fleet/runtime/proposals.rs
@@ -129,3 +129,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
