--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -6,8 +6,7 @@
 use crate::fleet::gossip::GossipVersion;
 use crate::fleet::membership::MembershipRequest;
 use crate::ids::{FleetId, GroupId, ZoneId};
-use crate::store::records::EntryId;
-use crate::store::records::HostRecord;
+use crate::store::records::{EntryId, HostRecord};
 use crate::store::state_machine::{Change, DrainId, PendingDrain};
 use crate::store::storage::PersistedProgress;
 use crate::store::zone_weights::{WeightReason, ZoneWeight};
@@ -15,7 +14,7 @@
 use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType, Snapshot};
 use std::collections::BTreeSet;
 
-/// One message a line, `name = hex`: the whole message with its length and check sum.
+/// One message a line, `name = hex`: the whole message with length prefix and checksum.
 const GOLDEN: &str = include_str!("../../../tests/fixtures/peer-messages.hex");
 
 /// Longer than any of them.
@@ -59,7 +58,11 @@
     let mut m =
         Message { to: 11, from: 12, term: 13, log_term: 14, index: 15, commit: 16, ..Message::default() };
     m.set_msg_type(kind);
-    (m.commit_term, m.request_snapshot, m.reject, m.reject_hint, m.priority) = (17, 18, true, 19, -20);
+    m.commit_term = 17;
+    m.request_snapshot = 18;
+    m.reject = true;
+    m.reject_hint = 19;
+    m.priority = -20;
     m.context = vec![0xc0, 0xff, 0xee].into();
     m
 }
@@ -80,7 +83,8 @@
     conf.auto_leave = true;
     let mut snapshot = Snapshot { data: vec![0x57, 0xa7, 0xe0].into(), ..Snapshot::default() };
     let meta = snapshot.mut_metadata();
-    (meta.index, meta.term) = (400, 24);
+    meta.index = 400;
+    meta.term = 24;
     meta.set_conf_state(conf);
     snapshot
 }
@@ -110,9 +114,9 @@
             _ => {}
         }
     }
-    let letter = |m: &Message| RaftMessage::of(m.clone()).expect("it is sent between nodes");
-    let two = vec![letter(&all[5].1), letter(&all[6].1)];
-    let one = all.iter().map(|(name, m)| (*name, PeerMessage::RaftMessages(vec![letter(m)])));
+    let encoded = |m: &Message| RaftMessage::of(m.clone()).expect("it is sent between nodes");
+    let two = vec![encoded(&all[5].1), encoded(&all[6].1)];
+    let one = all.iter().map(|(name, m)| (*name, PeerMessage::RaftMessages(vec![encoded(m)])));
     one.chain([
         ("letters none", PeerMessage::RaftMessages(Vec::new())),
         ("letters two", PeerMessage::RaftMessages(two)),
@@ -121,7 +125,7 @@
 }
 
 fn changes() -> Vec<(&'static str, PeerMessage)> {
-    let marks = vec![DrainId { node: NodeId(5), sequence: 6 }, DrainId { node: NodeId(7), sequence: 800 }];
+    let drains = vec![DrainId { node: NodeId(5), sequence: 6 }, DrainId { node: NodeId(7), sequence: 800 }];
     let record = |address: &str, leaving, started_at| HostRecord {
         address: address.parse().unwrap(),
         group: GroupId(300),
@@ -146,7 +150,7 @@
             "forward drain",
             Change::Drain { host: "s-1-1".into(), drain: DrainId { node: NodeId(5), sequence: 6 } },
         ),
-        ("forward undrain", Change::Undrain { host: "s-1-2".into(), drains: marks }),
+        ("forward undrain", Change::Undrain { host: "s-1-2".into(), drains }),
         (
             "forward inventory",
             Change::Inventory {
@@ -239,7 +243,7 @@
 /// Every message, each variant of what is in it among them.
 fn messages() -> Vec<(&'static str, PeerMessage)> {
     let fleet = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
-    let marks = vec![
+    let drains = vec![
         PendingDrain { host: "s-1-1".to_string(), drain: DrainId { node: NodeId(5), sequence: 6 } },
         PendingDrain { host: "s-2".to_string(), drain: DrainId { node: NodeId(7), sequence: 800 } },
     ];
@@ -271,7 +275,7 @@
                 request: MembershipRequest::Remove,
             }),
         ),
-        ("marks", PeerMessage::PendingDrains(marks)),
+        ("marks", PeerMessage::PendingDrains(drains)),
         ("beat", PeerMessage::Heartbeat(heartbeat())),
         ("beat of one that returns", PeerMessage::Heartbeat(recovering)),
         ("digest", PeerMessage::GossipDigest(digest)),
@@ -373,16 +377,20 @@
 #[test]
 fn the_golden_raft_messages_become_the_same_consensus_messages() {
     for (name, message) in messages() {
-        let PeerMessage::RaftMessages(letters) = message else { continue };
-        for letter in letters {
-            let kind = letter.clone().message().map(|m| m.msg_type);
+        let PeerMessage::RaftMessages(raft_messages) = message else { continue };
+        for raft_message in raft_messages {
+            let kind = raft_message.clone().message().map(|m| m.msg_type);
             // A snapshot message must carry a snapshot, any other message must not.
             assert_eq!(
                 kind.is_some(),
-                letter.carries_state() == name.starts_with("letter snapshot"),
+                raft_message.carries_state() == name.starts_with("letter snapshot"),
+                "{name}"
+            );
+            assert_eq!(
+                raft_message.clone().message().and_then(RaftMessage::of),
+                Some(raft_message),
                 "{name}"
             );
-            assert_eq!(letter.clone().message().and_then(RaftMessage::of), Some(letter), "{name}");
         }
     }
 }
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -26,6 +26,7 @@
 //! | `proposals` | changes on their way into the log | `PendingProposals` |
 //! | `recovery` | how service returns after a start | `RecoveryProgress` |
 //! | `store_events` | events of the store's thread | |
+//! | `zone_description` | what operators read about zones | |
 //! | `zones` | evacuation and return of zones | [`ZoneControl`] |
 
 use super::bootstrap::Handshake;
@@ -67,6 +68,7 @@
 mod proposals;
 mod recovery;
 mod store_events;
+mod zone_description;
 mod zones;
 
 pub use self::agreed_state::AgreedState;
@@ -80,7 +82,8 @@
 pub use self::peer_directory::{Candidate, PeerDirectory, PeerStatus};
 pub use self::proposals::NoMajority;
 pub use self::recovery::{RecoveryRules, RecoveryStatus};
-pub use self::zones::{ZoneCommandFailure, ZoneControl, ZoneMetrics};
+pub use self::zone_description::ZoneMetrics;
+pub use self::zones::{ZoneCommandFailure, ZoneControl};
 
 use self::change_notifier::ChangeNotifier;
 use self::endpoint_list::EndpointChanges;
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -7,8 +7,8 @@
 use crate::engine::outcome_window::OutcomeCounts;
 use crate::fleet::message::PeerMessage;
 use crate::fleet::zones::{
-    EvacuationPolicy, ZoneCommand, ZoneCommandError, ZoneHealth, ZoneMove, ZoneReport, ZoneReports,
-    ZoneState, assess_zones, populated_zones,
+    EvacuationPolicy, ZoneCommand, ZoneCommandError, ZoneMove, ZoneReport, ZoneReports, ZoneState,
+    populated_zones,
 };
 use crate::ids::{NodeId, ZoneId};
 use crate::store::state_machine::{Change, Proposal};
@@ -16,7 +16,6 @@
 use crate::store::zone_weights::{FULL_WEIGHT_PERMILLE, ZoneWeight};
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt::Write;
 use std::time::{Duration, Instant};
 
 /// A move that was proposed is not proposed again before this: committing one takes less.
@@ -62,15 +61,6 @@
     }
 }
 
-/// Counts of zones for the metrics.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ZoneMetrics {
-    /// Zones that do not get all of their reads from this node.
-    pub reduced_zones: u64,
-    /// Moves of traffic that were committed.
-    pub committed_moves: u64,
-}
-
 /// Why an operator's command for a zone was not carried out.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ZoneCommandFailure {
@@ -253,53 +243,6 @@
         let weight = zones.state.weight_for_command(command, zone, agreed.state())?;
         Ok((zone, weight))
     }
-
-    /// All zones with their weight, its reason and the reports of the members, for operators: a line for each fact.
-    pub fn describe_zones(&self) -> String {
-        let (agreed, zones, now) = (self.agreed(), self.zones.borrow(), self.clock.now());
-        let state = agreed.state();
-        let reports = zones.state.current_reports(now, agreed.local_id(), state);
-        let mut out = String::new();
-        for (zone, health) in assess_zones(&reports, state) {
-            let name = zones.state.name(zone);
-            let weight = state.zone_weight(zone);
-            let region = state
-                .regions
-                .by_zone
-                .get(&zone)
-                .map_or(String::new(), |region| format!(" of region {region}"));
-            let _ = writeln!(
-                out,
-                "zone {name} gets {} of {FULL_WEIGHT_PERMILLE}, agreed {} by move {}, {:?}, failed {}; looks {}{region}",
-                zones.state.effective_permille(now, zone, state),
-                weight.permille,
-                weight.version,
-                weight.reason,
-                weight.failed_returns,
-                describe_health(&health, &agreed)
-            );
-            for (id, by_zone) in &reports {
-                let Some(outcomes) = by_zone.get(&zone) else { continue };
-                let _ = writeln!(
-                    out,
-                    "zone {name} seen by {} {outcomes} hosts {} gone {} busy {}",
-                    agreed.node_name(*id),
-                    outcomes.endpoints_tried,
-                    outcomes.endpoints_failed,
-                    outcomes.utilization_permille
-                );
-            }
-        }
-        out
-    }
-
-    /// Counts of zones for the metrics.
-    pub fn zone_metrics(&self) -> ZoneMetrics {
-        let (agreed, zones) = (self.agreed(), self.zones.borrow());
-        let reduced = zones.state.reduced_zones(self.clock.now(), agreed.state());
-        let committed_moves = agreed.state().zone_weights.values().map(|weight| weight.version).sum();
-        ZoneMetrics { reduced_zones: reduced.len() as u64, committed_moves }
-    }
 }
 
 /// What the members report of a zone, for the log.
@@ -312,14 +255,3 @@
     }
     described.join("; ")
 }
-
-/// A zone's health as operators read it.
-fn describe_health(health: &ZoneHealth, agreed: &AgreedState) -> String {
-    match health {
-        ZoneHealth::CutOff(nodes) => {
-            let names: Vec<String> = nodes.iter().map(|id| agreed.node_name(*id)).collect();
-            format!("cut off from {}", names.join(", "))
-        }
-        other => other.label().to_string(),
-    }
-}
