--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -1,13 +1,7 @@
-//! The agreed state: settings, inventory, drain marks, members. No I/O and no clock: the same changes in the
-//! same order make the same state at every daemon.
-
-use super::codec;
-use super::records::{HostRecord, MembershipStep};
-use super::zone_weights::ZoneWeight;
-use crate::ids::{FleetId, NodeId, ZoneId};
-use crate::time::Timestamp;
-use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
+//! The replicated state: members, settings, inventory, drains, zone weights and regions.
+//!
+//! No I/O and no clock: the same changes in the same order make the same state on every node. A rule of
+//! [`ClusterState::apply`] must therefore be the same in all versions that run in a fleet together.
 
 mod change;
 mod inventory;
@@ -17,94 +11,99 @@
 };
 pub use inventory::InventoryDifference;
 
-/// Hosts that an inventory may name. The same at all daemons, as all that decides here.
+use super::codec;
+use super::records::{HostRecord, MembershipStep};
+use super::zone_weights::ZoneWeight;
+use crate::ids::{FleetId, NodeId, ZoneId};
+use crate::time::Timestamp;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Hosts of an inventory. Bounds the snapshot, which every change may send anew; part of the replicated rules.
 pub const MAX_HOSTS: usize = 20_000;
 
-/// Daemons that a fleet may have, those that only follow included.
+/// Members of a fleet, learners included.
 pub const MAX_MEMBERS: usize = 32;
 
-/// Marks that were undone, and daemons that were removed, which are remembered.
+/// Undone drains, and removed members, that are remembered; part of the replicated rules. A drain that arrives after
+/// more undrains than this would take effect again.
 const MAX_REMEMBERED: usize = 10_000;
 
-/// Where settings or an inventory come from.
+/// The body of an empty zone weight map, and of an empty region map with the time zero before it, as postcard writes
+/// them. Version 0.3 wrote neither, later ones no regions.
+const MISSING_REGIONS: [u8; 2] = [0, 0];
+const MISSING_ZONE_WEIGHTS_AND_REGIONS: [u8; 3] = [0, 0, 0];
+
+/// Which file settings or an inventory come from.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Provenance {
-    /// The daemon that read the file.
+    /// The name of the node that read the file.
     pub read_by: String,
     /// When the file was last changed.
     pub changed_at: Timestamp,
-    /// The place in the log at which it was agreed.
+    /// The index of the entry that committed them.
     pub version: u64,
 }
 
-/// The settings of the service, as they are agreed.
+/// The committed settings of the service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSettings {
-    /// Where they come from.
+    /// Which file they come from.
     pub provenance: Provenance,
-    /// A line for each path.
+    /// `path=value`, a line for each setting.
     pub text: String,
 }
 
-/// The regions of zones, as they are agreed.
+/// The committed regions of zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionMap {
-    /// When the file that says so was last changed.
+    /// When the file that names them was last changed.
     pub changed_at: Timestamp,
     /// The region of each zone that has one.
     pub by_zone: BTreeMap<ZoneId, String>,
 }
 
-/// The state that all daemons agree on.
+/// The state that all nodes of a fleet agree on. The order of the fields is part of the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterState {
-    /// The fleet.
+    /// The fleet; [`FleetId::NONE`]: there is none yet.
     pub fleet: FleetId,
-    /// Its daemons.
+    /// The nodes of the fleet.
     pub members: BTreeMap<NodeId, Member>,
-    /// Daemons that were removed, with their names.
+    /// The names of nodes that were removed.
     pub removed: BTreeMap<NodeId, String>,
-    /// Names of daemons that founded the fleet with the first one and are still to come in.
+    /// The names of nodes that the fleet was founded with and that do not vote yet.
     pub founders: BTreeSet<String>,
-    /// The settings of the service.
+    /// The settings of the service, once they are committed.
     pub settings: Option<ServiceSettings>,
-    /// Where the inventory comes from; `None` before the first one.
+    /// Which file the inventory comes from, once one is committed.
     pub inventory: Option<Provenance>,
-    /// Its hosts.
+    /// The hosts of the inventory, by name.
     pub hosts: BTreeMap<String, HostRecord>,
-    /// Drains in force, by host.
+    /// The drains in force, by host.
     pub drains: BTreeMap<String, BTreeSet<DrainId>>,
-    /// Drains that were undone, each with its place in the log: one that comes late stays undone.
+    /// Undone drains, with the index of the entry that has undone each. A drain that is committed after its undrain
+    /// stays undone.
     pub undone_drains: BTreeMap<DrainId, u64>,
-    /// Fleets that this one goes on from, on an operator's word: whoever is still of one of them comes over.
+    /// Fleets that an operator has replaced by this one. Nodes that still belong to one of them join this fleet.
     pub previous_fleets: BTreeSet<FleetId>,
-    /// A check sum over all that was agreed: alike at two daemons only where both took in the same sequence.
+    /// A checksum over all applied entries. Two nodes have the same one only if they have applied the same entries.
     pub digest: u32,
-    /// Shares of zones that were ever moved.
+    /// The weights of zones whose weight was ever changed.
     pub zone_weights: BTreeMap<ZoneId, ZoneWeight>,
-    /// Regions by zone, and when the file that said so was changed.
+    /// The regions of zones.
     pub regions: RegionMap,
 }
 
 impl ClusterState {
-    /// From its bytes; those of a version that knew no regions, or no shares either, are read too.
+    /// Decodes a state. States of versions without regions, or without zone weights either, are read as well.
     pub fn decode(bytes: &[u8]) -> Option<ClusterState> {
-        let earlier = |missing: &[u8]| codec::decode_earlier(bytes, missing);
-        codec::decode(bytes).or_else(|| earlier(&[0, 0])).or_else(|| earlier(&[0, 0, 0]))
-    }
-
-    /// Zones of the same region as this one, itself among them.
-    pub fn zones_in_region(&self, zone: ZoneId) -> Vec<ZoneId> {
-        let Some(region) = self.regions.by_zone.get(&zone) else { return vec![zone] };
-        self.regions.by_zone.iter().filter(|(_, r)| *r == region).map(|(z, _)| *z).collect()
+        codec::decode(bytes)
+            .or_else(|| codec::decode_earlier(bytes, &MISSING_REGIONS))
+            .or_else(|| codec::decode_earlier(bytes, &MISSING_ZONE_WEIGHTS_AND_REGIONS))
     }
 
-    /// The share of a zone.
-    pub fn zone_weight(&self, zone: ZoneId) -> ZoneWeight {
-        self.zone_weights.get(&zone).copied().unwrap_or_default()
-    }
-
-    /// A new fleet of one, which waits for the other founders.
+    /// A new fleet with one member. It commits nothing else until the other founders have become voters.
     pub fn found_fleet(
         fleet: FleetId,
         id: NodeId,
@@ -115,122 +114,172 @@
         ClusterState { fleet, members, founders, ..ClusterState::default() }
     }
 
-    /// A fleet of one that goes on from this state, on an operator's word.
+    /// A fleet with one member that replaces this one and continues from its state. An operator orders it where the
+    /// majority of this fleet is lost.
     pub fn force_new_fleet(&self, fleet: FleetId, id: NodeId, member: Member) -> ClusterState {
-        let mut former = self.previous_fleets.clone();
-        former.insert(self.fleet);
-        let (members, founders) = (BTreeMap::from([(id, member)]), BTreeSet::new());
-        ClusterState { fleet, members, founders, previous_fleets: former, ..self.clone() }
+        let mut state = self.clone();
+        state.previous_fleets.insert(self.fleet);
+        state.fleet = fleet;
+        state.members = BTreeMap::from([(id, member)]);
+        state.founders = BTreeSet::new();
+        state
     }
 
-    /// Whether all founders are in: before that the fleet agrees on nothing else.
+    /// Whether all founders vote.
     pub fn is_complete(&self) -> bool {
         self.founders.is_empty()
     }
 
-    /// Whether a host is drained by a mark.
+    /// The zones of a zone's region, itself included. A zone without a region is alone.
+    pub fn zones_in_region(&self, zone: ZoneId) -> Vec<ZoneId> {
+        let regions = &self.regions.by_zone;
+        let Some(region) = regions.get(&zone) else { return vec![zone] };
+        let in_region = |(zone, other): (&ZoneId, &String)| (other == region).then_some(*zone);
+        regions.iter().filter_map(in_region).collect()
+    }
+
+    /// The weight of a zone.
+    pub fn zone_weight(&self, zone: ZoneId) -> ZoneWeight {
+        self.zone_weights.get(&zone).copied().unwrap_or_default()
+    }
+
+    /// Whether any drain of the host is in force.
     pub fn is_drained(&self, host: &str) -> bool {
         self.drains.contains_key(host)
     }
 
-    /// Whether the log has said all that there is to say of a mark.
-    pub fn is_resolved(&self, host: &str, mark: DrainId) -> bool {
-        self.undone_drains.contains_key(&mark) || self.drains.get(host).is_some_and(|m| m.contains(&mark))
+    /// Whether the log has committed or undone this drain.
+    pub fn is_resolved(&self, host: &str, drain: DrainId) -> bool {
+        let is_committed = self.drains.get(host).is_some_and(|drains| drains.contains(&drain));
+        is_committed || self.undone_drains.contains_key(&drain)
     }
 
-    /// Takes in the change at `index`.
+    /// Applies the change that is committed at `index`.
     pub fn apply(&mut self, index: u64, change: &Change) -> ApplyResult {
         match change {
-            Change::Drain { host, drain: mark } => {
-                if self.is_resolved(host, *mark) {
-                    return ApplyResult::Superseded;
-                }
-                self.drains.entry(host.clone()).or_default().insert(*mark);
-                ApplyResult::Done
+            Change::Drain { host, drain } => self.apply_drain(host, *drain),
+            Change::Undrain { host, drains } => self.apply_undrain(index, host, drains),
+            Change::Inventory { read_by, changed_at, base_version, upserts, removals } => {
+                let provenance =
+                    Provenance { read_by: read_by.clone(), changed_at: *changed_at, version: index };
+                self.apply_inventory(provenance, *base_version, upserts, removals)
             }
-            Change::Undrain { host, drains: marks } => {
-                let mut known = self.drains.remove(host).unwrap_or_default();
-                for mark in marks {
-                    // Also one that the log has not seen yet: it comes undone.
-                    known.remove(mark);
-                    self.undone_drains.insert(*mark, index);
-                }
-                if !known.is_empty() {
-                    self.drains.insert(host.clone(), known);
-                }
-                self.discard_oldest_undone();
-                ApplyResult::Done
+            Change::Settings { read_by, changed_at, text } => {
+                let provenance =
+                    Provenance { read_by: read_by.clone(), changed_at: *changed_at, version: index };
+                self.apply_settings(ServiceSettings { provenance, text: text.clone() })
             }
-            Change::Inventory {
-                read_by: by,
-                changed_at: changed,
-                base_version: base,
-                upserts: set,
-                removals: gone,
-            } => {
-                let (version, known) =
-                    self.inventory.as_ref().map_or((0, None), |i| (i.version, Some(i.changed_at)));
-                if known.is_some_and(|known| *changed <= known) {
-                    return ApplyResult::Superseded;
-                }
-                if *base != version {
-                    return ApplyResult::StaleBase;
-                }
-                let names: BTreeSet<&String> = self.hosts.keys().chain(set.iter().map(|(n, _)| n)).collect();
-                if names.len() > MAX_HOSTS + gone.len() {
-                    return ApplyResult::Rejected;
-                }
-                for name in gone {
-                    self.hosts.remove(name);
-                }
-                self.hosts.extend(set.iter().cloned());
-                self.inventory =
-                    Some(Provenance { read_by: by.clone(), changed_at: *changed, version: index });
-                ApplyResult::Done
-            }
-            Change::Settings { read_by: by, changed_at: changed, text } => {
-                if self.settings.as_ref().is_some_and(|known| *changed <= known.provenance.changed_at) {
-                    return ApplyResult::Superseded;
-                }
-                let source = Provenance { read_by: by.clone(), changed_at: *changed, version: index };
-                self.settings = Some(ServiceSettings { provenance: source, text: text.clone() });
-                ApplyResult::Done
-            }
-            Change::ZoneWeight { zone, weight: share } => {
-                if share.version != self.zone_weight(*zone).version + 1 {
-                    return ApplyResult::Superseded;
-                }
-                // Two that are said at once, each while the other zone was in service, must not take all away.
-                let mut zones = self.hosts.values().map(|h| h.zone).filter(|z| z != zone);
-                if share.permille == 0 && !zones.any(|other| self.zone_weight(other).permille > 0) {
-                    return ApplyResult::Rejected;
-                }
-                self.zone_weights.insert(*zone, *share);
-                ApplyResult::Done
-            }
-            Change::Regions { changed_at: changed, regions, .. } => {
-                if *changed <= self.regions.changed_at {
-                    return ApplyResult::Superseded;
-                }
-                self.regions = RegionMap { changed_at: *changed, by_zone: regions.clone() };
-                ApplyResult::Done
+            Change::ZoneWeight { zone, weight } => self.apply_zone_weight(*zone, *weight),
+            Change::Regions { changed_at, regions, .. } => {
+                self.apply_regions(RegionMap { changed_at: *changed_at, by_zone: regions.clone() })
             }
         }
     }
 
-    /// Takes in a change of the membership. The consensus has the last word on who votes.
+    fn apply_drain(&mut self, host: &str, drain: DrainId) -> ApplyResult {
+        if self.is_resolved(host, drain) {
+            return ApplyResult::Superseded;
+        }
+        self.drains.entry(host.to_string()).or_default().insert(drain);
+        ApplyResult::Done
+    }
+
+    /// Undoes the drains that the requester knew of, also those that are not committed yet. Others stay in force.
+    fn apply_undrain(&mut self, index: u64, host: &str, drains: &[DrainId]) -> ApplyResult {
+        let mut in_force = self.drains.remove(host).unwrap_or_default();
+        for drain in drains {
+            in_force.remove(drain);
+            self.undone_drains.insert(*drain, index);
+        }
+        if !in_force.is_empty() {
+            self.drains.insert(host.to_string(), in_force);
+        }
+        self.discard_oldest_undone_drains();
+        ApplyResult::Done
+    }
+
+    fn discard_oldest_undone_drains(&mut self) {
+        let excess = self.undone_drains.len().saturating_sub(MAX_REMEMBERED);
+        if excess == 0 {
+            return;
+        }
+        let mut by_age: Vec<(u64, DrainId)> =
+            self.undone_drains.iter().map(|(drain, index)| (*index, *drain)).collect();
+        by_age.sort_unstable();
+        for (_, drain) in by_age.iter().take(excess) {
+            self.undone_drains.remove(drain);
+        }
+    }
+
+    fn apply_inventory(
+        &mut self,
+        provenance: Provenance,
+        base_version: u64,
+        upserts: &[(String, HostRecord)],
+        removals: &[String],
+    ) -> ApplyResult {
+        let current_version = self.inventory.as_ref().map_or(0, |current| current.version);
+        if self.inventory.as_ref().is_some_and(|current| provenance.changed_at <= current.changed_at) {
+            return ApplyResult::Superseded;
+        }
+        if base_version != current_version {
+            return ApplyResult::StaleBase;
+        }
+        let added = upserts.iter().map(|(name, _)| name);
+        let names: BTreeSet<&String> = self.hosts.keys().chain(added).collect();
+        if names.len() > MAX_HOSTS + removals.len() {
+            return ApplyResult::Rejected;
+        }
+        for name in removals {
+            self.hosts.remove(name);
+        }
+        self.hosts.extend(upserts.iter().cloned());
+        self.inventory = Some(provenance);
+        ApplyResult::Done
+    }
+
+    fn apply_settings(&mut self, settings: ServiceSettings) -> ApplyResult {
+        let changed_at = settings.provenance.changed_at;
+        if self.settings.as_ref().is_some_and(|current| changed_at <= current.provenance.changed_at) {
+            return ApplyResult::Superseded;
+        }
+        self.settings = Some(settings);
+        ApplyResult::Done
+    }
+
+    fn apply_zone_weight(&mut self, zone: ZoneId, weight: ZoneWeight) -> ApplyResult {
+        if weight.version != self.zone_weight(zone).version + 1 {
+            return ApplyResult::Superseded;
+        }
+        // Two evacuations may be proposed at once, each while the other zone was in service: one of them must fail.
+        if weight.permille == 0 && !self.has_other_zone_in_service(zone) {
+            return ApplyResult::Rejected;
+        }
+        self.zone_weights.insert(zone, weight);
+        ApplyResult::Done
+    }
+
+    fn has_other_zone_in_service(&self, zone: ZoneId) -> bool {
+        let is_in_service = |host: &HostRecord| host.zone != zone && self.zone_weight(host.zone).permille > 0;
+        self.hosts.values().any(is_in_service)
+    }
+
+    fn apply_regions(&mut self, regions: RegionMap) -> ApplyResult {
+        if regions.changed_at <= self.regions.changed_at {
+            return ApplyResult::Superseded;
+        }
+        self.regions = regions;
+        ApplyResult::Done
+    }
+
+    /// Applies a change of the membership. It says who the members are; which of them vote is the consensus's.
     pub fn apply_membership(&mut self, change: &MembershipChange) {
         if let Some(joining) = &change.joining {
             self.members.insert(joining.id, joining.member.clone());
         }
         for step in &change.steps {
             match step {
-                MembershipStep::Remove(id) => {
-                    if let Some(member) = self.members.remove(id) {
-                        self.founders.remove(&member.name);
-                        self.removed.insert(*id, member.name);
-                    }
-                }
+                MembershipStep::Remove(id) => self.remove_member(*id),
                 MembershipStep::AddVoter(id) => {
                     if let Some(member) = self.members.get(id) {
                         self.founders.remove(&member.name);
@@ -244,15 +293,10 @@
         }
     }
 
-    fn discard_oldest_undone(&mut self) {
-        let more = self.undone_drains.len().saturating_sub(MAX_REMEMBERED);
-        if more > 0 {
-            let mut oldest: Vec<(u64, DrainId)> =
-                self.undone_drains.iter().map(|(m, at)| (*at, *m)).collect();
-            oldest.sort_unstable();
-            oldest.iter().take(more).for_each(|(_, mark)| {
-                self.undone_drains.remove(mark);
-            });
+    fn remove_member(&mut self, id: NodeId) {
+        if let Some(member) = self.members.remove(&id) {
+            self.founders.remove(&member.name);
+            self.removed.insert(id, member.name);
         }
     }
 }
--- a/src/store/state_machine/change.rs
+++ b/src/store/state_machine/change.rs
@@ -1,4 +1,5 @@
-//! What is proposed to the state machine.
+//! The changes that are proposed to the state machine, and what becomes of them. The order of fields and variants is
+//! part of the stored format and of the protocol between peers.
 
 use crate::ids::{NodeId, ZoneId};
 use crate::store::records::{HostRecord, MembershipStep};
@@ -6,137 +7,139 @@
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 
-/// One drain that was said: who said it, and that daemon's count of what it said. It is undone only by whoever
-/// had heard of it.
+/// Identifies a drain request. An undrain names the requests that it undoes: one that its requester did not know of
+/// stays in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DrainId {
-    /// The daemon.
+    /// The node that an operator has sent the request to.
     pub node: NodeId,
-    /// Its count.
+    /// The node's own number for it; never used twice by a node.
     pub sequence: u64,
 }
 
-/// A drain of a host that the log may not have resolved yet.
+/// A drain request with its host. It acts wherever it is known, before it is committed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PendingDrain {
-    /// The host's name.
+    /// The name of the host.
     pub host: String,
-    /// Which drain of it this is.
+    /// The request.
     pub drain: DrainId,
 }
 
-/// A daemon of the fleet.
+/// A node of the fleet, as the other nodes know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name in its operator's file.
+    /// The name in its operator's file.
     pub name: String,
-    /// Where the others reach it, unless their own files say otherwise.
-    pub address: std::net::SocketAddr,
+    /// The address at which its peers reach it, unless their own files name another one.
+    pub address: SocketAddr,
 }
 
-/// A change that is proposed.
+/// A change of the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// Nothing new to a host.
+    /// A host gets no new requests.
     Drain {
-        /// The host's name.
+        /// The name of the host.
         host: String,
-        /// Which drain this is.
+        /// The request.
         drain: DrainId,
     },
-    /// These drains of a host end; others of it stay.
+    /// Drain requests of a host are undone.
     Undrain {
-        /// The host's name.
+        /// The name of the host.
         host: String,
-        /// The drains that the one who says it had heard of.
+        /// The requests that the requester knew of.
         drains: Vec<DrainId>,
     },
-    /// What an inventory file says differently from the agreed one.
+    /// The difference between an inventory file and the committed inventory.
     Inventory {
-        /// The daemon that read the file.
+        /// The name of the node that read the file.
         read_by: String,
         /// When the file was last changed.
         changed_at: Timestamp,
-        /// The version of the agreed inventory that this was compared with.
+        /// The version of the committed inventory that the file was compared with; 0: none was committed.
         base_version: u64,
-        /// New and changed hosts.
+        /// New and changed hosts, by name.
         upserts: Vec<(String, HostRecord)>,
-        /// Hosts that are gone.
+        /// The names of hosts that the file lacks.
         removals: Vec<String>,
     },
     /// The settings of the service.
     Settings {
-        /// The daemon that read the file.
+        /// The name of the node that read the file.
         read_by: String,
         /// When the file was last changed.
         changed_at: Timestamp,
-        /// A line for each path.
+        /// `path=value`, a line for each setting.
         text: String,
     },
-    /// A zone gets this part of its usual reads.
+    /// The weight of a zone.
     ZoneWeight {
-        /// Its number.
+        /// The zone.
         zone: ZoneId,
-        /// The share; its number is one more than that of the one before.
+        /// The weight; its version follows that of the committed weight.
         weight: ZoneWeight,
     },
-    /// What an inventory file says of regions.
+    /// The regions of an inventory file.
     Regions {
-        /// The daemon that read the file.
+        /// The name of the node that read the file.
         read_by: String,
         /// When the file was last changed.
         changed_at: Timestamp,
-        /// By zone.
+        /// The region of each zone that has one.
         regions: BTreeMap<ZoneId, String>,
     },
 }
 
 impl Change {
-    /// Whether it only takes away: such a change acts where it is said before it is agreed.
+    /// Whether the change only takes hosts out of service. Such a change acts where it is requested before it is
+    /// committed, and a leader need not confirm its leadership before it appends it.
     pub fn only_restricts(&self) -> bool {
         matches!(self, Change::Drain { .. })
     }
 }
 
-/// A change on its way into the log.
+/// A change with its proposer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Whose it is.
+    /// The proposer.
     pub from: NodeId,
-    /// That daemon's number for it.
+    /// The proposer's number for it. A leader does not append the same proposal twice within a short time.
     pub token: u64,
-    /// What is to change.
+    /// The change.
     pub change: Change,
 }
 
-/// A daemon that becomes a member.
+/// A node that becomes a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JoiningMember {
-    /// Its id.
+    /// The node.
     pub id: NodeId,
-    /// What the members know of it.
+    /// What the other nodes know of it.
     pub member: Member,
 }
 
 /// A change of the membership.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MembershipChange {
-    /// What the consensus is to do, all at once.
+    /// What the consensus does, all at once.
     pub steps: Vec<MembershipStep>,
-    /// A daemon that comes in.
+    /// The node that becomes a member, if any.
     pub joining: Option<JoiningMember>,
 }
 
-/// What became of a change.
+/// What became of a committed change. Operators read the names of the variants in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
     /// It is in force.
     Done,
-    /// It was agreed before, or something newer was.
+    /// It was in force or undone already, or something newer is in force.
     Superseded,
-    /// It was compared with a version that is no longer the last one.
+    /// It is a difference from a version that is not the current one.
     StaleBase,
-    /// It is out of bounds.
+    /// It violates a limit.
     Rejected,
 }
--- a/src/store/state_machine/inventory.rs
+++ b/src/store/state_machine/inventory.rs
@@ -1,4 +1,4 @@
-//! The agreed inventory beside that of a file.
+//! The committed inventory as an endpoint list, and how an inventory file differs from it.
 
 use super::{Change, ClusterState};
 use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
@@ -6,12 +6,12 @@
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// How a file's hosts differ from the agreed inventory.
+/// How the hosts of an inventory file differ from the committed inventory, in numbers of hosts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InventoryDifference {
     /// Hosts that only the file names.
     pub added: usize,
-    /// Hosts that both name, with other properties.
+    /// Hosts that the file describes differently.
     pub changed: usize,
     /// Hosts that the file lacks.
     pub missing: usize,
@@ -25,71 +25,81 @@
 }
 
 impl ClusterState {
-    /// The list as it is agreed, with hosts closed that `also` names: drains that are not agreed yet.
-    pub fn endpoint_list(&self, index: u64, also: impl Fn(&str) -> bool) -> EndpointUpdate {
-        let one = |(name, host): (&String, &HostRecord)| {
-            host.endpoint_record(name, self.is_drained(name) || also(name))
-        };
-        EndpointUpdate { index, whole: true, entries: self.hosts.iter().map(one).collect() }
+    /// The whole endpoint list at `index`. `has_pending_drain`: whether a drain of this host waits to be committed; it
+    /// acts already.
+    pub fn endpoint_list(&self, index: u64, has_pending_drain: impl Fn(&str) -> bool) -> EndpointUpdate {
+        let mut entries = Vec::with_capacity(self.hosts.len());
+        for (name, host) in &self.hosts {
+            let is_drained = self.is_drained(name) || has_pending_drain(name);
+            entries.push(host.endpoint_record(name, is_drained));
+        }
+        EndpointUpdate { index, whole: true, entries }
     }
 
-    /// What a file's hosts change in the agreed inventory; `None`: the agreed one is as new, or says the same.
-    /// A host that is new to a list in use starts cold, and so does one that has moved: nobody has seen what it
-    /// bears.
+    /// The change that brings the committed inventory to a file's; `None`: the committed one is not older. `changed_at`:
+    /// when the file was last changed.
+    ///
+    /// A host without a start time in the file keeps the one that it had. One that is new to an inventory in use, or
+    /// has moved to another address, counts as started `now`: nobody knows yet what load it can take, so it warms up.
     pub fn inventory_change(
         &self,
-        by: &str,
+        read_by: &str,
         hosts: &[EndpointRecord],
-        changed: Timestamp,
+        changed_at: Timestamp,
         now: Timestamp,
     ) -> Option<Change> {
-        if self.inventory.as_ref().is_some_and(|i| changed <= i.changed_at) {
+        if self.inventory.as_ref().is_some_and(|current| changed_at <= current.changed_at) {
             return None;
         }
-        let running = self.inventory.is_some();
-        let (mut set, mut named) = (Vec::new(), BTreeSet::new());
+        let mut upserts = Vec::new();
         for listed in hosts {
-            named.insert(listed.name.as_str());
-            let old = self.hosts.get(&listed.name);
-            let known = old.filter(|o| o.address == listed.address);
-            let started_at = match (listed.started_at, known) {
-                (Some(stated), _) => Some(stated),
-                (None, Some(known)) => known.started_at,
-                (None, None) => running.then_some(now),
-            };
-            let new = HostRecord { started_at, ..HostRecord::from_endpoint_record(listed) };
-            if old != Some(&new) {
-                set.push((listed.name.clone(), new));
+            let current = self.hosts.get(&listed.name);
+            let started_at = listed.started_at.or_else(|| self.assumed_start(listed, now));
+            let host = HostRecord { started_at, ..HostRecord::from_endpoint_record(listed) };
+            if current != Some(&host) {
+                upserts.push((listed.name.clone(), host));
             }
         }
-        let gone: Vec<String> = self.hosts.keys().filter(|n| !named.contains(n.as_str())).cloned().collect();
-        let base = self.inventory.as_ref().map_or(0, |i| i.version);
         Some(Change::Inventory {
-            read_by: by.to_string(),
-            changed_at: changed,
-            base_version: base,
-            upserts: set,
-            removals: gone,
+            read_by: read_by.to_string(),
+            changed_at,
+            base_version: self.inventory.as_ref().map_or(0, |current| current.version),
+            upserts,
+            removals: self.hosts_missing_in(hosts).into_iter().cloned().collect(),
         })
     }
 
-    /// How a file's hosts differ from the agreed ones: added, changed, missing.
+    /// The start time of a host whose file states none.
+    fn assumed_start(&self, listed: &EndpointRecord, now: Timestamp) -> Option<Timestamp> {
+        match self.hosts.get(&listed.name) {
+            Some(current) if current.address == listed.address => current.started_at,
+            // The hosts of the first inventory have been running.
+            _ if self.inventory.is_none() => None,
+            _ => Some(now),
+        }
+    }
+
+    /// How a file's hosts differ from the committed inventory. A start time that the file does not state is no
+    /// difference.
     pub fn inventory_difference(&self, hosts: &[EndpointRecord]) -> InventoryDifference {
-        let (mut added, mut changed) = (0, 0);
+        let mut difference = InventoryDifference::default();
         for listed in hosts {
-            match self.hosts.get(&listed.name) {
-                None => added += 1,
-                Some(known) => {
-                    let stated = listed.started_at.or(known.started_at);
-                    changed += usize::from(
-                        *known
-                            != HostRecord { started_at: stated, ..HostRecord::from_endpoint_record(listed) },
-                    );
-                }
+            let Some(current) = self.hosts.get(&listed.name) else {
+                difference.added += 1;
+                continue;
+            };
+            let started_at = listed.started_at.or(current.started_at);
+            let host = HostRecord { started_at, ..HostRecord::from_endpoint_record(listed) };
+            if *current != host {
+                difference.changed += 1;
             }
         }
-        let named: BTreeSet<&str> = hosts.iter().map(|h| h.name.as_str()).collect();
-        let missing = self.hosts.keys().filter(|n| !named.contains(n.as_str())).count();
-        InventoryDifference { added, changed, missing }
+        difference.missing = self.hosts_missing_in(hosts).len();
+        difference
+    }
+
+    fn hosts_missing_in(&self, hosts: &[EndpointRecord]) -> Vec<&String> {
+        let named: BTreeSet<&str> = hosts.iter().map(|listed| listed.name.as_str()).collect();
+        self.hosts.keys().filter(|name| !named.contains(name.as_str())).collect()
     }
 }
--- a/src/store/zone_weights.rs
+++ b/src/store/zone_weights.rs
@@ -1,37 +1,40 @@
-//! The agreed shares of zones: which part of its usual reads each gets, and why. No I/O.
+//! The committed traffic weights of zones: which part of its usual reads each zone gets, and why. No I/O.
 
 use serde::{Deserialize, Serialize};
 
-/// The whole of a zone's share.
+/// The weight of a zone that gets all of its usual reads, in thousandths.
 pub const FULL_WEIGHT_PERMILLE: u16 = 1000;
 
-/// Why a zone's share is what it is.
+/// Why a zone has its weight. Operators read the names of the variants, as `Debug` prints them, in answers and in the
+/// log; their order is part of the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WeightReason {
-    /// It is in service, or on its way there.
+    /// The zone is in service, or its weight is being raised step by step.
     Returns,
-    /// Nobody was found there.
+    /// No endpoint of the zone was reached.
     Lost,
-    /// It answered late.
+    /// The zone's endpoints answered late.
     Slow,
-    /// An operator has said so: it returns on an operator's word only.
+    /// An operator has set the weight: only an operator's command changes it.
     Operator,
 }
 
-/// A zone's share, as it is agreed.
+/// The weight of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneWeight {
-    /// Thousandths of its usual reads.
+    /// The thousandths of its usual reads that the zone gets; at most [`FULL_WEIGHT_PERMILLE`].
     pub permille: u16,
     /// Why.
     pub reason: WeightReason,
-    /// Counts the moves of the zone: a later one is never undone by an earlier one.
+    /// The number of changes of this zone's weight. A change is committed only if it follows the last one, so that a
+    /// decision on an older weight cannot undo a newer one.
     pub version: u64,
-    /// Times that it was left and failed again soon after.
+    /// How often in a row the zone was evacuated again soon after its return. Grows the wait before the next return.
     pub failed_returns: u8,
 }
 
 impl Default for ZoneWeight {
+    /// The weight of a zone that was never changed.
     fn default() -> ZoneWeight {
         ZoneWeight {
             permille: FULL_WEIGHT_PERMILLE,
@@ -43,11 +46,11 @@
 }
 
 impl ZoneWeight {
-    /// The next move of the zone.
-    pub fn next(&self, part: u16, why: WeightReason) -> ZoneWeight {
+    /// The weight after the next change of the zone. More than [`FULL_WEIGHT_PERMILLE`] counts as that.
+    pub fn next(&self, permille: u16, reason: WeightReason) -> ZoneWeight {
         ZoneWeight {
-            permille: part.min(FULL_WEIGHT_PERMILLE),
-            reason: why,
+            permille: permille.min(FULL_WEIGHT_PERMILLE),
+            reason,
             version: self.version + 1,
             failed_returns: self.failed_returns,
         }
