--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -17,7 +17,7 @@
 use crate::net::sparql::host::Sparql;
 use crate::net::until;
 use crate::routing::{Settings, TimeDelta};
-use crate::store::storage::{DurableStorage, StoreContents};
+use crate::store::storage::{DurableStorage, OpenedStorage};
 use crate::store::store_thread::{self, RunningStore};
 use async_io::{Async, Timer};
 use std::cell::RefCell;
@@ -28,13 +28,14 @@
 use std::time::{Duration, Instant, SystemTime};
 
 /// Opens the store's file, or one that lasts as long as the process.
-fn open_store(operator: &Operator) -> Result<(DurableStorage, StoreContents), String> {
-    let (disk, held) = match &operator.store.snapshot {
-        Some(path) => DurableStorage::open(path)?,
-        None => DurableStorage::in_memory()?,
+fn open_store(operator: &Operator) -> Result<OpenedStorage, String> {
+    let opened = match &operator.store.snapshot {
+        Some(path) => DurableStorage::open(path),
+        None => DurableStorage::in_memory(),
     };
-    held.notes.iter().for_each(|note| log::warn!("{note}"));
-    Ok((disk, held))
+    let opened = opened.map_err(|e| e.to_string())?;
+    opened.contents.notes.iter().for_each(|note| log::warn!("{note}"));
+    Ok(opened)
 }
 
 /// Reads the inventory whenever its file changes, and on SIGHUP. One that is out of form is refused whole:
@@ -149,14 +150,15 @@
     if let Some(path) = &operator.inventory {
         files.hosts = Some(file::inventory(path, &operator.zones, &limits)?);
     }
-    let (disk, held) = open_store(&operator)?;
+    let opened = open_store(&operator)?;
     let at = operator.store.listen;
     let store_listener = connection_limiter::open(at).map_err(|e| format!("{at}: {e}"))?;
     let at = store_listener.get_ref().local_addr().unwrap_or(at);
     log::info!("{}: store at http://{at}", operator.name);
     let listener =
         connection_limiter::open(operator.listen).map_err(|e| format!("{}: {e}", operator.listen))?;
-    let RunningStore { opened, commands, events } = store_thread::start(disk, held, &limits)?;
+    let RunningStore { opened, commands, events } =
+        store_thread::start(opened, &limits).map_err(|e| e.to_string())?;
     let me = Me {
         name: operator.name.clone(),
         address: operator.store.advertise.unwrap_or(at),
--- a/src/fleet/runtime/tests.rs
+++ b/src/fleet/runtime/tests.rs
@@ -8,8 +8,8 @@
 #[test]
 fn drains_that_a_full_store_queue_rejected_are_submitted_again() {
     let limits = Rc::new(Limits::for_sockets(64));
-    let (storage, stored) = DurableStorage::in_memory().unwrap();
-    let opened = store_thread::start(storage, stored, &limits).unwrap().opened;
+    let storage = DurableStorage::in_memory().unwrap();
+    let opened = store_thread::start(storage, &limits).unwrap().opened;
     let (commands, queue) = sync_channel(1);
     let local = LocalNode {
         name: "b1".into(),
--- a/src/store/legacy/tests.rs
+++ b/src/store/legacy/tests.rs
@@ -8,7 +8,10 @@
 fn a_file_of_the_old_form_is_read_whole() {
     let old = parse(OLD).unwrap();
     assert_eq!(old.drains, ["s-1", "s-3"], "also one that had no stamp yet");
-    assert_eq!(old.settings, Some(("x=1\ny=2\n".to_string(), Timestamp::from_micros(7))));
+    assert_eq!(
+        old.settings,
+        Some(LegacySettings { text: "x=1\ny=2\n".to_string(), changed_at: Timestamp::from_micros(7) })
+    );
     assert_eq!((old.hosts_changed, old.hosts.len()), (Timestamp::from_micros(9), 1));
     assert_eq!(
         (old.hosts[0].1.started_at, old.hosts[0].1.weight),
@@ -28,6 +31,6 @@
         (OLD.replace("end\n", "end\nmore\n"), "line 10: something after"),
     ] {
         let error = parse(&text).unwrap_err();
-        assert!(error.starts_with(why), "{error}");
+        assert!(error.to_string().starts_with(why), "{error}");
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,9 +1,12 @@
-//! The replicated store: what the daemons of a fleet agree on, and what each keeps on its disk.
+//! The replicated store: the state that the nodes of a fleet agree on by Raft, and what each node keeps on its disk.
 //!
-//! `agreed` is the state and `replica` this daemon's part in the agreement, both without I/O; `disk` keeps them,
-//! `owner` is the thread that has both; `form` is how all of it is written. docs/fleet-design.md tells why.
+//! Where to start: [`state_machine`] is the replicated state and the changes to it; [`raft_node`] is one node of the
+//! consensus. Both are without I/O. [`storage`] keeps them in a file, and [`store_thread`] is the thread that owns a
+//! node and its storage; the fleet exchanges commands and events with it. [`records`] and [`raft_message`] are the
+//! types that are stored and sent, [`codec`] is their encoding. docs/fleet-design.md gives the reasons.
 
 pub mod codec;
+pub mod error;
 pub mod legacy;
 pub mod raft_message;
 pub mod raft_node;
--- a/src/store/raft_message.rs
+++ b/src/store/raft_message.rs
@@ -1,113 +1,168 @@
-//! Messages of the consensus between daemons, in our own form.
+//! Messages of the consensus between peers, in a serde form of this program.
 
 use super::records::{LogEntry, SnapshotRecord};
 use crate::ids::NodeId;
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
-/// A message of the consensus, from one daemon to another.
+/// A message of the consensus from one node to another. The order and types of the fields are part of the protocol
+/// between peers. What a field means depends on the kind of message: see `eraftpb.proto` of the `raft` library, whose
+/// names the fields have.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RaftMessage {
+    /// One of [`kind`].
     pub(super) kind: u8,
-    /// To whom.
+    /// The receiver.
     pub to: NodeId,
-    /// From whom.
+    /// The sender.
     pub from: NodeId,
-    /// The sender's term.
+    /// The sender's term; that of the election it asks about in a pre-vote.
     pub term: u64,
     pub(super) log_term: u64,
-    /// What it is about.
+    /// The index of the entry that the message is about: the one before the entries of an append, the last one in the
+    /// answer to it.
     pub index: u64,
     pub(super) entries: Vec<LogEntry>,
-    /// How far the sender knows the log to be agreed.
+    /// The sender's commit index.
     pub commit: u64,
     pub(super) commit_term: u64,
     pub(super) snapshot: Option<SnapshotRecord>,
     pub(super) request_snapshot: u64,
-    /// It says no.
+    /// The answer is a refusal.
     pub reject: bool,
     pub(super) reject_hint: u64,
     pub(super) context: Vec<u8>,
     pub(super) priority: i64,
 }
 
-/// Messages that go between daemons. All others are a daemon's own: from a socket they are out of form.
-const KINDS: [(u8, MessageType); 13] = [
-    (3, MessageType::MsgAppend),
-    (4, MessageType::MsgAppendResponse),
-    (5, MessageType::MsgRequestVote),
-    (6, MessageType::MsgRequestVoteResponse),
-    (7, MessageType::MsgSnapshot),
-    (8, MessageType::MsgHeartbeat),
-    (9, MessageType::MsgHeartbeatResponse),
-    (13, MessageType::MsgTransferLeader),
-    (14, MessageType::MsgTimeoutNow),
-    (15, MessageType::MsgReadIndex),
-    (16, MessageType::MsgReadIndexResp),
-    (17, MessageType::MsgRequestPreVote),
-    (18, MessageType::MsgRequestPreVoteResponse),
+/// The kinds of messages between peers: the numbers of `MessageType` in the library's protocol.
+pub(super) mod kind {
+    pub const APPEND: u8 = 3;
+    pub const APPEND_RESPONSE: u8 = 4;
+    pub const REQUEST_VOTE: u8 = 5;
+    pub const REQUEST_VOTE_RESPONSE: u8 = 6;
+    pub const SNAPSHOT: u8 = 7;
+    pub const HEARTBEAT: u8 = 8;
+    pub const HEARTBEAT_RESPONSE: u8 = 9;
+    pub const TRANSFER_LEADER: u8 = 13;
+    pub const TIMEOUT_NOW: u8 = 14;
+    pub const READ_INDEX: u8 = 15;
+    pub const READ_INDEX_RESPONSE: u8 = 16;
+    pub const REQUEST_PRE_VOTE: u8 = 17;
+    pub const REQUEST_PRE_VOTE_RESPONSE: u8 = 18;
+}
+
+/// Messages that go between peers. All others are a node's messages to itself: from a socket they are malformed.
+const PEER_MESSAGE_TYPES: [(u8, MessageType); 13] = [
+    (kind::APPEND, MessageType::MsgAppend),
+    (kind::APPEND_RESPONSE, MessageType::MsgAppendResponse),
+    (kind::REQUEST_VOTE, MessageType::MsgRequestVote),
+    (kind::REQUEST_VOTE_RESPONSE, MessageType::MsgRequestVoteResponse),
+    (kind::SNAPSHOT, MessageType::MsgSnapshot),
+    (kind::HEARTBEAT, MessageType::MsgHeartbeat),
+    (kind::HEARTBEAT_RESPONSE, MessageType::MsgHeartbeatResponse),
+    (kind::TRANSFER_LEADER, MessageType::MsgTransferLeader),
+    (kind::TIMEOUT_NOW, MessageType::MsgTimeoutNow),
+    (kind::READ_INDEX, MessageType::MsgReadIndex),
+    (kind::READ_INDEX_RESPONSE, MessageType::MsgReadIndexResp),
+    (kind::REQUEST_PRE_VOTE, MessageType::MsgRequestPreVote),
+    (kind::REQUEST_PRE_VOTE_RESPONSE, MessageType::MsgRequestPreVoteResponse),
 ];
 
+pub(super) fn message_type(kind: u8) -> Option<MessageType> {
+    let known = PEER_MESSAGE_TYPES.iter().find(|(known, _)| *known == kind)?;
+    Some(known.1)
+}
+
+fn message_kind(message_type: MessageType) -> Option<u8> {
+    let known = PEER_MESSAGE_TYPES.iter().find(|(_, known)| *known == message_type)?;
+    Some(known.0)
+}
+
 impl RaftMessage {
-    /// Of the library's message; `None` for one that stays in the daemon.
-    pub fn of(mut m: eraftpb::Message) -> Option<RaftMessage> {
-        let kind = KINDS.iter().find(|(_, t)| *t == m.msg_type)?.0;
-        let entries = m.take_entries().into_iter().map(LogEntry::of).collect();
-        let snapshot = (m.has_snapshot() && !m.get_snapshot().get_metadata().index.eq(&0))
-            .then(|| SnapshotRecord::of(m.get_snapshot()));
+    /// The form of the library's message; `None`: it does not go to peers.
+    pub fn from_raft(mut message: eraftpb::Message) -> Option<RaftMessage> {
+        let kind = message_kind(message.msg_type)?;
+        let entries = message.take_entries().into_iter().map(LogEntry::from_raft).collect();
+        let has_snapshot = message.has_snapshot() && message.get_snapshot().get_metadata().index > 0;
+        let snapshot = has_snapshot.then(|| SnapshotRecord::from_raft(message.get_snapshot()));
         Some(RaftMessage {
             kind,
-            to: NodeId(m.to),
-            from: NodeId(m.from),
-            term: m.term,
-            log_term: m.log_term,
-            index: m.index,
+            to: NodeId(message.to),
+            from: NodeId(message.from),
+            term: message.term,
+            log_term: message.log_term,
+            index: message.index,
             entries,
-            commit: m.commit,
-            commit_term: m.commit_term,
+            commit: message.commit,
+            commit_term: message.commit_term,
             snapshot,
-            request_snapshot: m.request_snapshot,
-            reject: m.reject,
-            reject_hint: m.reject_hint,
-            context: m.context.to_vec(),
-            priority: m.priority,
+            request_snapshot: message.request_snapshot,
+            reject: message.reject,
+            reject_hint: message.reject_hint,
+            context: message.context.to_vec(),
+            priority: message.priority,
         })
     }
 
-    /// As the library wants it; `None` where it is of no kind that goes between daemons.
-    pub fn message(self) -> Option<eraftpb::Message> {
-        let kind = KINDS.iter().find(|(k, _)| *k == self.kind)?.1;
-        let mut m = eraftpb::Message::default();
-        m.set_msg_type(kind);
-        (m.to, m.from, m.term, m.log_term, m.index) =
-            (self.to.0, self.from.0, self.term, self.log_term, self.index);
-        (m.commit, m.commit_term, m.request_snapshot) =
-            (self.commit, self.commit_term, self.request_snapshot);
-        (m.reject, m.reject_hint, m.priority) = (self.reject, self.reject_hint, self.priority);
-        m.context = self.context.into();
-        m.set_entries(self.entries.into_iter().map(LogEntry::entry).collect::<Option<Vec<_>>>()?.into());
+    /// The library's message; `None`: the message is malformed. The library would panic over a snapshot message without
+    /// a snapshot.
+    pub fn into_raft(self) -> Option<eraftpb::Message> {
+        let message_type = message_type(self.kind)?;
+        let has_snapshot = self.snapshot.as_ref().is_some_and(|snapshot| snapshot.index > 0);
+        if message_type == MessageType::MsgSnapshot && !has_snapshot {
+            return None;
+        }
+        let mut entries = Vec::with_capacity(self.entries.len());
+        for entry in self.entries {
+            entries.push(entry.into_raft()?);
+        }
+        let mut message = eraftpb::Message::default();
+        message.set_msg_type(message_type);
+        message.to = self.to.0;
+        message.from = self.from.0;
+        message.term = self.term;
+        message.log_term = self.log_term;
+        message.index = self.index;
+        message.set_entries(entries.into());
+        message.commit = self.commit;
+        message.commit_term = self.commit_term;
+        message.request_snapshot = self.request_snapshot;
+        message.reject = self.reject;
+        message.reject_hint = self.reject_hint;
+        message.context = self.context.into();
+        message.priority = self.priority;
         if let Some(snapshot) = self.snapshot {
-            m.set_snapshot(snapshot.snapshot());
+            message.set_snapshot(snapshot.to_raft());
         }
-        // What the library needs and would otherwise end the daemon for.
-        let told = kind == MessageType::MsgSnapshot && m.get_snapshot().get_metadata().index > 0;
-        (told == (kind == MessageType::MsgSnapshot)).then_some(m)
+        Some(message)
     }
 
-    /// Whether it carries a whole state.
+    /// Whether it carries the whole replicated state.
     pub fn carries_state(&self) -> bool {
         self.snapshot.is_some()
     }
 
-    /// The term that the sender is in for certain: it stands on its disk. A first question before an election
-    /// names a term that nobody is in yet.
-    pub fn promised(&self) -> Option<u64> {
-        matches!(self.kind, 3..=6 | 8 | 9).then_some(self.term)
+    /// The term that the sender's storage holds for certain; `None`: the message does not say. A pre-vote names a term
+    /// that no node is in yet.
+    pub fn persisted_term(&self) -> Option<u64> {
+        let is_persisted = matches!(
+            self.kind,
+            kind::APPEND
+                | kind::APPEND_RESPONSE
+                | kind::REQUEST_VOTE
+                | kind::REQUEST_VOTE_RESPONSE
+                | kind::HEARTBEAT
+                | kind::HEARTBEAT_RESPONSE
+        );
+        is_persisted.then_some(self.term)
     }
 
-    /// The last entry that it says the sender holds for certain: an append that was taken.
-    pub fn acknowledged(&self) -> Option<u64> {
-        (self.kind == 4 && !self.reject).then_some(self.index)
+    /// The index of the last entry that the sender's storage holds for certain, by an append that it accepted; `None`:
+    /// the message does not say.
+    pub fn acknowledged_index(&self) -> Option<u64> {
+        let is_accepted_append = self.kind == kind::APPEND_RESPONSE && !self.reject;
+        is_accepted_append.then_some(self.index)
     }
 }
 
--- a/src/store/raft_message/tests.rs
+++ b/src/store/raft_message/tests.rs
@@ -8,8 +8,8 @@
 fn only_messages_that_go_between_daemons_are_made() {
     for kind in 0..=u8::MAX {
         let letter = RaftMessage { kind, to: NodeId(1), from: NodeId(2), ..RaftMessage::default() };
-        let known = KINDS.iter().any(|(k, _)| *k == kind) && kind != 7;
-        assert_eq!(letter.message().is_some(), known, "{kind}");
+        let known = PEER_MESSAGE_TYPES.iter().any(|(known, _)| *known == kind) && kind != kind::SNAPSHOT;
+        assert_eq!(letter.into_raft().is_some(), known, "{kind}");
     }
 }
 
@@ -38,6 +38,6 @@
             context: vec![7],
             ..RaftMessage::default()
         };
-        assert_eq!(RaftMessage::of(letter.clone().message().unwrap()), Some(letter));
+        assert_eq!(RaftMessage::from_raft(letter.clone().into_raft().unwrap()), Some(letter));
     }
 }
--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -1,65 +1,85 @@
-//! One daemon's part in the agreement. No I/O and no clock: it is told of ticks and letters, and hands out what
-//! is to be written before what is to be sent.
+//! One node of the consensus, without I/O and without a clock.
 //!
-//! The consensus is the library's (`raft`); what is kept here is its log in memory, the agreed state beside it,
-//! and the order of writing, sending and taking in.
+//! The algorithm is that of the `raft` library, with pre-vote and leader check. [`RaftNode`] holds the log in memory
+//! and the replicated state beside it, and keeps the order of writing, sending and applying. Its owner
+//!
+//! 1. feeds it ticks, received messages and proposals;
+//! 2. takes each [`PendingReady`], sends its messages at once, and syncs its write;
+//! 3. hands it back to [`RaftNode::complete_write`], sends the messages that come out, and acts on the applied entries.
+
+mod memory_log;
+mod persistent_state;
+
+pub use memory_log::LogSize;
+pub use persistent_state::{InvalidRaftState, RaftPersistentState, RaftWrite};
 
 use super::codec;
 use super::raft_message::RaftMessage;
-use super::records::{Configuration, EntryId, HardState, LogEntry, SnapshotRecord, Vote};
+use super::records::{Configuration, HardState, LogEntry, SnapshotRecord, Vote};
 use super::state_machine::{ApplyResult, ClusterState, MembershipChange, Proposal};
 use crate::ids::{FleetId, NodeId};
+use memory_log::MemoryLog;
 use raft::eraftpb::{self, ConfChangeV2, EntryType};
 use raft::{Config, RawNode, Ready, SnapshotStatus, StateRole};
-use std::collections::VecDeque;
-
-mod memory_log;
-mod persistent_state;
-
-use memory_log::{MemoryLog, size};
-pub use persistent_state::{RaftPersistentState, RaftWrite};
 
-/// Ticks without a word of a leader before an election, at least; twice as many at most.
+/// A follower starts an election after this many ticks without a message of a leader at the least, and after twice as
+/// many at the most; the library draws the number at random.
 pub const ELECTION_TICKS: usize = 10;
 
-/// Ticks between two words of a leader.
+/// A leader sends heartbeats after this many ticks. Two of them may be lost before a follower starts an election.
 pub const HEARTBEAT_TICKS: usize = 4;
 
-/// What was agreed at a place of the log.
+/// Entries in one message to a follower: a long log is sent in parts.
+const MAX_APPEND_BYTES: u64 = 256 * 1024;
+/// Messages with entries that a follower has not acknowledged yet; more wait for its answers.
+const MAX_UNACKNOWLEDGED_APPENDS: usize = 64;
+/// Entries that a leader holds uncommitted: one that is cut off rejects proposals rather than grow without a bound.
+const MAX_UNCOMMITTED_BYTES: u64 = 16 * 1024 * 1024;
+
+/// What was committed at an index of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AppliedContent {
-    /// A change, with whose it was.
+    /// A change of the replicated state, with its proposer.
     Change(Proposal),
     /// A change of the membership.
     Membership(MembershipChange),
-    /// All that was agreed up to here.
+    /// The replicated state as a whole: the entries up to here were received as a snapshot, or read again.
     Snapshot(Box<ClusterState>),
-    /// Nothing, as when a leader begins.
+    /// No change, as in the entry with which each leader begins.
     Empty,
 }
 
-/// Something that was agreed and taken in.
+/// A committed entry, after it was applied to the replicated state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedEntry {
-    /// Its place in the log.
+    /// The index of the entry.
     pub index: u64,
-    /// The check sum over all that was agreed up to it.
+    /// A checksum over all entries up to it. It is equal on all nodes that have applied the same entries.
     pub digest: u32,
-    /// What it is.
+    /// What was committed.
     pub content: AppliedContent,
-    /// What became of it.
+    /// Whether it took effect.
     pub result: ApplyResult,
 }
 
-/// A step that waits for its write.
+/// A step of the consensus whose write has yet to be synced.
 pub struct PendingReady {
     ready: Ready,
-    /// Goes out at once.
+    /// Messages that do not depend on the write.
     pub messages: Vec<RaftMessage>,
-    /// Must be on the disk before [`RaftNode::complete_write`].
+    /// What has to be synced before [`RaftNode::complete_write`].
     pub write: RaftWrite,
 }
 
+/// What follows from a write that is synced.
+#[derive(Debug, Default)]
+pub struct CompletedWrite {
+    /// Messages that depended on it.
+    pub messages: Vec<RaftMessage>,
+    /// Entries that were committed, in order.
+    pub applied: Vec<AppliedEntry>,
+}
+
 /// Whether a snapshot was handed to the connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotDelivery {
@@ -69,111 +89,75 @@
     Failed,
 }
 
-/// Size of the log in memory.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LogSize {
-    /// Bytes of its entries, with an allowance for each.
-    pub bytes: usize,
-    /// Its entries.
-    pub entries: usize,
-}
-
-/// What follows from a write that is on the disk.
-#[derive(Debug, Default)]
-pub struct CompletedWrite {
-    /// Messages to send now.
-    pub messages: Vec<RaftMessage>,
-    /// What was agreed and taken in.
-    pub applied: Vec<AppliedEntry>,
-}
-
-/// How far another daemon is, as the leader sees it.
+/// How far a node has replicated the log, as the leader sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProgress {
-    /// The daemon.
+    /// The node.
     pub id: NodeId,
-    /// Entries up to this are on its disk.
+    /// Entries up to this index are in its storage.
     pub match_index: u64,
-    /// It was heard within the last election time.
+    /// A message of it arrived within the last election timeout.
     pub recently_active: bool,
 }
 
-/// One daemon's part in the agreement.
+/// One node of the consensus.
 pub struct RaftNode {
     id: NodeId,
     node: RawNode<MemoryLog>,
-    confirmed: Vec<u64>,
+    confirmed_checks: Vec<u64>,
 }
 
 impl RaftNode {
-    /// From what the disk holds; an error says what is wrong with it.
-    pub fn new(id: NodeId, image: RaftPersistentState) -> Result<RaftNode, String> {
-        let fresh = image.is_new();
-        let state =
-            if fresh { Some(ClusterState::default()) } else { ClusterState::decode(&image.snapshot.state) };
-        let state = state.ok_or("the state is out of form")?;
-        if image.last_entry().index < image.hard_state.commit.max(image.snapshot.index) {
-            return Err("the log ends before what was agreed".into());
-        }
-        let gaps = image.entries.iter().zip(image.compacted.index + 1..).any(|(e, wanted)| e.index != wanted);
-        if gaps || image.snapshot.index < image.compacted.index {
-            return Err("the log has gaps".into());
-        }
-        let entries: Option<VecDeque<_>> = image.entries.into_iter().map(LogEntry::entry).collect();
-        let entries = entries.ok_or("an entry is out of form")?;
-        let log = MemoryLog {
-            hard_state: image.hard_state,
-            configuration: image.snapshot.configuration.clone(),
-            compacted: image.compacted,
-            bytes: entries.iter().map(size).sum(),
-            entries,
-            state,
-            applied: image.snapshot.index,
-            applied_term: image.snapshot.term,
-        };
+    /// The node whose storage holds this.
+    ///
+    /// # Errors
+    ///
+    /// What storage holds cannot be used; the error says why.
+    pub fn new(id: NodeId, persisted: RaftPersistentState) -> Result<RaftNode, InvalidRaftState> {
+        let log = MemoryLog::new(persisted)?;
         let config = Config {
             id: id.0,
             election_tick: ELECTION_TICKS,
             heartbeat_tick: HEARTBEAT_TICKS,
-            applied: log.applied,
-            max_size_per_msg: 256 * 1024,
-            max_inflight_msgs: 64,
+            applied: log.applied.index,
+            max_size_per_msg: MAX_APPEND_BYTES,
+            max_inflight_msgs: MAX_UNACKNOWLEDGED_APPENDS,
             check_quorum: true,
             pre_vote: true,
-            max_uncommitted_size: 16 * 1024 * 1024,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, log, &logger).map_err(|e| e.to_string())?;
-        Ok(RaftNode { id, node, confirmed: Vec::new() })
+        let node = RawNode::new(&config, log, &logger)?;
+        Ok(RaftNode { id, node, confirmed_checks: Vec::new() })
     }
 
-    /// This daemon.
+    /// The node's id.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// What is agreed, as far as this daemon knows.
+    /// The replicated state after the last applied entry.
     pub fn state(&self) -> &ClusterState {
-        &self.node.store().state
+        &self.log().state
     }
 
-    /// The fleet; 0 before there is one.
+    /// The fleet; [`FleetId::NONE`]: the node belongs to none yet.
     pub fn fleet_id(&self) -> FleetId {
         self.state().fleet
     }
 
-    /// The last entry that was taken in.
+    /// The index of the last applied entry.
     pub fn applied(&self) -> u64 {
-        self.node.store().applied
+        self.log().applied.index
     }
 
-    /// The last entry that is known as agreed.
+    /// The index of the last entry that is known to be committed.
     pub fn committed(&self) -> u64 {
         self.node.raft.raft_log.committed
     }
 
-    /// The index of the last entry that is held.
+    /// The index of the last entry of the log.
     pub fn last_index(&self) -> u64 {
         self.node.raft.raft_log.last_index()
     }
@@ -183,122 +167,136 @@
         self.node.raft.term
     }
 
-    /// The term of an entry that is held; 0: it is not.
+    /// The term of the entry at an index; 0: the log does not hold it.
     pub fn term_at(&self, index: u64) -> u64 {
         self.node.raft.raft_log.term(index).unwrap_or(0)
     }
 
-    /// Whom the disk has this daemon's vote for, in the term that the disk has; 0: nobody.
+    /// The vote that storage holds.
     pub fn written_vote(&self) -> Vote {
-        self.node.store().hard_state.cast_vote()
+        self.log().hard_state.cast_vote()
     }
 
-    /// The leader, as far as this daemon knows; 0: none.
+    /// The leader that this node knows; [`NodeId::NOBODY`]: none.
     pub fn leader(&self) -> NodeId {
         NodeId(self.node.raft.leader_id)
     }
 
-    /// Whether it leads.
+    /// Whether this node is the leader.
     pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
-    /// Who votes and who only follows.
+    /// The voters and learners.
     pub fn configuration(&self) -> Configuration {
-        self.node.store().configuration.clone()
+        self.log().configuration.clone()
     }
 
-    /// Bytes of the log in memory, and its entries.
+    /// The size of the log in memory.
     pub fn log_size(&self) -> LogSize {
-        LogSize { bytes: self.node.store().bytes, entries: self.node.store().entries.len() }
+        self.log().size()
     }
 
-    /// Entries that are held and not known as agreed: what restricts in them acts all the same.
+    /// The proposals in entries that have not been applied. A change that only restricts acts before it is committed.
     pub fn uncommitted_proposals(&self) -> Vec<Proposal> {
-        let log = self.node.store();
-        let open =
-            log.entries.iter().filter(|e| e.index > log.applied && e.entry_type == EntryType::EntryNormal);
-        open.filter_map(|e| codec::decode(&e.data)).collect()
+        let log = self.log();
+        let mut proposals = Vec::new();
+        for entry in &log.entries {
+            if entry.index > log.applied.index && entry.entry_type == EntryType::EntryNormal {
+                proposals.extend(codec::decode::<Proposal>(&entry.data));
+            }
+        }
+        proposals
     }
 
-    /// How far the others are; empty where this daemon does not lead.
+    /// How far each node has replicated the log; empty where this node is not the leader.
     pub fn peer_progress(&self) -> Vec<PeerProgress> {
         if !self.is_leader() {
             return Vec::new();
         }
-        let all = self.node.raft.prs().iter();
-        all.map(|(id, p)| PeerProgress {
+        let progress_of = |(id, progress): (&u64, &raft::Progress)| PeerProgress {
             id: NodeId(*id),
-            match_index: p.matched,
-            recently_active: p.recent_active || *id == self.id.0,
-        })
-        .collect()
+            match_index: progress.matched,
+            recently_active: progress.recent_active || *id == self.id.0,
+        };
+        self.node.raft.prs().iter().map(progress_of).collect()
+    }
+
+    fn log(&self) -> &MemoryLog {
+        self.node.store()
     }
 
-    /// Time has passed: a tick.
+    /// One tick of time has passed.
     pub fn tick(&mut self) {
         self.node.tick();
     }
 
-    /// Asks for an election at once: the only member need not wait for one, nor need whoever knows that nobody leads.
+    /// Starts an election at once. The only voter need not wait for a leader, nor need a node that knows that there is
+    /// none.
     pub fn campaign(&mut self) {
+        // The error says that this node may not be elected: then there is nothing to do.
         let _ = self.node.campaign();
     }
 
-    /// Says to all that this daemon leads, if it does.
+    /// Sends heartbeats at once, if this node is the leader.
     pub fn broadcast_heartbeat(&mut self) {
         self.node.ping();
     }
 
-    /// Takes in a letter; false: it is out of form or not for this daemon.
-    pub fn receive(&mut self, letter: RaftMessage) -> bool {
-        let (to, from) = (letter.to, letter.from);
-        let Some(message) = letter.message() else { return false };
-        if to != self.id || from == self.id || from == NodeId::NOBODY {
+    /// Takes in a message. Returns false for one that is malformed, not for this node, or refused by the library.
+    pub fn receive(&mut self, message: RaftMessage) -> bool {
+        let is_from_peer = message.from != self.id && message.from != NodeId::NOBODY;
+        let is_addressed_here = message.to == self.id;
+        let Some(message) = message.into_raft() else { return false };
+        if !is_addressed_here || !is_from_peer || !self.accepts_snapshot_of(&message) {
             return false;
         }
-        if message.has_snapshot() && message.get_snapshot().get_metadata().index > 0 {
-            // A state that cannot be read, or another fleet's, must not replace what is here.
-            let state = ClusterState::decode(&message.get_snapshot().data);
-            let ours = |s: &ClusterState| self.fleet_id().is_none() || s.fleet == self.fleet_id();
-            if !state.as_ref().is_some_and(ours) {
-                return false;
-            }
-        }
         self.node.step(message).is_ok()
     }
 
-    /// Proposes a change; false: this daemon does not lead, or cannot take more now.
+    /// Whether a message carries no snapshot, or one of this node's fleet. One that cannot be decoded, or of another
+    /// fleet, must not replace what is here.
+    fn accepts_snapshot_of(&self, message: &eraftpb::Message) -> bool {
+        if !message.has_snapshot() || message.get_snapshot().get_metadata().index == 0 {
+            return true;
+        }
+        match ClusterState::decode(&message.get_snapshot().data) {
+            Some(state) => self.fleet_id().is_none() || state.fleet == self.fleet_id(),
+            None => false,
+        }
+    }
+
+    /// Proposes a change. Returns false where this node is not the leader, or holds too many uncommitted entries.
     pub fn propose(&mut self, proposal: &Proposal) -> bool {
         self.is_leader() && self.node.propose(Vec::new(), codec::encode(proposal)).is_ok()
     }
 
-    /// Proposes a change of the membership; false: this daemon does not lead, or another one goes on.
+    /// Proposes a change of the membership. Returns false where this node is not the leader, or another such change has
+    /// not ended.
     pub fn propose_membership(&mut self, change: &MembershipChange) -> bool {
-        if !self.is_leader()
-            || self.node.raft.has_pending_conf()
-            || !self.configuration().voters_outgoing.is_empty()
-        {
+        let is_change_pending =
+            self.node.raft.has_pending_conf() || !self.log().configuration.voters_outgoing.is_empty();
+        if !self.is_leader() || is_change_pending {
             return false;
         }
-        let mut cc = ConfChangeV2::default();
-        cc.set_changes(change.steps.iter().map(|s| s.conf_change()).collect::<Vec<_>>().into());
-        self.node.propose_conf_change(codec::encode(change), cc).is_ok()
+        self.node.propose_conf_change(codec::encode(change), raft_conf_change(change)).is_ok()
     }
 
-    /// Asks a majority whether this daemon still leads; [`RaftNode::take_confirmed_checks`] tells when it said so.
+    /// Asks a majority whether this node is still the leader: Raft's read index. [`RaftNode::take_confirmed_checks`]
+    /// returns the number once a majority has answered. A check is lost where the leader has not committed an entry of
+    /// its term yet, or with its messages.
     pub fn request_leadership_check(&mut self, number: u64) {
         if self.is_leader() {
             self.node.read_index(number.to_be_bytes().to_vec());
         }
     }
 
-    /// Questions of [`RaftNode::request_leadership_check`] that a majority has answered.
+    /// Takes the numbers of the leadership checks that a majority has confirmed.
     pub fn take_confirmed_checks(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.confirmed)
+        std::mem::take(&mut self.confirmed_checks)
     }
 
-    /// A snapshot was handed to the way to this daemon, or could not be.
+    /// What became of a snapshot to a peer. The library sends it nothing else until it knows.
     pub fn report_snapshot(&mut self, to: NodeId, delivery: SnapshotDelivery) {
         let status = match delivery {
             SnapshotDelivery::Sent => SnapshotStatus::Finish,
@@ -307,43 +305,35 @@
         self.node.report_snapshot(to.0, status);
     }
 
-    /// Hands the lead to another daemon.
+    /// Hands the leadership to another voter, if this node is the leader.
     pub fn transfer_leadership(&mut self, to: NodeId) {
         if self.is_leader() {
             self.node.transfer_leader(to.0);
         }
     }
 
-    /// The way to this daemon is broken.
+    /// The connection to a peer is lost.
     pub fn report_unreachable(&mut self, id: NodeId) {
         self.node.report_unreachable(id.0);
     }
 
-    /// The next step, if there is one.
+    /// The next step of the consensus; `None`: there is none.
     pub fn next_ready(&mut self) -> Option<PendingReady> {
         if !self.node.has_ready() {
             return None;
         }
         let mut ready = self.node.ready();
-        for read in ready.take_read_states() {
-            if let Ok(number) = <[u8; 8]>::try_from(&read.request_ctx[..]) {
-                self.confirmed.push(u64::from_be_bytes(number));
+        for read_state in ready.take_read_states() {
+            if let Ok(number) = <[u8; 8]>::try_from(&read_state.request_ctx[..]) {
+                self.confirmed_checks.push(u64::from_be_bytes(number));
             }
         }
-        let send = ready.take_messages().into_iter().filter_map(RaftMessage::of).collect();
-        let hard = ready.hs().map(|h| HardState { term: h.term, vote: NodeId(h.vote), commit: h.commit });
-        let entries = ready.entries().iter().cloned().map(LogEntry::of).collect();
-        let fresh = !ready.snapshot().get_metadata().index.eq(&0);
-        let snapshot = fresh.then(|| SnapshotRecord::of(ready.snapshot()));
-        let dropped = snapshot.as_ref().map(SnapshotRecord::last_entry);
-        Some(PendingReady {
-            ready,
-            messages: send,
-            write: RaftWrite { hard_state: hard, entries, snapshot, compacted: dropped },
-        })
+        let messages = into_peer_messages(ready.take_messages());
+        let write = write_of(&ready);
+        Some(PendingReady { ready, messages, write })
     }
 
-    /// The write of a step is on the disk: what goes out now, and what was taken in.
+    /// Continues a step whose write is synced.
     pub fn complete_write(&mut self, pending: PendingReady) -> CompletedWrite {
         let PendingReady { mut ready, write, .. } = pending;
         let mut applied = Vec::new();
@@ -351,92 +341,115 @@
         if let Some(record) = &write.snapshot
             && let Some(state) = ClusterState::decode(&record.state)
         {
-            let (index, digest) = (record.index, state.digest);
-            let what = AppliedContent::Snapshot(Box::new(state.clone()));
+            applied.push(applied_snapshot(record.index, &state));
             log.restore(record, state);
-            applied.push(AppliedEntry { index, digest, content: what, result: ApplyResult::Done });
         }
-        log.append(ready.entries().clone());
+        log.append(ready.entries());
         log.hard_state = write.hard_state.unwrap_or(log.hard_state);
-        let mut letters = ready.take_persisted_messages();
-        let committed = ready.take_committed_entries();
-        self.apply(committed, &mut applied);
-        let mut light = self.node.advance_append(ready);
-        if let Some(commit) = light.commit_index() {
+        let mut messages = ready.take_persisted_messages();
+        self.apply_committed(ready.take_committed_entries(), &mut applied);
+        let mut light_ready = self.node.advance_append(ready);
+        if let Some(commit) = light_ready.commit_index() {
             self.node.mut_store().hard_state.commit = commit;
         }
-        letters.extend(light.take_messages());
-        let committed = light.take_committed_entries();
-        self.apply(committed, &mut applied);
+        messages.extend(light_ready.take_messages());
+        self.apply_committed(light_ready.take_committed_entries(), &mut applied);
         self.node.advance_apply();
-        CompletedWrite { messages: letters.into_iter().filter_map(RaftMessage::of).collect(), applied }
+        CompletedWrite { messages: into_peer_messages(messages), applied }
+    }
+
+    /// The replicated state as an applied entry, for an owner that has to start from it anew.
+    pub fn state_as_applied_entry(&self) -> AppliedEntry {
+        applied_snapshot(self.applied(), self.state())
     }
 
-    fn apply(&mut self, entries: Vec<eraftpb::Entry>, applied: &mut Vec<AppliedEntry>) {
+    fn apply_committed(&mut self, entries: Vec<eraftpb::Entry>, applied: &mut Vec<AppliedEntry>) {
         for entry in entries {
-            let (index, term) = (entry.index, entry.term);
-            let entry = LogEntry::of(entry);
-            let mut what = AppliedContent::Empty;
-            let mut effect = ApplyResult::Done;
-            if entry.kind == 0 {
-                // One that cannot be read, as a newer program may write it, changes nothing anywhere.
-                if let Some(proposal) = codec::decode::<Proposal>(&entry.payload) {
-                    effect = self.node.mut_store().state.apply(index, &proposal.change);
-                    what = AppliedContent::Change(proposal);
-                }
-            } else {
-                let change: MembershipChange = codec::decode(&entry.payload).unwrap_or_default();
-                let mut cc = ConfChangeV2::default();
-                cc.set_changes(change.steps.iter().map(|s| s.conf_change()).collect::<Vec<_>>().into());
-                match self.node.apply_conf_change(&cc) {
-                    Ok(conf) => {
-                        let log = self.node.mut_store();
-                        log.configuration = Configuration::of(&conf);
-                        log.state.apply_membership(&change);
-                        what = AppliedContent::Membership(change);
-                    }
-                    Err(_) => effect = ApplyResult::Rejected,
-                }
-            }
-            let log = self.node.mut_store();
-            (log.applied, log.applied_term) = (index, term);
-            let mut sum = crc32fast::Hasher::new_with_initial(log.state.digest);
-            sum.update(&index.to_be_bytes());
-            sum.update(&entry.payload);
-            log.state.digest = sum.finalize();
-            applied.push(AppliedEntry { index, digest: log.state.digest, content: what, result: effect });
+            applied.push(self.apply_entry(LogEntry::from_raft(entry)));
         }
     }
 
-    /// Drops the older half of a log that is longer than these bytes or entries; what is to be written for it.
-    /// Those that are further behind get the whole state.
+    fn apply_entry(&mut self, entry: LogEntry) -> AppliedEntry {
+        let (content, result) = if entry.kind == LogEntry::CHANGE {
+            self.apply_change(&entry)
+        } else {
+            self.apply_membership(&entry)
+        };
+        let log = self.node.mut_store();
+        log.applied = entry.id();
+        let mut checksum = crc32fast::Hasher::new_with_initial(log.state.digest);
+        checksum.update(&entry.index.to_be_bytes());
+        checksum.update(&entry.payload);
+        log.state.digest = checksum.finalize();
+        AppliedEntry { index: entry.index, digest: log.state.digest, content, result }
+    }
+
+    /// Applies a change. One that cannot be decoded, as a newer version may write it, changes nothing on any node.
+    fn apply_change(&mut self, entry: &LogEntry) -> (AppliedContent, ApplyResult) {
+        let Some(proposal) = codec::decode::<Proposal>(&entry.payload) else {
+            return (AppliedContent::Empty, ApplyResult::Done);
+        };
+        let result = self.node.mut_store().state.apply(entry.index, &proposal.change);
+        (AppliedContent::Change(proposal), result)
+    }
+
+    fn apply_membership(&mut self, entry: &LogEntry) -> (AppliedContent, ApplyResult) {
+        let change: MembershipChange = codec::decode(&entry.payload).unwrap_or_default();
+        let Ok(configuration) = self.node.apply_conf_change(&raft_conf_change(&change)) else {
+            return (AppliedContent::Empty, ApplyResult::Rejected);
+        };
+        let log = self.node.mut_store();
+        log.configuration = Configuration::from_raft(&configuration);
+        log.state.apply_membership(&change);
+        (AppliedContent::Membership(change), ApplyResult::Done)
+    }
+
+    /// Drops the older part of a log that exceeds the limit, and returns what to write for it. Peers that are further
+    /// behind receive a snapshot.
     pub fn compact(&mut self, limit: LogSize) -> Option<RaftWrite> {
         let log = self.node.mut_store();
-        if log.bytes <= limit.bytes && log.entries.len() <= limit.entries {
+        if !log.compact(limit) {
             return None;
         }
-        let mut dropped = log.compacted;
-        while log.bytes > limit.bytes / 2 || log.entries.len() > limit.entries / 2 {
-            match log.entries.front() {
-                Some(e) if e.index <= log.applied => dropped = EntryId { term: e.term, index: e.index },
-                _ => break,
-            }
-            log.bytes -= log.entries.pop_front().map_or(0, |e| size(&e));
-        }
-        if dropped == log.compacted {
-            return None;
-        }
-        log.compacted = dropped;
-        let hard = HardState { commit: log.hard_state.commit.max(log.applied), ..log.hard_state };
-        log.hard_state = hard;
+        log.hard_state.commit = log.hard_state.commit.max(log.applied.index);
         Some(RaftWrite {
-            hard_state: Some(hard),
+            hard_state: Some(log.hard_state),
             entries: Vec::new(),
-            snapshot: Some(log.record()),
-            compacted: Some(dropped),
+            snapshot: Some(log.snapshot_record()),
+            compacted: Some(log.compacted),
         })
     }
 }
 
+fn applied_snapshot(index: u64, state: &ClusterState) -> AppliedEntry {
+    AppliedEntry {
+        index,
+        digest: state.digest,
+        content: AppliedContent::Snapshot(Box::new(state.clone())),
+        result: ApplyResult::Done,
+    }
+}
+
+/// The messages that go to peers; the library addresses some to itself.
+fn into_peer_messages(messages: Vec<eraftpb::Message>) -> Vec<RaftMessage> {
+    messages.into_iter().filter_map(RaftMessage::from_raft).collect()
+}
+
+fn write_of(ready: &Ready) -> RaftWrite {
+    let hard_state = ready.hs().map(HardState::from_raft);
+    let entries = ready.entries().iter().cloned().map(LogEntry::from_raft).collect();
+    let has_snapshot = ready.snapshot().get_metadata().index > 0;
+    let snapshot = has_snapshot.then(|| SnapshotRecord::from_raft(ready.snapshot()));
+    let compacted = snapshot.as_ref().map(SnapshotRecord::last_entry);
+    RaftWrite { hard_state, entries, snapshot, compacted }
+}
+
+fn raft_conf_change(change: &MembershipChange) -> ConfChangeV2 {
+    let steps: Vec<eraftpb::ConfChangeSingle> = change.steps.iter().map(|step| step.to_raft()).collect();
+    let mut conf_change = ConfChangeV2::default();
+    conf_change.set_changes(steps.into());
+    conf_change
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/store/raft_node/memory_log.rs
+++ b/src/store/raft_node/memory_log.rs
@@ -1,74 +1,145 @@
-//! The log in memory, as the library reads it.
+//! The log and the replicated state in memory, as the consensus library reads them.
 
 use crate::store::codec;
-use crate::store::records::{Configuration, EntryId, HardState, SnapshotRecord};
+use crate::store::raft_node::persistent_state::{InvalidRaftState, RaftPersistentState};
+use crate::store::records::{Configuration, EntryId, HardState, LogEntry, SnapshotRecord};
 use crate::store::state_machine::ClusterState;
 use raft::{GetEntriesContext, RaftState, Storage, StorageError, eraftpb};
 use std::collections::VecDeque;
 
-/// The log in memory, as the library reads it.
+/// What an entry takes in memory besides its payload, roughly.
+const ENTRY_OVERHEAD_BYTES: usize = 32;
+
+/// The size of the log in memory.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LogSize {
+    /// The bytes of its entries, with an allowance for each.
+    pub bytes: usize,
+    /// The number of its entries.
+    pub entries: usize,
+}
+
+/// The log after its compaction point, and the replicated state up to the last applied entry.
 pub(super) struct MemoryLog {
     pub(super) hard_state: HardState,
     pub(super) configuration: Configuration,
     pub(super) compacted: EntryId,
     pub(super) entries: VecDeque<eraftpb::Entry>,
-    pub(super) bytes: usize,
+    bytes: usize,
     pub(super) state: ClusterState,
-    pub(super) applied: u64,
-    pub(super) applied_term: u64,
+    pub(super) applied: EntryId,
 }
 
 impl MemoryLog {
-    pub(super) fn last(&self) -> u64 {
-        self.entries.back().map_or(self.compacted.index, |e| e.index)
+    /// The log that storage holds.
+    ///
+    /// # Errors
+    ///
+    /// What storage holds cannot be used.
+    pub(super) fn new(persisted: RaftPersistentState) -> Result<MemoryLog, InvalidRaftState> {
+        let state = if persisted.is_new() {
+            ClusterState::default()
+        } else {
+            ClusterState::decode(&persisted.snapshot.state).ok_or(InvalidRaftState::SnapshotFormat)?
+        };
+        persisted.check_log()?;
+        let applied = persisted.snapshot.last_entry();
+        let mut log = MemoryLog {
+            hard_state: persisted.hard_state,
+            configuration: persisted.snapshot.configuration,
+            compacted: persisted.compacted,
+            entries: VecDeque::new(),
+            bytes: 0,
+            state,
+            applied,
+        };
+        for entry in persisted.entries {
+            let entry = LogEntry::into_raft(entry).ok_or(InvalidRaftState::EntryFormat)?;
+            log.bytes += size_of_entry(&entry);
+            log.entries.push_back(entry);
+        }
+        Ok(log)
+    }
+
+    pub(super) fn size(&self) -> LogSize {
+        LogSize { bytes: self.bytes, entries: self.entries.len() }
     }
 
-    pub(super) fn at(&self, index: u64) -> Option<&eraftpb::Entry> {
-        let place = index.checked_sub(self.compacted.index + 1)?;
-        self.entries.get(place as usize)
+    fn last_index(&self) -> u64 {
+        self.entries.back().map_or(self.compacted.index, |entry| entry.index)
     }
 
-    pub(super) fn append(&mut self, entries: Vec<eraftpb::Entry>) {
+    fn entry(&self, index: u64) -> Option<&eraftpb::Entry> {
+        let position = index.checked_sub(self.compacted.index + 1)?;
+        self.entries.get(position as usize)
+    }
+
+    /// Appends entries in place of those from the first one's index on.
+    pub(super) fn append(&mut self, entries: &[eraftpb::Entry]) {
         if let Some(first) = entries.first() {
-            while self.entries.back().is_some_and(|e| e.index >= first.index) {
-                self.bytes -= self.entries.pop_back().map_or(0, |e| size(&e));
+            while self.entries.back().is_some_and(|entry| entry.index >= first.index) {
+                self.bytes -= self.entries.pop_back().map_or(0, |entry| size_of_entry(&entry));
             }
         }
-        self.bytes += entries.iter().map(size).sum::<usize>();
-        self.entries.extend(entries);
+        for entry in entries {
+            self.bytes += size_of_entry(entry);
+            self.entries.push_back(entry.clone());
+        }
     }
 
-    pub(super) fn record(&self) -> SnapshotRecord {
+    /// The replicated state up to the last applied entry.
+    pub(super) fn snapshot_record(&self) -> SnapshotRecord {
         SnapshotRecord {
-            index: self.applied,
-            term: self.applied_term,
+            index: self.applied.index,
+            term: self.applied.term,
             configuration: self.configuration.clone(),
             state: codec::encode(&self.state),
         }
     }
 
+    /// Replaces everything by a leader's snapshot; `state` is its decoded state.
     pub(super) fn restore(&mut self, record: &SnapshotRecord, state: ClusterState) {
-        (self.applied, self.applied_term) = (record.index, record.term);
-        (self.configuration, self.state) = (record.configuration.clone(), state);
+        self.applied = record.last_entry();
+        self.configuration = record.configuration.clone();
+        self.state = state;
         self.compacted = record.last_entry();
         self.entries.clear();
         self.bytes = 0;
     }
+
+    /// Drops applied entries until at most half of the limit is held, if the log exceeds the limit. Half, so that a
+    /// snapshot is not written for every entry that exceeds it. Returns whether any entry was dropped.
+    pub(super) fn compact(&mut self, limit: LogSize) -> bool {
+        if self.bytes <= limit.bytes && self.entries.len() <= limit.entries {
+            return false;
+        }
+        let before = self.compacted;
+        while self.bytes > limit.bytes / 2 || self.entries.len() > limit.entries / 2 {
+            match self.entries.front() {
+                Some(first) if first.index <= self.applied.index => {
+                    self.compacted = EntryId { term: first.term, index: first.index };
+                }
+                _ => break,
+            }
+            self.bytes -= self.entries.pop_front().map_or(0, |entry| size_of_entry(&entry));
+        }
+        self.compacted != before
+    }
 }
 
-pub(super) fn size(e: &eraftpb::Entry) -> usize {
-    e.data.len() + e.context.len() + 32
+fn size_of_entry(entry: &eraftpb::Entry) -> usize {
+    entry.data.len() + entry.context.len() + ENTRY_OVERHEAD_BYTES
 }
 
 impl Storage for MemoryLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let mut hard = eraftpb::HardState {
+        let hard_state = eraftpb::HardState {
             term: self.hard_state.term,
             vote: self.hard_state.vote.0,
+            commit: self.hard_state.commit.max(self.applied.index),
             ..Default::default()
         };
-        hard.commit = self.hard_state.commit.max(self.applied);
-        Ok(RaftState { hard_state: hard, conf_state: self.configuration.state() })
+        Ok(RaftState { hard_state, conf_state: self.configuration.to_raft() })
     }
 
     fn entries(
@@ -81,16 +152,17 @@
         if low <= self.compacted.index {
             return Err(StorageError::Compacted.into());
         }
-        if high > self.last() + 1 {
+        if high > self.last_index() + 1 {
             return Err(StorageError::Unavailable.into());
         }
-        let (most, mut held) = (max_size.into().unwrap_or(u64::MAX) as usize, 0);
+        let max_bytes = max_size.into().unwrap_or(u64::MAX) as usize;
+        let mut total_bytes = 0;
         let mut found = Vec::new();
         for index in low..high {
-            let Some(entry) = self.at(index) else { return Err(StorageError::Unavailable.into()) };
-            held += size(entry);
-            // One at least, or nothing would ever go on.
-            if held > most && !found.is_empty() {
+            let Some(entry) = self.entry(index) else { return Err(StorageError::Unavailable.into()) };
+            total_bytes += size_of_entry(entry);
+            // At least one entry is returned: a follower would never catch up past one that exceeds the limit.
+            if total_bytes > max_bytes && !found.is_empty() {
                 break;
             }
             found.push(entry.clone());
@@ -102,13 +174,13 @@
         if index == self.compacted.index {
             return Ok(self.compacted.term);
         }
-        if index == self.applied && self.applied_term > 0 {
-            return Ok(self.applied_term);
+        if index == self.applied.index && self.applied.term > 0 {
+            return Ok(self.applied.term);
         }
         if index < self.compacted.index {
             return Err(StorageError::Compacted.into());
         }
-        self.at(index).map(|e| e.term).ok_or_else(|| StorageError::Unavailable.into())
+        self.entry(index).map(|entry| entry.term).ok_or_else(|| StorageError::Unavailable.into())
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -116,13 +188,13 @@
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
+        Ok(MemoryLog::last_index(self))
     }
 
-    fn snapshot(&self, wanted: u64, _: u64) -> raft::Result<eraftpb::Snapshot> {
-        if self.applied < wanted || self.applied == 0 {
+    fn snapshot(&self, request_index: u64, _: u64) -> raft::Result<eraftpb::Snapshot> {
+        if self.applied.index < request_index || self.applied.index == 0 {
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
-        Ok(self.record().snapshot())
+        Ok(self.snapshot_record().to_raft())
     }
 }
--- a/src/store/raft_node/tests.rs
+++ b/src/store/raft_node/tests.rs
@@ -95,7 +95,7 @@
                 let AppliedContent::Change(Proposal { change, from, .. }) = one.content else { continue };
                 match change {
                     Change::Drain { host, drain: mark } if from == id => {
-                        drop(self.drained.insert((host, mark)))
+                        self.drained.insert((host, mark));
                     }
                     Change::Undrain { drains: marks, .. } => self.undone.extend(marks),
                     _ => {}
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,57 +1,57 @@
-//! What stands on the disk and goes between daemons: serde forms of our own.
+//! Records that storage holds and peers exchange, in serde forms of this program.
 //!
-//! The consensus library keeps its messages in protobuf types. They are made here from parts that were read in
-//! our own form; bytes from a socket or a disk are never parsed by protobuf.
+//! The consensus library has protobuf types of its own. They are built from these records once decoded: bytes from a
+//! socket or a disk never reach the protobuf parser. The order and types of the fields, and the order of the variants,
+//! are part of the stored format and of the protocol between peers.
+
+mod raft_conversion;
 
 use crate::engine::endpoints::EndpointRecord;
-use crate::ids::NodeId;
-use crate::ids::{GroupId, ZoneId};
+use crate::ids::{GroupId, NodeId, ZoneId};
 use crate::routing::Availability;
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-mod raft_conversion;
-
-/// A host as the agreed inventory has it.
+/// A host of the committed inventory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// Where it listens.
+    /// The address it listens at.
     pub address: SocketAddr,
     /// Its group.
     pub group: GroupId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its size against others.
+    /// Its capacity relative to other hosts.
     pub weight: f64,
-    /// The inventory itself says that it leaves.
+    /// The inventory drains it.
     pub draining: bool,
-    /// When it last started.
+    /// When its process last started, if that is known.
     pub started_at: Option<Timestamp>,
 }
 
 impl HostRecord {
-    /// Of a line of a list.
-    pub fn from_endpoint_record(listed: &EndpointRecord) -> HostRecord {
+    /// The host of an endpoint list's record.
+    pub fn from_endpoint_record(endpoint: &EndpointRecord) -> HostRecord {
         HostRecord {
-            address: listed.address,
-            group: listed.group,
-            zone: listed.zone,
-            weight: listed.weight,
-            draining: listed.availability != Availability::Ready,
-            started_at: listed.started_at,
+            address: endpoint.address,
+            group: endpoint.group,
+            zone: endpoint.zone,
+            weight: endpoint.weight,
+            draining: endpoint.availability != Availability::Ready,
+            started_at: endpoint.started_at,
         }
     }
 
-    /// As a line of a list.
-    pub fn endpoint_record(&self, name: &str, drained: bool) -> EndpointRecord {
-        let closed = drained || self.draining;
+    /// The host as an endpoint list's record. `is_drained`: a drain request is in force.
+    pub fn endpoint_record(&self, name: &str, is_drained: bool) -> EndpointRecord {
+        let is_draining = is_drained || self.draining;
         EndpointRecord {
             name: name.to_string(),
             address: self.address,
             zone: self.zone,
             group: self.group,
-            availability: if closed { Availability::Draining } else { Availability::Ready },
+            availability: if is_draining { Availability::Draining } else { Availability::Ready },
             primary: false,
             weight: self.weight,
             started_at: self.started_at,
@@ -65,16 +65,16 @@
 pub struct EntryId {
     /// The term in which a leader appended the entry.
     pub term: u64,
-    /// The position in the log.
+    /// The position in the log, from 1.
     pub index: u64,
 }
 
-/// The stored form of the last entry that compaction dropped: the index comes first here.
+/// The last entry that compaction has dropped, as storage holds it. Other than in [`EntryId`] the index comes first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactionRecord {
     /// The entry's index.
     pub index: u64,
-    /// Its term.
+    /// The entry's term.
     pub term: u64,
 }
 
@@ -93,78 +93,100 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its place.
+    /// Its position in the log.
     pub index: u64,
-    /// The term in which it was made.
+    /// The term in which a leader appended it.
     pub term: u64,
-    /// 0: a change of the state; 2: a change of the membership.
+    /// [`LogEntry::CHANGE`] or [`LogEntry::MEMBERSHIP`].
     pub kind: u8,
-    /// The change, in our form; empty: nothing.
+    /// An encoded proposal, or an encoded change of the membership; empty: no change, as in the entry with which each
+    /// leader begins.
     pub payload: Vec<u8>,
 }
 
-/// What a daemon must not forget of the votes.
+impl LogEntry {
+    /// The kind of an entry that changes the replicated state.
+    pub const CHANGE: u8 = 0;
+    /// The kind of an entry that changes the membership. 1 is the older form of such changes in the library's protocol,
+    /// which is not used.
+    pub const MEMBERSHIP: u8 = 2;
+
+    /// Its id.
+    pub fn id(&self) -> EntryId {
+        EntryId { term: self.term, index: self.index }
+    }
+}
+
+/// Raft's hard state: a node must not forget it, or it could vote twice in a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// Who got its vote in this term; 0: nobody.
+    /// The candidate that got this node's vote in the term; [`NodeId::NOBODY`]: none.
     pub vote: NodeId,
-    /// How far the log is agreed.
+    /// The index of the last entry that is known to be committed.
     pub commit: u64,
 }
 
+impl HardState {
+    /// The vote in the current term.
+    pub fn cast_vote(&self) -> Vote {
+        Vote { term: self.term, candidate: self.vote }
+    }
+}
+
 /// A vote in a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Vote {
     /// The term.
     pub term: u64,
-    /// Who got it; [`NodeId::NOBODY`]: nobody.
+    /// The candidate; [`NodeId::NOBODY`]: no vote was cast.
     pub candidate: NodeId,
 }
 
-impl HardState {
-    /// The vote in its term.
-    pub fn cast_vote(&self) -> Vote {
-        Vote { term: self.term, candidate: self.vote }
-    }
-}
-
-/// Who has a say.
+/// The nodes of the consensus. While a change of several voters goes on there are two sets of voters, and a majority of
+/// each is needed (joint consensus).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Whose majority agrees.
+    /// The voters; during a change, the ones after it.
     pub voters: Vec<NodeId>,
-    /// Who only follows.
+    /// The nodes that receive the log without a vote.
     pub learners: Vec<NodeId>,
-    /// The voters before a change that goes on.
+    /// The voters before the change that goes on; empty: no change goes on.
     pub voters_outgoing: Vec<NodeId>,
-    /// Who is to follow after it.
+    /// Outgoing voters that become learners when the change ends.
     pub learners_next: Vec<NodeId>,
-    /// The change ends by itself.
+    /// The leader ends the change by itself.
     pub auto_leave: bool,
 }
 
-/// The whole state at a point of the log.
+/// The replicated state up to an entry of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRecord {
-    /// The last entry in it.
+    /// The index of the last entry that is applied in it; 0: the node belongs to no fleet.
     pub index: u64,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: u64,
-    /// The membership there.
+    /// The configuration at that entry.
     pub configuration: Configuration,
-    /// The state, in our form.
+    /// The encoded [`ClusterState`](super::state_machine::ClusterState).
     pub state: Vec<u8>,
 }
 
-/// One step of a change of the membership.
+impl SnapshotRecord {
+    /// The last entry that is applied in it.
+    pub fn last_entry(&self) -> EntryId {
+        EntryId { term: self.term, index: self.index }
+    }
+}
+
+/// One step of a change of the membership. All steps of a change take effect together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipStep {
-    /// It is to vote.
+    /// The node becomes a voter.
     AddVoter(NodeId),
-    /// It is to follow only.
+    /// The node becomes a learner.
     AddLearner(NodeId),
-    /// It is to go.
+    /// The node leaves.
     Remove(NodeId),
 }
--- a/src/store/records/raft_conversion.rs
+++ b/src/store/records/raft_conversion.rs
@@ -1,110 +1,112 @@
-//! Records to the library's types and back.
+//! Conversions between records and the consensus library's types.
 
-use super::{Configuration, EntryId, LogEntry, MembershipStep, SnapshotRecord};
+use super::{Configuration, HardState, LogEntry, MembershipStep, SnapshotRecord};
 use crate::ids::NodeId;
 use raft::eraftpb::{self, ConfChangeType, EntryType};
 
 impl LogEntry {
-    /// Its term and index.
-    pub fn id(&self) -> EntryId {
-        EntryId { term: self.term, index: self.index }
-    }
-
-    /// Of the library's entry. A change of the membership keeps our form of it in the context.
-    pub fn of(e: eraftpb::Entry) -> LogEntry {
-        let member = e.entry_type != EntryType::EntryNormal;
+    /// The record of the library's entry. An entry that changes the membership holds this program's form of the change
+    /// in its context.
+    pub fn from_raft(entry: eraftpb::Entry) -> LogEntry {
+        let is_membership = entry.entry_type != EntryType::EntryNormal;
         LogEntry {
-            index: e.index,
-            term: e.term,
-            kind: if member { 2 } else { 0 },
-            payload: if member { e.context.to_vec() } else { e.data.to_vec() },
+            index: entry.index,
+            term: entry.term,
+            kind: if is_membership { LogEntry::MEMBERSHIP } else { LogEntry::CHANGE },
+            payload: if is_membership { entry.context.to_vec() } else { entry.data.to_vec() },
         }
     }
 
-    /// As the library wants it. The library's own form of a change of the membership is left out: nobody reads
-    /// it after it was proposed.
-    pub fn entry(self) -> Option<eraftpb::Entry> {
-        let mut e = eraftpb::Entry { index: self.index, term: self.term, ..Default::default() };
+    /// The library's entry; `None`: the record's kind is unknown. The library's own form of a change of the membership
+    /// is left out: it is only read when the change is proposed.
+    pub fn into_raft(self) -> Option<eraftpb::Entry> {
+        let mut entry = eraftpb::Entry { index: self.index, term: self.term, ..Default::default() };
         match self.kind {
-            0 => e.data = self.payload.into(),
-            2 => {
-                e.set_entry_type(EntryType::EntryConfChangeV2);
-                e.context = self.payload.into();
+            LogEntry::CHANGE => entry.data = self.payload.into(),
+            LogEntry::MEMBERSHIP => {
+                entry.set_entry_type(EntryType::EntryConfChangeV2);
+                entry.context = self.payload.into();
             }
             _ => return None,
         }
-        Some(e)
+        Some(entry)
+    }
+}
+
+impl HardState {
+    /// The record of the library's hard state.
+    pub fn from_raft(hard_state: &eraftpb::HardState) -> HardState {
+        HardState { term: hard_state.term, vote: NodeId(hard_state.vote), commit: hard_state.commit }
     }
 }
 
 impl Configuration {
-    /// Of the library's.
-    pub fn of(c: &eraftpb::ConfState) -> Configuration {
-        // The library keeps sets: in order they are alike at all daemons.
-        let sorted = |ids: &[u64]| {
-            let mut ids: Vec<NodeId> = ids.iter().copied().map(NodeId).collect();
-            ids.sort_unstable();
-            ids
-        };
+    /// The record of the library's configuration. The library keeps sets: sorted lists are equal on all nodes.
+    pub fn from_raft(configuration: &eraftpb::ConfState) -> Configuration {
         Configuration {
-            voters: sorted(&c.voters),
-            learners: sorted(&c.learners),
-            voters_outgoing: sorted(&c.voters_outgoing),
-            learners_next: sorted(&c.learners_next),
-            auto_leave: c.auto_leave,
+            voters: sorted_ids(&configuration.voters),
+            learners: sorted_ids(&configuration.learners),
+            voters_outgoing: sorted_ids(&configuration.voters_outgoing),
+            learners_next: sorted_ids(&configuration.learners_next),
+            auto_leave: configuration.auto_leave,
         }
     }
 
-    /// As the library wants it.
-    pub fn state(&self) -> eraftpb::ConfState {
-        let numbers = |ids: &[NodeId]| ids.iter().map(|id| id.0).collect::<Vec<u64>>();
-        let mut c = eraftpb::ConfState::default();
-        c.set_voters(numbers(&self.voters));
-        c.set_learners(numbers(&self.learners));
-        c.set_voters_outgoing(numbers(&self.voters_outgoing));
-        c.set_learners_next(numbers(&self.learners_next));
-        c.auto_leave = self.auto_leave;
-        c
+    /// The library's configuration.
+    pub fn to_raft(&self) -> eraftpb::ConfState {
+        let mut configuration = eraftpb::ConfState::default();
+        configuration.set_voters(raft_ids(&self.voters));
+        configuration.set_learners(raft_ids(&self.learners));
+        configuration.set_voters_outgoing(raft_ids(&self.voters_outgoing));
+        configuration.set_learners_next(raft_ids(&self.learners_next));
+        configuration.auto_leave = self.auto_leave;
+        configuration
     }
 }
 
-impl SnapshotRecord {
-    /// The last entry whose effect it contains.
-    pub fn last_entry(&self) -> EntryId {
-        EntryId { term: self.term, index: self.index }
-    }
+fn sorted_ids(ids: &[u64]) -> Vec<NodeId> {
+    let mut ids: Vec<NodeId> = ids.iter().copied().map(NodeId).collect();
+    ids.sort_unstable();
+    ids
+}
 
-    /// Of the library's.
-    pub fn of(s: &eraftpb::Snapshot) -> SnapshotRecord {
-        let meta = s.get_metadata();
+fn raft_ids(ids: &[NodeId]) -> Vec<u64> {
+    ids.iter().map(|id| id.0).collect()
+}
+
+impl SnapshotRecord {
+    /// The record of the library's snapshot.
+    pub fn from_raft(snapshot: &eraftpb::Snapshot) -> SnapshotRecord {
+        let metadata = snapshot.get_metadata();
         SnapshotRecord {
-            index: meta.index,
-            term: meta.term,
-            configuration: Configuration::of(meta.get_conf_state()),
-            state: s.data.to_vec(),
+            index: metadata.index,
+            term: metadata.term,
+            configuration: Configuration::from_raft(metadata.get_conf_state()),
+            state: snapshot.data.to_vec(),
         }
     }
 
-    /// As the library wants it.
-    pub fn snapshot(&self) -> eraftpb::Snapshot {
-        let mut s = eraftpb::Snapshot { data: self.state.clone().into(), ..Default::default() };
-        let meta = s.mut_metadata();
-        (meta.index, meta.term) = (self.index, self.term);
-        meta.set_conf_state(self.configuration.state());
-        s
+    /// The library's snapshot.
+    pub fn to_raft(&self) -> eraftpb::Snapshot {
+        let mut snapshot = eraftpb::Snapshot { data: self.state.clone().into(), ..Default::default() };
+        let metadata = snapshot.mut_metadata();
+        metadata.index = self.index;
+        metadata.term = self.term;
+        metadata.set_conf_state(self.configuration.to_raft());
+        snapshot
     }
 }
 
 impl MembershipStep {
-    /// As the library wants it.
-    pub fn conf_change(self) -> eraftpb::ConfChangeSingle {
-        let (kind, id) = match self {
+    /// The library's form of the step.
+    pub fn to_raft(self) -> eraftpb::ConfChangeSingle {
+        let (change_type, id) = match self {
             MembershipStep::AddVoter(id) => (ConfChangeType::AddNode, id),
             MembershipStep::AddLearner(id) => (ConfChangeType::AddLearnerNode, id),
             MembershipStep::Remove(id) => (ConfChangeType::RemoveNode, id),
         };
-        let mut single = eraftpb::ConfChangeSingle { node_id: id.0, ..Default::default() };
-        single.set_change_type(kind);
-        single
+        let mut step = eraftpb::ConfChangeSingle { node_id: id.0, ..Default::default() };
+        step.set_change_type(change_type);
+        step
     }
 }
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -1,289 +1,334 @@
-//! What a daemon keeps on its disk: its identity, the log, a state, drains that are not agreed yet, and what the
-//! others once said. A crash-safe library (`redb`) keeps it; every value has a check sum of its own.
+//! The durable storage of one node: its identity, the consensus state, pending drains, and what peers and endpoints
+//! have reported.
+//!
+//! A crash-safe embedded database (`redb`) holds two tables. `meta` has one value for each key of [`key`], `log` has
+//! the entries by index. Each value has a checksum of its own, besides those of the database: see [`super::codec`].
+//! Every write is synced before it counts.
+
+mod identity;
+mod open;
+
+pub use identity::{FileId, IdentityResetReason, NodeIdentity, PersistedProgress};
 
 use super::codec;
-use super::legacy;
+use super::error::{DamagedStore, StoreError};
+use super::legacy::LegacyStore;
 use super::raft_node::{RaftPersistentState, RaftWrite};
 use super::records::{CompactionRecord, HardState, LogEntry, SnapshotRecord};
 use super::state_machine::PendingDrain;
 use crate::ids::NodeId;
 use redb::backends::InMemoryBackend;
-use redb::{Database, Durability, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
-use serde::Serialize;
+use redb::{
+    Database, Durability, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend, Table,
+    TableDefinition, WriteTransaction,
+};
 use serde::de::DeserializeOwned;
 use std::cell::Cell;
 use std::collections::BTreeMap;
-use std::fs;
-use std::os::unix::fs::MetadataExt;
-use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 
-mod identity;
-
-pub use identity::{FileId, IdentityResetReason, NodeIdentity, PersistedProgress};
-
+/// Values by key. The name is part of the stored format.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-
+/// Entries of the log by index. The name is part of the stored format.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
-/// The form of what is kept.
+/// The version of the stored format. A store of another version is set aside.
 const FORMAT_VERSION: u32 = 1;
 
-/// Memory that the library may keep of the file.
-const CACHE: usize = 1 << 20;
+/// The database's page cache. A store is a few megabytes at most, and is read once, at the start.
+const CACHE_BYTES: usize = 1 << 20;
+
+/// The keys of the `meta` table. They are part of the stored format, and older than the names of what they hold.
+mod key {
+    /// [`super::FORMAT_VERSION`].
+    pub const FORMAT: &str = "form";
+    /// [`super::NodeIdentity`].
+    pub const IDENTITY: &str = "identity";
+    /// [`super::HardState`].
+    pub const HARD_STATE: &str = "hard";
+    /// [`super::SnapshotRecord`].
+    pub const SNAPSHOT: &str = "snapshot";
+    /// [`super::CompactionRecord`].
+    pub const COMPACTED: &str = "dropped";
+    /// The list of pending drains.
+    pub const PENDING_DRAINS: &str = "marks";
+    /// The furthest progress that each peer has reported.
+    pub const REPORTED_PROGRESS: &str = "witnesses";
+    /// What gossip has spread about endpoints, encoded by the fleet.
+    pub const GOSSIP: &str = "learned";
+}
 
-/// What the disk held at the start.
+/// What a node's storage held at the start.
 #[derive(Clone, Debug, Default)]
 pub struct StoreContents {
-    /// The agreement.
+    /// The consensus state.
     pub raft: RaftPersistentState,
-    /// Drains that were not agreed.
+    /// Drains that were not committed yet.
     pub drains: Vec<PendingDrain>,
-    /// What the others said.
+    /// The furthest progress that each peer has reported of itself.
     pub reported_progress: BTreeMap<NodeId, PersistedProgress>,
-    /// What was learned of the hosts, as the fleet wrote it; soft, so one that is damaged is not there.
+    /// What gossip had spread about endpoints, encoded by the fleet. It is only a first guess: a damaged value counts
+    /// as absent.
     pub gossip: Option<Vec<u8>>,
-    /// A store of the form before this one, taken over.
-    pub legacy: Option<legacy::LegacyStore>,
-    /// What was found and set aside, for the log.
+    /// The contents of a store file of version 0.2.0, which this storage replaces.
+    pub legacy: Option<LegacyStore>,
+    /// Files that were set aside, for the log.
     pub notes: Vec<String>,
 }
 
-/// A daemon's disk.
+/// A node's storage and what it held.
+pub struct OpenedStorage {
+    /// The storage.
+    pub storage: DurableStorage,
+    /// What it held.
+    pub contents: StoreContents,
+}
+
+/// The durable storage of one node.
 pub struct DurableStorage {
-    db: Database,
+    database: Database,
+    /// `None`: the storage lasts as long as the process.
     path: Option<PathBuf>,
-    /// Who this daemon is.
+    /// Who the node is.
     pub identity: NodeIdentity,
-    /// Writes since the start, each synced before it counts.
-    pub write_count: Cell<u64>,
-}
-
-fn text(e: impl std::fmt::Display) -> String {
-    e.to_string()
+    write_count: Cell<u64>,
 }
 
-/// Reads one value; an error where it is there and not whole.
-fn value<T: DeserializeOwned>(
-    table: &impl ReadableTable<&'static str, &'static [u8]>,
-    key: &str,
-) -> Result<Option<T>, String> {
-    let Some(found) = table.get(key).map_err(text)? else { return Ok(None) };
-    codec::decode(found.value()).map(Some).ok_or_else(|| format!("{key} is damaged"))
+/// A value of the `meta` table that the consensus does not need.
+#[derive(Clone, Copy, Debug)]
+pub enum NodeValue<'a> {
+    /// Who the node is.
+    Identity(&'a NodeIdentity),
+    /// All pending drains.
+    PendingDrains(&'a [PendingDrain]),
+    /// The furthest progress that each peer has reported of itself.
+    ReportedProgress(&'a BTreeMap<NodeId, PersistedProgress>),
+    /// What gossip has spread about endpoints, encoded by the fleet.
+    Gossip(&'a [u8]),
 }
 
-fn read(db: &Database) -> Result<Option<(NodeIdentity, StoreContents)>, String> {
-    let reading = db.begin_read().map_err(text)?;
-    let meta = match reading.open_table(META) {
-        Ok(table) => table,
-        Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
-        Err(e) => return Err(text(e)),
-    };
-    match value::<u32>(&meta, "form")? {
-        Some(FORMAT_VERSION) => {}
-        Some(other) => return Err(format!("a store of form {other}, not {FORMAT_VERSION}")),
-        None => return Ok(None),
-    }
-    let Some(identity) = value::<NodeIdentity>(&meta, "identity")? else { return Err("no identity".into()) };
-    let mut image = RaftPersistentState {
-        hard_state: value::<HardState>(&meta, "hard")?.unwrap_or_default(),
-        snapshot: value::<SnapshotRecord>(&meta, "snapshot")?.unwrap_or_default(),
-        compacted: value::<CompactionRecord>(&meta, "dropped")?.unwrap_or_default().into(),
-        entries: Vec::new(),
-    };
-    for row in reading.open_table(LOG).map_err(text)?.iter().map_err(text)? {
-        let (index, bytes) = row.map_err(text)?;
-        let entry: Option<LogEntry> = codec::decode(bytes.value());
-        let entry = entry.filter(|e| e.index == index.value());
-        image.entries.push(entry.ok_or_else(|| format!("entry {} is damaged", index.value()))?);
+impl NodeValue<'_> {
+    fn key(&self) -> &'static str {
+        match self {
+            NodeValue::Identity(_) => key::IDENTITY,
+            NodeValue::PendingDrains(_) => key::PENDING_DRAINS,
+            NodeValue::ReportedProgress(_) => key::REPORTED_PROGRESS,
+            NodeValue::Gossip(_) => key::GOSSIP,
+        }
     }
-    let marks = value(&meta, "marks")?.unwrap_or_default();
-    let witnesses = value(&meta, "witnesses")?.unwrap_or_default();
-    let learned = value(&meta, "learned").ok().flatten();
-    Ok(Some((
-        identity,
-        StoreContents {
-            raft: image,
-            drains: marks,
-            reported_progress: witnesses,
-            gossip: learned,
-            ..StoreContents::default()
-        },
-    )))
-}
-
-/// A file under another name beside it, free to take.
-fn aside(path: &Path, why: &str) -> PathBuf {
-    let name = |n: usize| {
-        let mut name = path.as_os_str().to_owned();
-        name.push(if n == 0 { format!(".{why}") } else { format!(".{why}-{n}") });
-        PathBuf::from(name)
-    };
-    (0..).map(name).find(|p| !p.exists()).unwrap_or_default()
-}
-
-fn set_aside(path: &Path, why: &str) -> Result<PathBuf, String> {
-    let to = aside(path, why);
-    fs::rename(path, &to).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(to)
-}
 
-fn place(path: &Path) -> Result<FileId, String> {
-    let meta = fs::metadata(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(FileId { device: meta.dev(), inode: meta.ino() })
+    fn encode(&self) -> Vec<u8> {
+        match self {
+            NodeValue::Identity(identity) => codec::encode(identity),
+            NodeValue::PendingDrains(drains) => codec::encode(drains),
+            NodeValue::ReportedProgress(progress) => codec::encode(progress),
+            NodeValue::Gossip(bytes) => codec::encode(bytes),
+        }
+    }
 }
 
 impl DurableStorage {
-    /// Opens a daemon's file. One that is damaged, or a copy, is set aside under another name, and the daemon is
-    /// a new one; a store of the form before is read once. Errors are what no daemon can start with.
-    pub fn open(path: &Path) -> Result<(DurableStorage, StoreContents), String> {
-        let fault = |e: String| format!("{}: {e}", path.display());
-        let mut notes = Vec::new();
-        let mut legacy = None;
-        if path.exists() {
-            let start = fs::read(path).map_err(|e| fault(text(e)))?;
-            if start.starts_with(legacy::HEADER.as_bytes()) {
-                let old = String::from_utf8(start).map_err(text).and_then(|t| legacy::parse(&t));
-                let to = set_aside(path, if old.is_ok() { "old" } else { "damaged" })?;
-                notes.push(match &old {
-                    Ok(_) => format!(
-                        "{}: a store of the old form, taken over; now {}",
-                        path.display(),
-                        to.display()
-                    ),
-                    Err(e) => format!("{}: {e}; set aside as {}", path.display(), to.display()),
-                });
-                legacy = old.ok();
-            }
-        }
-        let opened = catch_unwind(AssertUnwindSafe(|| {
-            let db = Database::builder().set_cache_size(CACHE).create(path);
-            let db = db.map_err(|e| match e {
-                redb::DatabaseError::DatabaseAlreadyOpen => Err("another process has it".to_string()),
-                redb::DatabaseError::Storage(redb::StorageError::Io(e))
-                    if !matches!(
-                        e.kind(),
-                        std::io::ErrorKind::InvalidData | std::io::ErrorKind::UnexpectedEof
-                    ) =>
-                {
-                    Err(text(e))
-                }
-                e => Ok(text(e)),
-            })?;
-            let held = read(&db).map_err(Ok)?;
-            Ok::<_, Result<String, String>>((db, held))
-        }));
-        let damage = match opened {
-            Ok(Ok((db, Some((identity, mut held))))) => {
-                if place(path)? == identity.file {
-                    held.notes = notes;
-                    let mut disk = DurableStorage {
-                        db,
-                        path: Some(path.to_path_buf()),
-                        identity,
-                        write_count: Cell::new(0),
-                    };
-                    disk.identity.boot_count += 1;
-                    disk.put("identity", &disk.identity).map_err(fault)?;
-                    return Ok((disk, held));
-                }
-                "it is a copy of another file".to_string()
-            }
-            Ok(Ok((db, None))) => {
-                let mut disk = DurableStorage::fresh(db, Some(path.to_path_buf())).map_err(fault)?;
-                disk.identity.file = place(path)?;
-                disk.put("identity", &disk.identity).map_err(fault)?;
-                return Ok((disk, StoreContents { legacy, notes, ..StoreContents::default() }));
-            }
-            Ok(Err(Err(fatal))) => return Err(fault(fatal)),
-            Ok(Err(Ok(damage))) => damage,
-            Err(_) => "it cannot be read".to_string(),
-        };
-        let to = set_aside(path, "damaged")?;
-        let (disk, mut held) = DurableStorage::open(path)?;
-        notes.push(format!("{}: {damage}; set aside as {}", path.display(), to.display()));
-        held.notes = notes;
-        Ok((disk, held))
+    /// Opens a node's store file, or creates it.
+    ///
+    /// A damaged file, or a copy of another one, is set aside under another name, and the node starts as a new one. A
+    /// store file of version 0.2.0 is read, set aside and replaced.
+    ///
+    /// # Errors
+    ///
+    /// No node can start with this path: another process has the file, or it cannot be accessed.
+    pub fn open(path: &Path) -> Result<OpenedStorage, StoreError> {
+        open::open(path)
     }
 
-    /// A disk on anything that stores bytes.
-    pub fn on_backend(backend: impl StorageBackend) -> Result<(DurableStorage, StoreContents), String> {
-        let db = Database::builder().set_cache_size(CACHE).create_with_backend(backend).map_err(text)?;
-        if let Some((identity, held)) = read(&db)? {
-            return Ok((DurableStorage { db, path: None, identity, write_count: Cell::new(0) }, held));
+    /// Opens storage on any medium, or creates it there.
+    ///
+    /// # Errors
+    ///
+    /// The medium cannot be read or written, or what it holds is damaged.
+    pub fn on_backend(backend: impl StorageBackend) -> Result<OpenedStorage, StoreError> {
+        let mut builder = Database::builder();
+        let database = builder.set_cache_size(CACHE_BYTES).create_with_backend(backend);
+        let database = database.map_err(redb::Error::from)?;
+        if let Some(stored) = read_store(&database)? {
+            let storage =
+                DurableStorage { database, path: None, identity: stored.identity, write_count: Cell::new(0) };
+            return Ok(OpenedStorage { storage, contents: stored.contents });
         }
-        Ok((DurableStorage::fresh(db, None)?, StoreContents::default()))
+        let identity = create_store(&database)?;
+        let storage = DurableStorage { database, path: None, identity, write_count: Cell::new(1) };
+        Ok(OpenedStorage { storage, contents: StoreContents::default() })
     }
 
-    /// A disk that lasts as long as the process.
-    pub fn in_memory() -> Result<(DurableStorage, StoreContents), String> {
+    /// Creates storage that lasts as long as the process.
+    ///
+    /// # Errors
+    ///
+    /// None in practice: memory can be read and written.
+    pub fn in_memory() -> Result<OpenedStorage, StoreError> {
         DurableStorage::on_backend(InMemoryBackend::new())
     }
 
-    fn fresh(db: Database, path: Option<PathBuf>) -> Result<DurableStorage, String> {
-        let identity =
-            NodeIdentity { id: NodeId(fastrand::u64(1..)), boot_count: 1, file: FileId::default() };
-        let mut writing = db.begin_write().map_err(text)?;
-        writing.set_durability(Durability::Immediate).map_err(text)?;
+    /// Writes all of this or nothing, and returns when it is synced.
+    ///
+    /// # Errors
+    ///
+    /// The medium cannot be written. Whether the write took effect shows at the next start.
+    pub fn write(&self, raft: &RaftWrite, values: &[NodeValue<'_>]) -> Result<(), StoreError> {
+        let transaction = begin_synced_write(&self.database)?;
         {
-            let mut meta = writing.open_table(META).map_err(text)?;
-            meta.insert("form", &codec::encode(&FORMAT_VERSION)[..]).map_err(text)?;
-            meta.insert("identity", &codec::encode(&identity)[..]).map_err(text)?;
-            writing.open_table(LOG).map_err(text)?;
+            let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
+            let mut log = transaction.open_table(LOG).map_err(redb::Error::from)?;
+            write_raft(&mut meta, &mut log, raft)?;
+            for value in values {
+                insert(&mut meta, value.key(), &value.encode())?;
+            }
         }
-        writing.commit().map_err(text)?;
-        Ok(DurableStorage { db, path, identity, write_count: Cell::new(1) })
+        self.write_count.set(self.write_count.get() + 1);
+        transaction.commit().map_err(redb::Error::from)?;
+        Ok(())
     }
 
-    fn put<T: Serialize>(&self, key: &str, value: &T) -> Result<(), String> {
-        self.write(&RaftWrite::default(), &[(key, codec::encode(value))])
+    /// The number of writes since the start, each of them synced.
+    pub fn write_count(&self) -> u64 {
+        self.write_count.get()
     }
 
-    /// Writes all of this or nothing, and comes back when it is on the disk.
-    pub fn write(&self, write: &RaftWrite, more: &[(&str, Vec<u8>)]) -> Result<(), String> {
-        let mut writing = self.db.begin_write().map_err(text)?;
-        writing.set_durability(Durability::Immediate).map_err(text)?;
-        {
-            let mut meta = writing.open_table(META).map_err(text)?;
-            let mut log = writing.open_table(LOG).map_err(text)?;
-            if let Some(hard) = &write.hard_state {
-                meta.insert("hard", &codec::encode(hard)[..]).map_err(text)?;
-            }
-            if let Some(snapshot) = &write.snapshot {
-                meta.insert("snapshot", &codec::encode(snapshot)[..]).map_err(text)?;
-            }
-            if let Some(compacted) = write.compacted {
-                let record = CompactionRecord::from(compacted);
-                meta.insert("dropped", &codec::encode(&record)[..]).map_err(text)?;
-                log.retain_in(..=compacted.index, |_, _| false).map_err(text)?;
-            }
-            if let Some(first) = write.entries.first() {
-                log.retain_in(first.index.., |_, _| false).map_err(text)?;
-            }
-            for entry in &write.entries {
-                log.insert(entry.index, &codec::encode(entry)[..]).map_err(text)?;
-            }
-            for (key, value) in more {
-                meta.insert(*key, &value[..]).map_err(text)?;
-            }
+    /// Reads the consensus state again, as after a start.
+    ///
+    /// # Errors
+    ///
+    /// The medium cannot be read, or what it holds is damaged.
+    pub fn read_raft_state(&self) -> Result<RaftPersistentState, StoreError> {
+        let stored = read_store(&self.database)?;
+        Ok(stored.map(|stored| stored.contents.raft).unwrap_or_default())
+    }
+
+    /// Gives up this identity: the file is set aside, and the storage returned is that of a new node.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be renamed, or a new one cannot be created.
+    pub fn reset_identity(self, reason: IdentityResetReason) -> Result<DurableStorage, StoreError> {
+        let DurableStorage { database, path, .. } = self;
+        drop(database);
+        let Some(path) = path else { return Ok(DurableStorage::in_memory()?.storage) };
+        open::set_aside(&path, reason.file_suffix())?;
+        Ok(DurableStorage::open(&path)?.storage)
+    }
+}
+
+/// What a store holds that has been created before.
+struct StoredNode {
+    identity: NodeIdentity,
+    contents: StoreContents,
+}
+
+/// Reads a store whole; `None`: it has not been created yet.
+fn read_store(database: &Database) -> Result<Option<StoredNode>, DamagedStore> {
+    let transaction = database.begin_read()?;
+    let meta = match transaction.open_table(META) {
+        Ok(table) => table,
+        Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
+        Err(error) => return Err(error.into()),
+    };
+    match read_value::<u32>(&meta, key::FORMAT)? {
+        Some(FORMAT_VERSION) => {}
+        Some(found) => return Err(DamagedStore::UnknownFormat { found, supported: FORMAT_VERSION }),
+        None => return Ok(None),
+    }
+    let Some(identity) = read_value::<NodeIdentity>(&meta, key::IDENTITY)? else {
+        return Err(DamagedStore::NoIdentity);
+    };
+    let compacted: CompactionRecord = read_value(&meta, key::COMPACTED)?.unwrap_or_default();
+    let raft = RaftPersistentState {
+        hard_state: read_value::<HardState>(&meta, key::HARD_STATE)?.unwrap_or_default(),
+        snapshot: read_value::<SnapshotRecord>(&meta, key::SNAPSHOT)?.unwrap_or_default(),
+        compacted: compacted.into(),
+        entries: read_log(&transaction)?,
+    };
+    let contents = StoreContents {
+        raft,
+        drains: read_value(&meta, key::PENDING_DRAINS)?.unwrap_or_default(),
+        reported_progress: read_value(&meta, key::REPORTED_PROGRESS)?.unwrap_or_default(),
+        gossip: read_value(&meta, key::GOSSIP).ok().flatten(),
+        ..StoreContents::default()
+    };
+    Ok(Some(StoredNode { identity, contents }))
+}
+
+/// Reads one value; `None`: there is none.
+fn read_value<T: DeserializeOwned>(
+    table: &impl ReadableTable<&'static str, &'static [u8]>,
+    key: &'static str,
+) -> Result<Option<T>, DamagedStore> {
+    let Some(stored) = table.get(key)? else { return Ok(None) };
+    match codec::decode(stored.value()) {
+        Some(value) => Ok(Some(value)),
+        None => Err(DamagedStore::Value { key }),
+    }
+}
+
+fn read_log(transaction: &ReadTransaction) -> Result<Vec<LogEntry>, DamagedStore> {
+    let mut entries = Vec::new();
+    for row in transaction.open_table(LOG)?.iter()? {
+        let (index, bytes) = row?;
+        let index = index.value();
+        match codec::decode::<LogEntry>(bytes.value()) {
+            Some(entry) if entry.index == index => entries.push(entry),
+            _ => return Err(DamagedStore::Entry { index }),
         }
-        self.write_count.set(self.write_count.get() + 1);
-        writing.commit().map_err(text)
     }
+    Ok(entries)
+}
 
-    /// Reads the agreement anew, as after a start.
-    pub fn read_raft_state(&self) -> Result<RaftPersistentState, String> {
-        Ok(read(&self.db)?.map(|(_, held)| held.raft).unwrap_or_default())
+/// Creates the tables, with the identity of a new node.
+fn create_store(database: &Database) -> Result<NodeIdentity, redb::Error> {
+    let identity = NodeIdentity { id: NodeId(fastrand::u64(1..)), boot_count: 1, file: FileId::default() };
+    let transaction = begin_synced_write(database)?;
+    {
+        let mut meta = transaction.open_table(META)?;
+        insert(&mut meta, key::FORMAT, &codec::encode(&FORMAT_VERSION))?;
+        insert(&mut meta, key::IDENTITY, &codec::encode(&identity))?;
+        transaction.open_table(LOG)?;
     }
+    transaction.commit()?;
+    Ok(identity)
+}
+
+fn begin_synced_write(database: &Database) -> Result<WriteTransaction, redb::Error> {
+    let mut transaction = database.begin_write()?;
+    transaction.set_durability(Durability::Immediate)?;
+    Ok(transaction)
+}
 
-    /// Gives this identity up: the file is set aside, and the disk is that of a new daemon.
-    pub fn reset_identity(self, reason: IdentityResetReason) -> Result<DurableStorage, String> {
-        let path = self.path.clone();
-        drop(self.db);
-        let Some(path) = path else { return Ok(DurableStorage::in_memory()?.0) };
-        set_aside(&path, reason.file_suffix())?;
-        Ok(DurableStorage::open(&path)?.0)
+fn write_raft(
+    meta: &mut Table<'_, &str, &[u8]>,
+    log: &mut Table<'_, u64, &[u8]>,
+    write: &RaftWrite,
+) -> Result<(), redb::Error> {
+    if let Some(hard_state) = &write.hard_state {
+        insert(meta, key::HARD_STATE, &codec::encode(hard_state))?;
+    }
+    if let Some(snapshot) = &write.snapshot {
+        insert(meta, key::SNAPSHOT, &codec::encode(snapshot))?;
+    }
+    if let Some(compacted) = write.compacted {
+        insert(meta, key::COMPACTED, &codec::encode(&CompactionRecord::from(compacted)))?;
+        log.retain_in(..=compacted.index, |_, _| false)?;
     }
+    if let Some(first) = write.entries.first() {
+        // The entries replace what an earlier leader had appended there.
+        log.retain_in(first.index.., |_, _| false)?;
+    }
+    for entry in &write.entries {
+        log.insert(entry.index, &codec::encode(entry)[..])?;
+    }
+    Ok(())
+}
+
+fn insert(meta: &mut Table<'_, &str, &[u8]>, key: &str, bytes: &[u8]) -> Result<(), redb::Error> {
+    meta.insert(key, bytes)?;
+    Ok(())
 }
 
 #[cfg(test)]
--- a/src/store/storage/identity.rs
+++ b/src/store/storage/identity.rs
@@ -1,37 +1,53 @@
-//! Who a node is, by its disk.
+//! Who a node is, which file its identity belongs to, and how far its storage is known to be.
 
 use crate::ids::NodeId;
 use crate::store::records::EntryId;
 use serde::{Deserialize, Serialize};
+use std::fs;
+use std::io;
+use std::os::unix::fs::MetadataExt;
+use std::path::Path;
 
-/// Where a file lies. A copy of it lies elsewhere.
+/// A file on this machine. A copy of a file has another id, a renamed file keeps its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileId {
     /// The number of the device.
     pub device: u64,
-    /// The number of the file on it.
+    /// The number of the file on the device.
     pub inode: u64,
 }
 
-/// Who this daemon is.
+impl FileId {
+    /// The id of the file at this path.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be accessed.
+    pub fn of(path: &Path) -> io::Result<FileId> {
+        let metadata = fs::metadata(path)?;
+        Ok(FileId { device: metadata.dev(), inode: metadata.ino() })
+    }
+}
+
+/// A node's identity, as its storage keeps it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeIdentity {
-    /// Drawn at random when the file was made.
+    /// The node's id, drawn at random when the storage was created.
     pub id: NodeId,
-    /// Starts with this file.
+    /// The number of starts with this storage, this one included.
     pub boot_count: u64,
-    /// The file's device and number: those of a copy are others.
+    /// The file that the identity was written to. A copy of it must not vote under the same id.
     pub file: FileId,
 }
 
-/// Why a node gives up its identity and starts as a new one.
+/// Why a node gives up its identity and continues as a new node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdentityResetReason {
-    /// Peers remember more of this node than its disk holds: the disk is an older copy.
+    /// Peers remember more of this node than its storage holds: the storage was put back to an earlier copy.
     OutdatedStorage,
-    /// An operator founded the fleet anew, without this node.
+    /// An operator founded a fleet that supersedes this node's.
     SupersededFleet,
-    /// What the disk holds cannot be used.
+    /// What the storage holds contradicts itself.
     Damaged,
 }
 
@@ -46,27 +62,30 @@
     }
 }
 
-/// What a daemon has told of itself once: a disk that knows less is an older one.
+/// How far a node has reported its storage to be. Peers keep the furthest report: storage that later holds less was put
+/// back to an earlier copy, and must not vote again in a term in which it has voted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedProgress {
-    /// Its starts.
+    /// The number of starts.
     pub boot_count: u64,
-    /// The term that it was in.
+    /// The term.
     pub term: u64,
-    /// The last entry that it said it holds.
+    /// The last entry that the node has acknowledged.
     pub last_entry: EntryId,
 }
 
 impl PersistedProgress {
-    /// Whether what is said now is from before what was said.
-    pub fn is_ahead_of(&self, now: &PersistedProgress) -> bool {
-        now.boot_count < self.boot_count || now.term < self.term || now.last_entry < self.last_entry
+    /// Whether `reported` falls behind this in any respect.
+    pub fn is_ahead_of(&self, reported: &PersistedProgress) -> bool {
+        reported.boot_count < self.boot_count
+            || reported.term < self.term
+            || reported.last_entry < self.last_entry
     }
 
-    /// Takes in what is said now.
-    pub fn advance_to(&mut self, now: &PersistedProgress) {
-        self.boot_count = self.boot_count.max(now.boot_count);
-        self.term = self.term.max(now.term);
-        self.last_entry = self.last_entry.max(now.last_entry);
+    /// Takes the furthest of this and `reported`, in each respect.
+    pub fn advance_to(&mut self, reported: &PersistedProgress) {
+        self.boot_count = self.boot_count.max(reported.boot_count);
+        self.term = self.term.max(reported.term);
+        self.last_entry = self.last_entry.max(reported.last_entry);
     }
 }
--- a/src/store/storage/tests.rs
+++ b/src/store/storage/tests.rs
@@ -4,6 +4,7 @@
 use crate::ids::FleetId;
 use crate::store::records::EntryId;
 use crate::store::state_machine::ClusterState;
+use std::fs;
 
 use std::ops::Bound;
 use std::sync::{Arc, Mutex};
@@ -133,14 +134,14 @@
             // The same writes again, each time with power for one write of bytes more.
             let mut rng = fastrand::Rng::with_seed(seed);
             let power = Power::default();
-            let (disk, _) = DurableStorage::on_backend(power.clone()).unwrap();
+            let OpenedStorage { storage: disk, .. } = DurableStorage::on_backend(power.clone()).unwrap();
             let mut image = founded();
             disk.write(&image.full_write(), &[]).unwrap();
             power.0.lock().unwrap().left = Some(left);
             let mut lost = None;
             for _ in 0..12 {
                 let write = any_write(&mut rng, &image);
-                if disk.write(&write, &[("marks", codec::encode(&Vec::<PendingDrain>::new()))]).is_err() {
+                if disk.write(&write, &[NodeValue::PendingDrains(&[])]).is_err() {
                     lost = Some(write);
                     break;
                 }
@@ -148,7 +149,8 @@
             }
             let ended = lost.is_none();
             drop(disk);
-            let (disk, held) = DurableStorage::on_backend(power.lose(&mut rng)).unwrap();
+            let OpenedStorage { storage: disk, contents: held } =
+                DurableStorage::on_backend(power.lose(&mut rng)).unwrap();
             let mut next = image.clone();
             next.apply_write(&lost.unwrap_or_default());
             assert!(held.raft == image || held.raft == next, "seed {seed}, after {left} writes");
@@ -178,17 +180,17 @@
     let folder = folder("copy");
     let path = folder.join("b1.store");
     let id = {
-        let (disk, _) = DurableStorage::open(&path).unwrap();
+        let OpenedStorage { storage: disk, .. } = DurableStorage::open(&path).unwrap();
         disk.write(&founded().full_write(), &[]).unwrap();
-        assert!(DurableStorage::open(&path).err().unwrap().contains("another process has it"));
+        assert!(DurableStorage::open(&path).err().unwrap().to_string().contains("another process has it"));
         disk.identity.id
     };
-    let (disk, held) = DurableStorage::open(&path).unwrap();
+    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
     assert_eq!((disk.identity.id, disk.identity.boot_count, held.raft), (id, 2, founded()));
     drop(disk);
     let copy = folder.join("copy.store");
     fs::copy(&path, &copy).unwrap();
-    let (disk, held) = DurableStorage::open(&copy).unwrap();
+    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&copy).unwrap();
     assert_ne!(disk.identity.id, id);
     assert!(held.raft.is_new() && held.notes[0].contains("a copy"), "{:?}", held.notes);
     assert!(folder.join("copy.store.damaged").exists(), "nothing is thrown away");
@@ -204,7 +206,7 @@
     let path = folder.join("b1.store");
     let make = || {
         let _ = fs::remove_file(&path);
-        let (disk, _) = DurableStorage::open(&path).unwrap();
+        let OpenedStorage { storage: disk, .. } = DurableStorage::open(&path).unwrap();
         let entries = (2..40).map(|i| entry(i, 1, 500)).collect();
         disk.write(&RaftWrite { entries, ..founded().full_write() }, &[]).unwrap();
         disk.read_raft_state().unwrap()
@@ -226,7 +228,8 @@
         }
         // Written over, not replaced: it is the same file.
         fs::write(&path, &bytes).unwrap();
-        let (_, held) = DurableStorage::open(&path).unwrap_or_else(|e| panic!("round {round}: {e}"));
+        let OpenedStorage { contents: held, .. } =
+            DurableStorage::open(&path).unwrap_or_else(|e| panic!("round {round}: {e}"));
         if held.notes.is_empty() {
             // A byte that nobody uses was hit, or one of an older copy of a page.
             assert_eq!(held.raft, wanted, "round {round}: damage was believed");
@@ -245,14 +248,14 @@
     let folder = folder("old");
     let path = folder.join("b1.store");
     fs::write(&path, "brookpass-store 1\n5\ta.1\tdrain/s-1\t+1\nend\n").unwrap();
-    let (disk, held) = DurableStorage::open(&path).unwrap();
+    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
     assert_eq!(held.legacy.unwrap().drains, ["s-1"]);
     drop(disk);
-    let (_, held) = DurableStorage::open(&path).unwrap();
+    let OpenedStorage { contents: held, .. } = DurableStorage::open(&path).unwrap();
     assert!(held.legacy.is_none() && folder.join("b1.store.old").exists());
     fs::remove_file(&path).unwrap();
     fs::write(&path, "brookpass-store 1\n5\ta.1\tdrain/s-1\t+1\n").unwrap();
-    let (_, held) = DurableStorage::open(&path).unwrap();
+    let OpenedStorage { contents: held, .. } = DurableStorage::open(&path).unwrap();
     assert!(held.legacy.is_none() && held.notes[0].contains("line 3"), "{:?}", held.notes);
     let _ = fs::remove_dir_all(folder);
 }
--- a/src/store/store_thread.rs
+++ b/src/store/store_thread.rs
@@ -1,423 +1,331 @@
-//! The thread that owns this daemon's part in the agreement and its disk: a queue in, a queue out. A slow disk
-//! holds up nobody but itself.
+//! The thread that owns a node of the consensus and its storage. Commands come in by one queue, events go out by another:
+//! a slow disk holds up nothing but the consensus.
 
-use super::codec;
-use super::raft_message::RaftMessage;
-use super::raft_node::{
-    AppliedContent, AppliedEntry, CompletedWrite, LogSize, RaftNode, RaftPersistentState, RaftWrite,
-};
+mod commands;
+mod interface;
+mod proposals;
+
+pub use interface::{OpenedStore, RunningStore, StoreCommand, StoreEvent, StoreStatus};
+
+use super::error::StoreError;
+use super::raft_node::{CompletedWrite, LogSize, PendingReady, RaftNode, RaftPersistentState, RaftWrite};
 use super::records::{EntryId, HardState, LogEntry, SnapshotRecord};
-use super::state_machine::{ApplyResult, Change, ClusterState, PendingDrain, Proposal};
-use super::storage::{DurableStorage, IdentityResetReason, PersistedProgress, StoreContents};
+use super::state_machine::{Change, PendingDrain};
+use super::storage::{
+    DurableStorage, IdentityResetReason, NodeValue, OpenedStorage, PersistedProgress, StoreContents,
+};
 use crate::config::Limits;
 use crate::ids::NodeId;
 use async_channel::Sender;
+use proposals::Proposals;
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
-use std::sync::mpsc::{self, RecvTimeoutError};
+use std::sync::mpsc::{self, Receiver, RecvTimeoutError};
+use std::thread;
 use std::time::Instant;
 
-mod interface;
-
-pub use interface::{OpenedStore, RunningStore, StoreCommand, StoreEvent, StoreStatus};
-
-/// A change that waits until a majority has said that this daemon still leads.
-struct Waiting {
-    proposal: Proposal,
-    ticks: u32,
-}
-
-/// Ticks that a change waits for that, and that a change which went into the log is not put there again.
-const CONFIRM_TICKS: u32 = 40;
-
+/// What the thread owns.
 struct StoreThread {
-    disk: Option<DurableStorage>,
-    replica: RaftNode,
-    part: bool,
-    boots: u64,
+    /// `None`: storage has failed.
+    storage: Option<DurableStorage>,
+    node: RaftNode,
+    /// The node takes part in the consensus: it handles messages and ticks.
+    participating: bool,
+    boot_count: u64,
     limits: Limits,
-    waiting: BTreeMap<u64, Waiting>,
-    next: u64,
-    recent: BTreeMap<(NodeId, u64), u32>,
-    witnesses: BTreeMap<NodeId, PersistedProgress>,
-    heard: bool,
-    /// A write of nothing but how far is agreed waits for the next one.
-    commit: Option<HardState>,
+    proposals: Proposals,
+    reported_progress: BTreeMap<NodeId, PersistedProgress>,
+    /// The reported progress has changed since it was last written.
+    reported_progress_changed: bool,
+    /// A hard state of which only the commit index has changed. It waits for the next write: after a crash the leader
+    /// tells the commit index again.
+    delayed_commit: Option<HardState>,
     dropped_messages: u64,
     raft_restarts: u64,
-    told: StoreStatus,
-    out: Sender<StoreEvent>,
+    /// The last status that was sent as an event.
+    emitted_status: StoreStatus,
+    events: Sender<StoreEvent>,
 }
 
-/// Starts the thread on what a disk held.
-pub fn start(disk: DurableStorage, held: StoreContents, limits: &Limits) -> Result<RunningStore, String> {
-    let (inputs, queue) = mpsc::sync_channel(limits.input_queue);
-    // The sockets' thread takes what comes as it comes, and drops what it cannot send.
-    let (out, outputs) = async_channel::unbounded();
-    let StoreContents {
-        raft: image,
-        drains: marks,
-        reported_progress: witnesses,
-        gossip: learned,
-        legacy,
-        ..
-    } = held;
-    let (disk, replica) = match RaftNode::new(disk.identity.id, image) {
-        Ok(replica) => (disk, replica),
-        Err(e) => {
-            log::warn!("store: {e}; set aside, this daemon is a new one");
-            let disk = disk.reset_identity(IdentityResetReason::Damaged)?;
-            let replica = RaftNode::new(disk.identity.id, RaftPersistentState::default())?;
-            (disk, replica)
-        }
-    };
-    let identity = disk.identity.clone();
-    let part = !replica.configuration().voters.contains(&identity.id);
-    let mut owner = StoreThread {
-        disk: Some(disk),
-        replica,
-        part,
-        boots: identity.boot_count,
+/// Starts the thread on an opened storage. Where its contents contradict themselves, the file is set aside and the node
+/// starts as a new one.
+///
+/// # Errors
+///
+/// A new storage cannot be created in place of such contents, or the thread cannot be started.
+pub fn start(opened: OpenedStorage, limits: &Limits) -> Result<RunningStore, StoreError> {
+    let OpenedStorage { storage, contents } = opened;
+    let StoreContents { raft, drains, reported_progress, gossip, legacy, .. } = contents;
+    let (commands, queue) = mpsc::sync_channel(limits.input_queue);
+    let (event_sender, events) = async_channel::unbounded();
+    let StartedNode { storage, node } = start_node(storage, raft)?;
+    let identity = storage.identity.clone();
+    // A voter first lets the others compare its storage with what it has reported before.
+    let participating = !node.configuration().voters.contains(&identity.id);
+    let mut thread = StoreThread {
+        storage: Some(storage),
+        node,
+        participating,
+        boot_count: identity.boot_count,
         limits: limits.clone(),
-        waiting: BTreeMap::new(),
-        next: 0,
-        recent: BTreeMap::new(),
-        witnesses,
-        heard: false,
-        commit: None,
+        proposals: Proposals::default(),
+        reported_progress,
+        reported_progress_changed: false,
+        delayed_commit: None,
         dropped_messages: 0,
         raft_restarts: 0,
-        told: StoreStatus::default(),
-        out,
+        emitted_status: StoreStatus::default(),
+        events: event_sender,
     };
-    let open = owner.replica.uncommitted_proposals().into_iter().filter_map(|p| match p.change {
-        Change::Drain { host, drain } => Some(PendingDrain { host, drain }),
-        _ => None,
-    });
-    // A drain that is in the log acts, whether or not this disk knows that it was agreed.
-    let marks = marks.into_iter().chain(open).collect();
-    let state = owner.replica.state().clone();
-    owner.told = owner.status();
-    let opened =
-        OpenedStore { identity, state, status: owner.told.clone(), drains: marks, gossip: learned, legacy };
-    let thread = std::thread::Builder::new().name("store".into());
-    thread.spawn(move || owner.run(&queue)).map_err(|e| format!("store: {e}"))?;
-    Ok(RunningStore { opened, commands: inputs, events: outputs })
+    thread.emitted_status = thread.status();
+    let opened = OpenedStore {
+        identity,
+        state: thread.node.state().clone(),
+        status: thread.emitted_status.clone(),
+        drains: unresolved_drains(drains, &thread.node),
+        gossip,
+        legacy,
+    };
+    let builder = thread::Builder::new().name("store".into());
+    builder.spawn(move || thread.run(&queue)).map_err(StoreError::Thread)?;
+    Ok(RunningStore { opened, commands, events })
+}
+
+struct StartedNode {
+    storage: DurableStorage,
+    node: RaftNode,
+}
+
+fn start_node(storage: DurableStorage, raft: RaftPersistentState) -> Result<StartedNode, StoreError> {
+    match RaftNode::new(storage.identity.id, raft) {
+        Ok(node) => Ok(StartedNode { storage, node }),
+        Err(error) => {
+            log::warn!("store: {error}; set aside: this node starts with a new identity");
+            let storage = storage.reset_identity(IdentityResetReason::Damaged)?;
+            let node = RaftNode::new(storage.identity.id, RaftPersistentState::default())?;
+            Ok(StartedNode { storage, node })
+        }
+    }
+}
+
+/// Pending drains, and those in the log: whether or not this node knows that an entry is committed, its drain acts.
+fn unresolved_drains(pending: Vec<PendingDrain>, node: &RaftNode) -> Vec<PendingDrain> {
+    let mut drains = pending;
+    for proposal in node.uncommitted_proposals() {
+        if let Change::Drain { host, drain } = proposal.change {
+            drains.push(PendingDrain { host, drain });
+        }
+    }
+    drains
 }
 
 impl StoreThread {
-    fn run(mut self, queue: &mpsc::Receiver<StoreCommand>) {
-        let mut next = Instant::now() + self.limits.raft_tick;
-        self.settle();
+    fn run(mut self, queue: &Receiver<StoreCommand>) {
+        let mut next_tick = Instant::now() + self.limits.raft_tick;
+        self.process_ready();
         loop {
-            match queue.recv_timeout(next.saturating_duration_since(Instant::now())) {
-                Ok(input) => {
-                    self.input(input);
-                    // One write for all that waits.
-                    for _ in 0..self.limits.input_queue {
-                        let Ok(input) = queue.try_recv() else { break };
-                        self.input(input);
-                    }
+            match queue.recv_timeout(next_tick.saturating_duration_since(Instant::now())) {
+                Ok(command) => {
+                    self.handle(command);
+                    self.handle_queued(queue);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             let now = Instant::now();
-            if now >= next {
-                // A process that stood still has not waited for a leader all that time.
-                next = now + self.limits.raft_tick;
+            if now >= next_tick {
+                // Ticks that were missed are not made up for: a process that was suspended has not waited for a
+                // leader all that time.
+                next_tick = now + self.limits.raft_tick;
                 self.tick();
             }
-            if !self.settle() {
+            self.process_ready();
+            if self.events.is_closed() {
                 return;
             }
         }
     }
 
-    fn tell(&self, output: StoreEvent) {
-        // Unbounded: full it never is, and a receiver that is gone ends the loop by the queue.
-        let _ = self.out.try_send(output);
+    /// Handles the commands that wait, so that one write serves them all.
+    fn handle_queued(&mut self, queue: &Receiver<StoreCommand>) {
+        for _ in 0..self.limits.input_queue {
+            let Ok(command) = queue.try_recv() else { return };
+            self.handle(command);
+        }
     }
 
-    fn status(&self) -> StoreStatus {
-        let (last, term) = (self.replica.last_index(), self.replica.term());
-        StoreStatus {
-            leader: self.replica.leader(),
-            term,
-            committed: self.replica.committed(),
-            applied: self.replica.applied(),
-            own_progress: PersistedProgress {
-                boot_count: self.boots,
-                term,
-                last_entry: EntryId { term: self.replica.term_at(last), index: last },
-            },
-            participating: self.part,
-            configuration: self.replica.configuration(),
-            peer_progress: self.replica.peer_progress(),
-            log_size: self.replica.log_size(),
-            reported_progress: self.witnesses.clone(),
-            dropped_messages: self.dropped_messages,
-            raft_restarts: self.raft_restarts,
-            disk_writes: self.disk.as_ref().map_or(0, |disk| disk.write_count.get()),
-        }
+    fn emit(&self, event: StoreEvent) {
+        // The queue is unbounded, so only a closed one fails; then the thread ends.
+        let _ = self.events.try_send(event);
     }
 
     fn tick(&mut self) {
-        if self.part {
-            self.guarded(|r| r.tick());
-        }
-        for waiting in self.waiting.values_mut() {
-            waiting.ticks += 1;
+        if self.participating {
+            self.with_node(RaftNode::tick);
         }
-        self.waiting.retain(|_, w| w.ticks < CONFIRM_TICKS);
-        for ticks in self.recent.values_mut() {
-            *ticks += 1;
+        self.proposals.tick();
+        if !self.node.is_leader() {
+            self.proposals.clear();
         }
-        self.recent.retain(|_, ticks| *ticks < CONFIRM_TICKS);
-        if !self.replica.is_leader() {
-            self.waiting.clear();
-            self.recent.clear();
+        for check in self.proposals.checks_to_retry() {
+            self.with_node(|node| node.request_leadership_check(check));
         }
-        // A question that came before this leader had agreed on anything, or got lost, is asked again.
-        let again: Vec<u64> =
-            self.waiting.iter().filter(|(_, w)| w.ticks % 4 == 0).map(|(n, _)| *n).collect();
-        for number in again {
-            self.guarded(|r| r.request_leadership_check(number));
+    }
+
+    fn status(&self) -> StoreStatus {
+        let index = self.node.last_index();
+        let term = self.node.term();
+        let last_entry = EntryId { term: self.node.term_at(index), index };
+        StoreStatus {
+            leader: self.node.leader(),
+            term,
+            committed: self.node.committed(),
+            applied: self.node.applied(),
+            own_progress: PersistedProgress { boot_count: self.boot_count, term, last_entry },
+            participating: self.participating,
+            configuration: self.node.configuration(),
+            peer_progress: self.node.peer_progress(),
+            log_size: self.node.log_size(),
+            reported_progress: self.reported_progress.clone(),
+            dropped_messages: self.dropped_messages,
+            raft_restarts: self.raft_restarts,
+            disk_writes: self.storage.as_ref().map_or(0, DurableStorage::write_count),
         }
     }
 
-    /// Works on the agreement. Should the library end in a panic, as over letters that contradict the log, the
-    /// agreement is read anew from the disk: what is there was written before anybody was told.
-    fn guarded<T>(&mut self, work: impl FnOnce(&mut RaftNode) -> T) -> Option<T> {
-        match catch_unwind(AssertUnwindSafe(|| work(&mut self.replica))) {
-            Ok(done) => Some(done),
+    /// Works on the node. The consensus library panics over messages that contradict its log: then the node is read
+    /// again from storage, which holds everything that any peer was told. `None`: it panicked.
+    fn with_node<T>(&mut self, work: impl FnOnce(&mut RaftNode) -> T) -> Option<T> {
+        match catch_unwind(AssertUnwindSafe(|| work(&mut self.node))) {
+            Ok(result) => Some(result),
             Err(_) => {
                 self.raft_restarts += 1;
-                log::error!("the agreement ended in a panic; it is read anew from the disk");
-                self.reread();
+                log::error!("raft: the library panicked; its state is read again from storage");
+                self.reload_node();
                 None
             }
         }
     }
 
-    fn reread(&mut self) {
-        let image =
-            self.disk.as_ref().map_or_else(|| Err("no disk".to_string()), DurableStorage::read_raft_state);
-        match image.and_then(|image| RaftNode::new(self.replica.id(), image)) {
-            Ok(replica) => {
-                let (digest, index) = (replica.state().digest, replica.applied());
-                let what = AppliedContent::Snapshot(Box::new(replica.state().clone()));
-                let effect = ApplyResult::Done;
-                self.replica = replica;
-                self.tell(StoreEvent::Applied(vec![AppliedEntry {
-                    index,
-                    digest,
-                    content: what,
-                    result: effect,
-                }]));
+    /// Reads the node from storage, and has the fleet start from its state anew.
+    fn reload_node(&mut self) {
+        match self.read_node() {
+            Ok(node) => {
+                self.node = node;
+                self.emit(StoreEvent::Applied(vec![self.node.state_as_applied_entry()]));
             }
-            Err(e) => self.fail(e),
+            Err(error) => self.fail(error),
         }
     }
 
-    fn fail(&mut self, why: String) {
-        self.disk = None;
-        self.part = false;
-        self.tell(StoreEvent::StorageFailed(why));
-    }
-
-    fn input(&mut self, input: StoreCommand) {
-        match input {
-            StoreCommand::RaftMessages(letters) => {
-                for letter in letters {
-                    self.hear(&letter);
-                    if !self.part || self.guarded(|r| r.receive(letter)) != Some(true) {
-                        self.dropped_messages += 1;
-                    }
-                }
-            }
-            StoreCommand::Propose(proposal) => self.propose(proposal),
-            StoreCommand::ChangeMembership(change) => drop(self.guarded(|r| r.propose_membership(&change))),
-            StoreCommand::PersistDrains { drains, version } => {
-                if self.write(&RaftWrite::default(), &[("marks", codec::encode(&drains))]) {
-                    self.tell(StoreEvent::DrainsPersisted(version));
-                }
-            }
-            StoreCommand::PersistGossip(bytes) => {
-                self.write(&RaftWrite::default(), &[("learned", codec::encode(&bytes))]);
-            }
-            StoreCommand::FoundFleet(state) => self.found(&state),
-            StoreCommand::ForceNewFleet(state) => {
-                let image = RaftPersistentState::force_new_fleet(
-                    &state,
-                    self.replica.id(),
-                    EntryId { term: self.replica.term(), index: self.replica.last_index() },
-                );
-                self.begin(&image);
-            }
-            StoreCommand::StartParticipating => {
-                if !std::mem::replace(&mut self.part, self.disk.is_some())
-                    && self.replica.configuration().voters == [self.replica.id()]
-                {
-                    self.guarded(RaftNode::campaign);
-                }
-            }
-            StoreCommand::ResetIdentity(reason) => self.reset_identity(reason),
-            StoreCommand::TransferLeadership(to) => drop(self.guarded(|r| r.transfer_leadership(to))),
-            StoreCommand::Campaign if self.part && self.replica.leader() == NodeId::NOBODY => {
-                log::debug!("store: asks for the lead");
-                self.guarded(RaftNode::campaign);
-            }
-            StoreCommand::Campaign => {}
-            StoreCommand::BroadcastHeartbeat => drop(self.guarded(RaftNode::broadcast_heartbeat)),
-            StoreCommand::SnapshotSent { to, delivery } => {
-                self.guarded(|r| r.report_snapshot(to, delivery));
-            }
-            StoreCommand::PeerUnreachable(id) => drop(self.guarded(|r| r.report_unreachable(id))),
-        }
+    fn read_node(&self) -> Result<RaftNode, StoreError> {
+        let storage = self.storage.as_ref().ok_or(StoreError::StorageClosed)?;
+        Ok(RaftNode::new(self.node.id(), storage.read_raft_state()?)?)
     }
 
-    /// Remembers what another daemon has said of its disk.
-    fn hear(&mut self, letter: &RaftMessage) {
-        let Some(term) = letter.promised() else { return };
-        let held = letter.acknowledged().filter(|i| *i <= self.replica.last_index());
-        let last =
-            held.map_or(EntryId::default(), |index| EntryId { term: self.replica.term_at(index), index });
-        let now = PersistedProgress { boot_count: 0, term, last_entry: last };
-        let known = self.witnesses.entry(letter.from).or_default();
-        let before = *known;
-        known.advance_to(&now);
-        self.heard |= before != *known;
+    /// Storage has failed: without it a node could vote twice, so it takes no further part.
+    fn fail(&mut self, error: StoreError) {
+        self.storage = None;
+        self.participating = false;
+        self.emit(StoreEvent::StorageFailed(error));
     }
 
-    fn propose(&mut self, proposal: Proposal) {
-        let key = (proposal.from, proposal.token);
-        if !self.replica.is_leader() || self.recent.contains_key(&key) {
-            return;
+    /// Writes this, and what has waited for a write. Returns false where storage has failed.
+    fn write(&mut self, mut write: RaftWrite, values: &[NodeValue<'_>]) -> bool {
+        let Some(storage) = &self.storage else { return false };
+        let delayed_commit = self.delayed_commit.take();
+        write.hard_state = write.hard_state.or(delayed_commit);
+        let mut values = values.to_vec();
+        if self.reported_progress_changed {
+            self.reported_progress_changed = false;
+            values.push(NodeValue::ReportedProgress(&self.reported_progress));
         }
-        if proposal.change.only_restricts() {
-            self.put(proposal);
-        } else if !self.waiting.values().any(|w| (w.proposal.from, w.proposal.token) == key)
-            && self.waiting.len() < self.limits.fleet_nodes
-        {
-            self.next += 1;
-            let number = self.next;
-            self.waiting.insert(number, Waiting { proposal, ticks: 0 });
-            self.guarded(|r| r.request_leadership_check(number));
+        if let Err(error) = storage.write(&write, &values) {
+            self.fail(error);
+            return false;
         }
+        log_last_entry(&write);
+        true
     }
 
-    fn put(&mut self, proposal: Proposal) {
-        let key = (proposal.from, proposal.token);
-        if self.guarded(|r| r.propose(&proposal)) == Some(true) {
-            self.recent.insert(key, 0);
+    /// Takes the steps of the consensus until there is none, and sends the status if it has changed.
+    fn process_ready(&mut self) {
+        while let Some(Some(ready)) = self.with_node(RaftNode::next_ready) {
+            if !self.process_step(ready) {
+                return;
+            }
+        }
+        let status = self.status();
+        if status != self.emitted_status {
+            self.emitted_status = status.clone();
+            self.emit(StoreEvent::Status(Box::new(status)));
         }
     }
 
-    fn found(&mut self, state: &ClusterState) {
-        if !self.replica.fleet_id().is_none() {
-            return;
+    /// Takes one step. Returns false where storage has failed.
+    fn process_step(&mut self, mut ready: PendingReady) -> bool {
+        let confirmed_checks = self.node.take_confirmed_checks();
+        let independent_messages = std::mem::take(&mut ready.messages);
+        if !independent_messages.is_empty() {
+            self.emit(StoreEvent::RaftMessages(independent_messages));
+        }
+        let write = self.delay_commit(ready.write.clone());
+        if !write.is_empty() && !self.write(write, &[]) {
+            return false;
         }
-        let image = RaftPersistentState::found_fleet(state, self.replica.id());
-        self.begin(&image);
+        let Some(CompletedWrite { messages, applied }) = self.with_node(|node| node.complete_write(ready))
+        else {
+            return true;
+        };
+        // Only now: nothing may be appended within a step.
+        self.append_confirmed(&confirmed_checks);
+        if !messages.is_empty() {
+            self.emit(StoreEvent::RaftMessages(messages));
+        }
+        if !applied.is_empty() {
+            self.emit(StoreEvent::Applied(applied));
+        }
+        self.compact_log();
+        true
     }
 
-    /// A fleet of this daemon alone begins.
-    fn begin(&mut self, image: &RaftPersistentState) {
-        self.commit = None;
-        if self.write(&image.full_write(), &[]) {
-            self.part = true;
-            self.reread();
-            self.guarded(RaftNode::campaign);
+    /// Takes a commit index out of a write that has nothing else: it is not worth a write of its own.
+    fn delay_commit(&mut self, mut write: RaftWrite) -> RaftWrite {
+        let Some(hard_state) = write.hard_state else { return write };
+        if hard_state.cast_vote() != self.node.written_vote() {
+            return write;
+        }
+        write.hard_state = None;
+        if write.is_empty() {
+            self.delayed_commit = Some(hard_state);
+        } else {
+            write.hard_state = Some(hard_state);
         }
+        write
     }
 
-    fn reset_identity(&mut self, reason: IdentityResetReason) {
-        let Some(disk) = self.disk.take() else { return };
-        match disk.reset_identity(reason) {
-            Ok(disk) => {
-                let identity = disk.identity.clone();
-                match RaftNode::new(identity.id, RaftPersistentState::default()) {
-                    Ok(replica) => self.replica = replica,
-                    Err(e) => return self.fail(e),
-                }
-                (self.disk, self.boots, self.part) = (Some(disk), identity.boot_count, true);
-                self.waiting.clear();
-                self.tell(StoreEvent::IdentityReset(identity));
+    fn append_confirmed(&mut self, confirmed_checks: &[u64]) {
+        for check in confirmed_checks {
+            if let Some(proposal) = self.proposals.take_confirmed(*check) {
+                self.append(&proposal);
             }
-            Err(e) => self.fail(e),
         }
     }
 
-    fn write(&mut self, write: &RaftWrite, more: &[(&str, Vec<u8>)]) -> bool {
-        let Some(disk) = &self.disk else { return false };
-        let commit = self.commit.take();
-        let write = RaftWrite { hard_state: write.hard_state.or(commit), ..write.clone() };
-        let mut more = more.to_vec();
-        if std::mem::take(&mut self.heard) {
-            more.push(("witnesses", codec::encode(&self.witnesses)));
-        }
-        match disk.write(&write, &more) {
-            Ok(()) => {
-                let last = write.entries.last().map(LogEntry::id);
-                if let Some(EntryId { term, index }) =
-                    last.or(write.snapshot.as_ref().map(SnapshotRecord::last_entry))
-                {
-                    log::debug!("store: holds {index} of term {term}");
-                }
-                true
-            }
-            Err(e) => {
-                self.fail(e);
-                false
-            }
+    fn compact_log(&mut self) {
+        let limit = LogSize { bytes: self.limits.log_bytes, entries: self.limits.log_entries };
+        if let Some(Some(write)) = self.with_node(|node| node.compact(limit)) {
+            self.write(write, &[]);
         }
     }
+}
 
-    /// Works off all steps; false: nobody listens any more.
-    fn settle(&mut self) -> bool {
-        while let Some(Some(mut pending)) = self.guarded(RaftNode::next_ready) {
-            let confirmed = self.replica.take_confirmed_checks();
-            let send = std::mem::take(&mut pending.messages);
-            if !send.is_empty() {
-                self.tell(StoreEvent::RaftMessages(send));
-            }
-            // How far is agreed need not be on the disk: the leader tells it again.
-            let mut write = pending.write.clone();
-            let kept = write.hard_state.filter(|h| h.cast_vote() == self.replica.written_vote());
-            if kept.is_some() && (RaftWrite { hard_state: None, ..write.clone() }).is_empty() {
-                self.commit = write.hard_state.take();
-            }
-            if !write.is_empty() && !self.write(&write, &[]) {
-                return true;
-            }
-            let Some(CompletedWrite { messages: letters, applied }) =
-                self.guarded(|r| r.complete_write(pending))
-            else {
-                continue;
-            };
-            // Only now: nothing may go into the log in the midst of a step.
-            for number in confirmed {
-                if let Some(waiting) = self.waiting.remove(&number) {
-                    self.put(waiting.proposal);
-                }
-            }
-            if !letters.is_empty() {
-                self.tell(StoreEvent::RaftMessages(letters));
-            }
-            if !applied.is_empty() {
-                self.tell(StoreEvent::Applied(applied));
-            }
-            let limit = LogSize { bytes: self.limits.log_bytes, entries: self.limits.log_entries };
-            if let Some(Some(write)) = self.guarded(|r| r.compact(limit)) {
-                self.write(&write, &[]);
-            }
-        }
-        let status = self.status();
-        if status != self.told {
-            self.told = status.clone();
-            self.tell(StoreEvent::Status(Box::new(status)));
-        }
-        !self.out.is_closed()
+/// Logs the last entry that storage holds now. The checks of the test cluster's logs compare these lines with those on
+/// committed entries.
+fn log_last_entry(write: &RaftWrite) {
+    let last_entry = write.entries.last().map(LogEntry::id);
+    let last_entry = last_entry.or_else(|| write.snapshot.as_ref().map(SnapshotRecord::last_entry));
+    if let Some(EntryId { term, index }) = last_entry {
+        log::debug!("store: holds {index} of term {term}");
     }
 }
--- a/src/store/store_thread/interface.rs
+++ b/src/store/store_thread/interface.rs
@@ -1,6 +1,7 @@
-//! What goes to the thread and comes from it.
+//! What the fleet exchanges with the store's thread.
 
 use crate::ids::NodeId;
+use crate::store::error::StoreError;
 use crate::store::legacy::LegacyStore;
 use crate::store::raft_message::RaftMessage;
 use crate::store::raft_node::{AppliedEntry, LogSize, PeerProgress, SnapshotDelivery};
@@ -11,112 +12,115 @@
 use std::collections::BTreeMap;
 use std::sync::mpsc::SyncSender;
 
-/// What comes in.
+/// A command to the store's thread.
 #[derive(Debug)]
 pub enum StoreCommand {
-    /// Letters of other daemons.
+    /// Messages from peers.
     RaftMessages(Vec<RaftMessage>),
-    /// A change, put into the log if this daemon leads. One that only restricts goes in at once, any other once
-    /// a majority has confirmed that this daemon leads: what a leader that is cut off put into its log might
-    /// count long after it was given up.
+    /// Proposes a change, if this node is the leader.
+    ///
+    /// A change that only restricts is appended at once, any other once a majority has confirmed that this node is
+    /// still the leader: a leader that is cut off would append a change that could be committed long after its
+    /// requester has given it up.
     Propose(Proposal),
-    /// A change of the membership, if this daemon leads.
+    /// Proposes a change of the membership, if this node is the leader.
     ChangeMembership(MembershipChange),
-    /// Drains that are not agreed yet, to be kept; the number comes back when they are on the disk.
+    /// Writes the pending drains.
     PersistDrains {
         /// All of them.
         drains: Vec<PendingDrain>,
-        /// Their version, for [`StoreEvent::DrainsPersisted`].
+        /// Their version. [`StoreEvent::DrainsPersisted`] returns it.
         version: u64,
     },
-    /// What was learned of the hosts, to be kept.
+    /// Writes what gossip has spread about endpoints, encoded by the fleet.
     PersistGossip(Vec<u8>),
-    /// A new fleet begins with this state.
+    /// Founds a fleet with this state, if this node belongs to none.
     FoundFleet(Box<ClusterState>),
-    /// A fleet of this daemon alone goes on from this state, on an operator's word.
+    /// Starts a fleet that has this node as its only member and continues from this state. An operator orders it.
     ForceNewFleet(Box<ClusterState>),
-    /// Others that this daemon may ask have found nothing wrong with its disk: it takes part.
+    /// Takes part in the consensus: enough voters have compared this node's storage with its earlier reports.
     StartParticipating,
-    /// This daemon is not the one that its disk says: it becomes a new one.
+    /// Gives up this node's identity.
     ResetIdentity(IdentityResetReason),
-    /// Another daemon is to lead.
+    /// Hands the leadership to another node, if this node is the leader.
     TransferLeadership(NodeId),
-    /// If this daemon leads it says so now: somebody has come who may have missed it.
+    /// Sends heartbeats at once, if this node is the leader: a peer that has just connected waits for one.
     BroadcastHeartbeat,
-    /// This daemon asks for the lead, if nobody is known to lead.
+    /// Starts an election, if no leader is known.
     Campaign,
-    /// A whole state was handed to the way to a daemon, or was not.
+    /// Reports what became of a snapshot in [`StoreEvent::RaftMessages`].
     SnapshotSent {
-        /// To whom.
+        /// The receiver.
         to: NodeId,
-        /// What became of it.
+        /// Whether it was handed to the connection.
         delivery: SnapshotDelivery,
     },
-    /// The way to a daemon is broken.
+    /// Reports that the connection to a peer is lost.
     PeerUnreachable(NodeId),
 }
 
-/// What goes out.
+/// An event of the store's thread.
 #[derive(Debug)]
 pub enum StoreEvent {
-    /// Letters to other daemons.
+    /// Messages to peers. Each of them may be lost.
     RaftMessages(Vec<RaftMessage>),
-    /// What was agreed.
+    /// Entries that were committed, in order.
     Applied(Vec<AppliedEntry>),
-    /// How things stand.
+    /// The status has changed.
     Status(Box<StoreStatus>),
-    /// Drains with this number are on the disk.
+    /// The pending drains of this version are written.
     DrainsPersisted(u64),
-    /// This daemon is a new one.
+    /// This node has a new identity, and belongs to no fleet.
     IdentityReset(NodeIdentity),
-    /// The disk failed: this daemon takes no part any more.
-    StorageFailed(String),
+    /// Storage has failed. This node takes no further part in the consensus.
+    StorageFailed(StoreError),
 }
 
-/// How things stand with the agreement.
+/// The status of a node's part in the consensus.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreStatus {
-    /// Who leads, as far as is known; 0: nobody.
+    /// The leader that this node knows; [`NodeId::NOBODY`]: none.
     pub leader: NodeId,
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// The last place of the log that is known as agreed.
+    /// The index of the last entry that is known to be committed.
     pub committed: u64,
-    /// The last one that was taken in.
+    /// The index of the last applied entry.
     pub applied: u64,
-    /// What this daemon's disk holds, as others may remember it.
+    /// How far this node's storage is, as it reports it to peers.
     pub own_progress: PersistedProgress,
-    /// This daemon takes part.
+    /// The node takes part in the consensus.
     pub participating: bool,
-    /// Who votes and who follows.
+    /// The voters and learners.
     pub configuration: Configuration,
-    /// How far the others are, where this daemon leads.
+    /// How far each node has replicated the log; empty where this node is not the leader.
     pub peer_progress: Vec<PeerProgress>,
     /// The size of the log in memory.
     pub log_size: LogSize,
-    /// What others said of themselves.
+    /// How far each peer has reported its storage to be.
     pub reported_progress: BTreeMap<NodeId, PersistedProgress>,
-    /// Messages that were dropped: out of form, or while this node takes no part.
+    /// Messages that were dropped: malformed ones, and all while this node takes no part.
     pub dropped_messages: u64,
-    /// Times that the consensus library panicked and its state was read again from the disk.
+    /// How often the consensus library has panicked, and its state was read again from storage.
     pub raft_restarts: u64,
-    /// Writes to the disk since the start, each of them synced.
+    /// Writes to storage since the start, each of them synced.
     pub disk_writes: u64,
 }
 
-/// What stands at the start, before the thread runs.
+/// What a store holds at the start, before its thread runs.
 pub struct OpenedStore {
-    /// Who this daemon is.
+    /// Who this node is.
     pub identity: NodeIdentity,
-    /// What is agreed.
+    /// The replicated state.
     pub state: ClusterState,
-    /// How things stand.
+    /// The status.
     pub status: StoreStatus,
-    /// Drains that are not agreed.
+    /// The drains that are not known to be committed: those that storage kept as pending, and those in uncommitted
+    /// entries.
     pub drains: Vec<PendingDrain>,
-    /// What was learned of the hosts before this start, as the fleet wrote it.
+    /// What gossip had spread about endpoints, encoded by the fleet.
     pub gossip: Option<Vec<u8>>,
-    /// A store of the old form.
+    /// The contents of a store file of version 0.2.0 that this store replaces.
     pub legacy: Option<LegacyStore>,
 }
 
@@ -124,8 +128,9 @@
 pub struct RunningStore {
     /// What it held at the start.
     pub opened: OpenedStore,
-    /// Commands to the thread. The queue is bounded; the thread ends when the last sender is dropped.
+    /// Commands to the thread. The queue is bounded. The thread ends when the last sender is dropped.
     pub commands: SyncSender<StoreCommand>,
-    /// Events of the thread.
+    /// Events of the thread. The queue is unbounded: the fleet's thread takes them as they come, and drops messages that
+    /// it cannot send.
     pub events: Receiver<StoreEvent>,
 }
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -8,12 +8,12 @@
 use brookpass::fleet::recovery::PersistedGossip;
 use brookpass::ids::NodeId;
 use brookpass::store::codec;
-use brookpass::store::legacy::{self, LegacyStore};
+use brookpass::store::legacy::{self, LegacySettings, LegacyStore};
 use brookpass::store::raft_message::RaftMessage;
 use brookpass::store::raft_node::{AppliedContent, AppliedEntry, CompletedWrite, RaftNode, RaftWrite};
 use brookpass::store::records::{CompactionRecord, Configuration, EntryId, HostRecord, LogEntry, Vote};
 use brookpass::store::state_machine::{ApplyResult, Change};
-use brookpass::store::storage::{DurableStorage, StoreContents};
+use brookpass::store::storage::{DurableStorage, NodeValue, OpenedStorage, StoreContents};
 use brookpass::store::store_thread::{self, RunningStore, StoreCommand, StoreEvent};
 use brookpass::time::Timestamp;
 use brookpass_lab::process::Process;
@@ -55,12 +55,12 @@
 fn a_store_file_of_an_earlier_build_is_opened_whole() {
     let folder = folder("opened");
     let path = copy(&folder, "b1.store", true);
-    let (disk, held) = DurableStorage::open(&path).unwrap();
+    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
     assert_held(&held);
     assert_eq!((disk.identity.id, disk.identity.boot_count), (B1, 6), "one start more");
     assert_eq!(disk.read_raft_state().unwrap(), image());
     drop(disk);
-    let (disk, held) = DurableStorage::open(&path).unwrap();
+    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
     assert_held(&held);
     assert_eq!((disk.identity.id, disk.identity.boot_count), (B1, 7));
     fs::remove_dir_all(folder).unwrap();
@@ -71,7 +71,7 @@
 fn a_copied_store_file_of_an_earlier_build_is_set_aside_unchanged() {
     let folder = folder("copied");
     let path = copy(&folder, "b1.store", false);
-    let (disk, held) = DurableStorage::open(&path).unwrap();
+    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
     assert_ne!(disk.identity.id, B1);
     assert!(held.raft.is_new() && held.drains.is_empty() && held.gossip.is_none());
     assert!(held.notes[0].contains("a copy of another file"), "{:?}", held.notes);
@@ -114,9 +114,9 @@
 fn the_owner_starts_on_a_store_file_of_an_earlier_build_with_all_that_it_holds() {
     let folder = folder("owner");
     let path = copy(&folder, "b1.store", true);
-    let (disk, held) = DurableStorage::open(&path).unwrap();
+    let storage = DurableStorage::open(&path).unwrap();
     let RunningStore { opened, commands: inputs, events: outputs } =
-        store_thread::start(disk, held, &Limits::for_sockets(1024)).unwrap();
+        store_thread::start(storage, &Limits::for_sockets(1024)).unwrap();
     assert_eq!((opened.identity.id, opened.identity.boot_count), (B1, 6));
     assert_eq!(opened.state, snapshot_state());
     // Drains in the log after the snapshot act as well, agreed or not.
@@ -179,16 +179,17 @@
 fn what_the_owner_keeps_lies_under_the_keys_of_the_fixture() {
     let folder = folder("keeps");
     let path = folder.join("b1.store");
-    let (mut disk, held) = DurableStorage::open(&path).unwrap();
+    let OpenedStorage { storage: mut disk, contents: held } = DurableStorage::open(&path).unwrap();
     disk.identity.id = B1;
-    disk.write(&image().full_write(), &[("identity", codec::encode(&disk.identity))]).unwrap();
-    let held = StoreContents { raft: disk.read_raft_state().unwrap(), ..held };
+    disk.write(&image().full_write(), &[NodeValue::Identity(&disk.identity)]).unwrap();
+    let contents = StoreContents { raft: disk.read_raft_state().unwrap(), ..held };
+    let storage = OpenedStorage { storage: disk, contents };
     let RunningStore { commands: inputs, events: outputs, .. } =
-        store_thread::start(disk, held, &Limits::for_sockets(1024)).unwrap();
+        store_thread::start(storage, &Limits::for_sockets(1024)).unwrap();
     let heartbeat = |from: NodeId, term| {
         let mut m = eraftpb::Message { from: from.0, to: B1.0, term, ..Default::default() };
         m.set_msg_type(eraftpb::MessageType::MsgHeartbeat);
-        RaftMessage::of(m).unwrap()
+        RaftMessage::from_raft(m).unwrap()
     };
     inputs.send(StoreCommand::RaftMessages(vec![heartbeat(B2, 4), heartbeat(B3, 3)])).unwrap();
     inputs.send(StoreCommand::PersistGossip(codec::encode(&saved()))).unwrap();
@@ -211,12 +212,13 @@
 
 /// Writes the fixture's store with this build.
 fn make(path: &Path) {
-    let (disk, _) = DurableStorage::open(path).unwrap();
+    let OpenedStorage { storage: disk, .. } = DurableStorage::open(path).unwrap();
+    let (identity, gossip, drains, progress) = (identity(), codec::encode(&saved()), marks(), witnesses());
     let more = [
-        ("identity", codec::encode(&identity())),
-        ("learned", codec::encode(&codec::encode(&saved()))),
-        ("marks", codec::encode(&marks())),
-        ("witnesses", codec::encode(&witnesses())),
+        NodeValue::Identity(&identity),
+        NodeValue::Gossip(&gossip),
+        NodeValue::PendingDrains(&drains),
+        NodeValue::ReportedProgress(&progress),
     ];
     disk.write(&image().full_write(), &more).unwrap();
     drop(disk);
@@ -255,10 +257,10 @@
         ],
         hosts_changed: Timestamp::from_micros(1_780_000_000_333_444),
         drains: vec!["s-1".into(), "odd\tname\\x".into(), "s-4".into()],
-        settings: Some((
-            "limits.probes=true\nnote=tab\there, backslash \\, return\r, literal \\n\n".into(),
-            Timestamp::from_micros(1_780_000_000_111_222),
-        )),
+        settings: Some(LegacySettings {
+            text: "limits.probes=true\nnote=tab\there, backslash \\, return\r, literal \\n\n".into(),
+            changed_at: Timestamp::from_micros(1_780_000_000_111_222),
+        }),
     }
 }
 
@@ -266,11 +268,11 @@
 fn every_line_and_escape_of_the_old_text_form_is_read() {
     assert_eq!(legacy::parse(&old_text()), Ok(old_store()));
     let old = old_store();
-    let (text, changed) = old.settings.clone().unwrap();
+    let LegacySettings { text, changed_at } = old.settings.clone().unwrap();
     assert_eq!(
         old.changes("b1"),
         [
-            Change::Settings { read_by: "b1".into(), changed_at: changed, text },
+            Change::Settings { read_by: "b1".into(), changed_at, text },
             Change::Inventory {
                 read_by: "b1".into(),
                 changed_at: Timestamp::from_micros(1_780_000_000_333_444),
@@ -287,12 +289,12 @@
     let folder = folder("old");
     let path = folder.join("b1.store");
     fs::write(&path, old_text()).unwrap();
-    let (disk, held) = DurableStorage::open(&path).unwrap();
+    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
     assert_eq!(held.legacy, Some(old_store()));
     assert!(held.raft.is_new() && held.drains.is_empty() && held.notes.len() == 1, "{:?}", held.notes);
     drop(disk);
     assert_eq!(fs::read_to_string(folder.join("b1.store.old")).unwrap(), old_text());
-    assert_eq!(DurableStorage::open(&path).unwrap().1.legacy, None, "once");
+    assert_eq!(DurableStorage::open(&path).unwrap().contents.legacy, None, "once");
     fs::remove_dir_all(folder).unwrap();
 }
 
