--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -114,7 +114,7 @@
             _ => {}
         }
     }
-    let encoded = |m: &Message| RaftMessage::of(m.clone()).expect("it is sent between nodes");
+    let encoded = |m: &Message| RaftMessage::from_raft(m.clone()).expect("it is sent between nodes");
     let two = vec![encoded(&all[5].1), encoded(&all[6].1)];
     let one = all.iter().map(|(name, m)| (*name, PeerMessage::RaftMessages(vec![encoded(m)])));
     one.chain([
@@ -379,7 +379,7 @@
     for (name, message) in messages() {
         let PeerMessage::RaftMessages(raft_messages) = message else { continue };
         for raft_message in raft_messages {
-            let kind = raft_message.clone().message().map(|m| m.msg_type);
+            let kind = raft_message.clone().into_raft().map(|m| m.msg_type);
             // A snapshot message must carry a snapshot, any other message must not.
             assert_eq!(
                 kind.is_some(),
@@ -387,7 +387,7 @@
                 "{name}"
             );
             assert_eq!(
-                raft_message.clone().message().and_then(RaftMessage::of),
+                raft_message.clone().into_raft().and_then(RaftMessage::from_raft),
                 Some(raft_message),
                 "{name}"
             );
