--- a/src/store/storage/open.rs
+++ b/src/store/storage/open.rs
@@ -1,8 +1,8 @@
 //! Opening a store file: what to do about one that is damaged, copied, in use, or of version 0.2.0.
 
 use super::{
-    CACHE_BYTES, DurableStorage, FileId, NodeValue, OpenedStorage, StoreContents, StoredNode, create_store,
-    read_store,
+    CACHE_BYTES, DurableStorage, FileId, NodeIdentity, NodeValue, OpenedStorage, StoreContents, StoredNode,
+    create_store, read_store,
 };
 use crate::store::error::{DamagedStore, StoreError};
 use crate::store::legacy::{self, LegacyError, LegacyStore};
@@ -23,13 +23,13 @@
 pub fn open(path: &Path) -> Result<OpenedStorage, StoreError> {
     let legacy = read_legacy(path)?;
     let damage = match open_database(path) {
-        Ok(OpenDatabase::Stored(database, stored)) => {
+        Ok(OpenDatabase { database, stored: Some(stored) }) => {
             if FileId::of(path).map_err(|e| StoreError::file(path, e))? == stored.identity.file {
                 return resume(path, database, stored, legacy.notes);
             }
             DamagedStore::Copy
         }
-        Ok(OpenDatabase::New(database)) => return create(path, database, legacy),
+        Ok(OpenDatabase { database, stored: None }) => return create(path, database, legacy),
         Err(OpenFailure::Fatal(error)) => return Err(error),
         Err(OpenFailure::Damaged(damage)) => damage,
     };
@@ -65,12 +65,7 @@
     Ok(OpenedStorage { storage, contents })
 }
 
-fn storage_at(
-    path: &Path,
-    database: Database,
-    identity: super::NodeIdentity,
-    write_count: u64,
-) -> DurableStorage {
+fn storage_at(path: &Path, database: Database, identity: NodeIdentity, write_count: u64) -> DurableStorage {
     DurableStorage { database, path: Some(path.to_path_buf()), identity, write_count: Cell::new(write_count) }
 }
 
@@ -83,11 +78,10 @@
 }
 
 /// A database whose file could be opened.
-enum OpenDatabase {
-    /// No store was created in it yet.
-    New(Database),
-    /// It has a store.
-    Stored(Database, StoredNode),
+struct OpenDatabase {
+    database: Database,
+    /// What it holds; `None`: no store was created in it yet.
+    stored: Option<StoredNode>,
 }
 
 /// Why a database cannot be opened.
@@ -109,10 +103,8 @@
 fn open_and_read(path: &Path) -> Result<OpenDatabase, OpenFailure> {
     let database = Database::builder().set_cache_size(CACHE_BYTES).create(path);
     let database = database.map_err(|error| classify_open_error(path, error))?;
-    match read_store(&database).map_err(OpenFailure::Damaged)? {
-        Some(stored) => Ok(OpenDatabase::Stored(database, stored)),
-        None => Ok(OpenDatabase::New(database)),
-    }
+    let stored = read_store(&database).map_err(OpenFailure::Damaged)?;
+    Ok(OpenDatabase { database, stored })
 }
 
 fn classify_open_error(path: &Path, error: DatabaseError) -> OpenFailure {
