--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -5,6 +5,7 @@
 use crate::inventory::InventoryError;
 use crate::net::inherited_socket::InheritedSocketError;
 use crate::platform_config::PlatformConfigError;
+use crate::store::error::StoreError;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -100,8 +101,8 @@
     #[error("GW_PASSED_SOCKET: {0}")]
     InheritedSocketIo(#[source] io::Error),
     /// The store cannot be opened or started; the text names the file.
-    #[error("{0}")]
-    Store(String),
+    #[error(transparent)]
+    Store(#[from] StoreError),
     /// The engine's thread cannot be started.
     #[error("module: {0}")]
     EngineStart(#[source] io::Error),
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -67,7 +67,7 @@
     let settings_text = agreed_settings::wait(&fleet, &limits).await;
     agreed_settings::wait_until_current(&fleet, &limits).await;
     let agreed = AgreedSettings::parse(settings_text, &config)?;
-    fleet.returns_by(agreed.cold_start_policy());
+    fleet.start_recovery(agreed.cold_start_policy());
     agreed.adjust(&mut limits);
     let daemon = OperatorDaemon { config, fleet, limits: Rc::new(limits), lifecycle, clock, executor };
     daemon.run(agreed, client_front, hangup).await
@@ -130,7 +130,7 @@
         let backends = BackendPool::new(protocol, self.limits.clone(), self.clock.clone());
         let fleet = self.fleet.clone();
         let execute_other = async move |command| match command {
-            Command::SendToPeers { bytes, .. } => fleet.hint(&bytes),
+            Command::SendToPeers { bytes, .. } => fleet.send_primary_hint(&bytes),
             // A full channel already holds a notification that has not been read.
             Command::ObservationsPending => drop(observations_pending.try_send(())),
             _ => {}
--- a/src/daemon/operator/agreed_settings.rs
+++ b/src/daemon/operator/agreed_settings.rs
@@ -3,8 +3,8 @@
 use crate::config::Limits;
 use crate::daemon::DaemonError;
 use crate::daemon::operator_config::{self, OperatorConfig, ParsedSettings};
-use crate::engine::classes::Classes;
-use crate::fleet::recovery::phases::Cold;
+use crate::engine::classes::{Classes, IdempotencyKey};
+use crate::fleet::recovery::slow_start::SlowStartPolicy;
 use crate::fleet::runtime::Fleet;
 use crate::net::until;
 use crate::routing::Settings;
@@ -42,8 +42,8 @@
     }
 
     /// How endpoints behave after a cold start. What the settings leave out means that they are warm at once.
-    pub fn cold_start_policy(&self) -> Cold {
-        Cold {
+    pub fn cold_start_policy(&self) -> SlowStartPolicy {
+        SlowStartPolicy {
             share: self.settings.cold_capacity.unwrap_or(1.0),
             warm_up: self.settings.warm_up.unwrap_or(TimeDelta::ZERO),
             multiple: self.settings.overload_multiple.unwrap_or(1.0).max(1.0),
@@ -68,7 +68,7 @@
     let service = &config.service;
     let named = [Some(&service.query), service.session.as_ref(), Some(&service.update)];
     for class in named.into_iter().flatten() {
-        if classes.find(class, true).is_none() {
+        if classes.find(class, IdempotencyKey::Present).is_none() {
             return Err(DaemonError::UnknownClass { path: config.path.clone(), class: class.clone() });
         }
     }
@@ -77,16 +77,16 @@
 
 /// The settings to run with, once some are agreed.
 pub async fn wait(fleet: &Fleet, limits: &Limits) -> String {
-    let changed = fleet.watch();
+    let changed = fleet.subscribe();
     let started_at = Instant::now();
     let mut has_warned = false;
     loop {
-        if let Some(text) = fleet.settings() {
+        if let Some(text) = fleet.committed_settings() {
             return text;
         }
         if !has_warned && started_at.elapsed() > limits.file_check_interval * 4 {
             has_warned = true;
-            log::warn!("not ready: no settings are agreed yet; {}", fleet.table().stand.0);
+            log::warn!("not ready: no settings are agreed yet; {}", fleet.bootstrap_status());
         }
         let _ = until(Instant::now() + limits.file_check_interval, changed.recv()).await;
     }
@@ -96,9 +96,9 @@
 /// drained while it was down. Gives up after the time by which an endpoint list may be late, to serve without a
 /// majority.
 pub async fn wait_until_current(fleet: &Fleet, limits: &Limits) {
-    let changed = fleet.watch();
+    let changed = fleet.subscribe();
     let current = async {
-        while !fleet.is_current() {
+        while !fleet.is_up_to_date() {
             let _ = changed.recv().await;
         }
     };
--- a/src/daemon/operator/engine_feeds.rs
+++ b/src/daemon/operator/engine_feeds.rs
@@ -3,7 +3,7 @@
 use crate::config::Limits;
 use crate::daemon::Executor;
 use crate::engine::{Control, EngineHandle, Input};
-use crate::fleet::recovery::phases::Step;
+use crate::fleet::recovery::phases::RecoveryPhase;
 use crate::fleet::runtime::Fleet;
 use crate::net::latch::Latch;
 use crate::net::until;
@@ -71,13 +71,13 @@
     /// agreed than those in use: an engine keeps the settings that it was started with.
     async fn feed_lists(self: Rc<Self>, mut known_settings: String) {
         let mut known_list = BTreeMap::new();
-        let changed = self.fleet.watch();
+        let changed = self.fleet.subscribe();
         loop {
-            if let Some(newer) = self.fleet.settings().filter(|text| *text != known_settings) {
+            if let Some(newer) = self.fleet.committed_settings().filter(|text| *text != known_settings) {
                 log::warn!("other settings are agreed now; they take effect at the next start");
                 known_settings = newer;
             }
-            if let Some(list) = self.fleet.list_change(&mut known_list) {
+            if let Some(list) = self.fleet.next_endpoint_update(&mut known_list) {
                 self.engine.control(Control::EndpointList { list, cached: false }).await;
                 self.first_list_sent.set();
             }
@@ -89,11 +89,11 @@
     /// the engine.
     async fn feed_recovery(self: Rc<Self>, observations_pending: Receiver<()>) {
         while let Some(observations) = self.engine.observations().await {
-            self.fleet.observe(&observations);
-            if self.fleet.returns() && self.advance_recovery().await {
+            self.fleet.record_observations(&observations);
+            if self.fleet.is_recovering() && self.advance_recovery().await {
                 self.all_groups_served.set();
             }
-            let pause = if self.fleet.returns() {
+            let pause = if self.fleet.is_recovering() {
                 self.limits.recovery_check_interval
             } else {
                 self.limits.file_check_interval
@@ -104,10 +104,10 @@
 
     /// Advances recovery as far as the fleet's state allows; true: all groups are served.
     async fn advance_recovery(&self) -> bool {
-        let (admission, poll_participants) = self.fleet.return_on(self.hints_sent.is_set());
-        self.engine.control(Control::SetPollParticipants(poll_participants)).await;
-        self.engine.control(Control::SetAdmission(admission)).await;
-        self.fleet.service().step >= Step::Rest
+        let rules = self.fleet.advance_recovery(self.hints_sent.is_set());
+        self.engine.control(Control::SetPollParticipants(rules.poll_participants)).await;
+        self.engine.control(Control::SetAdmission(rules.admission)).await;
+        self.fleet.recovery_status().phase >= RecoveryPhase::Remaining
     }
 
     /// Feeds outcomes per endpoint to the zones' failure detector, and cancels overdue reads in zones that are
@@ -115,7 +115,7 @@
     async fn feed_zones(self: Rc<Self>) {
         self.first_list_sent.wait().await;
         while let Some(outcomes) = self.engine.outcome_counts().await {
-            let evacuated = self.fleet.look_at_zones(&outcomes);
+            let evacuated = self.fleet.update_zones(&outcomes);
             if !evacuated.is_empty() {
                 self.engine.control(Control::CancelOverdueReads(evacuated)).await;
             }
@@ -132,8 +132,8 @@
     /// Hands the observations of peers to the engine, those from before the start first.
     async fn feed_peer_observations(self: Rc<Self>) {
         self.first_list_sent.wait().await;
-        self.engine.control(Control::PeerObservations(self.fleet.told_before())).await;
-        while let Some(observations) = self.fleet.told().await {
+        self.engine.control(Control::PeerObservations(self.fleet.restored_positions())).await;
+        while let Some(observations) = self.fleet.next_peer_observations().await {
             self.engine.control(Control::PeerObservations(observations)).await;
         }
     }
@@ -142,11 +142,11 @@
     /// is handed over before the first list.
     async fn feed_primary_hints(self: Rc<Self>) {
         self.first_list_sent.wait().await;
-        for bytes in self.fleet.first_hints() {
+        for bytes in self.fleet.initial_primary_hints() {
             self.engine.input(Input::PeerMessage { from: 0, bytes }).await;
         }
         self.hints_sent.set();
-        while let Some(bytes) = self.fleet.hinted().await {
+        while let Some(bytes) = self.fleet.next_primary_hint().await {
             self.engine.input(Input::PeerMessage { from: 0, bytes }).await;
         }
     }
--- a/src/daemon/operator/fleet_startup.rs
+++ b/src/daemon/operator/fleet_startup.rs
@@ -7,11 +7,11 @@
 use crate::daemon::operator_config::{self, OperatorConfig};
 use crate::daemon::{DaemonError, Executor};
 use crate::fleet::admin_api;
-use crate::fleet::runtime::{Files, Fleet, Me};
+use crate::fleet::runtime::{Files, Fleet, LocalNode};
 use crate::net::connection::ClientConnection;
 use crate::net::connection_limiter::{AcceptDecision, ConnectionLimiter};
-use crate::store::storage::{Disk, Held};
-use crate::store::store_thread;
+use crate::store::storage::{DurableStorage, OpenedStorage};
+use crate::store::store_thread::{self, RunningStore};
 use async_io::Async;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -23,8 +23,7 @@
 
 /// The store's file and its listener, before the store runs.
 pub struct OpenedStore {
-    disk: Disk,
-    held: Held,
+    storage: OpenedStorage,
     listener: Async<TcpListener>,
     /// The listener's address, with the port that the system chose if the file says 0.
     address: SocketAddr,
@@ -50,17 +49,17 @@
 /// [`DaemonError::Store`] and [`DaemonError::Listen`].
 pub fn open_store(config: &OperatorConfig) -> Result<OpenedStore, DaemonError> {
     let opened = match &config.store.snapshot {
-        Some(path) => Disk::open(path),
-        None => Disk::in_memory(),
+        Some(path) => DurableStorage::open(path),
+        None => DurableStorage::in_memory(),
     };
-    let (disk, held) = opened.map_err(|error| DaemonError::Store(error.to_string()))?;
-    for note in &held.notes {
+    let storage = opened?;
+    for note in &storage.contents.notes {
         log::warn!("{note}");
     }
     let listener = bind(config.store.listen)?;
     let address = listener.get_ref().local_addr().unwrap_or(config.store.listen);
     log::info!("{}: store at http://{address}", config.name);
-    Ok(OpenedStore { disk, held, listener, address })
+    Ok(OpenedStore { storage, listener, address })
 }
 
 /// Starts the store's thread, the fleet's tasks, and the listener for peers and operators' commands.
@@ -75,24 +74,23 @@
     clock: &Clock,
     executor: &Executor,
 ) -> Result<Rc<Fleet>, DaemonError> {
-    let OpenedStore { disk, held, listener, address } = store;
-    let (opened, inputs, outputs) =
-        store_thread::start(disk, held, limits).map_err(|error| DaemonError::Store(error.to_string()))?;
-    let me = Me {
+    let OpenedStore { storage, listener, address } = store;
+    let RunningStore { opened, commands, events } = store_thread::start(storage, limits)?;
+    let local = LocalNode {
         name: config.name.clone(),
         address: config.store.advertise.unwrap_or(address),
         named: config.store.peers.clone(),
         leaving: config.leaving.clone(),
     };
     let limits = Rc::new(store_limits(limits));
-    let fleet = Fleet::new(me, limits.clone(), clock.clone(), executor.clone(), opened, inputs);
-    fleet.read_files(|files| *files = local_files);
+    let fleet = Fleet::new(local, limits.clone(), clock.clone(), executor.clone(), opened, commands);
+    fleet.update_own_files(|files| *files = local_files);
 
     accept_peers(executor, listener, &fleet, &limits, clock);
     let store_events = fleet.clone();
-    executor.spawn(async move { store_events.hear_store(&outputs).await }).detach();
+    executor.spawn(async move { store_events.handle_store_events(&events).await }).detach();
     let event_loop = fleet.clone();
-    executor.spawn(async move { event_loop.go_on().await }).detach();
+    executor.spawn(async move { event_loop.run().await }).detach();
     Ok(fleet)
 }
 
--- a/src/daemon/operator_config.rs
+++ b/src/daemon/operator_config.rs
@@ -11,7 +11,7 @@
 
 use super::ConfigError;
 use crate::config::Limits;
-use crate::fleet::zoning::Leaving;
+use crate::fleet::zones::EvacuationPolicy;
 use crate::inventory::{self, Inventory};
 use crate::net::sparql::front::Service;
 use crate::time::{TimeDelta, Timestamp};
@@ -43,7 +43,7 @@
     /// Names of the zones, by number.
     pub zones: Vec<String>,
     /// How zones are evacuated.
-    pub leaving: Leaving,
+    pub leaving: EvacuationPolicy,
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// Settings of the service as `path=value` lines, to be proposed to the fleet; `None`: those that the fleet has.
--- a/src/daemon/operator_config/reader.rs
+++ b/src/daemon/operator_config/reader.rs
@@ -2,8 +2,8 @@
 
 use super::{OperatorConfig, OperatorConfigError, OperatorConfigProblem, StoreConfig, settings};
 use crate::config::{DEFAULT_SOCKETS, Limits};
-use crate::fleet::zones::Dwell;
-use crate::fleet::zoning::Leaving;
+use crate::fleet::zones::EvacuationBackoff;
+use crate::fleet::zones::EvacuationPolicy;
 use crate::inventory::yaml::{self, Node};
 use crate::net::sparql::front::Service;
 use crate::routing::GroupId;
@@ -159,19 +159,19 @@
 }
 
 /// How zones are evacuated, with times in seconds.
-fn leaving(file: &Section<'_>, zones: &[String]) -> Result<Leaving, OperatorConfigError> {
-    let mut leaving = Leaving { names: zones.to_vec(), ..Leaving::default() };
+fn leaving(file: &Section<'_>, zones: &[String]) -> Result<EvacuationPolicy, OperatorConfigError> {
+    let mut leaving = EvacuationPolicy { zone_names: zones.to_vec(), ..EvacuationPolicy::default() };
     let Some(node) = file.node.get("leaving") else { return Ok(leaving) };
     let section = Section::new(node, &LEAVING_KEYS, "leaving")?;
     let automatic = section.optional("automatic", |node| Ok(node.parsed("true or false")?))?;
     leaving.automatic = automatic.unwrap_or(true);
-    let least = section.optional("dwell", dwell_time)?.unwrap_or(leaving.dwell.least);
-    let default_longest = leaving.dwell.longest.max(least);
+    let least = section.optional("dwell", dwell_time)?.unwrap_or(leaving.backoff.initial);
+    let default_longest = leaving.backoff.maximum.max(least);
     let longest = section.optional("longest", dwell_time)?.unwrap_or(default_longest);
     if longest < least {
         return Err(node.error(OperatorConfigProblem::DwellContradiction));
     }
-    leaving.dwell = Dwell { least, longest };
+    leaving.backoff = EvacuationBackoff { initial: least, maximum: longest };
     Ok(leaving)
 }
 
--- a/src/engine/observations.rs
+++ b/src/engine/observations.rs
@@ -1,249 +1,257 @@
-//! What hosts last told of themselves, for whoever passes it on. Fed by the owner, read now and then. No I/O.
+//! This process's own observations of endpoints: what they last reported about themselves, for gossip to peers. Fed by
+//! the request engine, read from time to time by the fleet. No I/O.
 
 use crate::routing::{EndpointId, LogPosition, ReplicaStatus, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Positions are told in whole milliseconds.
-const ROUNDING: TimeDelta = TimeDelta::from_millis(1);
+/// Endpoints report positions in whole milliseconds: a position may appear this much lower than it is.
+const POSITION_ROUNDING: TimeDelta = TimeDelta::from_millis(1);
 
-/// Starts of a host that differ by no more are one: hosts tell how long they run, each time a little differently.
+/// Start times of an endpoint that differ by no more are the same start: endpoints report how long they have run, and
+/// the time of the report's arrival varies.
 pub const START_TIME_TOLERANCE: TimeDelta = TimeDelta::from_secs(2);
 
-/// What a host last told.
+/// The utilization that an endpoint reported, summed over several reports.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct UtilizationSamples {
+    /// Sum of the reported shares of the endpoint's capacity in use, each from 0 to 1.
+    pub sum: f64,
+    /// Number of reports in the sum.
+    pub count: u32,
+}
+
+/// An endpoint's log position went back behind one that it had reported before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LogRegression {
+    /// The position that it reports now.
+    pub position: LogPosition,
+    /// When the request was sent that was answered with that position.
+    pub requested_at: Timestamp,
+}
+
+/// What an endpoint last reported, and what was counted since observations were last taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// The host's name.
-    pub host: String,
-    /// It called itself the primary.
+    /// The endpoint's name.
+    pub endpoint_name: String,
+    /// It reported to be the primary.
     pub primary: bool,
-    /// The position that it told; [`LogPosition::UNKNOWN`]: none.
+    /// The log position that it reported; [`LogPosition::UNKNOWN`] where it reported none.
     pub position: LogPosition,
-    /// When.
-    pub at: Timestamp,
-    /// Attempts that are out at it now.
-    pub out: u16,
-    /// When it started, as far as it says itself, or its position shows, or the list knows.
-    pub started: Option<Timestamp>,
-    /// Good answers since the last time.
+    /// When the report arrived.
+    pub observed_at: Timestamp,
+    /// Attempts that are in flight at the endpoint now.
+    pub in_flight: u16,
+    /// When the endpoint started: by its own report, by a log regression of a primary, or by the endpoint list.
+    pub started_at: Option<Timestamp>,
+    /// Attempts that it served since observations were last taken.
     pub served: u32,
-    /// Which part of its capacity it said to be in use, added up over so many answers since the last time.
-    pub used: (f64, u32),
-    /// It went back behind what it had told before: to which position, and when the question went out that it
-    /// answered so.
-    pub back: Option<(LogPosition, Timestamp)>,
+    /// The utilization that it reported since observations were last taken.
+    pub utilization: UtilizationSamples,
+    /// Its log position went back since observations were last taken.
+    pub regression: Option<LogRegression>,
+}
+
+/// An endpoint's report about itself, as it arrives with an answer.
+#[derive(Clone, Copy, Debug)]
+pub struct EndpointReport {
+    /// Its role and log position.
+    pub replica_status: ReplicaStatus,
+    /// How long it has run; `None` where it does not say.
+    pub uptime: Option<TimeDelta>,
+    /// When the request was sent that it answered.
+    pub requested_at: Timestamp,
+    /// When the answer arrived.
+    pub arrived_at: Timestamp,
 }
 
-/// What is known of a host, since it was last read or, of `top`, ever.
+/// The highest log position that an endpoint reported.
+#[derive(Clone, Copy, Debug)]
+struct HighestPosition {
+    position: LogPosition,
+    arrived_at: Timestamp,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct LatestStatus {
+    replica_status: ReplicaStatus,
+    arrived_at: Timestamp,
+}
+
+/// What is known of one endpoint. The counts and the regression are of the time since observations were last taken.
 #[derive(Clone, Copy, Debug, Default)]
 struct EndpointHistory {
-    replica_status: Option<(ReplicaStatus, Timestamp)>,
-    up: Option<Timestamp>,
+    latest: Option<LatestStatus>,
+    /// When it started, by the uptime that it reports.
+    started_at: Option<Timestamp>,
+    /// When a regression of its log showed that it, a primary, had restarted.
+    restarted_at: Option<Timestamp>,
+    highest: Option<HighestPosition>,
     served: u32,
-    used: (f64, u32),
-    back: Option<(LogPosition, Timestamp)>,
-    /// The greatest position that it told, and when that had come.
-    top: Option<(LogPosition, Timestamp)>,
-    /// It began anew, as its position shows: it was the primary and went back.
-    anew: Option<Timestamp>,
+    utilization: UtilizationSamples,
+    regression: Option<LogRegression>,
 }
 
-/// What one host told since the last time.
+impl EndpointHistory {
+    /// Whether a report shows that the endpoint restarted, by its uptime; if so, the new start is recorded.
+    fn record_uptime(&mut self, report: &EndpointReport) -> bool {
+        let Some(uptime) = report.uptime.filter(|uptime| *uptime >= TimeDelta::ZERO) else { return false };
+        let started_at = report.arrived_at.saturating_sub(uptime);
+        if self.started_at.is_some_and(|known| started_at <= known + START_TIME_TOLERANCE) {
+            return false;
+        }
+        self.started_at = Some(started_at);
+        true
+    }
+
+    /// Whether a report shows that the endpoint's log went back.
+    fn record_position(&mut self, report: &EndpointReport) -> bool {
+        let EndpointReport { replica_status, requested_at, arrived_at, .. } = *report;
+        let position = replica_status.position;
+        if !position.is_known() {
+            return false;
+        }
+        // Answers overtake each other: only the answer to a request that was sent after the higher position had
+        // arrived shows that the log went back.
+        let went_back = self.highest.is_some_and(|highest| {
+            highest.arrived_at < requested_at && position + POSITION_ROUNDING < highest.position
+        });
+        if went_back {
+            self.regression = Some(LogRegression { position, requested_at });
+            // A replica may have been given an older copy while it ran; a primary has lost what it had.
+            if replica_status.primary {
+                self.restarted_at = Some(arrived_at);
+            }
+        }
+        if went_back || self.highest.is_none_or(|highest| position >= highest.position) {
+            self.highest = Some(HighestPosition { position, arrived_at });
+        }
+        went_back
+    }
+
+    /// The history as an observation; counts and regression start over.
+    fn take(&mut self) -> Option<NewObservation> {
+        let LatestStatus { replica_status, arrived_at } = self.latest?;
+        Some(NewObservation {
+            replica_status,
+            observed_at: arrived_at,
+            started_at: self.started_at.max(self.restarted_at),
+            served: std::mem::take(&mut self.served),
+            utilization: std::mem::take(&mut self.utilization),
+            regression: self.regression.take(),
+        })
+    }
+}
+
+/// What is new of one endpoint since observations were last taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewObservation {
-    /// The last mark, with when it came.
+    /// The last role and position that it reported.
     pub replica_status: ReplicaStatus,
-    /// See there.
-    pub at: Timestamp,
-    /// When the host started, by its own word or its position.
-    pub started: Option<Timestamp>,
+    /// See [`Observation::observed_at`].
+    pub observed_at: Timestamp,
+    /// When the endpoint started, by its own report or a log regression of a primary.
+    pub started_at: Option<Timestamp>,
     /// See [`Observation::served`].
     pub served: u32,
-    /// See [`Observation::used`].
-    pub used: (f64, u32),
-    /// See [`Observation::back`].
-    pub back: Option<(LogPosition, Timestamp)>,
+    /// See [`Observation::utilization`].
+    pub utilization: UtilizationSamples,
+    /// See [`Observation::regression`].
+    pub regression: Option<LogRegression>,
 }
 
-/// What is new since it was last read. Off until somebody reads it.
+/// The observations of all endpoints. Reports are recorded only once observations have been taken for the first time:
+/// without a fleet nobody reads them.
 #[derive(Debug, Default)]
 pub struct Observations {
-    on: bool,
-    all: BTreeMap<EndpointId, EndpointHistory>,
+    recording: bool,
+    histories: BTreeMap<EndpointId, EndpointHistory>,
+    /// An endpoint restarted or its log went back since [`Observations::take_urgent`] was last called.
     urgent: bool,
-    new: BTreeSet<EndpointId>,
+    /// Endpoints that reported since observations were last taken.
+    updated: BTreeSet<EndpointId>,
 }
 
 impl Observations {
-    /// A host has told something, in answer to a question that went out at `sent`. `up`: how long it has run, if it
-    /// says so.
-    pub fn note(
-        &mut self,
-        endpoint: EndpointId,
-        replica_status: Option<ReplicaStatus>,
-        up: Option<TimeDelta>,
-        sent: Timestamp,
-        at: Timestamp,
-    ) {
-        let Some(replica_status) = replica_status.filter(|_| self.on) else { return };
-        let told = self.all.entry(endpoint).or_default();
-        told.replica_status = Some((replica_status, at));
-        let started = up.filter(|up| *up >= TimeDelta::ZERO).map(|up| at.saturating_sub(up));
-        if started > told.up.map(|known| known + START_TIME_TOLERANCE) {
-            self.urgent = true;
-            told.up = started;
-        }
-        self.new.insert(endpoint);
-        if !replica_status.position.is_known() {
+    /// Records an endpoint's report about itself.
+    pub fn record(&mut self, endpoint: EndpointId, report: EndpointReport) {
+        if !self.recording {
             return;
         }
-        // Answers overtake one another: only one that was asked for after a greater position had come shows that
-        // the host went back.
-        let went_back =
-            told.top.is_some_and(|(top, came)| came < sent && replica_status.position + ROUNDING < top);
-        if went_back {
-            told.back = Some((replica_status.position, sent));
-            self.urgent = true;
-            // A replica may have been given an older copy while it ran; a primary has lost what it had.
-            told.anew = if replica_status.primary { Some(at) } else { told.anew };
-        }
-        if went_back || told.top.is_none_or(|(top, _)| replica_status.position >= top) {
-            told.top = Some((replica_status.position, at));
-        }
+        let history = self.histories.entry(endpoint).or_default();
+        let EndpointReport { replica_status, arrived_at, .. } = report;
+        history.latest = Some(LatestStatus { replica_status, arrived_at });
+        let restarted = history.record_uptime(&report);
+        let went_back = history.record_position(&report);
+        self.urgent |= restarted || went_back;
+        self.updated.insert(endpoint);
     }
 
-    /// Whether something is new that must not wait until it is read: a host has begun anew. Once.
-    pub fn is_urgent(&mut self) -> bool {
+    /// Whether observations should be taken at once, since an endpoint restarted or its log went back; true once for
+    /// each such event.
+    pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.urgent)
     }
 
-    /// A host has served something.
-    pub fn served(&mut self, endpoint: EndpointId) {
-        if self.on
-            && let Some(told) = self.all.get_mut(&endpoint)
-        {
-            told.served += 1;
+    /// Counts an attempt that an endpoint served.
+    pub fn record_served(&mut self, endpoint: EndpointId) {
+        if !self.recording {
+            return;
+        }
+        if let Some(history) = self.histories.get_mut(&endpoint) {
+            history.served += 1;
         }
     }
 
-    /// A host has said which part of its capacity is in use.
-    pub fn used(&mut self, endpoint: EndpointId, util: f64) {
-        if self.on
-            && let Some(told) = self.all.get_mut(&endpoint)
-        {
-            told.used = (told.used.0 + util.clamp(0.0, 1.0), told.used.1 + 1);
+    /// Adds a report of which share of its capacity an endpoint has in use.
+    pub fn record_utilization(&mut self, endpoint: EndpointId, utilization: f64) {
+        if !self.recording {
+            return;
+        }
+        if let Some(history) = self.histories.get_mut(&endpoint) {
+            history.utilization.sum += utilization.clamp(0.0, 1.0);
+            history.utilization.count += 1;
         }
     }
 
-    /// What was known of a host's position before, or by others: when it had come there.
-    pub fn known(&mut self, endpoint: EndpointId, position: LogPosition, came: Timestamp) {
-        let told = self.all.entry(endpoint).or_default();
-        if position.is_known() && told.top.is_none_or(|(top, _)| position > top) && told.back.is_none() {
-            told.top = Some((position, came));
+    /// Records a position that an endpoint reported to a peer, or to this process before its start.
+    pub fn record_external_position(
+        &mut self,
+        endpoint: EndpointId,
+        position: LogPosition,
+        observed_at: Timestamp,
+    ) {
+        let history = self.histories.entry(endpoint).or_default();
+        let is_higher = history.highest.is_none_or(|highest| position > highest.position);
+        if position.is_known() && is_higher && history.regression.is_none() {
+            history.highest = Some(HighestPosition { position, arrived_at: observed_at });
         }
     }
 
-    /// When a host was last heard here.
-    pub fn heard(&self, endpoint: EndpointId) -> Option<Timestamp> {
-        self.all.get(&endpoint).and_then(|told| told.replica_status).map(|(_, at)| at)
+    /// When an endpoint last reported to this process.
+    pub fn last_report_at(&self, endpoint: EndpointId) -> Option<Timestamp> {
+        let latest = self.histories.get(&endpoint)?.latest?;
+        Some(latest.arrived_at)
     }
 
-    /// Forgets hosts that are gone.
-    pub fn retain(&mut self, stays: impl Fn(EndpointId) -> bool) {
-        self.all.retain(|endpoint, _| stays(*endpoint));
-        self.new.retain(|endpoint| stays(*endpoint));
+    /// Forgets the endpoints for which `keep` is false.
+    pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
+        self.histories.retain(|endpoint, _| keep(*endpoint));
+        self.updated.retain(|endpoint| keep(*endpoint));
     }
 
-    /// What was told since the last time.
+    /// Takes the observations of all endpoints that reported since the last call. The first call starts recording.
     pub fn take(&mut self) -> Vec<(EndpointId, NewObservation)> {
-        self.on = true;
-        let new = std::mem::take(&mut self.new);
-        let all = &mut self.all;
-        let one = |endpoint: EndpointId| {
-            let told = all.get_mut(&endpoint)?;
-            let (replica_status, at) = told.replica_status?;
-            let served = std::mem::take(&mut told.served);
-            let (started, used) = (told.up.max(told.anew), std::mem::take(&mut told.used));
-            Some((
-                endpoint,
-                NewObservation { replica_status, at, started, served, used, back: told.back.take() },
-            ))
-        };
-        new.into_iter().filter_map(one).collect()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const A: EndpointId = EndpointId { ip: [0; 4], port: 1 };
-
-    fn at(micros: i64) -> Timestamp {
-        Timestamp::from_micros(micros)
-    }
-
-    fn position(micros: i64) -> LogPosition {
-        LogPosition::from_micros(micros)
-    }
-
-    fn replica_status(micros: i64) -> Option<ReplicaStatus> {
-        Some(ReplicaStatus { primary: true, position: position(micros) })
-    }
-
-    /// Guards against answers that overtake one another and pass for a host that went back, and against a host that
-    /// went back and has since caught up unseen. Seeded.
-    #[test]
-    fn a_host_goes_back_only_where_it_was_asked_after_it_had_told_more() {
-        for seed in 0..400 {
-            let mut rng = fastrand::Rng::with_seed(seed);
-            let mut facts = Observations::default();
-            facts.take();
-            // Questions that are out: sent, and what the host told when it had them.
-            let mut out: Vec<(i64, i64)> = Vec::new();
-            let (mut now, mut position, mut went_back) = (1_000_000, 900_000, false);
-            let falls = rng.bool().then(|| rng.u32(100..150));
-            for n in 0..200 {
-                now += rng.i64(1..5_000);
-                position += rng.i64(0..4_000);
-                if falls == Some(n) {
-                    // Nothing of before is still out: those connections are gone.
-                    out.clear();
-                    position -= 500_000;
-                }
-                out.push((now, position));
-                if rng.bool() {
-                    let (sent, position) = out.swap_remove(rng.usize(..out.len()));
-                    now += 1;
-                    facts.note(A, replica_status(position), None, at(sent), at(now));
-                }
-                if rng.u8(..8) == 0 {
-                    went_back |= facts.take().iter().any(|(_, new)| new.back.is_some());
-                }
+        self.recording = true;
+        let mut taken = Vec::new();
+        for endpoint in std::mem::take(&mut self.updated) {
+            if let Some(new) = self.histories.get_mut(&endpoint).and_then(EndpointHistory::take) {
+                taken.push((endpoint, new));
             }
-            went_back |= facts.take().iter().any(|(_, new)| new.back.is_some());
-            assert_eq!(went_back, falls.is_some(), "seed {seed}");
         }
-    }
-
-    #[test]
-    fn what_was_known_before_counts_and_a_new_start_is_told() {
-        let mut facts = Observations::default();
-        facts.note(A, replica_status(5_000), None, at(1), at(2));
-        assert!(facts.take().is_empty(), "nobody has asked yet");
-        facts.known(A, position(900_000), at(10));
-        facts.known(A, position(700_000), at(11));
-        facts.note(A, replica_status(400_000), Some(TimeDelta::from_micros(30)), at(20), at(50));
-        facts.served(A);
-        assert!(facts.is_urgent() && !facts.is_urgent());
-        let new = facts.take()[0].1;
-        assert_eq!((new.back, new.started, new.served), (Some((position(400_000), at(20))), Some(at(50)), 1));
-        facts.note(A, replica_status(500_000), Some(TimeDelta::from_micros(60)), at(60), at(90));
-        let new = facts.take()[0].1;
-        assert_eq!(
-            (new.back, new.started, new.served, facts.heard(A)),
-            (None, Some(at(50)), 0, Some(at(90)))
-        );
-        facts.retain(|endpoint| endpoint != A);
-        assert_eq!(facts.heard(A), None);
+        taken
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/engine/outcome_window.rs
+++ b/src/engine/outcome_window.rs
@@ -1,295 +1,256 @@
-//! What became of the attempts at each host within the last moments, for whoever judges zones by it. Fed by the
-//! owner, read now and then. No I/O.
+//! A sliding window of how the attempts at each endpoint ended, from which the fleet detects failing zones. Fed by the
+//! request engine, read from time to time. No I/O.
 //!
-//! An attempt that is still out counts as silent before its time is over: in a zone that has gone nothing ends.
+//! An attempt in flight counts as unanswered before its timeout: in a zone that has failed no attempt ends.
 
 use crate::routing::{AttemptOutcome, EndpointId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// A moment, in parts that fade one by one.
-const PARTS: i64 = 6;
-const PART: TimeDelta = TimeDelta::from_millis(100);
-/// How long a moment is.
-pub const WINDOW_LENGTH: TimeDelta = TimeDelta::from_micros(PARTS * PART.as_micros());
-/// An answer is late that took so many times the usual of its class, and this more.
-const LATE: f64 = 5.0;
-const JITTER: TimeDelta = TimeDelta::from_millis(30);
-/// An attempt that is out is silent after that time, and no sooner than after this.
-const SILENT: TimeDelta = TimeDelta::from_millis(400);
-/// What has failed at a host since its last answer is told for so long: it is tried seldom then, and nobody would know
-/// that it is still gone. Less than a zone stays left.
-const HELD: TimeDelta = TimeDelta::from_secs(2);
-/// So many of a kind are.
-const FEW: u32 = 4;
-/// No attempt is out for so long.
-const LONG: TimeDelta = TimeDelta::from_secs(600);
-/// The usual is what sound hosts take: slower answers raise it slowly, faster ones lower it soon.
-const RISE: f64 = 0.01;
-const FALL: f64 = 0.1;
+/// The window consists of this many buckets, which expire one by one.
+const BUCKETS: i64 = 6;
+const BUCKET_LENGTH: TimeDelta = TimeDelta::from_millis(100);
+/// How far the window reaches back.
+pub const WINDOW_LENGTH: TimeDelta = TimeDelta::from_micros(BUCKETS * BUCKET_LENGTH.as_micros());
+/// An answer is late that took more than this multiple of its class's usual latency, plus [`LATENCY_JITTER`].
+const LATE_FACTOR: f64 = 5.0;
+/// Latency that scheduling and the network add to any answer.
+const LATENCY_JITTER: TimeDelta = TimeDelta::from_millis(30);
+/// No attempt is overdue before this time: a short pause of an endpoint is no failure. Also the bound of a class whose
+/// usual latency is not known yet.
+const MIN_OVERDUE: TimeDelta = TimeDelta::from_millis(400);
+/// How long failures since an endpoint's last answer are reported. A failed endpoint is tried seldom; its failures
+/// would expire between two attempts. Shorter than a zone stays evacuated.
+const FAILURE_RETENTION: TimeDelta = TimeDelta::from_secs(2);
+/// At most this many failures of each kind are reported beyond the window.
+const MAX_RETAINED_FAILURES: u32 = 4;
+/// How long the time of an endpoint's last answer is kept. No attempt is in flight for longer.
+const LAST_ANSWER_RETENTION: TimeDelta = TimeDelta::from_secs(600);
+/// Weight of a slower answer in the moving average of a class's latency. Small: the average is to stay at the latency
+/// of healthy endpoints while others are slow.
+const BASELINE_RISE: f64 = 0.01;
+/// Weight of a faster answer in that average.
+const BASELINE_FALL: f64 = 0.1;
+/// Weight of a report in the moving average of an endpoint's utilization.
+const UTILIZATION_SMOOTHING: f64 = 0.1;
 
-/// What one host did with the attempts of one daemon within the last moments.
+/// How the attempts of one process at one endpoint ended within the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Answered in time.
-    pub good: u32,
-    /// Answered late against the usual of the class, or overdue while the host answers others.
+    /// Answered within the usual time of their class.
+    pub on_time: u32,
+    /// Answered later than that, or overdue while the endpoint answers others.
     pub late: u32,
-    /// Not answered: out for too long, given up, or broken off.
-    pub silent: u32,
+    /// Not answered: overdue, cancelled when overdue, timed out, or the connection broke.
+    pub unanswered: u32,
     /// No connection was made.
-    pub refused: u32,
-    /// Thousandths of its capacity that the host last said to be in use; 0: it does not say.
-    pub busy: u16,
+    pub connect_failed: u32,
+    /// Share of its capacity that the endpoint last reported to be in use, per mille; 0 where it reports none.
+    pub utilization_permille: u16,
 }
 
 impl OutcomeCounts {
+    /// What one ended attempt counts as; `None`: it says nothing about its endpoint.
+    fn of_attempt(outcome: AttemptOutcome, took: TimeDelta, bounds: LatencyBounds) -> Option<OutcomeCounts> {
+        let mut counts = OutcomeCounts::default();
+        match outcome {
+            AttemptOutcome::Served if took > bounds.late_after => counts.late = 1,
+            AttemptOutcome::Served
+            | AttemptOutcome::Misdirected
+            | AttemptOutcome::Overloaded
+            | AttemptOutcome::Error => counts.on_time = 1,
+            AttemptOutcome::ConnectFailed => counts.connect_failed = 1,
+            AttemptOutcome::TimedOut | AttemptOutcome::Reset => counts.unanswered = 1,
+            // One that was cancelled early might still have been answered on time.
+            AttemptOutcome::Cancelled if took > bounds.overdue_after => counts.unanswered = 1,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return None,
+        }
+        Some(counts)
+    }
+
+    /// Whether the endpoint answered.
+    fn is_answered(&self) -> bool {
+        self.on_time + self.late > 0
+    }
+
     fn add(&mut self, other: &OutcomeCounts) {
-        self.good += other.good;
+        self.on_time += other.on_time;
         self.late += other.late;
-        self.silent += other.silent;
-        self.refused += other.refused;
+        self.unanswered += other.unanswered;
+        self.connect_failed += other.connect_failed;
     }
 
-    /// All that had an end.
-    pub fn ended(&self) -> u32 {
-        self.good + self.late + self.silent + self.refused
+    /// Number of attempts counted.
+    pub fn total(&self) -> u32 {
+        self.on_time + self.late + self.unanswered + self.connect_failed
     }
 }
 
-/// An attempt that is out.
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
-    /// Where.
+    /// The endpoint to which it was sent.
     pub endpoint: EndpointId,
-    /// Its class.
+    /// The number of its request's class.
     pub class: usize,
     /// When it was sent.
-    pub sent: Timestamp,
+    pub sent_at: Timestamp,
 }
 
-/// All hosts. Off until somebody reads it: nothing is kept for nobody.
+/// The latencies that a class's answers are held against.
+#[derive(Clone, Copy, Debug)]
+struct LatencyBounds {
+    late_after: TimeDelta,
+    overdue_after: TimeDelta,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Bucket {
+    /// The time since the clock's zero, in bucket lengths.
+    index: i64,
+    counts: OutcomeCounts,
+}
+
+impl Bucket {
+    fn index_at(now: Timestamp) -> i64 {
+        now.since(Timestamp::ZERO) / BUCKET_LENGTH
+    }
+}
+
+/// Failures since an endpoint's last answer.
+#[derive(Clone, Copy, Debug, Default)]
+struct RecentFailures {
+    counts: OutcomeCounts,
+    last_at: Timestamp,
+}
+
+/// The window of all endpoints. Nothing is recorded until it is read for the first time: without a fleet nobody reads
+/// it.
 #[derive(Debug, Default)]
 pub struct OutcomeWindow {
-    on: bool,
-    /// By host, the number of the part and what was seen in it.
-    all: BTreeMap<EndpointId, Vec<(i64, OutcomeCounts)>>,
-    usual: BTreeMap<usize, f64>,
-    busy: BTreeMap<EndpointId, f64>,
-    /// When each last answered an attempt: one that answers questions about itself alone does no work.
-    answered: BTreeMap<EndpointId, Timestamp>,
-    /// What failed since, and when last.
-    failed: BTreeMap<EndpointId, (OutcomeCounts, Timestamp)>,
+    recording: bool,
+    buckets: BTreeMap<EndpointId, Vec<Bucket>>,
+    /// By class number, the moving average of answers' latencies in microseconds.
+    usual_latency_micros: BTreeMap<usize, f64>,
+    /// The moving average of the utilization that endpoints report, from 0 to 1.
+    utilization: BTreeMap<EndpointId, f64>,
+    /// When each endpoint last answered an attempt. Answers to health checks do not count: they take no work.
+    last_answer_at: BTreeMap<EndpointId, Timestamp>,
+    recent_failures: BTreeMap<EndpointId, RecentFailures>,
 }
 
 impl OutcomeWindow {
-    fn bound(&self, class: usize) -> TimeDelta {
-        self.usual.get(&class).map_or(SILENT, |usual| TimeDelta::from_micros_f64(usual * LATE)) + JITTER
+    fn bounds(&self, class: usize) -> LatencyBounds {
+        let bound = match self.usual_latency_micros.get(&class) {
+            Some(usual) => TimeDelta::from_micros_f64(usual * LATE_FACTOR),
+            None => MIN_OVERDUE,
+        };
+        let late_after = bound + LATENCY_JITTER;
+        LatencyBounds { late_after, overdue_after: late_after.max(MIN_OVERDUE) }
     }
 
-    /// An attempt that is out for longer is overdue.
-    fn client_timeout(&self, class: usize) -> TimeDelta {
-        self.bound(class).max(SILENT)
-    }
-
-    /// An attempt has ended. Whoever stops waiting early says nothing about the host.
-    pub fn ended(
-        &mut self,
-        now: Timestamp,
-        endpoint: EndpointId,
-        class: usize,
-        took: TimeDelta,
-        outcome: AttemptOutcome,
-    ) {
-        if !self.on {
+    /// Records the end of an attempt.
+    pub fn record(&mut self, now: Timestamp, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
+        if !self.recording {
             return;
         }
-        let bound = self.bound(class);
-        let mut seen = OutcomeCounts::default();
-        match outcome {
-            AttemptOutcome::Served if took > bound => seen.late = 1,
-            AttemptOutcome::Served
-            | AttemptOutcome::Misdirected
-            | AttemptOutcome::Overloaded
-            | AttemptOutcome::Error => seen.good = 1,
-            AttemptOutcome::ConnectFailed => seen.refused = 1,
-            AttemptOutcome::TimedOut | AttemptOutcome::Reset => seen.silent = 1,
-            AttemptOutcome::Cancelled if took > self.client_timeout(class) => seen.silent = 1,
-            _ => return,
-        }
+        let InFlightAttempt { endpoint, class, sent_at } = *attempt;
+        let took = now - sent_at;
+        let Some(counts) = OutcomeCounts::of_attempt(outcome, took, self.bounds(class)) else { return };
         if outcome == AttemptOutcome::Served {
-            let usual = self.usual.entry(class).or_insert(took.as_micros_f64());
-            let weight = if took.as_micros_f64() > *usual { RISE } else { FALL };
-            *usual += (took.as_micros_f64() - *usual) * weight;
+            self.record_latency(class, took);
         }
-        if seen.good + seen.late > 0 {
-            self.answered.insert(endpoint, now);
-            self.failed.remove(&endpoint);
+        if counts.is_answered() {
+            self.last_answer_at.insert(endpoint, now);
+            self.recent_failures.remove(&endpoint);
         } else {
-            let (failed, at) = self.failed.entry(endpoint).or_default();
-            failed.add(&seen);
-            *at = now;
+            let failures = self.recent_failures.entry(endpoint).or_default();
+            failures.counts.add(&counts);
+            failures.last_at = now;
         }
-        let part = now.since(Timestamp::ZERO) / PART;
-        let parts = self.all.entry(endpoint).or_default();
-        parts.retain(|(n, _)| part - n < PARTS);
-        match parts.last_mut() {
-            Some((n, known)) if *n == part => known.add(&seen),
-            _ => parts.push((part, seen)),
+        self.count(now, endpoint, counts);
+    }
+
+    fn record_latency(&mut self, class: usize, took: TimeDelta) {
+        let took = took.as_micros_f64();
+        let usual = self.usual_latency_micros.entry(class).or_insert(took);
+        let weight = if took > *usual { BASELINE_RISE } else { BASELINE_FALL };
+        *usual += (took - *usual) * weight;
+    }
+
+    fn count(&mut self, now: Timestamp, endpoint: EndpointId, counts: OutcomeCounts) {
+        let index = Bucket::index_at(now);
+        let buckets = self.buckets.entry(endpoint).or_default();
+        buckets.retain(|bucket| index - bucket.index < BUCKETS);
+        match buckets.last_mut() {
+            Some(bucket) if bucket.index == index => bucket.counts.add(&counts),
+            _ => buckets.push(Bucket { index, counts }),
         }
     }
 
-    /// A host has said which part of its capacity is in use.
-    pub fn busy(&mut self, endpoint: EndpointId, util: f64) {
-        if !self.on {
+    /// Records an endpoint's report of the share of its capacity in use, from 0 to 1.
+    pub fn record_utilization(&mut self, endpoint: EndpointId, utilization: f64) {
+        if !self.recording {
             return;
         }
-        let known = self.busy.entry(endpoint).or_insert(util);
-        *known += (util.clamp(0.0, 1.0) - *known) * FALL;
+        let average = self.utilization.entry(endpoint).or_insert(utilization);
+        *average += (utilization.clamp(0.0, 1.0) - *average) * UTILIZATION_SMOOTHING;
     }
 
-    /// Whether an attempt has been out for longer than any sound answer of its class takes.
-    pub fn is_overdue(&self, now: Timestamp, out: &InFlightAttempt) -> bool {
-        now - out.sent > self.client_timeout(out.class)
+    /// Whether an attempt has been in flight for longer than a healthy endpoint takes for its class.
+    pub fn is_overdue(&self, now: Timestamp, attempt: &InFlightAttempt) -> bool {
+        now - attempt.sent_at > self.bounds(attempt.class).overdue_after
     }
 
-    /// What was seen of each host within the last moment. `out`: the attempts that are out now.
+    /// How attempts at each endpoint ended within the window; `in_flight`: all attempts that have not ended. The first
+    /// call starts recording.
     pub fn read(
         &mut self,
         now: Timestamp,
-        out: impl Iterator<Item = InFlightAttempt>,
+        in_flight: impl Iterator<Item = InFlightAttempt>,
     ) -> BTreeMap<EndpointId, OutcomeCounts> {
-        self.on = true;
-        let part = now.since(Timestamp::ZERO) / PART;
-        self.all.retain(|_, parts| {
-            parts.retain(|(n, _)| part - n < PARTS);
-            !parts.is_empty()
-        });
-        self.answered.retain(|_, at| now - *at < LONG);
-        self.failed.retain(|_, (_, at)| now - *at < HELD);
-        let OutcomeWindow { all, busy, .. } = self;
-        busy.retain(|endpoint, _| all.contains_key(endpoint));
-        let mut seen: BTreeMap<EndpointId, OutcomeCounts> = BTreeMap::new();
-        for (endpoint, parts) in &self.all {
-            parts.iter().for_each(|(_, s)| seen.entry(*endpoint).or_default().add(s));
+        self.recording = true;
+        self.expire(now);
+        let mut counts: BTreeMap<EndpointId, OutcomeCounts> = BTreeMap::new();
+        for (endpoint, buckets) in &self.buckets {
+            let sum = counts.entry(*endpoint).or_default();
+            buckets.iter().for_each(|bucket| sum.add(&bucket.counts));
         }
-        for (endpoint, (failed, _)) in &self.failed {
-            let seen = seen.entry(*endpoint).or_default();
-            seen.silent = seen.silent.max(failed.silent.min(FEW));
-            seen.refused = seen.refused.max(failed.refused.min(FEW));
+        for (endpoint, failures) in &self.recent_failures {
+            let sum = counts.entry(*endpoint).or_default();
+            let retained = &failures.counts;
+            sum.unanswered = sum.unanswered.max(retained.unanswered.min(MAX_RETAINED_FAILURES));
+            sum.connect_failed = sum.connect_failed.max(retained.connect_failed.min(MAX_RETAINED_FAILURES));
         }
-        for one in out.filter(|out| self.is_overdue(now, out)) {
-            let seen = seen.entry(one.endpoint).or_default();
-            // Whatever comes of it, it is late: where one request in three gets lost its host answers the others.
-            if self.answered.get(&one.endpoint).is_some_and(|at| *at >= one.sent) {
-                seen.late += 1;
+        for attempt in in_flight.filter(|attempt| self.is_overdue(now, attempt)) {
+            let sum = counts.entry(attempt.endpoint).or_default();
+            // An endpoint that has answered another attempt since is slow or lost one message: that is no failure.
+            if self.last_answer_at.get(&attempt.endpoint).is_some_and(|at| *at >= attempt.sent_at) {
+                sum.late += 1;
             } else {
-                seen.silent += 1;
+                sum.unanswered += 1;
             }
         }
-        for (endpoint, seen) in &mut seen {
-            seen.busy = self.busy.get(endpoint).map_or(0, |busy| ((busy * 1000.0) as u16).max(1));
-        }
-        seen
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const A: EndpointId = EndpointId { ip: [0; 4], port: 1 };
-    const MS: TimeDelta = TimeDelta::from_millis(1);
-
-    fn at(since: TimeDelta) -> Timestamp {
-        Timestamp::ZERO + since
-    }
-
-    /// Somebody reads it.
-    fn outcomes() -> OutcomeWindow {
-        let mut outcomes = OutcomeWindow::default();
-        assert!(outcomes.read(Timestamp::ZERO, std::iter::empty()).is_empty());
-        outcomes
-    }
-
-    /// Guards against memory that grows with hosts that come and go where nobody ever looks.
-    #[test]
-    fn nothing_is_kept_before_somebody_reads_it_nor_of_what_is_long_gone() {
-        let mut outcomes = OutcomeWindow::default();
-        outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::Served);
-        outcomes.busy(A, 0.5);
-        assert!(outcomes.read(at(MS), std::iter::empty()).is_empty());
-        outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::Served);
-        outcomes.busy(A, 0.5);
-        outcomes.read(at(LONG), std::iter::empty());
-        let kept = (outcomes.all.len(), outcomes.busy.len(), outcomes.answered.len(), outcomes.failed.len());
-        assert_eq!(kept, (0, 0, 0, 0));
-    }
-
-    /// Guards against a silence that is seen only when requests are given up, and against one that is laid to a host
-    /// which goes on answering.
-    #[test]
-    fn what_is_out_too_long_is_silent_unless_its_host_was_heard_since() {
-        let mut outcomes = outcomes();
-        (0..50).for_each(|n| outcomes.ended(at(n * 10 * MS), A, 0, 5 * MS, AttemptOutcome::Served));
-        let out = |sent| [InFlightAttempt { endpoint: A, class: 0, sent }].into_iter();
-        // It last answered at 490.
-        assert_eq!(outcomes.read(at(880 * MS), out(at(500 * MS))).get(&A).map_or(0, |s| s.silent), 0);
-        assert_eq!(outcomes.read(at(950 * MS), out(at(500 * MS)))[&A].silent, 1);
-        let seen = outcomes.read(at(950 * MS), out(at(480 * MS)))[&A];
-        assert_eq!((seen.silent, seen.late), (0, 1), "it has answered since, but not this one");
-        outcomes.ended(at(960 * MS), A, 0, 5 * MS, AttemptOutcome::Served);
-        assert_eq!(outcomes.read(at(970 * MS), out(at(500 * MS)))[&A].silent, 0);
-        assert!(outcomes.read(at(5_000 * MS), std::iter::empty()).is_empty(), "what is old has faded");
-    }
-
-    /// Guards against a host that is gone, is tried seldom for that, and is forgotten between two tries.
-    #[test]
-    fn what_failed_last_is_told_until_the_host_answers_or_a_while_has_passed() {
-        let mut outcomes = outcomes();
-        (0..9).for_each(|_| outcomes.ended(Timestamp::ZERO, A, 0, MS, AttemptOutcome::ConnectFailed));
-        let none = std::iter::empty;
-        assert_eq!(outcomes.read(at(MS), none())[&A].refused, 9);
-        assert_eq!(outcomes.read(at(1_900 * MS), none())[&A].refused, FEW);
-        assert!(outcomes.read(at(HELD), none()).is_empty());
-        outcomes.ended(at(HELD), A, 0, MS, AttemptOutcome::Reset);
-        outcomes.ended(at(HELD), A, 0, MS, AttemptOutcome::Served);
-        assert!(outcomes.read(at(HELD + 700 * MS), none()).is_empty(), "it has answered");
-    }
-
-    /// Guards against a usual that follows a slow zone until nothing there is late any more. Seeded: a third of the
-    /// answers slow by ten times.
-    #[test]
-    fn a_third_that_is_slow_stays_late() {
-        for seed in 0..50 {
-            let mut rng = fastrand::Rng::with_seed(seed);
-            let (mut outcomes, b) = (outcomes(), EndpointId { ip: [0; 4], port: 2 });
-            for n in 0..2_000 {
-                let usual = rng.i64(10..20) * MS;
-                let slow = n > 300 && rng.u8(..3) == 0;
-                let (endpoint, took) = if slow { (b, usual * 10) } else { (A, usual) };
-                outcomes.ended(at(n * MS), endpoint, 0, took, AttemptOutcome::Served);
+        for (endpoint, sum) in &mut counts {
+            if let Some(utilization) = self.utilization.get(endpoint) {
+                // At least 1: 0 stands for an endpoint that reports none.
+                sum.utilization_permille = ((utilization * 1000.0) as u16).max(1);
             }
-            let seen = outcomes.read(at(2_000 * MS), std::iter::empty());
-            assert!(seen[&A].late * 10 < seen[&A].good, "seed {seed}: {seen:?}");
-            assert!(seen[&b].late > seen[&b].good, "seed {seed}: {seen:?}");
         }
+        counts
     }
 
-    #[test]
-    fn each_outcome_counts_as_what_it_says_of_the_host() {
-        let mut outcomes = outcomes();
-        let all = [
-            AttemptOutcome::Served,
-            AttemptOutcome::Misdirected,
-            AttemptOutcome::ConnectFailed,
-            AttemptOutcome::TimedOut,
-            AttemptOutcome::Reset,
-        ];
-        all.into_iter().for_each(|outcome| outcomes.ended(at(MS), A, 0, MS, outcome));
-        outcomes.ended(at(MS), A, 0, MS, AttemptOutcome::Cancelled);
-        outcomes.ended(at(MS), A, 0, 500 * MS, AttemptOutcome::Cancelled);
-        let seen = outcomes.read(at(2 * MS), std::iter::empty())[&A];
-        assert_eq!(seen, OutcomeCounts { good: 2, late: 0, silent: 3, refused: 1, busy: 0 });
-        assert_eq!(seen.ended(), 6);
+    fn expire(&mut self, now: Timestamp) {
+        let index = Bucket::index_at(now);
+        for buckets in self.buckets.values_mut() {
+            buckets.retain(|bucket| index - bucket.index < BUCKETS);
+        }
+        self.buckets.retain(|_, buckets| !buckets.is_empty());
+        self.last_answer_at.retain(|_, at| now - *at < LAST_ANSWER_RETENTION);
+        self.recent_failures.retain(|_, failures| now - failures.last_at < FAILURE_RETENTION);
+        let buckets = &self.buckets;
+        self.utilization.retain(|endpoint, _| buckets.contains_key(endpoint));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -1,46 +1,55 @@
-//! Golden bytes of every message between daemons. The names of types and fields may change, the bytes may not: a
-//! daemon of the next version meets daemons of this one.
+//! Golden bytes of every message between nodes. The names of types and fields may change, the bytes may not: a
+//! node of the next version exchanges messages with nodes of this one.
 
 use super::*;
-use crate::ids::{GroupId, ZoneId};
-use crate::store::records::HostRecord;
-use crate::store::state_machine::{Change, DrainMark};
-use crate::store::storage::Witness;
-use crate::store::zone_weights::{Share, Why};
+use crate::fleet::bootstrap::MemberAddress;
+use crate::fleet::gossip::GossipVersion;
+use crate::fleet::membership::MembershipRequest;
+use crate::ids::{FleetId, GroupId, ZoneId};
+use crate::store::records::{EntryId, HostRecord};
+use crate::store::state_machine::{Change, DrainId, PendingDrain};
+use crate::store::storage::PersistedProgress;
+use crate::store::zone_weights::{WeightReason, ZoneWeight};
 use crate::time::{LogPosition, Timestamp};
 use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType, Snapshot};
 use std::collections::BTreeSet;
 
-/// One message a line, `name = hex`: the whole frame with its length and check sum.
+/// One message a line, `name = hex`: the whole message with length prefix and checksum.
 const GOLDEN: &str = include_str!("../../../tests/fixtures/peer-messages.hex");
 
 /// Longer than any of them.
-const MOST: usize = 4096;
+const LIMIT_BYTES: usize = 4096;
 
-fn hello(name: &str, fleet: u128) -> Hello {
-    Hello {
-        fleet,
+fn handshake(name: &str, fleet: u128) -> Handshake {
+    Handshake {
+        fleet: FleetId(fleet),
         id: NodeId(0x1122_3344_5566_7788),
         name: name.into(),
         address: "127.0.0.1:8891".parse().unwrap(),
-        witness: Witness { boots: 3, term: 500, last: (499, 70_000) },
+        progress: PersistedProgress {
+            boot_count: 3,
+            term: 500,
+            last_entry: EntryId { term: 499, index: 70_000 },
+        },
     }
 }
 
-fn verdicts() -> Vec<(&'static str, Frame)> {
+fn verdicts() -> Vec<(&'static str, PeerMessage)> {
     let candidate = vec![
-        ("b0".to_string(), "127.0.0.1:8001".parse().unwrap()),
-        ("b1".to_string(), "[::1]:8002".parse().unwrap()),
+        MemberAddress { name: "b0".to_string(), address: "127.0.0.1:8001".parse().unwrap() },
+        MemberAddress { name: "b1".to_string(), address: "[::1]:8002".parse().unwrap() },
     ];
     [
-        ("verdict welcome", Verdict::Welcome),
-        ("verdict stranger", Verdict::Stranger),
-        ("verdict removed", Verdict::Removed),
-        ("verdict older", Verdict::Older),
-        ("verdict recovered", Verdict::Recovered),
-        ("verdict candidate", Verdict::Candidate(candidate)),
+        ("verdict welcome", HandshakeVerdict::Accepted),
+        ("verdict stranger", HandshakeVerdict::OtherFleet),
+        ("verdict removed", HandshakeVerdict::RemovedMember),
+        ("verdict older", HandshakeVerdict::OutdatedStorage),
+        ("verdict recovered", HandshakeVerdict::SupersededFleet),
+        ("verdict candidate", HandshakeVerdict::NotYetMember(candidate)),
     ]
-    .map(|(name, verdict)| (name, Frame::Verdict(verdict, hello("b2", 9))))
+    .map(|(name, verdict)| {
+        (name, PeerMessage::HandshakeReply(HandshakeReply { verdict, handshake: handshake("b2", 9) }))
+    })
     .into()
 }
 
@@ -49,7 +58,11 @@
     let mut m =
         Message { to: 11, from: 12, term: 13, log_term: 14, index: 15, commit: 16, ..Message::default() };
     m.set_msg_type(kind);
-    (m.commit_term, m.request_snapshot, m.reject, m.reject_hint, m.priority) = (17, 18, true, 19, -20);
+    m.commit_term = 17;
+    m.request_snapshot = 18;
+    m.reject = true;
+    m.reject_hint = 19;
+    m.priority = -20;
     m.context = vec![0xc0, 0xff, 0xee].into();
     m
 }
@@ -70,12 +83,13 @@
     conf.auto_leave = true;
     let mut snapshot = Snapshot { data: vec![0x57, 0xa7, 0xe0].into(), ..Snapshot::default() };
     let meta = snapshot.mut_metadata();
-    (meta.index, meta.term) = (400, 24);
+    meta.index = 400;
+    meta.term = 24;
     meta.set_conf_state(conf);
     snapshot
 }
 
-fn letters() -> Vec<(&'static str, Frame)> {
+fn raft_messages() -> Vec<(&'static str, PeerMessage)> {
     let mut all: Vec<(&'static str, Message)> = [
         ("letter append", MessageType::MsgAppend),
         ("letter append response", MessageType::MsgAppendResponse),
@@ -100,20 +114,24 @@
             _ => {}
         }
     }
-    let letter = |m: &Message| Letter::of(m.clone()).expect("it goes between daemons");
-    let two = vec![letter(&all[5].1), letter(&all[6].1)];
-    let one = all.iter().map(|(name, m)| (*name, Frame::Letters(vec![letter(m)])));
-    one.chain([("letters none", Frame::Letters(Vec::new())), ("letters two", Frame::Letters(two))]).collect()
+    let encoded = |m: &Message| RaftMessage::from_raft(m.clone()).expect("it is sent between nodes");
+    let two = vec![encoded(&all[5].1), encoded(&all[6].1)];
+    let one = all.iter().map(|(name, m)| (*name, PeerMessage::RaftMessages(vec![encoded(m)])));
+    one.chain([
+        ("letters none", PeerMessage::RaftMessages(Vec::new())),
+        ("letters two", PeerMessage::RaftMessages(two)),
+    ])
+    .collect()
 }
 
-fn changes() -> Vec<(&'static str, Frame)> {
-    let marks = vec![DrainMark { by: NodeId(5), number: 6 }, DrainMark { by: NodeId(7), number: 800 }];
+fn changes() -> Vec<(&'static str, PeerMessage)> {
+    let drains = vec![DrainId { node: NodeId(5), sequence: 6 }, DrainId { node: NodeId(7), sequence: 800 }];
     let record = |address: &str, leaving, started_at| HostRecord {
         address: address.parse().unwrap(),
         group: GroupId(300),
         zone: ZoneId(2),
         weight: 0.75,
-        leaving,
+        draining: leaving,
         started_at,
     };
     let set = vec![
@@ -123,168 +141,206 @@
         ),
         ("s-2".to_string(), record("[::1]:7002", true, None)),
     ];
-    let share =
-        |part, why| Change::Zone { zone: ZoneId(4), share: Share { part, why, number: 31, failed: 2 } };
+    let share = |part, why| Change::ZoneWeight {
+        zone: ZoneId(4),
+        weight: ZoneWeight { permille: part, reason: why, version: 31, failed_returns: 2 },
+    };
     [
         (
             "forward drain",
-            Change::Drain { host: "s-1-1".into(), mark: DrainMark { by: NodeId(5), number: 6 } },
+            Change::Drain { host: "s-1-1".into(), drain: DrainId { node: NodeId(5), sequence: 6 } },
         ),
-        ("forward undrain", Change::Undrain { host: "s-1-2".into(), marks }),
+        ("forward undrain", Change::Undrain { host: "s-1-2".into(), drains }),
         (
             "forward inventory",
             Change::Inventory {
-                by: "b0".into(),
-                changed: Timestamp::from_micros(-5),
-                base: 41,
-                set,
-                gone: vec!["s-9".into()],
+                read_by: "b0".into(),
+                changed_at: Timestamp::from_micros(-5),
+                base_version: 41,
+                upserts: set,
+                removals: vec!["s-9".into()],
             },
         ),
         (
             "forward settings",
             Change::Settings {
-                by: "b1".into(),
-                changed: Timestamp::from_micros(1_767_225_600_000_000),
+                read_by: "b1".into(),
+                changed_at: Timestamp::from_micros(1_767_225_600_000_000),
                 text: "step=1\n".into(),
             },
         ),
-        ("forward zone returns", share(20, Why::Returns)),
-        ("forward zone lost", share(0, Why::Lost)),
-        ("forward zone slow", share(650, Why::Slow)),
-        ("forward zone operator", share(1000, Why::Operator)),
+        ("forward zone returns", share(20, WeightReason::Returns)),
+        ("forward zone lost", share(0, WeightReason::Lost)),
+        ("forward zone slow", share(650, WeightReason::Slow)),
+        ("forward zone operator", share(1000, WeightReason::Operator)),
         (
             "forward regions",
             Change::Regions {
-                by: "b2".into(),
-                changed: Timestamp::from_micros(77),
+                read_by: "b2".into(),
+                changed_at: Timestamp::from_micros(77),
                 regions: BTreeMap::from([(ZoneId(0), "north".to_string()), (ZoneId(3), "south".to_string())]),
             },
         ),
     ]
-    .map(|(name, change)| (name, Frame::Forward(Proposal { from: NodeId(0xfedc_ba98), token: 600, change })))
+    .map(|(name, change)| {
+        (name, PeerMessage::ForwardedProposal(Proposal { from: NodeId(0xfedc_ba98), token: 600, change }))
+    })
     .into()
 }
 
-fn beat() -> Beat {
-    Beat {
+fn heartbeat() -> Heartbeat {
+    Heartbeat {
         leader: NodeId(7),
         term: 300,
-        last: (299, 70_001),
-        part: true,
-        agreed: 70_002,
-        applied: (70_003, 0xdead_beef),
-        marks: 0x0bad_cafe,
-        hears: vec![NodeId(5), NodeId(600)],
-        returns: false,
+        last_entry: EntryId { term: 299, index: 70_001 },
+        participates: true,
+        commit_index: 70_002,
+        applied: AppliedPosition { index: 70_003, digest: 0xdead_beef },
+        pending_drains_digest: 0x0bad_cafe,
+        reachable_peers: vec![NodeId(5), NodeId(600)],
+        recovering: false,
     }
 }
 
-fn words() -> Vec<Word> {
-    let full = Word {
-        by: NodeId(5),
-        count: Count { boot: 6, facts: 700 },
-        host: "s-1-0".into(),
-        primary: true,
+fn gossip_records() -> Vec<GossipRecord> {
+    let full = GossipRecord {
+        observer: NodeId(5),
+        version: GossipVersion { incarnation: 6, sequence: 700 },
+        endpoint: "s-1-0".into(),
+        is_primary: true,
         position: LogPosition::from_micros(1_767_225_600_123_456),
         age: TimeDelta::from_micros(250_000),
-        out: 400,
-        up: Some(TimeDelta::from_micros(16_000_000)),
-        rate: 123_456,
-        used: 610,
+        attempts_in_flight: 400,
+        uptime: Some(TimeDelta::from_micros(16_000_000)),
+        service_rate_milli: 123_456,
+        utilization_permille: 610,
     };
-    let bare = Word {
-        up: None,
-        primary: false,
+    let bare = GossipRecord {
+        uptime: None,
+        is_primary: false,
         position: LogPosition::from_micros(0),
-        used: 0,
-        host: "s-2".into(),
+        utilization_permille: 0,
+        endpoint: "s-2".into(),
         ..full.clone()
     };
     vec![full, bare]
 }
 
-fn sights() -> BTreeMap<ZoneId, Sight> {
-    let one = Sight { good: 1000, late: 2, silent: 3, refused: 400, hosts: 5, gone: 6, of: 700, busy: 810 };
-    BTreeMap::from([(ZoneId(0), one), (ZoneId(200), Sight { good: 9, ..Sight::default() })])
+fn zone_outcomes() -> BTreeMap<ZoneId, ZoneOutcomes> {
+    let one = ZoneOutcomes {
+        on_time: 1000,
+        late: 2,
+        unanswered: 3,
+        connect_failed: 400,
+        endpoints_tried: 5,
+        endpoints_failed: 6,
+        endpoints_total: 700,
+        utilization_permille: 810,
+    };
+    BTreeMap::from([(ZoneId(0), one), (ZoneId(200), ZoneOutcomes { on_time: 9, ..ZoneOutcomes::default() })])
 }
 
 /// Every message, each variant of what is in it among them.
-fn messages() -> Vec<(&'static str, Frame)> {
+fn messages() -> Vec<(&'static str, PeerMessage)> {
     let fleet = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
-    let marks = vec![
-        ("s-1-1".to_string(), DrainMark { by: NodeId(5), number: 6 }),
-        ("s-2".to_string(), DrainMark { by: NodeId(7), number: 800 }),
+    let drains = vec![
+        PendingDrain { host: "s-1-1".to_string(), drain: DrainId { node: NodeId(5), sequence: 6 } },
+        PendingDrain { host: "s-2".to_string(), drain: DrainId { node: NodeId(7), sequence: 800 } },
     ];
-    let v6 = Hello { address: "[::1]:8892".parse().unwrap(), ..hello("b1", 0) };
-    let digest = vec![(NodeId(5), Count { boot: 6, facts: 700 }), (NodeId(800), Count { boot: 9, facts: 0 })];
-    let breaks = vec![LogRollback {
+    let v6 = Handshake { address: "[::1]:8892".parse().unwrap(), ..handshake("b1", 0) };
+    let digest = vec![
+        (NodeId(5), GossipVersion { incarnation: 6, sequence: 700 }),
+        (NodeId(800), GossipVersion { incarnation: 9, sequence: 0 }),
+    ];
+    let rollbacks = vec![LogRollback {
         group: GroupId(300),
         from: LogPosition::from_micros(1_767_225_600_000_000),
         to: LogPosition::from_micros(1_767_225_600_000_001),
     }];
-    let returns = Beat { part: false, returns: true, ..beat() };
+    let recovering = Heartbeat { participates: false, recovering: true, ..heartbeat() };
     let mut all = vec![
-        ("hello", Frame::Hello(hello("b0", fleet))),
-        ("hello without a fleet at an IPv6 address", Frame::Hello(v6)),
-        ("wish vote", Frame::Wish("b3".into(), Wish::Vote)),
-        ("wish leave", Frame::Wish("b4".into(), Wish::Leave)),
-        ("marks", Frame::Marks(marks)),
-        ("beat", Frame::Beat(beat())),
-        ("beat of one that returns", Frame::Beat(returns)),
-        ("digest", Frame::Digest(digest)),
-        ("words with and without optional parts", Frame::Words(words())),
-        ("hint", Frame::PrimaryHint([127, 0, 0, 1, 0xd4, 0x31], TimeDelta::from_micros(250_000))),
-        ("breaks", Frame::LogRollbacks(breaks)),
-        ("sights", Frame::Sights(sights())),
+        ("hello", PeerMessage::Handshake(handshake("b0", fleet))),
+        ("hello without a fleet at an IPv6 address", PeerMessage::Handshake(v6)),
+        (
+            "wish vote",
+            PeerMessage::MembershipRequest(MemberRequest {
+                member: "b3".into(),
+                request: MembershipRequest::GrantVote,
+            }),
+        ),
+        (
+            "wish leave",
+            PeerMessage::MembershipRequest(MemberRequest {
+                member: "b4".into(),
+                request: MembershipRequest::Remove,
+            }),
+        ),
+        ("marks", PeerMessage::PendingDrains(drains)),
+        ("beat", PeerMessage::Heartbeat(heartbeat())),
+        ("beat of one that returns", PeerMessage::Heartbeat(recovering)),
+        ("digest", PeerMessage::GossipDigest(digest)),
+        ("words with and without optional parts", PeerMessage::GossipRecords(gossip_records())),
+        (
+            "hint",
+            PeerMessage::PrimaryHint {
+                endpoint: EndpointBytes([127, 0, 0, 1, 0xd4, 0x31]),
+                age: TimeDelta::from_micros(250_000),
+            },
+        ),
+        ("breaks", PeerMessage::LogRollbacks(rollbacks)),
+        ("sights", PeerMessage::ZoneOutcomes(zone_outcomes())),
     ];
     all.extend(verdicts());
-    all.extend(letters());
+    all.extend(raft_messages());
     all.extend(changes());
     all
 }
 
 /// Fails to compile where a variant is added: it needs a golden message above, and a line here.
-fn kinds(frame: &Frame) -> (&'static str, &'static str) {
-    match frame {
-        Frame::Hello(_) => ("hello", ""),
-        Frame::Verdict(verdict, _) => (
+fn kinds(message: &PeerMessage) -> (&'static str, &'static str) {
+    match message {
+        PeerMessage::Handshake(_) => ("hello", ""),
+        PeerMessage::HandshakeReply(HandshakeReply { verdict, .. }) => (
             "verdict",
             match verdict {
-                Verdict::Welcome => "welcome",
-                Verdict::Stranger => "stranger",
-                Verdict::Removed => "removed",
-                Verdict::Older => "older",
-                Verdict::Recovered => "recovered",
-                Verdict::Candidate(_) => "candidate",
+                HandshakeVerdict::Accepted => "welcome",
+                HandshakeVerdict::OtherFleet => "stranger",
+                HandshakeVerdict::RemovedMember => "removed",
+                HandshakeVerdict::OutdatedStorage => "older",
+                HandshakeVerdict::SupersededFleet => "recovered",
+                HandshakeVerdict::NotYetMember(_) => "candidate",
             },
         ),
-        Frame::Letters(_) => ("letters", ""),
-        Frame::Forward(proposal) => (
+        PeerMessage::RaftMessages(_) => ("letters", ""),
+        PeerMessage::ForwardedProposal(proposal) => (
             "forward",
             match &proposal.change {
                 Change::Drain { .. } => "drain",
                 Change::Undrain { .. } => "undrain",
                 Change::Inventory { .. } => "inventory",
                 Change::Settings { .. } => "settings",
-                Change::Zone { share, .. } => match share.why {
-                    Why::Returns => "zone returns",
-                    Why::Lost => "zone lost",
-                    Why::Slow => "zone slow",
-                    Why::Operator => "zone operator",
+                Change::ZoneWeight { weight: share, .. } => match share.reason {
+                    WeightReason::Returns => "zone returns",
+                    WeightReason::Lost => "zone lost",
+                    WeightReason::Slow => "zone slow",
+                    WeightReason::Operator => "zone operator",
                 },
                 Change::Regions { .. } => "regions",
             },
         ),
-        Frame::Wish(_, Wish::Vote) => ("wish", "vote"),
-        Frame::Wish(_, Wish::Leave) => ("wish", "leave"),
-        Frame::Marks(_) => ("marks", ""),
-        Frame::Beat(_) => ("beat", ""),
-        Frame::Digest(_) => ("digest", ""),
-        Frame::Words(_) => ("words", ""),
-        Frame::PrimaryHint(..) => ("hint", ""),
-        Frame::LogRollbacks(_) => ("breaks", ""),
-        Frame::Sights(_) => ("sights", ""),
+        PeerMessage::MembershipRequest(MemberRequest { request: MembershipRequest::GrantVote, .. }) => {
+            ("wish", "vote")
+        }
+        PeerMessage::MembershipRequest(MemberRequest { request: MembershipRequest::Remove, .. }) => {
+            ("wish", "leave")
+        }
+        PeerMessage::PendingDrains(_) => ("marks", ""),
+        PeerMessage::Heartbeat(_) => ("beat", ""),
+        PeerMessage::GossipDigest(_) => ("digest", ""),
+        PeerMessage::GossipRecords(_) => ("words", ""),
+        PeerMessage::PrimaryHint { .. } => ("hint", ""),
+        PeerMessage::LogRollbacks(_) => ("breaks", ""),
+        PeerMessage::ZoneOutcomes(_) => ("sights", ""),
     }
 }
 
@@ -296,40 +352,45 @@
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex")).collect()
 }
 
-/// Guards against a message that daemons of the version before cannot read.
+/// Guards against a message that nodes of the version before cannot read.
 #[test]
 fn every_peer_message_is_written_as_its_golden_bytes() {
     let written: String =
-        messages().iter().map(|(name, frame)| format!("{name} = {}\n", hex(&frame.bytes()))).collect();
+        messages().iter().map(|(name, message)| format!("{name} = {}\n", hex(&message.encode()))).collect();
     assert_eq!(written, GOLDEN, "what is written now:\n{written}");
 }
 
-/// Guards against a message of a daemon of the version before that is read as something else.
+/// Guards against a message of a node of the version before that is read as something else.
 #[test]
 fn the_golden_bytes_of_every_peer_message_are_read_as_its_value() {
     let mut golden = GOLDEN.lines();
-    for (name, frame) in messages() {
+    for (name, message) in messages() {
         let (known, hex) = golden.next().and_then(|l| l.split_once(" = ")).expect("name = hex");
         let bytes = bytes(hex);
-        assert_eq!((known, Frame::read(&bytes, MOST)), (name, Ok(Some((frame, bytes.len())))), "{name}");
+        let decoded = DecodedMessage { message, encoded_bytes: bytes.len() };
+        assert_eq!((known, PeerMessage::decode(&bytes, LIMIT_BYTES)), (name, Ok(Some(decoded))), "{name}");
     }
     assert_eq!(golden.next(), None);
 }
 
-/// Guards against a letter whose golden bytes are right and that the consensus gets as another one.
+/// Guards against a message whose golden bytes are right and that the consensus gets as another one.
 #[test]
-fn the_golden_letters_become_the_same_consensus_messages() {
-    for (name, frame) in messages() {
-        let Frame::Letters(letters) = frame else { continue };
-        for letter in letters {
-            let kind = letter.clone().message().map(|m| m.msg_type);
-            // What is no snapshot and what carries one must go together.
+fn the_golden_raft_messages_become_the_same_consensus_messages() {
+    for (name, message) in messages() {
+        let PeerMessage::RaftMessages(raft_messages) = message else { continue };
+        for raft_message in raft_messages {
+            let kind = raft_message.clone().into_raft().map(|m| m.msg_type);
+            // A snapshot message must carry a snapshot, any other message must not.
             assert_eq!(
                 kind.is_some(),
-                letter.carries_state() == name.starts_with("letter snapshot"),
+                raft_message.carries_state() == name.starts_with("letter snapshot"),
+                "{name}"
+            );
+            assert_eq!(
+                raft_message.clone().into_raft().and_then(RaftMessage::from_raft),
+                Some(raft_message),
                 "{name}"
             );
-            assert_eq!(letter.clone().message().and_then(Letter::of), Some(letter), "{name}");
         }
     }
 }
@@ -340,7 +401,7 @@
     let messages = messages();
     let named: BTreeSet<&str> = messages.iter().map(|(name, _)| *name).collect();
     assert_eq!(named.len(), messages.len(), "each name once");
-    let found: BTreeSet<(&str, &str)> = messages.iter().map(|(_, frame)| kinds(frame)).collect();
+    let found: BTreeSet<(&str, &str)> = messages.iter().map(|(_, message)| kinds(message)).collect();
     let tops: BTreeSet<&str> = found.iter().map(|(top, _)| *top).collect();
     assert_eq!((tops.len(), found.len()), (12, 6 + 9 + 2 + 9), "{found:?}");
 }
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -1,121 +1,133 @@
-//! Drains that are not agreed yet. They act where they are known, also where no majority can be reached, until
-//! the log has said what became of them. No I/O.
+//! Drains that are not committed yet. No I/O.
+//!
+//! Such a drain acts wherever it is known, also where no majority can be reached, until the log has resolved it: it
+//! was committed, or undone.
 
 use crate::ids::NodeId;
-use crate::store::records;
-use crate::store::state_machine::{Change, DrainMark, State};
+use crate::store::codec;
+use crate::store::state_machine::{Change, ClusterState, DrainId, PendingDrain};
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Drains that wait for a majority.
+/// Drains that wait for a majority, by endpoint name.
 #[derive(Debug, Default)]
-pub struct Marks {
-    open: BTreeMap<(String, DrainMark), Option<Timestamp>>,
-    hosts: BTreeMap<String, usize>,
-    last: u64,
-    /// Grows with every change.
+pub struct PendingDrains {
+    /// When each drain was last proposed by this node as the leader; `None`: not yet.
+    proposed_at: BTreeMap<PendingDrain, Option<Timestamp>>,
+    /// The number of pending drains of each endpoint that has any.
+    count_by_endpoint: BTreeMap<String, usize>,
+    last_sequence: u64,
     version: u64,
 }
 
-impl Marks {
-    /// What a disk held.
-    pub fn new(held: Vec<(String, DrainMark)>) -> Marks {
-        let mut marks = Marks::default();
-        held.into_iter().for_each(|(host, mark)| {
-            marks.add(host, mark);
-        });
-        marks
+impl PendingDrains {
+    /// The drains that the disk held.
+    pub fn new(persisted: Vec<PendingDrain>) -> PendingDrains {
+        let mut drains = PendingDrains::default();
+        for drain in persisted {
+            drains.add(drain);
+        }
+        drains
     }
 
-    fn add(&mut self, host: String, mark: DrainMark) -> bool {
-        let key = (host, mark);
-        if self.open.contains_key(&key) {
-            return false;
+    fn add(&mut self, drain: PendingDrain) {
+        if self.proposed_at.contains_key(&drain) {
+            return;
         }
-        *self.hosts.entry(key.0.clone()).or_default() += 1;
-        self.open.insert(key, None);
+        *self.count_by_endpoint.entry(drain.host.clone()).or_default() += 1;
+        self.proposed_at.insert(drain, None);
         self.version += 1;
-        true
     }
 
-    /// A drain is said here; `now` makes its number one that this daemon never used, also after a restart.
-    pub fn say(&mut self, host: &str, by: NodeId, now: Timestamp) -> DrainMark {
-        let own = self.open.keys().find(|(h, m)| h == host && m.by == by);
-        if let Some((_, mark)) = own {
-            return *mark;
+    fn remove(&mut self, drain: &PendingDrain) {
+        self.proposed_at.remove(drain);
+        if let Some(count) = self.count_by_endpoint.get_mut(&drain.host) {
+            *count -= 1;
+            if *count == 0 {
+                self.count_by_endpoint.remove(&drain.host);
+            }
         }
-        self.last = (self.last + 1).max(now.as_micros().max(0) as u64);
-        let mark = DrainMark { by, number: self.last };
-        self.add(host.to_string(), mark);
-        mark
     }
 
-    /// Takes in what another daemon holds, as far as the log has not settled it; true: something was new. More
-    /// than `most` are not kept.
-    pub fn hear(&mut self, others: Vec<(String, DrainMark)>, state: &State, most: usize) -> bool {
-        let before = self.version;
-        for (host, mark) in others {
-            if !state.settled(&host, mark) && self.open.len() < most {
-                self.add(host, mark);
+    /// Drains an endpoint on behalf of this node; one that this node drains already keeps its id. `now` makes the
+    /// sequence number one that this node has never used, also after a restart that lost its disk.
+    pub fn request_drain(&mut self, endpoint: &str, local_node: NodeId, now: Timestamp) -> DrainId {
+        for pending in self.proposed_at.keys() {
+            if pending.host == endpoint && pending.drain.node == local_node {
+                return pending.drain;
             }
         }
-        self.version != before
+        let time_sequence = now.as_micros().max(0) as u64;
+        self.last_sequence = (self.last_sequence + 1).max(time_sequence);
+        let id = DrainId { node: local_node, sequence: self.last_sequence };
+        self.add(PendingDrain { host: endpoint.to_string(), drain: id });
+        id
     }
 
-    /// Forgets what the log has settled, and says what that was.
-    pub fn settle(&mut self, state: &State) -> Vec<(String, DrainMark)> {
-        let settled: Vec<(String, DrainMark)> =
-            self.open.keys().filter(|(host, mark)| state.settled(host, *mark)).cloned().collect();
-        for key in &settled {
-            self.open.remove(key);
-            if let Some(count) = self.hosts.get_mut(&key.0) {
-                *count -= 1;
-                if *count == 0 {
-                    self.hosts.remove(&key.0);
-                }
+    /// Takes in the pending drains of a peer that the log has not resolved, up to `limit` drains in all. Returns whether
+    /// any of them was new.
+    pub fn merge(&mut self, received: Vec<PendingDrain>, state: &ClusterState, limit: usize) -> bool {
+        let version_before = self.version;
+        for drain in received {
+            if !state.is_resolved(&drain.host, drain.drain) && self.proposed_at.len() < limit {
+                self.add(drain);
             }
         }
-        self.version += u64::from(!settled.is_empty());
-        settled
+        self.version != version_before
     }
 
-    /// Whether a host is drained by one of them.
-    pub fn drains(&self, host: &str) -> bool {
-        self.hosts.contains_key(host)
+    /// Removes the drains that the log has resolved, and returns them.
+    pub fn remove_settled(&mut self, state: &ClusterState) -> Vec<PendingDrain> {
+        let is_resolved = |drain: &&PendingDrain| state.is_resolved(&drain.host, drain.drain);
+        let resolved: Vec<PendingDrain> = self.proposed_at.keys().filter(is_resolved).cloned().collect();
+        for drain in &resolved {
+            self.remove(drain);
+        }
+        if !resolved.is_empty() {
+            self.version += 1;
+        }
+        resolved
     }
 
-    /// Those of a host.
-    pub fn of(&self, host: &str) -> BTreeSet<DrainMark> {
-        self.open.keys().filter(|(h, _)| h == host).map(|(_, mark)| *mark).collect()
+    /// Whether any of them drains this endpoint.
+    pub fn is_draining(&self, endpoint: &str) -> bool {
+        self.count_by_endpoint.contains_key(endpoint)
     }
 
-    /// All of them.
-    pub fn all(&self) -> Vec<(String, DrainMark)> {
-        self.open.keys().cloned().collect()
+    /// The pending drains of an endpoint.
+    pub fn drains_of(&self, endpoint: &str) -> BTreeSet<DrainId> {
+        let keys = self.proposed_at.keys();
+        keys.filter(|pending| pending.host == endpoint).map(|pending| pending.drain).collect()
     }
 
-    /// Whether none waits.
+    /// All of them, with their endpoints.
+    pub fn all(&self) -> Vec<PendingDrain> {
+        self.proposed_at.keys().cloned().collect()
+    }
+
+    /// Whether there is none.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.proposed_at.is_empty()
     }
 
-    /// Grows with every change.
+    /// A number that grows with every change, for writing them to disk only when they have changed.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Alike at daemons that hold the same.
+    /// A checksum that is equal on nodes with the same drains; 0: there is none.
     pub fn digest(&self) -> u32 {
-        if self.open.is_empty() { 0 } else { crc32fast::hash(&records::write(&self.all())) }
+        if self.is_empty() { 0 } else { crc32fast::hash(&codec::encode(&self.all())) }
     }
 
-    /// What the leader has to put into the log: each at once, and again where it was not settled for `insist`.
-    pub fn due(&mut self, now: Timestamp, insist: TimeDelta) -> Vec<Change> {
+    /// The drains that the leader has to propose: each at once, and again every `retry_interval` until the log has
+    /// resolved it.
+    pub fn due_proposals(&mut self, now: Timestamp, retry_interval: TimeDelta) -> Vec<Change> {
         let mut due = Vec::new();
-        for ((host, mark), proposed) in &mut self.open {
-            if proposed.is_none_or(|at| now - at >= insist) {
-                *proposed = Some(now);
-                due.push(Change::Drain { host: host.clone(), mark: *mark });
+        for (pending, proposed_at) in &mut self.proposed_at {
+            if proposed_at.is_none_or(|proposed_at| now - proposed_at >= retry_interval) {
+                *proposed_at = Some(now);
+                due.push(Change::Drain { host: pending.host.clone(), drain: pending.drain });
             }
         }
         due
@@ -123,78 +135,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a drain that is said in a minority and lost, whoever dies meanwhile, and against an undrain
-    /// that undoes what it had not heard of. Seeded: three daemons that hear one another now and then, a log that
-    /// takes what one of them holds.
-    #[test]
-    fn a_drain_acts_where_it_is_known_until_the_log_has_settled_it() {
-        for seed in 0..500 {
-            let mut rng = fastrand::Rng::with_seed(seed);
-            let mut state = State::default();
-            let mut nodes: Vec<Marks> = (0..3).map(|_| Marks::default()).collect();
-            let mut said: BTreeSet<(String, DrainMark)> = BTreeSet::new();
-            let mut undone: BTreeSet<DrainMark> = BTreeSet::new();
-            for step in 0..200i64 {
-                let n = rng.usize(..3);
-                let host = format!("s-{}", rng.u8(..4));
-                match rng.u8(..10) {
-                    0 => {
-                        let mark = nodes[n].say(&host, NodeId(n as u64 + 1), Timestamp::from_micros(step));
-                        said.insert((host, mark));
-                    }
-                    1..=3 => {
-                        let all = nodes[rng.usize(..3)].all();
-                        nodes[n].hear(all, &state, 1000);
-                    }
-                    4 => {
-                        for change in nodes[n].due(Timestamp::from_micros(step), TimeDelta::from_micros(10)) {
-                            state.apply(step as u64, &change);
-                        }
-                    }
-                    5 => {
-                        let known = state.drains.get(&host).into_iter().flatten().copied();
-                        let marks: Vec<DrainMark> = known.chain(nodes[n].of(&host)).collect();
-                        undone.extend(&marks);
-                        state.apply(step as u64, &Change::Undrain { host, marks });
-                    }
-                    6 => {
-                        nodes[n].settle(&state);
-                    }
-                    _ => {}
-                }
-                for (host, mark) in said.iter().filter(|(_, mark)| !undone.contains(mark)) {
-                    let agreed = state.is_drained(host);
-                    let by = &nodes[mark.by.0 as usize - 1];
-                    assert!(agreed || by.drains(host), "seed {seed}, step {step}: {mark:?} of {host}");
-                }
-            }
-            for node in &mut nodes {
-                node.settle(&state);
-            }
-            for (host, mark) in &said {
-                assert_eq!(state.settled(host, *mark), !nodes.iter().any(|n| n.of(host).contains(mark)));
-            }
-        }
-    }
-
-    #[test]
-    fn a_number_is_never_used_twice_and_what_is_held_is_bounded() {
-        let (mut marks, me, at) = (Marks::default(), NodeId(7), Timestamp::from_micros);
-        let first = marks.say("a", me, at(1_000));
-        assert_eq!(marks.say("a", me, at(2_000)), first, "it is drained already");
-        assert!(marks.say("b", me, at(1_000)).number > first.number);
-        assert!(
-            Marks::default().say("a", me, at(5_000)).number > first.number,
-            "after a restart without disk"
-        );
-        let many = (0..50).map(|n| (format!("s-{n}"), DrainMark { by: NodeId(9), number: n })).collect();
-        assert!(marks.hear(many, &State::default(), 10));
-        assert_eq!(marks.all().len(), 10);
-        assert_ne!(marks.digest(), 0);
-        let mut due = |now| marks.due(at(now), TimeDelta::from_micros(100)).len();
-        assert_eq!((due(0), due(50), due(100)), (10, 0, 10));
-    }
-}
+mod tests;
--- a/src/fleet/recovery/first_election.rs
+++ b/src/fleet/recovery/first_election.rs
@@ -1,135 +1,93 @@
-//! Who stands for election first after a start. No I/O.
+//! Which node starts the first election after a start.
 //!
-//! An election comes by itself after 10 to 20 ticks without a word of a leader, since one that is there speaks that
-//! often. After a loss of power there is none to wait for: once enough of the voters are heard and none of them knows
-//! a leader, the one whose log is the newest asks for the lead at once. That it gets it, and that nobody gets it
-//! twice, is the agreement's matter: a wrong guess here costs an exchange of letters.
+//! Elections come by themselves after 10 to 20 ticks without a heartbeat of a leader, since a leader sends one that
+//! often. After a power failure there is no leader to wait for: once enough voters are heard and none of them knows a
+//! leader, the one with the newest log starts an election at once. Raft decides whether it wins, and that nobody wins a
+//! term twice: a wrong guess here costs one exchange of messages.
 
 use crate::ids::NodeId;
+use crate::store::records::EntryId;
 use crate::time::{TimeDelta, Timestamp};
 use std::cmp::Reverse;
 
-/// Where some voters are silent those that are heard wait this long for them: one of them may know more.
-const WAIT: TimeDelta = TimeDelta::from_millis(150);
-/// One that got no answer asks again after this.
-const AGAIN: TimeDelta = TimeDelta::from_millis(150);
+/// While some voters are silent, those of a majority wait this long for them: one of them may have a newer log.
+const SILENT_VOTER_WAIT: TimeDelta = TimeDelta::from_millis(150);
+/// A node whose election brought no leader starts the next one after this.
+const ELECTION_RETRY: TimeDelta = TimeDelta::from_millis(150);
 
 /// What is known of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Voter {
-    /// Who it is.
+    /// The node.
     pub id: NodeId,
-    /// The last entry of its log: its term and its place.
-    pub last: (u64, u64),
-    /// The leader that it knows; 0: none.
+    /// The last entry of its log.
+    pub last_entry: EntryId,
+    /// The leader that it knows; [`NodeId::NOBODY`]: none.
     pub leader: NodeId,
 }
 
-/// What a daemon has done for a leader since its start.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Lead {
-    /// Since when it hears a majority of the voters.
-    majority: Option<Timestamp>,
-    /// When it last stood.
-    stood: Option<Timestamp>,
-    /// It has known a leader: from then on elections come by themselves.
-    led: bool,
-}
+impl Voter {
+    fn knows_leader(&self) -> bool {
+        self.leader != NodeId::NOBODY
+    }
 
-impl Lead {
-    /// Whether this daemon stands for election now. `heard`: the other voters that are heard and take part.
-    pub fn stands(&mut self, now: Timestamp, me: Voter, voters: &[NodeId], heard: &[Voter]) -> bool {
-        self.led |= me.leader != NodeId::NOBODY;
-        let there = heard.iter().filter(|v| voters.contains(&v.id)).count() + 1;
-        self.majority = self.majority.or(Some(now)).filter(|_| there * 2 > voters.len());
-        let waited = self.majority.map_or(TimeDelta::ZERO, |at| now - at);
-        let rests = self.stood.is_some_and(|at| now - at < AGAIN);
-        let due = !self.led && !rests && stands(me, voters, heard, waited);
-        self.stood = if due { Some(now) } else { self.stood };
-        due
+    /// Whether this voter rather than `other` is to be elected: the newer log by term, then index, as in Raft; of equal
+    /// ones the lower id.
+    fn precedes(&self, other: &Voter) -> bool {
+        (self.last_entry, Reverse(self.id)) > (other.last_entry, Reverse(other.id))
     }
 }
 
-/// Whether it is this daemon's turn. `waited`: for how long a majority of all has been heard.
-fn stands(me: Voter, voters: &[NodeId], heard: &[Voter], waited: TimeDelta) -> bool {
-    let heard: Vec<&Voter> = heard.iter().filter(|v| voters.contains(&v.id) && v.id != me.id).collect();
-    let there = heard.len() + 1;
-    let led = me.leader != NodeId::NOBODY || heard.iter().any(|v| v.leader != NodeId::NOBODY);
-    let newest = |v: &Voter| (v.last, Reverse(v.id));
-    voters.contains(&me.id)
-        && !led
-        && there * 2 > voters.len()
-        && (there == voters.len() || waited >= WAIT)
-        && heard.iter().all(|v| newest(v) < newest(&me))
+/// The first election as one node sees it.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct FirstElection {
+    /// Since when a majority of the voters is heard.
+    majority_since: Option<Timestamp>,
+    /// When this node last started an election.
+    started_at: Option<Timestamp>,
+    /// This node has known a leader since its start: from then on elections come by themselves.
+    leader_known: bool,
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn voter(id: u64, index: u64) -> Voter {
-        Voter { id: NodeId(id), last: (3, index), leader: NodeId::NOBODY }
-    }
-
-    /// Guards against two that stand against one another although they hear each other, against one that stands beside
-    /// a leader or without a majority, and against nobody standing. Seeded: any logs, any part heard.
-    #[test]
-    fn of_those_that_hear_one_another_exactly_one_stands_and_it_has_the_newest_log() {
-        for seed in 0..2_000 {
-            let mut rng = fastrand::Rng::with_seed(seed);
-            let size = rng.u64(1..=9);
-            let voters: Vec<NodeId> = (1..=size).map(NodeId).collect();
-            let mut up = Vec::new();
-            for id in &voters {
-                let one = voter(id.0, rng.u64(0..3));
-                up.extend((rng.u8(..4) > 0).then_some(one));
-            }
-            let led = rng.u8(..5) == 0;
-            let waited = if rng.bool() { WAIT } else { TimeDelta::ZERO };
-            let mut standing = Vec::new();
-            for (n, me) in up.iter().enumerate() {
-                let mut others: Vec<Voter> = [&up[..n], &up[n + 1..]].concat();
-                // One that only follows, and a stranger, have no say.
-                others.push(voter(77, 99));
-                if led && let Some(other) = others.first_mut().filter(|v| v.id < NodeId(77)) {
-                    other.leader = NodeId(5);
-                }
-                if stands(*me, &voters, &others, waited) {
-                    standing.push(*me);
-                }
-            }
-            let majority = up.len() * 2 > voters.len();
-            let whole = up.len() == voters.len();
-            let due = majority && (whole || waited >= WAIT) && !(led && up.len() > 1);
-            assert_eq!(standing.len(), usize::from(due), "seed {seed}: {standing:?}");
-            let newest = up.iter().map(|v| v.last).max();
-            assert!(standing.iter().all(|v| Some(v.last) == newest), "seed {seed}");
+impl FirstElection {
+    /// Whether this node starts an election now. `heard`: the other nodes that are heard and take part in the
+    /// consensus.
+    pub fn is_due(&mut self, now: Timestamp, local: Voter, voters: &[NodeId], heard: &[Voter]) -> bool {
+        self.leader_known |= local.knows_leader();
+        let reachable = heard.iter().filter(|voter| voters.contains(&voter.id)).count() + 1;
+        if reachable * 2 > voters.len() {
+            self.majority_since.get_or_insert(now);
+        } else {
+            self.majority_since = None;
         }
+        let waited = self.majority_since.map_or(TimeDelta::ZERO, |since| now - since);
+        let started_recently = self.started_at.is_some_and(|started_at| now - started_at < ELECTION_RETRY);
+        let is_due = !self.leader_known && !started_recently && is_candidate(local, voters, heard, waited);
+        if is_due {
+            self.started_at = Some(now);
+        }
+        is_due
     }
+}
 
-    /// Guards against letters without end, and against one that stands again because a leader has fallen silent.
-    #[test]
-    fn it_stands_again_after_a_while_and_never_once_it_has_known_a_leader() {
-        let (mut lead, voters, me) = (Lead::default(), [1, 2, 3].map(NodeId), voter(1, 5));
-        let two = [voter(2, 5)];
-        let (at, tick) = (|wait: TimeDelta| Timestamp::ZERO + wait, TimeDelta::from_micros(1));
-        assert!(!lead.stands(at(TimeDelta::ZERO), me, &voters, &two), "the third one may know more");
-        assert!(!lead.stands(at(WAIT), me, &voters, &[]) && !lead.stands(at(WAIT + tick), me, &voters, &two));
-        assert!(lead.stands(at(2 * WAIT + tick), me, &voters, &two));
-        assert!(!lead.stands(at(2 * WAIT + AGAIN), me, &voters, &two));
-        assert!(lead.stands(at(2 * WAIT + tick + AGAIN), me, &voters, &two));
-        assert!(!lead.stands(at(5 * WAIT), Voter { leader: NodeId(2), ..me }, &voters, &two));
-        assert!(!lead.stands(at(9 * WAIT), me, &voters, &two));
+/// Whether the local node is the one to be elected. `waited`: how long a majority of all voters has been heard.
+fn is_candidate(local: Voter, voters: &[NodeId], heard: &[Voter], waited: TimeDelta) -> bool {
+    if !voters.contains(&local.id) || local.knows_leader() {
+        return false;
     }
-
-    #[test]
-    fn one_that_only_follows_never_stands() {
-        assert!(!stands(
-            voter(9, 50),
-            &[1, 2, 3].map(NodeId),
-            &[voter(1, 1), voter(2, 1), voter(3, 1)],
-            WAIT
-        ));
-        assert!(stands(voter(1, 0), &[NodeId(1)], &[], TimeDelta::ZERO));
+    let mut reachable = 1;
+    for voter in heard {
+        if !voters.contains(&voter.id) || voter.id == local.id {
+            continue;
+        }
+        if voter.knows_leader() || !local.precedes(voter) {
+            return false;
+        }
+        reachable += 1;
     }
+    let is_majority = reachable * 2 > voters.len();
+    is_majority && (reachable == voters.len() || waited >= SILENT_VOTER_WAIT)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/fleet/recovery/mod.rs
+++ b/src/fleet/recovery/mod.rs
@@ -1,102 +1,15 @@
-//! What a daemon that returns trusts of what it learned before. No I/O.
+//! How service returns after a start. No I/O.
 //!
-//! What was learned from before is a first guess and nothing more: it is told to nobody, proves no position, and goes
-//! as soon as anybody has heard something since.
+//! - `persisted`: what of the gossip on disk can still be used, judged by the machine's clocks.
+//! - `first_election`: which node starts the first election after a start.
+//! - `phases`: in which order groups are admitted again, and at which rate while their endpoints are cold.
+//! - `slow_start`: what a cold endpoint bears, and this process's share of it.
+//! - `restart_detector`: which endpoints have restarted while this process was in service.
 
 pub mod first_election;
+pub mod persisted;
 pub mod phases;
 pub mod restart_detector;
+pub mod slow_start;
 
-use super::gossip::Word;
-use crate::engine::log_rollback::LogRollback;
-use crate::time::{TimeDelta, Timestamp};
-use serde::{Deserialize, Serialize};
-
-/// What has lain longer is worth nothing.
-const KEPT: TimeDelta = TimeDelta::from_secs(3_600);
-/// A clock that went differently from the machine by more than this was set.
-const SET: TimeDelta = TimeDelta::from_secs(2);
-
-/// The clocks of a machine at one moment.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Clocks {
-    /// Unix time.
-    pub wall: Timestamp,
-    /// Which start of the machine; empty: not known.
-    pub boot: String,
-    /// Since that start, sleep included.
-    pub up: TimeDelta,
-}
-
-/// What was learned, as it lies on the disk.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
-    /// When it was written.
-    pub at: Clocks,
-    /// What was known.
-    pub words: Vec<Word>,
-    /// What groups have lost. That counts whatever the clock did: it names positions, not times.
-    pub breaks: Vec<LogRollback>,
-}
-
-/// What something from before is worth.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trust {
-    /// A guess, older by so much than when it was written.
-    Guess(TimeDelta),
-    /// Nothing, and why.
-    Worthless(&'static str),
-}
-
-/// What is to be made of something that was written at one moment and is read at another. The time when the machine
-/// was off counts; a clock that was set makes it worthless rather than fresh.
-pub fn trust(then: &Clocks, now: &Clocks) -> Trust {
-    let span = now.wall - then.wall;
-    if span < TimeDelta::ZERO {
-        return Trust::Worthless("the clock went back");
-    }
-    if !now.boot.is_empty() && now.boot == then.boot {
-        let truth = now.up - then.up;
-        if truth < TimeDelta::ZERO || (truth - span).abs() > SET {
-            return Trust::Worthless("the clock was set");
-        }
-    }
-    if span > KEPT { Trust::Worthless("it has lain for too long") } else { Trust::Guess(span) }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn clocks(wall: TimeDelta, boot: &str, up: TimeDelta) -> Clocks {
-        Clocks { wall: Timestamp::ZERO + wall, boot: boot.into(), up }
-    }
-
-    /// Guards against something old that passes for fresh, whatever the clock did meanwhile.
-    #[test]
-    fn what_lay_is_older_by_that_time_and_worth_nothing_when_the_clock_was_set() {
-        let s = TimeDelta::from_secs(1);
-        let then = clocks(1_000 * s, "a", 50 * s);
-        for (now, wanted) in [
-            (clocks(1_030 * s, "a", 80 * s), Trust::Guess(30 * s)),
-            (clocks(1_030 * s, "b", 5 * s), Trust::Guess(30 * s)),
-            (clocks(999 * s, "b", 5 * s), Trust::Worthless("the clock went back")),
-            (clocks(1_002 * s, "a", 80 * s), Trust::Worthless("the clock was set")),
-            (clocks(1_900 * s, "a", 80 * s), Trust::Worthless("the clock was set")),
-            (clocks(1_030 * s, "a", 40 * s), Trust::Worthless("the clock was set")),
-            (clocks(9_000 * s, "b", 5 * s), Trust::Worthless("it has lain for too long")),
-        ] {
-            assert_eq!(trust(&then, &now), wanted, "{now:?}");
-        }
-        let mut rng = fastrand::Rng::with_seed(2);
-        for _ in 0..5_000 {
-            // The machine was on all the time: however its clock was set, nothing looks younger than it is.
-            let (true_span, set) = (rng.i64(0..4_000_000_000), rng.i64(-5_000_000_000..5_000_000_000));
-            let (true_span, set) = (TimeDelta::from_micros(true_span), TimeDelta::from_micros(set));
-            let now = clocks(then.wall.since(Timestamp::ZERO) + true_span + set, "a", then.up + true_span);
-            if let Trust::Guess(span) = trust(&then, &now) {
-                assert!(span + SET >= true_span);
-            }
-        }
-    }
-}
+pub use self::persisted::{ClockReading, PersistedGossip, RestoredAge, restored_age};
--- /dev/null
+++ b/src/fleet/runtime/membership_requests.rs
@@ -0,0 +1,173 @@
+//! Changes of the membership: what operators request, and the leader's next step.
+
+use super::Fleet;
+use super::proposals::NoMajority;
+use crate::fleet::membership::{
+    MemberRequest, MembershipAction, MembershipRequest, MembershipView, VoterStatus,
+};
+use crate::fleet::message::PeerMessage;
+use crate::fleet::peer_link::sleep_or_wake;
+use crate::ids::NodeId;
+use crate::net::until;
+use crate::store::state_machine::{Change, Proposal};
+use crate::store::store_thread::StoreCommand;
+use crate::time::TimeDelta;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+/// What operators request of members, until it is done or the request has expired.
+pub(super) struct MembershipRequests {
+    requested_at: BTreeMap<MemberRequest, Instant>,
+    max_requests: usize,
+}
+
+impl MembershipRequests {
+    /// Without requests.
+    pub(super) fn new(max_requests: usize) -> MembershipRequests {
+        MembershipRequests { requested_at: BTreeMap::new(), max_requests }
+    }
+
+    /// Notes a request, unless there are too many.
+    pub(super) fn record(&mut self, request: MemberRequest) {
+        if self.requested_at.len() < self.max_requests {
+            self.requested_at.insert(request, Instant::now());
+        }
+    }
+
+    /// Whether there is none.
+    pub(super) fn is_empty(&self) -> bool {
+        self.requested_at.is_empty()
+    }
+
+    /// Forgets requests that were not repeated for `age`.
+    fn expire(&mut self, age: Duration) {
+        let now = Instant::now();
+        self.requested_at.retain(|_, requested_at| now - *requested_at < age);
+    }
+
+    fn current(&self) -> BTreeSet<MemberRequest> {
+        self.requested_at.keys().cloned().collect()
+    }
+}
+
+/// Why a request of an operator was not carried out.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum MembershipRequestError {
+    /// The fleet has no member of this name.
+    #[error("no daemon {0:?} in the fleet")]
+    UnknownMember(String),
+    /// It took too long.
+    #[error(transparent)]
+    NoMajority(#[from] NoMajority),
+}
+
+impl Fleet {
+    /// Has a member get a vote, or leave. Returns once that is applied here.
+    ///
+    /// # Errors
+    ///
+    /// [`MembershipRequestError`] where there is no such member, or it took longer than two agreement timeouts.
+    pub async fn change_membership(&self, request: MemberRequest) -> Result<(), MembershipRequestError> {
+        if !self.agreed().state().members.values().any(|member| member.name == request.member) {
+            return Err(MembershipRequestError::UnknownMember(request.member));
+        }
+        let carried_out = self.request_until_carried_out(&request);
+        let result = until(Instant::now() + self.limits.agreement_timeout * 2, carried_out).await;
+        Ok(result.ok_or(NoMajority)?)
+    }
+
+    /// Repeats a request to the leader until it is carried out.
+    async fn request_until_carried_out(&self, request: &MemberRequest) {
+        let changed = self.changes.subscribe();
+        while !self.is_carried_out(request) {
+            self.requests.borrow_mut().record(request.clone());
+            let (leader, is_leader) = {
+                let agreed = self.agreed();
+                (agreed.status().leader, agreed.is_leader())
+            };
+            if !is_leader && let Some(link) = self.link_to(leader) {
+                link.send(&PeerMessage::MembershipRequest(request.clone()).encode());
+            }
+            sleep_or_wake(self.limits.proposal_retry_interval, &changed).await;
+        }
+    }
+
+    fn is_carried_out(&self, request: &MemberRequest) -> bool {
+        let agreed = self.agreed();
+        let members = agreed.state().members.iter();
+        let mut ids = members.filter(|(_, member)| member.name == request.member).map(|(id, _)| id);
+        match request.request {
+            MembershipRequest::GrantVote => ids.any(|id| agreed.status().configuration.voters.contains(id)),
+            MembershipRequest::Remove => ids.next().is_none(),
+        }
+    }
+
+    /// What a leader does periodically and after each change: proposes the drains that are not committed yet, and
+    /// takes the next step of the membership.
+    pub(super) fn act_as_leader(&self) {
+        if !self.agreed().is_active_leader() {
+            return;
+        }
+        let due_drains = self.due_drain_proposals();
+        self.requests.borrow_mut().expire(self.limits.agreement_timeout);
+        self.peers.borrow_mut().expire_candidates(self.limits.peer_gone_timeout);
+        let action = self.next_membership_action();
+        let from = self.agreed().local_id();
+        for change in due_drains {
+            let token = self.next_token();
+            self.send_to_store(StoreCommand::Propose(Proposal { from, token, change }));
+        }
+        match action {
+            MembershipAction::Nothing => {}
+            MembershipAction::Propose(change) => {
+                self.send_to_store(StoreCommand::ChangeMembership(change));
+            }
+            MembershipAction::TransferLeadership(to) => {
+                self.send_to_store(StoreCommand::TransferLeadership(to));
+            }
+        }
+    }
+
+    /// Pending drains that were not proposed within the retry interval. Until all founders vote the fleet commits
+    /// nothing but its membership.
+    fn due_drain_proposals(&self) -> Vec<Change> {
+        if !self.agreed().state().is_complete() {
+            return Vec::new();
+        }
+        let retry_interval = TimeDelta::from(self.limits.proposal_retry_interval);
+        self.drains.borrow_mut().pending_mut().due_proposals(self.clock.now(), retry_interval)
+    }
+
+    /// The leader's next step, by what the members report.
+    fn next_membership_action(&self) -> MembershipAction {
+        let (agreed, peers, now) = (self.agreed(), self.peers(), Instant::now());
+        let mut candidates = BTreeMap::new();
+        for (id, candidate) in peers.candidates() {
+            candidates.insert(*id, candidate.handshake.clone());
+        }
+        let mut silence: BTreeMap<NodeId, TimeDelta> = BTreeMap::new();
+        let mut voters = BTreeMap::new();
+        for (id, status) in peers.statuses() {
+            silence.insert(*id, TimeDelta::from(now - status.last_heard));
+            let leaderless_for =
+                status.leaderless_since.map_or(TimeDelta::ZERO, |since| (now - since).into());
+            let reachable_peers = status.heartbeat.reachable_peers.iter().copied().collect();
+            voters.insert(*id, VoterStatus { leaderless_for, reachable_peers });
+        }
+        let status = agreed.status();
+        let view = MembershipView {
+            local_node: agreed.local_id(),
+            state: agreed.state(),
+            configuration: &status.configuration,
+            commit_index: status.committed,
+            progress: &status.peer_progress,
+            candidates: &candidates,
+            silent_for: &silence,
+            led_for: agreed.leading_since().map_or(TimeDelta::ZERO, |since| (now - since).into()),
+            voter_statuses: &voters,
+            requests: &self.requests.borrow().current(),
+            gone_after: TimeDelta::from(self.limits.peer_gone_timeout),
+        };
+        view.next_action()
+    }
+}
--- a/src/net/postgres/front.rs
+++ b/src/net/postgres/front.rs
@@ -12,7 +12,7 @@
 use super::statement::Statement;
 use crate::config::Limits;
 use crate::engine::EngineHandle;
-use crate::engine::classes::Classes;
+use crate::engine::classes::{Classes, IdempotencyKey};
 use crate::net::connection::ClientConnection;
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
 use crate::net::latch::Latch;
@@ -61,7 +61,9 @@
 
     /// What the engine has to know of a statement; `None` where its class is unknown.
     fn incoming_request(&self, statement: &Statement) -> Option<IncomingRequest> {
-        let class = self.classes.find(&statement.class, statement.has_idempotency_key)?;
+        let key =
+            if statement.has_idempotency_key { IdempotencyKey::Present } else { IdempotencyKey::Absent };
+        let class = self.classes.find(&statement.class, key)?;
         let now = self.handle.clock().now();
         // The decision module wants the age of the session's last commit; a client's clock that is a little ahead
         // makes it zero, not negative.
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -12,7 +12,7 @@
 use super::operation::{Operation, OperationKind};
 use super::response_head::lost_commit_answer;
 use crate::config::Limits;
-use crate::engine::classes::Classes;
+use crate::engine::classes::{Classes, IdempotencyKey};
 use crate::engine::log_rollback::LogRollbacks;
 use crate::engine::{EngineHandle, FinalAnswer, Input};
 use crate::ids::GroupId;
@@ -154,8 +154,8 @@
     /// Completes an operation with the defaults, and checks that its class can serve it.
     fn prepare(&self, operation: Operation) -> Result<PreparedOperation, OperationError> {
         let class_name = operation.class.as_deref().unwrap_or_else(|| self.default_class(&operation));
-        let has_key = operation.key.is_some();
-        let Some(class) = self.classes.find(class_name, has_key) else {
+        let key = if operation.key.is_some() { IdempotencyKey::Present } else { IdempotencyKey::Absent };
+        let Some(class) = self.classes.find(class_name, key) else {
             return Err(OperationError::UnknownClass(class_name.to_string()));
         };
         if operation.is_update() && !self.classes.writes(class_name) {
--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -1,601 +1,455 @@
-//! One daemon's part in the agreement. No I/O and no clock: it is told of ticks and letters, and hands out what
-//! is to be written before what is to be sent.
+//! One node of the consensus, without I/O and without a clock.
 //!
-//! The consensus is the library's (`raft`); what is kept here is its log in memory, the agreed state beside it,
-//! and the order of writing, sending and taking in.
-
-use super::records::{self, Conf, FleetId, Hard, Letter, LogEntry, SnapshotRecord};
-use super::state_machine::{Effect, Membership, Proposal, State};
-use crate::ids::NodeId;
+//! The algorithm is that of the `raft` library, with pre-vote and leader check. [`RaftNode`] holds the log in memory
+//! and the replicated state beside it, and keeps the order of writing, sending and applying. Its owner
+//!
+//! 1. feeds it ticks, received messages and proposals;
+//! 2. takes each [`PendingReady`], sends its messages at once, and syncs its write;
+//! 3. hands it back to [`RaftNode::complete_write`], sends the messages that come out, and acts on the applied entries.
+
+mod memory_log;
+mod persistent_state;
+
+pub use memory_log::LogSize;
+pub use persistent_state::{InvalidRaftState, RaftPersistentState, RaftWrite};
+
+use super::codec;
+use super::raft_message::RaftMessage;
+use super::records::{Configuration, HardState, LogEntry, SnapshotRecord, Vote};
+use super::state_machine::{ApplyResult, ClusterState, MembershipChange, Proposal};
+use crate::ids::{FleetId, NodeId};
+use memory_log::MemoryLog;
 use raft::eraftpb::{self, ConfChangeV2, EntryType};
-use raft::{
-    Config, GetEntriesContext, RaftState, RawNode, Ready, SnapshotStatus, StateRole, Storage, StorageError,
-};
-use std::collections::VecDeque;
+use raft::{Config, RawNode, Ready, SnapshotStatus, StateRole};
 
-/// Ticks without a word of a leader before an election, at least; twice as many at most.
+/// A follower starts an election after this many ticks without a message of a leader at the least, and after twice as
+/// many at the most; the library draws the number at random.
 pub const ELECTION_TICKS: usize = 10;
-/// Ticks between two words of a leader.
-pub const HEARTBEAT_TICKS: usize = 4;
-
-/// What a disk holds of the agreement.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Image {
-    /// The votes.
-    pub hard: Hard,
-    /// A state, entries up to which need not be applied again.
-    pub snapshot: SnapshotRecord,
-    /// The last entry that is no longer held, and its term.
-    pub dropped: (u64, u64),
-    /// Those after it.
-    pub entries: Vec<LogEntry>,
-}
-
-/// What must be on the disk before the rest of a step.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Write {
-    /// The votes, where they changed.
-    pub hard: Option<Hard>,
-    /// Entries to append; what the disk has from the first one on is replaced.
-    pub entries: Vec<LogEntry>,
-    /// A whole state.
-    pub snapshot: Option<SnapshotRecord>,
-    /// The last entry that is dropped, and its term.
-    pub dropped: Option<(u64, u64)>,
-}
-
-impl Write {
-    /// Whether there is nothing to write.
-    pub fn is_empty(&self) -> bool {
-        *self == Write::default()
-    }
-}
-
-impl Image {
-    /// The disk of the only member of a new fleet.
-    pub fn found(state: &State, id: NodeId) -> Image {
-        let conf = Conf { voters: vec![id], ..Conf::default() };
-        Image {
-            hard: Hard { term: 1, vote: NodeId::NOBODY, commit: 1 },
-            snapshot: SnapshotRecord { index: 1, term: 1, conf, state: records::write(state) },
-            dropped: (1, 1),
-            entries: Vec::new(),
-        }
-    }
-
-    /// The disk of the only member of a fleet that goes on from a state, after this entry and term.
-    pub fn refound(state: &State, id: NodeId, last: (u64, u64)) -> Image {
-        let (index, term) = (last.0 + 1, last.1 + 1);
-        let mut image = Image::found(state, id);
-        image.hard = Hard { term, vote: NodeId::NOBODY, commit: index };
-        (image.snapshot.index, image.snapshot.term) = (index, term);
-        image.dropped = (index, term);
-        image
-    }
-
-    /// The write that puts all of it on an empty disk, or in the place of what is there.
-    pub fn whole(&self) -> Write {
-        Write {
-            hard: Some(self.hard),
-            entries: self.entries.clone(),
-            snapshot: Some(self.snapshot.clone()),
-            dropped: Some(self.dropped),
-        }
-    }
-
-    /// Takes in a write whole.
-    pub fn take(&mut self, write: &Write) {
-        self.hard = write.hard.unwrap_or(self.hard);
-        if let Some(snapshot) = &write.snapshot {
-            self.snapshot = snapshot.clone();
-        }
-        if let Some(first) = write.entries.first() {
-            self.entries.retain(|e| e.index < first.index);
-            self.entries.extend(write.entries.iter().cloned());
-        }
-        if let Some(dropped) = write.dropped {
-            self.dropped = dropped;
-            self.entries.retain(|e| e.index > dropped.0);
-        }
-    }
-
-    /// Whether it belongs to a fleet.
-    pub fn is_new(&self) -> bool {
-        self.snapshot.index == 0
-    }
-
-    /// The last entry that it holds, and its term.
-    pub fn last(&self) -> (u64, u64) {
-        self.entries.last().map_or(self.dropped, |e| (e.index, e.term)).max(self.dropped)
-    }
-}
-
-/// The log in memory, as the library reads it.
-struct Log {
-    hard: Hard,
-    conf: Conf,
-    dropped: (u64, u64),
-    entries: VecDeque<eraftpb::Entry>,
-    bytes: usize,
-    state: State,
-    applied: u64,
-    applied_term: u64,
-}
-
-impl Log {
-    fn last(&self) -> u64 {
-        self.entries.back().map_or(self.dropped.0, |e| e.index)
-    }
-
-    fn at(&self, index: u64) -> Option<&eraftpb::Entry> {
-        let place = index.checked_sub(self.dropped.0 + 1)?;
-        self.entries.get(place as usize)
-    }
-
-    fn append(&mut self, entries: Vec<eraftpb::Entry>) {
-        if let Some(first) = entries.first() {
-            while self.entries.back().is_some_and(|e| e.index >= first.index) {
-                self.bytes -= self.entries.pop_back().map_or(0, |e| size(&e));
-            }
-        }
-        self.bytes += entries.iter().map(size).sum::<usize>();
-        self.entries.extend(entries);
-    }
-
-    fn record(&self) -> SnapshotRecord {
-        SnapshotRecord {
-            index: self.applied,
-            term: self.applied_term,
-            conf: self.conf.clone(),
-            state: records::write(&self.state),
-        }
-    }
-
-    fn restore(&mut self, record: &SnapshotRecord, state: State) {
-        (self.applied, self.applied_term) = (record.index, record.term);
-        (self.conf, self.state) = (record.conf.clone(), state);
-        self.dropped = (record.index, record.term);
-        self.entries.clear();
-        self.bytes = 0;
-    }
-}
-
-fn size(e: &eraftpb::Entry) -> usize {
-    e.data.len() + e.context.len() + 32
-}
-
-impl Storage for Log {
-    fn initial_state(&self) -> raft::Result<RaftState> {
-        let mut hard =
-            eraftpb::HardState { term: self.hard.term, vote: self.hard.vote.0, ..Default::default() };
-        hard.commit = self.hard.commit.max(self.applied);
-        Ok(RaftState { hard_state: hard, conf_state: self.conf.state() })
-    }
-
-    fn entries(
-        &self,
-        low: u64,
-        high: u64,
-        max_size: impl Into<Option<u64>>,
-        _: GetEntriesContext,
-    ) -> raft::Result<Vec<eraftpb::Entry>> {
-        if low <= self.dropped.0 {
-            return Err(StorageError::Compacted.into());
-        }
-        if high > self.last() + 1 {
-            return Err(StorageError::Unavailable.into());
-        }
-        let (most, mut held) = (max_size.into().unwrap_or(u64::MAX) as usize, 0);
-        let mut found = Vec::new();
-        for index in low..high {
-            let Some(entry) = self.at(index) else { return Err(StorageError::Unavailable.into()) };
-            held += size(entry);
-            // One at least, or nothing would ever go on.
-            if held > most && !found.is_empty() {
-                break;
-            }
-            found.push(entry.clone());
-        }
-        Ok(found)
-    }
-
-    fn term(&self, index: u64) -> raft::Result<u64> {
-        if index == self.dropped.0 {
-            return Ok(self.dropped.1);
-        }
-        if index == self.applied && self.applied_term > 0 {
-            return Ok(self.applied_term);
-        }
-        if index < self.dropped.0 {
-            return Err(StorageError::Compacted.into());
-        }
-        self.at(index).map(|e| e.term).ok_or_else(|| StorageError::Unavailable.into())
-    }
 
-    fn first_index(&self) -> raft::Result<u64> {
-        Ok(self.dropped.0 + 1)
-    }
-
-    fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
-    }
+/// A leader sends heartbeats after this many ticks. Two of them may be lost before a follower starts an election.
+pub const HEARTBEAT_TICKS: usize = 4;
 
-    fn snapshot(&self, wanted: u64, _: u64) -> raft::Result<eraftpb::Snapshot> {
-        if self.applied < wanted || self.applied == 0 {
-            return Err(StorageError::SnapshotTemporarilyUnavailable.into());
-        }
-        Ok(self.record().snapshot())
-    }
-}
+/// Entries in one message to a follower: a long log is sent in parts.
+const MAX_APPEND_BYTES: u64 = 256 * 1024;
+/// Messages with entries that a follower has not acknowledged yet; more wait for its answers.
+const MAX_UNACKNOWLEDGED_APPENDS: usize = 64;
+/// Entries that a leader holds uncommitted: one that is cut off rejects proposals rather than grow without a bound.
+const MAX_UNCOMMITTED_BYTES: u64 = 16 * 1024 * 1024;
 
-/// What was agreed at a place of the log.
+/// What was committed at an index of the log.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// A change, with whose it was.
+pub enum AppliedContent {
+    /// A change of the replicated state, with its proposer.
     Change(Proposal),
     /// A change of the membership.
-    Members(Membership),
-    /// All that was agreed up to here.
-    State(Box<State>),
-    /// Nothing, as when a leader begins.
-    Nothing,
+    Membership(MembershipChange),
+    /// The replicated state as a whole: the entries up to here were received as a snapshot, or read again.
+    Snapshot(Box<ClusterState>),
+    /// No change, as in the entry with which each leader begins.
+    Empty,
 }
 
-/// Something that was agreed and taken in.
+/// A committed entry, after it was applied to the replicated state.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Applied {
-    /// Its place in the log.
+pub struct AppliedEntry {
+    /// The index of the entry.
     pub index: u64,
-    /// The check sum over all that was agreed up to it.
+    /// A checksum over all entries up to it. It is equal on all nodes that have applied the same entries.
     pub digest: u32,
-    /// What it is.
-    pub what: What,
-    /// What became of it.
-    pub effect: Effect,
+    /// What was committed.
+    pub content: AppliedContent,
+    /// Whether it took effect.
+    pub result: ApplyResult,
 }
 
-/// A step that waits for its write.
-pub struct Pending {
+/// A step of the consensus whose write has yet to be synced.
+pub struct PendingReady {
     ready: Ready,
-    /// Goes out at once.
-    pub send: Vec<Letter>,
-    /// Must be on the disk before [`Replica::written`].
-    pub write: Write,
+    /// Messages that do not depend on the write.
+    pub messages: Vec<RaftMessage>,
+    /// What has to be synced before [`RaftNode::complete_write`].
+    pub write: RaftWrite,
 }
 
-/// How far another daemon is, as the leader sees it.
+/// What follows from a write that is synced.
+#[derive(Debug, Default)]
+pub struct CompletedWrite {
+    /// Messages that depended on it.
+    pub messages: Vec<RaftMessage>,
+    /// Entries that were committed, in order.
+    pub applied: Vec<AppliedEntry>,
+}
+
+/// Whether a snapshot was handed to the connection to a peer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SnapshotDelivery {
+    /// It was.
+    Sent,
+    /// It was not: there is no connection, or its queue is full.
+    Failed,
+}
+
+/// How far a node has replicated the log, as the leader sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Progress {
-    /// The daemon.
+pub struct PeerProgress {
+    /// The node.
     pub id: NodeId,
-    /// Entries up to this are on its disk.
-    pub matched: u64,
-    /// It was heard within the last election time.
-    pub active: bool,
+    /// Entries up to this index are in its storage.
+    pub match_index: u64,
+    /// A message of it arrived within the last election timeout.
+    pub recently_active: bool,
 }
 
-/// One daemon's part in the agreement.
-pub struct Replica {
+/// One node of the consensus.
+pub struct RaftNode {
     id: NodeId,
-    node: RawNode<Log>,
-    confirmed: Vec<u64>,
+    node: RawNode<MemoryLog>,
+    confirmed_checks: Vec<u64>,
 }
 
-impl Replica {
-    /// From what the disk holds; an error says what is wrong with it.
-    pub fn new(id: NodeId, image: Image) -> Result<Replica, String> {
-        let fresh = image.is_new();
-        let state = if fresh { Some(State::default()) } else { State::read(&image.snapshot.state) };
-        let state = state.ok_or("the state is out of form")?;
-        if image.last().0 < image.hard.commit.max(image.snapshot.index) {
-            return Err("the log ends before what was agreed".into());
-        }
-        let gaps = image.entries.iter().zip(image.dropped.0 + 1..).any(|(e, wanted)| e.index != wanted);
-        if gaps || image.snapshot.index < image.dropped.0 {
-            return Err("the log has gaps".into());
-        }
-        let entries: Option<VecDeque<_>> = image.entries.into_iter().map(LogEntry::entry).collect();
-        let entries = entries.ok_or("an entry is out of form")?;
-        let log = Log {
-            hard: image.hard,
-            conf: image.snapshot.conf.clone(),
-            dropped: image.dropped,
-            bytes: entries.iter().map(size).sum(),
-            entries,
-            state,
-            applied: image.snapshot.index,
-            applied_term: image.snapshot.term,
-        };
+impl RaftNode {
+    /// The node whose storage holds this.
+    ///
+    /// # Errors
+    ///
+    /// What storage holds cannot be used; the error says why.
+    pub fn new(id: NodeId, persisted: RaftPersistentState) -> Result<RaftNode, InvalidRaftState> {
+        let log = MemoryLog::new(persisted)?;
         let config = Config {
             id: id.0,
             election_tick: ELECTION_TICKS,
             heartbeat_tick: HEARTBEAT_TICKS,
-            applied: log.applied,
-            max_size_per_msg: 256 * 1024,
-            max_inflight_msgs: 64,
+            applied: log.applied.index,
+            max_size_per_msg: MAX_APPEND_BYTES,
+            max_inflight_msgs: MAX_UNACKNOWLEDGED_APPENDS,
             check_quorum: true,
             pre_vote: true,
-            max_uncommitted_size: 16 * 1024 * 1024,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, log, &logger).map_err(|e| e.to_string())?;
-        Ok(Replica { id, node, confirmed: Vec::new() })
+        let node = RawNode::new(&config, log, &logger)?;
+        Ok(RaftNode { id, node, confirmed_checks: Vec::new() })
     }
 
-    /// This daemon.
+    /// The node's id.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// What is agreed, as far as this daemon knows.
-    pub fn state(&self) -> &State {
-        &self.node.store().state
+    /// The replicated state after the last applied entry.
+    pub fn state(&self) -> &ClusterState {
+        &self.log().state
     }
 
-    /// The fleet; 0 before there is one.
-    pub fn fleet(&self) -> FleetId {
+    /// The fleet; [`FleetId::NONE`]: the node belongs to none yet.
+    pub fn fleet_id(&self) -> FleetId {
         self.state().fleet
     }
 
-    /// The last entry that was taken in.
+    /// The index of the last applied entry.
     pub fn applied(&self) -> u64 {
-        self.node.store().applied
+        self.log().applied.index
     }
 
-    /// The last entry that is known as agreed.
-    pub fn agreed(&self) -> u64 {
+    /// The index of the last entry that is known to be committed.
+    pub fn committed(&self) -> u64 {
         self.node.raft.raft_log.committed
     }
 
-    /// The last entry that is held, and the term.
-    pub fn last(&self) -> (u64, u64) {
-        (self.node.raft.raft_log.last_index(), self.node.raft.term)
+    /// The index of the last entry of the log.
+    pub fn last_index(&self) -> u64 {
+        self.node.raft.raft_log.last_index()
     }
 
-    /// The term of an entry that is held; 0: it is not.
+    /// The current term.
+    pub fn term(&self) -> u64 {
+        self.node.raft.term
+    }
+
+    /// The term of the entry at an index; 0: the log does not hold it.
     pub fn term_at(&self, index: u64) -> u64 {
         self.node.raft.raft_log.term(index).unwrap_or(0)
     }
 
-    /// Whom the disk has this daemon's vote for, in the term that the disk has; 0: nobody.
-    pub fn written_vote(&self) -> (u64, NodeId) {
-        (self.node.store().hard.term, self.node.store().hard.vote)
+    /// The vote that storage holds.
+    pub fn written_vote(&self) -> Vote {
+        self.log().hard_state.cast_vote()
     }
 
-    /// The leader, as far as this daemon knows; 0: none.
+    /// The leader that this node knows; [`NodeId::NOBODY`]: none.
     pub fn leader(&self) -> NodeId {
         NodeId(self.node.raft.leader_id)
     }
 
-    /// Whether it leads.
-    pub fn leads(&self) -> bool {
+    /// Whether this node is the leader.
+    pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
-    /// Who votes and who only follows.
-    pub fn conf(&self) -> Conf {
-        self.node.store().conf.clone()
+    /// The voters and learners.
+    pub fn configuration(&self) -> Configuration {
+        self.log().configuration.clone()
     }
 
-    /// Bytes of the log in memory, and its entries.
-    pub fn log_size(&self) -> (usize, usize) {
-        (self.node.store().bytes, self.node.store().entries.len())
+    /// The size of the log in memory.
+    pub fn log_size(&self) -> LogSize {
+        self.log().size()
     }
 
-    /// Entries that are held and not known as agreed: what restricts in them acts all the same.
-    pub fn open(&self) -> Vec<Proposal> {
-        let log = self.node.store();
-        let open =
-            log.entries.iter().filter(|e| e.index > log.applied && e.entry_type == EntryType::EntryNormal);
-        open.filter_map(|e| records::read(&e.data)).collect()
+    /// The proposals in entries that have not been applied. A change that only restricts acts before it is committed.
+    pub fn uncommitted_proposals(&self) -> Vec<Proposal> {
+        let log = self.log();
+        let mut proposals = Vec::new();
+        for entry in &log.entries {
+            if entry.index > log.applied.index && entry.entry_type == EntryType::EntryNormal {
+                proposals.extend(codec::decode::<Proposal>(&entry.data));
+            }
+        }
+        proposals
     }
 
-    /// How far the others are; empty where this daemon does not lead.
-    pub fn progress(&self) -> Vec<Progress> {
-        if !self.leads() {
+    /// How far each node has replicated the log; empty where this node is not the leader.
+    pub fn peer_progress(&self) -> Vec<PeerProgress> {
+        if !self.is_leader() {
             return Vec::new();
         }
-        let all = self.node.raft.prs().iter();
-        all.map(|(id, p)| Progress {
+        let progress_of = |(id, progress): (&u64, &raft::Progress)| PeerProgress {
             id: NodeId(*id),
-            matched: p.matched,
-            active: p.recent_active || *id == self.id.0,
-        })
-        .collect()
+            match_index: progress.matched,
+            recently_active: progress.recent_active || *id == self.id.0,
+        };
+        self.node.raft.prs().iter().map(progress_of).collect()
+    }
+
+    fn log(&self) -> &MemoryLog {
+        self.node.store()
     }
 
-    /// Time has passed: a tick.
+    /// One tick of time has passed.
     pub fn tick(&mut self) {
         self.node.tick();
     }
 
-    /// Asks for an election at once: the only member need not wait for one, nor need whoever knows that nobody leads.
+    /// Starts an election at once. The only voter need not wait for a leader, nor need a node that knows that there is
+    /// none.
     pub fn campaign(&mut self) {
+        // The error says that this node may not be elected: then there is nothing to do.
         let _ = self.node.campaign();
     }
 
-    /// Says to all that this daemon leads, if it does.
-    pub fn ping(&mut self) {
+    /// Sends heartbeats at once, if this node is the leader.
+    pub fn broadcast_heartbeat(&mut self) {
         self.node.ping();
     }
 
-    /// Takes in a letter; false: it is out of form or not for this daemon.
-    pub fn receive(&mut self, letter: Letter) -> bool {
-        let (to, from) = (letter.to, letter.from);
-        let Some(message) = letter.message() else { return false };
-        if to != self.id || from == self.id || from == NodeId::NOBODY {
+    /// Takes in a message. Returns false for one that is malformed, not for this node, or refused by the library.
+    pub fn receive(&mut self, message: RaftMessage) -> bool {
+        let is_from_peer = message.from != self.id && message.from != NodeId::NOBODY;
+        let is_addressed_here = message.to == self.id;
+        let Some(message) = message.into_raft() else { return false };
+        if !is_addressed_here || !is_from_peer || !self.accepts_snapshot_of(&message) {
             return false;
         }
-        if message.has_snapshot() && message.get_snapshot().get_metadata().index > 0 {
-            // A state that cannot be read, or another fleet's, must not replace what is here.
-            let state = State::read(&message.get_snapshot().data);
-            let ours = |s: &State| self.fleet() == 0 || s.fleet == self.fleet();
-            if !state.as_ref().is_some_and(ours) {
-                return false;
-            }
-        }
         self.node.step(message).is_ok()
     }
 
-    /// Proposes a change; false: this daemon does not lead, or cannot take more now.
+    /// Whether a message carries no snapshot, or one of this node's fleet. One that cannot be decoded, or of another
+    /// fleet, must not replace what is here.
+    fn accepts_snapshot_of(&self, message: &eraftpb::Message) -> bool {
+        if !message.has_snapshot() || message.get_snapshot().get_metadata().index == 0 {
+            return true;
+        }
+        match ClusterState::decode(&message.get_snapshot().data) {
+            Some(state) => self.fleet_id().is_none() || state.fleet == self.fleet_id(),
+            None => false,
+        }
+    }
+
+    /// Proposes a change. Returns false where this node is not the leader, or holds too many uncommitted entries.
     pub fn propose(&mut self, proposal: &Proposal) -> bool {
-        self.leads() && self.node.propose(Vec::new(), records::write(proposal)).is_ok()
+        self.is_leader() && self.node.propose(Vec::new(), codec::encode(proposal)).is_ok()
     }
 
-    /// Proposes a change of the membership; false: this daemon does not lead, or another one goes on.
-    pub fn propose_members(&mut self, change: &Membership) -> bool {
-        if !self.leads() || self.node.raft.has_pending_conf() || !self.conf().voters_outgoing.is_empty() {
+    /// Proposes a change of the membership. Returns false where this node is not the leader, or another such change has
+    /// not ended.
+    pub fn propose_membership(&mut self, change: &MembershipChange) -> bool {
+        let is_change_pending =
+            self.node.raft.has_pending_conf() || !self.log().configuration.voters_outgoing.is_empty();
+        if !self.is_leader() || is_change_pending {
             return false;
         }
-        let mut cc = ConfChangeV2::default();
-        cc.set_changes(change.steps.iter().map(|s| s.single()).collect::<Vec<_>>().into());
-        self.node.propose_conf_change(records::write(change), cc).is_ok()
+        self.node.propose_conf_change(codec::encode(change), raft_conf_change(change)).is_ok()
     }
 
-    /// Asks a majority whether this daemon still leads; [`Replica::confirmed`] tells when it said so.
-    pub fn confirm(&mut self, number: u64) {
-        if self.leads() {
+    /// Asks a majority whether this node is still the leader: Raft's read index. [`RaftNode::take_confirmed_checks`]
+    /// returns the number once a majority has answered. A check is lost where the leader has not committed an entry of
+    /// its term yet, or with its messages.
+    pub fn request_leadership_check(&mut self, number: u64) {
+        if self.is_leader() {
             self.node.read_index(number.to_be_bytes().to_vec());
         }
     }
 
-    /// Questions of [`Replica::confirm`] that a majority has answered.
-    pub fn confirmed(&mut self) -> Vec<u64> {
-        std::mem::take(&mut self.confirmed)
+    /// Takes the numbers of the leadership checks that a majority has confirmed.
+    pub fn take_confirmed_checks(&mut self) -> Vec<u64> {
+        std::mem::take(&mut self.confirmed_checks)
     }
 
-    /// A snapshot was handed to the way to this daemon, or could not be.
-    pub fn snapshot_sent(&mut self, to: NodeId, sent: bool) {
-        self.node.report_snapshot(to.0, if sent { SnapshotStatus::Finish } else { SnapshotStatus::Failure });
+    /// What became of a snapshot to a peer. The library sends it nothing else until it knows.
+    pub fn report_snapshot(&mut self, to: NodeId, delivery: SnapshotDelivery) {
+        let status = match delivery {
+            SnapshotDelivery::Sent => SnapshotStatus::Finish,
+            SnapshotDelivery::Failed => SnapshotStatus::Failure,
+        };
+        self.node.report_snapshot(to.0, status);
     }
 
-    /// Hands the lead to another daemon.
-    pub fn transfer(&mut self, to: NodeId) {
-        if self.leads() {
+    /// Hands the leadership to another voter, if this node is the leader.
+    pub fn transfer_leadership(&mut self, to: NodeId) {
+        if self.is_leader() {
             self.node.transfer_leader(to.0);
         }
     }
 
-    /// The way to this daemon is broken.
-    pub fn unreachable(&mut self, id: NodeId) {
+    /// The connection to a peer is lost.
+    pub fn report_unreachable(&mut self, id: NodeId) {
         self.node.report_unreachable(id.0);
     }
 
-    /// The next step, if there is one.
-    pub fn step(&mut self) -> Option<Pending> {
+    /// The next step of the consensus; `None`: there is none.
+    pub fn next_ready(&mut self) -> Option<PendingReady> {
         if !self.node.has_ready() {
             return None;
         }
         let mut ready = self.node.ready();
-        for read in ready.take_read_states() {
-            if let Ok(number) = <[u8; 8]>::try_from(&read.request_ctx[..]) {
-                self.confirmed.push(u64::from_be_bytes(number));
+        for read_state in ready.take_read_states() {
+            if let Ok(number) = <[u8; 8]>::try_from(&read_state.request_ctx[..]) {
+                self.confirmed_checks.push(u64::from_be_bytes(number));
             }
         }
-        let send = ready.take_messages().into_iter().filter_map(Letter::of).collect();
-        let hard = ready.hs().map(|h| Hard { term: h.term, vote: NodeId(h.vote), commit: h.commit });
-        let entries = ready.entries().iter().cloned().map(LogEntry::of).collect();
-        let fresh = !ready.snapshot().get_metadata().index.eq(&0);
-        let snapshot = fresh.then(|| SnapshotRecord::of(ready.snapshot()));
-        let dropped = snapshot.as_ref().map(|s| (s.index, s.term));
-        Some(Pending { ready, send, write: Write { hard, entries, snapshot, dropped } })
-    }
-
-    /// The write of a step is on the disk: what goes out now, and what was taken in.
-    pub fn written(&mut self, pending: Pending) -> (Vec<Letter>, Vec<Applied>) {
-        let Pending { mut ready, write, .. } = pending;
+        let messages = into_peer_messages(ready.take_messages());
+        let write = write_of(&ready);
+        Some(PendingReady { ready, messages, write })
+    }
+
+    /// Continues a step whose write is synced.
+    pub fn complete_write(&mut self, pending: PendingReady) -> CompletedWrite {
+        let PendingReady { mut ready, write, .. } = pending;
         let mut applied = Vec::new();
         let log = self.node.mut_store();
         if let Some(record) = &write.snapshot
-            && let Some(state) = State::read(&record.state)
+            && let Some(state) = ClusterState::decode(&record.state)
         {
-            let (index, digest) = (record.index, state.digest);
-            let what = What::State(Box::new(state.clone()));
+            applied.push(applied_snapshot(record.index, &state));
             log.restore(record, state);
-            applied.push(Applied { index, digest, what, effect: Effect::Done });
         }
-        log.append(ready.entries().clone());
-        log.hard = write.hard.unwrap_or(log.hard);
-        let mut letters = ready.take_persisted_messages();
-        let committed = ready.take_committed_entries();
-        self.apply(committed, &mut applied);
-        let mut light = self.node.advance_append(ready);
-        if let Some(commit) = light.commit_index() {
-            self.node.mut_store().hard.commit = commit;
+        log.append(ready.entries());
+        log.hard_state = write.hard_state.unwrap_or(log.hard_state);
+        let mut messages = ready.take_persisted_messages();
+        self.apply_committed(ready.take_committed_entries(), &mut applied);
+        let mut light_ready = self.node.advance_append(ready);
+        if let Some(commit) = light_ready.commit_index() {
+            self.node.mut_store().hard_state.commit = commit;
         }
-        letters.extend(light.take_messages());
-        let committed = light.take_committed_entries();
-        self.apply(committed, &mut applied);
+        messages.extend(light_ready.take_messages());
+        self.apply_committed(light_ready.take_committed_entries(), &mut applied);
         self.node.advance_apply();
-        (letters.into_iter().filter_map(Letter::of).collect(), applied)
+        CompletedWrite { messages: into_peer_messages(messages), applied }
     }
 
-    fn apply(&mut self, entries: Vec<eraftpb::Entry>, applied: &mut Vec<Applied>) {
+    /// The replicated state as an applied entry, for an owner that has to start from it anew.
+    pub fn state_as_applied_entry(&self) -> AppliedEntry {
+        applied_snapshot(self.applied(), self.state())
+    }
+
+    fn apply_committed(&mut self, entries: Vec<eraftpb::Entry>, applied: &mut Vec<AppliedEntry>) {
         for entry in entries {
-            let (index, term) = (entry.index, entry.term);
-            let entry = LogEntry::of(entry);
-            let mut what = What::Nothing;
-            let mut effect = Effect::Done;
-            if entry.kind == 0 {
-                // One that cannot be read, as a newer program may write it, changes nothing anywhere.
-                if let Some(proposal) = records::read::<Proposal>(&entry.bytes) {
-                    effect = self.node.mut_store().state.apply(index, &proposal.change);
-                    what = What::Change(proposal);
-                }
-            } else {
-                let change: Membership = records::read(&entry.bytes).unwrap_or_default();
-                let mut cc = ConfChangeV2::default();
-                cc.set_changes(change.steps.iter().map(|s| s.single()).collect::<Vec<_>>().into());
-                match self.node.apply_conf_change(&cc) {
-                    Ok(conf) => {
-                        let log = self.node.mut_store();
-                        log.conf = Conf::of(&conf);
-                        log.state.apply_members(&change);
-                        what = What::Members(change);
-                    }
-                    Err(_) => effect = Effect::Refused,
-                }
-            }
-            let log = self.node.mut_store();
-            (log.applied, log.applied_term) = (index, term);
-            let mut sum = crc32fast::Hasher::new_with_initial(log.state.digest);
-            sum.update(&index.to_be_bytes());
-            sum.update(&entry.bytes);
-            log.state.digest = sum.finalize();
-            applied.push(Applied { index, digest: log.state.digest, what, effect });
+            applied.push(self.apply_entry(LogEntry::from_raft(entry)));
         }
     }
 
-    /// Drops the older half of a log that is longer than these bytes or entries; what is to be written for it.
-    /// Those that are further behind get the whole state.
-    pub fn compact(&mut self, bytes: usize, entries: usize) -> Option<Write> {
+    fn apply_entry(&mut self, entry: LogEntry) -> AppliedEntry {
+        let (content, result) = if entry.kind == LogEntry::CHANGE {
+            self.apply_change(&entry)
+        } else {
+            self.apply_membership(&entry)
+        };
         let log = self.node.mut_store();
-        if log.bytes <= bytes && log.entries.len() <= entries {
-            return None;
-        }
-        let mut dropped = log.dropped;
-        while log.bytes > bytes / 2 || log.entries.len() > entries / 2 {
-            match log.entries.front() {
-                Some(e) if e.index <= log.applied => dropped = (e.index, e.term),
-                _ => break,
-            }
-            log.bytes -= log.entries.pop_front().map_or(0, |e| size(&e));
-        }
-        if dropped == log.dropped {
+        log.applied = entry.id();
+        let mut checksum = crc32fast::Hasher::new_with_initial(log.state.digest);
+        checksum.update(&entry.index.to_be_bytes());
+        checksum.update(&entry.payload);
+        log.state.digest = checksum.finalize();
+        AppliedEntry { index: entry.index, digest: log.state.digest, content, result }
+    }
+
+    /// Applies a change. One that cannot be decoded, as a newer version may write it, changes nothing on any node.
+    fn apply_change(&mut self, entry: &LogEntry) -> (AppliedContent, ApplyResult) {
+        let Some(proposal) = codec::decode::<Proposal>(&entry.payload) else {
+            return (AppliedContent::Empty, ApplyResult::Done);
+        };
+        let result = self.node.mut_store().state.apply(entry.index, &proposal.change);
+        (AppliedContent::Change(proposal), result)
+    }
+
+    fn apply_membership(&mut self, entry: &LogEntry) -> (AppliedContent, ApplyResult) {
+        let change: MembershipChange = codec::decode(&entry.payload).unwrap_or_default();
+        let Ok(configuration) = self.node.apply_conf_change(&raft_conf_change(&change)) else {
+            return (AppliedContent::Empty, ApplyResult::Rejected);
+        };
+        let log = self.node.mut_store();
+        log.configuration = Configuration::from_raft(&configuration);
+        log.state.apply_membership(&change);
+        (AppliedContent::Membership(change), ApplyResult::Done)
+    }
+
+    /// Drops the older part of a log that exceeds the limit, and returns what to write for it. Peers that are further
+    /// behind receive a snapshot.
+    pub fn compact(&mut self, limit: LogSize) -> Option<RaftWrite> {
+        let log = self.node.mut_store();
+        if !log.compact(limit) {
             return None;
         }
-        log.dropped = dropped;
-        let hard = Hard { commit: log.hard.commit.max(log.applied), ..log.hard };
-        log.hard = hard;
-        Some(Write {
-            hard: Some(hard),
+        log.hard_state.commit = log.hard_state.commit.max(log.applied.index);
+        Some(RaftWrite {
+            hard_state: Some(log.hard_state),
             entries: Vec::new(),
-            snapshot: Some(log.record()),
-            dropped: Some(dropped),
+            snapshot: Some(log.snapshot_record()),
+            compacted: Some(log.compacted),
         })
     }
 }
 
+fn applied_snapshot(index: u64, state: &ClusterState) -> AppliedEntry {
+    AppliedEntry {
+        index,
+        digest: state.digest,
+        content: AppliedContent::Snapshot(Box::new(state.clone())),
+        result: ApplyResult::Done,
+    }
+}
+
+/// The messages that go to peers; the library addresses some to itself.
+fn into_peer_messages(messages: Vec<eraftpb::Message>) -> Vec<RaftMessage> {
+    messages.into_iter().filter_map(RaftMessage::from_raft).collect()
+}
+
+fn write_of(ready: &Ready) -> RaftWrite {
+    let hard_state = ready.hs().map(HardState::from_raft);
+    let entries = ready.entries().iter().cloned().map(LogEntry::from_raft).collect();
+    let has_snapshot = ready.snapshot().get_metadata().index > 0;
+    let snapshot = has_snapshot.then(|| SnapshotRecord::from_raft(ready.snapshot()));
+    let compacted = snapshot.as_ref().map(SnapshotRecord::last_entry);
+    RaftWrite { hard_state, entries, snapshot, compacted }
+}
+
+fn raft_conf_change(change: &MembershipChange) -> ConfChangeV2 {
+    let steps: Vec<eraftpb::ConfChangeSingle> = change.steps.iter().map(|step| step.to_raft()).collect();
+    let mut conf_change = ConfChangeV2::default();
+    conf_change.set_changes(steps.into());
+    conf_change
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -1,553 +1,305 @@
-//! The agreed state: settings, inventory, drain marks, members. No I/O and no clock: the same changes in the
-//! same order make the same state at every daemon.
-
-use super::records::{self, FleetId, HostRecord, Step};
-use super::zone_weights::Share;
-use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
-use crate::ids::NodeId;
-use crate::ids::ZoneId;
+//! The replicated state: members, settings, inventory, drains, zone weights and regions.
+//!
+//! No I/O and no clock: the same changes in the same order make the same state on every node. A rule of
+//! [`ClusterState::apply`] must therefore be the same in all versions that run in a fleet together.
+
+mod change;
+mod inventory;
+
+pub use change::{
+    ApplyResult, Change, DrainId, JoiningMember, Member, MembershipChange, PendingDrain, Proposal,
+};
+pub use inventory::InventoryDifference;
+
+use super::codec;
+use super::records::{HostRecord, MembershipStep};
+use super::zone_weights::ZoneWeight;
+use crate::ids::{FleetId, NodeId, ZoneId};
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hosts that an inventory may name. The same at all daemons, as all that decides here.
-pub const HOSTS: usize = 20_000;
-/// Daemons that a fleet may have, those that only follow included.
-pub const MEMBERS: usize = 32;
-/// Marks that were undone, and daemons that were removed, which are remembered.
-const REMEMBERED: usize = 10_000;
-
-/// One drain that was said: who said it, and that daemon's count of what it said. It is undone only by whoever
-/// had heard of it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct DrainMark {
-    /// The daemon.
-    pub by: NodeId,
-    /// Its count.
-    pub number: u64,
-}
+/// Hosts of an inventory. Bounds the snapshot, which every change may send anew; part of the replicated rules.
+pub const MAX_HOSTS: usize = 20_000;
 
-/// A daemon of the fleet.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Member {
-    /// Its name in its operator's file.
-    pub name: String,
-    /// Where the others reach it, unless their own files say otherwise.
-    pub address: std::net::SocketAddr,
-}
+/// Members of a fleet, learners included.
+pub const MAX_MEMBERS: usize = 32;
 
-/// A change that is proposed.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Change {
-    /// Nothing new to a host.
-    Drain {
-        /// The host's name.
-        host: String,
-        /// Which drain this is.
-        mark: DrainMark,
-    },
-    /// These drains of a host end; others of it stay.
-    Undrain {
-        /// The host's name.
-        host: String,
-        /// The drains that the one who says it had heard of.
-        marks: Vec<DrainMark>,
-    },
-    /// What an inventory file says differently from the agreed one.
-    Inventory {
-        /// The daemon that read the file.
-        by: String,
-        /// When the file was last changed.
-        changed: Timestamp,
-        /// The version of the agreed inventory that this was compared with.
-        base: u64,
-        /// New and changed hosts.
-        set: Vec<(String, HostRecord)>,
-        /// Hosts that are gone.
-        gone: Vec<String>,
-    },
-    /// The settings of the service.
-    Settings {
-        /// The daemon that read the file.
-        by: String,
-        /// When the file was last changed.
-        changed: Timestamp,
-        /// A line for each path.
-        text: String,
-    },
-    /// A zone gets this part of its usual reads.
-    Zone {
-        /// Its number.
-        zone: ZoneId,
-        /// The share; its number is one more than that of the one before.
-        share: Share,
-    },
-    /// What an inventory file says of regions.
-    Regions {
-        /// The daemon that read the file.
-        by: String,
-        /// When the file was last changed.
-        changed: Timestamp,
-        /// By zone.
-        regions: BTreeMap<ZoneId, String>,
-    },
-}
+/// Undone drains, and removed members, that are remembered; part of the replicated rules. A drain that arrives after
+/// more undrains than this would take effect again.
+const MAX_REMEMBERED: usize = 10_000;
 
-impl Change {
-    /// Whether it only takes away: such a change acts where it is said before it is agreed.
-    pub fn restricts(&self) -> bool {
-        matches!(self, Change::Drain { .. })
-    }
-}
+/// The body of an empty zone weight map, and of an empty region map with the time zero before it, as postcard writes
+/// them. Version 0.3 wrote neither, later ones no regions.
+const MISSING_REGIONS: [u8; 2] = [0, 0];
+const MISSING_ZONE_WEIGHTS_AND_REGIONS: [u8; 3] = [0, 0, 0];
 
-/// A change on its way into the log.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Proposal {
-    /// Whose it is.
-    pub from: NodeId,
-    /// That daemon's number for it.
-    pub token: u64,
-    /// What is to change.
-    pub change: Change,
+/// Which file settings or an inventory come from.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Provenance {
+    /// The name of the node that read the file.
+    pub read_by: String,
+    /// When the file was last changed.
+    pub changed_at: Timestamp,
+    /// The index of the entry that committed them.
+    pub version: u64,
 }
 
-/// A change of the membership.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Membership {
-    /// What the consensus is to do, all at once.
-    pub steps: Vec<Step>,
-    /// A daemon that comes in.
-    pub comes: Option<(NodeId, Member)>,
+/// The committed settings of the service.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ServiceSettings {
+    /// Which file they come from.
+    pub provenance: Provenance,
+    /// `path=value`, a line for each setting.
+    pub text: String,
 }
 
-/// Where settings or an inventory come from.
+/// The committed regions of zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Source {
-    /// The daemon that read the file.
-    pub by: String,
-    /// When the file was last changed.
-    pub changed: Timestamp,
-    /// The place in the log at which it was agreed.
-    pub version: u64,
+pub struct RegionMap {
+    /// When the file that names them was last changed.
+    pub changed_at: Timestamp,
+    /// The region of each zone that has one.
+    pub by_zone: BTreeMap<ZoneId, String>,
 }
 
-/// The state that all daemons agree on.
+/// The state that all nodes of a fleet agree on. The order of the fields is part of the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct State {
-    /// The fleet.
+pub struct ClusterState {
+    /// The fleet; [`FleetId::NONE`]: there is none yet.
     pub fleet: FleetId,
-    /// Its daemons.
+    /// The nodes of the fleet.
     pub members: BTreeMap<NodeId, Member>,
-    /// Daemons that were removed, with their names.
+    /// The names of nodes that were removed.
     pub removed: BTreeMap<NodeId, String>,
-    /// Names of daemons that founded the fleet with the first one and are still to come in.
+    /// The names of nodes that the fleet was founded with and that do not vote yet.
     pub founders: BTreeSet<String>,
-    /// The settings of the service.
-    pub settings: Option<(Source, String)>,
-    /// Where the inventory comes from; `None` before the first one.
-    pub inventory: Option<Source>,
-    /// Its hosts.
+    /// The settings of the service, once they are committed.
+    pub settings: Option<ServiceSettings>,
+    /// Which file the inventory comes from, once one is committed.
+    pub inventory: Option<Provenance>,
+    /// The hosts of the inventory, by name.
     pub hosts: BTreeMap<String, HostRecord>,
-    /// Drains in force, by host.
-    pub drains: BTreeMap<String, BTreeSet<DrainMark>>,
-    /// Drains that were undone, each with its place in the log: one that comes late stays undone.
-    pub undone: BTreeMap<DrainMark, u64>,
-    /// Fleets that this one goes on from, on an operator's word: whoever is still of one of them comes over.
-    pub former: BTreeSet<FleetId>,
-    /// A check sum over all that was agreed: alike at two daemons only where both took in the same sequence.
+    /// The drains in force, by host.
+    pub drains: BTreeMap<String, BTreeSet<DrainId>>,
+    /// Undone drains, with the index of the entry that has undone each. A drain that is committed after its undrain
+    /// stays undone.
+    pub undone_drains: BTreeMap<DrainId, u64>,
+    /// Fleets that an operator has replaced by this one. Nodes that still belong to one of them join this fleet.
+    pub previous_fleets: BTreeSet<FleetId>,
+    /// A checksum over all applied entries. Two nodes have the same one only if they have applied the same entries.
     pub digest: u32,
-    /// Shares of zones that were ever moved.
-    pub zones: BTreeMap<ZoneId, Share>,
-    /// Regions by zone, and when the file that said so was changed.
-    pub regions: (Timestamp, BTreeMap<ZoneId, String>),
-}
-
-/// What became of a change.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    /// It is in force.
-    Done,
-    /// It was agreed before, or something newer was.
-    Overtaken,
-    /// It was compared with a version that is no longer the last one.
-    Outdated,
-    /// It is out of bounds.
-    Refused,
+    /// The weights of zones whose weight was ever changed.
+    pub zone_weights: BTreeMap<ZoneId, ZoneWeight>,
+    /// The regions of zones.
+    pub regions: RegionMap,
 }
 
-impl State {
-    /// From its bytes; those of a version that knew no regions, or no shares either, are read too.
-    pub fn read(bytes: &[u8]) -> Option<State> {
-        let earlier = |missing: &[u8]| records::read_earlier(bytes, missing);
-        records::read(bytes).or_else(|| earlier(&[0, 0])).or_else(|| earlier(&[0, 0, 0]))
+impl ClusterState {
+    /// Decodes a state. States of versions without regions, or without zone weights either, are read as well.
+    pub fn decode(bytes: &[u8]) -> Option<ClusterState> {
+        codec::decode(bytes)
+            .or_else(|| codec::decode_earlier(bytes, &MISSING_REGIONS))
+            .or_else(|| codec::decode_earlier(bytes, &MISSING_ZONE_WEIGHTS_AND_REGIONS))
     }
 
-    /// Zones of the same region as this one, itself among them.
-    pub fn region(&self, zone: ZoneId) -> Vec<ZoneId> {
-        let Some(region) = self.regions.1.get(&zone) else { return vec![zone] };
-        self.regions.1.iter().filter(|(_, r)| *r == region).map(|(z, _)| *z).collect()
+    /// A new fleet with one member. It commits nothing else until the other founders have become voters.
+    pub fn found_fleet(
+        fleet: FleetId,
+        id: NodeId,
+        member: Member,
+        founders: BTreeSet<String>,
+    ) -> ClusterState {
+        let members = BTreeMap::from([(id, member)]);
+        ClusterState { fleet, members, founders, ..ClusterState::default() }
     }
 
-    /// The share of a zone.
-    pub fn share(&self, zone: ZoneId) -> Share {
-        self.zones.get(&zone).copied().unwrap_or_default()
+    /// A fleet with one member that replaces this one and continues from its state. An operator orders it where the
+    /// majority of this fleet is lost.
+    pub fn force_new_fleet(&self, fleet: FleetId, id: NodeId, member: Member) -> ClusterState {
+        let mut state = self.clone();
+        state.previous_fleets.insert(self.fleet);
+        state.fleet = fleet;
+        state.members = BTreeMap::from([(id, member)]);
+        state.founders = BTreeSet::new();
+        state
     }
 
-    /// A new fleet of one, which waits for the other founders.
-    pub fn found(fleet: FleetId, id: NodeId, member: Member, founders: BTreeSet<String>) -> State {
-        let members = BTreeMap::from([(id, member)]);
-        State { fleet, members, founders, ..State::default() }
+    /// Whether all founders vote.
+    pub fn is_complete(&self) -> bool {
+        self.founders.is_empty()
     }
 
-    /// A fleet of one that goes on from this state, on an operator's word.
-    pub fn refound(&self, fleet: FleetId, id: NodeId, member: Member) -> State {
-        let mut former = self.former.clone();
-        former.insert(self.fleet);
-        let (members, founders) = (BTreeMap::from([(id, member)]), BTreeSet::new());
-        State { fleet, members, founders, former, ..self.clone() }
+    /// The zones of a zone's region, itself included. A zone without a region is alone.
+    pub fn zones_in_region(&self, zone: ZoneId) -> Vec<ZoneId> {
+        let regions = &self.regions.by_zone;
+        let Some(region) = regions.get(&zone) else { return vec![zone] };
+        let in_region = |(zone, other): (&ZoneId, &String)| (other == region).then_some(*zone);
+        regions.iter().filter_map(in_region).collect()
     }
 
-    /// Whether all founders are in: before that the fleet agrees on nothing else.
-    pub fn is_complete(&self) -> bool {
-        self.founders.is_empty()
+    /// The weight of a zone.
+    pub fn zone_weight(&self, zone: ZoneId) -> ZoneWeight {
+        self.zone_weights.get(&zone).copied().unwrap_or_default()
     }
 
-    /// Whether a host is drained by a mark.
+    /// Whether any drain of the host is in force.
     pub fn is_drained(&self, host: &str) -> bool {
         self.drains.contains_key(host)
     }
 
-    /// Whether the log has said all that there is to say of a mark.
-    pub fn settled(&self, host: &str, mark: DrainMark) -> bool {
-        self.undone.contains_key(&mark) || self.drains.get(host).is_some_and(|m| m.contains(&mark))
+    /// Whether the log has committed or undone this drain.
+    pub fn is_resolved(&self, host: &str, drain: DrainId) -> bool {
+        let is_committed = self.drains.get(host).is_some_and(|drains| drains.contains(&drain));
+        is_committed || self.undone_drains.contains_key(&drain)
     }
 
-    /// Takes in the change at `index`.
-    pub fn apply(&mut self, index: u64, change: &Change) -> Effect {
+    /// Applies the change that is committed at `index`.
+    pub fn apply(&mut self, index: u64, change: &Change) -> ApplyResult {
         match change {
-            Change::Drain { host, mark } => {
-                if self.settled(host, *mark) {
-                    return Effect::Overtaken;
-                }
-                self.drains.entry(host.clone()).or_default().insert(*mark);
-                Effect::Done
+            Change::Drain { host, drain } => self.apply_drain(host, *drain),
+            Change::Undrain { host, drains } => self.apply_undrain(index, host, drains),
+            Change::Inventory { read_by, changed_at, base_version, upserts, removals } => {
+                let provenance =
+                    Provenance { read_by: read_by.clone(), changed_at: *changed_at, version: index };
+                self.apply_inventory(provenance, *base_version, upserts, removals)
             }
-            Change::Undrain { host, marks } => {
-                let mut known = self.drains.remove(host).unwrap_or_default();
-                for mark in marks {
-                    // Also one that the log has not seen yet: it comes undone.
-                    known.remove(mark);
-                    self.undone.insert(*mark, index);
-                }
-                if !known.is_empty() {
-                    self.drains.insert(host.clone(), known);
-                }
-                self.forget();
-                Effect::Done
-            }
-            Change::Inventory { by, changed, base, set, gone } => {
-                let (version, known) =
-                    self.inventory.as_ref().map_or((0, None), |i| (i.version, Some(i.changed)));
-                if known.is_some_and(|known| *changed <= known) {
-                    return Effect::Overtaken;
-                }
-                if *base != version {
-                    return Effect::Outdated;
-                }
-                let names: BTreeSet<&String> = self.hosts.keys().chain(set.iter().map(|(n, _)| n)).collect();
-                if names.len() > HOSTS + gone.len() {
-                    return Effect::Refused;
-                }
-                for name in gone {
-                    self.hosts.remove(name);
-                }
-                self.hosts.extend(set.iter().cloned());
-                self.inventory = Some(Source { by: by.clone(), changed: *changed, version: index });
-                Effect::Done
-            }
-            Change::Settings { by, changed, text } => {
-                if self.settings.as_ref().is_some_and(|(known, _)| *changed <= known.changed) {
-                    return Effect::Overtaken;
-                }
-                let source = Source { by: by.clone(), changed: *changed, version: index };
-                self.settings = Some((source, text.clone()));
-                Effect::Done
-            }
-            Change::Zone { zone, share } => {
-                if share.number != self.share(*zone).number + 1 {
-                    return Effect::Overtaken;
-                }
-                // Two that are said at once, each while the other zone was in service, must not take all away.
-                let mut zones = self.hosts.values().map(|h| h.zone).filter(|z| z != zone);
-                if share.part == 0 && !zones.any(|other| self.share(other).part > 0) {
-                    return Effect::Refused;
-                }
-                self.zones.insert(*zone, *share);
-                Effect::Done
+            Change::Settings { read_by, changed_at, text } => {
+                let provenance =
+                    Provenance { read_by: read_by.clone(), changed_at: *changed_at, version: index };
+                self.apply_settings(ServiceSettings { provenance, text: text.clone() })
             }
-            Change::Regions { changed, regions, .. } => {
-                if *changed <= self.regions.0 {
-                    return Effect::Overtaken;
-                }
-                self.regions = (*changed, regions.clone());
-                Effect::Done
+            Change::ZoneWeight { zone, weight } => self.apply_zone_weight(*zone, *weight),
+            Change::Regions { changed_at, regions, .. } => {
+                self.apply_regions(RegionMap { changed_at: *changed_at, by_zone: regions.clone() })
             }
         }
     }
 
-    /// Takes in a change of the membership. The consensus has the last word on who votes.
-    pub fn apply_members(&mut self, change: &Membership) {
-        if let Some((id, member)) = &change.comes {
-            self.members.insert(*id, member.clone());
-        }
-        for step in &change.steps {
-            match step {
-                Step::Remove(id) => {
-                    if let Some(member) = self.members.remove(id) {
-                        self.founders.remove(&member.name);
-                        self.removed.insert(*id, member.name);
-                    }
-                }
-                Step::Vote(id) => {
-                    if let Some(member) = self.members.get(id) {
-                        self.founders.remove(&member.name);
-                    }
-                }
-                Step::Follow(_) => {}
-            }
-        }
-        while self.removed.len() > REMEMBERED {
-            self.removed.pop_first();
+    fn apply_drain(&mut self, host: &str, drain: DrainId) -> ApplyResult {
+        if self.is_resolved(host, drain) {
+            return ApplyResult::Superseded;
         }
+        self.drains.entry(host.to_string()).or_default().insert(drain);
+        ApplyResult::Done
     }
 
-    fn forget(&mut self) {
-        let more = self.undone.len().saturating_sub(REMEMBERED);
-        if more > 0 {
-            let mut oldest: Vec<(u64, DrainMark)> = self.undone.iter().map(|(m, at)| (*at, *m)).collect();
-            oldest.sort_unstable();
-            oldest.iter().take(more).for_each(|(_, mark)| {
-                self.undone.remove(mark);
-            });
+    /// Undoes the drains that the requester knew of, also those that are not committed yet. Others stay in force.
+    fn apply_undrain(&mut self, index: u64, host: &str, drains: &[DrainId]) -> ApplyResult {
+        let mut in_force = self.drains.remove(host).unwrap_or_default();
+        for drain in drains {
+            in_force.remove(drain);
+            self.undone_drains.insert(*drain, index);
         }
+        if !in_force.is_empty() {
+            self.drains.insert(host.to_string(), in_force);
+        }
+        self.discard_oldest_undone_drains();
+        ApplyResult::Done
     }
 
-    /// The list as it is agreed, with hosts closed that `also` names: drains that are not agreed yet.
-    pub fn listing(&self, index: u64, also: impl Fn(&str) -> bool) -> EndpointUpdate {
-        let one =
-            |(name, host): (&String, &HostRecord)| host.listed(name, self.is_drained(name) || also(name));
-        EndpointUpdate { index, whole: true, entries: self.hosts.iter().map(one).collect() }
-    }
-
-    /// What a file's hosts change in the agreed inventory; `None`: the agreed one is as new, or says the same.
-    /// A host that is new to a list in use starts cold, and so does one that has moved: nobody has seen what it
-    /// bears.
-    pub fn inventory_change(
-        &self,
-        by: &str,
-        hosts: &[EndpointRecord],
-        changed: Timestamp,
-        now: Timestamp,
-    ) -> Option<Change> {
-        if self.inventory.as_ref().is_some_and(|i| changed <= i.changed) {
-            return None;
+    fn discard_oldest_undone_drains(&mut self) {
+        let excess = self.undone_drains.len().saturating_sub(MAX_REMEMBERED);
+        if excess == 0 {
+            return;
         }
-        let running = self.inventory.is_some();
-        let (mut set, mut named) = (Vec::new(), BTreeSet::new());
-        for listed in hosts {
-            named.insert(listed.name.as_str());
-            let old = self.hosts.get(&listed.name);
-            let known = old.filter(|o| o.address == listed.address);
-            let started_at = match (listed.started_at, known) {
-                (Some(stated), _) => Some(stated),
-                (None, Some(known)) => known.started_at,
-                (None, None) => running.then_some(now),
-            };
-            let new = HostRecord { started_at, ..HostRecord::of(listed) };
-            if old != Some(&new) {
-                set.push((listed.name.clone(), new));
-            }
+        let mut by_age: Vec<(u64, DrainId)> =
+            self.undone_drains.iter().map(|(drain, index)| (*index, *drain)).collect();
+        by_age.sort_unstable();
+        for (_, drain) in by_age.iter().take(excess) {
+            self.undone_drains.remove(drain);
         }
-        let gone: Vec<String> = self.hosts.keys().filter(|n| !named.contains(n.as_str())).cloned().collect();
-        let base = self.inventory.as_ref().map_or(0, |i| i.version);
-        Some(Change::Inventory { by: by.to_string(), changed, base, set, gone })
     }
 
-    /// How a file's hosts differ from the agreed ones: added, changed, missing.
-    pub fn differs(&self, hosts: &[EndpointRecord]) -> (usize, usize, usize) {
-        let (mut added, mut changed) = (0, 0);
-        for listed in hosts {
-            match self.hosts.get(&listed.name) {
-                None => added += 1,
-                Some(known) => {
-                    let stated = listed.started_at.or(known.started_at);
-                    changed +=
-                        usize::from(*known != HostRecord { started_at: stated, ..HostRecord::of(listed) });
-                }
-            }
+    fn apply_inventory(
+        &mut self,
+        provenance: Provenance,
+        base_version: u64,
+        upserts: &[(String, HostRecord)],
+        removals: &[String],
+    ) -> ApplyResult {
+        let current_version = self.inventory.as_ref().map_or(0, |current| current.version);
+        if self.inventory.as_ref().is_some_and(|current| provenance.changed_at <= current.changed_at) {
+            return ApplyResult::Superseded;
         }
-        let named: BTreeSet<&str> = hosts.iter().map(|h| h.name.as_str()).collect();
-        (added, changed, self.hosts.keys().filter(|n| !named.contains(n.as_str())).count())
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::routing::Availability;
-
-    fn host(name: &str, port: u16) -> EndpointRecord {
-        EndpointRecord { address: ([127, 0, 0, 1], port).into(), ..EndpointRecord::plain(name) }
-    }
-
-    fn mark(by: u64, number: u64) -> DrainMark {
-        DrainMark { by: NodeId(by), number }
-    }
-
-    /// The time of a change, as a small number.
-    fn at(micros: i64) -> Timestamp {
-        Timestamp::from_micros(micros)
-    }
-
-    fn read(state: &mut State, index: u64, hosts: &[EndpointRecord], changed: i64) -> Option<Effect> {
-        let change = state.inventory_change("a", hosts, at(changed), at(1_000_000 * changed))?;
-        Some(state.apply(index, &change))
-    }
-
-    fn since(state: &State) -> Vec<Option<Timestamp>> {
-        state.hosts.values().map(|h| h.started_at).collect()
+        if base_version != current_version {
+            return ApplyResult::StaleBase;
+        }
+        let added = upserts.iter().map(|(name, _)| name);
+        let names: BTreeSet<&String> = self.hosts.keys().chain(added).collect();
+        if names.len() > MAX_HOSTS + removals.len() {
+            return ApplyResult::Rejected;
+        }
+        for name in removals {
+            self.hosts.remove(name);
+        }
+        self.hosts.extend(upserts.iter().cloned());
+        self.inventory = Some(provenance);
+        ApplyResult::Done
     }
 
-    /// Guards against a new host that gets its full share at once and falls over.
-    #[test]
-    fn a_host_new_to_a_running_inventory_starts_cold() {
-        let mut s = State::default();
-        read(&mut s, 1, &[host("x", 1)], 1);
-        assert_eq!(since(&s), [None], "the first inventory is of hosts that run already");
-        read(&mut s, 2, &[host("x", 1), host("y", 2)], 2);
-        assert_eq!(since(&s), [None, Some(at(2_000_000))]);
-        read(&mut s, 3, &[host("x", 3), host("y", 2)], 3);
-        assert_eq!(
-            since(&s),
-            [Some(at(3_000_000)), Some(at(2_000_000))],
-            "one that moved is another process"
-        );
-        read(&mut s, 4, &[host("y", 2)], 4);
-        read(&mut s, 5, &[host("x", 3), host("y", 2)], 5);
-        assert_eq!(since(&s), [Some(at(5_000_000)), Some(at(2_000_000))], "one that comes back is new");
+    fn apply_settings(&mut self, settings: ServiceSettings) -> ApplyResult {
+        let changed_at = settings.provenance.changed_at;
+        if self.settings.as_ref().is_some_and(|current| changed_at <= current.provenance.changed_at) {
+            return ApplyResult::Superseded;
+        }
+        self.settings = Some(settings);
+        ApplyResult::Done
     }
 
-    /// Guards against a daemon with an old file that takes back what was edited elsewhere, and against two
-    /// proposals of which the second was compared with what the first has changed.
-    #[test]
-    fn the_newer_file_wins_and_a_difference_counts_against_its_base_only() {
-        let mut s = State::default();
-        assert_eq!(read(&mut s, 1, &[host("x", 1), host("y", 2)], 20), Some(Effect::Done));
-        assert_eq!(read(&mut s, 2, &[host("x", 9)], 10), None);
-        let late = s.inventory_change("b", &[host("x", 7)], at(25), at(0)).unwrap();
-        assert_eq!(read(&mut s, 3, &[host("z", 3)], 22), Some(Effect::Done));
-        assert_eq!(s.apply(4, &late), Effect::Outdated, "it would leave z, which b's file does not name");
-        let again = s.inventory_change("b", &[host("x", 7)], at(25), at(0)).unwrap();
-        assert_eq!(s.apply(5, &again), Effect::Done);
-        assert_eq!(s.hosts.keys().collect::<Vec<_>>(), ["x"]);
-        assert_eq!(s.apply(6, &again), Effect::Overtaken);
-        assert_eq!(s.inventory, Some(Source { by: "b".into(), changed: at(25), version: 5 }));
+    fn apply_zone_weight(&mut self, zone: ZoneId, weight: ZoneWeight) -> ApplyResult {
+        if weight.version != self.zone_weight(zone).version + 1 {
+            return ApplyResult::Superseded;
+        }
+        // Two evacuations may be proposed at once, each while the other zone was in service: one of them must fail.
+        if weight.permille == 0 && !self.has_other_zone_in_service(zone) {
+            return ApplyResult::Rejected;
+        }
+        self.zone_weights.insert(zone, weight);
+        ApplyResult::Done
     }
 
-    /// Guards against an undrain that takes away a drain which whoever said it had not heard of, and against a
-    /// drain that arrives after its undrain and comes back to life.
-    #[test]
-    fn an_undrain_ends_the_drains_that_were_heard_of_and_these_for_good() {
-        let mut s = State::default();
-        read(&mut s, 1, &[host("x", 1)], 1);
-        let drain = |n| Change::Drain { host: "x".into(), mark: mark(n, 1) };
-        assert_eq!(s.apply(2, &drain(1)), Effect::Done);
-        assert_eq!(s.apply(3, &drain(2)), Effect::Done);
-        assert_eq!(s.apply(4, &drain(2)), Effect::Overtaken);
-        let undrain = Change::Undrain { host: "x".into(), marks: vec![mark(1, 1), mark(3, 1)] };
-        s.apply(5, &undrain);
-        assert!(s.is_drained("x"), "2's drain was not known there");
-        assert_eq!(s.apply(6, &drain(3)), Effect::Overtaken, "it was undone before it came");
-        s.apply(7, &Change::Undrain { host: "x".into(), marks: vec![mark(2, 1)] });
-        assert!(!s.is_drained("x"));
-        assert_eq!(s.listing(7, |_| false).entries, [host("x", 1)]);
-        assert_eq!(s.listing(7, |n| n == "x").entries[0].availability, Availability::Draining);
+    fn has_other_zone_in_service(&self, zone: ZoneId) -> bool {
+        let is_in_service = |host: &HostRecord| host.zone != zone && self.zone_weight(host.zone).permille > 0;
+        self.hosts.values().any(is_in_service)
     }
 
-    /// Guards against memory that grows with every undrain.
-    #[test]
-    fn the_oldest_undone_marks_go() {
-        let mut s = State::default();
-        for n in 0..REMEMBERED as u64 + 5 {
-            s.apply(n, &Change::Undrain { host: "x".into(), marks: vec![mark(9, 1_000_000 - n)] });
+    fn apply_regions(&mut self, regions: RegionMap) -> ApplyResult {
+        if regions.changed_at <= self.regions.changed_at {
+            return ApplyResult::Superseded;
         }
-        assert_eq!(s.undone.len(), REMEMBERED);
-        assert!(!s.undone.contains_key(&mark(9, 1_000_000)) && s.undone.contains_key(&mark(9, 999_000)));
-    }
-
-    #[test]
-    fn a_fleet_is_complete_when_its_founders_vote_or_are_gone() {
-        let member = |n: u16| Member { name: format!("b{n}"), address: ([127, 0, 0, 1], n).into() };
-        let mut s = State::found(7, NodeId(1), member(1), ["b2", "b3"].map(String::from).into());
-        s.apply_members(&Membership {
-            steps: vec![Step::Follow(NodeId(2))],
-            comes: Some((NodeId(2), member(2))),
-        });
-        assert!(!s.is_complete() && s.members.len() == 2);
-        s.apply_members(&Membership { steps: vec![Step::Vote(NodeId(2))], comes: None });
-        s.apply_members(&Membership {
-            steps: vec![Step::Follow(NodeId(3))],
-            comes: Some((NodeId(3), member(3))),
-        });
-        s.apply_members(&Membership { steps: vec![Step::Remove(NodeId(3))], comes: None });
-        assert!(s.is_complete());
-        s.apply_members(&Membership { steps: vec![Step::Remove(NodeId(2))], comes: None });
-        assert_eq!(s.removed, BTreeMap::from([(NodeId(2), "b2".to_string()), (NodeId(3), "b3".to_string())]));
+        self.regions = regions;
+        ApplyResult::Done
     }
 
-    /// Guards against a move of a zone that was decided before another one and undoes it, and against a disk of before
-    /// that is taken for damaged.
-    #[test]
-    fn a_zone_moves_from_its_last_share_only_and_a_state_without_shares_is_read() {
-        use crate::store::zone_weights::Why;
-        let mut s = State::default();
-        let before = records::write(&s);
-        let there = |zone| HostRecord::of(&EndpointRecord { zone, ..host("x", 1) });
-        s.hosts = [3, 4].map(|zone| (format!("s-{zone}"), there(ZoneId(zone)))).into();
-        let first = s.share(ZoneId(3)).then(0, Why::Lost);
-        assert_eq!(s.apply(1, &Change::Zone { zone: ZoneId(3), share: first }), Effect::Done);
-        let late = Share::default().then(500, Why::Slow);
-        assert_eq!(s.apply(2, &Change::Zone { zone: ZoneId(3), share: late }), Effect::Overtaken);
-        assert_eq!(s.share(ZoneId(3)), first);
-        let last = Change::Zone { zone: ZoneId(4), share: Share::default().then(0, Why::Operator) };
-        assert_eq!(s.apply(3, &last), Effect::Refused, "it is the last one");
-        assert_eq!(State::read(&records::write(&s)), Some(s));
-        // The last bytes are the count of shares, when regions were said, and their count: there are none of them.
-        for (missing, wanted) in [(2, Some(State::default())), (3, Some(State::default())), (4, None)] {
-            let body = &before[4..before.len() - missing];
-            let earlier = [&crc32fast::hash(body).to_be_bytes()[..], body].concat();
-            assert_eq!(State::read(&earlier), wanted, "{missing} bytes fewer");
+    /// Applies a change of the membership. It says who the members are; which of them vote is the consensus's.
+    pub fn apply_membership(&mut self, change: &MembershipChange) {
+        if let Some(joining) = &change.joining {
+            self.members.insert(joining.id, joining.member.clone());
+        }
+        for step in &change.steps {
+            match step {
+                MembershipStep::Remove(id) => self.remove_member(*id),
+                MembershipStep::AddVoter(id) => {
+                    if let Some(member) = self.members.get(id) {
+                        self.founders.remove(&member.name);
+                    }
+                }
+                MembershipStep::AddLearner(_) => {}
+            }
+        }
+        while self.removed.len() > MAX_REMEMBERED {
+            self.removed.pop_first();
         }
-        // Regions follow the file that was changed last.
-        let say = |changed, region: &str| Change::Regions {
-            by: "b1".into(),
-            changed: at(changed),
-            regions: BTreeMap::from([(ZoneId(3), region.to_string()), (ZoneId(4), "x".to_string())]),
-        };
-        let mut s = State::default();
-        assert_eq!((s.region(ZoneId(3)), s.apply(1, &say(5, "x"))), (vec![ZoneId(3)], Effect::Done));
-        assert_eq!(
-            (s.region(ZoneId(3)), s.apply(2, &say(5, "y"))),
-            (vec![ZoneId(3), ZoneId(4)], Effect::Overtaken)
-        );
-        assert_eq!((s.apply(3, &say(6, "y")), s.region(ZoneId(3))), (Effect::Done, vec![ZoneId(3)]));
     }
 
-    #[test]
-    fn what_a_file_says_differently_is_counted() {
-        let mut s = State::default();
-        read(&mut s, 1, &[host("x", 1), host("y", 2)], 1);
-        assert_eq!(s.differs(&[host("x", 1), host("y", 2)]), (0, 0, 0));
-        assert_eq!(s.differs(&[host("x", 9), host("z", 2)]), (1, 1, 1));
+    fn remove_member(&mut self, id: NodeId) {
+        if let Some(member) = self.members.remove(&id) {
+            self.founders.remove(&member.name);
+            self.removed.insert(id, member.name);
+        }
     }
 }
+
+#[cfg(test)]
+mod tests;
