--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -1,305 +1,334 @@
-//! What a daemon keeps on its disk: its identity, the log, a state, drains that are not agreed yet, and what the
-//! others once said. A crash-safe library (`redb`) keeps it; every value has a check sum of its own.
+//! The durable storage of one node: its identity, the consensus state, pending drains, and what peers and endpoints
+//! have reported.
+//!
+//! A crash-safe embedded database (`redb`) holds two tables. `meta` has one value for each key of [`key`], `log` has
+//! the entries by index. Each value has a checksum of its own, besides those of the database: see [`super::codec`].
+//! Every write is synced before it counts.
 
-use super::legacy;
-use super::raft_node::{Image, Write};
-use super::records::{self, Hard, LogEntry, SnapshotRecord};
-use super::state_machine::DrainMark;
+mod identity;
+mod open;
+
+pub use identity::{FileId, IdentityResetReason, NodeIdentity, PersistedProgress};
+
+use super::codec;
+use super::error::{DamagedStore, StoreError};
+use super::legacy::LegacyStore;
+use super::raft_node::{RaftPersistentState, RaftWrite};
+use super::records::{CompactionRecord, HardState, LogEntry, SnapshotRecord};
+use super::state_machine::PendingDrain;
 use crate::ids::NodeId;
 use redb::backends::InMemoryBackend;
-use redb::{Database, Durability, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
+use redb::{
+    Database, Durability, ReadTransaction, ReadableDatabase, ReadableTable, StorageBackend, Table,
+    TableDefinition, WriteTransaction,
+};
 use serde::de::DeserializeOwned;
-use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use std::collections::BTreeMap;
-use std::fs;
-use std::os::unix::fs::MetadataExt;
-use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 
+/// Values by key. The name is part of the stored format.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+/// Entries of the log by index. The name is part of the stored format.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// The form of what is kept.
-const FORM: u32 = 1;
-/// Memory that the library may keep of the file.
-const CACHE: usize = 1 << 20;
 
-/// Who this daemon is.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Identity {
-    /// Drawn at random when the file was made.
-    pub id: NodeId,
-    /// Starts with this file.
-    pub boots: u64,
-    /// The file's device and number: those of a copy are others.
-    pub place: (u64, u64),
-}
+/// The version of the stored format. A store of another version is set aside.
+const FORMAT_VERSION: u32 = 1;
 
-/// What a daemon has told of itself once: a disk that knows less is an older one.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Witness {
-    /// Its starts.
-    pub boots: u64,
-    /// The term that it was in.
-    pub term: u64,
-    /// Term and place of the last entry that it said it holds.
-    pub last: (u64, u64),
-}
+/// The database's page cache. A store is a few megabytes at most, and is read once, at the start.
+const CACHE_BYTES: usize = 1 << 20;
 
-impl Witness {
-    /// Whether what is said now is from before what was said.
-    pub fn outdates(&self, now: &Witness) -> bool {
-        now.boots < self.boots || now.term < self.term || now.last < self.last
-    }
-
-    /// Takes in what is said now.
-    pub fn hear(&mut self, now: &Witness) {
-        self.boots = self.boots.max(now.boots);
-        self.term = self.term.max(now.term);
-        self.last = self.last.max(now.last);
-    }
+/// The keys of the `meta` table. They are part of the stored format, and older than the names of what they hold.
+mod key {
+    /// [`super::FORMAT_VERSION`].
+    pub const FORMAT: &str = "form";
+    /// [`super::NodeIdentity`].
+    pub const IDENTITY: &str = "identity";
+    /// [`super::HardState`].
+    pub const HARD_STATE: &str = "hard";
+    /// [`super::SnapshotRecord`].
+    pub const SNAPSHOT: &str = "snapshot";
+    /// [`super::CompactionRecord`].
+    pub const COMPACTED: &str = "dropped";
+    /// The list of pending drains.
+    pub const PENDING_DRAINS: &str = "marks";
+    /// The furthest progress that each peer has reported.
+    pub const REPORTED_PROGRESS: &str = "witnesses";
+    /// What gossip has spread about endpoints, encoded by the fleet.
+    pub const GOSSIP: &str = "learned";
 }
 
-/// Drains that are not agreed yet, with their hosts.
-pub type Marks = Vec<(String, DrainMark)>;
-
-/// What the disk held at the start.
+/// What a node's storage held at the start.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
-    /// The agreement.
-    pub image: Image,
-    /// Drains that were not agreed.
-    pub marks: Marks,
-    /// What the others said.
-    pub witnesses: BTreeMap<NodeId, Witness>,
-    /// What was learned of the hosts, as the fleet wrote it; soft, so one that is damaged is not there.
-    pub learned: Option<Vec<u8>>,
-    /// A store of the form before this one, taken over.
-    pub legacy: Option<legacy::Legacy>,
-    /// What was found and set aside, for the log.
+pub struct StoreContents {
+    /// The consensus state.
+    pub raft: RaftPersistentState,
+    /// Drains that were not committed yet.
+    pub drains: Vec<PendingDrain>,
+    /// The furthest progress that each peer has reported of itself.
+    pub reported_progress: BTreeMap<NodeId, PersistedProgress>,
+    /// What gossip had spread about endpoints, encoded by the fleet. It is only a first guess: a damaged value counts
+    /// as absent.
+    pub gossip: Option<Vec<u8>>,
+    /// The contents of a store file of version 0.2.0, which this storage replaces.
+    pub legacy: Option<LegacyStore>,
+    /// Files that were set aside, for the log.
     pub notes: Vec<String>,
 }
 
-/// A daemon's disk.
-pub struct Disk {
-    db: Database,
-    path: Option<PathBuf>,
-    /// Who this daemon is.
-    pub identity: Identity,
-    /// Writes since the start, each synced before it counts.
-    pub writes: Cell<u64>,
+/// A node's storage and what it held.
+pub struct OpenedStorage {
+    /// The storage.
+    pub storage: DurableStorage,
+    /// What it held.
+    pub contents: StoreContents,
 }
 
-fn text(e: impl std::fmt::Display) -> String {
-    e.to_string()
+/// The durable storage of one node.
+pub struct DurableStorage {
+    database: Database,
+    /// `None`: the storage lasts as long as the process.
+    path: Option<PathBuf>,
+    /// Who the node is.
+    pub identity: NodeIdentity,
+    write_count: Cell<u64>,
 }
 
-/// Reads one value; an error where it is there and not whole.
-fn value<T: DeserializeOwned>(
-    table: &impl ReadableTable<&'static str, &'static [u8]>,
-    key: &str,
-) -> Result<Option<T>, String> {
-    let Some(found) = table.get(key).map_err(text)? else { return Ok(None) };
-    records::read(found.value()).map(Some).ok_or_else(|| format!("{key} is damaged"))
+/// A value of the `meta` table that the consensus does not need.
+#[derive(Clone, Copy, Debug)]
+pub enum NodeValue<'a> {
+    /// Who the node is.
+    Identity(&'a NodeIdentity),
+    /// All pending drains.
+    PendingDrains(&'a [PendingDrain]),
+    /// The furthest progress that each peer has reported of itself.
+    ReportedProgress(&'a BTreeMap<NodeId, PersistedProgress>),
+    /// What gossip has spread about endpoints, encoded by the fleet.
+    Gossip(&'a [u8]),
 }
 
-fn read(db: &Database) -> Result<Option<(Identity, Held)>, String> {
-    let reading = db.begin_read().map_err(text)?;
-    let meta = match reading.open_table(META) {
-        Ok(table) => table,
-        Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
-        Err(e) => return Err(text(e)),
-    };
-    match value::<u32>(&meta, "form")? {
-        Some(FORM) => {}
-        Some(other) => return Err(format!("a store of form {other}, not {FORM}")),
-        None => return Ok(None),
+impl NodeValue<'_> {
+    fn key(&self) -> &'static str {
+        match self {
+            NodeValue::Identity(_) => key::IDENTITY,
+            NodeValue::PendingDrains(_) => key::PENDING_DRAINS,
+            NodeValue::ReportedProgress(_) => key::REPORTED_PROGRESS,
+            NodeValue::Gossip(_) => key::GOSSIP,
+        }
     }
-    let Some(identity) = value::<Identity>(&meta, "identity")? else { return Err("no identity".into()) };
-    let mut image = Image {
-        hard: value::<Hard>(&meta, "hard")?.unwrap_or_default(),
-        snapshot: value::<SnapshotRecord>(&meta, "snapshot")?.unwrap_or_default(),
-        dropped: value(&meta, "dropped")?.unwrap_or_default(),
-        entries: Vec::new(),
-    };
-    for row in reading.open_table(LOG).map_err(text)?.iter().map_err(text)? {
-        let (index, bytes) = row.map_err(text)?;
-        let entry: Option<LogEntry> = records::read(bytes.value());
-        let entry = entry.filter(|e| e.index == index.value());
-        image.entries.push(entry.ok_or_else(|| format!("entry {} is damaged", index.value()))?);
+
+    fn encode(&self) -> Vec<u8> {
+        match self {
+            NodeValue::Identity(identity) => codec::encode(identity),
+            NodeValue::PendingDrains(drains) => codec::encode(drains),
+            NodeValue::ReportedProgress(progress) => codec::encode(progress),
+            NodeValue::Gossip(bytes) => codec::encode(bytes),
+        }
     }
-    let marks = value(&meta, "marks")?.unwrap_or_default();
-    let witnesses = value(&meta, "witnesses")?.unwrap_or_default();
-    let learned = value(&meta, "learned").ok().flatten();
-    Ok(Some((identity, Held { image, marks, witnesses, learned, ..Held::default() })))
 }
 
-/// A file under another name beside it, free to take.
-fn aside(path: &Path, why: &str) -> PathBuf {
-    let name = |n: usize| {
-        let mut name = path.as_os_str().to_owned();
-        name.push(if n == 0 { format!(".{why}") } else { format!(".{why}-{n}") });
-        PathBuf::from(name)
-    };
-    (0..).map(name).find(|p| !p.exists()).unwrap_or_default()
-}
+impl DurableStorage {
+    /// Opens a node's store file, or creates it.
+    ///
+    /// A damaged file, or a copy of another one, is set aside under another name, and the node starts as a new one. A
+    /// store file of version 0.2.0 is read, set aside and replaced.
+    ///
+    /// # Errors
+    ///
+    /// No node can start with this path: another process has the file, or it cannot be accessed.
+    pub fn open(path: &Path) -> Result<OpenedStorage, StoreError> {
+        open::open(path)
+    }
 
-fn set_aside(path: &Path, why: &str) -> Result<PathBuf, String> {
-    let to = aside(path, why);
-    fs::rename(path, &to).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(to)
-}
+    /// Opens storage on any medium, or creates it there.
+    ///
+    /// # Errors
+    ///
+    /// The medium cannot be read or written, or what it holds is damaged.
+    pub fn on_backend(backend: impl StorageBackend) -> Result<OpenedStorage, StoreError> {
+        let mut builder = Database::builder();
+        let database = builder.set_cache_size(CACHE_BYTES).create_with_backend(backend);
+        let database = database.map_err(redb::Error::from)?;
+        if let Some(stored) = read_store(&database)? {
+            let storage =
+                DurableStorage { database, path: None, identity: stored.identity, write_count: Cell::new(0) };
+            return Ok(OpenedStorage { storage, contents: stored.contents });
+        }
+        let identity = create_store(&database)?;
+        let storage = DurableStorage { database, path: None, identity, write_count: Cell::new(1) };
+        Ok(OpenedStorage { storage, contents: StoreContents::default() })
+    }
 
-fn place(path: &Path) -> Result<(u64, u64), String> {
-    let meta = fs::metadata(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok((meta.dev(), meta.ino()))
-}
+    /// Creates storage that lasts as long as the process.
+    ///
+    /// # Errors
+    ///
+    /// None in practice: memory can be read and written.
+    pub fn in_memory() -> Result<OpenedStorage, StoreError> {
+        DurableStorage::on_backend(InMemoryBackend::new())
+    }
 
-impl Disk {
-    /// Opens a daemon's file. One that is damaged, or a copy, is set aside under another name, and the daemon is
-    /// a new one; a store of the form before is read once. Errors are what no daemon can start with.
-    pub fn open(path: &Path) -> Result<(Disk, Held), String> {
-        let fault = |e: String| format!("{}: {e}", path.display());
-        let mut notes = Vec::new();
-        let mut legacy = None;
-        if path.exists() {
-            let start = fs::read(path).map_err(|e| fault(text(e)))?;
-            if start.starts_with(legacy::FORM.as_bytes()) {
-                let old = String::from_utf8(start).map_err(text).and_then(|t| legacy::parse(&t));
-                let to = set_aside(path, if old.is_ok() { "old" } else { "damaged" })?;
-                notes.push(match &old {
-                    Ok(_) => format!(
-                        "{}: a store of the old form, taken over; now {}",
-                        path.display(),
-                        to.display()
-                    ),
-                    Err(e) => format!("{}: {e}; set aside as {}", path.display(), to.display()),
-                });
-                legacy = old.ok();
+    /// Writes all of this or nothing, and returns when it is synced.
+    ///
+    /// # Errors
+    ///
+    /// The medium cannot be written. Whether the write took effect shows at the next start.
+    pub fn write(&self, raft: &RaftWrite, values: &[NodeValue<'_>]) -> Result<(), StoreError> {
+        let transaction = begin_synced_write(&self.database)?;
+        {
+            let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
+            let mut log = transaction.open_table(LOG).map_err(redb::Error::from)?;
+            write_raft(&mut meta, &mut log, raft)?;
+            for value in values {
+                insert(&mut meta, value.key(), &value.encode())?;
             }
         }
-        let opened = catch_unwind(AssertUnwindSafe(|| {
-            let db = Database::builder().set_cache_size(CACHE).create(path);
-            let db = db.map_err(|e| match e {
-                redb::DatabaseError::DatabaseAlreadyOpen => Err("another process has it".to_string()),
-                redb::DatabaseError::Storage(redb::StorageError::Io(e))
-                    if !matches!(
-                        e.kind(),
-                        std::io::ErrorKind::InvalidData | std::io::ErrorKind::UnexpectedEof
-                    ) =>
-                {
-                    Err(text(e))
-                }
-                e => Ok(text(e)),
-            })?;
-            let held = read(&db).map_err(Ok)?;
-            Ok::<_, Result<String, String>>((db, held))
-        }));
-        let damage = match opened {
-            Ok(Ok((db, Some((identity, mut held))))) => {
-                if place(path)? == identity.place {
-                    held.notes = notes;
-                    let mut disk =
-                        Disk { db, path: Some(path.to_path_buf()), identity, writes: Cell::new(0) };
-                    disk.identity.boots += 1;
-                    disk.put("identity", &disk.identity).map_err(fault)?;
-                    return Ok((disk, held));
-                }
-                "it is a copy of another file".to_string()
-            }
-            Ok(Ok((db, None))) => {
-                let mut disk = Disk::fresh(db, Some(path.to_path_buf())).map_err(fault)?;
-                disk.identity.place = place(path)?;
-                disk.put("identity", &disk.identity).map_err(fault)?;
-                return Ok((disk, Held { legacy, notes, ..Held::default() }));
-            }
-            Ok(Err(Err(fatal))) => return Err(fault(fatal)),
-            Ok(Err(Ok(damage))) => damage,
-            Err(_) => "it cannot be read".to_string(),
-        };
-        let to = set_aside(path, "damaged")?;
-        let (disk, mut held) = Disk::open(path)?;
-        notes.push(format!("{}: {damage}; set aside as {}", path.display(), to.display()));
-        held.notes = notes;
-        Ok((disk, held))
+        self.write_count.set(self.write_count.get() + 1);
+        transaction.commit().map_err(redb::Error::from)?;
+        Ok(())
     }
 
-    /// A disk on anything that stores bytes.
-    pub fn on(backend: impl StorageBackend) -> Result<(Disk, Held), String> {
-        let db = Database::builder().set_cache_size(CACHE).create_with_backend(backend).map_err(text)?;
-        if let Some((identity, held)) = read(&db)? {
-            return Ok((Disk { db, path: None, identity, writes: Cell::new(0) }, held));
-        }
-        Ok((Disk::fresh(db, None)?, Held::default()))
+    /// The number of writes since the start, each of them synced.
+    pub fn write_count(&self) -> u64 {
+        self.write_count.get()
     }
 
-    /// A disk that lasts as long as the process.
-    pub fn in_memory() -> Result<(Disk, Held), String> {
-        Disk::on(InMemoryBackend::new())
+    /// Reads the consensus state again, as after a start.
+    ///
+    /// # Errors
+    ///
+    /// The medium cannot be read, or what it holds is damaged.
+    pub fn read_raft_state(&self) -> Result<RaftPersistentState, StoreError> {
+        let stored = read_store(&self.database)?;
+        Ok(stored.map(|stored| stored.contents.raft).unwrap_or_default())
     }
 
-    fn fresh(db: Database, path: Option<PathBuf>) -> Result<Disk, String> {
-        let identity = Identity { id: NodeId(fastrand::u64(1..)), boots: 1, place: (0, 0) };
-        let mut writing = db.begin_write().map_err(text)?;
-        writing.set_durability(Durability::Immediate).map_err(text)?;
-        {
-            let mut meta = writing.open_table(META).map_err(text)?;
-            meta.insert("form", &records::write(&FORM)[..]).map_err(text)?;
-            meta.insert("identity", &records::write(&identity)[..]).map_err(text)?;
-            writing.open_table(LOG).map_err(text)?;
-        }
-        writing.commit().map_err(text)?;
-        Ok(Disk { db, path, identity, writes: Cell::new(1) })
+    /// Gives up this identity: the file is set aside, and the storage returned is that of a new node.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be renamed, or a new one cannot be created.
+    pub fn reset_identity(self, reason: IdentityResetReason) -> Result<DurableStorage, StoreError> {
+        let DurableStorage { database, path, .. } = self;
+        drop(database);
+        let Some(path) = path else { return Ok(DurableStorage::in_memory()?.storage) };
+        open::set_aside(&path, reason.file_suffix())?;
+        Ok(DurableStorage::open(&path)?.storage)
     }
+}
+
+/// What a store holds that has been created before.
+struct StoredNode {
+    identity: NodeIdentity,
+    contents: StoreContents,
+}
 
-    fn put<T: Serialize>(&self, key: &str, value: &T) -> Result<(), String> {
-        self.write(&Write::default(), &[(key, records::write(value))])
+/// Reads a store whole; `None`: it has not been created yet.
+fn read_store(database: &Database) -> Result<Option<StoredNode>, DamagedStore> {
+    let transaction = database.begin_read()?;
+    let meta = match transaction.open_table(META) {
+        Ok(table) => table,
+        Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
+        Err(error) => return Err(error.into()),
+    };
+    match read_value::<u32>(&meta, key::FORMAT)? {
+        Some(FORMAT_VERSION) => {}
+        Some(found) => return Err(DamagedStore::UnknownFormat { found, supported: FORMAT_VERSION }),
+        None => return Ok(None),
     }
+    let Some(identity) = read_value::<NodeIdentity>(&meta, key::IDENTITY)? else {
+        return Err(DamagedStore::NoIdentity);
+    };
+    let compacted: CompactionRecord = read_value(&meta, key::COMPACTED)?.unwrap_or_default();
+    let raft = RaftPersistentState {
+        hard_state: read_value::<HardState>(&meta, key::HARD_STATE)?.unwrap_or_default(),
+        snapshot: read_value::<SnapshotRecord>(&meta, key::SNAPSHOT)?.unwrap_or_default(),
+        compacted: compacted.into(),
+        entries: read_log(&transaction)?,
+    };
+    let contents = StoreContents {
+        raft,
+        drains: read_value(&meta, key::PENDING_DRAINS)?.unwrap_or_default(),
+        reported_progress: read_value(&meta, key::REPORTED_PROGRESS)?.unwrap_or_default(),
+        gossip: read_value(&meta, key::GOSSIP).ok().flatten(),
+        ..StoreContents::default()
+    };
+    Ok(Some(StoredNode { identity, contents }))
+}
 
-    /// Writes all of this or nothing, and comes back when it is on the disk.
-    pub fn write(&self, write: &Write, more: &[(&str, Vec<u8>)]) -> Result<(), String> {
-        let mut writing = self.db.begin_write().map_err(text)?;
-        writing.set_durability(Durability::Immediate).map_err(text)?;
-        {
-            let mut meta = writing.open_table(META).map_err(text)?;
-            let mut log = writing.open_table(LOG).map_err(text)?;
-            if let Some(hard) = &write.hard {
-                meta.insert("hard", &records::write(hard)[..]).map_err(text)?;
-            }
-            if let Some(snapshot) = &write.snapshot {
-                meta.insert("snapshot", &records::write(snapshot)[..]).map_err(text)?;
-            }
-            if let Some(dropped) = &write.dropped {
-                meta.insert("dropped", &records::write(dropped)[..]).map_err(text)?;
-                log.retain_in(..=dropped.0, |_, _| false).map_err(text)?;
-            }
-            if let Some(first) = write.entries.first() {
-                log.retain_in(first.index.., |_, _| false).map_err(text)?;
-            }
-            for entry in &write.entries {
-                log.insert(entry.index, &records::write(entry)[..]).map_err(text)?;
-            }
-            for (key, value) in more {
-                meta.insert(*key, &value[..]).map_err(text)?;
-            }
+/// Reads one value; `None`: there is none.
+fn read_value<T: DeserializeOwned>(
+    table: &impl ReadableTable<&'static str, &'static [u8]>,
+    key: &'static str,
+) -> Result<Option<T>, DamagedStore> {
+    let Some(stored) = table.get(key)? else { return Ok(None) };
+    match codec::decode(stored.value()) {
+        Some(value) => Ok(Some(value)),
+        None => Err(DamagedStore::Value { key }),
+    }
+}
+
+fn read_log(transaction: &ReadTransaction) -> Result<Vec<LogEntry>, DamagedStore> {
+    let mut entries = Vec::new();
+    for row in transaction.open_table(LOG)?.iter()? {
+        let (index, bytes) = row?;
+        let index = index.value();
+        match codec::decode::<LogEntry>(bytes.value()) {
+            Some(entry) if entry.index == index => entries.push(entry),
+            _ => return Err(DamagedStore::Entry { index }),
         }
-        self.writes.set(self.writes.get() + 1);
-        writing.commit().map_err(text)
     }
+    Ok(entries)
+}
 
-    /// Reads the agreement anew, as after a start.
-    pub fn image(&self) -> Result<Image, String> {
-        Ok(read(&self.db)?.map(|(_, held)| held.image).unwrap_or_default())
+/// Creates the tables, with the identity of a new node.
+fn create_store(database: &Database) -> Result<NodeIdentity, redb::Error> {
+    let identity = NodeIdentity { id: NodeId(fastrand::u64(1..)), boot_count: 1, file: FileId::default() };
+    let transaction = begin_synced_write(database)?;
+    {
+        let mut meta = transaction.open_table(META)?;
+        insert(&mut meta, key::FORMAT, &codec::encode(&FORMAT_VERSION))?;
+        insert(&mut meta, key::IDENTITY, &codec::encode(&identity))?;
+        transaction.open_table(LOG)?;
     }
+    transaction.commit()?;
+    Ok(identity)
+}
 
-    /// Gives this identity up: the file is set aside, and the disk is that of a new daemon.
-    pub fn renounce(self, why: &str) -> Result<Disk, String> {
-        let path = self.path.clone();
-        drop(self.db);
-        let Some(path) = path else { return Ok(Disk::in_memory()?.0) };
-        set_aside(&path, why)?;
-        Ok(Disk::open(&path)?.0)
+fn begin_synced_write(database: &Database) -> Result<WriteTransaction, redb::Error> {
+    let mut transaction = database.begin_write()?;
+    transaction.set_durability(Durability::Immediate)?;
+    Ok(transaction)
+}
+
+fn write_raft(
+    meta: &mut Table<'_, &str, &[u8]>,
+    log: &mut Table<'_, u64, &[u8]>,
+    write: &RaftWrite,
+) -> Result<(), redb::Error> {
+    if let Some(hard_state) = &write.hard_state {
+        insert(meta, key::HARD_STATE, &codec::encode(hard_state))?;
+    }
+    if let Some(snapshot) = &write.snapshot {
+        insert(meta, key::SNAPSHOT, &codec::encode(snapshot))?;
+    }
+    if let Some(compacted) = write.compacted {
+        insert(meta, key::COMPACTED, &codec::encode(&CompactionRecord::from(compacted)))?;
+        log.retain_in(..=compacted.index, |_, _| false)?;
     }
+    if let Some(first) = write.entries.first() {
+        // The entries replace what an earlier leader had appended there.
+        log.retain_in(first.index.., |_, _| false)?;
+    }
+    for entry in &write.entries {
+        log.insert(entry.index, &codec::encode(entry)[..])?;
+    }
+    Ok(())
+}
+
+fn insert(meta: &mut Table<'_, &str, &[u8]>, key: &str, bytes: &[u8]) -> Result<(), redb::Error> {
+    meta.insert(key, bytes)?;
+    Ok(())
 }
 
 #[cfg(test)]
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -3,8 +3,8 @@
 
 mod stand_in;
 
-use brookpass::fleet::zones::Verdict;
-use brookpass::store::zone_weights::Why;
+use brookpass::fleet::zones::ZoneHealth;
+use brookpass::store::zone_weights::WeightReason;
 use brookpass_lab::fleet::{Lab, Setup};
 use stand_in::*;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -328,10 +328,12 @@
 /// brought to say within a moment is held here.
 #[test]
 fn the_words_on_the_state_of_a_zone_are_as_they_were() {
-    let why = [Why::Returns, Why::Lost, Why::Slow, Why::Operator].map(|why| format!("{why:?}"));
+    let why = [WeightReason::Returns, WeightReason::Lost, WeightReason::Slow, WeightReason::Operator]
+        .map(|why| format!("{why:?}"));
     assert_eq!(why, ["Returns", "Lost", "Slow", "Operator"]);
-    let all = [Verdict::Unknown, Verdict::Sound, Verdict::Doubtful, Verdict::Slow, Verdict::Lost];
-    let looks = all.map(|verdict| format!("{verdict:?}").to_lowercase());
+    let all =
+        [ZoneHealth::Unknown, ZoneHealth::Healthy, ZoneHealth::Degraded, ZoneHealth::Slow, ZoneHealth::Lost];
+    let looks = all.map(|health| health.label());
     assert_eq!(looks, ["unknown", "sound", "doubtful", "slow", "lost"]);
 }
 
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -4,8 +4,8 @@
 use brookpass::config::Limits;
 use brookpass::daemon::operator_config::{self, OperatorConfig, ParsedSettings, StoreConfig};
 use brookpass::engine::endpoints::{EndpointRecord, EndpointUpdate};
-use brookpass::fleet::zones::Dwell;
-use brookpass::fleet::zoning::Leaving;
+use brookpass::fleet::zones::EvacuationBackoff;
+use brookpass::fleet::zones::EvacuationPolicy;
 use brookpass::inventory::{self, Inventory};
 use brookpass::net::sparql::front::Service;
 use brookpass::platform_config::{self, PlatformConfig};
@@ -230,13 +230,16 @@
     assert_eq!(peers, [address("127.0.0.1:9004"), address("[::1]:9005")]);
     assert_eq!((snapshot, inventory), (Some(fixture("kept/b7.store")), Some(fixture("hosts.csv"))));
     assert_eq!(zones, ["north-1", "south-2"]);
-    let Leaving { names, automatic, dwell } = leaving;
+    let EvacuationPolicy { zone_names, automatic, backoff } = leaving;
     assert_eq!(
-        (names, automatic, dwell),
+        (zone_names, automatic, backoff),
         (
             zones,
             false,
-            Dwell { least: TimeDelta::from_micros(4_500_000), longest: TimeDelta::from_micros(90_000_000) }
+            EvacuationBackoff {
+                initial: TimeDelta::from_micros(4_500_000),
+                maximum: TimeDelta::from_micros(90_000_000)
+            }
         )
     );
     assert!(modified_at > Timestamp::from_micros(0));
@@ -279,10 +282,13 @@
     assert_eq!((config.service.session, config.service.group), (None, None));
     assert_eq!((config.store.advertise, config.store.peers, config.store.snapshot), (None, Vec::new(), None));
     assert_eq!((config.inventory, config.zones, config.settings), (None, Vec::new(), None));
-    assert_eq!((config.leaving.names, config.leaving.automatic), (Vec::new(), true));
+    assert_eq!((config.leaving.zone_names, config.leaving.automatic), (Vec::new(), true));
     assert_eq!(
-        config.leaving.dwell,
-        Dwell { least: TimeDelta::from_micros(3_000_000), longest: TimeDelta::from_micros(60_000_000) }
+        config.leaving.backoff,
+        EvacuationBackoff {
+            initial: TimeDelta::from_micros(3_000_000),
+            maximum: TimeDelta::from_micros(60_000_000)
+        }
     );
 }
 
