--- a/src/store/legacy/tests.rs
+++ b/src/store/legacy/tests.rs
@@ -1,36 +1,36 @@
+//! Store files of version 0.2.0, whole and damaged.
+
 use super::*;
 
-const OLD: &str = "brookpass-store 1\n3\ta.1\tconfig/changed\t+7\n2\ta.1\tconfig/settings\t+x=1\\ny=2\\n\n\
-                   5\ta.1\tdrain/s-1\t+1\n6\ta.1\tdrain/s-2\t-\n1\ta.1\thost/s-1\t+127.0.0.1:7001 1 0 0.5 active 12\n\
-                   4\ta.1\tinventory/changed\t+9\npending\t\tdrain/s-3\t+1\nend\n";
+const FILE: &str = "brookpass-store 1\n3\ta.1\tconfig/changed\t+7\n2\ta.1\tconfig/settings\t+x=1\\ny=2\\n\n\
+                    5\ta.1\tdrain/s-1\t+1\n6\ta.1\tdrain/s-2\t-\n1\ta.1\thost/s-1\t+127.0.0.1:7001 1 0 0.5 active 12\n\
+                    4\ta.1\tinventory/changed\t+9\npending\t\tdrain/s-3\t+1\nend\n";
 
 #[test]
-fn a_file_of_the_old_form_is_read_whole() {
-    let old = parse(OLD).unwrap();
-    assert_eq!(old.drains, ["s-1", "s-3"], "also one that had no stamp yet");
+fn a_whole_file_is_read() {
+    let store = parse(FILE).unwrap();
+    assert_eq!(store.drains, ["s-1", "s-3"], "also one that had no sequence number yet");
     assert_eq!(
-        old.settings,
+        store.settings,
         Some(LegacySettings { text: "x=1\ny=2\n".to_string(), changed_at: Timestamp::from_micros(7) })
     );
-    assert_eq!((old.hosts_changed, old.hosts.len()), (Timestamp::from_micros(9), 1));
-    assert_eq!(
-        (old.hosts[0].1.started_at, old.hosts[0].1.weight),
-        (Some(Timestamp::from_micros(12_000)), 0.5)
-    );
-    assert_eq!(old.changes("b1").len(), 2);
+    assert_eq!((store.hosts_changed, store.hosts.len()), (Timestamp::from_micros(9), 1));
+    let (_, host) = &store.hosts[0];
+    assert_eq!((host.started_at, host.weight), (Some(Timestamp::from_micros(12_000)), 0.5));
+    assert_eq!(store.changes("b1").len(), 2);
 }
 
-/// Guards against a file that is taken in by half.
+/// Guards against a file of which only a part is used.
 #[test]
-fn one_that_is_cut_short_or_changed_is_refused_with_its_line() {
-    for (text, why) in [
-        (OLD.replace("end\n", ""), "line 9: the file is cut short"),
-        (OLD.replace("\t+7", "\t+x"), "line 2: no such time"),
-        (OLD.replace("active 12", "active"), "line 6: no such host"),
-        (OLD.replace("\\n\n", "\\q\n"), "line 3: a broken escape"),
-        (OLD.replace("end\n", "end\nmore\n"), "line 10: something after"),
+fn a_file_that_is_cut_short_or_changed_is_refused_with_its_line() {
+    for (text, expected) in [
+        (FILE.replace("end\n", ""), "line 9: the file is cut short"),
+        (FILE.replace("\t+7", "\t+x"), "line 2: no such time"),
+        (FILE.replace("active 12", "active"), "line 6: no such host"),
+        (FILE.replace("\\n\n", "\\q\n"), "line 3: a broken escape"),
+        (FILE.replace("end\n", "end\nmore\n"), "line 10: something after"),
     ] {
         let error = parse(&text).unwrap_err();
-        assert!(error.to_string().starts_with(why), "{error}");
+        assert!(error.to_string().starts_with(expected), "{error}");
     }
 }
--- a/src/store/raft_message/tests.rs
+++ b/src/store/raft_message/tests.rs
@@ -1,29 +1,29 @@
-//! Messages to the library's form and back.
+//! Conversions of messages to the consensus library's type and back.
 
 use super::*;
 use crate::store::records::Configuration;
 
 /// Guards against a message that a peer may not send: the library would parse a proposal's bytes.
 #[test]
-fn only_messages_that_go_between_daemons_are_made() {
+fn only_messages_between_peers_are_converted() {
     for kind in 0..=u8::MAX {
-        let letter = RaftMessage { kind, to: NodeId(1), from: NodeId(2), ..RaftMessage::default() };
-        let known = PEER_MESSAGE_TYPES.iter().any(|(known, _)| *known == kind) && kind != kind::SNAPSHOT;
-        assert_eq!(letter.into_raft().is_some(), known, "{kind}");
+        let message = RaftMessage { kind, to: NodeId(1), from: NodeId(2), ..RaftMessage::default() };
+        let is_known = PEER_MESSAGE_TYPES.iter().any(|(known, _)| *known == kind) && kind != kind::SNAPSHOT;
+        assert_eq!(message.into_raft().is_some(), is_known, "{kind}");
     }
 }
 
 #[test]
-fn a_message_keeps_all_that_counts_on_its_way() {
-    let entry = LogEntry { index: 6, term: 3, kind: 2, payload: vec![1, 2] };
-    let conf = Configuration {
+fn a_converted_message_keeps_all_that_counts() {
+    let entry = LogEntry { index: 6, term: 3, kind: LogEntry::MEMBERSHIP, payload: vec![1, 2] };
+    let configuration = Configuration {
         voters: vec![NodeId(1), NodeId(2)],
         learners: vec![NodeId(3)],
         ..Configuration::default()
     };
-    let snapshot = SnapshotRecord { index: 5, term: 2, configuration: conf, state: vec![9] };
-    for (kind, snapshot) in [(3, None), (7, Some(snapshot))] {
-        let letter = RaftMessage {
+    let snapshot = SnapshotRecord { index: 5, term: 2, configuration, state: vec![9] };
+    for (kind, snapshot) in [(kind::APPEND, None), (kind::SNAPSHOT, Some(snapshot))] {
+        let message = RaftMessage {
             kind,
             to: NodeId(1),
             from: NodeId(2),
@@ -38,6 +38,6 @@
             context: vec![7],
             ..RaftMessage::default()
         };
-        assert_eq!(RaftMessage::from_raft(letter.clone().into_raft().unwrap()), Some(letter));
+        assert_eq!(RaftMessage::from_raft(message.clone().into_raft().unwrap()), Some(message));
     }
 }
