--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -1,5 +1,5 @@
-//! Files of stores that earlier builds wrote: the whole state in them is read, a store written now lies on the disk as
-//! they do, and the program serves from one. tests/fixtures/README.md tells how the files were made.
+//! Store files that earlier builds wrote: everything in them is read, a store that is written now has the same bytes,
+//! and the program serves from one. tests/fixtures/README.md says how the files were made.
 
 mod stored;
 
@@ -11,7 +11,7 @@
 use brookpass::store::legacy::{self, LegacySettings, LegacyStore};
 use brookpass::store::raft_message::RaftMessage;
 use brookpass::store::raft_node::{AppliedContent, AppliedEntry, CompletedWrite, RaftNode, RaftWrite};
-use brookpass::store::records::{CompactionRecord, Configuration, EntryId, HostRecord, LogEntry, Vote};
+use brookpass::store::records::{Configuration, EntryId, HostRecord, LogEntry, Vote};
 use brookpass::store::state_machine::{ApplyResult, Change};
 use brookpass::store::storage::{DurableStorage, NodeValue, OpenedStorage, StoreContents};
 use brookpass::store::store_thread::{self, RunningStore, StoreCommand, StoreEvent};
@@ -24,30 +24,33 @@
 use std::path::Path;
 use stored::*;
 
-/// Check sums over all that was agreed, after the entries 21 to 27 of the fixture.
+/// The checksums over all committed entries, after each of the entries 21 to 27 of the fixture.
 const DIGESTS: [u32; 7] =
     [0xee5a_9c8e, 0xd71d_b247, 0x2c14_3a22, 0xb2ce_1177, 0x9e11_de07, 0x962a_59e8, 0x9204_19f3];
 
-/// What the fixture's disk must hold, as one opens it.
-fn assert_held(held: &StoreContents) {
-    assert_eq!(held.raft, image());
-    assert_eq!(held.drains, marks());
-    assert_eq!(held.reported_progress, witnesses());
-    assert_eq!(held.gossip.as_deref().and_then(codec::decode::<PersistedGossip>), Some(saved()));
-    assert_eq!((&held.legacy, &held.notes), (&None, &Vec::new()));
+/// Asserts that storage held what the fixture holds.
+fn assert_contents(contents: &StoreContents) {
+    assert_eq!(contents.raft, raft_state());
+    assert_eq!(contents.drains, pending_drains());
+    assert_eq!(contents.reported_progress, reported_progress());
+    assert_eq!(
+        contents.gossip.as_deref().and_then(codec::decode::<PersistedGossip>),
+        Some(persisted_gossip())
+    );
+    assert_eq!((&contents.legacy, &contents.notes), (&None, &Vec::new()));
 }
 
-/// What the fixture's entries after the snapshot are taken in as.
-fn wanted() -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
+/// The fixture's committed entries after the snapshot, as they are applied: index, digest, content and result.
+fn expected_entries() -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
     let entries = entries().into_iter().filter(|e| (21..=27).contains(&e.index));
-    let what = |e: &LogEntry| match e.kind {
-        0 => AppliedContent::Change(codec::decode(&e.payload).unwrap()),
+    let content = |e: &LogEntry| match e.kind {
+        LogEntry::CHANGE => AppliedContent::Change(codec::decode(&e.payload).unwrap()),
         _ => AppliedContent::Membership(codec::decode(&e.payload).unwrap()),
     };
-    entries.zip(DIGESTS).map(|(e, digest)| (e.index, digest, what(&e), ApplyResult::Done)).collect()
+    entries.zip(DIGESTS).map(|(e, digest)| (e.index, digest, content(&e), ApplyResult::Done)).collect()
 }
 
-fn taken_in(applied: Vec<AppliedEntry>) -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
+fn without_types(applied: Vec<AppliedEntry>) -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
     applied.into_iter().map(|a| (a.index, a.digest, a.content, a.result)).collect()
 }
 
@@ -55,98 +58,96 @@
 fn a_store_file_of_an_earlier_build_is_opened_whole() {
     let folder = folder("opened");
     let path = copy(&folder, "b1.store", true);
-    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
-    assert_held(&held);
-    assert_eq!((disk.identity.id, disk.identity.boot_count), (B1, 6), "one start more");
-    assert_eq!(disk.read_raft_state().unwrap(), image());
-    drop(disk);
-    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
-    assert_held(&held);
-    assert_eq!((disk.identity.id, disk.identity.boot_count), (B1, 7));
+    let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
+    assert_contents(&contents);
+    assert_eq!((storage.identity.id, storage.identity.boot_count), (B1, 6), "one start more");
+    assert_eq!(storage.read_raft_state().unwrap(), raft_state());
+    drop(storage);
+    let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
+    assert_contents(&contents);
+    assert_eq!((storage.identity.id, storage.identity.boot_count), (B1, 7));
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// The file as it lies in the fixtures is a copy, and a copy must not vote under the identity of the original.
+/// The file among the fixtures is a copy, and a copy must not vote under the identity of the original.
 #[test]
 fn a_copied_store_file_of_an_earlier_build_is_set_aside_unchanged() {
     let folder = folder("copied");
     let path = copy(&folder, "b1.store", false);
-    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
-    assert_ne!(disk.identity.id, B1);
-    assert!(held.raft.is_new() && held.drains.is_empty() && held.gossip.is_none());
-    assert!(held.notes[0].contains("a copy of another file"), "{:?}", held.notes);
-    drop(disk);
+    let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
+    assert_ne!(storage.identity.id, B1);
+    assert!(contents.raft.is_new() && contents.drains.is_empty() && contents.gossip.is_none());
+    assert!(contents.notes[0].contains("a copy of another file"), "{:?}", contents.notes);
+    drop(storage);
     assert_eq!(dump(&folder.join("b1.store.damaged")), dump(&copy(&folder, "again.store", false)));
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// The agreed entries after the snapshot make the same state, with the same check sums, as they did then.
+/// The committed entries after the snapshot make the same state, with the same checksums, as they did then.
 #[test]
-fn the_log_of_an_earlier_build_makes_the_same_agreed_state() {
-    let mut replica = RaftNode::new(B1, image()).unwrap();
-    assert_eq!(replica.state(), &snapshot_state());
+fn the_log_of_an_earlier_build_makes_the_same_replicated_state() {
+    let mut node = RaftNode::new(B1, raft_state()).unwrap();
+    assert_eq!(node.state(), &snapshot_state());
     let mut all = Vec::new();
-    while let Some(pending) = replica.next_ready() {
-        assert_eq!(pending.write, RaftWrite::default());
-        let CompletedWrite { messages: letters, applied } = replica.complete_write(pending);
-        assert_eq!(letters, []);
+    while let Some(ready) = node.next_ready() {
+        assert_eq!(ready.write, RaftWrite::default());
+        let CompletedWrite { messages, applied } = node.complete_write(ready);
+        assert_eq!(messages, []);
         all.extend(applied);
     }
-    assert_eq!(taken_in(all), wanted());
-    assert_eq!(replica.state(), &agreed_state(DIGESTS[6]));
-    let conf = Configuration { voters: vec![B1, B2], learners: vec![B3, B5], ..Configuration::default() };
-    assert_eq!(replica.configuration(), conf);
+    assert_eq!(without_types(all), expected_entries());
+    assert_eq!(node.state(), &committed_state(DIGESTS[6]));
+    let configuration =
+        Configuration { voters: vec![B1, B2], learners: vec![B3, B5], ..Configuration::default() };
+    assert_eq!(node.configuration(), configuration);
+    assert_eq!((node.applied(), node.committed(), node.last_index(), node.term()), (27, 27, 28, 4));
     assert_eq!(
-        (replica.applied(), replica.committed(), replica.last_index(), replica.term()),
-        (27, 27, 28, 4)
-    );
-    assert_eq!(
-        (replica.written_vote(), replica.term_at(18), replica.term_at(28)),
+        (node.written_vote(), node.term_at(18), node.term_at(28)),
         (Vote { term: 4, candidate: B2 }, 2, 4)
     );
 }
 
-fn next(outputs: &Receiver<StoreEvent>) -> Option<StoreEvent> {
-    outputs.recv_blocking().ok()
+fn next(events: &Receiver<StoreEvent>) -> Option<StoreEvent> {
+    events.recv_blocking().ok()
 }
 
 #[test]
-fn the_owner_starts_on_a_store_file_of_an_earlier_build_with_all_that_it_holds() {
+fn the_store_thread_starts_on_a_store_file_of_an_earlier_build_with_all_that_it_holds() {
     let folder = folder("owner");
     let path = copy(&folder, "b1.store", true);
     let storage = DurableStorage::open(&path).unwrap();
-    let RunningStore { opened, commands: inputs, events: outputs } =
+    let RunningStore { opened, commands, events } =
         store_thread::start(storage, &Limits::for_sockets(1024)).unwrap();
     assert_eq!((opened.identity.id, opened.identity.boot_count), (B1, 6));
     assert_eq!(opened.state, snapshot_state());
-    // Drains in the log after the snapshot act as well, agreed or not.
-    let mut drains = marks();
-    drains.extend([pending("s-2-0", mark(B3, 2)), pending("s-1-0", mark(B2, 11))]);
+    // Drains in the log after the snapshot act as well, committed or not.
+    let mut drains = pending_drains();
+    drains.extend([pending_drain("s-2-0", drain_id(B3, 2)), pending_drain("s-1-0", drain_id(B2, 11))]);
     assert_eq!(opened.drains, drains);
-    assert_eq!(opened.gossip.as_deref().and_then(codec::decode::<PersistedGossip>), Some(saved()));
+    assert_eq!(opened.gossip.as_deref().and_then(codec::decode::<PersistedGossip>), Some(persisted_gossip()));
     assert_eq!(opened.legacy, None);
     let status = &opened.status;
     assert_eq!(
         (status.term, status.leader, status.participating),
         (4, NodeId::NOBODY, false),
-        "others are asked first"
+        "its peers first compare its storage with its earlier reports"
     );
     assert_eq!((status.committed, status.applied), (27, 20));
     assert_eq!(
         (status.own_progress.boot_count, status.own_progress.term, status.own_progress.last_entry),
         (6, 4, EntryId { term: 4, index: 28 })
     );
-    assert_eq!(status.reported_progress, witnesses());
-    assert_eq!(status.configuration, image().snapshot.configuration);
+    assert_eq!(status.reported_progress, reported_progress());
+    assert_eq!(status.configuration, raft_state().snapshot.configuration);
     let mut all = Vec::new();
     while all.len() < 7 {
-        if let StoreEvent::Applied(applied) = next(&outputs).unwrap() {
+        if let StoreEvent::Applied(applied) = next(&events).unwrap() {
             all.extend(applied);
         }
     }
-    assert_eq!(taken_in(all), wanted());
-    drop(inputs);
-    while next(&outputs).is_some() {}
+    assert_eq!(without_types(all), expected_entries());
+    drop(commands);
+    while next(&events).is_some() {}
     fs::remove_dir_all(folder).unwrap();
 }
 
@@ -154,49 +155,49 @@
 #[test]
 fn a_store_written_now_has_the_tables_keys_and_bytes_of_the_fixture() {
     let folder = folder("dump");
-    let mut wanted: Vec<String> = [
-        ("dropped", codec::encode(&CompactionRecord::from(image().compacted))),
+    let mut expected: Vec<String> = [
+        ("dropped", codec::encode(&(raft_state().compacted.index, raft_state().compacted.term))),
         ("form", codec::encode(&1_u32)),
-        ("hard", codec::encode(&image().hard_state)),
+        ("hard", codec::encode(&raft_state().hard_state)),
         ("identity", codec::encode(&identity())),
-        ("learned", codec::encode(&codec::encode(&saved()))),
-        ("marks", codec::encode(&marks())),
-        ("snapshot", codec::encode(&image().snapshot)),
-        ("witnesses", codec::encode(&witnesses())),
+        ("learned", codec::encode(&codec::encode(&persisted_gossip()))),
+        ("marks", codec::encode(&pending_drains())),
+        ("snapshot", codec::encode(&raft_state().snapshot)),
+        ("witnesses", codec::encode(&reported_progress())),
     ]
     .map(|(key, value)| format!("meta {key} = {}", hex(&value)))
     .into();
-    wanted.extend(entries().iter().map(|e| format!("log {} = {}", e.index, hex(&codec::encode(e)))));
-    assert_eq!(dump(&copy(&folder, "b1.store", false)), wanted);
+    expected.extend(entries().iter().map(|e| format!("log {} = {}", e.index, hex(&codec::encode(e)))));
+    assert_eq!(dump(&copy(&folder, "b1.store", false)), expected);
     let path = folder.join("now.store");
     make(&path);
-    assert_eq!(dump(&path), wanted);
+    assert_eq!(dump(&path), expected);
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// The owner writes under the same keys, in the same form, as the fixture has them.
+/// The store's thread writes under the keys of the fixture, in the same form.
 #[test]
-fn what_the_owner_keeps_lies_under_the_keys_of_the_fixture() {
+fn what_the_store_thread_writes_has_the_keys_of_the_fixture() {
     let folder = folder("keeps");
     let path = folder.join("b1.store");
-    let OpenedStorage { storage: mut disk, contents: held } = DurableStorage::open(&path).unwrap();
-    disk.identity.id = B1;
-    disk.write(&image().full_write(), &[NodeValue::Identity(&disk.identity)]).unwrap();
-    let contents = StoreContents { raft: disk.read_raft_state().unwrap(), ..held };
-    let storage = OpenedStorage { storage: disk, contents };
-    let RunningStore { commands: inputs, events: outputs, .. } =
+    let OpenedStorage { mut storage, contents } = DurableStorage::open(&path).unwrap();
+    storage.identity.id = B1;
+    storage.write(&raft_state().full_write(), &[NodeValue::Identity(&storage.identity)]).unwrap();
+    let contents = StoreContents { raft: storage.read_raft_state().unwrap(), ..contents };
+    let storage = OpenedStorage { storage, contents };
+    let RunningStore { commands, events, .. } =
         store_thread::start(storage, &Limits::for_sockets(1024)).unwrap();
     let heartbeat = |from: NodeId, term| {
-        let mut m = eraftpb::Message { from: from.0, to: B1.0, term, ..Default::default() };
-        m.set_msg_type(eraftpb::MessageType::MsgHeartbeat);
-        RaftMessage::from_raft(m).unwrap()
+        let mut message = eraftpb::Message { from: from.0, to: B1.0, term, ..Default::default() };
+        message.set_msg_type(eraftpb::MessageType::MsgHeartbeat);
+        RaftMessage::from_raft(message).unwrap()
     };
-    inputs.send(StoreCommand::RaftMessages(vec![heartbeat(B2, 4), heartbeat(B3, 3)])).unwrap();
-    inputs.send(StoreCommand::PersistGossip(codec::encode(&saved()))).unwrap();
-    inputs.send(StoreCommand::PersistDrains { drains: marks(), version: 77 }).unwrap();
-    while !matches!(next(&outputs).unwrap(), StoreEvent::DrainsPersisted(77)) {}
-    drop(inputs);
-    while next(&outputs).is_some() {}
+    commands.send(StoreCommand::RaftMessages(vec![heartbeat(B2, 4), heartbeat(B3, 3)])).unwrap();
+    commands.send(StoreCommand::PersistGossip(codec::encode(&persisted_gossip()))).unwrap();
+    commands.send(StoreCommand::PersistDrains { drains: pending_drains(), version: 77 }).unwrap();
+    while !matches!(next(&events).unwrap(), StoreEvent::DrainsPersisted(77)) {}
+    drop(commands);
+    while next(&events).is_some() {}
     let kept = dump(&path);
     let fixture = dump(&copy(&folder, "fixture.store", false));
     for key in ["meta learned ", "meta marks ", "meta form ", "meta snapshot "] {
@@ -212,16 +213,17 @@
 
 /// Writes the fixture's store with this build.
 fn make(path: &Path) {
-    let OpenedStorage { storage: disk, .. } = DurableStorage::open(path).unwrap();
-    let (identity, gossip, drains, progress) = (identity(), codec::encode(&saved()), marks(), witnesses());
+    let OpenedStorage { storage, .. } = DurableStorage::open(path).unwrap();
+    let (identity, gossip, drains, progress) =
+        (identity(), codec::encode(&persisted_gossip()), pending_drains(), reported_progress());
     let more = [
         NodeValue::Identity(&identity),
         NodeValue::Gossip(&gossip),
         NodeValue::PendingDrains(&drains),
         NodeValue::ReportedProgress(&progress),
     ];
-    disk.write(&image().full_write(), &more).unwrap();
-    drop(disk);
+    storage.write(&raft_state().full_write(), &more).unwrap();
+    drop(storage);
     let mut db = Database::open(path).unwrap();
     while db.compact().unwrap() {}
 }
@@ -234,12 +236,12 @@
     println!("{}: {} bytes", path.display(), fs::metadata(&path).unwrap().len());
 }
 
-fn old_text() -> String {
+fn legacy_text() -> String {
     fs::read_to_string(fixtures().join("store-0.2.0.txt")).unwrap()
 }
 
 /// What tests/fixtures/store-0.2.0.txt says.
-fn old_store() -> LegacyStore {
+fn legacy_store() -> LegacyStore {
     LegacyStore {
         hosts: vec![
             (
@@ -266,8 +268,8 @@
 
 #[test]
 fn every_line_and_escape_of_the_old_text_form_is_read() {
-    assert_eq!(legacy::parse(&old_text()), Ok(old_store()));
-    let old = old_store();
+    assert_eq!(legacy::parse(&legacy_text()), Ok(legacy_store()));
+    let old = legacy_store();
     let LegacySettings { text, changed_at } = old.settings.clone().unwrap();
     assert_eq!(
         old.changes("b1"),
@@ -288,12 +290,16 @@
 fn a_disk_takes_over_a_store_of_the_old_text_form_and_keeps_the_file() {
     let folder = folder("old");
     let path = folder.join("b1.store");
-    fs::write(&path, old_text()).unwrap();
-    let OpenedStorage { storage: disk, contents: held } = DurableStorage::open(&path).unwrap();
-    assert_eq!(held.legacy, Some(old_store()));
-    assert!(held.raft.is_new() && held.drains.is_empty() && held.notes.len() == 1, "{:?}", held.notes);
-    drop(disk);
-    assert_eq!(fs::read_to_string(folder.join("b1.store.old")).unwrap(), old_text());
+    fs::write(&path, legacy_text()).unwrap();
+    let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
+    assert_eq!(contents.legacy, Some(legacy_store()));
+    assert!(
+        contents.raft.is_new() && contents.drains.is_empty() && contents.notes.len() == 1,
+        "{:?}",
+        contents.notes
+    );
+    drop(storage);
+    assert_eq!(fs::read_to_string(folder.join("b1.store.old")).unwrap(), legacy_text());
     assert_eq!(DurableStorage::open(&path).unwrap().contents.legacy, None, "once");
     fs::remove_dir_all(folder).unwrap();
 }
@@ -301,14 +307,14 @@
 const OPERATOR: &str = "name: b1\nnumber: 3\nsparql:\n  listen: 127.0.0.1:0\n  query: fixture-read\n  \
     update: fixture-write\nstore:\n  listen: 127.0.0.1:0\n  snapshot: fleet.store\nzones: [z-0, z-1, z-2]\n";
 
-/// The program on the fixture, without any of the others: it serves by what was last agreed, and drains that are in
+/// The program on the fixture, without any of its peers: it serves by what was last committed, and drains that are in
 /// its marks or in its log act.
 #[test]
 fn the_program_serves_hosts_drains_members_and_settings_of_an_earlier_builds_store() {
     let folder = folder("program");
     let path = copy(&folder, "fleet.store", true);
     // What was learned is worth nothing after an hour: here it was written now.
-    let mut learned = saved();
+    let mut learned = persisted_gossip();
     learned.written_at.wall = Timestamp::from_micros(now());
     put(&path, "learned", &codec::encode(&codec::encode(&learned)));
     let file = folder.join("operator.yaml");
@@ -321,7 +327,7 @@
         assert_eq!(answer.status(), 200);
         answer.text()
     };
-    eventually("the log is taken in", || get("/fleet").contains("agreed 27 applied 27 "));
+    eventually("the log is applied", || get("/fleet").contains("agreed 27 applied 27 "));
     assert_eq!(
         get("/hosts").trim_end().lines().collect::<Vec<_>>(),
         [
@@ -376,7 +382,7 @@
     let learned = get("/fleet/learned");
     assert!(learned.starts_with("group 1 guess s-1-0 from before this start, "), "{learned}");
     assert_eq!(learned.lines().count(), 1, "{learned}");
-    // The services that the operator's file asks for are named by the agreed settings only.
+    // The services that the operator's file names are described in the committed settings only.
     process.line("serving with what was last agreed");
     assert!(process.runs());
     drop(process);
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -23,7 +23,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// The tables by the names that lie in files. They are repeated here: a test must see it if the program's change.
+/// The tables of a store file. Their names are repeated here so that the tests notice a change of the program's.
 pub const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 pub const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
@@ -56,29 +56,29 @@
     (0..text.len()).step_by(2).map(|n| u8::from_str_radix(&text[n..n + 2], 16).unwrap()).collect()
 }
 
-pub fn mark(by: NodeId, number: u64) -> DrainId {
-    DrainId { node: by, sequence: number }
+pub fn drain_id(node: NodeId, sequence: u64) -> DrainId {
+    DrainId { node, sequence }
 }
 
 pub fn address(text: &str) -> SocketAddr {
     text.parse().unwrap()
 }
 
-pub fn member(name: &str, at: &str) -> Member {
-    Member { name: name.into(), address: address(at) }
+pub fn member(name: &str, address_text: &str) -> Member {
+    Member { name: name.into(), address: address(address_text) }
 }
 
-pub fn source(by: &str, changed: i64, version: u64) -> Provenance {
-    Provenance { read_by: by.into(), changed_at: Timestamp::from_micros(changed), version }
+pub fn provenance(read_by: &str, changed_at_micros: i64, version: u64) -> Provenance {
+    Provenance { read_by: read_by.into(), changed_at: Timestamp::from_micros(changed_at_micros), version }
 }
 
-pub fn share(part: u16, why: WeightReason, number: u64, failed: u8) -> ZoneWeight {
-    ZoneWeight { permille: part, reason: why, version: number, failed_returns: failed }
+pub fn zone_weight(permille: u16, reason: WeightReason, version: u64, failed_returns: u8) -> ZoneWeight {
+    ZoneWeight { permille, reason, version, failed_returns }
 }
 
-pub fn host(at: &str, group: u32, zone: u8, weight: f64) -> HostRecord {
+pub fn host(address_text: &str, group: u32, zone: u8, weight: f64) -> HostRecord {
     HostRecord {
-        address: address(at),
+        address: address(address_text),
         group: GroupId(group),
         zone: ZoneId(zone),
         weight,
@@ -91,22 +91,22 @@
     Proposal { from, token, change }
 }
 
-pub fn drain(host: &str, mark: DrainId) -> Change {
-    Change::Drain { host: host.into(), drain: mark }
+pub fn drain(host: &str, drain: DrainId) -> Change {
+    Change::Drain { host: host.into(), drain }
 }
 
 fn regions(all: &[(ZoneId, &str)]) -> BTreeMap<ZoneId, String> {
     all.iter().map(|(zone, region)| (*zone, region.to_string())).collect()
 }
 
-/// The settings of the fixture, as the program keeps them.
+/// The settings of the fixture, as the program stores them.
 pub const SETTINGS: &str = "family-info.behind=none\nfamily-info.consistency=lag_bound,mutate\n\
     family-info.max-age=0.8,0\nguarantees.cold-share=0.25\nguarantees.warm-up=16\nlimits.probes=true\n\
     services.0.deadline=2.5\nservices.0.name=fixture-read\nservices.0.repeat=repeatable\nservices.0.target=1.0\n\
     services.1.deadline=2.0\nservices.1.dedup-window=1.2\nservices.1.group=cell\nservices.1.name=fixture-write\n\
     services.1.repeat=by_key\nservices.1.target=0.6\nservices.count=2\n";
 
-/// The agreed state in the fixture's snapshot, at entry 20.
+/// The replicated state in the fixture's snapshot, at entry 20.
 pub fn snapshot_state() -> ClusterState {
     ClusterState {
         fleet: FLEET,
@@ -119,10 +119,10 @@
         removed: BTreeMap::from([(B7, "b7".to_string())]),
         founders: BTreeSet::new(),
         settings: Some(ServiceSettings {
-            provenance: source("b2", 1_790_000_000_111_000, 12),
+            provenance: provenance("b2", 1_790_000_000_111_000, 12),
             text: SETTINGS.to_string(),
         }),
-        inventory: Some(source("b3", 1_790_000_000_222_000, 15)),
+        inventory: Some(provenance("b3", 1_790_000_000_222_000, 15)),
         hosts: BTreeMap::from([
             ("s-1-0".to_string(), host("127.0.0.1:10", 1, 0, 1.0)),
             ("s-1-1".to_string(), host("127.0.0.1:11", 1, 1, 0.5)),
@@ -138,15 +138,15 @@
             ("s-2-2".to_string(), HostRecord { draining: true, ..host("127.0.0.1:22", 2, 2, 1.0) }),
         ]),
         drains: BTreeMap::from([
-            ("s-1-1".to_string(), BTreeSet::from([mark(B1, 4), mark(B2, 8)])),
-            ("s-1-2".to_string(), BTreeSet::from([mark(B2, 7)])),
+            ("s-1-1".to_string(), BTreeSet::from([drain_id(B1, 4), drain_id(B2, 8)])),
+            ("s-1-2".to_string(), BTreeSet::from([drain_id(B2, 7)])),
         ]),
-        undone_drains: BTreeMap::from([(mark(B3, 1), 14)]),
+        undone_drains: BTreeMap::from([(drain_id(B3, 1), 14)]),
         previous_fleets: BTreeSet::from([FleetId(0xf0f0)]),
         digest: 0xd16e_57ab,
         zone_weights: BTreeMap::from([
-            (ZoneId(1), share(500, WeightReason::Slow, 1, 2)),
-            (ZoneId(2), share(0, WeightReason::Operator, 3, 0)),
+            (ZoneId(1), zone_weight(500, WeightReason::Slow, 1, 2)),
+            (ZoneId(2), zone_weight(0, WeightReason::Operator, 3, 0)),
         ]),
         regions: RegionMap {
             changed_at: Timestamp::from_micros(1_790_000_000_444_000),
@@ -155,31 +155,32 @@
     }
 }
 
-/// The fixture's log: two entries that the snapshot has, seven after it that are agreed, and one that is not.
+/// The fixture's log: two entries that the snapshot contains, seven committed ones after it, and one that is not
+/// committed.
 pub fn entries() -> Vec<LogEntry> {
     let change = |index, term, from, token, change| LogEntry {
         index,
         term,
-        kind: 0,
+        kind: LogEntry::CHANGE,
         payload: codec::encode(&proposal(from, token, change)),
     };
     let members = |index, change: MembershipChange| LogEntry {
         index,
         term: 3,
-        kind: 2,
+        kind: LogEntry::MEMBERSHIP,
         payload: codec::encode(&change),
     };
     vec![
-        change(19, 2, B3, 31, drain("s-1-1", mark(B2, 8))),
-        LogEntry { index: 20, term: 3, kind: 0, payload: Vec::new() },
-        change(21, 3, B3, 32, drain("s-2-0", mark(B3, 2))),
-        change(22, 3, B2, 33, Change::Undrain { host: "s-1-2".into(), drains: vec![mark(B2, 7)] }),
+        change(19, 2, B3, 31, drain("s-1-1", drain_id(B2, 8))),
+        LogEntry { index: 20, term: 3, kind: LogEntry::CHANGE, payload: Vec::new() },
+        change(21, 3, B3, 32, drain("s-2-0", drain_id(B3, 2))),
+        change(22, 3, B2, 33, Change::Undrain { host: "s-1-2".into(), drains: vec![drain_id(B2, 7)] }),
         change(
             23,
             3,
             B2,
             34,
-            Change::ZoneWeight { zone: ZoneId(1), weight: share(250, WeightReason::Lost, 2, 3) },
+            Change::ZoneWeight { zone: ZoneId(1), weight: zone_weight(250, WeightReason::Lost, 2, 3) },
         ),
         change(
             24,
@@ -213,21 +214,21 @@
                 removals: vec!["s-2-1".into()],
             },
         ),
-        change(28, 4, B2, 37, drain("s-1-0", mark(B2, 11))),
+        change(28, 4, B2, 37, drain("s-1-0", drain_id(B2, 11))),
     ]
 }
 
-/// What became of the state by entry 27; `digest` is the check sum there.
-pub fn agreed_state(digest: u32) -> ClusterState {
+/// The replicated state at entry 27; `digest` is the checksum there.
+pub fn committed_state(digest: u32) -> ClusterState {
     let mut state = snapshot_state();
     state.drains = BTreeMap::from([
-        ("s-1-1".to_string(), BTreeSet::from([mark(B1, 4), mark(B2, 8)])),
-        ("s-2-0".to_string(), BTreeSet::from([mark(B3, 2)])),
+        ("s-1-1".to_string(), BTreeSet::from([drain_id(B1, 4), drain_id(B2, 8)])),
+        ("s-2-0".to_string(), BTreeSet::from([drain_id(B3, 2)])),
     ]);
-    state.undone_drains = BTreeMap::from([(mark(B3, 1), 14), (mark(B2, 7), 22)]);
+    state.undone_drains = BTreeMap::from([(drain_id(B3, 1), 14), (drain_id(B2, 7), 22)]);
     state.zone_weights = BTreeMap::from([
-        (ZoneId(1), share(250, WeightReason::Lost, 2, 3)),
-        (ZoneId(2), share(0, WeightReason::Operator, 3, 0)),
+        (ZoneId(1), zone_weight(250, WeightReason::Lost, 2, 3)),
+        (ZoneId(2), zone_weight(0, WeightReason::Operator, 3, 0)),
     ]);
     state.regions = RegionMap {
         changed_at: Timestamp::from_micros(1_790_000_000_555_000),
@@ -238,13 +239,13 @@
     state.removed.insert(B8, "b8".to_string());
     state.hosts.remove("s-2-1");
     state.hosts.insert("s-3-0".to_string(), host("127.0.0.1:30", 3, 0, 4.0));
-    state.inventory = Some(source("b3", 1_790_000_000_666_000, 27));
+    state.inventory = Some(provenance("b3", 1_790_000_000_666_000, 27));
     state.digest = digest;
     state
 }
 
-/// The agreement in the fixture.
-pub fn image() -> RaftPersistentState {
+/// The consensus state in the fixture.
+pub fn raft_state() -> RaftPersistentState {
     RaftPersistentState {
         hard_state: HardState { term: 4, vote: B2, commit: 27 },
         snapshot: SnapshotRecord {
@@ -262,27 +263,27 @@
     }
 }
 
-/// Who the fixture's daemon is. The place is of no file that there is.
+/// The identity of the fixture's node. Its file id is that of no file.
 pub fn identity() -> NodeIdentity {
     NodeIdentity { id: B1, boot_count: 5, file: FileId { device: 11, inode: 12 } }
 }
 
-pub fn pending(host: &str, drain: DrainId) -> PendingDrain {
+pub fn pending_drain(host: &str, drain: DrainId) -> PendingDrain {
     PendingDrain { host: host.into(), drain }
 }
 
-pub fn marks() -> Vec<PendingDrain> {
-    vec![pending("s-2-0", mark(B1, 9)), pending("s-1-0", mark(B1, 10))]
+pub fn pending_drains() -> Vec<PendingDrain> {
+    vec![pending_drain("s-2-0", drain_id(B1, 9)), pending_drain("s-1-0", drain_id(B1, 10))]
 }
 
-pub fn witnesses() -> BTreeMap<NodeId, PersistedProgress> {
+pub fn reported_progress() -> BTreeMap<NodeId, PersistedProgress> {
     BTreeMap::from([
         (B2, PersistedProgress { boot_count: 3, term: 4, last_entry: EntryId { term: 4, index: 28 } }),
         (B3, PersistedProgress { boot_count: 2, term: 3, last_entry: EntryId { term: 3, index: 27 } }),
     ])
 }
 
-pub fn saved() -> PersistedGossip {
+pub fn persisted_gossip() -> PersistedGossip {
     PersistedGossip {
         written_at: ClockReading {
             wall: Timestamp::from_micros(1_790_000_000_777_000),
@@ -330,8 +331,8 @@
     }
 }
 
-/// A copy of the fixture's file. Its place on the disk is another one than that of the original, by which the program
-/// knows copies: `adopted` writes the copy's own place into it, as if the daemon had made this file itself.
+/// A copy of the fixture's file. Its file id differs from the one that the file states, by which the program recognizes
+/// copies; `adopted` writes the copy's own id into it, as if the node had created this file itself.
 pub fn copy(folder: &Path, name: &str, adopted: bool) -> PathBuf {
     let path = folder.join(name);
     std::fs::write(&path, std::fs::read(fixtures().join("member.store")).unwrap()).unwrap();
@@ -351,7 +352,7 @@
     writing.commit().unwrap();
 }
 
-/// All that lies in a store's file, a line `table key = hex` for each value, in order.
+/// The contents of a store's file, a line `table key = hex` for each value, in order.
 pub fn dump(path: &Path) -> Vec<String> {
     let db = Database::open(path).unwrap();
     let reading = db.begin_read().unwrap();
--- a/tests/stored_records.rs
+++ b/tests/stored_records.rs
@@ -1,5 +1,5 @@
-//! The bytes of every record that a store holds. A disk that commit 029518c wrote must be read by every later build,
-//! and what a later build writes must be read by that one: values and bytes are compared both ways.
+//! The bytes of every record that a store holds. Every later build must read what commit 029518c has written, and that
+//! build what a later one writes: values and bytes are compared both ways.
 
 mod stored;
 
@@ -18,7 +18,7 @@
 use std::fmt::Debug;
 use stored::*;
 
-/// What is wrong with what some bytes are read as.
+/// Describes how the value that some bytes decode to differs from the expected one.
 type Fault = Box<dyn Fn(&[u8]) -> Option<String>>;
 
 struct Record {
@@ -39,7 +39,7 @@
     Record { name, bytes, fault: Box::new(fault) }
 }
 
-fn full_host() -> HostRecord {
+fn host_with_every_field() -> HostRecord {
     HostRecord {
         address: address("10.1.2.3:7001"),
         group: GroupId(70_000),
@@ -50,7 +50,7 @@
     }
 }
 
-fn conf() -> Configuration {
+fn configuration() -> Configuration {
     Configuration {
         voters: vec![NodeId(1), NodeId(300)],
         learners: vec![NodeId(3)],
@@ -61,26 +61,26 @@
 }
 
 /// A state with something in every field, and zones with a share for every reason.
-fn full_state() -> ClusterState {
+fn state_with_every_field() -> ClusterState {
     let mut state = snapshot_state();
     state.founders = BTreeSet::from(["b8".to_string(), "b9".to_string()]);
-    state.hosts.insert("s-9".into(), full_host());
+    state.hosts.insert("s-9".into(), host_with_every_field());
     state.zone_weights = BTreeMap::from([
-        (ZoneId(3), share(1000, WeightReason::Returns, 41, 1)),
-        (ZoneId(4), share(0, WeightReason::Lost, 42, 2)),
-        (ZoneId(5), share(750, WeightReason::Slow, 43, 3)),
-        (ZoneId(6), share(125, WeightReason::Operator, 44, 4)),
+        (ZoneId(3), zone_weight(1000, WeightReason::Returns, 41, 1)),
+        (ZoneId(4), zone_weight(0, WeightReason::Lost, 42, 2)),
+        (ZoneId(5), zone_weight(750, WeightReason::Slow, 43, 3)),
+        (ZoneId(6), zone_weight(125, WeightReason::Operator, 44, 4)),
     ]);
     state
 }
 
 fn changes() -> Vec<(&'static str, &'static str, Change)> {
     vec![
-        ("change-drain", "proposal-drain", drain("s-1-1", mark(B2, 513))),
+        ("change-drain", "proposal-drain", drain("s-1-1", drain_id(B2, 513))),
         (
             "change-undrain",
             "proposal-undrain",
-            Change::Undrain { host: "s-1-2".into(), drains: vec![mark(B1, 6), mark(B3, 7)] },
+            Change::Undrain { host: "s-1-2".into(), drains: vec![drain_id(B1, 6), drain_id(B3, 7)] },
         ),
         (
             "change-inventory",
@@ -89,7 +89,10 @@
                 read_by: "b2".into(),
                 changed_at: Timestamp::from_micros(1_790_000_000_000_321),
                 base_version: 77,
-                upserts: vec![("s-9".into(), full_host()), ("s-8".into(), host("[fd00::8]:7002", 8, 2, 1.5))],
+                upserts: vec![
+                    ("s-9".into(), host_with_every_field()),
+                    ("s-8".into(), host("[fd00::8]:7002", 8, 2, 1.5)),
+                ],
                 removals: vec!["s-6".into(), "s-7".into()],
             },
         ),
@@ -105,7 +108,10 @@
         (
             "change-zone",
             "proposal-zone",
-            Change::ZoneWeight { zone: ZoneId(9), weight: share(333, WeightReason::Operator, 1_000, 12) },
+            Change::ZoneWeight {
+                zone: ZoneId(9),
+                weight: zone_weight(333, WeightReason::Operator, 1_000, 12),
+            },
         ),
         (
             "change-regions",
@@ -129,25 +135,36 @@
             NodeIdentity { id: B1, boot_count: 5, file: FileId { device: 2049, inode: 131_072 } },
         ),
         record("hard", HardState { term: 4, vote: B2, commit: 1_000 }),
-        record("conf", conf()),
+        record("conf", configuration()),
         record(
             "snapshot",
-            SnapshotRecord { index: 20, term: 3, configuration: conf(), state: codec::encode(&full_state()) },
+            SnapshotRecord {
+                index: 20,
+                term: 3,
+                configuration: configuration(),
+                state: codec::encode(&state_with_every_field()),
+            },
         ),
         record(
             "witness",
             PersistedProgress { boot_count: 3, term: 4, last_entry: EntryId { term: 5, index: 600 } },
         ),
-        record("witnesses", witnesses()),
-        record("marks", marks()),
+        record("witnesses", reported_progress()),
+        record("marks", pending_drains()),
         record::<Vec<PendingDrain>>("marks-none", Vec::new()),
-        record("saved", saved()),
-        record("learned", codec::encode(&saved())),
-        record("host", full_host()),
+        record("saved", persisted_gossip()),
+        record("learned", codec::encode(&persisted_gossip())),
+        record("host", host_with_every_field()),
         record("host-v6-unstarted", host("[fd00::8]:7002", 8, 2, 1.5)),
-        record("entry-change", LogEntry { index: 300, term: 9, kind: 0, payload: vec![1, 2, 0xff] }),
-        record("entry-members", LogEntry { index: 301, term: 10, kind: 2, payload: vec![3] }),
-        record("entry-empty", LogEntry { index: 302, term: 11, kind: 0, payload: Vec::new() }),
+        record(
+            "entry-change",
+            LogEntry { index: 300, term: 9, kind: LogEntry::CHANGE, payload: vec![1, 2, 0xff] },
+        ),
+        record(
+            "entry-members",
+            LogEntry { index: 301, term: 10, kind: LogEntry::MEMBERSHIP, payload: vec![3] },
+        ),
+        record("entry-empty", LogEntry { index: 302, term: 11, kind: LogEntry::CHANGE, payload: Vec::new() }),
         record("step-vote", MembershipStep::AddVoter(B2)),
         record("step-follow", MembershipStep::AddLearner(B3)),
         record("step-remove", MembershipStep::Remove(B8)),
@@ -167,12 +184,12 @@
         record("why-lost", WeightReason::Lost),
         record("why-slow", WeightReason::Slow),
         record("why-operator", WeightReason::Operator),
-        record("share", share(875, WeightReason::Slow, 400, 7)),
-        record("mark", mark(B3, 70_000)),
+        record("share", zone_weight(875, WeightReason::Slow, 400, 7)),
+        record("mark", drain_id(B3, 70_000)),
         record("member-v6", member("b3", "[::1]:3")),
-        record("source", source("b2", -9, 10)),
+        record("source", provenance("b2", -9, 10)),
         record("state-new", ClusterState::default()),
-        record("state", full_state()),
+        record("state", state_with_every_field()),
     ];
     for (name, whole, change) in changes() {
         all.push(record(name, change.clone()));
@@ -208,7 +225,7 @@
     }
 }
 
-/// Guards against a record that is taken out of the tests and whose bytes nobody compares any more.
+/// Guards against a record that is removed from the tests, so that its bytes are no longer compared.
 #[test]
 fn every_line_of_the_fixture_is_compared() {
     let compared: BTreeSet<String> = records().iter().map(|r| r.name.to_string()).collect();
@@ -218,7 +235,7 @@
 }
 
 fn without_regions() -> ClusterState {
-    ClusterState { regions: Default::default(), ..full_state() }
+    ClusterState { regions: Default::default(), ..state_with_every_field() }
 }
 
 fn without_shares() -> ClusterState {
@@ -235,13 +252,13 @@
 #[test]
 fn a_state_that_was_written_before_regions_or_shares_is_read_whole() {
     let golden = golden();
-    for (name, wanted) in
+    for (name, expected) in
         [("state-without-regions", without_regions()), ("state-without-shares", without_shares())]
     {
         assert_eq!(codec::decode::<ClusterState>(&golden[name]), None, "{name} is of an earlier form");
-        assert_eq!(ClusterState::decode(&golden[name]), Some(wanted), "{name}");
+        assert_eq!(ClusterState::decode(&golden[name]), Some(expected), "{name}");
     }
-    assert_eq!(ClusterState::decode(&golden["state"]), Some(full_state()));
+    assert_eq!(ClusterState::decode(&golden["state"]), Some(state_with_every_field()));
     assert_eq!(ClusterState::decode(&golden["state-new"]), Some(ClusterState::default()));
 }
 
