--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -7,9 +7,11 @@
 //! 2. takes each [`PendingReady`], sends its messages at once, and syncs its write;
 //! 3. hands it back to [`RaftNode::complete_write`], sends the messages that come out, and acts on the applied entries.
 
+mod applied;
 mod memory_log;
 mod persistent_state;
 
+pub use applied::{AppliedContent, AppliedEntry};
 pub use memory_log::LogSize;
 pub use persistent_state::{InvalidRaftState, RaftPersistentState, RaftWrite};
 
@@ -36,32 +38,6 @@
 /// Entries that a leader holds uncommitted: one that is cut off rejects proposals rather than grow without a bound.
 const MAX_UNCOMMITTED_BYTES: u64 = 16 * 1024 * 1024;
 
-/// What was committed at an index of the log.
-#[derive(Clone, Debug, PartialEq)]
-pub enum AppliedContent {
-    /// A change of the replicated state, with its proposer.
-    Change(Proposal),
-    /// A change of the membership.
-    Membership(MembershipChange),
-    /// The replicated state as a whole: the entries up to here were received as a snapshot, or read again.
-    Snapshot(Box<ClusterState>),
-    /// No change, as in the entry with which each leader begins.
-    Empty,
-}
-
-/// A committed entry, after it was applied to the replicated state.
-#[derive(Clone, Debug, PartialEq)]
-pub struct AppliedEntry {
-    /// The index of the entry.
-    pub index: u64,
-    /// A checksum over all entries up to it. It is equal on all nodes that have applied the same entries.
-    pub digest: u32,
-    /// What was committed.
-    pub content: AppliedContent,
-    /// Whether it took effect.
-    pub result: ApplyResult,
-}
-
 /// A step of the consensus whose write has yet to be synced.
 pub struct PendingReady {
     ready: Ready,
@@ -341,7 +317,7 @@
         if let Some(record) = &write.snapshot
             && let Some(state) = ClusterState::decode(&record.state)
         {
-            applied.push(applied_snapshot(record.index, &state));
+            applied.push(AppliedEntry::snapshot(record.index, &state));
             log.restore(record, state);
         }
         log.append(ready.entries());
@@ -358,9 +334,9 @@
         CompletedWrite { messages: into_peer_messages(messages), applied }
     }
 
-    /// The replicated state as an applied entry, for an owner that has to start from it anew.
+    /// The whole replicated state as an applied entry.
     pub fn state_as_applied_entry(&self) -> AppliedEntry {
-        applied_snapshot(self.applied(), self.state())
+        AppliedEntry::snapshot(self.applied(), self.state())
     }
 
     fn apply_committed(&mut self, entries: Vec<eraftpb::Entry>, applied: &mut Vec<AppliedEntry>) {
@@ -421,15 +397,6 @@
     }
 }
 
-fn applied_snapshot(index: u64, state: &ClusterState) -> AppliedEntry {
-    AppliedEntry {
-        index,
-        digest: state.digest,
-        content: AppliedContent::Snapshot(Box::new(state.clone())),
-        result: ApplyResult::Done,
-    }
-}
-
 /// The messages that go to peers; the library addresses some to itself.
 fn into_peer_messages(messages: Vec<eraftpb::Message>) -> Vec<RaftMessage> {
     messages.into_iter().filter_map(RaftMessage::from_raft).collect()
--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hosts of an inventory. Bounds the snapshot, which every change may send anew; part of the replicated rules.
+/// Hosts of an inventory. Bounds the size of the snapshot; part of the replicated rules.
 pub const MAX_HOSTS: usize = 20_000;
 
 /// Members of a fleet, learners included.
@@ -29,9 +29,9 @@
 /// more undrains than this would take effect again.
 const MAX_REMEMBERED: usize = 10_000;
 
-/// The body of an empty zone weight map, and of an empty region map with the time zero before it, as postcard writes
-/// them. Version 0.3 wrote neither, later ones no regions.
+/// The body of no regions: the time zero, and an empty map. The first builds with zone weights ended before it.
 const MISSING_REGIONS: [u8; 2] = [0, 0];
+/// The body of no zone weights and no regions. Builds without zone weights ended before it.
 const MISSING_ZONE_WEIGHTS_AND_REGIONS: [u8; 3] = [0, 0, 0];
 
 /// Which file settings or an inventory come from.
@@ -272,7 +272,8 @@
         ApplyResult::Done
     }
 
-    /// Applies a change of the membership. It says who the members are; which of them vote is the consensus's.
+    /// Applies a change of the membership. It says who the members are; the configuration of the
+    /// consensus says which of them vote.
     pub fn apply_membership(&mut self, change: &MembershipChange) {
         if let Some(joining) = &change.joining {
             self.members.insert(joining.id, joining.member.clone());
--- a/src/store/store_thread.rs
+++ b/src/store/store_thread.rs
@@ -194,7 +194,7 @@
     }
 
     /// Works on the node. The consensus library panics over messages that contradict its log: then the node is read
-    /// again from storage, which holds everything that any peer was told. `None`: it panicked.
+    /// again from storage, which holds everything that was ever sent to a peer. `None`: it panicked.
     fn with_node<T>(&mut self, work: impl FnOnce(&mut RaftNode) -> T) -> Option<T> {
         match catch_unwind(AssertUnwindSafe(|| work(&mut self.node))) {
             Ok(result) => Some(result),
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Reads the node from storage, and has the fleet start from its state anew.
+    /// Reads the node from storage, and sends its whole state to the fleet.
     fn reload_node(&mut self) {
         match self.read_node() {
             Ok(node) => {
