--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -6,7 +6,7 @@
 use crate::fleet::gossip::GossipVersion;
 use crate::fleet::membership::MembershipRequest;
 use crate::ids::{FleetId, GroupId, ZoneId};
-use crate::store::records::{EntryId, HostRecord};
+use crate::store::records::{EntryId, HostRecord, NamedHost};
 use crate::store::state_machine::{Change, DrainId, PendingDrain};
 use crate::store::storage::PersistedProgress;
 use crate::store::zone_weights::{WeightReason, ZoneWeight};
@@ -135,11 +135,11 @@
         started_at,
     };
     let set = vec![
-        (
-            "s-1".to_string(),
-            record("127.0.0.1:7001", false, Some(Timestamp::from_micros(1_767_225_600_123_000))),
-        ),
-        ("s-2".to_string(), record("[::1]:7002", true, None)),
+        NamedHost {
+            name: "s-1".to_string(),
+            host: record("127.0.0.1:7001", false, Some(Timestamp::from_micros(1_767_225_600_123_000))),
+        },
+        NamedHost { name: "s-2".to_string(), host: record("[::1]:7002", true, None) },
     ];
     let share = |part, why| Change::ZoneWeight {
         zone: ZoneId(4),
--- a/src/fleet/runtime/store_events.rs
+++ b/src/fleet/runtime/store_events.rs
@@ -131,7 +131,7 @@
     match change {
         Change::Drain { host, .. } | Change::Undrain { host, .. } => vec![host],
         Change::Inventory { upserts, removals, .. } => {
-            let mut endpoints: Vec<String> = upserts.into_iter().map(|(endpoint, _)| endpoint).collect();
+            let mut endpoints: Vec<String> = upserts.into_iter().map(|upsert| upsert.name).collect();
             endpoints.extend(removals);
             endpoints
         }
--- a/src/store/legacy.rs
+++ b/src/store/legacy.rs
@@ -1,7 +1,7 @@
 //! The store file of version 0.2.0, a text that one process wrote for itself. It is read once, and its contents are
 //! proposed to the fleet.
 
-use super::records::HostRecord;
+use super::records::{HostRecord, NamedHost};
 use super::state_machine::Change;
 use crate::ids::{GroupId, ZoneId};
 use crate::time::Timestamp;
@@ -15,8 +15,8 @@
 /// The contents of such a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LegacyStore {
-    /// The hosts of the inventory, by name.
-    pub hosts: Vec<(String, HostRecord)>,
+    /// The hosts of the inventory.
+    pub hosts: Vec<NamedHost>,
     /// When the inventory was last changed.
     pub hosts_changed: Timestamp,
     /// The names of drained hosts.
@@ -163,7 +163,8 @@
 
     fn value(&mut self, key: &str, value: String) -> Result<(), LineFault> {
         if let Some(name) = key.strip_prefix("host/") {
-            self.store.hosts.push((name.to_string(), parse_host(&value).ok_or(LineFault::Host)?));
+            let host = parse_host(&value).ok_or(LineFault::Host)?;
+            self.store.hosts.push(NamedHost { name: name.to_string(), host });
             return Ok(());
         }
         if let Some(name) = key.strip_prefix("drain/") {
--- a/src/store/legacy/tests.rs
+++ b/src/store/legacy/tests.rs
@@ -15,7 +15,7 @@
         Some(LegacySettings { text: "x=1\ny=2\n".to_string(), changed_at: Timestamp::from_micros(7) })
     );
     assert_eq!((store.hosts_changed, store.hosts.len()), (Timestamp::from_micros(9), 1));
-    let (_, host) = &store.hosts[0];
+    let host = &store.hosts[0].host;
     assert_eq!((host.started_at, host.weight), (Some(Timestamp::from_micros(12_000)), 0.5));
     assert_eq!(store.changes("b1").len(), 2);
 }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -59,6 +59,15 @@
     }
 }
 
+/// A host with the name that the inventory gives it.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct NamedHost {
+    /// The name.
+    pub name: String,
+    /// The host.
+    pub host: HostRecord,
+}
+
 /// Identifies an entry of the log. Ordered as Raft compares logs: by term, then by index. The default is before every
 /// entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -12,7 +12,7 @@
 pub use inventory::InventoryDifference;
 
 use super::codec;
-use super::records::{HostRecord, MembershipStep};
+use super::records::{HostRecord, MembershipStep, NamedHost};
 use super::zone_weights::ZoneWeight;
 use crate::ids::{FleetId, NodeId, ZoneId};
 use crate::time::Timestamp;
@@ -215,7 +215,7 @@
         &mut self,
         provenance: Provenance,
         base_version: u64,
-        upserts: &[(String, HostRecord)],
+        upserts: &[NamedHost],
         removals: &[String],
     ) -> ApplyResult {
         let current_version = self.inventory.as_ref().map_or(0, |current| current.version);
@@ -225,7 +225,7 @@
         if base_version != current_version {
             return ApplyResult::StaleBase;
         }
-        let added = upserts.iter().map(|(name, _)| name);
+        let added = upserts.iter().map(|upsert| &upsert.name);
         let names: BTreeSet<&String> = self.hosts.keys().chain(added).collect();
         if names.len() > MAX_HOSTS + removals.len() {
             return ApplyResult::Rejected;
@@ -233,7 +233,9 @@
         for name in removals {
             self.hosts.remove(name);
         }
-        self.hosts.extend(upserts.iter().cloned());
+        for NamedHost { name, host } in upserts {
+            self.hosts.insert(name.clone(), host.clone());
+        }
         self.inventory = Some(provenance);
         ApplyResult::Done
     }
--- a/src/store/state_machine/change.rs
+++ b/src/store/state_machine/change.rs
@@ -2,7 +2,7 @@
 //! part of the stored format and of the protocol between peers.
 
 use crate::ids::{NodeId, ZoneId};
-use crate::store::records::{HostRecord, MembershipStep};
+use crate::store::records::{MembershipStep, NamedHost};
 use crate::store::zone_weights::ZoneWeight;
 use crate::time::Timestamp;
 use serde::{Deserialize, Serialize};
@@ -62,8 +62,8 @@
         changed_at: Timestamp,
         /// The version of the committed inventory that the file was compared with; 0: none was committed.
         base_version: u64,
-        /// New and changed hosts, by name.
-        upserts: Vec<(String, HostRecord)>,
+        /// New and changed hosts.
+        upserts: Vec<NamedHost>,
         /// The names of hosts that the file lacks.
         removals: Vec<String>,
     },
--- a/src/store/state_machine/inventory.rs
+++ b/src/store/state_machine/inventory.rs
@@ -2,7 +2,7 @@
 
 use super::{Change, ClusterState};
 use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
-use crate::store::records::HostRecord;
+use crate::store::records::{HostRecord, NamedHost};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
@@ -57,7 +57,7 @@
             let started_at = listed.started_at.or_else(|| self.assumed_start(listed, now));
             let host = HostRecord { started_at, ..HostRecord::from_endpoint_record(listed) };
             if current != Some(&host) {
-                upserts.push((listed.name.clone(), host));
+                upserts.push(NamedHost { name: listed.name.clone(), host });
             }
         }
         Some(Change::Inventory {
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -244,18 +244,15 @@
 fn legacy_store() -> LegacyStore {
     LegacyStore {
         hosts: vec![
-            (
-                "odd\tname\\x".into(),
-                HostRecord { draining: true, ..host("127.0.0.1:7003", 70_000, 201, 0.75) },
-            ),
-            (
-                "s-1".into(),
+            named("odd\tname\\x", HostRecord { draining: true, ..host("127.0.0.1:7003", 70_000, 201, 0.75) }),
+            named(
+                "s-1",
                 HostRecord {
                     started_at: Some(Timestamp::from_micros(1_780_000_000_123_000)),
                     ..host("127.0.0.1:7001", 1, 0, 0.5)
                 },
             ),
-            ("s-2".into(), host("[fd00::8]:7002", 2, 1, 2.0)),
+            named("s-2", host("[fd00::8]:7002", 2, 1, 2.0)),
         ],
         hosts_changed: Timestamp::from_micros(1_780_000_000_333_444),
         drains: vec!["s-1".into(), "odd\tname\\x".into(), "s-4".into()],
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -8,7 +8,7 @@
 use brookpass::store::codec;
 use brookpass::store::raft_node::RaftPersistentState;
 use brookpass::store::records::{
-    Configuration, EntryId, HardState, HostRecord, LogEntry, MembershipStep, SnapshotRecord,
+    Configuration, EntryId, HardState, HostRecord, LogEntry, MembershipStep, NamedHost, SnapshotRecord,
 };
 use brookpass::store::state_machine::{
     Change, ClusterState, DrainId, JoiningMember, Member, MembershipChange, PendingDrain, Proposal,
@@ -87,6 +87,10 @@
     }
 }
 
+pub fn named(name: &str, host: HostRecord) -> NamedHost {
+    NamedHost { name: name.into(), host }
+}
+
 pub fn proposal(from: NodeId, token: u64, change: Change) -> Proposal {
     Proposal { from, token, change }
 }
@@ -210,7 +214,7 @@
                 read_by: "b3".into(),
                 changed_at: Timestamp::from_micros(1_790_000_000_666_000),
                 base_version: 15,
-                upserts: vec![("s-3-0".into(), host("127.0.0.1:30", 3, 0, 4.0))],
+                upserts: vec![named("s-3-0", host("127.0.0.1:30", 3, 0, 4.0))],
                 removals: vec!["s-2-1".into()],
             },
         ),
--- a/tests/stored_records.rs
+++ b/tests/stored_records.rs
@@ -90,8 +90,8 @@
                 changed_at: Timestamp::from_micros(1_790_000_000_000_321),
                 base_version: 77,
                 upserts: vec![
-                    ("s-9".into(), host_with_every_field()),
-                    ("s-8".into(), host("[fd00::8]:7002", 8, 2, 1.5)),
+                    named("s-9", host_with_every_field()),
+                    named("s-8", host("[fd00::8]:7002", 8, 2, 1.5)),
                 ],
                 removals: vec!["s-6".into(), "s-7".into()],
             },
