--- /dev/null
+++ b/tests/platform/main.rs
@@ -0,0 +1,9 @@
+//! The program on the platform's protocol: started as the platform starts it, spoken to over sockets.
+
+#[path = "../stand_in/mod.rs"]
+mod stand_in;
+
+mod answers;
+mod attempts;
+mod clients;
+mod signals;
--- a/tests/stand_in/platform.rs
+++ b/tests/stand_in/platform.rs
@@ -1,6 +1,8 @@
 //! The program as the platform starts it, with a group of two hosts.
 
 use super::*;
+use std::net::SocketAddr;
+use std::path::PathBuf;
 
 pub const SETTINGS: &str = r#"{"balancers":1,"me":0,"discovery":"automatic","zones":["a"],"zone":0,
  "services":[
