--- a/tests/discovery_orders.rs
+++ b/tests/discovery_orders.rs
@@ -1,262 +1,327 @@
-//! Discovery in every order of calls, answers, silence and moves. Each test forces one.
+//! The discovery client in every order of calls, answers, silence and moves. Each test forces one order.
 
 mod stand_in;
 
-use stand_in::platform::*;
-use stand_in::*;
+use stand_in::daemon::{Daemon, test_directory};
+use stand_in::discovery::{
+    DiscoveryCall, ScriptedDiscoveryServer, changes_json, endpoint_json, snapshot_json,
+};
+use stand_in::platform::{SETTINGS, StartedDaemon, config, read_statement, start_daemon};
+use stand_in::postgres::client::{PostgresClient, PostgresResponse, row_of};
+use stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
+use stand_in::postgres::messages;
+use stand_in::waiting::eventually;
+use std::io::Write;
+use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Within this a change must be in use, counted from when discovery has it and can be reached.
-const TOLD: Duration = Duration::from_secs(6);
+/// Within this time a change must be in use, counted from when the discovery server has it and can be
+/// reached.
+const CHANGE_IN_USE_WITHIN: Duration = Duration::from_secs(6);
 
-/// The program on a discovery whose answers are the test's; `known`: the list from before its start.
-fn scripted(known: Option<&str>) -> (ScriptedDiscovery, Daemon, std::net::SocketAddr, std::path::PathBuf) {
-    let discovery = ScriptedDiscovery::start();
-    let path = folder("scripted").join("config.json");
-    let mut text = config("127.0.0.1:0", discovery.address, SETTINGS);
-    if let Some(known) = known {
-        text = text.replace("\"seed\"", &format!("\"known\":{known},\n\"seed\""));
+/// The program on a discovery server whose answers the test gives.
+struct ScriptedPooler {
+    daemon: Daemon,
+    /// Where clients connect.
+    address: SocketAddr,
+    config_path: PathBuf,
+    discovery: ScriptedDiscoveryServer,
+}
+
+impl ScriptedPooler {
+    fn start() -> ScriptedPooler {
+        ScriptedPooler::start_with_config("scripted", |text| text)
+    }
+
+    /// Starts the program with a list from before its start.
+    fn start_with_known_list(list: &str) -> ScriptedPooler {
+        ScriptedPooler::start_with_config("scripted", |text| {
+            text.replace("\"seed\"", &format!("\"known\":{list},\n\"seed\""))
+        })
+    }
+
+    fn start_with_config(directory: &str, edit: impl Fn(String) -> String) -> ScriptedPooler {
+        let discovery = ScriptedDiscoveryServer::start();
+        let config_path = test_directory(directory).join("config.json");
+        std::fs::write(&config_path, edit(config("127.0.0.1:0", discovery.address, SETTINGS))).unwrap();
+        let StartedDaemon { daemon, address } = start_daemon(&config_path);
+        ScriptedPooler { daemon, address, config_path, discovery }
+    }
+
+    /// Waits for the next watch; answers other calls with `list`.
+    fn next_watch(&self, list: &str) -> DiscoveryCall {
+        loop {
+            let call = self.discovery.next_call();
+            if call.is_watch() {
+                return call;
+            }
+            call.answer(list);
+        }
     }
-    std::fs::write(&path, text).unwrap();
-    let (daemon, address) = daemon_on(&path);
-    (discovery, daemon, address, path)
 }
 
-fn two() -> (PgHost, PgHost) {
-    (PgHost::start("copy", |_| Reply::Row(b"old")), PgHost::start("copy", |_| Reply::Row(b"new")))
+/// Two replicas of group 1: reads return `old` from one and `new` from the other.
+struct OldAndNew {
+    old: PostgresEndpoint,
+    new: PostgresEndpoint,
 }
 
-/// From now on every read is served by the new host, and nothing goes to the old one.
-fn only_new_serves(client: &mut PgClient, old: &PgHost) {
-    let before = old.count();
-    for n in 0..20 {
-        assert_eq!(client.ask(&read(&n.to_string(), 1_000)).value.as_deref(), Some(&b"new"[..]));
+impl OldAndNew {
+    fn start() -> OldAndNew {
+        OldAndNew {
+            old: PostgresEndpoint::replica(|_| Reply::Row(b"old")),
+            new: PostgresEndpoint::replica(|_| Reply::Row(b"new")),
+        }
+    }
+
+    fn old_entry(&self, status: &str) -> String {
+        endpoint_json("old", self.old.address, 1, status)
     }
-    assert_eq!(old.count(), before, "nothing goes to the old one");
-}
 
-/// The next call that is a watch, others answered with `list`.
-fn next_watch(discovery: &ScriptedDiscovery, list: &str) -> DiscoveryCall {
-    loop {
-        let call = discovery.next_call();
-        if call.is_watch() {
-            return call;
+    fn new_entry(&self) -> String {
+        endpoint_json("new", self.new.address, 1, "active")
+    }
+
+    fn both_entries(&self) -> [String; 2] {
+        [self.old_entry("active"), self.new_entry()]
+    }
+
+    /// Checks that from now on every read is served by the new endpoint, and none goes to the old one.
+    fn check_only_new_serves(&self, client: &mut PostgresClient) {
+        let count_before = self.old.statement_count();
+        for number in 0..20 {
+            assert_eq!(client.query(&read_statement(&number.to_string(), 1_000)).value, row_of(b"new"));
         }
-        call.answer(list);
+        assert_eq!(self.old.statement_count(), count_before, "nothing goes to the old one");
     }
 }
 
-/// Guards against a restarted process that sends by its list from before what discovery would have told it.
+/// Guards against a restarted process that routes by its list from before the restart, which discovery has
+/// replaced.
 #[test]
-fn a_request_at_the_start_waits_for_discoverys_first_word() {
+fn a_request_at_the_start_waits_for_discoverys_first_answer() {
+    // Time enough for an attempt that does not wait, and less than the time for which discovery is waited
+    // for.
+    const ANSWER_DELAY: Duration = Duration::from_millis(20);
+    // A later answer may have come after the program stopped waiting for it.
+    const ANSWERED_IN_TIME: Duration = Duration::from_millis(60);
     for _ in 0..50 {
-        let (old, new) = two();
-        let known = list_text(7, true, &[endpoint("old", old.address, 1, "active")]);
-        let (discovery, _daemon, address, _) = scripted(Some(&known));
-        let call = discovery.next_call();
-        let mut client = PgClient::raw(address);
-        // The first of them is answered at once, so that the one behind it has been read by then.
-        let bad = pg_query(&read("bad", 1_000).replace("c=read", "c=no"));
-        client.send(&[pg_startup(), bad, pg_query(&read("first", 2_000))].concat());
-        assert_eq!(client.answer(), Some(Answer::default()));
-        assert_eq!(client.answer().unwrap().code.as_deref(), Some("22023"));
-        // Time enough for an attempt that does not wait, and less than discovery is waited for.
-        thread::sleep(Duration::from_millis(20));
-        let (came, leaving) = (call.came, endpoint("old", old.address, 1, "leaving"));
-        call.answer(&list_text(9, true, &[leaving, endpoint("new", new.address, 1, "active")]));
-        if came.elapsed() > Duration::from_millis(60) {
-            // This machine was too slow for discovery to be heard in time: nothing is shown.
+        let endpoints = OldAndNew::start();
+        let known_list = snapshot_json(7, &[endpoints.old_entry("active")]);
+        let pooler = ScriptedPooler::start_with_known_list(&known_list);
+        let call = pooler.discovery.next_call();
+        let mut client = PostgresClient::connect_without_startup(pooler.address);
+        // The first query is answered at once; then the one behind it has been read as well.
+        let unknown_class = messages::query(&read_statement("bad", 1_000).replace("c=read", "c=no"));
+        let read = messages::query(&read_statement("first", 2_000));
+        client.send(&[messages::startup(), unknown_class, read].concat());
+        assert_eq!(client.receive(), Some(PostgresResponse::READY));
+        assert_eq!(client.receive().unwrap().sqlstate.as_deref(), Some("22023"));
+        thread::sleep(ANSWER_DELAY);
+        let call_received_at = call.received_at;
+        call.answer(&snapshot_json(9, &[endpoints.old_entry("leaving"), endpoints.new_entry()]));
+        if call_received_at.elapsed() > ANSWERED_IN_TIME {
+            // The machine was too slow for an answer in time: this round shows nothing.
             continue;
         }
-        assert_eq!(client.answer().unwrap().value.as_deref(), Some(&b"new"[..]));
-        assert_eq!(old.count(), 0, "it drains, and discovery had it from the first moment");
+        assert_eq!(client.receive().unwrap().value, row_of(b"new"));
+        let old_count = endpoints.old.statement_count();
+        assert_eq!(old_count, 0, "it drains, and discovery had it from the first moment");
         return;
     }
     panic!("the machine was never fast enough");
 }
 
-/// Guards against a start that waits for a discovery that says nothing: the list from before serves.
+/// Guards against a start that waits for a silent discovery server: the list from before the start is used.
 #[test]
 fn a_start_with_a_silent_discovery_serves_by_the_list_from_before() {
-    let (old, _) = two();
-    let known = list_text(7, true, &[endpoint("old", old.address, 1, "active")]);
-    let began = Instant::now();
-    let (discovery, _daemon, address, _) = scripted(Some(&known));
-    let _silent = discovery.next_call();
-    let mut client = PgClient::connect(address);
-    assert!(client.ask("").empty, "it says that it is ready");
-    assert_eq!(client.ask(&read("1", 5_000)).value.as_deref(), Some(&b"old"[..]));
-    assert!(began.elapsed() < Duration::from_secs(10));
+    let endpoints = OldAndNew::start();
+    let known_list = snapshot_json(7, &[endpoints.old_entry("active")]);
+    let started_at = Instant::now();
+    let pooler = ScriptedPooler::start_with_known_list(&known_list);
+    let _unanswered = pooler.discovery.next_call();
+    let mut client = PostgresClient::connect(pooler.address);
+    assert!(client.query("").is_empty_query, "it says that it is ready");
+    assert_eq!(client.query(&read_statement("1", 5_000)).value, row_of(b"old"));
+    assert!(started_at.elapsed() < Duration::from_secs(10));
 }
 
-/// Guards against changes to an older list than the one that is held: they are changes to something else, and the
-/// whole list has to be asked for.
+/// Guards against changes to an older list than the one in use: they do not apply to it, and the complete
+/// list has to be asked for.
 #[test]
 fn an_index_that_goes_back_has_the_whole_list_asked_for() {
-    let (old, new) = two();
-    let (discovery, _daemon, address, _) = scripted(None);
-    let before = list_text(41, true, &[endpoint("old", old.address, 1, "active")]);
-    let watch = next_watch(&discovery, &before);
+    let endpoints = OldAndNew::start();
+    let pooler = ScriptedPooler::start();
+    let watch = pooler.next_watch(&snapshot_json(41, &[endpoints.old_entry("active")]));
     assert!(watch.target.contains("after=41&"), "{}", watch.target);
-    watch.answer(&list_text(3, false, &[endpoint("old", old.address, 1, "leaving")]));
-    let call = discovery.next_call();
+    watch.answer(&changes_json(3, &[endpoints.old_entry("leaving")]));
+    let call = pooler.discovery.next_call();
     assert!(!call.is_watch(), "{}", call.target);
-    call.answer(&list_text(3, true, &[endpoint("new", new.address, 1, "active")]));
-    let watch = discovery.next_call();
+    call.answer(&snapshot_json(3, &[endpoints.new_entry()]));
+    let watch = pooler.discovery.next_call();
     assert!(watch.target.contains("after=3&"), "{}", watch.target);
-    let mut client = PgClient::connect(address);
-    assert_eq!(client.ask(&read("1", 1_000)).value.as_deref(), Some(&b"new"[..]));
+    let mut client = PostgresClient::connect(pooler.address);
+    assert_eq!(client.query(&read_statement("1", 1_000)).value, row_of(b"new"));
+}
+
+/// The same JSON with line breaks, indentation and spaces.
+fn indented(json: &str) -> String {
+    let spaced = json.replace('{', "{\n    ").replace(',', ",\n    \t").replace(':', " : ");
+    spaced.replace("127.0.0.1 : ", "127.0.0.1:")
 }
 
-/// Guards against a whole list from which a host is missing, an indented one, and one with a change between two calls.
+/// Guards against three lists that may be misread: a complete one without an endpoint that was in it before,
+/// an indented one, and one with a change that happened between two calls.
 #[test]
 fn lists_in_any_form_count_at_once() {
-    let (old, new) = two();
-    let (discovery, _daemon, address, _) = scripted(None);
-    let both = [endpoint("old", old.address, 1, "active"), endpoint("new", new.address, 1, "active")];
-    let watch = next_watch(&discovery, &list_text(1, true, &both));
-    // Indented, and only one of the two is named.
-    let indented =
-        list_text(2, true, &both[1..]).replace('{', "{\n    ").replace(',', ",\n    \t").replace(':', " : ");
-    let indented = indented.replace("127.0.0.1 : ", "127.0.0.1:");
-    watch.answer(&indented);
-    let watch = discovery.next_call();
+    let endpoints = OldAndNew::start();
+    let pooler = ScriptedPooler::start();
+    let watch = pooler.next_watch(&snapshot_json(1, &endpoints.both_entries()));
+    watch.answer(&indented(&snapshot_json(2, &[endpoints.new_entry()])));
+    let watch = pooler.discovery.next_call();
     assert!(watch.target.contains("after=2&"), "{}", watch.target);
-    let mut client = PgClient::connect(address);
-    only_new_serves(&mut client, &old);
-    assert_eq!(old.count(), 0);
+    let mut client = PostgresClient::connect(pooler.address);
+    endpoints.check_only_new_serves(&mut client);
+    assert_eq!(endpoints.old.statement_count(), 0);
     // What changed between two calls comes with the next answer.
-    watch.answer(&list_text(2, false, &[]));
-    let watch = discovery.next_call();
-    watch.answer(&list_text(5, false, &both[..1]));
-    assert!(discovery.next_call().target.contains("after=5&"));
+    watch.answer(&changes_json(2, &[]));
+    let watch = pooler.discovery.next_call();
+    watch.answer(&changes_json(5, &[endpoints.old_entry("active")]));
+    assert!(pooler.discovery.next_call().target.contains("after=5&"));
     eventually("it is used", || {
-        client.ask(&read("x", 1_000));
-        old.count() > 0
+        client.query(&read_statement("x", 1_000));
+        endpoints.old.statement_count() > 0
     });
 }
 
-/// Guards against a discovery that answers watches at once and is called without a pause.
+/// Guards against a busy loop of calls to a discovery server that answers watches at once.
 #[test]
 fn a_discovery_that_does_not_wait_is_not_called_without_a_pause() {
-    let (old, _) = two();
-    let (discovery, _daemon, ..) = scripted(None);
-    let list = list_text(1, true, &[endpoint("old", old.address, 1, "active")]);
-    next_watch(&discovery, &list).answer(&list_text(1, false, &[]));
-    let (began, mut calls) = (Instant::now(), 0);
+    let endpoints = OldAndNew::start();
+    let pooler = ScriptedPooler::start();
+    let watch = pooler.next_watch(&snapshot_json(1, &[endpoints.old_entry("active")]));
+    watch.answer(&changes_json(1, &[]));
+    let began = Instant::now();
+    let mut call_count = 0;
     while began.elapsed() < Duration::from_secs(1) {
-        discovery.next_call().answer(&list_text(1, false, &[]));
-        calls += 1;
+        pooler.discovery.next_call().answer(&changes_json(1, &[]));
+        call_count += 1;
     }
-    assert!((5..=40).contains(&calls), "{calls} calls within a second");
+    assert!((5..=40).contains(&call_count), "{call_count} calls within a second");
 }
 
-/// Guards against a watch that falls silent, and a second one right after it: a drain counts as told 6 s after discovery
-/// has it and can be reached, over all calls.
+/// Guards against a watch that falls silent, and a second one right after it: over all calls, a drain must be
+/// in use 6 s after discovery has it and can be reached.
 #[test]
 fn a_drain_is_in_use_within_six_seconds_of_watches_that_fall_silent() {
-    let (old, new) = two();
-    let (discovery, _daemon, address, _) = scripted(None);
-    let both = [endpoint("old", old.address, 1, "active"), endpoint("new", new.address, 1, "active")];
-    let silent = next_watch(&discovery, &list_text(1, true, &both));
-    // From the first moment of the watch on, nothing comes; nor does the next call get an answer.
-    let also_silent = discovery.next_call();
-    let leaving = list_text(2, false, &[endpoint("old", old.address, 1, "leaving")]);
-    let reachable = also_silent.came;
-    discovery.next_call().answer(&leaving);
-    assert!(discovery.next_call().target.contains("after=2&"));
-    assert!(reachable.elapsed() < TOLD / 2, "{:?}", reachable.elapsed());
-    assert!(silent.came.elapsed() < TOLD, "{:?}", silent.came.elapsed());
-    only_new_serves(&mut PgClient::connect(address), &old);
+    let endpoints = OldAndNew::start();
+    let pooler = ScriptedPooler::start();
+    let silent = pooler.next_watch(&snapshot_json(1, &endpoints.both_entries()));
+    // The watch is silent from its first moment, and the next call gets no answer either.
+    let also_silent = pooler.discovery.next_call();
+    let drain = changes_json(2, &[endpoints.old_entry("leaving")]);
+    let reachable_since = also_silent.received_at;
+    pooler.discovery.next_call().answer(&drain);
+    assert!(pooler.discovery.next_call().target.contains("after=2&"));
+    let since_reachable = reachable_since.elapsed();
+    assert!(since_reachable < CHANGE_IN_USE_WITHIN / 2, "{since_reachable:?}");
+    let since_silent = silent.received_at.elapsed();
+    assert!(since_silent < CHANGE_IN_USE_WITHIN, "{since_silent:?}");
+    endpoints.check_only_new_serves(&mut PostgresClient::connect(pooler.address));
 }
 
-/// Guards against an answer that comes after its call was given up and passes for the next one's.
+/// Guards against an answer that arrives after its call timed out and is taken for the next call's answer.
 #[test]
 fn an_answer_to_a_call_that_was_given_up_changes_nothing() {
-    let (old, new) = two();
-    let (discovery, _daemon, address, _) = scripted(None);
-    let watch = next_watch(&discovery, &list_text(4, true, &[endpoint("new", new.address, 1, "active")]));
-    let next = discovery.next_call();
-    watch.answer(&list_text(9, true, &[endpoint("old", old.address, 1, "active")]));
-    next.answer(&list_text(4, false, &[]));
-    assert!(discovery.next_call().target.contains("after=4&"), "the late one does not count");
-    let mut client = PgClient::connect(address);
-    assert_eq!(client.ask(&read("1", 1_000)).value.as_deref(), Some(&b"new"[..]));
+    let endpoints = OldAndNew::start();
+    let pooler = ScriptedPooler::start();
+    let watch = pooler.next_watch(&snapshot_json(4, &[endpoints.new_entry()]));
+    let next_call = pooler.discovery.next_call();
+    watch.answer(&snapshot_json(9, &[endpoints.old_entry("active")]));
+    next_call.answer(&changes_json(4, &[]));
+    let following_call = pooler.discovery.next_call();
+    assert!(following_call.target.contains("after=4&"), "the late one does not count");
+    let mut client = PostgresClient::connect(pooler.address);
+    assert_eq!(client.query(&read_statement("1", 1_000)).value, row_of(b"new"));
+}
+
+/// Continues an answer in chunks; returns whether the chunk could be written.
+fn write_chunk_of_spaces(call: &mut DiscoveryCall) -> bool {
+    call.write_bytes(b"400\r\n") && call.write_bytes(&[b' '; 1024]) && call.write_bytes(b"\r\n")
 }
 
-/// Guards against watches that are reset, or spoilt by a list that never ends: the next call comes at once, and what it
-/// brings counts.
+/// Guards against a watch that is reset, or whose answer never ends, and that delays the next call: the next
+/// call must come at once, and its answer must apply.
 #[test]
 fn watches_that_are_reset_or_never_end_are_opened_anew_in_time() {
-    let (old, new) = two();
-    let (discovery, _daemon, address, _) = scripted(None);
-    let both = [endpoint("old", old.address, 1, "active"), endpoint("new", new.address, 1, "active")];
-    let watch = next_watch(&discovery, &list_text(1, true, &both));
-    let reset = Instant::now();
+    let endpoints = OldAndNew::start();
+    let pooler = ScriptedPooler::start();
+    let watch = pooler.next_watch(&snapshot_json(1, &endpoints.both_entries()));
+    let reset_at = Instant::now();
     watch.close();
-    let mut endless = discovery.next_call();
-    assert!(reset.elapsed() < Duration::from_secs(1), "{:?}", reset.elapsed());
+    let mut endless = pooler.discovery.next_call();
+    assert!(reset_at.elapsed() < Duration::from_secs(1), "{:?}", reset_at.elapsed());
     let began = Instant::now();
-    endless.raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    while endless.raw(b"400\r\n") && endless.raw(&[b' '; 1024]) && endless.raw(b"\r\n") {}
-    discovery.next_call().answer(&list_text(2, false, &[endpoint("old", old.address, 1, "leaving")]));
-    assert!(began.elapsed() < TOLD, "{:?}", began.elapsed());
-    assert!(discovery.next_call().target.contains("after=2&"));
-    only_new_serves(&mut PgClient::connect(address), &old);
+    endless.write_bytes(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    while write_chunk_of_spaces(&mut endless) {}
+    pooler.discovery.next_call().answer(&changes_json(2, &[endpoints.old_entry("leaving")]));
+    assert!(began.elapsed() < CHANGE_IN_USE_WITHIN, "{:?}", began.elapsed());
+    assert!(pooler.discovery.next_call().target.contains("after=2&"));
+    endpoints.check_only_new_serves(&mut PostgresClient::connect(pooler.address));
 }
 
-/// Guards against a move of discovery that waits for the pause after calls that failed at the old address, or that takes
-/// up an answer of the old one afterwards.
+/// Guards against a move of discovery that waits for the backoff after failed calls to the old address, or
+/// that applies an answer of the old server afterwards.
 #[test]
 fn a_move_while_discovery_fails_or_a_call_is_open_counts_at_once() {
-    let (old, new) = two();
-    let (discovery, mut daemon, address, path) = scripted(None);
-    let watch = next_watch(&discovery, &list_text(50, true, &[endpoint("old", old.address, 1, "active")]));
-    let moved = ScriptedDiscovery::start();
-    std::fs::write(&path, config("127.0.0.1:0", moved.address, SETTINGS)).unwrap();
-    daemon.signal("-HUP");
-    let call = moved.next_call();
+    let endpoints = OldAndNew::start();
+    let mut pooler = ScriptedPooler::start();
+    let watch = pooler.next_watch(&snapshot_json(50, &[endpoints.old_entry("active")]));
+    let second_server = ScriptedDiscoveryServer::start();
+    std::fs::write(&pooler.config_path, config("127.0.0.1:0", second_server.address, SETTINGS)).unwrap();
+    pooler.daemon.signal("-HUP");
+    let call = second_server.next_call();
     assert!(!call.is_watch(), "the whole list: {}", call.target);
-    watch.answer(&list_text(60, true, &[endpoint("old", old.address, 1, "active")]));
-    call.answer(&list_text(2, true, &[endpoint("new", new.address, 1, "active")]));
-    let watch = moved.next_call();
+    watch.answer(&snapshot_json(60, &[endpoints.old_entry("active")]));
+    call.answer(&snapshot_json(2, &[endpoints.new_entry()]));
+    let watch = second_server.next_call();
     assert!(watch.target.contains("after=2&"), "{}", watch.target);
-    let mut client = PgClient::connect(address);
-    assert_eq!(client.ask(&read("1", 1_000)).value.as_deref(), Some(&b"new"[..]));
-    // It fails until the pause is at its longest, then moves again.
+    let mut client = PostgresClient::connect(pooler.address);
+    assert_eq!(client.query(&read_statement("1", 1_000)).value, row_of(b"new"));
+    // The second server fails until the backoff is at its longest; then discovery moves again.
     watch.close();
-    (0..6).for_each(|_| moved.next_call().close());
-    let last = ScriptedDiscovery::start();
-    std::fs::write(&path, config("127.0.0.1:0", last.address, SETTINGS)).unwrap();
-    daemon.line("SIGHUP: discovery at");
-    let told = Instant::now();
-    daemon.signal("-HUP");
-    last.next_call().close();
-    last.next_call().answer(&list_text(1, true, &[endpoint("old", old.address, 1, "active")]));
-    assert!(told.elapsed() < Duration::from_millis(700), "{:?}", told.elapsed());
+    for _ in 0..6 {
+        second_server.next_call().close();
+    }
+    let third_server = ScriptedDiscoveryServer::start();
+    std::fs::write(&pooler.config_path, config("127.0.0.1:0", third_server.address, SETTINGS)).unwrap();
+    pooler.daemon.wait_for_log("SIGHUP: discovery at");
+    let moved_at = Instant::now();
+    pooler.daemon.signal("-HUP");
+    third_server.next_call().close();
+    third_server.next_call().answer(&snapshot_json(1, &[endpoints.old_entry("active")]));
+    assert!(moved_at.elapsed() < Duration::from_millis(700), "{:?}", moved_at.elapsed());
 }
 
-/// Guards against descriptors that idle clients hold, so that none is left for discovery when it returns, nor for hosts.
+/// Guards against idle clients that use up all file descriptors, so that none is left for discovery or for
+/// endpoints.
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_and_hosts() {
-    let (old, new) = two();
-    let discovery = ScriptedDiscovery::start();
-    let path = folder("full").join("config.json");
-    let text = config("127.0.0.1:0", discovery.address, SETTINGS);
-    std::fs::write(&path, text.replace("\"sockets\":1024", "\"sockets\":96")).unwrap();
-    let (_daemon, address) = daemon_on(&path);
-    let watch = next_watch(&discovery, &list_text(1, true, &[endpoint("old", old.address, 1, "active")]));
-    let _idle: Vec<PgClient> = (0..300)
-        .map(|_| {
-            let mut client = PgClient::raw(address);
-            let _ = std::io::Write::write_all(&mut client.stream, &pg_startup());
-            client
-        })
-        .collect();
+    let endpoints = OldAndNew::start();
+    let pooler =
+        ScriptedPooler::start_with_config("full", |text| text.replace("\"sockets\":1024", "\"sockets\":96"));
+    let watch = pooler.next_watch(&snapshot_json(1, &[endpoints.old_entry("active")]));
+    let mut idle_clients = Vec::new();
+    for _ in 0..300 {
+        let mut client = PostgresClient::connect_without_startup(pooler.address);
+        let _ = client.stream.write_all(&messages::startup());
+        idle_clients.push(client);
+    }
     watch.close();
-    discovery.next_call().answer(&list_text(2, true, &[endpoint("new", new.address, 1, "active")]));
-    assert!(discovery.next_call().target.contains("after=2&"));
-    let mut client = PgClient::connect(address);
-    assert_eq!(client.ask(&read("1", 2_000)).value.as_deref(), Some(&b"new"[..]));
+    pooler.discovery.next_call().answer(&snapshot_json(2, &[endpoints.new_entry()]));
+    assert!(pooler.discovery.next_call().target.contains("after=2&"));
+    let mut client = PostgresClient::connect(pooler.address);
+    assert_eq!(client.query(&read_statement("1", 2_000)).value, row_of(b"new"));
 }
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -1,15 +1,30 @@
-//! The operators' door, draining, and one process that follows another, over sockets.
+//! The admin server, draining, and one process that takes over from another, over sockets.
 
 mod stand_in;
 
-use stand_in::*;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use stand_in::daemon::{Daemon, test_directory};
+use stand_in::discovery::{DiscoveryServer, endpoint_json};
+use stand_in::http::{HttpClient, HttpMessage, call, read_http_message};
+use stand_in::network::unused_address;
+use stand_in::platform::{keyed_write_statement, primary_and_replica_list, read_statement};
+use stand_in::postgres::client::{PostgresClient, row_of};
+use stand_in::postgres::endpoint::{PostgresEndpoint, Reply, release_channel};
+use stand_in::waiting::eventually;
+use std::io::Write;
+use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::os::fd::AsRawFd;
+use std::path::Path;
 use std::process::Command;
-use std::sync::mpsc::{Sender, channel};
-use std::sync::{Arc, Mutex};
+use std::sync::mpsc::Sender;
 use std::time::{Duration, Instant};
 
+/// Deadline of the statements, where a test does not state another one.
+const DEADLINE_MS: u32 = 2000;
+
+/// Configuration line for an admin server on any free port.
+const ADMIN_ON_ANY_PORT: &str = "\"admin_addr\":\"127.0.0.1:0\",";
+
+/// Settings with a class of requests, `never`, that no test sends.
 const SETTINGS: &str = r#"{"balancers":2,"me":0,"discovery":"automatic","zones":["a"],"zone":0,
  "services":[
   {"name":"read","target":1.0,"deadline":2.5,"repeat":"repeatable","worth":3,"late-worth":0.2},
@@ -20,127 +35,158 @@
   "connect-timeout":0.25,"conn-idle":15.0},
  "report":{"via":"answers","fields":["x0","x1","util"]}}"#;
 
-struct Setup {
-    daemon: Daemon,
-    clients: SocketAddr,
-    door: SocketAddr,
-    discovery: Discovery,
-    primary: PgHost,
-    replica: PgHost,
-    go: Sender<()>,
+/// A group whose primary answers each write once the test releases it, and whose replica answers at once.
+struct Group {
+    primary: PostgresEndpoint,
+    replica: PostgresEndpoint,
+    release_write: Sender<()>,
 }
 
-/// A primary that answers each write once it is told, and a replica that answers at once.
-fn hosts() -> (PgHost, PgHost, Sender<()>) {
-    let (go, wait) = channel();
-    let wait = Arc::new(Mutex::new(wait));
-    let primary = PgHost::start("source", move |text| match text.contains("INSERT") {
-        true => Reply::After(wait.clone(), b"late"),
-        false => Reply::Row(b"primary"),
-    });
-    let replica = PgHost::start("copy", |text| match text.contains("INSERT") {
-        true => Reply::Error("25006"),
-        false => Reply::Row(b"replica"),
-    });
-    (primary, replica, go)
+impl Group {
+    fn start() -> Group {
+        let (release_write, released) = release_channel();
+        let primary = PostgresEndpoint::primary(move |text| match text.contains("INSERT") {
+            true => Reply::RowAfterRelease(released.clone(), b"late"),
+            false => Reply::Row(b"primary"),
+        });
+        let replica = PostgresEndpoint::replica(|text| match text.contains("INSERT") {
+            true => Reply::Error("25006"),
+            false => Reply::Row(b"replica"),
+        });
+        Group { primary, replica, release_write }
+    }
+
+    /// How many statements were received, as the metrics write a counter.
+    fn statement_counter(&self) -> String {
+        format!("{}|c", self.primary.statement_count() + self.replica.statement_count())
+    }
+
+    /// Sends a write and waits until the primary has received it; its answer waits for the test.
+    fn send_write(&self, client: &mut PostgresClient, id: &str, key: usize) {
+        let count_before = self.primary.statement_count();
+        client.send_query(&keyed_write_statement(id, DEADLINE_MS, key));
+        eventually("the primary has the write", || self.primary.statement_count() > count_before);
+    }
 }
 
-fn text(discovery: SocketAddr, more: &str) -> String {
+/// The platform's configuration as text, with more lines of it.
+fn config(discovery: SocketAddr, more_lines: &str) -> String {
     format!(
-        "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"{discovery}\",\"seed\":\"8c1f\",{more}\n\
+        "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"{discovery}\",\"seed\":\"8c1f\",{more_lines}\n\
          \"limits\":{{\"cores\":1.0,\"memory_mb\":192,\"sockets\":384}},\n\"settings\":{SETTINGS}}}"
     )
 }
 
-fn started() -> Setup {
-    let (primary, replica, go) = hosts();
-    let discovery = Discovery::start();
-    discovery.preset(&[
-        endpoint("p", primary.address, 1, "active"),
-        endpoint("r", replica.address, 1, "active"),
-        endpoint("old", nobody(), 1, "leaving"),
-    ]);
-    let config = folder("door").join("config.json");
-    std::fs::write(&config, text(discovery.address, "\"admin_addr\":\"127.0.0.1:0\",")).unwrap();
-    let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config.to_str().unwrap())]);
-    // The door is there before the clients' listener says so, or after it.
-    let clients = daemon.address("clients at ");
-    let door = daemon.address("operators at http://");
-    discovery.wait_for_watch();
-    Setup { daemon, clients, door, discovery, primary, replica, go }
+/// The program with an admin server, a group and a discovery server.
+struct RunningPooler {
+    daemon: Daemon,
+    client_address: SocketAddr,
+    admin: AdminServer,
+    discovery: DiscoveryServer,
+    group: Group,
 }
 
-fn read(id: &str) -> String {
-    format!("/* id={id},c=read,d=2000,cluster=1 */ SELECT payload FROM entries WHERE ref = 'a'")
+fn start_pooler() -> RunningPooler {
+    let group = Group::start();
+    let discovery = DiscoveryServer::start();
+    let mut list = primary_and_replica_list(&group.primary, &group.replica);
+    list.push(endpoint_json("old", unused_address(), 1, "leaving"));
+    discovery.preset(&list);
+    let config_path = test_directory("door").join("config.json");
+    std::fs::write(&config_path, config(discovery.address, ADMIN_ON_ANY_PORT)).unwrap();
+    let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+    let client_address = daemon.wait_for_address("clients at ");
+    let admin = AdminServer { address: daemon.wait_for_address("operators at http://") };
+    discovery.wait_for_watch();
+    RunningPooler { daemon, client_address, admin, discovery, group }
 }
 
-fn write(id: &str) -> String {
-    format!(
-        "/* id={id},c=write,d=2000,k=1{id},cluster=1 */ INSERT INTO entries (ref, payload) VALUES ('a', 'b') RETURNING payload"
-    )
+/// The program's admin server.
+struct AdminServer {
+    address: SocketAddr,
 }
 
-fn door(at: SocketAddr, method: &str, path: &str) -> Http {
-    call(at, &format!("{method} {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n"))
-}
+impl AdminServer {
+    fn call(&self, method: &str, path: &str) -> HttpMessage {
+        let request = format!("{method} {path} HTTP/1.1\r\nHost: door\r\nContent-Length: 0\r\n\r\n");
+        call(self.address, &request)
+    }
 
-/// A figure by its name, as `read 3` of `svc.success.read:3|c`.
-fn figure(at: SocketAddr, name: &str) -> String {
-    let told = door(at, "GET", "/v1/metrics").text();
-    let line = told.lines().find_map(|l| l.strip_prefix(&format!("svc.{name}:")));
-    line.unwrap_or_else(|| panic!("no {name} in {told}")).to_string()
+    /// The status of a call's answer.
+    fn status(&self, method: &str, path: &str) -> u16 {
+        self.call(method, path).status()
+    }
+
+    fn is_ready(&self) -> bool {
+        self.status("GET", "/v1/readyz") == 200
+    }
+
+    /// A metric's value with its type: `3|c` of the line `svc.success.read:3|c`.
+    fn metric(&self, name: &str) -> String {
+        let metrics = self.call("GET", "/v1/metrics").text();
+        let prefix = format!("svc.{name}:");
+        let value = metrics.lines().find_map(|line| line.strip_prefix(&prefix));
+        value.unwrap_or_else(|| panic!("no {name} in {metrics}")).to_string()
+    }
 }
 
-/// Guards against figures that count twice, miss a way to end, or leave out a class.
+/// Guards against requests that are counted twice or not at all, by their outcome, and against a class that
+/// is left out.
 #[test]
-fn every_end_is_counted_once_and_what_holds_now_is_told() {
-    let s = started();
-    let mut client = PgClient::connect(s.clients);
-    assert_eq!(figure(s.door, "success.never"), "0|c");
-    assert_eq!(figure(s.door, "targets"), "3|g");
-    assert_eq!(figure(s.door, "targets_disabled"), "1|g", "one is leaving");
-    for n in 0..5 {
-        assert_eq!(client.ask(&read(&n.to_string())).code, None);
+fn every_outcome_is_counted_once_and_gauges_show_the_current_state() {
+    let RunningPooler { daemon: _daemon, client_address, admin, discovery, group } = start_pooler();
+    let mut client = PostgresClient::connect(client_address);
+    assert_eq!(admin.metric("success.never"), "0|c");
+    assert_eq!(admin.metric("targets"), "3|g");
+    assert_eq!(admin.metric("targets_disabled"), "1|g", "one is leaving");
+    for number in 0..5 {
+        assert_eq!(client.query(&read_statement(&number.to_string(), DEADLINE_MS)).sqlstate, None);
+    }
+    let after_reads = (admin.metric("success.read"), admin.metric("dispatches"));
+    assert_eq!(after_reads, ("5|c".into(), group.statement_counter()));
+    let mut writer = PostgresClient::connect(client_address);
+    group.send_write(&mut writer, "7", 17);
+    assert_eq!(admin.metric("concurrent"), "1|g");
+    group.release_write.send(()).unwrap();
+    assert!(writer.receive().unwrap().value.is_some());
+    let after_write = (admin.metric("concurrent"), admin.metric("success.write"));
+    assert_eq!(after_write, ("0|g".into(), "1|c".into()));
+    let unknown_group = read_statement("8", DEADLINE_MS).replace("cluster=1", "cluster=9");
+    assert_eq!(client.query(&unknown_group).sqlstate.as_deref(), Some("42704"));
+    discovery.publish(&[endpoint_json("p", group.primary.address, 1, "leaving")]);
+    assert_eq!(client.query(&read_statement("9", 300)).sqlstate.as_deref(), Some("53300"));
+    let after_rejections = (admin.metric("error.read"), admin.metric("overload.read"));
+    assert_eq!(after_rejections, ("1|c".into(), "1|c".into()));
+    let at_the_end = (admin.metric("dispatches"), admin.metric("targets"));
+    assert_eq!(at_the_end, (group.statement_counter(), "1|g".into()));
+}
+
+/// Opens connections to the admin server that send nothing, or half of a request.
+fn connect_silent_callers(address: SocketAddr) -> Vec<TcpStream> {
+    let mut callers = Vec::new();
+    for number in 0..60 {
+        let mut caller = TcpStream::connect(address).unwrap();
+        if number % 2 == 0 {
+            let _ = caller.write_all(b"GET /v1/met");
+        }
+        callers.push(caller);
     }
-    let dispatched = |s: &Setup| (s.primary.count() + s.replica.count()).to_string() + "|c";
-    assert_eq!(
-        (figure(s.door, "success.read"), figure(s.door, "dispatches")),
-        ("5|c".into(), dispatched(&s))
-    );
-    let mut writer = PgClient::connect(s.clients);
-    let before = s.primary.count();
-    writer.send(&pg_query(&write("7")));
-    eventually("the primary has the write", || s.primary.count() > before);
-    assert_eq!(figure(s.door, "concurrent"), "1|g");
-    s.go.send(()).unwrap();
-    assert!(writer.answer().unwrap().value.is_some());
-    assert_eq!((figure(s.door, "concurrent"), figure(s.door, "success.write")), ("0|g".into(), "1|c".into()));
-    assert_eq!(client.ask(&read("8").replace("cluster=1", "cluster=9")).code.as_deref(), Some("42704"));
-    s.discovery.publish(&[endpoint("p", s.primary.address, 1, "leaving")]);
-    assert_eq!(client.ask(&read("9").replace("d=2000", "d=300")).code.as_deref(), Some("53300"));
-    assert_eq!((figure(s.door, "error.read"), figure(s.door, "overload.read")), ("1|c".into(), "1|c".into()));
-    assert_eq!((figure(s.door, "dispatches"), figure(s.door, "targets")), (dispatched(&s), "1|g".into()));
+    callers
 }
 
-/// Guards against callers that say nothing or half of it and keep those out that ask, and against bad calls.
+/// Guards against silent callers that keep others from the admin server, and against bad calls that have an
+/// effect.
 #[test]
-fn the_door_answers_beside_callers_that_say_nothing() {
-    let s = started();
-    let silent: Vec<TcpStream> = (0..60)
-        .map(|n| {
-            let mut silent = TcpStream::connect(s.door).unwrap();
-            if n % 2 == 0 {
-                let _ = std::io::Write::write_all(&mut silent, b"GET /v1/met");
-            }
-            silent
-        })
-        .collect();
+fn the_admin_server_answers_beside_callers_that_say_nothing() {
+    let pooler = start_pooler();
+    let admin = &pooler.admin;
+    let silent_callers = connect_silent_callers(admin.address);
     for _ in 0..20 {
         let began = Instant::now();
-        assert_eq!(door(s.door, "GET", "/v1/readyz").status(), 200);
+        assert_eq!(admin.status("GET", "/v1/readyz"), 200);
         assert!(began.elapsed() < Duration::from_secs(1));
     }
-    drop(silent);
+    drop(silent_callers);
     for (method, path, status) in [
         ("GET", "/v1/other", 404),
         ("GET", "/", 404),
@@ -148,170 +194,164 @@
         ("POST", "/v1/pooler/drain", 405),
         ("GET", "/v1/pooler/activate", 405),
     ] {
-        let answer = door(s.door, method, path);
-        assert_eq!(
-            (answer.status(), answer.header("connection")),
-            (status, Some("close")),
-            "{method} {path}"
-        );
+        let answer = admin.call(method, path);
+        let outcome = (answer.status(), answer.header("connection"));
+        assert_eq!(outcome, (status, Some("close")), "{method} {path}");
         assert_eq!(answer.header("allow").is_some(), status == 405);
     }
-    for (bytes, status) in [
+    for (request, status) in [
         ("\r\n\r\n".to_string(), 400),
         ("GET /v1/readyz\r\nno colon\r\n\r\n".into(), 400),
         ("GET /v1/readyz SPDY/3\r\n\r\n".into(), 505),
         ("PUT /v1/pooler/drain HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n".into(), 413),
         (format!("GET /v1/readyz HTTP/1.1\r\nA: {}\r\n\r\n", "x".repeat(9_000)), 431),
     ] {
-        let mut client = HttpClient::connect(s.door);
-        assert_eq!(client.call(&bytes).status(), status, "{bytes:.40}");
-        assert!(read_http(&mut client.reader).is_none(), "and a close");
+        let mut client = HttpClient::connect(admin.address);
+        assert_eq!(client.call(&request).status(), status, "{request:.40}");
+        assert!(read_http_message(&mut client.reader).is_none(), "and a close");
     }
-    assert_eq!(figure(s.door, "concurrent"), "0|g", "no bad call drained or broke anything");
-    assert!(PgClient::connect(s.clients).ask("").empty);
+    assert_eq!(admin.metric("concurrent"), "0|g", "no bad call drained or broke anything");
+    assert!(PostgresClient::connect(pooler.client_address).query("").is_empty_query);
 }
 
-/// Guards against a door that is there though nobody named one.
+/// Guards against an admin server that listens although the configuration names no address for it.
 #[test]
-fn without_an_address_there_is_no_door() {
-    let discovery = Discovery::start();
-    let config = folder("door").join("config.json");
-    std::fs::write(&config, text(discovery.address, "")).unwrap();
-    let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config.to_str().unwrap())]);
-    daemon.line("of long messages");
+fn without_an_address_there_is_no_admin_server() {
+    let discovery = DiscoveryServer::start();
+    let config_path = test_directory("door").join("config.json");
+    std::fs::write(&config_path, config(discovery.address, "")).unwrap();
+    let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+    daemon.wait_for_log("of long messages");
     discovery.wait_for_watch();
     daemon.signal("-TERM");
-    assert!(daemon.wait().success());
-    daemon.line("drained");
-    assert!(!daemon.seen.iter().any(|l| l.contains("operators")), "{:?}", daemon.seen);
+    assert!(daemon.wait_for_exit().success());
+    daemon.wait_for_log("drained");
+    let names_admin_server = daemon.log_lines.iter().any(|line| line.contains("operators"));
+    assert!(!names_admin_server, "{:?}", daemon.log_lines);
 }
 
-/// Guards against clients that are lost or kept while the pooler is drained, and against one that stays drained.
+/// Guards against requests that are lost and connections that stay open while the pooler is drained, and
+/// against a pooler that stays drained.
 #[test]
 fn a_drained_pooler_sends_clients_away_without_losing_any_and_comes_back() {
-    let s = started();
-    let mut busy = PgClient::connect(s.clients);
-    let mut idle = PgClient::connect(s.clients);
-    assert_eq!(idle.ask(&read("1")).code, None);
-    let before = s.primary.count();
-    busy.send(&pg_query(&write("2")));
-    eventually("the primary has the write", || s.primary.count() > before);
+    let RunningPooler { daemon: _daemon, client_address, admin, discovery: _discovery, group } =
+        start_pooler();
+    let mut busy = PostgresClient::connect(client_address);
+    let mut idle = PostgresClient::connect(client_address);
+    assert_eq!(idle.query(&read_statement("1", DEADLINE_MS)).sqlstate, None);
+    group.send_write(&mut busy, "2", 12);
     // Twice: the second call changes nothing.
     for _ in 0..2 {
-        assert_eq!(door(s.door, "PUT", "/v1/pooler/drain").status(), 200);
+        assert_eq!(admin.status("PUT", "/v1/pooler/drain"), 200);
     }
-    let began = Instant::now();
-    assert!(idle.ask(&read("3")).value.is_some(), "what it has may go on asking");
-    let mut front = PgClient::connect(s.clients);
-    let no = front.ask("");
-    assert_eq!((no.empty, no.code.as_deref(), no.fatal), (false, Some("57P03"), false));
-    assert_eq!((idle.answer(), front.answer()), (None, None), "then they end");
-    let mut late = PgClient::connect(s.clients);
-    assert!(late.ask(&read("4")).value.is_some(), "one that comes all the same is served");
-    assert_eq!(late.answer(), None);
-    s.go.send(()).unwrap();
-    assert_eq!(busy.answer().unwrap().value.as_deref(), Some(&b"late"[..]), "nothing taken is lost");
-    assert_eq!(busy.answer(), None);
-    assert!(began.elapsed() < Duration::from_secs(4));
-    assert_eq!(door(s.door, "GET", "/v1/readyz").text().trim(), "ready, drained");
+    let drained_at = Instant::now();
+    let idle_read = idle.query(&read_statement("3", DEADLINE_MS));
+    assert!(idle_read.value.is_some(), "an open connection may still send requests");
+    // The readiness query of the balancer in front of the poolers.
+    let mut balancer = PostgresClient::connect(client_address);
+    let not_ready = balancer.query("");
+    let outcome = (not_ready.is_empty_query, not_ready.sqlstate.as_deref(), not_ready.is_fatal);
+    assert_eq!(outcome, (false, Some("57P03"), false));
+    assert_eq!((idle.receive(), balancer.receive()), (None, None), "then they end");
+    let mut late = PostgresClient::connect(client_address);
+    let late_read = late.query(&read_statement("4", DEADLINE_MS));
+    assert!(late_read.value.is_some(), "a new connection is served all the same");
+    assert_eq!(late.receive(), None);
+    group.release_write.send(()).unwrap();
+    assert_eq!(busy.receive().unwrap().value, row_of(b"late"), "nothing taken is lost");
+    assert_eq!(busy.receive(), None);
+    assert!(drained_at.elapsed() < Duration::from_secs(4));
+    assert_eq!(admin.call("GET", "/v1/readyz").text().trim(), "ready, drained");
     for _ in 0..2 {
-        assert_eq!(door(s.door, "PUT", "/v1/pooler/activate").status(), 200);
-        assert!(PgClient::connect(s.clients).ask("").empty, "back at once");
+        assert_eq!(admin.status("PUT", "/v1/pooler/activate"), 200);
+        assert!(PostgresClient::connect(client_address).query("").is_empty_query, "back at once");
     }
 }
 
-/// Guards against calls that cross SIGTERM: the end is final, and nothing taken is lost by them.
+/// Guards against admin calls after SIGTERM that undo the shutdown or lose an open request.
 #[test]
 fn sigterm_ends_a_drained_pooler_and_no_call_brings_it_back() {
-    let mut s = started();
-    let mut busy = PgClient::connect(s.clients);
-    let before = s.primary.count();
-    busy.send(&pg_query(&write("1")));
-    eventually("the primary has the write", || s.primary.count() > before);
-    assert_eq!(door(s.door, "PUT", "/v1/pooler/drain").status(), 200);
-    s.daemon.signal("-TERM");
-    s.daemon.line("SIGTERM");
-    assert_eq!(door(s.door, "PUT", "/v1/pooler/activate").status(), 409);
-    assert_eq!(door(s.door, "PUT", "/v1/pooler/drain").status(), 200);
-    assert_eq!(door(s.door, "GET", "/v1/readyz").status(), 503);
-    s.go.send(()).unwrap();
-    assert_eq!(busy.answer().unwrap().value.as_deref(), Some(&b"late"[..]));
-    assert!(s.daemon.wait().success());
+    let mut pooler = start_pooler();
+    let mut busy = PostgresClient::connect(pooler.client_address);
+    pooler.group.send_write(&mut busy, "1", 11);
+    assert_eq!(pooler.admin.status("PUT", "/v1/pooler/drain"), 200);
+    pooler.daemon.signal("-TERM");
+    pooler.daemon.wait_for_log("SIGTERM");
+    assert_eq!(pooler.admin.status("PUT", "/v1/pooler/activate"), 409);
+    assert_eq!(pooler.admin.status("PUT", "/v1/pooler/drain"), 200);
+    assert_eq!(pooler.admin.status("GET", "/v1/readyz"), 503);
+    pooler.group.release_write.send(()).unwrap();
+    assert_eq!(busy.receive().unwrap().value, row_of(b"late"));
+    assert!(pooler.daemon.wait_for_exit().success());
 }
 
-/// Starts the program as the platform does where it holds the clients' socket: as descriptor 3.
-fn started_on(socket: &TcpListener, config: &str, door: &str) -> Daemon {
-    let line = format!("exec {} 3<&{}", env!("CARGO_BIN_EXE_brookpass"), socket.as_raw_fd());
+/// Starts the program as a platform does that holds the clients' socket itself: the program inherits it as
+/// descriptor 3.
+fn start_on_inherited_socket(socket: &TcpListener, config_path: &Path) -> Daemon {
+    let script = format!("exec {} 3<&{}", env!("CARGO_BIN_EXE_brookpass"), socket.as_raw_fd());
     let mut command = Command::new("bash");
     command
-        .args(["-c", &line])
-        .env("GW_CONFIG", config)
+        .args(["-c", &script])
+        .env("GW_CONFIG", config_path)
         .env("GW_PASSED_SOCKET", "3")
-        .env("GW_ADMIN_ADDR", door);
-    Daemon::run(command)
+        .env("GW_ADMIN_ADDR", "127.0.0.1:0");
+    Daemon::spawn(command)
 }
 
-/// Guards against requests that are lost, closed on or left unread while one process follows another.
-#[test]
-fn a_process_follows_another_on_the_same_socket() {
-    let (primary, replica, go) = hosts();
-    let discovery = Discovery::start();
-    let list = [endpoint("p", primary.address, 1, "active"), endpoint("r", replica.address, 1, "active")];
-    discovery.preset(&list);
-    let peers = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let path = folder("follow").join("config.json");
-    std::fs::write(
-        &path,
-        text(discovery.address, &format!("\"peer_listen\":\"{peers}\",\"peers\":[\"{peers}\"],")),
-    )
-    .unwrap();
-    let config = path.to_str().unwrap();
+/// A listening socket that child processes inherit.
+fn inheritable_listener() -> TcpListener {
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::io::fcntl_setfd(&socket, rustix::io::FdFlags::empty()).unwrap();
-    let clients = socket.local_addr().unwrap();
-    let mut old = started_on(&socket, config, "127.0.0.1:0");
-    let old_door = old.address("operators at http://");
-    eventually("the old one says yes", || door(old_door, "GET", "/v1/readyz").status() == 200);
-    let mut client = PgClient::connect(clients);
-    let before = primary.count();
-    client.send(&pg_query(&write("1")));
-    eventually("the primary has the write", || primary.count() > before);
-    let mut new = started_on(&socket, config, "127.0.0.1:0");
-    new.line("once it is free");
-    let new_door = new.address("operators at http://");
-    eventually("the new one says yes", || door(new_door, "GET", "/v1/readyz").status() == 200);
+    socket
+}
+
+/// Guards against requests that are rejected, reset or left unread while one process takes over from another.
+#[test]
+fn a_process_follows_another_on_the_same_socket() {
+    let group = Group::start();
+    let discovery = DiscoveryServer::start();
+    discovery.preset(&primary_and_replica_list(&group.primary, &group.replica));
+    let peer_address = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let peer_lines = format!("\"peer_listen\":\"{peer_address}\",\"peers\":[\"{peer_address}\"],");
+    let config_path = test_directory("follow").join("config.json");
+    std::fs::write(&config_path, config(discovery.address, &peer_lines)).unwrap();
+    let socket = inheritable_listener();
+    let client_address = socket.local_addr().unwrap();
+    let mut old = start_on_inherited_socket(&socket, &config_path);
+    let old_admin = AdminServer { address: old.wait_for_address("operators at http://") };
+    eventually("the old one says yes", || old_admin.is_ready());
+    let mut client = PostgresClient::connect(client_address);
+    group.send_write(&mut client, "1", 11);
+    let mut new = start_on_inherited_socket(&socket, &config_path);
+    new.wait_for_log("once it is free");
+    let new_admin = AdminServer { address: new.wait_for_address("operators at http://") };
+    eventually("the new one says yes", || new_admin.is_ready());
     old.signal("-TERM");
-    old.line("SIGTERM");
-    for n in 2..20 {
-        let answer = PgClient::connect(clients).ask(&read(&n.to_string()));
-        assert_eq!(
-            answer.value.as_deref().map(|v| v.is_empty()),
-            Some(false),
-            "request {n}: {:?}",
-            answer.code
-        );
+    old.wait_for_log("SIGTERM");
+    for number in 2..20 {
+        let read = read_statement(&number.to_string(), DEADLINE_MS);
+        let response = PostgresClient::connect(client_address).query(&read);
+        let value_is_empty = response.value.as_deref().map(<[u8]>::is_empty);
+        assert_eq!(value_is_empty, Some(false), "request {number}: {:?}", response.sqlstate);
     }
-    go.send(()).unwrap();
-    assert_eq!(
-        client.answer().unwrap().value.as_deref(),
-        Some(&b"late"[..]),
-        "the old one answers what it took"
-    );
-    assert!(old.wait().success());
-    assert!(PgClient::connect(clients).ask("").empty, "the new one serves on");
-    eventually("the peers' address is free again and taken", || std::net::UdpSocket::bind(peers).is_err());
-    assert_eq!(figure(new_door, "error.read"), "0|c");
+    group.release_write.send(()).unwrap();
+    let response = client.receive().unwrap();
+    assert_eq!(response.value, row_of(b"late"), "the old one answers what it took");
+    assert!(old.wait_for_exit().success());
+    assert!(PostgresClient::connect(client_address).query("").is_empty_query, "the new one serves on");
+    eventually("the peers' address is free again and taken", || UdpSocket::bind(peer_address).is_err());
+    assert_eq!(new_admin.metric("error.read"), "0|c");
 }
 
 /// Guards against a start that goes on without the clients' socket.
 #[test]
 fn a_variable_that_names_no_listening_socket_is_one_clear_line() {
-    let path = folder("follow").join("config.json");
-    std::fs::write(&path, text(nobody(), "")).unwrap();
-    for named in ["3", "0x3", "700"] {
-        let mut daemon =
-            Daemon::start(&[], &[("GW_CONFIG", path.to_str().unwrap()), ("GW_PASSED_SOCKET", named)]);
-        daemon.line(&format!("GW_PASSED_SOCKET={named}"));
-        assert!(!daemon.wait().success());
+    let config_path = test_directory("follow").join("config.json");
+    std::fs::write(&config_path, config(unused_address(), "")).unwrap();
+    for descriptor in ["3", "0x3", "700"] {
+        let variables = [("GW_CONFIG", config_path.to_str().unwrap()), ("GW_PASSED_SOCKET", descriptor)];
+        let mut daemon = Daemon::start(&[], &variables);
+        daemon.wait_for_log(&format!("GW_PASSED_SOCKET={descriptor}"));
+        assert!(!daemon.wait_for_exit().success());
     }
 }
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -6,7 +6,12 @@
 use brookpass::fleet::zones::Verdict;
 use brookpass::store::zone_weights::Why;
 use brookpass_lab::fleet::{Lab, Setup};
-use stand_in::*;
+use stand_in::daemon::{Daemon, test_directory};
+use stand_in::discovery::{endpoint_json, snapshot_json};
+use stand_in::http::{HttpClient, call};
+use stand_in::network::{spawn_server, unused_address};
+use stand_in::platform;
+use stand_in::waiting::{DEFAULT_TIMEOUT, eventually, now_ms};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
@@ -135,7 +140,7 @@
     let (tell, came) = channel();
     let (go, wait) = channel::<()>();
     let (tell, wait) = (Mutex::new(tell), Arc::new(Mutex::new(wait)));
-    let address = listen(move |stream| {
+    let address = spawn_server(move |stream| {
         let mut writer = stream.try_clone().unwrap();
         let mut reader = BufReader::new(stream);
         while let Some(request) = message(&mut reader) {
@@ -180,7 +185,7 @@
 /// Starts a daemon whose file names these others; it may not serve yet.
 fn one(peers: &[SocketAddr]) -> One {
     let (primary, replica) = (host("primary"), host("replica"));
-    let folder = folder("golden");
+    let folder = test_directory("golden");
     let inventory = format!(
         "name,address,group,zone,region,weight,status\np,{},1,north,up,1,active\nr,{},1,south,down,0.5,active\n",
         primary.address, replica.address
@@ -195,8 +200,8 @@
     let file = folder.join("operator.yaml");
     std::fs::write(&file, text).unwrap();
     let mut daemon = Daemon::start(&["--operator", file.to_str().unwrap()], &[]);
-    let store = daemon.address("store at http://");
-    let front = daemon.address("SPARQL at http://");
+    let store = daemon.wait_for_address("store at http://");
+    let front = daemon.wait_for_address("SPARQL at http://");
     One { daemon, store, front, door: None, primary, replica }
 }
 
@@ -208,7 +213,7 @@
     /// One that serves all groups.
     fn served() -> One {
         let mut one = one(&[]);
-        one.door = Some(one.daemon.address("operators at http://"));
+        one.door = Some(one.daemon.wait_for_address("operators at http://"));
         eventually("it serves", || one.is_ready());
         eventually("its own file is agreed", || {
             let text = body(one.store, "/fleet");
@@ -471,13 +476,13 @@
         holds.iter().any(|host| host.came.try_iter().any(|came| came.contains("query=hold")))
     });
     one.daemon.signal("-TERM");
-    one.daemon.line("SIGTERM");
+    one.daemon.wait_for_log("SIGTERM");
     t.call("GET", "/v1/readyz");
     t.call("PUT", "/v1/pooler/activate");
     t.call("PUT", "/v1/pooler/drain");
     holds.iter().for_each(|host| (0..8).for_each(|_| host.go.send(()).unwrap()));
     assert_eq!(client.receive().status(), 200);
-    assert_eq!(one.daemon.wait().code(), Some(0));
+    assert_eq!(one.daemon.wait_for_exit().code(), Some(0));
     golden("answers-door.txt", &t.text);
 }
 
@@ -497,7 +502,7 @@
 #[test]
 fn requests_and_answers_pass_between_clients_and_hosts_with_the_golden_headers() {
     let one = One::served();
-    let probe = one.primary.came.recv_timeout(PATIENCE).unwrap();
+    let probe = one.primary.came.recv_timeout(DEFAULT_TIMEOUT).unwrap();
     let mut text = format!("> a question to a host about itself\n{}\n", one.named(&probe).trim_end());
     let commit = now_ms() - 300;
     let read = format!(
@@ -580,7 +585,7 @@
     let at = peer.local_addr().unwrap();
     let one = one(&[at]);
     let (mut stream, _) = peer.accept().unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(DEFAULT_TIMEOUT)).unwrap();
     let wanted = format!(
         "POST /fleet/link HTTP/1.1\r\nHost: {at}\r\nConnection: Upgrade\r\nUpgrade: brookpass-fleet/1\r\nContent-Length: 0\r\n\r\n"
     );
@@ -597,7 +602,7 @@
     assert_eq!(hello[4..6], [0, 0]);
     // The same bytes in the other direction: it answers with its verdict and says who it is.
     let mut stream = TcpStream::connect(one.store).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(DEFAULT_TIMEOUT)).unwrap();
     stream.write_all(wanted.as_bytes()).unwrap();
     let answer = head(&mut stream);
     assert_eq!(answer, "HTTP/1.1 101 Other\r\nConnection: Upgrade\r\nUpgrade: brookpass-fleet/1\r\n\r\n");
@@ -612,15 +617,15 @@
 fn the_calls_to_discovery_have_the_golden_heads() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = discovery.local_addr().unwrap();
-    let path = folder("golden").join("config.json");
+    let path = test_directory("golden").join("config.json");
     std::fs::write(&path, platform::config("127.0.0.1:0", at, platform::SETTINGS)).unwrap();
-    let (_daemon, _) = platform::daemon_on(&path);
+    let _daemon = platform::start_daemon(&path);
     let (mut stream, _) = discovery.accept().unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(DEFAULT_TIMEOUT)).unwrap();
     let wanted =
         |path: &str| format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nAccept: application/json\r\n\r\n");
     assert_eq!(head(&mut stream), wanted("/api/targets"));
-    let list = list_text(41, true, &[endpoint("p", nobody(), 1, "active")]);
+    let list = snapshot_json(41, &[endpoint_json("p", unused_address(), 1, "active")]);
     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
     stream.write_all(answer.as_bytes()).unwrap();
     let watch = head(&mut stream);
--- a/tests/host_orders.rs
+++ b/tests/host_orders.rs
@@ -1,167 +1,194 @@
-//! Connections to hosts: what comes up, ends or goes on in the wrong moment. Each test forces one order.
+//! Connections to endpoints that become ready, end or go on at the wrong moment. Each test forces one order
+//! of events.
 
 mod stand_in;
 
-use stand_in::platform::*;
-use stand_in::*;
-use std::io::{Read, Write};
+use stand_in::discovery::endpoint_json;
+use stand_in::network::spawn_server;
+use stand_in::platform::{
+    keyed_write_statement, primary_and_replica_list, read_statement, start_pooler, start_pooler_with_config,
+    write_statement,
+};
+use stand_in::postgres::client::{PostgresClient, row_of};
+use stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
+use stand_in::postgres::manual_endpoint::ManualEndpoint;
+use stand_in::postgres::messages::{self, kind};
+use stand_in::waiting::DEFAULT_TIMEOUT;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn slow_dials(text: &str) -> String {
+/// The list with only this endpoint.
+fn list_of(endpoint: &ManualEndpoint) -> [String; 1] {
+    [endpoint_json("slow", endpoint.address, 1, "active")]
+}
+
+/// The configuration with a connect timeout that no test reaches.
+fn long_connect_timeout(text: &str) -> String {
     text.replace("\"connect-timeout\":0.25", "\"connect-timeout\":15.0")
 }
 
-/// Guards against a repeat that is decided within the window in which its group drops repeats, and written after it,
-/// since its connection came up late: it would run a second time.
+/// Guards against a retry that is decided within its group's deduplication window and written after it, since
+/// its connection became ready late: the write would run a second time.
 #[test]
 fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
-    let host = SlowHost::start();
-    let s = started_on(&[endpoint("slow", host.address, 1, "active")], |text| {
-        slow_dials(text).replace("\"dedup-window\":1.2", "\"dedup-window\":0.5")
+    let endpoint = ManualEndpoint::start();
+    let pooler = start_pooler_with_config(&list_of(&endpoint), |text| {
+        long_connect_timeout(text).replace("\"dedup-window\":1.2", "\"dedup-window\":0.5")
     });
-    let mut client = PgClient::connect(s.address);
-    client.send(&pg_query(&write("1", 10_000, ",k=1")));
-    let first = host.next();
-    assert!(first.welcome_then_read().is_some());
-    let ran = Instant::now();
-    // It has run, or may have.
-    drop(first);
-    let second = host.next();
-    assert!(ran.elapsed() < Duration::from_millis(500), "the repeat is decided within the window");
+    let mut client = PostgresClient::connect(pooler.address);
+    client.send_query(&keyed_write_statement("1", 10_000, 1));
+    let first_connection = endpoint.next_connection();
+    assert!(first_connection.complete_startup().is_some());
+    let written_at = Instant::now();
+    // The write has run, or may have.
+    drop(first_connection);
+    let second_connection = endpoint.next_connection();
+    assert!(written_at.elapsed() < Duration::from_millis(500), "the repeat is decided within the window");
     thread::sleep(Duration::from_millis(550));
-    let come_up = thread::spawn(move || second.welcome_then_read());
-    assert_eq!(client.answer().unwrap().code.as_deref(), Some("58000"), "it may have had an effect");
+    let second_statement = thread::spawn(move || second_connection.complete_startup());
+    assert_eq!(client.receive().unwrap().sqlstate.as_deref(), Some("58000"), "it may have had an effect");
     drop(client);
-    drop(s);
-    assert_eq!(come_up.join().unwrap(), None, "nothing is written on it");
+    drop(pooler);
+    assert_eq!(second_statement.join().unwrap(), None, "nothing is written on it");
 }
 
-/// Guards against a request that is written once its connection is up, when its own time is over.
+/// Guards against a request that is written when its connection becomes ready although its deadline has
+/// passed.
 #[test]
 fn a_dial_that_completes_after_the_deadline_writes_nothing() {
-    let host = SlowHost::start();
-    let s = started_on(&[endpoint("slow", host.address, 1, "active")], slow_dials);
-    let mut client = PgClient::connect(s.address);
-    client.send(&pg_query(&write("1", 300, ",k=1")));
-    let connection = host.next();
-    assert!(client.answer().unwrap().code.is_some(), "a final answer in time");
-    assert_eq!(connection.welcome_then_read(), None, "nothing is written on it");
+    let endpoint = ManualEndpoint::start();
+    let pooler = start_pooler_with_config(&list_of(&endpoint), long_connect_timeout);
+    let mut client = PostgresClient::connect(pooler.address);
+    client.send_query(&keyed_write_statement("1", 300, 1));
+    let connection = endpoint.next_connection();
+    assert!(client.receive().unwrap().sqlstate.is_some(), "a final answer in time");
+    assert_eq!(connection.complete_startup(), None, "nothing is written on it");
 }
 
-/// Guards against a request for a host that has begun anew while its connection came up: what a cold host bears is not
-/// what was weighed.
+/// Guards against a request that is written to an endpoint which restarted while the connection became ready:
+/// the attempt was admitted for a warm endpoint, and this one is cold.
 #[test]
 fn a_dial_to_a_host_that_begins_anew_meanwhile_writes_nothing() {
-    let host = SlowHost::start();
-    let s = started_on(&[endpoint("slow", host.address, 1, "active")], slow_dials);
-    let mut client = PgClient::connect(s.address);
-    client.send(&pg_query(&write("1", 5_000, ",k=1")));
-    let connection = host.next();
-    let anew =
-        endpoint("slow", host.address, 1, "active").replace("\"since_ms\":0", "\"since_ms\":1767225600123");
-    let elsewhere = PgHost::start("copy", |_| Reply::Row(b"x"));
-    s.discovery.publish(&[anew, endpoint("elsewhere", elsewhere.address, 2, "active")]);
+    let endpoint = ManualEndpoint::start();
+    let pooler = start_pooler_with_config(&list_of(&endpoint), long_connect_timeout);
+    let mut client = PostgresClient::connect(pooler.address);
+    client.send_query(&keyed_write_statement("1", 5_000, 1));
+    let connection = endpoint.next_connection();
+    let entry = endpoint_json("slow", endpoint.address, 1, "active");
+    let restarted_entry = entry.replace("\"since_ms\":0", "\"since_ms\":1767225600123");
+    let other_group = PostgresEndpoint::replica(|_| Reply::Row(b"x"));
+    let other_entry = endpoint_json("elsewhere", other_group.address, 2, "active");
+    pooler.discovery.publish(&[restarted_entry, other_entry]);
     // Commands are carried out in order: once a later request is answered, the list has reached the attempt.
-    let mut other = PgClient::connect(s.address);
-    let later = read("2", 1_000).replace("cluster=1", "cluster=2");
-    assert_eq!(other.ask(&later).value.as_deref(), Some(&b"x"[..]));
-    assert_eq!(connection.welcome_then_read(), None, "nothing is written on the first one");
-    assert!(host.next().welcome_then_read().is_some(), "it is decided anew");
+    let mut other = PostgresClient::connect(pooler.address);
+    let later_read = read_statement("2", 1_000).replace("cluster=1", "cluster=2");
+    assert_eq!(other.query(&later_read).value, row_of(b"x"));
+    assert_eq!(connection.complete_startup(), None, "nothing is written on the first one");
+    assert!(endpoint.next_connection().complete_startup().is_some(), "it is decided anew");
 }
 
-/// Guards against an answer that goes on for ever behind a row that the client has: neither the deadline nor a stall
-/// ends it.
+/// Guards against an answer that goes on forever behind a row that the client already has: neither the
+/// deadline nor the timeout of a stalled answer ends it.
 #[test]
 fn notices_without_end_behind_a_long_row_end_the_answer() {
-    const SIZE: usize = 200_000;
-    let row = {
-        let described = pg_message(b'T', &[&1u16.to_be_bytes()[..], b"payload\0", &[0; 18]].concat());
-        let head = [&(SIZE as u32 + 10).to_be_bytes()[..], &[0, 1], &(SIZE as u32).to_be_bytes()].concat();
-        [described, [b"D".to_vec(), head, vec![9; SIZE]].concat(), pg_message(b'C', b"SELECT 1\0")].concat()
-    };
-    let (over, ended) = channel();
-    let over = Mutex::new(over);
-    let host = listen(move |mut stream| {
-        let ready = [pg_message(b'R', &[0; 4]), pg_message(b'Z', b"I")].concat();
-        let mut first = [0; 4096];
-        let _ = stream.read(&mut first);
-        let _ = stream.write_all(&ready);
-        let _ = stream.read(&mut first);
-        let _ = stream.write_all(&row);
-        let notice = pg_message(b'N', &[&[b'M'][..], &[b'x'; 500], &[0, 0]].concat());
-        while stream.write_all(&notice).is_ok() {}
-        let _ = over.lock().unwrap().send(());
+    const VALUE_BYTES: usize = 200_000;
+    let row = [messages::partial_row(VALUE_BYTES, &[9; VALUE_BYTES]), messages::command_complete()].concat();
+    let (end_sender, ended) = channel();
+    let end_sender = Mutex::new(end_sender);
+    let address = spawn_server(move |mut stream| {
+        send_row_and_endless_notices(&mut stream, &row);
+        let _ = end_sender.lock().unwrap().send(());
     });
-    let s = started(&[endpoint("p", host, 1, "active")]);
-    let mut client = PgClient::connect(s.address);
-    client.send(&pg_query(&write("1", 1_000, ",k=1")));
-    ended.recv_timeout(PATIENCE).expect("the attempt's connection is closed");
-    let mut got = Vec::new();
-    let _ = client.stream.read_to_end(&mut got);
-    assert!(got.len() >= SIZE && !got.ends_with(b"Z\0\0\0\x05I"), "it cannot pass for whole");
+    let pooler = start_pooler(&[endpoint_json("p", address, 1, "active")]);
+    let mut client = PostgresClient::connect(pooler.address);
+    client.send_query(&keyed_write_statement("1", 1_000, 1));
+    ended.recv_timeout(DEFAULT_TIMEOUT).expect("the attempt's connection is closed");
+    let mut received = Vec::new();
+    let _ = client.stream.read_to_end(&mut received);
+    let ends_as_complete = received.ends_with(b"Z\0\0\0\x05I");
+    assert!(received.len() >= VALUE_BYTES && !ends_as_complete, "it cannot pass for whole");
+}
+
+/// Serves one connection of an endpoint: answers the startup, answers the first statement with these bytes,
+/// then sends notices until the other side closes.
+fn send_row_and_endless_notices(stream: &mut TcpStream, row: &[u8]) {
+    let mut input = [0; 4096];
+    let _ = stream.read(&mut input);
+    let _ = stream.write_all(&messages::startup_response());
+    let _ = stream.read(&mut input);
+    let _ = stream.write_all(row);
+    let notice_fields = [&[b'M'][..], &[b'x'; 500], &[0, 0]].concat();
+    let notice = messages::message(kind::NOTICE_RESPONSE, &notice_fields);
+    while stream.write_all(&notice).is_ok() {}
 }
 
-/// Guards against half a line that passes for an answer: whatever the pieces, a host that closes in the midst of one has
-/// reset its attempt, and a read is asked elsewhere.
+/// Guards against an incomplete answer that passes for a complete one: wherever an endpoint closes within an
+/// answer, its attempt has failed, and a read is retried at another endpoint.
 #[test]
 fn half_an_answer_and_a_close_is_a_reset_and_the_read_is_asked_again() {
-    let whole = pg_row(b"value");
-    for cut in [0, 3, 20, whole.len() - 20, whole.len() - 3] {
-        let asked = Arc::new(AtomicUsize::new(0));
-        let host = || {
-            let (count, bytes) = (asked.clone(), whole[..cut].to_vec());
-            PgHost::start("copy", move |_| match count.fetch_add(1, Ordering::SeqCst) {
-                0 => Reply::RawThenEnd(bytes.clone()),
+    let complete_answer = messages::row(b"value");
+    let length = complete_answer.len();
+    for cut in [0, 3, 20, length - 20, length - 3] {
+        let statement_count = Arc::new(AtomicUsize::new(0));
+        let start_endpoint = || {
+            let counter = statement_count.clone();
+            let cut_answer = complete_answer[..cut].to_vec();
+            PostgresEndpoint::replica(move |_| match counter.fetch_add(1, Ordering::SeqCst) {
+                0 => Reply::BytesThenClose(cut_answer.clone()),
                 _ => Reply::Row(b"again"),
             })
         };
-        let (one, other) = (host(), host());
-        let s = started(&both(&one, &other));
-        let answer = PgClient::connect(s.address).ask(&read("1", 2_000));
-        assert_eq!(answer.value.as_deref(), Some(&b"again"[..]), "cut after {cut}");
-        assert_eq!(asked.load(Ordering::SeqCst), 2, "cut after {cut}");
+        let one = start_endpoint();
+        let other = start_endpoint();
+        let pooler = start_pooler(&primary_and_replica_list(&one, &other));
+        let response = PostgresClient::connect(pooler.address).query(&read_statement("1", 2_000));
+        assert_eq!(response.value, row_of(b"again"), "cut after {cut}");
+        assert_eq!(statement_count.load(Ordering::SeqCst), 2, "cut after {cut}");
     }
 }
 
-/// Guards against two attempts of a request on open connections at once: the first one's connection has ended before
-/// the second one is written.
+/// Guards against two attempts of one request on open connections at once: the first attempt's connection
+/// must have ended before the second attempt is written.
 #[test]
 fn no_attempt_goes_out_while_another_is_on_an_open_connection() {
-    let host = SlowHost::start();
-    let s = started(&[endpoint("slow", host.address, 1, "active")]);
-    let mut client = PgClient::connect(s.address);
-    client.send(&pg_query(&write("1", 10_000, ",k=1")));
-    let first = host.next();
-    assert!(first.welcome_then_read().is_some());
-    // A spoilt answer: the attempt is over for the pooler, though the host keeps the connection open.
-    (&first.stream).write_all(b"\0\xff\r\n").unwrap();
-    let second = host.next();
-    assert!(second.welcome_then_read().is_some());
-    first.stream.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
-    let ended = (&first.stream).read(&mut [0; 8]);
-    let open = ended.as_ref().is_err_and(|e| matches!(e.kind(), std::io::ErrorKind::WouldBlock));
-    assert!(!open && !matches!(ended, Ok(n) if n > 0), "the first connection is still open");
+    let endpoint = ManualEndpoint::start();
+    let pooler = start_pooler(&list_of(&endpoint));
+    let mut client = PostgresClient::connect(pooler.address);
+    client.send_query(&keyed_write_statement("1", 10_000, 1));
+    let first_connection = endpoint.next_connection();
+    assert!(first_connection.complete_startup().is_some());
+    // A malformed answer: the attempt is over for the pooler, though the endpoint keeps the connection open.
+    (&first_connection.stream).write_all(b"\0\xff\r\n").unwrap();
+    let second_connection = endpoint.next_connection();
+    assert!(second_connection.complete_startup().is_some());
+    first_connection.stream.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
+    let read = (&first_connection.stream).read(&mut [0; 8]);
+    let is_open = read.as_ref().is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
+    let has_received = matches!(read, Ok(length) if length > 0);
+    assert!(!is_open && !has_received, "the first connection is still open");
 }
 
-/// Guards against an idle connection that its host closes just before a write: a write without a key cannot be repeated,
-/// so that it must not go there.
+/// Guards against an idle connection that its endpoint closes just before a write: a write without a key
+/// cannot be retried, so it must not be written there.
 #[test]
 fn a_connection_that_ended_while_it_was_idle_is_not_written_to() {
-    let host = SlowHost::start();
-    let s = started(&[endpoint("slow", host.address, 1, "active")]);
-    let mut client = PgClient::connect(s.address);
-    client.send(&pg_query(&write("1", 10_000, "")));
-    let first = host.next();
-    assert!(first.welcome_then_read().is_some());
-    let row = [pg_row(b"v"), pg_message(b'S', b"rank\0source\0"), pg_message(b'Z', b"I")];
-    (&first.stream).write_all(&row.concat()).unwrap();
-    assert!(client.answer().unwrap().value.is_some());
-    first.stream.shutdown(std::net::Shutdown::Write).unwrap();
-    client.send(&pg_query(&write("2", 10_000, "")));
-    let second = host.next().welcome_then_read().expect("on a connection of its own");
-    assert!(second.contains("id=2,"), "{second}");
+    let endpoint = ManualEndpoint::start();
+    let pooler = start_pooler(&list_of(&endpoint));
+    let mut client = PostgresClient::connect(pooler.address);
+    client.send_query(&write_statement("1", 10_000));
+    let first_connection = endpoint.next_connection();
+    assert!(first_connection.complete_startup().is_some());
+    let role = messages::parameter_status("rank", "source");
+    let answer = [messages::row(b"v"), role, messages::ready_for_query()].concat();
+    (&first_connection.stream).write_all(&answer).unwrap();
+    assert!(client.receive().unwrap().value.is_some());
+    first_connection.stream.shutdown(Shutdown::Write).unwrap();
+    client.send_query(&write_statement("2", 10_000));
+    let second_statement = endpoint.next_connection().complete_startup().expect("on a connection of its own");
+    assert!(second_statement.contains("id=2,"), "{second_statement}");
 }
--- a/tests/platform/answers.rs
+++ b/tests/platform/answers.rs
@@ -1,109 +1,150 @@
 //! What endpoints answer: malformed, long, cut short, missing.
 
-use super::stand_in::platform::*;
-use super::stand_in::*;
+use super::stand_in::discovery::endpoint_json;
+use super::stand_in::platform::{
+    PostgresGroup, keyed_write_statement, read_statement, start_pooler, write_statement,
+};
+use super::stand_in::postgres::client::{PostgresClient, row_of};
+use super::stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
+use super::stand_in::postgres::messages::{self, kind};
+use super::stand_in::waiting::DEFAULT_TIMEOUT;
 use std::io::Read;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Instant;
 
-/// Guards against spoilt answers that are passed on, waited for to the deadline, or laid to a sound host.
+/// A row of a value of 3 bytes whose data row claims these lengths; 13 and 3 are the true ones.
+fn row_claiming(row_bytes: u32, value_bytes: u32) -> Vec<u8> {
+    let one_column = [0, 1];
+    let data_row =
+        [&[kind::DATA_ROW][..], &row_bytes.to_be_bytes(), &one_column, &value_bytes.to_be_bytes(), b"bad"];
+    let end = [messages::command_complete(), messages::ready_for_query()].concat();
+    [messages::row_description(), data_row.concat(), end].concat()
+}
+
+fn malformed_answers() -> Vec<Vec<u8>> {
+    vec![
+        row_claiming(2, 3),
+        row_claiming(3_000_000_000, 3),
+        row_claiming(40, 3),
+        row_claiming(13, 90),
+        vec![b'x'; 300],
+        b"\0\xff\r\n".to_vec(),
+        row_claiming(13, 3)[..40].to_vec(),
+    ]
+}
+
+/// Guards against malformed answers that are passed on, that are waited for until the deadline, or that count
+/// as failures of an endpoint that works.
 #[test]
-fn a_spoilt_answer_is_a_failed_attempt_and_its_connection_is_not_used_again() {
-    let row = |column: u32, row: u32| {
-        let described = pg_message(b'T', &[&1u16.to_be_bytes()[..], b"payload\0", &[0; 18]].concat());
-        let data = [&[b'D'][..], &row.to_be_bytes(), &[0, 1], &column.to_be_bytes(), b"bad"].concat();
-        [described, data, pg_message(b'C', b"SELECT 1\0"), pg_message(b'Z', b"I")].concat()
-    };
-    let spoilt =
-        [row(3, 2), row(3, 3_000_000_000), row(3, 40), row(90, 13), vec![b'x'; 300], b"\0\xff\r\n".to_vec()];
-    for bytes in spoilt.into_iter().chain([row(3, 13)[..40].to_vec()]) {
-        let sent = Arc::new(AtomicUsize::new(0));
-        let (again, text) = (sent.clone(), format!("{bytes:?}"));
-        let (p, r) = pair(move |_| match again.fetch_add(1, Ordering::SeqCst) {
-            1 => Reply::Raw(bytes.clone()),
+fn a_malformed_answer_is_a_failed_attempt_and_its_connection_is_not_used_again() {
+    for bytes in malformed_answers() {
+        let context = format!("{bytes:?}");
+        let statement_count = Arc::new(AtomicUsize::new(0));
+        let counter = statement_count.clone();
+        let group = PostgresGroup::start(move |_| match counter.fetch_add(1, Ordering::SeqCst) {
+            1 => Reply::Bytes(bytes.clone()),
             _ => Reply::Row(b"good"),
         });
-        let s = started(&both(&p, &r));
-        let mut client = PgClient::connect(s.address);
-        assert_eq!(client.ask(&write("0", 1900, "")).code, None, "now the primary is known");
-        let began = std::time::Instant::now();
-        assert_eq!(client.ask(&write("1", 1900, ",k=9")).value.as_deref(), Some(&b"good"[..]), "{text}");
-        assert!(began.elapsed().as_millis() < 1_000, "not waited for: {text}");
-        assert_eq!(sent.load(Ordering::SeqCst), 3, "{text}");
-        // Without a key it may not be repeated: it has run, or may have.
-        sent.store(1, Ordering::SeqCst);
-        assert_eq!(client.ask(&write("2", 1900, "")).code.as_deref(), Some("58000"), "{text}");
-        assert_eq!(client.ask(&write("3", 1900, "")).value.as_deref(), Some(&b"good"[..]), "{text}");
-        assert_eq!(sent.load(Ordering::SeqCst), 3, "{text}");
+        let pooler = start_pooler(&group.endpoint_list());
+        let mut client = PostgresClient::connect(pooler.address);
+        assert_eq!(client.query(&write_statement("0", 1900)).sqlstate, None, "now the primary is known");
+        let sent_at = Instant::now();
+        let keyed = client.query(&keyed_write_statement("1", 1900, 9));
+        assert_eq!(keyed.value, row_of(b"good"), "{context}");
+        assert!(sent_at.elapsed().as_millis() < 1_000, "not waited for: {context}");
+        assert_eq!(statement_count.load(Ordering::SeqCst), 3, "{context}");
+        // Without a key it may not be retried: it has run, or may have.
+        statement_count.store(1, Ordering::SeqCst);
+        let without_key = client.query(&write_statement("2", 1900));
+        assert_eq!(without_key.sqlstate.as_deref(), Some("58000"), "{context}");
+        assert_eq!(client.query(&write_statement("3", 1900)).value, row_of(b"good"), "{context}");
+        assert_eq!(statement_count.load(Ordering::SeqCst), 3, "{context}");
     }
 }
 
-/// Guards against sound answers that are taken for spoilt because of their length, and against a connection that
-/// is of no use after one.
+/// Guards against correct answers that are taken for malformed because of their length, and against a
+/// connection that cannot be used after one.
 #[test]
 fn long_values_pass_whole() {
-    static LONG: [u8; 4 * 1024 * 1024] = [7; 4 * 1024 * 1024];
-    let (p, r) = pair(|text| Reply::Row(if text.contains("id=1,") { &LONG[..70_000] } else { &LONG }));
-    let s = started(&both(&p, &r));
-    let mut client = PgClient::connect(s.address);
-    for (id, length) in [("1", 70_000), ("2", LONG.len()), ("3", LONG.len())] {
-        let answer = client.ask(&write(id, 5_000, ""));
-        assert!(answer.value.as_deref() == Some(&LONG[..length]), "{id}: {:?}", answer.code);
+    static LONG_VALUE: [u8; 4 * 1024 * 1024] = [7; 4 * 1024 * 1024];
+    let group = PostgresGroup::start(|text| match text.contains("id=1,") {
+        true => Reply::Row(&LONG_VALUE[..70_000]),
+        false => Reply::Row(&LONG_VALUE),
+    });
+    let pooler = start_pooler(&group.endpoint_list());
+    let mut client = PostgresClient::connect(pooler.address);
+    for (id, length) in [("1", 70_000), ("2", LONG_VALUE.len()), ("3", LONG_VALUE.len())] {
+        let response = client.query(&write_statement(id, 5_000));
+        assert!(response.value.as_deref() == Some(&LONG_VALUE[..length]), "{id}: {:?}", response.sqlstate);
     }
-    let mut behind = PgClient::connect(s.address);
-    behind.send(&[pg_query(&write("4", 5_000, "")), pg_query(&write("1", 5_000, ""))].concat());
-    assert_eq!(behind.answer().unwrap().value.map(|v| v.len()), Some(LONG.len()));
-    assert_eq!(behind.answer().unwrap().value.map(|v| v.len()), Some(70_000), "in their order");
+    let mut pipelining = PostgresClient::connect(pooler.address);
+    let long_query = messages::query(&write_statement("4", 5_000));
+    let shorter_query = messages::query(&write_statement("1", 5_000));
+    pipelining.send(&[long_query, shorter_query].concat());
+    let mut received_length = || pipelining.receive().unwrap().value.map(|value| value.len());
+    assert_eq!(received_length(), Some(LONG_VALUE.len()));
+    assert_eq!(received_length(), Some(70_000), "in their order");
 }
 
-/// Guards against a long value that is held until it is whole, and against one that breaks off and passes for whole.
+/// Guards against a long value that is kept back until it is complete, and against one that breaks off and
+/// passes for complete.
 #[test]
 fn a_long_value_passes_on_as_it_comes_and_the_client_can_tell_where_it_broke_off() {
-    const SIZE: usize = 200_000;
-    let row = |claimed: usize, sent: usize| {
-        let described = pg_message(b'T', &[&1u16.to_be_bytes()[..], b"payload\0", &[0; 18]].concat());
-        let head =
-            [&(claimed as u32 + 10).to_be_bytes()[..], &[0, 1], &(claimed as u32).to_be_bytes()].concat();
-        [described, [b"D".to_vec(), head, vec![9; sent]].concat()].concat()
-    };
-    let (p, r) = pair(move |text| match text {
-        t if t.contains("id=1,") => Reply::RawThenSilence(row(SIZE, SIZE / 2)),
-        t if t.contains("id=2,") => Reply::RawThenEnd(row(SIZE, SIZE / 2)),
-        t if t.contains("id=3,") => Reply::RawThenEnd([row(SIZE, SIZE), b"!!!!!".to_vec()].concat()),
-        t if t.contains("id=4,") => Reply::Raw(row(3_000_000_000, 20)),
+    const VALUE_BYTES: usize = 200_000;
+    const ROW_DESCRIPTION_BYTES: usize = 33;
+    const DATA_ROW_HEAD_BYTES: usize = 11;
+    let half_of_a_row = || messages::partial_row(VALUE_BYTES, &[9; VALUE_BYTES / 2]);
+    let row_without_end = || messages::partial_row(VALUE_BYTES, &[9; VALUE_BYTES]);
+    let group = PostgresGroup::start(move |text| match text {
+        text if text.contains("id=1,") => Reply::BytesThenSilence(half_of_a_row()),
+        text if text.contains("id=2,") => Reply::BytesThenClose(half_of_a_row()),
+        text if text.contains("id=3,") => {
+            Reply::BytesThenClose([row_without_end(), b"!!!!!".to_vec()].concat())
+        }
+        text if text.contains("id=4,") => Reply::Bytes(messages::partial_row(3_000_000_000, &[9; 20])),
         _ => Reply::Row(b"x"),
     });
-    let s = started(&both(&p, &r));
-    // The host has sent half of it and says no more: the client has that half meanwhile.
-    let mut waits = PgClient::connect(s.address);
-    waits.send(&pg_query(&write("1", 1_000, ",k=1")));
-    waits.stream.read_exact(&mut vec![0; 33 + 11 + SIZE / 2]).unwrap();
-    drop(waits);
-    assert_eq!(p.dropped.recv_timeout(PATIENCE), Ok(true), "its attempt ends with the client");
+    let pooler = start_pooler(&group.endpoint_list());
+    // The endpoint has sent half of it and sends no more: the client already has that half.
+    let mut waiting = PostgresClient::connect(pooler.address);
+    waiting.send_query(&keyed_write_statement("1", 1_000, 1));
+    let mut received_half = vec![0; ROW_DESCRIPTION_BYTES + DATA_ROW_HEAD_BYTES + VALUE_BYTES / 2];
+    waiting.stream.read_exact(&mut received_half).unwrap();
+    drop(waiting);
+    let closed = group.primary.closed_connections.recv_timeout(DEFAULT_TIMEOUT);
+    assert_eq!(closed, Ok(true), "its attempt ends with the client");
     for id in ["2", "3"] {
-        let mut client = PgClient::connect(s.address);
-        client.send(&pg_query(&write(id, 1_000, ",k=1")));
-        let mut got = Vec::new();
-        let _ = client.stream.read_to_end(&mut got);
-        assert!(got.len() >= SIZE / 2 && !got.ends_with(b"Z\0\0\0\x05I"), "{id}: it cannot pass for whole");
+        let mut client = PostgresClient::connect(pooler.address);
+        client.send_query(&keyed_write_statement(id, 1_000, 1));
+        let mut received = Vec::new();
+        let _ = client.stream.read_to_end(&mut received);
+        let ends_as_complete = received.ends_with(b"Z\0\0\0\x05I");
+        assert!(received.len() >= VALUE_BYTES / 2 && !ends_as_complete, "{id}: it cannot pass for whole");
     }
-    let before = p.count();
-    let answer = PgClient::connect(s.address).ask(&write("4", 1_000, ""));
-    assert_eq!((answer.code.as_deref(), p.count()), (Some("58000"), before + 1), "refused at its head");
-    assert_eq!(PgClient::connect(s.address).ask(&write("5", 5_000, "")).value.as_deref(), Some(&b"x"[..]));
+    let count_before = group.primary.statement_count();
+    let response = PostgresClient::connect(pooler.address).query(&write_statement("4", 1_000));
+    let count_after = group.primary.statement_count();
+    let outcome = (response.sqlstate.as_deref(), count_after);
+    assert_eq!(outcome, (Some("58000"), count_before + 1), "rejected by its head");
+    let response = PostgresClient::connect(pooler.address).query(&write_statement("5", 5_000));
+    assert_eq!(response.value, row_of(b"x"));
 }
 
+/// Guards against a request that outlives its deadline, and against a rejection without a time to retry
+/// after.
 #[test]
-fn a_request_without_an_answer_fails_at_its_deadline_and_one_that_is_refused_says_when_to_come_back() {
-    let (p, r) = pair(|_| Reply::Silence);
-    let s = started(&both(&p, &r));
-    let began = std::time::Instant::now();
-    let answer = PgClient::connect(s.address).ask(&write("1", 300, ",k=1"));
-    assert_eq!(answer.code.as_deref(), Some("57014"));
-    assert!(began.elapsed().as_millis() < 1_000);
-    let full = PgHost::start("copy", |_| Reply::Error("53300"));
-    s.discovery.publish(&[endpoint("f", full.address, 1, "active")]);
-    let answer = PgClient::connect(s.address).ask(&read("2", 400));
-    assert_eq!(answer.code.as_deref(), Some("53300"));
-    assert!(answer.detail.unwrap().parse::<u32>().unwrap() > 0);
+fn a_request_without_an_answer_fails_at_its_deadline_and_a_rejected_one_gets_a_retry_after() {
+    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let pooler = start_pooler(&group.endpoint_list());
+    let sent_at = Instant::now();
+    let response = PostgresClient::connect(pooler.address).query(&keyed_write_statement("1", 300, 1));
+    assert_eq!(response.sqlstate.as_deref(), Some("57014"));
+    assert!(sent_at.elapsed().as_millis() < 1_000);
+    let overloaded = PostgresEndpoint::replica(|_| Reply::Error("53300"));
+    pooler.discovery.publish(&[endpoint_json("f", overloaded.address, 1, "active")]);
+    let response = PostgresClient::connect(pooler.address).query(&read_statement("2", 400));
+    assert_eq!(response.sqlstate.as_deref(), Some("53300"));
+    let retry_after_ms: u32 = response.detail.unwrap().parse().unwrap();
+    assert!(retry_after_ms > 0);
 }
--- a/tests/platform/attempts.rs
+++ b/tests/platform/attempts.rs
@@ -1,127 +1,174 @@
 //! To which endpoint, and over which connection, attempts go.
 
-use super::stand_in::platform::*;
-use super::stand_in::*;
+use super::stand_in::discovery::endpoint_json;
+use super::stand_in::network::{names_in_ring_order, spawn_server};
+use super::stand_in::platform::{
+    PostgresGroup, keyed_write_statement, read_statement, start_pooler, write_statement,
+};
+use super::stand_in::postgres::client::{PostgresClient, row_of};
+use super::stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
+use super::stand_in::postgres::messages;
+use super::stand_in::waiting::{DEFAULT_TIMEOUT, eventually};
 use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 
-/// Guards against sends to a host that drains: the list counts before anything that is asked after it.
+/// Reads once; whether anything came before the end of the stream.
+fn receives_bytes(stream: &mut TcpStream) -> bool {
+    matches!(stream.read(&mut [0; 64]), Ok(length) if length > 0)
+}
+
+/// Guards against attempts at an endpoint that drains: a new list applies to every request that arrives after
+/// it.
 #[test]
-fn nothing_new_goes_to_a_host_that_leaves() {
-    let one = PgHost::start("copy", |_| Reply::Row(b"one"));
-    let two = PgHost::start("copy", |_| Reply::Row(b"two"));
-    let list = |status| vec![endpoint("a", one.address, 1, status), endpoint("b", two.address, 1, "active")];
-    let s = started(&list("active"));
-    let mut client = PgClient::connect(s.address);
+fn no_new_request_goes_to_an_endpoint_that_is_leaving() {
+    let leaving = PostgresEndpoint::replica(|_| Reply::Row(b"one"));
+    let staying = PostgresEndpoint::replica(|_| Reply::Row(b"two"));
+    let list = |status| {
+        vec![endpoint_json("a", leaving.address, 1, status), endpoint_json("b", staying.address, 1, "active")]
+    };
+    let pooler = start_pooler(&list("active"));
+    let mut client = PostgresClient::connect(pooler.address);
     eventually("both hosts are used", || {
-        client.ask(&read("1", 1000));
-        one.count() > 0 && two.count() > 0
+        client.query(&read_statement("1", 1000));
+        leaving.statement_count() > 0 && staying.statement_count() > 0
     });
-    s.discovery.publish(&list("leaving"));
-    let before = one.count();
-    for n in 0..30 {
-        assert_eq!(client.ask(&read(&n.to_string(), 1000)).value.as_deref(), Some(&b"two"[..]));
+    pooler.discovery.publish(&list("leaving"));
+    let count_before = leaving.statement_count();
+    for number in 0..30 {
+        assert_eq!(client.query(&read_statement(&number.to_string(), 1000)).value, row_of(b"two"));
     }
-    assert_eq!(one.count(), before);
-    // A list that is out of form must not cost the one that is held.
-    s.discovery.break_once("{\"index\":9,\"endpoints\":[}");
-    s.discovery.wait_for_watch();
-    assert_eq!(client.ask(&read("x", 1000)).value.as_deref(), Some(&b"two"[..]));
+    assert_eq!(leaving.statement_count(), count_before);
+    // A malformed list must not replace the one that is in use.
+    pooler.discovery.answer_malformed_once("{\"index\":9,\"endpoints\":[}");
+    pooler.discovery.wait_for_watch();
+    assert_eq!(client.query(&read_statement("x", 1000)).value, row_of(b"two"));
 }
 
-/// Guards against a write that runs twice: after its last byte a break means that it may have run.
+/// Guards against a write that runs twice: a connection that breaks after the write's last byte means that it
+/// may have run.
 #[test]
 fn a_write_that_may_have_run_is_repeated_only_with_a_key() {
-    let (p, r) = pair(|_| Reply::LogRollback);
-    let s = started(&both(&p, &r));
-    let mut client = PgClient::connect(s.address);
-    let answer = client.ask(&write("1", 1000, ""));
-    assert_eq!((answer.code.as_deref(), p.count()), (Some("58000"), 1));
-    let (p, r) = pair(|_| Reply::LogRollback);
-    let s = started(&both(&p, &r));
-    PgClient::connect(s.address).ask(&write("2", 1900, ",k=9"));
-    assert!(p.count() >= 2, "a keyed write is repeated within its window");
+    let group = PostgresGroup::start(|_| Reply::Close);
+    let pooler = start_pooler(&group.endpoint_list());
+    let mut client = PostgresClient::connect(pooler.address);
+    let response = client.query(&write_statement("1", 1000));
+    assert_eq!((response.sqlstate.as_deref(), group.primary.statement_count()), (Some("58000"), 1));
+    let group = PostgresGroup::start(|_| Reply::Close);
+    let pooler = start_pooler(&group.endpoint_list());
+    PostgresClient::connect(pooler.address).query(&keyed_write_statement("2", 1900, 9));
+    assert!(group.primary.statement_count() >= 2, "a keyed write is repeated within its window");
 }
 
-/// Guards against a write that is lost on a connection that its host has closed meanwhile.
+/// Guards against a write that is lost on a connection that its endpoint has already closed.
 #[test]
 fn a_connection_that_its_host_has_closed_is_not_used_again() {
-    let (p, r) = pair(|_| Reply::RowThenEnd(b"x"));
-    let s = started(&both(&p, &r));
-    let mut client = PgClient::connect(s.address);
-    for n in 1..=20 {
-        // Without a key none of these may be repeated: one written to a dead connection would fail.
-        assert_eq!(client.ask(&write(&n.to_string(), 1000, "")).value.as_deref(), Some(&b"x"[..]));
-        assert_eq!(p.count(), n);
-        assert_eq!(p.dropped.recv_timeout(PATIENCE), Ok(true), "the host has ended the connection");
+    let group = PostgresGroup::start(|_| Reply::RowThenClose(b"x"));
+    let pooler = start_pooler(&group.endpoint_list());
+    let mut client = PostgresClient::connect(pooler.address);
+    for number in 1..=20 {
+        // Without a key none of these may be retried: one written to a closed connection would fail.
+        assert_eq!(client.query(&write_statement(&number.to_string(), 1000)).value, row_of(b"x"));
+        assert_eq!(group.primary.statement_count(), number);
+        let closed = group.primary.closed_connections.recv_timeout(DEFAULT_TIMEOUT);
+        assert_eq!(closed, Ok(true), "the host has ended the connection");
     }
 }
 
-/// Guards against a host that takes connections and never gets them ready: nothing has run there.
+/// Guards against an endpoint that accepts connections and never completes their startup: nothing has run
+/// there, so that even a write without a key may go to another one.
 #[test]
 fn a_host_that_says_nothing_at_the_startup_is_left_for_another() {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let count = asked.clone();
-    let mute = listen(move |mut stream| {
-        count.fetch_add(1, Ordering::SeqCst);
-        while matches!(stream.read(&mut [0; 64]), Ok(n) if n > 0) {}
+    let connection_count = Arc::new(AtomicUsize::new(0));
+    let counter = connection_count.clone();
+    let silent_address = spawn_server(move |mut stream| {
+        counter.fetch_add(1, Ordering::SeqCst);
+        while receives_bytes(&mut stream) {}
     });
-    let (p, _) = pair(|_| Reply::Row(b"x"));
-    let [first, second] = names();
-    let s = started(&[endpoint(&first, mute, 1, "active"), endpoint(&second, p.address, 1, "active")]);
-    let mut client = PgClient::connect(s.address);
-    for n in 0..4 {
-        assert_eq!(client.ask(&write(&n.to_string(), 1500, "")).value.as_deref(), Some(&b"x"[..]));
+    let group = PostgresGroup::start(|_| Reply::Row(b"x"));
+    let [first, second] = names_in_ring_order();
+    let pooler = start_pooler(&[
+        endpoint_json(&first, silent_address, 1, "active"),
+        endpoint_json(&second, group.primary.address, 1, "active"),
+    ]);
+    let mut client = PostgresClient::connect(pooler.address);
+    for number in 0..4 {
+        assert_eq!(client.query(&write_statement(&number.to_string(), 1500)).value, row_of(b"x"));
+    }
+    assert!(connection_count.load(Ordering::SeqCst) > 0, "the silent host was tried first");
+}
+
+/// What an [`EndpointWithSlowStartup`] has received.
+#[derive(Debug, PartialEq)]
+enum Received {
+    Startup,
+    Statement,
+    Close,
+}
+
+/// An endpoint that completes the startup of a connection once the test releases it.
+struct EndpointWithSlowStartup {
+    address: SocketAddr,
+    received: Receiver<Received>,
+    release_startup: Sender<()>,
+}
+
+impl EndpointWithSlowStartup {
+    fn start() -> EndpointWithSlowStartup {
+        let (received_sender, received) = channel();
+        let received_sender = Mutex::new(received_sender);
+        let (release_startup, released) = channel();
+        let released = Mutex::new(released);
+        let address = spawn_server(move |mut stream| {
+            if !receives_bytes(&mut stream) {
+                return;
+            }
+            let _ = received_sender.lock().unwrap().send(Received::Startup);
+            let _ = released.lock().unwrap().recv_timeout(DEFAULT_TIMEOUT);
+            let _ = stream.write_all(&messages::startup_response());
+            let next = if receives_bytes(&mut stream) { Received::Statement } else { Received::Close };
+            let _ = received_sender.lock().unwrap().send(next);
+        });
+        EndpointWithSlowStartup { address, received, release_startup }
     }
-    assert!(asked.load(Ordering::SeqCst) > 0, "the mute host was tried first");
 }
 
-/// Guards against a wait for a connection that goes on after its host began to drain.
+/// Guards against an attempt that goes on waiting for a connection after its endpoint began to drain.
 #[test]
 fn an_attempt_that_waits_for_a_connection_ends_when_its_host_drains() {
-    let ((came, waits), (up, go)) = (channel(), channel());
-    let go = Mutex::new(go);
-    let came = Mutex::new(came);
-    let mute = listen(move |mut stream| {
-        let mut first = [0; 64];
-        if matches!(stream.read(&mut first), Ok(n) if n > 0) {
-            let _ = came.lock().unwrap().send("a startup");
-            let ready = [pg_message(b'R', &[0; 4]), pg_message(b'Z', b"I")].concat();
-            // Only now does the connection come up, if it is still there.
-            let _ = go.lock().unwrap().recv_timeout(PATIENCE);
-            let _ = stream.write_all(&ready);
-            let statement = matches!(stream.read(&mut first), Ok(n) if n > 0);
-            let _ = came.lock().unwrap().send(if statement { "a statement" } else { "the end" });
-        }
-    });
-    let (p, _) = pair(|_| Reply::Row(b"x"));
-    let [first, second] = names();
-    let list = |status| vec![endpoint(&first, mute, 1, status)];
-    let s = started(&list("active"));
-    let mut client = PgClient::connect(s.address);
-    client.send(&pg_query(&write("1", 2000, "")));
-    assert_eq!(waits.recv_timeout(PATIENCE), Ok("a startup"));
-    let mut both = list("leaving");
-    both.push(endpoint(&second, p.address, 1, "active"));
-    s.discovery.publish(&both);
+    let slow = EndpointWithSlowStartup::start();
+    let group = PostgresGroup::start(|_| Reply::Row(b"x"));
+    let [first, second] = names_in_ring_order();
+    let pooler = start_pooler(&[endpoint_json(&first, slow.address, 1, "active")]);
+    let mut client = PostgresClient::connect(pooler.address);
+    client.send_query(&write_statement("1", 2000));
+    assert_eq!(slow.received.recv_timeout(DEFAULT_TIMEOUT), Ok(Received::Startup));
+    pooler.discovery.publish(&[
+        endpoint_json(&first, slow.address, 1, "leaving"),
+        endpoint_json(&second, group.primary.address, 1, "active"),
+    ]);
     // Commands are carried out in order: once a later request is answered, the list has reached the attempt.
-    assert_eq!(PgClient::connect(s.address).ask(&read("2", 1000)).value.as_deref(), Some(&b"x"[..]));
-    up.send(()).unwrap();
-    assert_eq!(waits.recv_timeout(PATIENCE), Ok("the end"), "nothing goes to a host that drains");
-    assert_eq!(client.answer().unwrap().value.as_deref(), Some(&b"x"[..]));
+    let later = PostgresClient::connect(pooler.address).query(&read_statement("2", 1000));
+    assert_eq!(later.value, row_of(b"x"));
+    // Only now does the connection become ready, if it is still open.
+    slow.release_startup.send(()).unwrap();
+    let next = slow.received.recv_timeout(DEFAULT_TIMEOUT);
+    assert_eq!(next, Ok(Received::Close), "nothing goes to a host that drains");
+    assert_eq!(client.receive().unwrap().value, row_of(b"x"));
 }
 
-/// Guards against work for nobody: a client that has gone ends its attempt.
+/// Guards against work whose result nobody receives: when a client disconnects, its attempt ends.
 #[test]
 fn a_client_that_goes_ends_its_attempt() {
-    let (p, r) = pair(|_| Reply::Silence);
-    let s = started(&both(&p, &r));
-    let mut client = PgClient::connect(s.address);
-    // The deadline lies far beyond the test's patience: it is not what ends the attempt.
-    client.send(&pg_query(&write("1", 600_000, ",k=1")));
-    eventually("the primary has the write", || p.count() == 1);
+    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let pooler = start_pooler(&group.endpoint_list());
+    let mut client = PostgresClient::connect(pooler.address);
+    // The deadline lies far beyond the test's own timeout: it is not what ends the attempt.
+    client.send_query(&keyed_write_statement("1", 600_000, 1));
+    eventually("the primary has the write", || group.primary.statement_count() == 1);
     drop(client);
-    assert_eq!(p.dropped.recv_timeout(PATIENCE), Ok(true), "the attempt's connection is closed");
+    let closed = group.primary.closed_connections.recv_timeout(DEFAULT_TIMEOUT);
+    assert_eq!(closed, Ok(true), "the attempt's connection is closed");
 }
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,4 +1,5 @@
-//! The program on the platform's protocol: started as the platform starts it, spoken to over sockets.
+//! The program on the platform's protocol: started as the platform starts it, with clients, endpoints and
+//! discovery on sockets.
 
 #[path = "../stand_in/mod.rs"]
 mod stand_in;
--- a/tests/shutdown_orders.rs
+++ b/tests/shutdown_orders.rs
@@ -1,226 +1,251 @@
-//! SIGTERM against what happens in the same moment. Each test forces one order of the two events.
+//! SIGTERM and an event that happens at the same moment. Each test forces one order of the two.
 
 mod stand_in;
 
-use stand_in::platform::*;
-use stand_in::*;
+use stand_in::daemon::{Daemon, test_directory};
+use stand_in::discovery::{DiscoveryServer, endpoint_json};
+use stand_in::platform::{
+    PostgresGroup, RunningPooler, SETTINGS, config, keyed_write_statement, read_statement,
+    start_pooler_with_config, start_pooler_with_sockets,
+};
+use stand_in::postgres::client::{PostgresClient, PostgresResponse, row_of};
+use stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
+use stand_in::postgres::messages;
+use stand_in::waiting::eventually;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpListener;
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// One of two poolers, which leaves its clients to the other one soon after SIGTERM.
-fn one_of_two(endpoints: &[String]) -> Setup {
-    started_on(endpoints, |text| text.replace("\"balancers\":1", "\"balancers\":2"))
+/// SQLSTATE of a request or connection that is rejected because of overload.
+const TOO_MANY_CONNECTIONS: &str = "53300";
+
+/// Starts one of two poolers, which leaves its clients to the other one soon after SIGTERM.
+fn start_one_of_two(endpoints: &[String]) -> RunningPooler {
+    start_pooler_with_config(endpoints, |text| text.replace("\"balancers\":1", "\"balancers\":2"))
 }
 
-/// A client that has been served.
-fn served(setup: &Setup) -> PgClient {
-    let mut client = PgClient::connect(setup.address);
-    assert!(client.ask(&read("served", 1_000)).value.is_some());
+/// A client that has connected and whose first read was answered.
+fn connect_and_read(pooler: &RunningPooler) -> PostgresClient {
+    let mut client = PostgresClient::connect(pooler.address);
+    assert!(client.query(&read_statement("served", 1_000)).value.is_some());
     client
 }
 
-/// Reads that would queue for too long are refused: that is an answer too.
-fn is_answered(answer: &Answer, n: usize) {
-    assert!(answer.value.is_some() || answer.code.as_deref() == Some("53300"), "request {n}: {answer:?}");
+/// Sends SIGTERM and waits until the program drains.
+fn begin_shutdown(pooler: &mut RunningPooler) {
+    pooler.daemon.signal("-TERM");
+    pooler.daemon.wait_for_log("draining");
+}
+
+/// Checks that a read has an answer. A read that would queue for too long is rejected: that is an answer too.
+fn check_answered(response: &PostgresResponse, number: usize) {
+    let is_rejected = response.sqlstate.as_deref() == Some(TOO_MANY_CONNECTIONS);
+    assert!(response.value.is_some() || is_rejected, "request {number}: {response:?}");
 }
 
-/// Guards against half a request that is dropped with its connection: what was begun before the end is completed,
-/// sent on and answered.
+/// Guards against half a request that is dropped with its connection: one that started to arrive before the
+/// end is completed, forwarded and answered.
 #[test]
 fn a_request_that_is_half_read_when_connections_end_is_completed_and_answered() {
-    let (p, r) = pair(|_| Reply::Row(b"x"));
-    let mut s = one_of_two(&both(&p, &r));
-    let (mut half, mut idle) = (served(&s), served(&s));
-    let query = pg_query(&read("half", 1_000));
-    let (first, rest) = query.split_at(query.len() / 2);
-    half.send(first);
-    s.daemon.signal("-TERM");
-    s.daemon.line("draining");
-    assert_eq!(idle.answer(), None, "idle connections end");
-    half.send(rest);
-    assert!(half.answer().expect("an answer").value.is_some());
-    assert_eq!(half.answer(), None, "then it ends");
-    assert!(s.daemon.wait().success());
+    let group = PostgresGroup::start(|_| Reply::Row(b"x"));
+    let mut pooler = start_one_of_two(&group.endpoint_list());
+    let mut sending = connect_and_read(&pooler);
+    let mut idle = connect_and_read(&pooler);
+    let query = messages::query(&read_statement("half", 1_000));
+    let (first_half, second_half) = query.split_at(query.len() / 2);
+    sending.send(first_half);
+    begin_shutdown(&mut pooler);
+    assert_eq!(idle.receive(), None, "idle connections end");
+    sending.send(second_half);
+    assert!(sending.receive().expect("an answer").value.is_some());
+    assert_eq!(sending.receive(), None, "then it ends");
+    assert!(pooler.daemon.wait_for_exit().success());
 }
 
-/// Guards against connections that the system has taken and the program has not when its listener closes: they would
-/// be reset with whatever was written on them.
+/// Guards against connections in the system's accept queue that the program has not accepted when its
+/// listener closes: they would be reset together with what was written on them.
 #[test]
 fn connections_that_wait_in_the_systems_queue_at_the_end_are_served() {
-    let (p, r) = pair(|_| Reply::Row(b"x"));
-    let mut s = one_of_two(&both(&p, &r));
-    drop(served(&s));
-    s.daemon.signal("-TERM");
-    s.daemon.line("draining");
-    s.daemon.signal("-STOP");
-    let clients: Vec<PgClient> = (0..20)
-        .map(|n| {
-            let mut client = PgClient::raw(s.address);
-            client.send(&[pg_startup(), pg_query(&read(&format!("queued-{n}"), 5_000))].concat());
-            client
-        })
-        .collect();
-    // Past the time for which connections are taken, so that its end and they are seen in one moment.
+    let group = PostgresGroup::start(|_| Reply::Row(b"x"));
+    let mut pooler = start_one_of_two(&group.endpoint_list());
+    drop(connect_and_read(&pooler));
+    begin_shutdown(&mut pooler);
+    pooler.daemon.signal("-STOP");
+    let mut clients = Vec::new();
+    for number in 0..20 {
+        let mut client = PostgresClient::connect_without_startup(pooler.address);
+        let query = messages::query(&read_statement(&format!("queued-{number}"), 5_000));
+        client.send(&[messages::startup(), query].concat());
+        clients.push(client);
+    }
+    // Longer than connections are accepted for, so that the program sees the end of that time and the
+    // connections at the same moment.
     thread::sleep(Duration::from_millis(700));
-    s.daemon.signal("-CONT");
-    for (n, mut client) in clients.into_iter().enumerate() {
-        assert_eq!(client.answer(), Some(Answer::default()), "connection {n}");
-        is_answered(&client.answer().expect("an answer"), n);
+    pooler.daemon.signal("-CONT");
+    for (number, mut client) in clients.into_iter().enumerate() {
+        assert_eq!(client.receive(), Some(PostgresResponse::READY), "connection {number}");
+        check_answered(&client.receive().expect("an answer"), number);
     }
-    assert!(s.daemon.wait().success());
+    assert!(pooler.daemon.wait_for_exit().success());
 }
 
-/// Guards against a request that crosses the end of its connection: it is not sent on, and what the client then reads
-/// is an end, not a reset that may take the last answer with it.
+/// Guards against a request that crosses the end of its connection: it is not forwarded, and the client then
+/// reads the end of the stream, not a reset that might destroy the last answer.
 #[test]
 fn what_is_read_after_the_write_side_was_shut_is_not_sent_on_and_resets_nothing() {
-    let (p, r) = pair(|_| Reply::Row(b"x"));
-    let mut s = one_of_two(&both(&p, &r));
-    let mut client = served(&s);
-    let before = p.count() + r.count();
-    s.daemon.signal("-TERM");
-    s.daemon.line("draining");
+    let group = PostgresGroup::start(|_| Reply::Row(b"x"));
+    let mut pooler = start_one_of_two(&group.endpoint_list());
+    let mut client = connect_and_read(&pooler);
+    let count_before = group.statement_count();
+    begin_shutdown(&mut pooler);
     assert_eq!(client.stream.read(&mut [0; 64]).unwrap(), 0, "the write side was shut");
-    for n in 0..200 {
-        client.send(&pg_query(&read(&format!("late-{n}"), 1_000)));
+    for number in 0..200 {
+        client.send_query(&read_statement(&format!("late-{number}"), 1_000));
         assert_eq!(client.stream.read(&mut [0; 64]).expect("no reset"), 0);
     }
     drop(client);
-    assert!(s.daemon.wait().success());
-    assert_eq!(p.count() + r.count(), before, "nothing of it was sent on");
+    assert!(pooler.daemon.wait_for_exit().success());
+    assert_eq!(group.statement_count(), count_before, "nothing of it was sent on");
 }
 
-/// Guards against a client that is told that there are too many connections, and loses that word to a reset for what
-/// it had written behind its startup message.
+/// Guards against a client that is rejected because there are too many connections, and loses that error to a
+/// reset for what it had written behind its startup message.
 #[test]
-fn a_connection_that_is_turned_away_can_read_why() {
-    let (p, r) = pair(|_| Reply::Silence);
-    let s = started_with(&both(&p, &r), 64);
-    let mut busy = Vec::new();
-    let mut turned_away = loop {
-        let mut client = PgClient::raw(s.address);
-        client.send(&pg_startup());
-        let welcome = client.answer().expect("an answer");
-        if welcome.fatal {
-            assert_eq!(welcome.code.as_deref(), Some("53300"));
+fn a_rejected_connection_can_read_why() {
+    const SOCKETS: u32 = 64;
+    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let pooler = start_pooler_with_sockets(&group.endpoint_list(), SOCKETS);
+    let mut busy_clients = Vec::new();
+    let mut rejected = loop {
+        let mut client = PostgresClient::connect_without_startup(pooler.address);
+        client.send(&messages::startup());
+        let response = client.receive().expect("an answer");
+        if response.is_fatal {
+            assert_eq!(response.sqlstate.as_deref(), Some(TOO_MANY_CONNECTIONS));
             break client;
         }
-        client.send(&pg_query(&write(&format!("busy-{}", busy.len()), 600_000, ",k=1")));
-        // Its request is open once the same id is refused; a seat whose request is open makes room for nobody.
-        busy.push(client);
-        assert!(busy.len() < 64, "none was turned away");
+        // A connection with an open request is not closed to make room for another one.
+        client.send_query(&keyed_write_statement(&format!("busy-{}", busy_clients.len()), 600_000, 1));
+        busy_clients.push(client);
+        assert!(busy_clients.len() < SOCKETS as usize, "none was turned away");
         thread::sleep(Duration::from_millis(5));
     };
-    assert_eq!(turned_away.stream.read(&mut [0; 64]).unwrap(), 0, "the write side was shut");
+    assert_eq!(rejected.stream.read(&mut [0; 64]).unwrap(), 0, "the write side was shut");
     for _ in 0..200 {
-        turned_away.send(&pg_query(&read("late", 1_000)));
-        assert_eq!(turned_away.stream.read(&mut [0; 64]).expect("no reset"), 0);
+        rejected.send_query(&read_statement("late", 1_000));
+        assert_eq!(rejected.stream.read(&mut [0; 64]).expect("no reset"), 0);
     }
 }
 
-/// Guards against an end that follows what a client claims: SIGKILL follows the longest deadline of the classes.
+/// Guards against a shutdown that lasts as long as the deadline that a client claims: SIGKILL follows the
+/// longest deadline of the service classes.
 #[test]
 fn the_end_follows_the_classes_deadlines_and_not_a_clients_claim() {
-    let (p, r) = pair(|_| Reply::Silence);
-    let mut s = started_on(&both(&p, &r), |text| {
+    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let mut pooler = start_pooler_with_config(&group.endpoint_list(), |text| {
         text.replace("\"deadline\":2.5", "\"deadline\":0.6").replace("\"deadline\":2.0", "\"deadline\":0.5")
     });
-    let mut client = PgClient::connect(s.address);
-    client.send(&pg_query(&write("claims", 600_000, ",k=1")));
-    eventually("the primary has the write", || p.count() == 1);
-    let began = Instant::now();
-    s.daemon.signal("-TERM");
-    assert!(client.answer().expect("a final answer").code.is_some());
-    assert!(s.daemon.wait().success());
-    let took = began.elapsed();
-    assert!(took < Duration::from_millis(2_000), "the platform kills it 1.3 s after SIGTERM: {took:?}");
+    let mut client = PostgresClient::connect(pooler.address);
+    client.send_query(&keyed_write_statement("claims", 600_000, 1));
+    eventually("the primary has the write", || group.primary.statement_count() == 1);
+    let terminated_at = Instant::now();
+    pooler.daemon.signal("-TERM");
+    assert!(client.receive().expect("a final answer").sqlstate.is_some());
+    assert!(pooler.daemon.wait_for_exit().success());
+    let elapsed = terminated_at.elapsed();
+    assert!(elapsed < Duration::from_millis(2_000), "the platform kills it 1.3 s after SIGTERM: {elapsed:?}");
 }
 
-/// Guards against a write that is held for a primary, or sent and unanswered, when the program ends.
+/// Guards against a write without an answer when the program ends: one that is queued for a primary, or one
+/// that was sent to an endpoint that hangs.
 #[test]
 fn a_held_write_and_one_behind_a_host_that_hangs_get_final_answers_at_the_end() {
-    let (p, r) = pair(|_| Reply::Silence);
-    let mut s = one_of_two(&both(&p, &r));
-    let mut hangs = PgClient::connect(s.address);
-    hangs.send(&pg_query(&write("hangs", 60_000, ",k=1")));
-    eventually("the primary has the write", || p.count() == 1);
-    // A group without a primary: its writes miss everywhere and are held.
-    let lone = PgHost::start("copy", |_| Reply::Error("25006"));
-    let mut list = both(&p, &r);
-    list.push(endpoint("lone", lone.address, 2, "active"));
-    s.discovery.publish(&list);
-    let mut held = PgClient::connect(s.address);
-    held.send(&pg_query(&write("held", 60_000, ",k=2").replace("cluster=1", "cluster=2")));
-    eventually("the write has missed", || lone.count() > 0);
-    s.daemon.signal("-TERM");
-    assert_eq!(hangs.answer().unwrap().code.as_deref(), Some("58000"), "it may have run");
-    assert_eq!(held.answer().unwrap().code.as_deref(), Some("58000"), "it was tried");
-    assert!(s.daemon.wait().success());
+    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let mut pooler = start_one_of_two(&group.endpoint_list());
+    let mut unanswered = PostgresClient::connect(pooler.address);
+    unanswered.send_query(&keyed_write_statement("hangs", 60_000, 1));
+    eventually("the primary has the write", || group.primary.statement_count() == 1);
+    // A group without a primary: its writes are rejected by every endpoint and are queued.
+    let lone_replica = PostgresEndpoint::replica(|_| Reply::Error("25006"));
+    let mut list = group.endpoint_list();
+    list.push(endpoint_json("lone", lone_replica.address, 2, "active"));
+    pooler.discovery.publish(&list);
+    let mut queued = PostgresClient::connect(pooler.address);
+    let write_to_group_2 = keyed_write_statement("held", 60_000, 2).replace("cluster=1", "cluster=2");
+    queued.send_query(&write_to_group_2);
+    eventually("the write has missed", || lone_replica.statement_count() > 0);
+    pooler.daemon.signal("-TERM");
+    assert_eq!(unanswered.receive().unwrap().sqlstate.as_deref(), Some("58000"), "it may have run");
+    assert_eq!(queued.receive().unwrap().sqlstate.as_deref(), Some("58000"), "it was tried");
+    assert!(pooler.daemon.wait_for_exit().success());
 }
 
-/// Guards against a retry that starts as the program ends: its request still gets its one answer.
+/// Guards against a retry that starts as the program ends and whose request then gets no answer, or a second
+/// one.
 #[test]
 fn a_retry_that_starts_after_the_end_has_begun_is_answered() {
-    let sent = Arc::new(Mutex::new(0));
-    let counted = sent.clone();
-    let host = PgHost::start("source", move |text| {
-        let mut sent = counted.lock().unwrap();
-        *sent += usize::from(text.contains("id=again,"));
-        if *sent == 1 { Reply::LogRollback } else { Reply::Row(b"second") }
+    let attempt_count = Arc::new(Mutex::new(0));
+    let counter = attempt_count.clone();
+    let primary = PostgresEndpoint::primary(move |text| {
+        let mut attempt_count = counter.lock().unwrap();
+        if text.contains("id=again,") {
+            *attempt_count += 1;
+        }
+        if *attempt_count == 1 { Reply::Close } else { Reply::Row(b"second") }
     });
-    let mut s = one_of_two(&[endpoint("p", host.address, 1, "active")]);
-    let mut client = PgClient::connect(s.address);
-    s.daemon.signal("-TERM");
-    s.daemon.line("draining");
-    client.send(&pg_query(&write("again", 1_500, ",k=1")));
-    assert_eq!(client.answer().unwrap().value.as_deref(), Some(&b"second"[..]));
-    assert_eq!(*sent.lock().unwrap(), 2);
-    assert!(s.daemon.wait().success());
+    let mut pooler = start_one_of_two(&[endpoint_json("p", primary.address, 1, "active")]);
+    let mut client = PostgresClient::connect(pooler.address);
+    begin_shutdown(&mut pooler);
+    client.send_query(&keyed_write_statement("again", 1_500, 1));
+    assert_eq!(client.receive().unwrap().value, row_of(b"second"));
+    assert_eq!(*attempt_count.lock().unwrap(), 2);
+    assert!(pooler.daemon.wait_for_exit().success());
 }
 
-/// Guards against a start that fails because the process before it still has the port, and one that does not end while
-/// it waits.
+/// Guards against a start that fails because the process before it still has the port, and against a process
+/// that cannot be stopped while it waits for the port.
 #[test]
 fn a_port_that_is_still_held_is_waited_for() {
-    let (p, r) = pair(|_| Reply::Row(b"x"));
-    let discovery = Discovery::start();
-    discovery.preset(&both(&p, &r));
-    let held = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = held.local_addr().unwrap();
-    let path = folder("held").join("config.json");
-    std::fs::write(&path, config(&address.to_string(), discovery.address, SETTINGS)).unwrap();
-    let start = || {
-        let mut daemon = Daemon::start(&[], &[("GW_CONFIG", path.to_str().unwrap())]);
-        daemon.line("waiting for it");
+    let group = PostgresGroup::start(|_| Reply::Row(b"x"));
+    let discovery = DiscoveryServer::start();
+    discovery.preset(&group.endpoint_list());
+    let previous_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = previous_listener.local_addr().unwrap();
+    let config_path = test_directory("held").join("config.json");
+    std::fs::write(&config_path, config(&address.to_string(), discovery.address, SETTINGS)).unwrap();
+    let start_waiting_daemon = || {
+        let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+        daemon.wait_for_log("waiting for it");
         daemon
     };
-    let mut ended = start();
-    ended.signal("-TERM");
-    assert!(ended.wait().success());
-    let mut daemon = start();
-    drop(held);
-    daemon.line("clients at ");
-    assert!(PgClient::connect(address).ask(&read("1", 1_000)).value.is_some());
+    let mut stopped = start_waiting_daemon();
+    stopped.signal("-TERM");
+    assert!(stopped.wait_for_exit().success());
+    let mut daemon = start_waiting_daemon();
+    drop(previous_listener);
+    daemon.wait_for_log("clients at ");
+    assert!(PostgresClient::connect(address).query(&read_statement("1", 1_000)).value.is_some());
 }
 
-/// Guards against bytes that are lost behind an answer in the same moment: several commands in one write as the program
-/// ends are all answered, in order, before the connection ends.
+/// Guards against pipelined commands that are lost as the program ends: commands that arrive in one write are
+/// all answered, in order, before the connection ends.
 #[test]
 fn commands_sent_ahead_as_the_program_ends_are_all_answered() {
-    let (p, r) = pair(|_| Reply::Row(b"x"));
-    let mut s = one_of_two(&both(&p, &r));
-    let mut client = served(&s);
-    s.daemon.signal("-TERM");
-    s.daemon.line("draining");
-    let ahead: Vec<u8> = (0..40).flat_map(|n| pg_query(&read(&format!("ahead-{n}"), 2_000))).collect();
-    client.send(&ahead);
-    for n in 0..40 {
-        is_answered(&client.answer().expect("an answer"), n);
+    let group = PostgresGroup::start(|_| Reply::Row(b"x"));
+    let mut pooler = start_one_of_two(&group.endpoint_list());
+    let mut client = connect_and_read(&pooler);
+    begin_shutdown(&mut pooler);
+    let mut pipelined = Vec::new();
+    for number in 0..40 {
+        pipelined.extend(messages::query(&read_statement(&format!("ahead-{number}"), 2_000)));
+    }
+    client.send(&pipelined);
+    for number in 0..40 {
+        check_answered(&client.receive().expect("an answer"), number);
     }
-    let ended = client.stream.write_all(b"").and_then(|()| client.stream.read(&mut [0; 8]));
-    assert!(matches!(ended, Ok(0)) || ended.is_err_and(|e| e.kind() != ErrorKind::ConnectionReset));
-    assert!(s.daemon.wait().success());
+    let end = client.stream.write_all(b"").and_then(|()| client.stream.read(&mut [0; 8]));
+    assert!(matches!(end, Ok(0)) || end.is_err_and(|error| error.kind() != ErrorKind::ConnectionReset));
+    assert!(pooler.daemon.wait_for_exit().success());
 }
--- a/tests/sparql/administration.rs
+++ b/tests/sparql/administration.rs
@@ -1,105 +1,125 @@
 //! Drains and the admin server, over restarts with and without a disk.
 
-use super::endpoint::*;
-use super::pooler::*;
-use super::stand_in::*;
+use super::endpoint::SparqlEndpoint;
+use super::pooler::{OperatorFiles, RunningPooler, entry, query_request, start_pooler, update_request};
+use super::stand_in::http::{HttpClient, HttpMessage, call, read_http_message};
+use super::stand_in::waiting::eventually;
 use std::net::SocketAddr;
 
-/// Guards against a SPARQL front that operators cannot watch, take out and bring back as they do on the platform.
+/// What the log says before the admin server's address.
+const ADMIN_ADDRESS_PREFIX: &str = "operators at http://";
+
+/// The address of the admin server, which may be logged before or after the clients' address.
+fn admin_address(pooler: &mut RunningPooler) -> SocketAddr {
+    let logged = pooler.daemon.log_lines.iter().find_map(|line| {
+        let address = line.split(ADMIN_ADDRESS_PREFIX).nth(1)?;
+        address.parse().ok()
+    });
+    logged.unwrap_or_else(|| pooler.daemon.wait_for_address(ADMIN_ADDRESS_PREFIX))
+}
+
+fn call_admin(address: SocketAddr, method: &str, path: &str) -> HttpMessage {
+    call(address, &format!("{method} {path} HTTP/1.1\r\n\r\n"))
+}
+
+/// Guards against a SPARQL front that operators cannot observe, drain and reactivate as they can on the
+/// platform.
 #[test]
-fn the_operators_door_counts_drains_and_brings_back_the_sparql_front() {
-    let primary = Host::plain(true, 0);
-    let mut running = start(&files("door", &[("p", primary.address)], &[]));
-    let door = running.daemon.seen.iter().find_map(|l| l.split("operators at http://").nth(1)?.parse().ok());
-    let door: SocketAddr = door.unwrap_or_else(|| running.daemon.address("operators at http://"));
-    let call_door = |method: &str, path: &str| call(door, &format!("{method} {path} HTTP/1.1\r\n\r\n"));
-    let mut client = HttpClient::connect(running.front);
-    assert_eq!(client.call(&query("")).status(), 200);
-    assert_eq!(client.call(&update("Brookpass-Key: 7\r\n")).status(), 200);
-    let told = call_door("GET", "/v1/metrics").text();
-    for line in ["svc.success.catalog-read:1|c", "svc.success.score-write:1|c", "svc.error.own-edit-read:0|c"]
-    {
-        assert!(told.lines().any(|l| l == line), "{line} in {told}");
+fn the_admin_server_shows_metrics_drains_and_reactivates_the_sparql_front() {
+    let primary = SparqlEndpoint::primary();
+    let mut pooler = start_pooler(&OperatorFiles::write("door", &[entry("p", primary.address)]));
+    let admin = admin_address(&mut pooler);
+    let mut client = HttpClient::connect(pooler.client_address);
+    assert_eq!(client.call(&query_request("")).status(), 200);
+    assert_eq!(client.call(&update_request("Brookpass-Key: 7\r\n")).status(), 200);
+    let metrics = call_admin(admin, "GET", "/v1/metrics").text();
+    let request_lines =
+        ["svc.success.catalog-read:1|c", "svc.success.score-write:1|c", "svc.error.own-edit-read:0|c"];
+    for expected in request_lines {
+        assert!(metrics.lines().any(|line| line == expected), "{expected} in {metrics}");
     }
-    assert!(told.contains("svc.dispatches:2|c") && told.contains("svc.targets:1|g"), "{told}");
-    for line in ["svc.fleet.members:1|g", "svc.fleet.leads:1|g", "svc.fleet.lag:0|g", "svc.fleet.panics:0|c"]
-    {
-        assert!(told.lines().any(|l| l == line), "{line} in {told}");
+    let has_two_dispatches = metrics.contains("svc.dispatches:2|c");
+    assert!(has_two_dispatches && metrics.contains("svc.targets:1|g"), "{metrics}");
+    let fleet_lines =
+        ["svc.fleet.members:1|g", "svc.fleet.leads:1|g", "svc.fleet.lag:0|g", "svc.fleet.panics:0|c"];
+    for expected in fleet_lines {
+        assert!(metrics.lines().any(|line| line == expected), "{expected} in {metrics}");
     }
-    assert_eq!(call_door("PUT", "/v1/pooler/drain").status(), 200);
-    assert_eq!(client.call(&query("")).status(), 200, "what is taken is answered");
-    assert_eq!(call(running.front, "GET /-/ready HTTP/1.1\r\n\r\n").status(), 503);
-    assert!(read_http(&mut client.reader).is_none(), "then its connection ends");
-    assert_eq!(call_door("PUT", "/v1/pooler/activate").status(), 200);
-    assert_eq!(call(running.front, "GET /-/ready HTTP/1.1\r\n\r\n").status(), 200);
-    assert_eq!(call(running.front, &query("")).status(), 200);
+    assert_eq!(call_admin(admin, "PUT", "/v1/pooler/drain").status(), 200);
+    assert_eq!(client.call(&query_request("")).status(), 200, "what is taken is answered");
+    assert_eq!(pooler.readiness(), 503);
+    assert!(read_http_message(&mut client.reader).is_none(), "then its connection ends");
+    assert_eq!(call_admin(admin, "PUT", "/v1/pooler/activate").status(), 200);
+    assert_eq!(pooler.readiness(), 200);
+    assert_eq!(pooler.call(&query_request("")).status(), 200);
+}
+
+/// The status of a POST to the store.
+fn post_to_store(pooler: &RunningPooler, path: &str) -> u16 {
+    pooler.call_store(&format!("POST /{path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n")).status()
+}
+
+/// Whether the store lists endpoint `one` as leaving.
+fn is_one_leaving(pooler: &RunningPooler) -> bool {
+    let list = pooler.endpoint_list();
+    list.lines().any(|line| line.starts_with("one ") && line.contains(" leaving "))
 }
 
-/// Guards against a drain that is not heard: at once here, soon at the peers, and after a restart.
+/// Guards against a drain that does not take effect: at once on the pooler that is told, soon on its peers,
+/// and after a restart.
 #[test]
 fn a_drain_holds_here_at_peers_and_after_a_restart_without_disk() {
-    let (one, two) = (Host::plain(true, 0), Host::plain(true, 0));
-    let hosts = [("one", one.address), ("two", two.address)];
-    let a = start(&files("a", &hosts, &[]));
-    let folder = files("b", &hosts, &[a.store]);
-    let mut b = start(&folder);
-    let drain = |at: SocketAddr, what: &str| {
-        call(at, &format!("POST /{what} HTTP/1.1\r\nContent-Length: 0\r\n\r\n")).status()
-    };
-    assert_eq!(drain(b.store, "drain/nobody"), 404);
-    assert_eq!(call(b.store, "POST /drain/one HTTP/1.1\r\nOrigin: http://x\r\n\r\n").status(), 403);
-    let leaves = |at: SocketAddr| {
-        let text = call(at, "GET /hosts HTTP/1.1\r\n\r\n").text();
-        text.lines().any(|l| l.starts_with("one ") && l.contains(" leaving "))
-    };
-    assert!(!leaves(a.store) && !leaves(b.store));
-    assert_eq!(drain(b.store, "drain/one"), 200);
-    assert!(leaves(b.store));
-    let before = one.count();
+    let one = SparqlEndpoint::primary();
+    let two = SparqlEndpoint::primary();
+    let entries = || [entry("one", one.address), entry("two", two.address)];
+    let peer = start_pooler(&OperatorFiles::write("a", &entries()));
+    let files = OperatorFiles::write_with_peers("b", &entries(), &[peer.store_address]);
+    let mut pooler = start_pooler(&files);
+    assert_eq!(post_to_store(&pooler, "drain/nobody"), 404);
+    let from_a_browser = "POST /drain/one HTTP/1.1\r\nOrigin: http://x\r\n\r\n";
+    assert_eq!(pooler.call_store(from_a_browser).status(), 403);
+    assert!(!is_one_leaving(&peer) && !is_one_leaving(&pooler));
+    assert_eq!(post_to_store(&pooler, "drain/one"), 200);
+    assert!(is_one_leaving(&pooler));
+    let count_before = one.operation_count();
     for _ in 0..10 {
-        assert_eq!(call(b.front, &query("")).status(), 200);
+        assert_eq!(pooler.call(&query_request("")).status(), 200);
     }
-    assert_eq!(one.count(), before, "a local drain acts at once");
-    eventually("the peer hears of it", || leaves(a.store));
-    b.daemon.signal("-KILL");
-    b.daemon.wait();
-    let b = start(&folder);
-    eventually("the restarted daemon has caught up", || leaves(b.store));
-    assert_eq!(drain(b.store, "undrain/one"), 200);
-    eventually("a later word wins everywhere", || !leaves(a.store) && !leaves(b.store));
+    assert_eq!(one.operation_count(), count_before, "a local drain acts at once");
+    eventually("the peer hears of it", || is_one_leaving(&peer));
+    pooler.kill();
+    let pooler = start_pooler(&files);
+    eventually("the restarted daemon has caught up", || is_one_leaving(&pooler));
+    assert_eq!(post_to_store(&pooler, "undrain/one"), 200);
+    eventually("a later change wins everywhere", || !is_one_leaving(&peer) && !is_one_leaving(&pooler));
 }
 
-/// Guards against a restart that forgets drains where there is a disk but no peer, and against a damaged file that
-/// keeps the daemon down.
+/// Guards against a restart that loses drains where there is a disk but no peer, and against a damaged file
+/// that prevents the start.
 #[test]
 fn the_disk_brings_the_store_back_and_a_damaged_one_is_set_aside() {
-    let one = Host::plain(true, 0);
-    let folder = files("disk", &[("one", one.address)], &[]);
-    let file = folder.join("operator.yaml");
-    let text = std::fs::read_to_string(&file).unwrap();
-    std::fs::write(&file, text.replace("# snapshot: b1.store", "snapshot: b1.store")).unwrap();
-    let mut running = start(&folder);
-    // Whoever has its answer finds it again, however soon the power fails.
-    assert_eq!(call(running.store, "POST /drain/one HTTP/1.1\r\n\r\n").status(), 200);
-    running.daemon.signal("-KILL");
-    running.daemon.wait();
-    let mut again = start(&folder);
-    assert!(call(again.store, "GET /hosts HTTP/1.1\r\n\r\n").text().contains(" leaving "));
-    again.daemon.signal("-KILL");
-    again.daemon.wait();
-    let snapshot = folder.join("b1.store");
-    let bytes = std::fs::read(&snapshot).unwrap();
-    std::fs::write(&snapshot, &bytes[..bytes.len() / 2]).unwrap();
-    let mut anew = start(&folder);
-    assert!(anew.daemon.seen.iter().any(|l| l.contains("set aside as")), "{:?}", anew.daemon.seen);
-    assert!(folder.join("b1.store.damaged").exists());
-    anew.daemon.signal("-KILL");
-    anew.daemon.wait();
-    // A store of the form before is taken over, drains and all.
-    std::fs::remove_file(&snapshot).unwrap();
-    let old = "brookpass-store 1\n5\ta.1\tdrain/one\t+1\nend\n";
-    std::fs::write(&snapshot, old).unwrap();
-    let taken = start(&folder);
-    let leaves = || call(taken.store, "GET /hosts HTTP/1.1\r\n\r\n").text().contains(" leaving ");
-    eventually("the old store's drain holds", leaves);
+    let one = SparqlEndpoint::primary();
+    let files = OperatorFiles::write("disk", &[entry("one", one.address)]);
+    files.edit_operator_file(|text| text.replace("# snapshot: b1.store", "snapshot: b1.store"));
+    let mut pooler = start_pooler(&files);
+    // A drain that was answered is durable, however soon the power fails.
+    assert_eq!(pooler.call_store("POST /drain/one HTTP/1.1\r\n\r\n").status(), 200);
+    pooler.kill();
+    let mut restarted = start_pooler(&files);
+    assert!(restarted.endpoint_list().contains(" leaving "));
+    restarted.kill();
+    let store_path = files.directory.join("b1.store");
+    let stored_bytes = std::fs::read(&store_path).unwrap();
+    std::fs::write(&store_path, &stored_bytes[..stored_bytes.len() / 2]).unwrap();
+    let mut without_store = start_pooler(&files);
+    let log_lines = &without_store.daemon.log_lines;
+    assert!(log_lines.iter().any(|line| line.contains("set aside as")), "{log_lines:?}");
+    assert!(files.directory.join("b1.store.damaged").exists());
+    without_store.kill();
+    // A store in the format of the version before is read with its drains.
+    std::fs::remove_file(&store_path).unwrap();
+    let old_format = "brookpass-store 1\n5\ta.1\tdrain/one\t+1\nend\n";
+    std::fs::write(&store_path, old_format).unwrap();
+    let with_old_store = start_pooler(&files);
+    eventually("the old store's drain holds", || with_old_store.endpoint_list().contains(" leaving "));
 }
--- a/tests/sparql/configuration.rs
+++ b/tests/sparql/configuration.rs
@@ -1,107 +1,130 @@
 //! The operator's file and its inventory: at the start, at a reload, from a peer.
 
-use super::endpoint::*;
-use super::pooler::*;
-use super::stand_in::*;
+use super::endpoint::SparqlEndpoint;
+use super::pooler::{OperatorFiles, RunningPooler, entry, query_request, start_daemon, start_pooler};
+use super::stand_in::http::HttpClient;
+use super::stand_in::network::unused_address;
+use super::stand_in::waiting::{eventually, now_ms};
+use std::path::Path;
+use std::process::{Command, Output};
 
-/// Configuration is kept in the store: a daemon that states none has its peers'.
+/// Guards against a pooler without settings and inventory that does not take them over from its peers' store.
 #[test]
 fn settings_and_hosts_come_from_a_peer_where_the_file_has_none() {
-    let host = Host::plain(true, 0);
-    let a = start(&files("giver", &[("one", host.address)], &[]));
-    let folder = files("taker", &[("one", nobody())], &[a.store]);
-    let file = folder.join("operator.yaml");
-    let text = std::fs::read_to_string(&file).unwrap();
-    let bare = text.split("\nsettings:").next().unwrap().replace("inventory: hosts.csv\n", "");
-    std::fs::write(&file, bare + "\n").unwrap();
-    let b = start(&folder);
-    assert_eq!(call(b.front, &query("")).status(), 200);
-    assert_eq!(host.count(), 1);
+    let endpoint = SparqlEndpoint::primary();
+    let giver = start_pooler(&OperatorFiles::write("giver", &[entry("one", endpoint.address)]));
+    let unused_entry = entry("one", unused_address());
+    let files = OperatorFiles::write_with_peers("taker", &[unused_entry], &[giver.store_address]);
+    files.edit_operator_file(|text| {
+        let before_settings = text.split("\nsettings:").next().unwrap();
+        before_settings.replace("inventory: hosts.csv\n", "") + "\n"
+    });
+    let taker = start_pooler(&files);
+    assert_eq!(taker.call(&query_request("")).status(), 200);
+    assert_eq!(endpoint.operation_count(), 1);
+}
+
+/// The names in the store's list of endpoints.
+fn listed_names(pooler: &RunningPooler) -> Vec<String> {
+    let list = pooler.endpoint_list();
+    list.lines().filter_map(|line| line.split(' ').next()).map(str::to_string).collect()
 }
 
-/// Guards against a half-written inventory that takes hosts away, and against a daemon that starts with one.
+/// Guards against a half-written inventory that removes endpoints or gets into use.
 #[test]
 fn an_inventory_is_reloaded_whole_or_not_at_all() {
-    let (one, two) = (Host::plain(true, 0), Host::plain(false, 0));
-    let folder = files("reload", &[("one", one.address)], &[]);
-    let mut running = start(&folder);
-    let names = |r: &Running| {
-        let text = call(r.store, "GET /hosts HTTP/1.1\r\n\r\n").text();
-        text.lines().filter_map(|l| l.split(' ').next().map(str::to_string)).collect::<Vec<_>>()
-    };
-    assert_eq!(names(&running), ["one"]);
-    let file = folder.join("hosts.csv");
-    std::fs::write(&file, "name,address,group\ntwo,nowhere,1\n").unwrap();
-    running.daemon.signal("-HUP");
-    let line = running.daemon.line("the last good inventory stays");
+    let one = SparqlEndpoint::primary();
+    let two = SparqlEndpoint::replica(0);
+    let files = OperatorFiles::write("reload", &[entry("one", one.address)]);
+    let mut pooler = start_pooler(&files);
+    assert_eq!(listed_names(&pooler), ["one"]);
+    std::fs::write(files.inventory_path(), "name,address,group\ntwo,nowhere,1\n").unwrap();
+    pooler.daemon.signal("-HUP");
+    let line = pooler.daemon.wait_for_log("the last good inventory stays");
     assert!(line.contains("hosts.csv: line 2"), "{line}");
-    assert_eq!(names(&running), ["one"]);
-    std::fs::write(&file, inventory(&[("one", one.address), ("two", two.address)])).unwrap();
-    eventually("the new host is listed", || names(&running) == ["one", "two"]);
-    let text = call(running.store, "GET /hosts HTTP/1.1\r\n\r\n").text();
-    let since: Vec<i64> = text.lines().map(|l| l.rsplit(' ').next().unwrap().parse().unwrap()).collect();
-    assert_eq!(since[0], 0, "it was there from the start");
-    assert!(now_ms() - since[1] < 60_000, "one that is new to a running inventory starts cold: {text}");
+    assert_eq!(listed_names(&pooler), ["one"]);
+    files.write_inventory(&[entry("one", one.address), entry("two", two.address)]);
+    eventually("the new host is listed", || listed_names(&pooler) == ["one", "two"]);
+    let list = pooler.endpoint_list();
+    let mut in_service_since_ms = Vec::new();
+    for line in list.lines() {
+        let last_column: i64 = line.rsplit(' ').next().unwrap().parse().unwrap();
+        in_service_since_ms.push(last_column);
+    }
+    assert_eq!(in_service_since_ms[0], 0, "it was there from the start");
+    let age_ms = now_ms() - in_service_since_ms[1];
+    assert!(age_ms < 60_000, "one that is new to a running inventory starts cold: {list}");
 }
 
-/// Guards against a new host that is pushed over: until it is warm it gets what it bears for certain.
+/// Guards against a new endpoint that is overloaded: until it is warm it gets a small share of the requests.
 #[test]
-fn a_host_new_to_a_running_inventory_is_spared() {
-    let (primary, old, new) = (Host::plain(true, 0), Host::plain(false, 0), Host::plain(false, 0));
-    let folder = files("cold", &[("p", primary.address), ("old", old.address)], &[]);
-    let file = folder.join("operator.yaml");
-    let text = std::fs::read_to_string(&file).unwrap();
-    // Hosts that check reads themselves are tried without being asked first.
-    let strict =
-        text.replace("cold-share: 0.25", "cold-share: 0.05").replace("behind: none", "behind: await");
-    std::fs::write(&file, strict.replace("fall-multiple: 4", "fall-multiple: 1")).unwrap();
-    let running = start(&folder);
-    let mut client = HttpClient::connect(running.front);
-    let mut ask = |times: usize| (0..times).for_each(|_| assert_eq!(client.call(&query("")).status(), 200));
-    // Until the module's latencies have settled a host that nobody has measured looks slow as it is.
-    ask(600);
-    let hosts = [("p", primary.address), ("old", old.address), ("new", new.address)];
-    std::fs::write(folder.join("hosts.csv"), inventory(&hosts)).unwrap();
-    eventually("the new host is listed", || {
-        call(running.store, "GET /hosts HTTP/1.1\r\n\r\n").text().contains("new ")
+fn a_host_new_to_a_running_inventory_gets_a_slow_start() {
+    let primary = SparqlEndpoint::primary();
+    let old = SparqlEndpoint::replica(0);
+    let new = SparqlEndpoint::replica(0);
+    let old_entries = || vec![entry("p", primary.address), entry("old", old.address)];
+    let files = OperatorFiles::write("cold", &old_entries());
+    // Endpoints that check the age of a read themselves (`await`) are tried before a health check.
+    files.edit_operator_file(|text| {
+        text.replace("cold-share: 0.25", "cold-share: 0.05")
+            .replace("behind: none", "behind: await")
+            .replace("fall-multiple: 4", "fall-multiple: 1")
     });
-    let before = old.count();
-    ask(200);
-    let (warm, cold) = (old.count() - before, new.count());
-    assert!(cold * 4 < warm, "the cold host got {cold}, the warm one {warm}");
+    let pooler = start_pooler(&files);
+    let mut client = HttpClient::connect(pooler.client_address);
+    let mut send_reads = |count: usize| {
+        for _ in 0..count {
+            assert_eq!(client.call(&query_request("")).status(), 200);
+        }
+    };
+    // Until the router's latencies have settled, an endpoint without measurements looks slow anyway.
+    send_reads(600);
+    let mut all_entries = old_entries();
+    all_entries.push(entry("new", new.address));
+    files.write_inventory(&all_entries);
+    eventually("the new host is listed", || pooler.endpoint_list().contains("new "));
+    let old_count_before = old.operation_count();
+    send_reads(200);
+    let warm_count = old.operation_count() - old_count_before;
+    let cold_count = new.operation_count();
+    assert!(cold_count * 4 < warm_count, "the cold host got {cold_count}, the warm one {warm_count}");
     eventually("it gets its small share", || {
-        ask(1);
-        new.count() > 0
+        send_reads(1);
+        new.operation_count() > 0
     });
 }
 
+/// Checks that the program does not start and that its error contains `error`.
+fn check_start_fails(files: &OperatorFiles, error: &str) {
+    let mut daemon = start_daemon(&files.operator_path());
+    let line = daemon.wait_for_log("ERROR");
+    assert!(line.contains(error), "{line}");
+    assert!(!daemon.wait_for_exit().success());
+}
+
+/// Runs the program's check of an operator's file.
+fn check_file(operator_path: &Path) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_brookpass"));
+    command.args(["--check", operator_path.to_str().unwrap()]).output().unwrap()
+}
+
+/// Guards against an error in a file that the log does not locate.
 #[test]
 fn a_bad_file_at_the_start_is_one_line_with_file_and_line() {
-    let folder = files("bad", &[("one", nobody())], &[]);
-    let file = folder.join("operator.yaml");
-    let good = std::fs::read_to_string(&file).unwrap();
-    let starts = |why: &str| {
-        let mut daemon = Daemon::start(&["--operator", file.to_str().unwrap()], &[]);
-        let line = daemon.line("ERROR");
-        assert!(line.contains(why), "{line}");
-        assert!(!daemon.wait().success());
-    };
-    std::fs::write(&file, good.replace("warm-up: 16", "warm-up: long")).unwrap();
-    let line = good.lines().position(|l| l.contains("warm-up")).unwrap() + 1;
-    starts(&format!("operator.yaml: line {line}: guarantees.warm-up"));
-    std::fs::write(&file, &good).unwrap();
-    std::fs::write(folder.join("hosts.csv"), "name,address,group\none,127.0.0.1:1,1\none,127.0.0.1:2,1\n")
-        .unwrap();
-    starts("hosts.csv: line 3: host \"one\" stands twice");
-    let check = || {
-        let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_brookpass"));
-        command.args(["--check", file.to_str().unwrap()]).output().unwrap()
-    };
-    assert!(!check().status.success());
-    std::fs::write(folder.join("hosts.csv"), inventory(&[("one", nobody())])).unwrap();
-    let checked = check();
+    let files = OperatorFiles::write("bad", &[entry("one", unused_address())]);
+    let good = files.operator_text();
+    files.edit_operator_file(|text| text.replace("warm-up: 16", "warm-up: long"));
+    let line_number = good.lines().position(|line| line.contains("warm-up")).unwrap() + 1;
+    check_start_fails(&files, &format!("operator.yaml: line {line_number}: guarantees.warm-up"));
+    std::fs::write(files.operator_path(), &good).unwrap();
+    let duplicate_name = "name,address,group\none,127.0.0.1:1,1\none,127.0.0.1:2,1\n";
+    std::fs::write(files.inventory_path(), duplicate_name).unwrap();
+    check_start_fails(&files, "hosts.csv: line 3: host \"one\" stands twice");
+    assert!(!check_file(&files.operator_path()).status.success());
+    files.write_inventory(&[entry("one", unused_address())]);
+    let checked = check_file(&files.operator_path());
     assert!(checked.status.success());
     assert!(String::from_utf8_lossy(&checked.stdout).contains("in order, 1 hosts"));
-    std::fs::remove_file(folder.join("hosts.csv")).unwrap();
-    starts("hosts.csv");
+    std::fs::remove_file(files.inventory_path()).unwrap();
+    check_start_fails(&files, "hosts.csv");
 }
--- a/tests/sparql/main.rs
+++ b/tests/sparql/main.rs
@@ -1,12 +1,16 @@
-//! The program with an operator's file: SPARQL over HTTP, against stand-in hosts that lag on purpose.
+//! The program with an operator's file: SPARQL over HTTP, against stand-in endpoints whose data lags on
+//! purpose.
 
 #[path = "../stand_in/mod.rs"]
 mod stand_in;
 
+// Stand-ins and the program.
+mod endpoint;
+mod pooler;
+
+// Tests, a property each.
 mod administration;
 mod answers;
 mod configuration;
 mod connections;
-mod endpoint;
-mod pooler;
 mod reads;
--- a/tests/sparql/pooler.rs
+++ b/tests/sparql/pooler.rs
@@ -1,56 +1,146 @@
 //! The program on an operator's file, and requests to it.
 
-use super::stand_in::*;
+use super::stand_in::daemon::{Daemon, test_directory};
+use super::stand_in::http::{HttpMessage, call};
+use super::stand_in::waiting::eventually;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-pub fn inventory(hosts: &[(&str, SocketAddr)]) -> String {
-    let lines = hosts.iter().map(|(name, address)| format!("{name},{address},1\n"));
-    "name,address,group\n".to_string() + &lines.collect::<String>()
+/// A line of an inventory, an endpoint of group 1.
+pub struct InventoryEntry {
+    name: String,
+    address: SocketAddr,
 }
 
-/// An operator's file beside an inventory; the folder.
-pub fn files(name: &str, hosts: &[(&str, SocketAddr)], peers: &[SocketAddr]) -> PathBuf {
-    let folder = folder(name);
-    std::fs::write(folder.join("hosts.csv"), inventory(hosts)).unwrap();
-    let peers = peers.iter().map(|p| p.to_string()).collect::<Vec<_>>().join(", ");
-    let text = include_str!("../../deploy/operator.yaml")
-        .replace("127.0.0.1:8890", "127.0.0.1:0")
-        .replace("127.0.0.1:8891", "127.0.0.1:0")
-        .replace("127.0.0.1:8892", "127.0.0.1:0")
-        .replace("name: b1", &format!("name: {name}"))
-        .replace("peers: []", &format!("peers: [{peers}]"))
-        .replace("inventory: inventory.yaml", "inventory: hosts.csv");
-    std::fs::write(folder.join("operator.yaml"), text).unwrap();
-    folder
+pub fn entry(name: &str, address: SocketAddr) -> InventoryEntry {
+    InventoryEntry { name: name.to_string(), address }
 }
 
-pub struct Running {
+fn inventory_csv(entries: &[InventoryEntry]) -> String {
+    let mut csv = "name,address,group\n".to_string();
+    for InventoryEntry { name, address } in entries {
+        csv += &format!("{name},{address},1\n");
+    }
+    csv
+}
+
+/// An operator's file with its inventory, in a directory of its own.
+pub struct OperatorFiles {
+    pub directory: PathBuf,
+}
+
+impl OperatorFiles {
+    /// Writes the files of a pooler without peers. The name is the pooler's and the directory's.
+    pub fn write(name: &str, entries: &[InventoryEntry]) -> OperatorFiles {
+        OperatorFiles::write_with_peers(name, entries, &[])
+    }
+
+    /// Writes the files of a pooler with the store addresses of its peers.
+    pub fn write_with_peers(name: &str, entries: &[InventoryEntry], peers: &[SocketAddr]) -> OperatorFiles {
+        let files = OperatorFiles { directory: test_directory(name) };
+        files.write_inventory(entries);
+        let peer_texts: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
+        let text = include_str!("../../deploy/operator.yaml")
+            .replace("127.0.0.1:8890", "127.0.0.1:0")
+            .replace("127.0.0.1:8891", "127.0.0.1:0")
+            .replace("127.0.0.1:8892", "127.0.0.1:0")
+            .replace("name: b1", &format!("name: {name}"))
+            .replace("peers: []", &format!("peers: [{}]", peer_texts.join(", ")))
+            .replace("inventory: inventory.yaml", "inventory: hosts.csv");
+        std::fs::write(files.operator_path(), text).unwrap();
+        files
+    }
+
+    pub fn operator_path(&self) -> PathBuf {
+        self.directory.join("operator.yaml")
+    }
+
+    pub fn inventory_path(&self) -> PathBuf {
+        self.directory.join("hosts.csv")
+    }
+
+    /// The operator's file as it is now.
+    pub fn operator_text(&self) -> String {
+        std::fs::read_to_string(self.operator_path()).unwrap()
+    }
+
+    /// Changes the operator's file.
+    pub fn edit_operator_file(&self, edit: impl Fn(&str) -> String) {
+        std::fs::write(self.operator_path(), edit(&self.operator_text())).unwrap();
+    }
+
+    /// Replaces the inventory.
+    pub fn write_inventory(&self, entries: &[InventoryEntry]) {
+        std::fs::write(self.inventory_path(), inventory_csv(entries)).unwrap();
+    }
+}
+
+/// The program, ready for clients.
+pub struct RunningPooler {
     pub daemon: Daemon,
-    pub store: SocketAddr,
-    pub front: SocketAddr,
+    /// Where the store's and the fleet's HTTP calls go.
+    pub store_address: SocketAddr,
+    /// Where clients connect.
+    pub client_address: SocketAddr,
+}
+
+/// Starts the program on these files and waits until it is ready.
+pub fn start_pooler(files: &OperatorFiles) -> RunningPooler {
+    let mut daemon = start_daemon(&files.operator_path());
+    let store_address = daemon.wait_for_address("store at http://");
+    let client_address = daemon.wait_for_address("SPARQL at http://");
+    let pooler = RunningPooler { daemon, store_address, client_address };
+    eventually("ready", || pooler.readiness() == 200);
+    pooler
+}
+
+/// Starts the program on an operator's file; it may not become ready.
+pub fn start_daemon(operator_path: &Path) -> Daemon {
+    Daemon::start(&["--operator", operator_path.to_str().unwrap()], &[])
 }
 
-pub fn start(folder: &Path) -> Running {
-    let file = folder.join("operator.yaml");
-    let mut daemon = Daemon::start(&["--operator", file.to_str().unwrap()], &[]);
-    let store = daemon.address("store at http://");
-    let front = daemon.address("SPARQL at http://");
-    eventually("ready", || call(front, "GET /-/ready HTTP/1.1\r\n\r\n").status() == 200);
-    Running { daemon, store, front }
+impl RunningPooler {
+    /// A client's request and its response, on a connection of its own.
+    pub fn call(&self, request: &str) -> HttpMessage {
+        call(self.client_address, request)
+    }
+
+    /// A request to the store and its response.
+    pub fn call_store(&self, request: &str) -> HttpMessage {
+        call(self.store_address, request)
+    }
+
+    /// The status of the readiness check.
+    pub fn readiness(&self) -> u16 {
+        self.call("GET /-/ready HTTP/1.1\r\n\r\n").status()
+    }
+
+    /// The store's list of endpoints, a line each.
+    pub fn endpoint_list(&self) -> String {
+        self.call_store("GET /hosts HTTP/1.1\r\n\r\n").text()
+    }
+
+    /// Ends the process as a crash does, and waits until it is gone.
+    pub fn kill(&mut self) {
+        self.daemon.signal("-KILL");
+        self.daemon.wait_for_exit();
+    }
 }
 
-pub fn query(headers: &str) -> String {
+/// A query with these header lines, each with its line end.
+pub fn query_request(headers: &str) -> String {
     format!("GET /sparql?query=SELECT%20%2A HTTP/1.1\r\nHost: b\r\n{headers}\r\n")
 }
 
-pub fn update(headers: &str) -> String {
+/// An update with these header lines, each with its line end.
+pub fn update_request(headers: &str) -> String {
     format!(
         "POST /sparql HTTP/1.1\r\nHost: b\r\nContent-Type: application/sparql-update\r\nContent-Length: 9\r\n{headers}\r\nCLEAR ALL"
     )
 }
 
-/// Whether an answer's data, its text, is from a point in time that its read did not allow.
-pub fn is_stale(answer: &Http, sent_at: i64, allowed: i64) -> bool {
-    answer.text().parse::<i64>().unwrap() < sent_at - allowed
+/// Whether an answer is made from data older than its read allows. Its body is the position of that data.
+pub fn is_stale(answer: &HttpMessage, sent_at_ms: i64, allowed_age_ms: i64) -> bool {
+    let position_ms: i64 = answer.text().parse().unwrap();
+    position_ms < sent_at_ms - allowed_age_ms
 }
--- a/tests/sparql/reads.rs
+++ b/tests/sparql/reads.rs
@@ -1,72 +1,96 @@
-//! Reads never return data that is older than their class allows.
+//! No read is answered from data that is older than its class allows.
 
-use super::endpoint::*;
-use super::pooler::*;
-use super::stand_in::*;
+use super::endpoint::{Reply, SparqlEndpoint};
+use super::pooler::{OperatorFiles, entry, is_stale, query_request, start_pooler};
+use super::stand_in::http::{HttpClient, call};
+use super::stand_in::waiting::{eventually, now_ms};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The operators' hard case. Replicas lag past 800 ms while reads go on, and answer from what they have.
+/// How old the data of a `catalog-read` may be.
+const CATALOG_READ_MAX_AGE_MS: i64 = 800;
+
+/// How long before its own read the session in these tests has written.
+const OWN_WRITE_AGE_MS: i64 = 300;
+
+/// Guards against stale reads, the operators' hard case: replicas fall behind by more than 800 ms while reads
+/// go on, and answer from the data that they have.
 #[test]
 fn no_read_is_stale_while_replicas_lag_on_purpose() {
-    let primary = Host::plain(true, 0);
-    let replicas = [Host::plain(false, 20), Host::plain(false, 30)];
-    let hosts = [("p", primary.address), ("r1", replicas[0].address), ("r2", replicas[1].address)];
-    let running = start(&files("lag", &hosts, &[]));
-    let mut client = HttpClient::connect(running.front);
-    let mut served = [0; 3];
-    for (round, lags) in [(20, 30), (1500, 30), (2500, 4000), (700, 5000), (20, 30)].into_iter().enumerate() {
-        for (replica, lag) in replicas.iter().zip([lags.0, lags.1]) {
-            replica.lag.store(lag, Ordering::SeqCst);
+    let primary = SparqlEndpoint::primary();
+    let replicas = [SparqlEndpoint::replica(20), SparqlEndpoint::replica(30)];
+    let files = OperatorFiles::write(
+        "lag",
+        &[entry("p", primary.address), entry("r1", replicas[0].address), entry("r2", replicas[1].address)],
+    );
+    let pooler = start_pooler(&files);
+    let mut client = HttpClient::connect(pooler.client_address);
+    let lags_by_round = [[20, 30], [1500, 30], [2500, 4000], [700, 5000], [20, 30]];
+    for (round, lags) in lags_by_round.into_iter().enumerate() {
+        for (replica, lag_ms) in replicas.iter().zip(lags) {
+            replica.lag_ms.store(lag_ms, Ordering::SeqCst);
         }
-        for n in 0..60 {
-            let sent_at = now_ms();
+        for number in 0..60 {
             // Every third read belongs to a session that has just written.
-            let own = n % 3 == 2;
-            let token = format!("Brookpass-Position: {}\r\nBrookpass-Session: s\r\n", sent_at - 300);
-            let answer = client.call(&query(if own { &token } else { "" }));
-            assert_eq!(answer.status(), 200, "round {round}: {}", answer.text());
-            let allowed = if own { 300 } else { 800 };
-            assert!(!is_stale(&answer, sent_at, allowed), "round {round}: {} at {sent_at}", answer.text());
+            check_read_is_fresh(&mut client, number % 3 == 2, round);
         }
-        let counts = [primary.count(), replicas[0].count(), replicas[1].count()];
-        served = [counts[0] - served[0], counts[1] - served[1], counts[2] - served[2]];
         if round == 0 {
-            assert!(served[1] + served[2] > served[0], "fresh replicas carry the reads: {served:?}");
+            let by_primary = primary.operation_count();
+            let by_replicas = replicas[0].operation_count() + replicas[1].operation_count();
+            let served = [by_primary, replicas[0].operation_count(), replicas[1].operation_count()];
+            assert!(by_replicas > by_primary, "fresh replicas carry the reads: {served:?}");
         }
-        served = counts;
     }
-    // The checker can fail: a lagging host that is asked directly gives what it calls stale.
-    replicas[0].lag.store(1500, Ordering::SeqCst);
-    let sent_at = now_ms();
-    assert!(is_stale(&call(replicas[0].address, &query("")), sent_at, 800));
-    assert!(!is_stale(&call(primary.address, &query("")), sent_at, 800));
+    // Proof that the check can fail: a lagging replica that is called directly gives what it calls stale.
+    replicas[0].lag_ms.store(1500, Ordering::SeqCst);
+    let sent_at_ms = now_ms();
+    let from_replica = call(replicas[0].address, &query_request(""));
+    assert!(is_stale(&from_replica, sent_at_ms, CATALOG_READ_MAX_AGE_MS));
+    let from_primary = call(primary.address, &query_request(""));
+    assert!(!is_stale(&from_primary, sent_at_ms, CATALOG_READ_MAX_AGE_MS));
+}
+
+/// Sends one read and checks its answer's age. A read of a session that has written must see that write.
+fn check_read_is_fresh(client: &mut HttpClient, after_own_write: bool, round: usize) {
+    let sent_at_ms = now_ms();
+    let write_position_ms = sent_at_ms - OWN_WRITE_AGE_MS;
+    let session_headers = format!("Brookpass-Position: {write_position_ms}\r\nBrookpass-Session: s\r\n");
+    let headers = if after_own_write { &session_headers } else { "" };
+    let answer = client.call(&query_request(headers));
+    assert_eq!(answer.status(), 200, "round {round}: {}", answer.text());
+    let allowed_age_ms = if after_own_write { OWN_WRITE_AGE_MS } else { CATALOG_READ_MAX_AGE_MS };
+    let is_stale = is_stale(&answer, sent_at_ms, allowed_age_ms);
+    assert!(!is_stale, "round {round}: {} at {sent_at_ms}", answer.text());
 }
 
-/// Guards against a replica that went back: it was known as fresh, then came up from an old copy.
+/// Guards against a replica whose data went back: it was known as fresh, then restarted from an old copy.
 #[test]
 fn an_answer_that_is_older_than_its_read_allows_is_dropped() {
-    let old = Arc::new(AtomicBool::new(false));
-    let went_back = old.clone();
-    let primary = Host::plain(true, 0);
-    let replica = Host::start(false, 10, move |_| {
-        let at = now_ms() - 7_000;
-        went_back.load(Ordering::SeqCst).then(|| Does::AnswerFrom(at, at.to_string()))
+    let serves_old_copy = Arc::new(AtomicBool::new(false));
+    let has_old_copy = serves_old_copy.clone();
+    let primary = SparqlEndpoint::primary();
+    let replica = SparqlEndpoint::replica_replying(10, move |_| {
+        let position_ms = now_ms() - 7_000;
+        let reply = Reply::AnswerAtPosition { position_ms, body: position_ms.to_string() };
+        has_old_copy.load(Ordering::SeqCst).then_some(reply)
     });
-    let running = start(&files("back", &[("p", primary.address), ("r", replica.address)], &[]));
-    let mut client = HttpClient::connect(running.front);
+    let entries = [entry("p", primary.address), entry("r", replica.address)];
+    let pooler = start_pooler(&OperatorFiles::write("back", &entries));
+    let mut client = HttpClient::connect(pooler.client_address);
     eventually("the replica serves", || {
-        client.call(&query(""));
-        replica.count() > 3
+        client.call(&query_request(""));
+        replica.operation_count() > 3
     });
-    old.store(true, Ordering::SeqCst);
-    let (asked, before) = (replica.count(), primary.count());
+    serves_old_copy.store(true, Ordering::SeqCst);
+    let replica_count_before = replica.operation_count();
+    let primary_count_before = primary.operation_count();
     for _ in 0..20 {
-        let sent_at = now_ms();
-        let answer = client.call(&query(""));
+        let sent_at_ms = now_ms();
+        let answer = client.call(&query_request(""));
         assert_eq!(answer.status(), 200);
-        assert!(!is_stale(&answer, sent_at, 800), "{}", answer.text());
+        assert!(!is_stale(&answer, sent_at_ms, CATALOG_READ_MAX_AGE_MS), "{}", answer.text());
     }
-    assert!(replica.count() > asked, "the replica was believed, and its answer was dropped");
-    assert!(primary.count() > before);
+    let replica_was_asked = replica.operation_count() > replica_count_before;
+    assert!(replica_was_asked, "the replica was believed, and its answer was dropped");
+    assert!(primary.operation_count() > primary_count_before);
 }
--- a/tests/stand_in/daemon.rs
+++ b/tests/stand_in/daemon.rs
@@ -1,6 +1,6 @@
 //! The program under test as a child process, and its log.
 
-use super::*;
+use super::waiting::DEFAULT_TIMEOUT;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,74 +10,91 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A folder of the test's own.
-pub fn folder(name: &str) -> PathBuf {
-    static NEXT: AtomicUsize = AtomicUsize::new(0);
-    let n = NEXT.fetch_add(1, Ordering::Relaxed);
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}-{n}", std::process::id()));
+/// Pause between two looks at whether the child process has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Creates an empty directory that no other test uses.
+pub fn test_directory(name: &str) -> PathBuf {
+    static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+    let process = std::process::id();
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{process}-{number}"));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// The program under test.
+/// A process of the program under test; killed when dropped.
 pub struct Daemon {
     pub child: Child,
-    lines: Receiver<String>,
-    pub seen: Vec<String>,
+    log: Receiver<String>,
+    /// The log lines that were read so far, in order.
+    pub log_lines: Vec<String>,
 }
 
 impl Daemon {
-    pub fn start(words: &[&str], variables: &[(&str, &str)]) -> Daemon {
+    /// Starts the program with these arguments and environment variables.
+    pub fn start(arguments: &[&str], variables: &[(&str, &str)]) -> Daemon {
         let mut command = Command::new(env!("CARGO_BIN_EXE_brookpass"));
-        command.args(words).env_remove("GW_CONFIG").envs(variables.iter().copied());
-        Daemon::run(command)
+        command.args(arguments).env_remove("GW_CONFIG").envs(variables.iter().copied());
+        Daemon::spawn(command)
     }
 
-    pub fn run(mut command: Command) -> Daemon {
+    /// Starts a command that runs the program, and reads its standard error as the log.
+    pub fn spawn(mut command: Command) -> Daemon {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-        let errors = BufReader::new(child.stderr.take().unwrap());
-        let (send, lines) = channel();
-        thread::spawn(move || errors.lines().map_while(Result::ok).try_for_each(|l| send.send(l)));
-        Daemon { child, lines, seen: Vec::new() }
+        let standard_error = BufReader::new(child.stderr.take().unwrap());
+        let (log_sender, log) = channel();
+        thread::spawn(move || {
+            for line in standard_error.lines().map_while(Result::ok) {
+                if log_sender.send(line).is_err() {
+                    return;
+                }
+            }
+        });
+        Daemon { child, log, log_lines: Vec::new() }
     }
 
-    /// Waits for a log line that holds `text`.
-    pub fn line(&mut self, text: &str) -> String {
+    /// Waits for a log line that contains `text`, and returns it.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
         loop {
-            match self.lines.recv_timeout(PATIENCE) {
+            match self.log.recv_timeout(DEFAULT_TIMEOUT) {
                 Ok(line) => {
-                    self.seen.push(line.clone());
+                    self.log_lines.push(line.clone());
                     if line.contains(text) {
                         return line;
                     }
                 }
-                Err(e) => panic!("no line with {text:?} ({e}): {:#?}", self.seen),
+                Err(error) => panic!("no line with {text:?} ({error}): {:#?}", self.log_lines),
             }
         }
     }
 
-    /// The address that a log line names after `words`.
-    pub fn address(&mut self, words: &str) -> SocketAddr {
-        let line = self.line(words);
-        let rest = line.split(words).nth(1).unwrap();
-        let end = rest.find(|c: char| !(c.is_ascii_digit() || ".:".contains(c))).unwrap_or(rest.len());
-        rest[..end].parse().unwrap()
+    /// Waits for a log line that contains `prefix`, and returns the address behind it.
+    pub fn wait_for_address(&mut self, prefix: &str) -> SocketAddr {
+        let line = self.wait_for_log(prefix);
+        let after_prefix = line.split(prefix).nth(1).unwrap();
+        let is_address_character = |character: char| character.is_ascii_digit() || ".:".contains(character);
+        let end =
+            after_prefix.find(|character| !is_address_character(character)).unwrap_or(after_prefix.len());
+        after_prefix[..end].parse().unwrap()
     }
 
+    /// Sends a signal, named as for kill(1): `-TERM`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
         assert!(sent.success());
     }
 
-    pub fn wait(&mut self) -> ExitStatus {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until the process has exited.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let deadline = Instant::now() + DEFAULT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < end, "the daemon goes on: {:#?}", self.seen);
-            thread::sleep(Duration::from_millis(5));
+            assert!(Instant::now() < deadline, "the daemon still runs: {:#?}", self.log_lines);
+            thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 }
--- a/tests/stand_in/discovery.rs
+++ b/tests/stand_in/discovery.rs
@@ -1,163 +1,224 @@
-//! Stand-ins for the platform's discovery server.
+//! Stand-ins for the platform's discovery server: one that keeps a list, and one whose every answer the test
+//! gives.
 
-use super::*;
+use super::http::{HttpMessage, read_http_message};
+use super::network::spawn_server;
+use super::waiting::{DEFAULT_TIMEOUT, eventually};
 use std::io::{BufReader, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-#[derive(Default)]
-struct PeerObservation {
-    index: u64,
-    endpoints: String,
-    /// The version after which the last watch asked.
-    asked_after: u64,
-    broken: Option<String>,
+/// How long a watch is held when the list does not change.
+const WATCH_HOLD: Duration = Duration::from_secs(1);
+
+/// One entry of an endpoint list; `status` is `active` or `leaving`.
+pub fn endpoint_json(name: &str, address: SocketAddr, group: u32, status: &str) -> String {
+    format!(
+        r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":{group},"status":"{status}","weight":1.0,"since_ms":0}}"#
+    )
+}
+
+/// An answer with the complete endpoint list.
+pub fn snapshot_json(index: u64, endpoints: &[String]) -> String {
+    list_json(index, true, endpoints)
+}
+
+/// An answer with the entries that changed since the index that the call named.
+pub fn changes_json(index: u64, endpoints: &[String]) -> String {
+    list_json(index, false, endpoints)
 }
 
-/// Discovery, as the platform's agent answers.
-pub struct Discovery {
-    told: Arc<(Mutex<PeerObservation>, Condvar)>,
+fn list_json(index: u64, is_snapshot: bool, endpoints: &[String]) -> String {
+    format!(r#"{{"index":{index},"snapshot":{is_snapshot},"endpoints":[{}]}}"#, endpoints.join(","))
+}
+
+fn ok_response(body: &str) -> String {
+    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+}
+
+/// The index after which a watch asks; `None`: the call asks for the complete list.
+fn watched_index(request: &HttpMessage) -> Option<u64> {
+    let after = request.first.split("after=").nth(1)?;
+    after.split(['&', ' ']).next()?.parse().ok()
+}
+
+/// A discovery server that answers as the platform's agent does: at once with the list, to a watch once it
+/// changes.
+pub struct DiscoveryServer {
+    list: Arc<PublishedList>,
     pub address: SocketAddr,
 }
 
-pub fn endpoint(name: &str, address: SocketAddr, group: u32, status: &str) -> String {
-    format!(
-        r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":{group},"status":"{status}","weight":1.0,"since_ms":0}}"#
-    )
+struct PublishedList {
+    state: Mutex<ListState>,
+    changed: Condvar,
 }
 
-impl Discovery {
-    pub fn start() -> Discovery {
-        let told = Arc::new((Mutex::new(PeerObservation::default()), Condvar::new()));
-        let shared = told.clone();
-        let address = listen(move |stream| {
-            let mut writer = stream.try_clone().unwrap();
-            let mut reader = BufReader::new(stream);
-            while let Some(request) = read_http(&mut reader) {
-                let (lock, changed) = &*shared;
-                let mut told = lock.lock().unwrap();
-                let after = request
-                    .first
-                    .split("after=")
-                    .nth(1)
-                    .and_then(|t| t.split(['&', ' ']).next()?.parse().ok());
-                if let Some(after) = after {
-                    told.asked_after = after;
-                    changed.notify_all();
-                    let waits = |t: &mut PeerObservation| t.index <= after && t.broken.is_none();
-                    told = changed.wait_timeout_while(told, Duration::from_secs(1), waits).unwrap().0;
-                }
-                let fresh = after.is_none_or(|a| told.index > a);
-                let list = if fresh { told.endpoints.clone() } else { String::new() };
-                let body = told.broken.take().unwrap_or_else(|| {
-                    format!(r#"{{"index":{},"snapshot":{fresh},"endpoints":[{list}]}}"#, told.index)
-                });
-                let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-                drop(told);
-                if writer.write_all(text.as_bytes()).is_err() {
-                    return;
-                }
-            }
-        });
-        Discovery { told, address }
+#[derive(Default)]
+struct ListState {
+    index: u64,
+    /// Entries in JSON, separated by commas.
+    endpoints: String,
+    /// The index after which the last watch asked.
+    watched_index: u64,
+    /// Answered once in place of the list.
+    malformed_answer: Option<String>,
+}
+
+impl ListState {
+    /// Whether a watch after this index has nothing to report.
+    fn is_unchanged_since(&self, index: u64) -> bool {
+        self.index <= index && self.malformed_answer.is_none()
+    }
+}
+
+impl DiscoveryServer {
+    pub fn start() -> DiscoveryServer {
+        let list =
+            Arc::new(PublishedList { state: Mutex::new(ListState::default()), changed: Condvar::new() });
+        let served_list = list.clone();
+        let address = spawn_server(move |stream| serve_list(stream, &served_list));
+        DiscoveryServer { list, address }
     }
 
-    /// Publishes a list, and comes back once the daemon has it: its next watch asks after it.
+    /// Publishes a list and returns once the daemon has it: its next watch asks after it.
     pub fn publish(&self, endpoints: &[String]) {
-        let (lock, changed) = &*self.told;
-        let mut told = lock.lock().unwrap();
-        told.index += 1;
-        told.endpoints = endpoints.join(",");
-        changed.notify_all();
-        let index = told.index;
-        let (_guard, late) = changed.wait_timeout_while(told, PATIENCE, |t| t.asked_after < index).unwrap();
-        assert!(!late.timed_out(), "the daemon did not ask again");
+        let mut state = self.list.state.lock().unwrap();
+        state.index += 1;
+        state.endpoints = endpoints.join(",");
+        self.list.changed.notify_all();
+        let index = state.index;
+        let not_watched = |state: &mut ListState| state.watched_index < index;
+        let (_state, wait) =
+            self.list.changed.wait_timeout_while(state, DEFAULT_TIMEOUT, not_watched).unwrap();
+        assert!(!wait.timed_out(), "the daemon did not ask again");
     }
 
-    /// Sets the list before anybody asks.
+    /// Sets the list before the first call; does not wait for the daemon.
     pub fn preset(&self, endpoints: &[String]) {
-        let mut told = self.told.0.lock().unwrap();
-        (told.index, told.endpoints) = (1, endpoints.join(","));
+        let mut state = self.list.state.lock().unwrap();
+        state.index = 1;
+        state.endpoints = endpoints.join(",");
     }
 
-    /// Answers the next call with something that is no list.
-    pub fn break_once(&self, body: &str) {
-        self.told.0.lock().unwrap().broken = Some(body.to_string());
-        self.told.1.notify_all();
+    /// Answers the next call, or the watch that is open, with a body that is no list.
+    pub fn answer_malformed_once(&self, body: &str) {
+        self.list.state.lock().unwrap().malformed_answer = Some(body.to_string());
+        self.list.changed.notify_all();
     }
 
+    /// Waits until the daemon watches for changes to the current list.
     pub fn wait_for_watch(&self) {
         eventually("a watch", || {
-            let told = self.told.0.lock().unwrap();
-            told.asked_after == told.index && told.broken.is_none()
+            let state = self.list.state.lock().unwrap();
+            state.watched_index == state.index && state.malformed_answer.is_none()
         });
     }
 }
 
-/// A list in discovery's form.
-pub fn list_text(index: u64, whole: bool, endpoints: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{whole},"endpoints":[{}]}}"#, endpoints.join(","))
+/// Answers the calls on one connection until it closes.
+fn serve_list(stream: TcpStream, list: &PublishedList) {
+    let mut writer = stream.try_clone().unwrap();
+    let mut reader = BufReader::new(stream);
+    while let Some(request) = read_http_message(&mut reader) {
+        let body = next_list(&request, list);
+        if writer.write_all(ok_response(&body).as_bytes()).is_err() {
+            return;
+        }
+    }
+}
+
+/// The body of the answer to a call; a watch is held until there is something to report.
+fn next_list(request: &HttpMessage, list: &PublishedList) -> String {
+    let after = watched_index(request);
+    let mut state = list.state.lock().unwrap();
+    if let Some(after) = after {
+        state.watched_index = after;
+        list.changed.notify_all();
+        let unchanged = |state: &mut ListState| state.is_unchanged_since(after);
+        state = list.changed.wait_timeout_while(state, WATCH_HOLD, unchanged).unwrap().0;
+    }
+    if let Some(malformed) = state.malformed_answer.take() {
+        return malformed;
+    }
+    let is_newer = after.is_none_or(|after| state.index > after);
+    if is_newer {
+        snapshot_json(state.index, std::slice::from_ref(&state.endpoints))
+    } else {
+        changes_json(state.index, &[])
+    }
 }
 
-/// Discovery whose every answer is the test's: each call is handed out and waits for it.
-pub struct ScriptedDiscovery {
+/// A discovery server whose every answer the test gives: each call is handed to the test and waits for its
+/// answer.
+pub struct ScriptedDiscoveryServer {
     pub address: SocketAddr,
     calls: Receiver<DiscoveryCall>,
 }
 
 /// A call that waits for its answer.
 pub struct DiscoveryCall {
-    /// The request's target.
+    /// The request's target, its path with the query.
     pub target: String,
-    pub came: Instant,
+    pub received_at: Instant,
     stream: TcpStream,
-    /// Dropped: the connection takes the next call.
-    _next: Sender<()>,
-}
-
-impl ScriptedDiscovery {
-    pub fn start() -> ScriptedDiscovery {
-        let (send, calls) = channel();
-        let send = Mutex::new(send);
-        let address = listen(move |stream| {
-            let mut reader = BufReader::new(stream.try_clone().unwrap());
-            while let Some(request) = read_http(&mut reader) {
-                let target = request.first.split(' ').nth(1).unwrap().to_string();
-                let (next, answered) = channel();
-                let (came, stream) = (Instant::now(), stream.try_clone().unwrap());
-                if send.lock().unwrap().send(DiscoveryCall { target, came, stream, _next: next }).is_err() {
-                    return;
-                }
-                let _: Result<(), _> = answered.recv();
-            }
-        });
-        ScriptedDiscovery { address, calls }
+    /// When this is dropped, the connection's thread reads the next call.
+    _finished: Sender<()>,
+}
+
+impl ScriptedDiscoveryServer {
+    pub fn start() -> ScriptedDiscoveryServer {
+        let (call_sender, calls) = channel();
+        let call_sender = Mutex::new(call_sender);
+        let address = spawn_server(move |stream| hand_out_calls(stream, &call_sender));
+        ScriptedDiscoveryServer { address, calls }
     }
 
+    /// Waits for the next call on any connection.
     pub fn next_call(&self) -> DiscoveryCall {
-        self.calls.recv_timeout(PATIENCE).expect("a call to discovery")
+        self.calls.recv_timeout(DEFAULT_TIMEOUT).expect("a call to discovery")
+    }
+}
+
+/// Hands the calls on one connection to the test, each after the one before has been finished.
+fn hand_out_calls(stream: TcpStream, calls: &Mutex<Sender<DiscoveryCall>>) {
+    let mut reader = BufReader::new(stream.try_clone().unwrap());
+    while let Some(request) = read_http_message(&mut reader) {
+        let target = request.first.split(' ').nth(1).unwrap().to_string();
+        let (finish_sender, finished) = channel();
+        let call = DiscoveryCall {
+            target,
+            received_at: Instant::now(),
+            stream: stream.try_clone().unwrap(),
+            _finished: finish_sender,
+        };
+        if calls.lock().unwrap().send(call).is_err() {
+            return;
+        }
+        let _: Result<(), _> = finished.recv();
     }
 }
 
 impl DiscoveryCall {
+    /// Whether the call waits for changes, rather than asking for the complete list.
     pub fn is_watch(&self) -> bool {
         self.target.contains("after=")
     }
 
+    /// Answers with status 200 and this body.
     pub fn answer(mut self, body: &str) {
-        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let _ = self.stream.write_all(text.as_bytes());
+        let _ = self.stream.write_all(ok_response(body).as_bytes());
     }
 
-    /// Exactly these bytes, and no end.
-    pub fn raw(&mut self, bytes: &[u8]) -> bool {
+    /// Writes exactly these bytes and leaves the answer open. Returns whether they could be written.
+    pub fn write_bytes(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// Ends the connection without an answer.
+    /// Closes the connection without an answer.
     pub fn close(self) {
-        let _ = self.stream.shutdown(std::net::Shutdown::Both);
+        let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/tests/stand_in/http.rs
+++ b/tests/stand_in/http.rs
@@ -1,11 +1,12 @@
 //! A client of HTTP/1.1.
 
-use super::*;
+use super::waiting::DEFAULT_TIMEOUT;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-pub use brookpass_lab::http::{Message as Http, read_part as read_http};
+pub use brookpass_lab::http::{Message as HttpMessage, read_part as read_http_message};
 
+/// One connection to an HTTP server.
 pub struct HttpClient {
     pub reader: BufReader<TcpStream>,
 }
@@ -14,25 +15,28 @@
     pub fn connect(address: SocketAddr) -> HttpClient {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(DEFAULT_TIMEOUT)).unwrap();
         HttpClient { reader: BufReader::new(stream) }
     }
 
-    pub fn send(&mut self, text: &str) {
-        self.reader.get_mut().write_all(text.as_bytes()).unwrap();
+    /// Sends a request that is written out, head and body.
+    pub fn send(&mut self, request: &str) {
+        self.reader.get_mut().write_all(request.as_bytes()).unwrap();
     }
 
-    pub fn receive(&mut self) -> Http {
-        read_http(&mut self.reader).expect("an answer")
+    /// The next response; its body may be incomplete where the server closed early.
+    pub fn receive(&mut self) -> HttpMessage {
+        read_http_message(&mut self.reader).expect("an answer")
     }
 
-    pub fn call(&mut self, text: &str) -> Http {
-        self.send(text);
+    /// One request and its response.
+    pub fn call(&mut self, request: &str) -> HttpMessage {
+        self.send(request);
         self.receive()
     }
 }
 
-/// One request on a connection of its own.
-pub fn call(address: SocketAddr, text: &str) -> Http {
-    HttpClient::connect(address).call(text)
+/// One request, written out, and its response, on a connection of its own.
+pub fn call(address: SocketAddr, request: &str) -> HttpMessage {
+    HttpClient::connect(address).call(request)
 }
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -1,5 +1,10 @@
-//! Stand-ins for what the daemon meets: discovery, hosts and clients, in threads on loopback sockets.
-#![allow(dead_code, unused_imports)]
+//! Stand-ins for what the program meets: a discovery server, endpoints and clients, in threads on loopback
+//! sockets.
+//!
+//! Start with [`platform::start_pooler`], which runs the program with a stand-in discovery server, or with
+//! [`daemon::Daemon`], the program alone.
+// Each test binary compiles this module for itself and uses only a part of it.
+#![allow(dead_code)]
 
 pub mod daemon;
 pub mod discovery;
@@ -8,10 +13,3 @@
 pub mod platform;
 pub mod postgres;
 pub mod waiting;
-
-pub use daemon::*;
-pub use discovery::*;
-pub use http::*;
-pub use network::*;
-pub use postgres::*;
-pub use waiting::*;
--- a/tests/stand_in/network.rs
+++ b/tests/stand_in/network.rs
@@ -1,11 +1,13 @@
 //! Listening sockets, and addresses and names of stand-in endpoints.
 
+use brookpass::engine::endpoints::EndpointRegistry;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::thread;
 
-/// Takes connections for as long as the test runs, each in a thread.
-pub fn listen(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// Accepts connections for as long as the test runs and serves each in a thread. Returns the server's
+/// address.
+pub fn spawn_server(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let serve = Arc::new(serve);
@@ -19,15 +21,16 @@
     address
 }
 
-/// Names in the order of the module's ring: a fresh module tries the first one as its primary.
-pub fn names<const N: usize>() -> [String; N] {
-    let mut members = brookpass::engine::endpoints::EndpointRegistry::default();
-    let mut names = std::array::from_fn(|n| format!("host-{n}"));
-    names.sort_by_key(|name| members.id(name));
+/// Endpoint names in the order of the router's ring. A router without knowledge tries the first one as its
+/// primary.
+pub fn names_in_ring_order<const N: usize>() -> [String; N] {
+    let mut registry = EndpointRegistry::default();
+    let mut names = std::array::from_fn(|number| format!("host-{number}"));
+    names.sort_by_key(|name| registry.id(name));
     names
 }
 
-/// An address where nobody listens.
-pub fn nobody() -> SocketAddr {
+/// An address on which no socket listens.
+pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
--- a/tests/stand_in/platform.rs
+++ b/tests/stand_in/platform.rs
@@ -1,9 +1,12 @@
-//! The program as the platform starts it, with a group of two hosts.
+//! The program as the platform starts it, with a stand-in discovery server and a group of two endpoints.
 
-use super::*;
+use super::daemon::{Daemon, test_directory};
+use super::discovery::{DiscoveryServer, endpoint_json};
+use super::postgres::endpoint::{PostgresEndpoint, Reply};
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
+/// The settings of the platform's configuration.
 pub const SETTINGS: &str = r#"{"balancers":1,"me":0,"discovery":"automatic","zones":["a"],"zone":0,
  "services":[
   {"name":"read","target":1.0,"deadline":2.5,"repeat":"repeatable","worth":3,"late-worth":0.2},
@@ -13,13 +16,16 @@
   "connect-timeout":0.25,"conn-idle":15.0},
  "report":{"via":"answers","fields":["x0","x1","util"]}}"#;
 
-pub struct Setup {
-    pub config: PathBuf,
+/// The program with its discovery server.
+pub struct RunningPooler {
+    pub config_path: PathBuf,
     pub daemon: Daemon,
+    /// Where clients connect.
     pub address: SocketAddr,
-    pub discovery: Discovery,
+    pub discovery: DiscoveryServer,
 }
 
+/// The platform's configuration as text.
 pub fn config(listen: &str, discovery: SocketAddr, settings: &str) -> String {
     format!(
         "{{\"name\":\"n0\",\"listen\":\"{listen}\",\"discovery\":\"{discovery}\",\"seed\":\"8c1f\",\n\
@@ -27,49 +33,95 @@
     )
 }
 
-pub fn started(endpoints: &[String]) -> Setup {
-    started_with(endpoints, 1024)
+/// Starts the program on these endpoints and waits until it watches the discovery server.
+pub fn start_pooler(endpoints: &[String]) -> RunningPooler {
+    start_pooler_with_sockets(endpoints, 1024)
 }
 
-pub fn started_with(endpoints: &[String], sockets: u32) -> Setup {
-    started_on(endpoints, |text| text.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}")))
+/// Starts the program with this limit on its open sockets.
+pub fn start_pooler_with_sockets(endpoints: &[String], sockets: u32) -> RunningPooler {
+    start_pooler_with_config(endpoints, |text| {
+        text.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"))
+    })
 }
 
-/// The program on a configuration that `change` makes of the usual one.
-pub fn started_on(endpoints: &[String], change: impl Fn(&str) -> String) -> Setup {
-    let discovery = Discovery::start();
+/// Starts the program on the usual configuration as `edit` changes it.
+pub fn start_pooler_with_config(endpoints: &[String], edit: impl Fn(&str) -> String) -> RunningPooler {
+    let discovery = DiscoveryServer::start();
     discovery.preset(endpoints);
-    let path = folder("platform").join("config.json");
-    std::fs::write(&path, change(&config("127.0.0.1:0", discovery.address, SETTINGS))).unwrap();
-    let (daemon, address) = daemon_on(&path);
+    let config_path = test_directory("platform").join("config.json");
+    std::fs::write(&config_path, edit(&config("127.0.0.1:0", discovery.address, SETTINGS))).unwrap();
+    let StartedDaemon { daemon, address } = start_daemon(&config_path);
     discovery.wait_for_watch();
-    Setup { config: path, daemon, address, discovery }
+    RunningPooler { config_path, daemon, address, discovery }
 }
 
-/// The program on a configuration, and where clients find it.
-pub fn daemon_on(config: &std::path::Path) -> (Daemon, SocketAddr) {
-    let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config.to_str().unwrap())]);
-    let address = daemon.address("clients at ");
-    (daemon, address)
+/// The program without a discovery server of its own.
+pub struct StartedDaemon {
+    pub daemon: Daemon,
+    /// Where clients connect.
+    pub address: SocketAddr,
+}
+
+/// Starts the program on a configuration and waits until it accepts clients.
+pub fn start_daemon(config_path: &Path) -> StartedDaemon {
+    let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+    let address = daemon.wait_for_address("clients at ");
+    StartedDaemon { daemon, address }
+}
+
+/// A read of group 1 with an id and a deadline.
+pub fn read_statement(id: &str, deadline_ms: u32) -> String {
+    format!("/* id={id},c=read,d={deadline_ms},cluster=1 */ SELECT payload FROM entries WHERE ref = 'a'")
 }
 
-pub fn read(id: &str, wait: u32) -> String {
-    format!("/* id={id},c=read,d={wait},cluster=1 */ SELECT payload FROM entries WHERE ref = 'a'")
+/// A write to group 1 without an idempotency key: after a break it may not be retried.
+pub fn write_statement(id: &str, deadline_ms: u32) -> String {
+    write_statement_with(id, deadline_ms, "")
 }
 
-pub fn write(id: &str, wait: u32, key: &str) -> String {
+/// A write to group 1 with an idempotency key.
+pub fn keyed_write_statement(id: &str, deadline_ms: u32, key: usize) -> String {
+    write_statement_with(id, deadline_ms, &format!(",k={key}"))
+}
+
+fn write_statement_with(id: &str, deadline_ms: u32, key: &str) -> String {
     format!(
-        "/* id={id},c=write,d={wait}{key},cluster=1 */ INSERT INTO entries (ref, payload) VALUES ('a', 'b') RETURNING payload"
+        "/* id={id},c=write,d={deadline_ms}{key},cluster=1 */ INSERT INTO entries (ref, payload) VALUES ('a', 'b') RETURNING payload"
     )
 }
 
-/// A believed primary that takes writes; the module starts at the first in its order, so both stand in.
-pub fn pair(primary: impl Fn(&str) -> Reply + Send + Sync + 'static) -> (PgHost, PgHost) {
-    let replica =
-        |text: &str| if text.contains("INSERT") { Reply::Error("25006") } else { Reply::Row(b"replica") };
-    (PgHost::start("source", primary), PgHost::start("copy", replica))
+/// A group of a primary and a replica. The router starts at the first of its ring, so a write may reach the
+/// replica first, which rejects it; a read may reach either.
+pub struct PostgresGroup {
+    pub primary: PostgresEndpoint,
+    pub replica: PostgresEndpoint,
+}
+
+impl PostgresGroup {
+    /// A primary that replies like this, and a replica that answers every read with `replica`.
+    pub fn start(primary_reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> PostgresGroup {
+        let replica_reply = |text: &str| {
+            if text.contains("INSERT") { Reply::Error("25006") } else { Reply::Row(b"replica") }
+        };
+        PostgresGroup {
+            primary: PostgresEndpoint::primary(primary_reply),
+            replica: PostgresEndpoint::replica(replica_reply),
+        }
+    }
+
+    /// Both endpoints as entries of group 1.
+    pub fn endpoint_list(&self) -> Vec<String> {
+        primary_and_replica_list(&self.primary, &self.replica)
+    }
+
+    /// How many statements both endpoints have received.
+    pub fn statement_count(&self) -> usize {
+        self.primary.statement_count() + self.replica.statement_count()
+    }
 }
 
-pub fn both(p: &PgHost, r: &PgHost) -> Vec<String> {
-    vec![endpoint("p", p.address, 1, "active"), endpoint("r", r.address, 1, "active")]
+/// Two endpoints as entries `p` and `r` of group 1.
+pub fn primary_and_replica_list(primary: &PostgresEndpoint, replica: &PostgresEndpoint) -> Vec<String> {
+    vec![endpoint_json("p", primary.address, 1, "active"), endpoint_json("r", replica.address, 1, "active")]
 }
