--- a/tests/stand_in/postgres/client.rs
+++ b/tests/stand_in/postgres/client.rs
@@ -1,64 +1,100 @@
 //! A client of the pooler.
 
-use super::super::*;
-use super::*;
+use super::super::waiting::DEFAULT_TIMEOUT;
+use super::messages::{self, error_field, kind};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 
-/// What a client was answered, up to ReadyForQuery.
+/// Length of what stands before the value in a data row of one column: the number of columns and the value's
+/// length.
+const DATA_ROW_HEAD_BYTES: usize = 6;
+
+/// What a client received up to one ReadyForQuery, or up to the end of the connection.
 #[derive(Debug, Default, PartialEq)]
-pub struct Answer {
+pub struct PostgresResponse {
+    /// The value of the last row.
     pub value: Option<Vec<u8>>,
-    pub code: Option<String>,
+    pub sqlstate: Option<String>,
+    /// The error's detail: the time to retry after, in milliseconds.
     pub detail: Option<String>,
-    pub empty: bool,
-    pub fatal: bool,
+    /// Whether the query was an empty one.
+    pub is_empty_query: bool,
+    /// Whether the error ends the connection.
+    pub is_fatal: bool,
+}
+
+impl PostgresResponse {
+    /// ReadyForQuery with neither a row nor an error before it, as after a startup message.
+    pub const READY: PostgresResponse = PostgresResponse {
+        value: None,
+        sqlstate: None,
+        detail: None,
+        is_empty_query: false,
+        is_fatal: false,
+    };
 }
 
-pub struct PgClient {
+/// The [`PostgresResponse::value`] of a response with this row.
+pub fn row_of(value: &[u8]) -> Option<Vec<u8>> {
+    Some(value.to_vec())
+}
+
+/// One connection to the pooler.
+pub struct PostgresClient {
     pub stream: TcpStream,
 }
 
-impl PgClient {
-    pub fn connect(address: SocketAddr) -> PgClient {
-        let mut client = PgClient::raw(address);
-        client.send(&pg_startup());
-        assert_eq!(client.answer(), Some(Answer::default()));
+impl PostgresClient {
+    /// Connects and completes the startup.
+    pub fn connect(address: SocketAddr) -> PostgresClient {
+        let mut client = PostgresClient::connect_without_startup(address);
+        client.send(&messages::startup());
+        assert_eq!(client.receive(), Some(PostgresResponse::READY));
         client
     }
 
-    pub fn raw(address: SocketAddr) -> PgClient {
+    /// Connects and sends nothing.
+    pub fn connect_without_startup(address: SocketAddr) -> PostgresClient {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        PgClient { stream }
+        stream.set_read_timeout(Some(DEFAULT_TIMEOUT)).unwrap();
+        PostgresClient { stream }
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The next answer; `None` when the connection has ended.
-    pub fn answer(&mut self) -> Option<Answer> {
-        let mut answer = Answer::default();
+    /// Sends a query and does not wait for its response.
+    pub fn send_query(&mut self, text: &str) {
+        self.send(&messages::query(text));
+    }
+
+    /// The next response; `None` when the connection has ended.
+    pub fn receive(&mut self) -> Option<PostgresResponse> {
+        let mut response = PostgresResponse::default();
         loop {
-            match pg_read(&mut self.stream) {
-                Some((b'Z', _)) => return Some(answer),
-                Some((b'D', body)) => answer.value = Some(body[6..].to_vec()),
-                Some((b'I', _)) => answer.empty = true,
-                Some((b'E', body)) => {
-                    answer.code = pg_field(&body, b'C');
-                    answer.detail = pg_field(&body, b'D');
-                    answer.fatal = pg_field(&body, b'S').as_deref() == Some("FATAL");
+            let Some(message) = messages::read_message(&mut self.stream) else {
+                return (response != PostgresResponse::READY).then_some(response);
+            };
+            match message.kind {
+                kind::READY_FOR_QUERY => return Some(response),
+                kind::DATA_ROW => response.value = Some(message.body[DATA_ROW_HEAD_BYTES..].to_vec()),
+                kind::EMPTY_QUERY_RESPONSE => response.is_empty_query = true,
+                kind::ERROR_RESPONSE => {
+                    response.sqlstate = message.error_field(error_field::SQLSTATE);
+                    response.detail = message.error_field(error_field::DETAIL);
+                    let severity = message.error_field(error_field::SEVERITY);
+                    response.is_fatal = severity.as_deref() == Some("FATAL");
                 }
-                Some(_) => {}
-                None => return (answer != Answer::default()).then_some(answer),
+                _ => {}
             }
         }
     }
 
-    pub fn ask(&mut self, text: &str) -> Answer {
-        self.send(&pg_query(text));
-        self.answer().expect("an answer")
+    /// One query and its response.
+    pub fn query(&mut self, text: &str) -> PostgresResponse {
+        self.send_query(text);
+        self.receive().expect("an answer")
     }
 }
--- a/tests/stand_in/postgres/endpoint.rs
+++ b/tests/stand_in/postgres/endpoint.rs
@@ -1,115 +1,149 @@
 //! A stand-in endpoint that answers each statement as the test says.
 
-use super::super::*;
-use super::*;
+use super::super::network::spawn_server;
+use super::super::waiting::{DEFAULT_TIMEOUT, now_ms};
+use super::messages;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 
-/// What a host does with a statement.
+/// The parameter `rank` of a primary and of a replica.
+const PRIMARY_RANK: &str = "source";
+const REPLICA_RANK: &str = "copy";
+
+/// What a stand-in endpoint does with a statement.
 pub enum Reply {
+    /// A row with this value.
     Row(&'static [u8]),
+    /// An error with this SQLSTATE.
     Error(&'static str),
-    /// Says nothing until the other side closes.
-    Silence,
-    /// Ends the connection.
-    LogRollback,
-    /// Answers, then ends the connection.
-    RowThenEnd(&'static [u8]),
-    /// Exactly these bytes; the connection stays open.
-    Raw(Vec<u8>),
-    /// Exactly these bytes, then nothing until the other side closes.
-    RawThenSilence(Vec<u8>),
-    /// Exactly these bytes, then the end.
-    RawThenEnd(Vec<u8>),
-    /// Answers once this is told.
-    After(Arc<Mutex<Receiver<()>>>, &'static [u8]),
+    /// No answer; the connection stays open until the other side closes it.
+    NoAnswer,
+    /// No answer; the endpoint closes the connection.
+    Close,
+    /// A row, then the endpoint closes the connection.
+    RowThenClose(&'static [u8]),
+    /// Exactly these bytes; the connection stays open for the next statement.
+    Bytes(Vec<u8>),
+    /// Exactly these bytes, then nothing until the other side closes the connection.
+    BytesThenSilence(Vec<u8>),
+    /// Exactly these bytes, then the endpoint closes the connection.
+    BytesThenClose(Vec<u8>),
+    /// A row, once the test has released it.
+    RowAfterRelease(ReleaseSignal, &'static [u8]),
 }
 
-/// A host that speaks PostgreSQL's protocol.
-pub struct PgHost {
+/// Receives one message for each answer that may be given. When the sender is dropped, all are released.
+pub type ReleaseSignal = Arc<Mutex<Receiver<()>>>;
+
+/// A channel for [`Reply::RowAfterRelease`].
+pub fn release_channel() -> (Sender<()>, ReleaseSignal) {
+    let (release, released) = channel();
+    (release, Arc::new(Mutex::new(released)))
+}
+
+/// An endpoint that speaks PostgreSQL's protocol.
+pub struct PostgresEndpoint {
     pub address: SocketAddr,
-    pub statements: Arc<Mutex<Vec<String>>>,
-    /// A message for each statement that was left unanswered: whether its connection then ended. Also one
-    /// for each connection that the host itself has ended after its answer.
-    pub dropped: Receiver<bool>,
+    statements: Arc<Mutex<Vec<String>>>,
+    /// A message for each statement that was left unanswered: whether the other side then closed the
+    /// connection. Also `true` for each connection that the endpoint itself has closed after its answer.
+    pub closed_connections: Receiver<bool>,
 }
 
-impl PgHost {
-    pub fn start(role: &'static str, reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> PgHost {
+impl PostgresEndpoint {
+    /// An endpoint that says it is its group's primary.
+    pub fn primary(reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> PostgresEndpoint {
+        PostgresEndpoint::start(PRIMARY_RANK, reply)
+    }
+
+    /// An endpoint that says it is a replica.
+    pub fn replica(reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> PostgresEndpoint {
+        PostgresEndpoint::start(REPLICA_RANK, reply)
+    }
+
+    fn start(rank: &'static str, reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> PostgresEndpoint {
         let statements = Arc::new(Mutex::new(Vec::new()));
-        let (gone, dropped) = channel();
-        let (seen, gone) = (statements.clone(), Mutex::new(gone));
-        let address = listen(move |stream| {
-            let _ = pg_host(stream, role, &reply, &seen, &gone);
+        let (close_sender, closed_connections) = channel();
+        let behavior =
+            Behavior { rank, reply, statements: statements.clone(), closed: Mutex::new(close_sender) };
+        let address = spawn_server(move |stream| {
+            let _ = behavior.serve(stream);
         });
-        PgHost { address, statements, dropped }
+        PostgresEndpoint { address, statements, closed_connections }
+    }
+
+    /// The statements that were received so far, in order.
+    pub fn statements(&self) -> Vec<String> {
+        self.statements.lock().unwrap().clone()
     }
 
-    pub fn count(&self) -> usize {
+    /// How many statements were received so far.
+    pub fn statement_count(&self) -> usize {
         self.statements.lock().unwrap().len()
     }
 }
 
-fn pg_host(
-    mut stream: TcpStream,
-    role: &str,
-    reply: &impl Fn(&str) -> Reply,
-    seen: &Mutex<Vec<String>>,
-    gone: &Mutex<Sender<bool>>,
-) -> Option<()> {
-    let mut length = [0; 4];
-    stream.read_exact(&mut length).ok()?;
-    let mut startup = vec![0; u32::from_be_bytes(length) as usize - 4];
-    stream.read_exact(&mut startup).ok()?;
-    let ready = pg_message(b'Z', b"I");
-    stream.write_all(&[pg_message(b'R', &[0; 4]), ready.clone()].concat()).ok()?;
-    loop {
-        let (kind, body) = pg_read(&mut stream)?;
-        if kind != b'Q' {
-            return None;
+/// What the threads of an endpoint's connections share.
+struct Behavior<F> {
+    rank: &'static str,
+    reply: F,
+    statements: Arc<Mutex<Vec<String>>>,
+    closed: Mutex<Sender<bool>>,
+}
+
+impl<F: Fn(&str) -> Reply> Behavior<F> {
+    /// Serves one connection; returns when it is over.
+    fn serve(&self, mut stream: TcpStream) -> Option<()> {
+        messages::read_startup(&mut stream)?;
+        stream.write_all(&messages::startup_response()).ok()?;
+        loop {
+            let statement = messages::read_message(&mut stream)?.query_text()?;
+            self.statements.lock().unwrap().push(statement.clone());
+            // The position is of the moment before a reply that waits.
+            let rest = [self.status(), messages::ready_for_query()].concat();
+            let answer = match (self.reply)(&statement) {
+                Reply::Row(value) => [messages::row(value), rest].concat(),
+                Reply::Error(sqlstate) => [messages::error(sqlstate), rest].concat(),
+                Reply::RowAfterRelease(released, value) => {
+                    let _ = released.lock().unwrap().recv_timeout(DEFAULT_TIMEOUT);
+                    [messages::row(value), rest].concat()
+                }
+                Reply::Bytes(bytes) => bytes,
+                Reply::Close => return None,
+                Reply::NoAnswer => return self.wait_for_close(&mut stream),
+                Reply::RowThenClose(value) => {
+                    return self.write_then_close(&mut stream, &[messages::row(value), rest].concat());
+                }
+                Reply::BytesThenClose(bytes) => return self.write_then_close(&mut stream, &bytes),
+                Reply::BytesThenSilence(bytes) => {
+                    stream.write_all(&bytes).ok()?;
+                    return self.wait_for_close(&mut stream);
+                }
+            };
+            stream.write_all(&answer).ok()?;
         }
-        let text = String::from_utf8_lossy(&body[..body.len() - 1]).into_owned();
-        seen.lock().unwrap().push(text.clone());
-        let status = |name: &str, value: &str| pg_message(b'S', format!("{name}\0{value}\0").as_bytes());
-        let told = [status("rank", role), status("as_of", &now_ms().to_string())].concat();
-        let answer = match reply(&text) {
-            Reply::RowThenEnd(value) => {
-                stream.write_all(&[pg_row(value), told, ready].concat()).ok()?;
-                stream.shutdown(std::net::Shutdown::Both).ok()?;
-                let _ = gone.lock().unwrap().send(true);
-                return None;
-            }
-            Reply::Row(value) => pg_row(value),
-            Reply::Raw(bytes) => {
-                stream.write_all(&bytes).ok()?;
-                continue;
-            }
-            Reply::RawThenEnd(bytes) => {
-                stream.write_all(&bytes).ok()?;
-                stream.shutdown(std::net::Shutdown::Both).ok()?;
-                let _ = gone.lock().unwrap().send(true);
-                return None;
-            }
-            Reply::Error(code) => pg_message(b'E', format!("SERROR\0C{code}\0Mno\0\0").as_bytes()),
-            Reply::LogRollback => return None,
-            Reply::RawThenSilence(bytes) => {
-                stream.write_all(&bytes).ok()?;
-                let ended = !matches!(stream.read(&mut [0]), Ok(n) if n > 0);
-                let _ = gone.lock().unwrap().send(ended);
-                return None;
-            }
-            Reply::Silence => {
-                let ended = !matches!(stream.read(&mut [0]), Ok(n) if n > 0);
-                let _ = gone.lock().unwrap().send(ended);
-                return None;
-            }
-            Reply::After(go, value) => {
-                let _ = go.lock().unwrap().recv_timeout(PATIENCE);
-                pg_row(value)
-            }
-        };
-        stream.write_all(&[answer, told, ready.clone()].concat()).ok()?;
+    }
+
+    /// The endpoint's role and the position of its data, as it reports them with each answer.
+    fn status(&self) -> Vec<u8> {
+        let rank = messages::parameter_status("rank", self.rank);
+        let position = messages::parameter_status("as_of", &now_ms().to_string());
+        [rank, position].concat()
+    }
+
+    fn write_then_close(&self, stream: &mut TcpStream, bytes: &[u8]) -> Option<()> {
+        stream.write_all(bytes).ok()?;
+        stream.shutdown(Shutdown::Both).ok()?;
+        let _ = self.closed.lock().unwrap().send(true);
+        None
+    }
+
+    /// Waits for the other side, and tells the test whether it closed the connection or sent more.
+    fn wait_for_close(&self, stream: &mut TcpStream) -> Option<()> {
+        let sent_more = matches!(stream.read(&mut [0]), Ok(length) if length > 0);
+        let _ = self.closed.lock().unwrap().send(!sent_more);
+        None
     }
 }
--- a/tests/stand_in/postgres/manual_endpoint.rs
+++ b/tests/stand_in/postgres/manual_endpoint.rs
@@ -1,52 +1,47 @@
 //! A stand-in endpoint whose connections become ready when the test says so.
 
-use super::super::*;
-use super::*;
-use std::io::{Read, Write};
+use super::super::network::spawn_server;
+use super::super::waiting::DEFAULT_TIMEOUT;
+use super::messages;
+use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, channel};
 
-/// A host whose connections come up when the test says so.
-pub struct SlowHost {
+/// An endpoint that hands each of its connections to the test.
+pub struct ManualEndpoint {
     pub address: SocketAddr,
-    connections: Receiver<SlowConnection>,
+    connections: Receiver<ManualConnection>,
 }
 
-/// A connection that is past the pooler's startup message and waits.
-pub struct SlowConnection {
+/// A connection on which the pooler has sent its startup message and waits for the response.
+pub struct ManualConnection {
     pub stream: TcpStream,
 }
 
-impl SlowHost {
-    pub fn start() -> SlowHost {
-        let (send, connections) = channel();
-        let send = Mutex::new(send);
-        let address = listen(move |mut stream| {
-            let mut length = [0; 4];
-            if stream.read_exact(&mut length).is_err() {
-                return;
-            }
-            let mut startup = vec![0; u32::from_be_bytes(length) as usize - 4];
-            if stream.read_exact(&mut startup).is_ok() {
-                let _ = send.lock().unwrap().send(SlowConnection { stream });
+impl ManualEndpoint {
+    pub fn start() -> ManualEndpoint {
+        let (connection_sender, connections) = channel();
+        let connection_sender = Mutex::new(connection_sender);
+        let address = spawn_server(move |mut stream| {
+            if messages::read_startup(&mut stream).is_some() {
+                let _ = connection_sender.lock().unwrap().send(ManualConnection { stream });
             }
         });
-        SlowHost { address, connections }
+        ManualEndpoint { address, connections }
     }
 
-    pub fn next(&self) -> SlowConnection {
-        self.connections.recv_timeout(PATIENCE).expect("a connection to the host")
+    /// Waits for the pooler's next connection.
+    pub fn next_connection(&self) -> ManualConnection {
+        self.connections.recv_timeout(DEFAULT_TIMEOUT).expect("a connection to the host")
     }
 }
 
-impl SlowConnection {
-    /// Comes up; the first statement on it, or `None` where it ends without one.
-    pub fn welcome_then_read(&self) -> Option<String> {
+impl ManualConnection {
+    /// Completes the startup and returns the first statement, or `None` when the connection ends without one.
+    pub fn complete_startup(&self) -> Option<String> {
         let mut stream = &self.stream;
-        let ready = [pg_message(b'R', &[0; 4]), pg_message(b'Z', b"I")].concat();
-        stream.write_all(&ready).ok()?;
-        let (kind, body) = pg_read(&mut stream)?;
-        (kind == b'Q').then(|| String::from_utf8_lossy(&body[..body.len() - 1]).into_owned())
+        stream.write_all(&messages::startup_response()).ok()?;
+        messages::read_message(&mut stream)?.query_text()
     }
 }
