--- /dev/null
+++ b/tests/platform/answers.rs
@@ -0,0 +1,150 @@
+//! What endpoints answer: malformed, long, cut short, missing.
+
+use super::stand_in::discovery::endpoint_json;
+use super::stand_in::platform::{
+    PostgresGroup, keyed_write_statement, read_statement, start_pooler, write_statement,
+};
+use super::stand_in::postgres::client::{PostgresClient, row_of};
+use super::stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
+use super::stand_in::postgres::messages::{self, kind};
+use super::stand_in::waiting::DEFAULT_TIMEOUT;
+use std::io::Read;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Instant;
+
+/// A row of a value of 3 bytes whose data row claims these lengths; 13 and 3 are the true ones.
+fn row_claiming(row_bytes: u32, value_bytes: u32) -> Vec<u8> {
+    let one_column = [0, 1];
+    let data_row =
+        [&[kind::DATA_ROW][..], &row_bytes.to_be_bytes(), &one_column, &value_bytes.to_be_bytes(), b"bad"];
+    let end = [messages::command_complete(), messages::ready_for_query()].concat();
+    [messages::row_description(), data_row.concat(), end].concat()
+}
+
+fn malformed_answers() -> Vec<Vec<u8>> {
+    vec![
+        row_claiming(2, 3),
+        row_claiming(3_000_000_000, 3),
+        row_claiming(40, 3),
+        row_claiming(13, 90),
+        vec![b'x'; 300],
+        b"\0\xff\r\n".to_vec(),
+        row_claiming(13, 3)[..40].to_vec(),
+    ]
+}
+
+/// Guards against malformed answers that are passed on, that are waited for until the deadline, or that count
+/// as failures of an endpoint that works.
+#[test]
+fn a_malformed_answer_is_a_failed_attempt_and_its_connection_is_not_used_again() {
+    for bytes in malformed_answers() {
+        let context = format!("{bytes:?}");
+        let statement_count = Arc::new(AtomicUsize::new(0));
+        let counter = statement_count.clone();
+        let group = PostgresGroup::start(move |_| match counter.fetch_add(1, Ordering::SeqCst) {
+            1 => Reply::Bytes(bytes.clone()),
+            _ => Reply::Row(b"good"),
+        });
+        let pooler = start_pooler(&group.endpoint_list());
+        let mut client = PostgresClient::connect(pooler.address);
+        assert_eq!(client.query(&write_statement("0", 1900)).sqlstate, None, "now the primary is known");
+        let sent_at = Instant::now();
+        let keyed = client.query(&keyed_write_statement("1", 1900, 9));
+        assert_eq!(keyed.value, row_of(b"good"), "{context}");
+        assert!(sent_at.elapsed().as_millis() < 1_000, "not waited for: {context}");
+        assert_eq!(statement_count.load(Ordering::SeqCst), 3, "{context}");
+        // Without a key it may not be retried: it has run, or may have.
+        statement_count.store(1, Ordering::SeqCst);
+        let without_key = client.query(&write_statement("2", 1900));
+        assert_eq!(without_key.sqlstate.as_deref(), Some("58000"), "{context}");
+        assert_eq!(client.query(&write_statement("3", 1900)).value, row_of(b"good"), "{context}");
+        assert_eq!(statement_count.load(Ordering::SeqCst), 3, "{context}");
+    }
+}
+
+/// Guards against correct answers that are taken for malformed because of their length, and against a
+/// connection that cannot be used after one.
+#[test]
+fn long_values_pass_whole() {
+    static LONG_VALUE: [u8; 4 * 1024 * 1024] = [7; 4 * 1024 * 1024];
+    let group = PostgresGroup::start(|text| match text.contains("id=1,") {
+        true => Reply::Row(&LONG_VALUE[..70_000]),
+        false => Reply::Row(&LONG_VALUE),
+    });
+    let pooler = start_pooler(&group.endpoint_list());
+    let mut client = PostgresClient::connect(pooler.address);
+    for (id, length) in [("1", 70_000), ("2", LONG_VALUE.len()), ("3", LONG_VALUE.len())] {
+        let response = client.query(&write_statement(id, 5_000));
+        assert!(response.value.as_deref() == Some(&LONG_VALUE[..length]), "{id}: {:?}", response.sqlstate);
+    }
+    let mut pipelining = PostgresClient::connect(pooler.address);
+    let long_query = messages::query(&write_statement("4", 5_000));
+    let shorter_query = messages::query(&write_statement("1", 5_000));
+    pipelining.send(&[long_query, shorter_query].concat());
+    let mut received_length = || pipelining.receive().unwrap().value.map(|value| value.len());
+    assert_eq!(received_length(), Some(LONG_VALUE.len()));
+    assert_eq!(received_length(), Some(70_000), "in their order");
+}
+
+/// Guards against a long value that is kept back until it is complete, and against one that breaks off and
+/// passes for complete.
+#[test]
+fn a_long_value_passes_on_as_it_comes_and_the_client_can_tell_where_it_broke_off() {
+    const VALUE_BYTES: usize = 200_000;
+    const ROW_DESCRIPTION_BYTES: usize = 33;
+    const DATA_ROW_HEAD_BYTES: usize = 11;
+    let half_of_a_row = || messages::partial_row(VALUE_BYTES, &[9; VALUE_BYTES / 2]);
+    let row_without_end = || messages::partial_row(VALUE_BYTES, &[9; VALUE_BYTES]);
+    let group = PostgresGroup::start(move |text| match text {
+        text if text.contains("id=1,") => Reply::BytesThenSilence(half_of_a_row()),
+        text if text.contains("id=2,") => Reply::BytesThenClose(half_of_a_row()),
+        text if text.contains("id=3,") => {
+            Reply::BytesThenClose([row_without_end(), b"!!!!!".to_vec()].concat())
+        }
+        text if text.contains("id=4,") => Reply::Bytes(messages::partial_row(3_000_000_000, &[9; 20])),
+        _ => Reply::Row(b"x"),
+    });
+    let pooler = start_pooler(&group.endpoint_list());
+    // The endpoint has sent half of it and sends no more: the client already has that half.
+    let mut waiting = PostgresClient::connect(pooler.address);
+    waiting.send_query(&keyed_write_statement("1", 1_000, 1));
+    let mut received_half = vec![0; ROW_DESCRIPTION_BYTES + DATA_ROW_HEAD_BYTES + VALUE_BYTES / 2];
+    waiting.stream.read_exact(&mut received_half).unwrap();
+    drop(waiting);
+    let closed = group.primary.closed_connections.recv_timeout(DEFAULT_TIMEOUT);
+    assert_eq!(closed, Ok(true), "its attempt ends with the client");
+    for id in ["2", "3"] {
+        let mut client = PostgresClient::connect(pooler.address);
+        client.send_query(&keyed_write_statement(id, 1_000, 1));
+        let mut received = Vec::new();
+        let _ = client.stream.read_to_end(&mut received);
+        let ends_as_complete = received.ends_with(b"Z\0\0\0\x05I");
+        assert!(received.len() >= VALUE_BYTES / 2 && !ends_as_complete, "{id}: it cannot pass for whole");
+    }
+    let count_before = group.primary.statement_count();
+    let response = PostgresClient::connect(pooler.address).query(&write_statement("4", 1_000));
+    let count_after = group.primary.statement_count();
+    let outcome = (response.sqlstate.as_deref(), count_after);
+    assert_eq!(outcome, (Some("58000"), count_before + 1), "rejected by its head");
+    let response = PostgresClient::connect(pooler.address).query(&write_statement("5", 5_000));
+    assert_eq!(response.value, row_of(b"x"));
+}
+
+/// Guards against a request that outlives its deadline, and against a rejection without a time to retry
+/// after.
+#[test]
+fn a_request_without_an_answer_fails_at_its_deadline_and_a_rejected_one_gets_a_retry_after() {
+    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let pooler = start_pooler(&group.endpoint_list());
+    let sent_at = Instant::now();
+    let response = PostgresClient::connect(pooler.address).query(&keyed_write_statement("1", 300, 1));
+    assert_eq!(response.sqlstate.as_deref(), Some("57014"));
+    assert!(sent_at.elapsed().as_millis() < 1_000);
+    let overloaded = PostgresEndpoint::replica(|_| Reply::Error("53300"));
+    pooler.discovery.publish(&[endpoint_json("f", overloaded.address, 1, "active")]);
+    let response = PostgresClient::connect(pooler.address).query(&read_statement("2", 400));
+    assert_eq!(response.sqlstate.as_deref(), Some("53300"));
+    let retry_after_ms: u32 = response.detail.unwrap().parse().unwrap();
+    assert!(retry_after_ms > 0);
+}
--- /dev/null
+++ b/tests/platform/main.rs
@@ -0,0 +1,10 @@
+//! The program on the platform's protocol: started as the platform starts it, with clients, endpoints and
+//! discovery on sockets.
+
+#[path = "../stand_in/mod.rs"]
+mod stand_in;
+
+mod answers;
+mod attempts;
+mod clients;
+mod signals;
--- /dev/null
+++ b/tests/platform/signals.rs
@@ -0,0 +1,94 @@
+//! SIGTERM, SIGHUP, and malformed configurations.
+
+use super::stand_in::daemon::{Daemon, test_directory};
+use super::stand_in::discovery::{DiscoveryServer, endpoint_json};
+use super::stand_in::network::unused_address;
+use super::stand_in::platform::{
+    PostgresGroup, SETTINGS, config, keyed_write_statement, read_statement, start_pooler,
+};
+use super::stand_in::postgres::client::{PostgresClient, row_of};
+use super::stand_in::postgres::endpoint::{PostgresEndpoint, Reply, release_channel};
+use super::stand_in::waiting::eventually;
+
+/// Guards against requests lost at a planned restart.
+#[test]
+fn sigterm_answers_all_that_was_taken_and_then_ends() {
+    let (release, released) = release_channel();
+    let group = PostgresGroup::start(move |text| match text.contains("INSERT") {
+        true => Reply::RowAfterRelease(released.clone(), b"late"),
+        false => Reply::Row(b"replica"),
+    });
+    let mut pooler = start_pooler(&group.endpoint_list());
+    let mut client = PostgresClient::connect(pooler.address);
+    let mut idle = PostgresClient::connect(pooler.address);
+    client.send_query(&keyed_write_statement("1", 2_000, 1));
+    eventually("the primary has the write", || group.primary.statement_count() == 1);
+    pooler.daemon.signal("-TERM");
+    pooler.daemon.wait_for_log("draining");
+    assert_eq!(idle.query(&read_statement("2", 1000)).value, row_of(b"replica"), "taken after SIGTERM");
+    release.send(()).unwrap();
+    assert_eq!(client.receive().unwrap().value, row_of(b"late"));
+    assert_eq!(idle.receive(), None, "idle connections end");
+    assert!(pooler.daemon.wait_for_exit().success());
+}
+
+/// Guards against a reload that ends the program, waits for the old discovery server, or fails an open
+/// request.
+#[test]
+fn sighup_moves_discovery_at_once_and_leaves_open_requests_alone() {
+    let (release, released) = release_channel();
+    let group = PostgresGroup::start(move |text| match text.contains("INSERT") {
+        true => Reply::RowAfterRelease(released.clone(), b"late"),
+        false => Reply::Row(b"old"),
+    });
+    let new_replica = PostgresEndpoint::replica(|_| Reply::Row(b"new"));
+    let mut pooler = start_pooler(&group.endpoint_list());
+    let mut client = PostgresClient::connect(pooler.address);
+    client.send_query(&keyed_write_statement("1", 5_000, 1));
+    eventually("the primary has the write", || group.primary.statement_count() == 1);
+    let new_discovery = DiscoveryServer::start();
+    new_discovery.preset(&[
+        endpoint_json("p", group.primary.address, 1, "leaving"),
+        endpoint_json("other", new_replica.address, 1, "active"),
+    ]);
+    std::fs::write(&pooler.config_path, config("127.0.0.1:0", new_discovery.address, SETTINGS)).unwrap();
+    // The old discovery server holds a watch open meanwhile and does not answer it.
+    pooler.daemon.signal("-HUP");
+    pooler.daemon.wait_for_log("SIGHUP: discovery at");
+    new_discovery.wait_for_watch();
+    let mut second_client = PostgresClient::connect(pooler.address);
+    for number in 2..12 {
+        let response = second_client.query(&read_statement(&number.to_string(), 1000));
+        assert_eq!(response.value, row_of(b"new"));
+    }
+    std::fs::write(&pooler.config_path, "{\"name\":7}").unwrap();
+    pooler.daemon.signal("-HUP");
+    let line = pooler.daemon.wait_for_log("the last good configuration stays");
+    assert!(line.contains("name is no text"), "{line}");
+    new_discovery.publish(&[endpoint_json("other", new_replica.address, 1, "active")]);
+    release.send(()).unwrap();
+    assert_eq!(client.receive().unwrap().value, row_of(b"late"));
+    pooler.daemon.signal("-TERM");
+    pooler.daemon.signal("-HUP");
+    pooler.daemon.wait_for_log("the last good configuration stays");
+    assert!(pooler.daemon.wait_for_exit().success());
+}
+
+/// Guards against an error in a configuration that the log does not locate.
+#[test]
+fn a_bad_configuration_is_one_line_with_file_and_line() {
+    let path = test_directory("bad").join("config.json");
+    let file = path.to_str().unwrap();
+    let good = config("127.0.0.1:0", unused_address(), SETTINGS);
+    for (text, error) in [
+        (good.replace("\"repeat\":\"by_key\"", "\"repeat\":\"by_key\"]"), "line 6"),
+        (good.replace("127.0.0.1:0", "here"), "listen"),
+        (good.replace("\"deadline\":2.0", "\"deadline\":\"soon\""), "services.1.deadline"),
+    ] {
+        std::fs::write(&path, text).unwrap();
+        let mut daemon = Daemon::start(&[], &[("GW_CONFIG", file)]);
+        let line = daemon.wait_for_log(file);
+        assert!(line.contains(error), "{line}");
+        assert!(!daemon.wait_for_exit().success());
+    }
+}
--- /dev/null
+++ b/tests/stand_in/daemon.rs
@@ -0,0 +1,107 @@
+//! The program under test as a child process, and its log.
+
+use super::waiting::DEFAULT_TIMEOUT;
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Child, Command, ExitStatus, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::mpsc::{Receiver, channel};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Pause between two looks at whether the child process has exited.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Creates an empty directory that no other test uses.
+pub fn test_directory(name: &str) -> PathBuf {
+    static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+    let process = std::process::id();
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{process}-{number}"));
+    let _ = std::fs::remove_dir_all(&path);
+    std::fs::create_dir_all(&path).unwrap();
+    path
+}
+
+/// A process of the program under test; killed when dropped.
+pub struct Daemon {
+    pub child: Child,
+    log: Receiver<String>,
+    /// The log lines that were read so far, in order.
+    pub log_lines: Vec<String>,
+}
+
+impl Daemon {
+    /// Starts the program with these arguments and environment variables.
+    pub fn start(arguments: &[&str], variables: &[(&str, &str)]) -> Daemon {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_brookpass"));
+        command.args(arguments).env_remove("GW_CONFIG").envs(variables.iter().copied());
+        Daemon::spawn(command)
+    }
+
+    /// Starts a command that runs the program, and reads its standard error as the log.
+    pub fn spawn(mut command: Command) -> Daemon {
+        let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
+        let standard_error = BufReader::new(child.stderr.take().unwrap());
+        let (log_sender, log) = channel();
+        thread::spawn(move || {
+            for line in standard_error.lines().map_while(Result::ok) {
+                if log_sender.send(line).is_err() {
+                    return;
+                }
+            }
+        });
+        Daemon { child, log, log_lines: Vec::new() }
+    }
+
+    /// Waits for a log line that contains `text`, and returns it.
+    pub fn wait_for_log(&mut self, text: &str) -> String {
+        loop {
+            match self.log.recv_timeout(DEFAULT_TIMEOUT) {
+                Ok(line) => {
+                    self.log_lines.push(line.clone());
+                    if line.contains(text) {
+                        return line;
+                    }
+                }
+                Err(error) => panic!("no line with {text:?} ({error}): {:#?}", self.log_lines),
+            }
+        }
+    }
+
+    /// Waits for a log line that contains `prefix`, and returns the address behind it.
+    pub fn wait_for_address(&mut self, prefix: &str) -> SocketAddr {
+        let line = self.wait_for_log(prefix);
+        let after_prefix = line.split(prefix).nth(1).unwrap();
+        let is_address_character = |character: char| character.is_ascii_digit() || ".:".contains(character);
+        let end =
+            after_prefix.find(|character| !is_address_character(character)).unwrap_or(after_prefix.len());
+        after_prefix[..end].parse().unwrap()
+    }
+
+    /// Sends a signal, named as for kill(1): `-TERM`.
+    pub fn signal(&self, name: &str) {
+        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
+        assert!(sent.success());
+    }
+
+    /// Waits until the process has exited.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let deadline = Instant::now() + DEFAULT_TIMEOUT;
+        loop {
+            if let Some(status) = self.child.try_wait().unwrap() {
+                return status;
+            }
+            assert!(Instant::now() < deadline, "the daemon still runs: {:#?}", self.log_lines);
+            thread::sleep(EXIT_POLL_INTERVAL);
+        }
+    }
+}
+
+impl Drop for Daemon {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
