--- a/lab/src/bin/measure/calm.rs
+++ b/lab/src/bin/fleet-bench/calm.rs
@@ -1,8 +1,8 @@
 //! The measurement `calm`.
 
 use super::Bench;
-use brookpass_lab::client::Plan;
-use brookpass_lab::fleet::Setup;
+use brookpass_testkit::client::Plan;
+use brookpass_testkit::fleet::Setup;
 use std::thread;
 use std::time::Duration;
 
--- a/lab/src/bin/measure/catch_up.rs
+++ b/lab/src/bin/fleet-bench/catch_up.rs
@@ -1,7 +1,7 @@
 //! The measurement `catch_up`.
 
 use super::{Bench, ms};
-use brookpass_lab::fleet::Setup;
+use brookpass_testkit::fleet::Setup;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,8 @@
                 let at = at[part % 2];
                 s.spawn(move || {
                     let patience = Duration::from_secs(10);
-                    let mut open = brookpass_lab::http::Connection::open(at, patience).expect("a connection");
+                    let mut open =
+                        brookpass_testkit::http::Connection::open(at, patience).expect("a connection");
                     for n in 0..per {
                         for word in ["drain", "undrain"] {
                             let path = format!("/{word}/x-{}", part * per + n);
--- a/lab/src/bin/measure/disk.rs
+++ b/lab/src/bin/fleet-bench/disk.rs
@@ -1,8 +1,8 @@
 //! The measurement `disk`.
 
 use super::Bench;
-use brookpass_lab::client::Plan;
-use brookpass_lab::fleet::{Lab, Setup};
+use brookpass_testkit::client::Plan;
+use brookpass_testkit::fleet::{Lab, Setup};
 use std::thread;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
         let look = |lab: &Lab| -> (u64, u64) {
             let door = lab.daemons[0].process.as_ref().expect("it runs").address("operators at http://");
             let text =
-                brookpass_lab::http::call(door, "GET", "/v1/metrics").map_or(String::new(), |m| m.text());
+                brookpass_testkit::http::call(door, "GET", "/v1/metrics").map_or(String::new(), |m| m.text());
             let line =
                 text.lines().find_map(|l| l.strip_prefix("svc.fleet.disk_writes:").map(str::to_string));
             let writes = line.and_then(|l| l.split('|').next()?.parse().ok()).unwrap_or(0);
--- a/lab/src/bin/measure/drains.rs
+++ b/lab/src/bin/fleet-bench/drains.rs
@@ -1,7 +1,7 @@
 //! The measurement `drains`.
 
 use super::{Bench, millis, ms};
-use brookpass_lab::fleet::Setup;
+use brookpass_testkit::fleet::Setup;
 use std::thread;
 use std::time::{Duration, Instant};
 
--- a/lab/src/bin/measure/front.rs
+++ b/lab/src/bin/fleet-bench/front.rs
@@ -1,8 +1,8 @@
 //! The measurement `front`.
 
 use super::Bench;
-use brookpass_lab::client::{Asked, Plan};
-use brookpass_lab::fleet::Setup;
+use brookpass_testkit::client::{Asked, Plan};
+use brookpass_testkit::fleet::Setup;
 use hdrhistogram::Histogram;
 use std::thread;
 use std::time::Duration;
--- a/lab/src/bin/measure/idle.rs
+++ b/lab/src/bin/fleet-bench/idle.rs
@@ -1,8 +1,8 @@
 //! The measurement `idle`.
 
 use super::{Bench, ms};
-use brookpass_lab::eventually;
-use brookpass_lab::fleet::{Lab, Setup};
+use brookpass_testkit::eventually;
+use brookpass_testkit::fleet::{Lab, Setup};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -34,7 +34,7 @@
         let began = Instant::now();
         lab.start_all();
         let hosts = |n: usize| {
-            brookpass_lab::http::call(lab.daemons[n].store, "GET", "/hosts")
+            brookpass_testkit::http::call(lab.daemons[n].store, "GET", "/hosts")
                 .map_or(0, |m| m.text().lines().count())
         };
         eventually("all have all hosts", || (0..3).all(|n| hosts(n) >= 10_000));
--- a/lab/src/bin/measure/leader.rs
+++ b/lab/src/bin/fleet-bench/leader.rs
@@ -1,8 +1,8 @@
 //! The measurement `leader`.
 
 use super::{Bench, millis, ms};
-use brookpass_lab::eventually;
-use brookpass_lab::fleet::Setup;
+use brookpass_testkit::eventually;
+use brookpass_testkit::fleet::Setup;
 use std::time::Instant;
 
 impl Bench {
--- a/lab/src/bin/measure/main.rs
+++ b/lab/src/bin/fleet-bench/main.rs
@@ -10,7 +10,7 @@
 mod power;
 mod zone;
 
-use brookpass_lab::fleet::{Lab, Setup};
+use brookpass_testkit::fleet::{Lab, Setup};
 use clap::{Parser, ValueEnum};
 use std::path::PathBuf;
 use std::time::Duration;
--- a/lab/src/bin/measure/power.rs
+++ b/lab/src/bin/fleet-bench/power.rs
@@ -1,10 +1,10 @@
 //! The measurement `power`.
 
 use super::Bench;
-use brookpass_lab::client::{Asked, Plan};
-use brookpass_lab::fleet::Setup;
-use brookpass_lab::oracle::{self, Model, worth};
-use brookpass_lab::{check, now};
+use brookpass_testkit::client::{Asked, Plan};
+use brookpass_testkit::fleet::Setup;
+use brookpass_testkit::oracle::{self, Model, worth};
+use brookpass_testkit::{check, now};
 use std::thread;
 use std::time::Duration;
 
@@ -72,7 +72,7 @@
             all.into_iter().filter(|at| (from..from + 1_100_000).contains(at)).count()
         };
         let in_first = |host: &str| {
-            let reached = |a: &&brookpass_lab::host::Arrival| {
+            let reached = |a: &&brookpass_testkit::host::Arrival| {
                 a.host == host && (began - 100_000..began + 1_000_000).contains(&a.at)
             };
             (
@@ -110,7 +110,7 @@
                     limit(at, at + window),
                     refused.count()
                 );
-                let leads = |a: &&brookpass_lab::host::Arrival| lab.hosts.named(&a.host).is_primary();
+                let leads = |a: &&brookpass_testkit::host::Arrival| lab.hosts.named(&a.host).is_primary();
                 let reads = arrivals.iter().filter(|a| !a.write && (at..at + window).contains(&a.at));
                 println!(
                     "{name} | {} ms: reads that reached hosts; primaries among these, own | {} | {}, {} |",
@@ -123,7 +123,7 @@
                     let mine = |a: &&Asked| {
                         a.status == 200 && a.write == write && (at..at + window).contains(&a.until)
                     };
-                    let theirs = |a: &&brookpass_lab::host::Arrival| {
+                    let theirs = |a: &&brookpass_testkit::host::Arrival| {
                         a.served && a.write == write && (at..at + window).contains(&a.until)
                     };
                     let clients: Vec<i64> = asked.iter().filter(mine).map(|a| a.until - a.sent).collect();
--- a/lab/src/bin/measure/zone.rs
+++ b/lab/src/bin/fleet-bench/zone.rs
@@ -1,9 +1,9 @@
 //! The measurement `zone`.
 
 use super::{Bench, ms};
-use brookpass_lab::client::Plan;
-use brookpass_lab::fleet::{Lab, Setup};
-use brookpass_lab::{check, now};
+use brookpass_testkit::client::Plan;
+use brookpass_testkit::fleet::{Lab, Setup};
+use brookpass_testkit::{check, now};
 use std::thread;
 use std::time::{Duration, Instant};
 
--- a/tests/fleet_recovery.rs
+++ b/tests/fleet_recovery.rs
@@ -1,8 +1,8 @@
 //! The whole fleet after a loss of power: what each daemon trusts from before, and what nobody loses.
 
-use brookpass_lab::check;
-use brookpass_lab::fleet::{Lab, Setup};
-use brookpass_lab::{eventually, http};
+use brookpass_testkit::check;
+use brookpass_testkit::fleet::{Lab, Setup};
+use brookpass_testkit::{eventually, http};
 use std::io::Write;
 use std::path::Path;
 use std::sync::Mutex;
--- a/tests/fleet_recovery_power.rs
+++ b/tests/fleet_recovery_power.rs
@@ -1,10 +1,10 @@
 //! Power that fails for the whole fleet and its hosts, under load: in which order service returns, and what hosts and
 //! sessions get.
 
-use brookpass_lab::check::{self, Cold, Loss};
-use brookpass_lab::client::{Asked, Plan};
-use brookpass_lab::fleet::{Lab, Setup};
-use brookpass_lab::{eventually, http, now};
+use brookpass_testkit::check::{self, Cold, Loss};
+use brookpass_testkit::client::{Asked, Plan};
+use brookpass_testkit::fleet::{Lab, Setup};
+use brookpass_testkit::{eventually, http, now};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::thread;
@@ -115,7 +115,7 @@
         for n in 0..daemons {
             assert_eq!(lab.write(n, 1, 9_000 + n as u64), 200);
         }
-        let asked = |h: &brookpass_lab::host::Host| h.probes().into_iter().filter(|at| *at >= on).count();
+        let asked = |h: &brookpass_testkit::host::Host| h.probes().into_iter().filter(|at| *at >= on).count();
         let counts: Vec<usize> = lab.hosts.all.iter().map(asked).collect();
         assert!(counts.iter().all(|n| *n >= 1), "{counts:?}");
         most.push(counts.iter().sum::<usize>());
--- a/tests/fleet_replication.rs
+++ b/tests/fleet_replication.rs
@@ -1,12 +1,12 @@
 //! Several processes of the program with faults between them: what is agreed, what acts before, what never counts.
 
-use brookpass_lab::check;
-use brookpass_lab::client::Plan;
-use brookpass_lab::fleet::{Lab, Setup};
-use brookpass_lab::host::Arrival;
-use brookpass_lab::relay::Weather;
-use brookpass_lab::script::{Act, Script};
-use brookpass_lab::{eventually, http, now, seeds};
+use brookpass_testkit::check;
+use brookpass_testkit::client::Plan;
+use brookpass_testkit::fleet::{Lab, Setup};
+use brookpass_testkit::host::Arrival;
+use brookpass_testkit::relay::Weather;
+use brookpass_testkit::script::{Act, Script};
+use brookpass_testkit::{eventually, http, now, seeds};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::Path;
@@ -387,7 +387,7 @@
     // Nothing is served yet, and whoever asks is told so at once, with a time to come back.
     let front = lab.daemons[0].process.as_ref().unwrap().address("SPARQL at http://");
     for path in ["/-/ready", "/sparql?query=ASK%20%7B%7D"] {
-        let early = brookpass_lab::http::call(front, "GET", path).unwrap();
+        let early = brookpass_testkit::http::call(front, "GET", path).unwrap();
         assert_eq!((early.status(), early.header("retry-after").is_some()), (503, path != "/-/ready"));
     }
     assert_eq!(lab.post(0, "/fleet/form"), 200);
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -1,10 +1,10 @@
 //! Zones that fail under several processes: left as one agreed change, and returned to step by step.
 
-use brookpass_lab::check::{self, Cold};
-use brookpass_lab::client::{Asked, Plan};
-use brookpass_lab::fleet::{Lab, Setup};
-use brookpass_lab::script::{Act, Script, Trouble};
-use brookpass_lab::{eventually, now, seeds};
+use brookpass_testkit::check::{self, Cold};
+use brookpass_testkit::client::{Asked, Plan};
+use brookpass_testkit::fleet::{Lab, Setup};
+use brookpass_testkit::script::{Act, Script, Trouble};
+use brookpass_testkit::{eventually, now, seeds};
 use std::path::Path;
 use std::thread;
 use std::time::Duration;
@@ -22,11 +22,11 @@
 }
 
 /// A fleet whose primaries are all in the first zone, under load for long enough to know its hosts.
-fn served(daemons: usize, seed: u64) -> (Lab, brookpass_lab::client::Load) {
+fn served(daemons: usize, seed: u64) -> (Lab, brookpass_testkit::client::Load) {
     under_load(Setup { daemons, hosts: (4, 3), ..Setup::default() }, seed)
 }
 
-fn under_load(setup: Setup, seed: u64) -> (Lab, brookpass_lab::client::Load) {
+fn under_load(setup: Setup, seed: u64) -> (Lab, brookpass_testkit::client::Load) {
     let daemons = setup.daemons;
     let mut lab = lab(setup);
     lab.start_all();
@@ -96,7 +96,8 @@
 #[test]
 fn hosts_of_a_zone_that_return_cold_are_not_pushed_over() {
     let (mut lab, load) = served(3, 2);
-    let weak = |h: &brookpass_lab::host::Host| h.set(|h| (h.slots, h.work) = (4, Duration::from_millis(40)));
+    let weak =
+        |h: &brookpass_testkit::host::Host| h.set(|h| (h.slots, h.work) = (4, Duration::from_millis(40)));
     lab.hosts.of_zone("z-2").for_each(weak);
     lab.hosts.of_zone("z-2").for_each(|h| h.power_off());
     lab.all_give("z-2", 0);
@@ -261,7 +262,7 @@
     lab.all_give("z-1", 0);
     lab.all_give("z-2", 0);
     assert!((0..3).all(|n| lab.zone(n, "z-0") == Some((1000, 1000))), "the other region is kept");
-    let text = brookpass_lab::http::call(lab.daemons[0].store, "GET", "/zones").unwrap().text();
+    let text = brookpass_testkit::http::call(lab.daemons[0].store, "GET", "/zones").unwrap().text();
     assert!(
         text.lines().any(|l| l.starts_with("zone z-2 gets 0") && l.ends_with("of region north")),
         "{text}"
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -5,7 +5,7 @@
 
 use brookpass::fleet::zones::Verdict;
 use brookpass::store::zone_weights::Why;
-use brookpass_lab::fleet::{Lab, Setup};
+use brookpass_testkit::fleet::{Lab, Setup};
 use stand_in::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -3,9 +3,9 @@
 
 mod old_node;
 
-use brookpass_lab::process::Process;
-use brookpass_lab::relay::Relay;
-use brookpass_lab::{eventually, http};
+use brookpass_testkit::process::Process;
+use brookpass_testkit::relay::Relay;
+use brookpass_testkit::{eventually, http};
 use old_node::OldNode;
 use std::fs;
 use std::net::SocketAddr;
--- a/tests/old_node/mod.rs
+++ b/tests/old_node/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod wire;
 
-use brookpass_lab::eventually;
+use brookpass_testkit::eventually;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -138,7 +138,7 @@
 
 // ---- HTTP ----
 
-pub use brookpass_lab::http::{Message as Http, read_part as read_http};
+pub use brookpass_testkit::http::{Message as Http, read_part as read_http};
 
 pub struct HttpClient {
     pub reader: BufReader<TcpStream>,
