--- a/lab/src/bin/fleet-bench/calm.rs
+++ b/lab/src/bin/fleet-bench/calm.rs
@@ -1,8 +1,8 @@
 //! The measurement `calm`.
 
 use super::Bench;
-use brookpass_testkit::client::Plan;
-use brookpass_testkit::fleet::Setup;
+use brookpass_testkit::client::LoadProfile;
+use brookpass_testkit::cluster::ClusterConfig;
 use std::thread;
 use std::time::Duration;
 
@@ -13,23 +13,31 @@
         for seed in 0..seeds {
             let mut rng = fastrand::Rng::with_seed(seed);
             let daemons = [3, 3, 5][rng.usize(..3)];
-            let mut lab = self.lab(Setup { daemons, hosts: (4, 3), disk: false, ..Setup::default() });
+            let mut lab =
+                self.lab(ClusterConfig { daemons, hosts: (4, 3), disk: false, ..ClusterConfig::default() });
             lab.start_all();
             let rate = [60.0, 150.0, 400.0][rng.usize(..3)];
-            let load = lab.load(Plan { rate, clients: 24, groups: 4, seed, again: true, ..Plan::default() });
+            let load = lab.start_load(LoadProfile {
+                rate,
+                clients: 24,
+                groups: 4,
+                seed,
+                again: true,
+                ..LoadProfile::default()
+            });
             thread::sleep(Duration::from_millis(500));
             for zone in 0..3 {
                 let bad = format!("s-{}-{zone}", rng.u32(1..=4));
                 match rng.u8(..4) {
-                    0 => lab.hosts.named(&bad).set(|h| h.silent = true),
-                    1 => lab.hosts.named(&bad).set(|h| h.work = Duration::from_millis(60)),
-                    2 => lab.hosts.named(&bad).power_off(),
+                    0 => lab.hosts.get(&bad).set(|h| h.silent = true),
+                    1 => lab.hosts.get(&bad).set(|h| h.work = Duration::from_millis(60)),
+                    2 => lab.hosts.get(&bad).power_off(),
                     _ => {}
                 }
                 thread::sleep(Duration::from_millis(rng.u64(..800)));
             }
             thread::sleep(Duration::from_secs(3));
-            load.end();
+            load.finish();
             let left = |log: &Vec<String>| log.iter().filter(|l| l.contains("zones: z-")).count();
             let own: usize = lab.logs().iter().map(left).sum();
             moves += own;
--- a/lab/src/bin/fleet-bench/catch_up.rs
+++ b/lab/src/bin/fleet-bench/catch_up.rs
@@ -1,16 +1,21 @@
 //! The measurement `catch_up`.
 
 use super::{Bench, ms};
-use brookpass_testkit::fleet::Setup;
+use brookpass_testkit::cluster::ClusterConfig;
 use std::thread;
 use std::time::{Duration, Instant};
 
 impl Bench {
     pub(super) fn catch_up(&self) {
-        let mut lab = self.lab(Setup { daemons: 3, hosts: (1, 3), more_hosts: 5_000, ..Setup::default() });
+        let mut lab = self.lab(ClusterConfig {
+            daemons: 3,
+            hosts: (1, 3),
+            more_hosts: 5_000,
+            ..ClusterConfig::default()
+        });
         lab.start_all();
         lab.kill(2);
-        lab.led();
+        lab.wait_for_leader();
         let began = Instant::now();
         let (at, per) = ([lab.daemons[0].store, lab.daemons[1].store], 625);
         thread::scope(|s| {
@@ -36,13 +41,13 @@
         println!("| changes | {} | 3, one dead | 10,000 agreed, ms | {changes:.0} | |", self.label());
         let began = Instant::now();
         lab.start(2);
-        lab.ready(2);
+        lab.wait_until_ready(2);
         println!(
             "| catch-up | {} | 3 | missed 10,000 changes: until it serves, ms | {:.0} | |",
             self.label(),
             ms(began.elapsed())
         );
-        lab.settled();
+        lab.wait_until_caught_up();
         let memory = lab.daemons.iter().filter_map(|d| d.process.as_ref()).map(|p| p.usage().1).max();
         println!(
             "| catch-up | {} | 3 | memory of the largest, MB | {} | |",
--- a/lab/src/bin/fleet-bench/disk.rs
+++ b/lab/src/bin/fleet-bench/disk.rs
@@ -1,21 +1,23 @@
 //! The measurement `disk`.
 
 use super::Bench;
-use brookpass_testkit::client::Plan;
-use brookpass_testkit::fleet::{Lab, Setup};
+use brookpass_testkit::client::LoadProfile;
+use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
 use std::thread;
 use std::time::Duration;
 
 impl Bench {
     /// What goes to the disk in service, and at rest.
     pub(super) fn disk(&self) {
-        let mut lab = self.lab(Setup { daemons: 5, hosts: (8, 3), ..Setup::default() });
+        let mut lab = self.lab(ClusterConfig { daemons: 5, hosts: (8, 3), ..ClusterConfig::default() });
         lab.start_all();
-        let load = lab.load(Plan { rate: 400.0, clients: 60, groups: 8, ..Plan::default() });
+        let load =
+            lab.start_load(LoadProfile { rate: 400.0, clients: 60, groups: 8, ..LoadProfile::default() });
         thread::sleep(Duration::from_secs(10));
         let span = 20.0;
-        let look = |lab: &Lab| -> (u64, u64) {
-            let door = lab.daemons[0].process.as_ref().expect("it runs").address("operators at http://");
+        let look = |lab: &TestCluster| -> (u64, u64) {
+            let door =
+                lab.daemons[0].process.as_ref().expect("it runs").wait_for_address("operators at http://");
             let text =
                 brookpass_testkit::http::call(door, "GET", "/v1/metrics").map_or(String::new(), |m| m.text());
             let line =
@@ -35,7 +37,7 @@
             );
         };
         told("400 requests a second");
-        load.end();
+        load.finish();
         thread::sleep(Duration::from_secs(12));
         told("at rest");
     }
--- a/lab/src/bin/fleet-bench/drains.rs
+++ b/lab/src/bin/fleet-bench/drains.rs
@@ -1,7 +1,7 @@
 //! The measurement `drains`.
 
 use super::{Bench, millis, ms};
-use brookpass_testkit::fleet::Setup;
+use brookpass_testkit::cluster::ClusterConfig;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
     pub(super) fn drains(&self) {
         for daemons in [3, 5, 9] {
             for dead in [false, true] {
-                let mut lab = self.lab(Setup { daemons, ..Setup::default() });
+                let mut lab = self.lab(ClusterConfig { daemons, ..ClusterConfig::default() });
                 lab.start_all();
                 let mut all: Vec<usize> = (0..daemons).collect();
                 if dead {
@@ -17,7 +17,7 @@
                     lab.kill(last);
                     all.retain(|n| *n != last);
                     if !self.old {
-                        lab.led();
+                        lab.wait_for_leader();
                     }
                 }
                 let (mut reached, mut answered) = (Vec::new(), Vec::new());
--- a/lab/src/bin/fleet-bench/front.rs
+++ b/lab/src/bin/fleet-bench/front.rs
@@ -1,19 +1,19 @@
 //! The measurement `front`.
 
 use super::Bench;
-use brookpass_testkit::client::{Asked, Plan};
-use brookpass_testkit::fleet::Setup;
+use brookpass_testkit::client::{LoadProfile, RequestRecord};
+use brookpass_testkit::cluster::ClusterConfig;
 use hdrhistogram::Histogram;
 use std::thread;
 use std::time::Duration;
 
 impl Bench {
     pub(super) fn front(&self, round: usize) {
-        let mut lab = self.lab(Setup { daemons: 3, hosts: (4, 3), ..Setup::default() });
+        let mut lab = self.lab(ClusterConfig { daemons: 3, hosts: (4, 3), ..ClusterConfig::default() });
         lab.start_all();
         thread::sleep(Duration::from_millis(500));
         for rate in [600.0, 1_500.0] {
-            let plan = Plan {
+            let plan = LoadProfile {
                 rate,
                 clients: 48,
                 groups: 4,
@@ -22,9 +22,9 @@
                 seed: 7 + round as u64,
                 again: false,
             };
-            let load = lab.load(plan);
+            let load = lab.start_load(plan);
             thread::sleep(Duration::from_secs(8));
-            let asked: Vec<Asked> = load.end();
+            let asked: Vec<RequestRecord> = load.finish();
             let mut all: Histogram<u64> = Histogram::new(3).expect("a histogram");
             let warm = asked.iter().skip(asked.len() / 4);
             let served = warm.clone().filter(|a| a.status == 200);
--- a/lab/src/bin/fleet-bench/idle.rs
+++ b/lab/src/bin/fleet-bench/idle.rs
@@ -1,20 +1,20 @@
 //! The measurement `idle`.
 
 use super::{Bench, ms};
+use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
 use brookpass_testkit::eventually;
-use brookpass_testkit::fleet::{Lab, Setup};
 use std::thread;
 use std::time::{Duration, Instant};
 
 impl Bench {
     pub(super) fn idle(&self) {
-        let mut lab = self.lab(Setup { daemons: 3, more_hosts: 2_000, ..Setup::default() });
+        let mut lab = self.lab(ClusterConfig { daemons: 3, more_hosts: 2_000, ..ClusterConfig::default() });
         lab.start_all();
         thread::sleep(Duration::from_secs(3));
-        let bytes = |lab: &Lab| -> u64 {
+        let bytes = |lab: &TestCluster| -> u64 {
             lab.links.values().chain(&lab.public).map(|r| r.passed().iter().sum::<u64>()).sum()
         };
-        let usage = |lab: &Lab| -> Vec<(f64, u64)> {
+        let usage = |lab: &TestCluster| -> Vec<(f64, u64)> {
             lab.daemons.iter().map(|d| d.process.as_ref().map_or((0.0, 0), |p| p.usage())).collect()
         };
         let (sent, used, span) = (bytes(&lab), usage(&lab), Duration::from_secs(20));
@@ -30,7 +30,7 @@
         );
         println!("| idle | {} | 3, 2,000 hosts | memory of the largest, MB | {memory} | |", self.label());
         drop(lab);
-        let mut lab = self.lab(Setup { daemons: 3, more_hosts: 10_000, ..Setup::default() });
+        let mut lab = self.lab(ClusterConfig { daemons: 3, more_hosts: 10_000, ..ClusterConfig::default() });
         let began = Instant::now();
         lab.start_all();
         let hosts = |n: usize| {
--- a/lab/src/bin/fleet-bench/main.rs
+++ b/lab/src/bin/fleet-bench/main.rs
@@ -10,14 +10,14 @@
 mod power;
 mod zone;
 
-use brookpass_testkit::fleet::{Lab, Setup};
+use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
 use clap::{Parser, ValueEnum};
 use std::path::PathBuf;
 use std::time::Duration;
 
 #[derive(Parser)]
 #[command(about = "Measures how several daemons behave together, and prints tables")]
-struct Words {
+struct Options {
     /// The program.
     program: PathBuf,
     /// A version of before (0.2.0), played in turn with it.
@@ -40,7 +40,7 @@
     cold: Option<bool>,
     /// What to measure; all of it if nothing is named.
     #[arg(long, value_enum)]
-    what: Vec<What>,
+    what: Vec<Measurement>,
     /// Times that each is done.
     #[arg(long, default_value_t = 20)]
     times: usize,
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum What {
+enum Measurement {
     /// A drain's way to all daemons.
     Drain,
     /// The time without a leader after it was killed.
@@ -94,13 +94,13 @@
         self.label
     }
 
-    fn lab(&self, setup: Setup) -> Lab {
-        Lab::new(&self.program, &self.folder, Setup { old: self.old, ..setup })
+    fn lab(&self, setup: ClusterConfig) -> TestCluster {
+        TestCluster::new(&self.program, &self.folder, ClusterConfig { old: self.old, ..setup })
     }
 }
 
 fn main() {
-    let words = Words::parse();
+    let words = Options::parse();
     let bench = |program: PathBuf, old, label| Bench {
         program,
         folder: words.folder.clone(),
@@ -115,39 +115,39 @@
     println!(
         "| what | version | daemons | figure | median or value | worst |\n| --- | --- | --- | --- | --- | --- |"
     );
-    if wants(What::Front) {
+    if wants(Measurement::Front) {
         for round in 0..3 {
             before.iter().chain([&this]).for_each(|b| b.front(round));
         }
     }
-    if wants(What::Drain) {
+    if wants(Measurement::Drain) {
         before.iter().chain([&this]).for_each(Bench::drains);
     }
-    if wants(What::Leader) {
+    if wants(Measurement::Leader) {
         this.leader();
     }
-    if wants(What::Power) {
+    if wants(Measurement::Power) {
         for cold in [false, true].into_iter().filter(|cold| words.cold.is_none_or(|only| only == *cold)) {
             for &daemons in &words.daemons {
                 earlier.iter().chain([&this]).for_each(|b| b.power(daemons, cold, words.seed, words.trace));
             }
         }
     }
-    if wants(What::Zone) {
+    if wants(Measurement::Zone) {
         for &daemons in &words.daemons {
             earlier.iter().chain([&this]).for_each(|b| b.zone(daemons, words.seed));
         }
     }
-    if words.what.contains(&What::Calm) {
+    if words.what.contains(&Measurement::Calm) {
         this.calm(words.times as u64);
     }
-    if wants(What::Disk) {
+    if wants(Measurement::Disk) {
         this.disk();
     }
-    if wants(What::Idle) {
+    if wants(Measurement::Idle) {
         before.iter().chain([&this]).for_each(Bench::idle);
     }
-    if wants(What::CatchUp) {
+    if wants(Measurement::CatchUp) {
         this.catch_up();
     }
 }
--- a/lab/src/bin/fleet-bench/power.rs
+++ b/lab/src/bin/fleet-bench/power.rs
@@ -1,9 +1,9 @@
 //! The measurement `power`.
 
 use super::Bench;
-use brookpass_testkit::client::{Asked, Plan};
-use brookpass_testkit::fleet::Setup;
-use brookpass_testkit::oracle::{self, Model, worth};
+use brookpass_testkit::client::{LoadProfile, RequestRecord};
+use brookpass_testkit::cluster::ClusterConfig;
+use brookpass_testkit::oracle::{self, CapacityModel, worth};
 use brookpass_testkit::{check, now};
 use std::thread;
 use std::time::Duration;
@@ -12,7 +12,7 @@
     /// All daemons lose their power under load, with their hosts or without; until they serve as before.
     pub(super) fn power(&self, daemons: usize, cold: bool, seed: u64, words_of_time: bool) {
         const GROUPS: u32 = 8;
-        let mut lab = self.lab(Setup { daemons, hosts: (GROUPS, 3), ..Setup::default() });
+        let mut lab = self.lab(ClusterConfig { daemons, hosts: (GROUPS, 3), ..ClusterConfig::default() });
         let host = if cold { (4, 0.04) } else { (8, 0.002) };
         for h in &lab.hosts.all {
             h.set(|h| (h.slots, h.work) = (host.0, Duration::from_secs_f64(host.1)));
@@ -20,11 +20,12 @@
         lab.start_all();
         // No primary is the first of its group in the list.
         for group in 1..=GROUPS {
-            lab.hosts.hand_over(group, &format!("s-{group}-{}", group % 3));
+            lab.hosts.promote(group, &format!("s-{group}-{}", group % 3));
         }
         let rate = if cold { 600.0 } else { 400.0 };
-        let plan = Plan { rate, clients: 120, groups: GROUPS, seed, again: true, ..Plan::default() };
-        let load = lab.load(plan);
+        let plan =
+            LoadProfile { rate, clients: 120, groups: GROUPS, seed, again: true, ..LoadProfile::default() };
+        let load = lab.start_load(plan);
         thread::sleep(Duration::from_secs(14));
         let off = now();
         (0..daemons).for_each(|n| lab.kill(n));
@@ -36,11 +37,11 @@
             lab.hosts.power_on(0);
         }
         let on = now();
-        lab.start_together(&(0..daemons).collect::<Vec<_>>());
-        (0..daemons).for_each(|n| lab.ready(n));
+        lab.start_nodes(&(0..daemons).collect::<Vec<_>>());
+        (0..daemons).for_each(|n| lab.wait_until_ready(n));
         thread::sleep(Duration::from_secs(9));
         let end = now() - 1_500_000;
-        let asked = load.end();
+        let asked = load.finish();
         let window = 500_000;
         let good = |from: i64, to: i64| -> f64 {
             let all = asked.iter().filter(|a| a.status == 200 && (from..to).contains(&a.until));
@@ -57,7 +58,7 @@
         };
         let arrivals = lab.hosts.arrivals();
         let mean = |all: &[i64]| all.iter().sum::<i64>() as f64 / all.len().max(1) as f64;
-        let model = Model { replicas: 2, host, started: cold.then_some(on) };
+        let model = CapacityModel { replicas: 2, host, started: cold.then_some(on) };
         let best = oracle::best(&asked, GROUPS, model, on, end, 2_000_000);
         let limit = |from: i64, to: i64| -> f64 {
             best.iter().filter(|(at, _)| (from..to).contains(at)).map(|(_, worth)| worth).sum()
@@ -68,11 +69,11 @@
         // The first second in which hosts are reached.
         let began = arrivals.iter().map(|a| a.at).filter(|at| *at >= on).min().unwrap_or(on);
         let probed = |host: &str, from: i64| {
-            let all = lab.hosts.named(host).probes();
+            let all = lab.hosts.get(host).polls();
             all.into_iter().filter(|at| (from..from + 1_100_000).contains(at)).count()
         };
         let in_first = |host: &str| {
-            let reached = |a: &&brookpass_testkit::host::Arrival| {
+            let reached = |a: &&brookpass_testkit::endpoint::Arrival| {
                 a.host == host && (began - 100_000..began + 1_000_000).contains(&a.at)
             };
             (
@@ -86,8 +87,9 @@
         let probes: usize = all.iter().map(|(_, p, _)| p).sum();
         let before: usize = all.iter().map(|(.., p)| p).sum();
         let most_probed = all.iter().map(|(_, p, _)| *p).max().unwrap_or(0);
-        let spared = check::Cold { started: on, bears: host.0 as f64 / host.1, multiple: 4.0 };
-        let worst = lab.hosts.all.iter().map(|h| check::spared(&arrivals, &h.name, spared));
+        let spared = check::ColdStartBound { started: on, bears: host.0 as f64 / host.1, multiple: 4.0 };
+        let worst =
+            lab.hosts.all.iter().map(|h| check::cold_endpoint_not_overloaded(&arrivals, &h.name, spared));
         let worst = worst.map(|w| w.map_or(9.99, |w| w)).fold(0.0, f64::max);
         let hosts = if cold { "cold hosts" } else { "warm hosts" };
         let name = format!("| power | {} | {daemons}, {hosts}, seed {seed}", self.label());
@@ -110,7 +112,7 @@
                     limit(at, at + window),
                     refused.count()
                 );
-                let leads = |a: &&brookpass_testkit::host::Arrival| lab.hosts.named(&a.host).is_primary();
+                let leads = |a: &&brookpass_testkit::endpoint::Arrival| lab.hosts.get(&a.host).is_primary();
                 let reads = arrivals.iter().filter(|a| !a.write && (at..at + window).contains(&a.at));
                 println!(
                     "{name} | {} ms: reads that reached hosts; primaries among these, own | {} | {}, {} |",
@@ -120,10 +122,10 @@
                     reads.filter(leads).filter(|a| own.contains(&a.request)).count()
                 );
                 for write in [true, false] {
-                    let mine = |a: &&Asked| {
+                    let mine = |a: &&RequestRecord| {
                         a.status == 200 && a.write == write && (at..at + window).contains(&a.until)
                     };
-                    let theirs = |a: &&brookpass_testkit::host::Arrival| {
+                    let theirs = |a: &&brookpass_testkit::endpoint::Arrival| {
                         a.served && a.write == write && (at..at + window).contains(&a.until)
                     };
                     let clients: Vec<i64> = asked.iter().filter(mine).map(|a| a.until - a.sent).collect();
--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -1,8 +1,8 @@
 //! Reads histories afterwards and says what is wrong with them. Each check is itself tested with a history that is
 //! wrong.
 
-use crate::client::Asked;
-use crate::host::{Arrival, warmth};
+use crate::client::RequestRecord;
+use crate::endpoint::{Arrival, warmth};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Clocks of one machine, threads that wake late.
@@ -22,7 +22,7 @@
 
 /// All daemons took in the same changes in the same order, and none that no majority held. `voters`: how many
 /// there are; 0 where that changes and is not checked.
-pub fn agreement(logs: &[Log], voters: usize) -> Result<usize, String> {
+pub fn same_committed_sequence(logs: &[Log], voters: usize) -> Result<usize, String> {
     let mut known: BTreeMap<u64, (String, usize)> = BTreeMap::new();
     let mut holds: Vec<Vec<(i64, u64)>> = Vec::new();
     for (daemon, log) in logs.iter().enumerate() {
@@ -63,7 +63,7 @@
 }
 
 /// No read got data that is older than it had to be.
-pub fn fresh(asked: &[Asked]) -> Result<usize, String> {
+pub fn no_stale_reads(asked: &[RequestRecord]) -> Result<usize, String> {
     let mut reads = 0;
     for one in asked.iter().filter(|a| !a.write && a.status == 200) {
         let (Some(needs), Some(got)) = (one.needs, one.got) else { continue };
@@ -76,22 +76,25 @@
 }
 
 /// Requests that were due in this time, in Unix microseconds.
-pub fn due(asked: &[Asked], from: i64, to: i64) -> impl Iterator<Item = &Asked> {
+pub fn requests_due(asked: &[RequestRecord], from: i64, to: i64) -> impl Iterator<Item = &RequestRecord> {
     asked.iter().filter(move |a| a.tries == 0 && (from..to).contains(&a.due))
 }
 
 /// How many of these got no good answer at any try.
-pub fn lost(asked: &[Asked], from: i64, to: i64) -> usize {
+pub fn unserved(asked: &[RequestRecord], from: i64, to: i64) -> usize {
     let good: BTreeSet<u64> = asked.iter().filter(|a| a.status == 200).map(|a| a.request).collect();
-    due(asked, from, to).filter(|a| !good.contains(&a.request)).count()
+    requests_due(asked, from, to).filter(|a| !good.contains(&a.request)).count()
 }
 
 /// What a group lost: commits after the first position up to the second are gone since the third, in Unix microseconds.
-pub type Loss = (i64, i64, i64);
+pub type LostCommits = (i64, i64, i64);
 
 /// No session whose last write is lost was served as if it were there; how many were told. `lost`: by group, and a
 /// moment within which the first answers after it may be on their way still.
-pub fn told_of_loss(asked: &[Asked], lost: &BTreeMap<u32, Vec<Loss>>) -> Result<usize, String> {
+pub fn sessions_told_of_lost_writes(
+    asked: &[RequestRecord],
+    lost: &BTreeMap<u32, Vec<LostCommits>>,
+) -> Result<usize, String> {
     let mut told = 0;
     for one in asked.iter().filter(|a| a.own && !a.write) {
         let (Some(needs), Some(lost)) = (one.needs, lost.get(&one.group)) else { continue };
@@ -109,7 +112,7 @@
 
 /// How a cold host behaves.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct ColdStartBound {
     /// When it started, in Unix microseconds.
     pub started: i64,
     /// Operations a second that it bears when it is warm.
@@ -118,7 +121,7 @@
     pub multiple: f64,
 }
 
-impl Cold {
+impl ColdStartBound {
     /// The share of its capacity at a time.
     pub fn warmth(&self, at: i64) -> f64 {
         warmth((at - self.started) as f64 / 1e6)
@@ -127,7 +130,11 @@
 
 /// No cold host got more within any second than it may, summed over all daemons; the worst second of all, as a share
 /// of what a host may get in it. What is allowed has the platform's own slack for chance: N + 3 roots of N + 3.
-pub fn spared(arrivals: &[Arrival], host: &str, cold: Cold) -> Result<f64, String> {
+pub fn cold_endpoint_not_overloaded(
+    arrivals: &[Arrival],
+    host: &str,
+    cold: ColdStartBound,
+) -> Result<f64, String> {
     let mut times: Vec<i64> = arrivals.iter().filter(|a| a.host == host).map(|a| a.at).collect();
     times.retain(|at| *at >= cold.started && cold.warmth(*at) < 1.0);
     times.sort_unstable();
@@ -152,7 +159,11 @@
 
 /// Every request has one answer, in time, unless its daemon was down; `down`: daemons with when they were killed
 /// or stood still, and until when.
-pub fn answered(asked: &[Asked], down: &[(usize, i64, i64)], patience: i64) -> Result<usize, String> {
+pub fn every_request_answered(
+    asked: &[RequestRecord],
+    down: &[(usize, i64, i64)],
+    patience: i64,
+) -> Result<usize, String> {
     for one in asked {
         let excused = down.iter().any(|(n, from, to)| {
             *n == one.daemon && one.sent < to.saturating_add(SLACK) && one.until > from - SLACK
@@ -168,7 +179,7 @@
 }
 
 /// No two attempts of a request are at hosts at once, and no write without a key has run twice.
-pub fn one_attempt(arrivals: &[Arrival]) -> Result<usize, String> {
+pub fn no_overlapping_attempts(arrivals: &[Arrival]) -> Result<usize, String> {
     let mut by: BTreeMap<u64, Vec<&Arrival>> = BTreeMap::new();
     for one in arrivals.iter().filter(|a| a.request > 0) {
         by.entry(one.request).or_default().push(one);
@@ -193,7 +204,7 @@
 
 /// Nothing new reached a drained host; `drained`: the host with the time by which all had to know, and the time at
 /// which the drain was undone again.
-pub fn drained(arrivals: &[Arrival], drained: &[(String, i64, i64)]) -> Result<(), String> {
+pub fn no_arrivals_while_drained(arrivals: &[Arrival], drained: &[(String, i64, i64)]) -> Result<(), String> {
     for (host, from, to) in drained {
         if let Some(late) = arrivals.iter().find(|a| a.host == *host && a.at > from + SLACK && a.at < *to) {
             return Err(format!(
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -12,7 +12,7 @@
 
 /// What a client asked, and what it got.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct RequestRecord {
     /// Its number.
     pub request: u64,
     /// The daemon that was asked.
@@ -44,13 +44,13 @@
 /// The load.
 pub struct Load {
     stop: Arc<AtomicBool>,
-    asked: Arc<Mutex<Vec<Asked>>>,
+    asked: Arc<Mutex<Vec<RequestRecord>>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 /// What to ask.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct LoadProfile {
     /// Requests a second, of all clients together.
     pub rate: f64,
     /// Clients; each has a session of its own, and a connection for each request that it has out.
@@ -67,9 +67,9 @@
     pub again: bool,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan { rate: 200.0, clients: 10, groups: 2, writes: 3, age: 800, seed: 1, again: false }
+impl Default for LoadProfile {
+    fn default() -> LoadProfile {
+        LoadProfile { rate: 200.0, clients: 10, groups: 2, writes: 3, age: 800, seed: 1, again: false }
     }
 }
 
@@ -92,7 +92,7 @@
 
 impl Load {
     /// Begins to ask the daemons at these addresses.
-    pub fn start(fronts: &[SocketAddr], plan: Plan) -> Load {
+    pub fn start(fronts: &[SocketAddr], plan: LoadProfile) -> Load {
         let (stop, asked) = (Arc::new(AtomicBool::new(false)), Arc::default());
         let gap = Duration::from_secs_f64(plan.clients as f64 / plan.rate);
         let threads = (0..plan.clients).map(|n| {
@@ -103,7 +103,7 @@
     }
 
     /// Stops, and hands out all that was asked.
-    pub fn end(self) -> Vec<Asked> {
+    pub fn finish(self) -> Vec<RequestRecord> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|t| t.join().expect("a client"));
         let mut asked = std::mem::take(&mut *self.asked.lock().expect("the record"));
@@ -118,7 +118,7 @@
     }
 
     /// Whether a request has had such an answer by now.
-    pub fn any(&self, such: impl Fn(&Asked) -> bool) -> bool {
+    pub fn any(&self, such: impl Fn(&RequestRecord) -> bool) -> bool {
         self.asked.lock().expect("the record").iter().any(such)
     }
 
@@ -163,10 +163,10 @@
 fn client(
     n: usize,
     fronts: &[SocketAddr],
-    plan: Plan,
+    plan: LoadProfile,
     gap: Duration,
     stop: &AtomicBool,
-    asked: &Mutex<Vec<Asked>>,
+    asked: &Mutex<Vec<RequestRecord>>,
 ) {
     let mut rng = fastrand::Rng::with_seed(plan.seed.wrapping_mul(1000).wrapping_add(n as u64));
     let daemon = n % fronts.len();
@@ -207,7 +207,7 @@
             if let Some(at) = at.filter(|at| *at + Duration::from_millis(50) < trip.wanted.until) {
                 later.push((at, Wanted { tries: trip.wanted.tries + 1, ..trip.wanted }));
             }
-            asked.lock().expect("the record").push(Asked {
+            asked.lock().expect("the record").push(RequestRecord {
                 request,
                 daemon,
                 due: trip.wanted.due,
@@ -258,7 +258,7 @@
 }
 
 /// The request of client `n`, and what its answer has to reach.
-fn trip(n: usize, plan: Plan, wanted: Wanted, present: Instant) -> Trip {
+fn trip(n: usize, plan: LoadProfile, wanted: Wanted, present: Instant) -> Trip {
     let Wanted { request, group, write, commit, until, .. } = wanted;
     let left = until.saturating_duration_since(present).as_millis();
     let own = commit.map_or(String::new(), |c: i64| format!("Brookpass-Position: {c}\r\n"));
--- a/lab/src/fleet.rs
+++ b/lab/src/cluster.rs
@@ -7,10 +7,10 @@
 mod queries;
 mod schedule;
 
-use crate::host::Hosts;
+use crate::endpoint::StandInEndpoints;
 use crate::process::Process;
 use crate::relay::Relay;
-use permit::Room;
+use permit::ProcessPermit;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 
 /// How a lab is set up.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ClusterConfig {
     /// Daemons.
     pub daemons: usize,
     /// Groups of hosts, and hosts in each.
@@ -36,9 +36,9 @@
     pub regions: Vec<String>,
 }
 
-impl Default for Setup {
-    fn default() -> Setup {
-        Setup {
+impl Default for ClusterConfig {
+    fn default() -> ClusterConfig {
+        ClusterConfig {
             daemons: 5,
             hosts: (2, 3),
             disk: true,
@@ -51,7 +51,7 @@
 }
 
 /// One daemon.
-pub struct Daemon {
+pub struct ClusterNode {
     /// Its name.
     pub name: String,
     /// Its process, if it runs.
@@ -68,12 +68,12 @@
 }
 
 /// A fleet in the lab.
-pub struct Lab {
+pub struct TestCluster {
     program: PathBuf,
     /// The daemons.
-    pub daemons: Vec<Daemon>,
+    pub daemons: Vec<ClusterNode>,
     /// Their hosts.
-    pub hosts: Hosts,
+    pub hosts: StandInEndpoints,
     /// The relay on the link from a daemon to another.
     pub links: BTreeMap<(usize, usize), Relay>,
     /// The relay before each daemon's front.
@@ -84,27 +84,27 @@
     pub host_links: BTreeMap<String, Relay>,
     /// Daemons that were down or stood still: from when until when.
     pub down: Vec<(usize, i64, i64)>,
-    setup: Setup,
-    _room: Room,
+    setup: ClusterConfig,
+    _room: ProcessPermit,
 }
 
 fn nowhere() -> SocketAddr {
     ([127, 0, 0, 1], 9).into()
 }
 
-impl Lab {
+impl TestCluster {
     /// Sets a lab up; nothing runs yet. `folder` is emptied.
-    pub fn new(program: &Path, folder: &Path, setup: Setup) -> Lab {
-        let room = Room::take(setup.daemons);
+    pub fn new(program: &Path, folder: &Path, setup: ClusterConfig) -> TestCluster {
+        let room = ProcessPermit::take(setup.daemons);
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         let folder = folder.join(format!("lab-{}-{n}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         let zones = ["z-0".to_string(), "z-1".to_string(), "z-2".to_string()];
-        let hosts = Hosts::start(setup.hosts.0, setup.hosts.1, &zones);
+        let hosts = StandInEndpoints::start(setup.hosts.0, setup.hosts.1, &zones);
         let host_links: BTreeMap<String, Relay> =
             hosts.all.iter().map(|h| (h.name.clone(), Relay::start(h.address, false))).collect();
-        let mut lab = Lab {
+        let mut lab = TestCluster {
             program: program.to_path_buf(),
             daemons: Vec::new(),
             links: BTreeMap::new(),
@@ -130,7 +130,7 @@
 
     fn add(&mut self, folder: PathBuf) {
         let n = self.daemons.len();
-        self.daemons.push(Daemon {
+        self.daemons.push(ClusterNode {
             name: format!("b{n}"),
             process: None,
             store: nowhere(),
@@ -149,7 +149,7 @@
     }
 
     /// Another daemon, whose file names these others; they do not name it.
-    pub fn another(&mut self, names: &[usize]) -> usize {
+    pub fn add_node(&mut self, names: &[usize]) -> usize {
         let n = self.daemons.len();
         let folder = self.daemons[0].folder.with_file_name(format!("b{n}"));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -159,7 +159,7 @@
     }
 }
 
-impl Drop for Lab {
+impl Drop for TestCluster {
     fn drop(&mut self) {
         // What failed is kept, each daemon's log beside its files.
         let failed = thread::panicking() || std::env::var_os("LAB_KEEP").is_some();
--- a/lab/src/fleet/files.rs
+++ b/lab/src/cluster/files.rs
@@ -1,8 +1,8 @@
 //! The files of daemons.
 
-use super::Lab;
+use super::TestCluster;
 
-impl Lab {
+impl TestCluster {
     /// Writes a daemon's own inventory, changed now.
     pub fn write_inventory(&self, n: usize, text: &str) {
         let path = self.daemons[n].folder.join("hosts.csv");
--- a/lab/src/fleet/lifecycle.rs
+++ b/lab/src/cluster/lifecycle.rs
@@ -1,17 +1,17 @@
 //! Starts, stops and kills daemons.
 
-use super::{Daemon, Lab};
+use super::{ClusterNode, TestCluster};
 use crate::process::Process;
 use crate::{eventually, http, now};
 
-impl Lab {
+impl TestCluster {
     /// Starts a daemon; comes back when its store listens.
     pub fn start(&mut self, n: usize) {
-        self.start_together(&[n]);
+        self.start_nodes(&[n]);
     }
 
     /// Starts daemons, all in the same moment.
-    pub fn start_together(&mut self, daemons: &[usize]) {
+    pub fn start_nodes(&mut self, daemons: &[usize]) {
         let spawn = |n: &usize| {
             let file = self.daemons[*n].folder.join("operator.yaml");
             let clock = self.setup.clocks.get(*n).copied().unwrap_or(0);
@@ -24,13 +24,13 @@
     }
 
     fn started(&mut self, n: usize, process: Process) {
-        let store = process.address("store at http://");
+        let store = process.wait_for_address("store at http://");
         for ((_, to), relay) in &self.links {
             if *to == n {
-                relay.lead_to(store);
+                relay.set_target(store);
             }
         }
-        self.public[n].lead_to(store);
+        self.public[n].set_target(store);
         let daemon = &mut self.daemons[n];
         (daemon.process, daemon.store) = (Some(process), store);
         for (d, _, until) in &mut self.down {
@@ -49,11 +49,11 @@
     }
 
     /// Waits until a daemon serves.
-    pub fn ready(&mut self, n: usize) {
+    pub fn wait_until_ready(&mut self, n: usize) {
         let process = self.daemons[n].process.as_ref().expect("it runs");
-        let front = process.address("SPARQL at http://");
+        let front = process.wait_for_address("SPARQL at http://");
         self.daemons[n].front = front;
-        self.fronts[n].lead_to(front);
+        self.fronts[n].set_target(front);
         eventually("a daemon serves", || {
             http::call(front, "GET", "/-/ready").is_some_and(|m| m.status() == 200)
         });
@@ -69,15 +69,16 @@
     pub fn start_all(&mut self) {
         let all: Vec<usize> = (0..self.daemons.len()).collect();
         all.iter().for_each(|n| self.start(*n));
-        all.iter().for_each(|n| self.ready(*n));
+        all.iter().for_each(|n| self.wait_until_ready(*n));
         let size = all.len();
         if self.setup.old {
             return;
         }
         eventually("all vote", || {
-            all.iter().all(|n| self.fleet(*n).lines().filter(|l| l.contains(" voter ")).count() == size)
+            all.iter()
+                .all(|n| self.fleet_status(*n).lines().filter(|l| l.contains(" voter ")).count() == size)
         });
-        self.settled();
+        self.wait_until_caught_up();
     }
 
     /// Kills a daemon, as the power would.
@@ -91,7 +92,7 @@
     }
 
     /// A daemon stands still.
-    pub fn stop(&mut self, n: usize) {
+    pub fn pause(&mut self, n: usize) {
         if let Some(process) = &self.daemons[n].process {
             self.down.push((n, now(), i64::MAX));
             process.signal("-STOP");
@@ -100,7 +101,7 @@
     }
 
     /// It goes on.
-    pub fn go_on(&mut self, n: usize) {
+    pub fn resume(&mut self, n: usize) {
         if let Some(process) = &self.daemons[n].process {
             process.signal("-CONT");
             self.daemons[n].stopped = false;
@@ -110,13 +111,13 @@
     }
 
     /// Takes a daemon's disk away; it must not run.
-    pub fn lose_disk(&self, n: usize) {
+    pub fn delete_store(&self, n: usize) {
         let _ = std::fs::remove_file(self.daemons[n].folder.join("fleet.store"));
     }
 
     /// Daemons that run and do not stand still.
-    pub fn running(&self) -> Vec<usize> {
-        let runs = |d: &Daemon| d.process.is_some() && !d.stopped;
+    pub fn running_nodes(&self) -> Vec<usize> {
+        let runs = |d: &ClusterNode| d.process.is_some() && !d.stopped;
         (0..self.daemons.len()).filter(|n| runs(&self.daemons[*n])).collect()
     }
 }
--- a/lab/src/host.rs
+++ b/lab/src/endpoint.rs
@@ -1,10 +1,10 @@
 //! Stand-in hosts: groups of one primary and replicas that apply its log late, with a capacity, a cold start and a
 //! hand-over. They write down what reached them and when.
 
-mod hosts;
+mod group;
 mod serving;
 
-pub use hosts::Hosts;
+pub use group::StandInEndpoints;
 
 use crate::http::Message;
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
 
 /// How a host is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Health {
+pub struct EndpointBehavior {
     /// It takes connections and answers.
     pub up: bool,
     /// It takes work and answers nothing.
@@ -73,7 +73,7 @@
 }
 
 struct Inner {
-    health: Health,
+    health: EndpointBehavior,
     /// Grows with each loss of power: what was open before is gone.
     life: u64,
     primary: bool,
@@ -87,7 +87,7 @@
 
 /// A host.
 #[derive(Clone)]
-pub struct Host {
+pub struct StandInEndpoint {
     /// Its name.
     pub name: String,
     /// Its group.
@@ -104,9 +104,9 @@
     probes: Arc<Mutex<Vec<i64>>>,
 }
 
-impl Host {
+impl StandInEndpoint {
     /// Changes how it is.
-    pub fn set(&self, change: impl FnOnce(&mut Health)) {
+    pub fn set(&self, change: impl FnOnce(&mut EndpointBehavior)) {
         change(&mut self.inner.lock().expect("a host").health);
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// When it was asked about itself, in Unix microseconds.
-    pub fn probes(&self) -> Vec<i64> {
+    pub fn polls(&self) -> Vec<i64> {
         self.probes.lock().expect("the record").clone()
     }
 
@@ -158,12 +158,12 @@
     }
 
     /// The most operations that it had at once, since the last question.
-    pub fn most(&self) -> usize {
+    pub fn take_peak_concurrency(&self) -> usize {
         std::mem::take(&mut self.inner.lock().expect("a host").most)
     }
 
     /// Operations that it may run at once now.
-    pub fn slots(health: &Health) -> usize {
+    pub fn slots(health: &EndpointBehavior) -> usize {
         let warm = health.started.map_or(1.0, |started| warmth(started.elapsed().as_secs_f64()));
         ((health.slots as f64 * warm) as usize).max(1)
     }
--- a/lab/src/host/hosts.rs
+++ b/lab/src/endpoint/group.rs
@@ -1,6 +1,6 @@
 //! All hosts of a lab.
 
-use super::{Arrival, Health, Host, Inner, Log, WORK};
+use super::{Arrival, EndpointBehavior, Inner, Log, StandInEndpoint, WORK};
 use crate::now;
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -9,21 +9,21 @@
 
 /// All hosts, with one record of what reached them.
 #[derive(Clone, Default)]
-pub struct Hosts {
+pub struct StandInEndpoints {
     /// The hosts.
-    pub all: Vec<Host>,
+    pub all: Vec<StandInEndpoint>,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
 }
 
-impl Hosts {
+impl StandInEndpoints {
     /// Groups of so many hosts each; the first one of each is its primary. Host `n` is in zone `n` of the zones.
-    pub fn start(groups: u32, each: usize, zones: &[String]) -> Hosts {
-        let mut hosts = Hosts::default();
+    pub fn start(groups: u32, each: usize, zones: &[String]) -> StandInEndpoints {
+        let mut hosts = StandInEndpoints::default();
         for group in 1..=groups {
             let log: Arc<Mutex<Log>> = Arc::default();
             for n in 0..each {
                 let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-                let health = Health {
+                let health = EndpointBehavior {
                     up: true,
                     silent: false,
                     loss: 0,
@@ -33,7 +33,7 @@
                     queue: 64,
                     started: None,
                 };
-                let host = Host {
+                let host = StandInEndpoint {
                     name: format!("s-{group}-{n}"),
                     group,
                     zone: zones.get(n % zones.len().max(1)).cloned().unwrap_or_default(),
@@ -72,18 +72,18 @@
     }
 
     /// A host by its name.
-    pub fn named(&self, name: &str) -> &Host {
+    pub fn get(&self, name: &str) -> &StandInEndpoint {
         self.all.iter().find(|h| h.name == name).expect("a host of this name")
     }
 
     /// The hosts of a zone.
-    pub fn of_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a Host> {
+    pub fn in_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = &'a StandInEndpoint> {
         self.all.iter().filter(move |h| h.zone == zone)
     }
 
     /// All lose their power: what runs is gone, and nobody listens.
     pub fn power_off(&self) {
-        self.all.iter().for_each(Host::power_off);
+        self.all.iter().for_each(StandInEndpoint::power_off);
     }
 
     /// They start again, cold, without what was committed within the last `unsynced` milliseconds.
@@ -107,7 +107,7 @@
     }
 
     /// What a group lost: commits after the first position up to the second, since when, in Unix microseconds.
-    pub fn lost(&self, group: u32) -> Vec<(i64, i64, i64)> {
+    pub fn lost_commits(&self, group: u32) -> Vec<(i64, i64, i64)> {
         let host = self.all.iter().find(|h| h.group == group).expect("a host of the group");
         host.log.lock().expect("a group's log").lost.clone()
     }
@@ -115,7 +115,7 @@
     /// The inventory as CSV, every address as `through` gives it for the host, and the region of its zone.
     pub fn inventory(
         &self,
-        through: impl Fn(&Host) -> SocketAddr,
+        through: impl Fn(&StandInEndpoint) -> SocketAddr,
         region: impl Fn(&str) -> String,
     ) -> String {
         let mut text = "name,address,group,zone,region\n".to_string();
@@ -127,7 +127,7 @@
     }
 
     /// The group's primary is another one from now on.
-    pub fn hand_over(&self, group: u32, to: &str) {
+    pub fn promote(&self, group: u32, to: &str) {
         for host in self.all.iter().filter(|h| h.group == group) {
             host.inner.lock().expect("a host").primary = host.name == to;
         }
--- a/lab/src/host/serving.rs
+++ b/lab/src/endpoint/serving.rs
@@ -1,6 +1,6 @@
 //! How a host answers.
 
-use super::{Arrival, Host};
+use super::{Arrival, StandInEndpoint};
 use crate::http::{self, Message};
 use crate::now;
 use std::io::{BufReader, Write};
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-impl Host {
+impl StandInEndpoint {
     fn life(&self) -> Option<u64> {
         let inner = self.inner.lock().expect("a host");
         inner.health.up.then_some(inner.life)
@@ -76,7 +76,7 @@
         let mut waited = false;
         loop {
             let mut inner = self.inner.lock().expect("a host");
-            if inner.running < Host::slots(&health) && !health.silent {
+            if inner.running < StandInEndpoint::slots(&health) && !health.silent {
                 inner.running += 1;
                 inner.waiting -= usize::from(waited);
                 inner.most = inner.most.max(inner.running + inner.waiting);
@@ -119,7 +119,7 @@
             let inner = self.inner.lock().expect("a host");
             (inner.health, inner.primary, inner.running)
         };
-        let util = (running as f64 / Host::slots(&health) as f64).min(1.0);
+        let util = (running as f64 / StandInEndpoint::slots(&health) as f64).min(1.0);
         let mut log = self.log.lock().expect("a group's log");
         let present = now() / 1000;
         let position = if commits {
--- a/lab/src/script.rs
+++ b/lab/src/faults.rs
@@ -2,40 +2,40 @@
 
 /// What happens.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum FaultAction {
     /// A daemon is killed.
     Kill(usize),
     /// It starts again.
     Start(usize),
     /// It starts again without its disk.
-    StartAnew(usize),
+    StartWithoutStore(usize),
     /// It stands still.
-    Stop(usize),
+    Pause(usize),
     /// It goes on.
-    Continue(usize),
+    Resume(usize),
     /// Only daemons of the same part hear one another.
-    Split(Vec<Vec<usize>>),
+    Partition(Vec<Vec<usize>>),
     /// What the first says does not reach the second.
     CutOneWay(usize, usize),
     /// The link between two is so late, in milliseconds, and loses so many of a hundred frames.
-    Weather(usize, usize, u64, u8),
+    SetLinkFaults(usize, usize, u64, u8),
     /// All connections of a link are reset.
-    Reset(usize, usize),
+    ResetLink(usize, usize),
     /// All links are sound again.
-    Heal,
+    HealLinks,
     /// An operator drains a host at a daemon.
     Drain(usize, String),
     /// An operator ends that.
     Undrain(usize, String),
     /// What happens to the hosts of a zone.
-    Zone(String, Trouble),
+    SetZoneFault(String, EndpointFault),
     /// A daemon cannot reach the hosts of a zone, or can again.
     Cut(usize, String, bool),
 }
 
 /// What happens to all hosts of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum EndpointFault {
     /// They are sound again; those that were off start cold.
     None,
     /// They take work and answer nothing.
@@ -50,12 +50,12 @@
 
 /// What happens, each with its time in milliseconds from the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Script(pub Vec<(u64, Act)>);
+pub struct FaultSchedule(pub Vec<(u64, FaultAction)>);
 
-impl Script {
+impl FaultSchedule {
     /// Faults by seed, over so many milliseconds: what was broken is whole again at the end. No more daemons are
     /// down or stand still at once than leave a majority, but links are cut at will.
-    pub fn random(seed: u64, daemons: usize, hosts: &[String], length: u64) -> Script {
+    pub fn random(seed: u64, daemons: usize, hosts: &[String], length: u64) -> FaultSchedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut acts, mut at) = (Vec::new(), 0);
         let mut down: Vec<(usize, bool)> = Vec::new();
@@ -68,42 +68,42 @@
             let act = match rng.u8(..20) {
                 0 | 1 if down.len() < most && !is_down(a, &down) => {
                     down.push((a, true));
-                    Act::Kill(a)
+                    FaultAction::Kill(a)
                 }
                 2 if down.len() < most && !is_down(a, &down) => {
                     down.push((a, false));
-                    Act::Stop(a)
+                    FaultAction::Pause(a)
                 }
                 3..=5 if !down.is_empty() => match down.swap_remove(rng.usize(..down.len())) {
-                    (n, true) => Act::Start(n),
-                    (n, false) => Act::Continue(n),
+                    (n, true) => FaultAction::Start(n),
+                    (n, false) => FaultAction::Resume(n),
                 },
                 6 => {
                     let mut all: Vec<usize> = (0..daemons).collect();
                     rng.shuffle(&mut all);
                     let cut = rng.usize(1..daemons);
-                    Act::Split(vec![all[..cut].to_vec(), all[cut..].to_vec()])
+                    FaultAction::Partition(vec![all[..cut].to_vec(), all[cut..].to_vec()])
                 }
-                7 if a != b => Act::CutOneWay(a, b),
-                8 if a != b => Act::Weather(a, b, rng.u64(..200), rng.u8(..30)),
-                9 if a != b => Act::Reset(a, b),
-                10 | 11 => Act::Heal,
-                12..=15 if !is_down(a, &down) => Act::Drain(a, host),
-                16 | 17 if !is_down(a, &down) => Act::Undrain(a, host),
+                7 if a != b => FaultAction::CutOneWay(a, b),
+                8 if a != b => FaultAction::SetLinkFaults(a, b, rng.u64(..200), rng.u8(..30)),
+                9 if a != b => FaultAction::ResetLink(a, b),
+                10 | 11 => FaultAction::HealLinks,
+                12..=15 if !is_down(a, &down) => FaultAction::Drain(a, host),
+                16 | 17 if !is_down(a, &down) => FaultAction::Undrain(a, host),
                 _ => continue,
             };
             acts.push((at, act));
         }
-        acts.push((length, Act::Heal));
+        acts.push((length, FaultAction::HealLinks));
         for (n, killed) in down {
-            acts.push((length, if killed { Act::Start(n) } else { Act::Continue(n) }));
+            acts.push((length, if killed { FaultAction::Start(n) } else { FaultAction::Resume(n) }));
         }
-        Script(acts)
+        FaultSchedule(acts)
     }
 
     /// Zones that fail by seed, over so many milliseconds: any trouble of any zone at any time, daemons that cannot
     /// reach one, daemons that are killed. One zone is never touched, and all is sound at the end.
-    pub fn zones(seed: u64, daemons: usize, zones: &[String], length: u64) -> Script {
+    pub fn zones(seed: u64, daemons: usize, zones: &[String], length: u64) -> FaultSchedule {
         let mut rng = fastrand::Rng::with_seed(seed);
         let spared = rng.usize(..zones.len());
         let (mut acts, mut at, mut down) = (Vec::new(), 0, None);
@@ -112,25 +112,25 @@
             let zone = zones[(spared + rng.usize(1..zones.len())) % zones.len()].clone();
             let n = rng.usize(..daemons);
             let act = match rng.u8(..12) {
-                0 | 1 => Act::Zone(zone, Trouble::Silent),
-                2 => Act::Zone(zone, Trouble::Off),
-                3 => Act::Zone(zone, Trouble::Slow(rng.u32(5..15))),
-                4 => Act::Zone(zone, Trouble::Lossy(rng.u8(10..50))),
-                5 | 6 => Act::Zone(zone, Trouble::None),
-                7 => Act::Cut(n, zone, true),
-                8 => Act::Cut(n, zone, false),
-                9 if down.is_none() => Act::Kill(*down.insert(n)),
-                10 if down.is_some() => Act::Start(down.take().unwrap_or(n)),
+                0 | 1 => FaultAction::SetZoneFault(zone, EndpointFault::Silent),
+                2 => FaultAction::SetZoneFault(zone, EndpointFault::Off),
+                3 => FaultAction::SetZoneFault(zone, EndpointFault::Slow(rng.u32(5..15))),
+                4 => FaultAction::SetZoneFault(zone, EndpointFault::Lossy(rng.u8(10..50))),
+                5 | 6 => FaultAction::SetZoneFault(zone, EndpointFault::None),
+                7 => FaultAction::Cut(n, zone, true),
+                8 => FaultAction::Cut(n, zone, false),
+                9 if down.is_none() => FaultAction::Kill(*down.insert(n)),
+                10 if down.is_some() => FaultAction::Start(down.take().unwrap_or(n)),
                 _ => continue,
             };
             acts.push((at, act));
         }
-        acts.extend(down.map(|n| (length, Act::Start(n))));
+        acts.extend(down.map(|n| (length, FaultAction::Start(n))));
         for zone in zones {
-            acts.push((length, Act::Zone(zone.clone(), Trouble::None)));
-            acts.extend((0..daemons).map(|n| (length, Act::Cut(n, zone.clone(), false))));
+            acts.push((length, FaultAction::SetZoneFault(zone.clone(), EndpointFault::None)));
+            acts.extend((0..daemons).map(|n| (length, FaultAction::Cut(n, zone.clone(), false))));
         }
-        Script(acts)
+        FaultSchedule(acts)
     }
 }
 
--- a/lab/src/script/tests.rs
+++ b/lab/src/faults/tests.rs
@@ -6,14 +6,14 @@
     let hosts = ["x".to_string(), "y".to_string()];
     let mut kinds = std::collections::HashSet::new();
     for seed in 0..300 {
-        let script = Script::random(seed, 5, &hosts, 4_000);
-        assert_eq!(script, Script::random(seed, 5, &hosts, 4_000));
+        let script = FaultSchedule::random(seed, 5, &hosts, 4_000);
+        assert_eq!(script, FaultSchedule::random(seed, 5, &hosts, 4_000));
         let mut down = Vec::new();
         for (_, act) in &script.0 {
             match act {
-                Act::Kill(n) | Act::Stop(n) => down.push(*n),
-                Act::Start(n) | Act::Continue(n) => down.retain(|d| d != n),
-                Act::Drain(n, _) | Act::Undrain(n, _) => assert!(!down.contains(n)),
+                FaultAction::Kill(n) | FaultAction::Pause(n) => down.push(*n),
+                FaultAction::Start(n) | FaultAction::Resume(n) => down.retain(|d| d != n),
+                FaultAction::Drain(n, _) | FaultAction::Undrain(n, _) => assert!(!down.contains(n)),
                 _ => {}
             }
             assert!(down.len() <= 2, "seed {seed}");
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -4,13 +4,13 @@
 
 pub mod check;
 pub mod client;
-pub mod fleet;
-pub mod host;
+pub mod cluster;
+pub mod endpoint;
+pub mod faults;
 pub mod http;
 pub mod oracle;
 pub mod process;
 pub mod relay;
-pub mod script;
 
 use std::ops::Range;
 use std::thread;
--- a/lab/src/oracle.rs
+++ b/lab/src/oracle.rs
@@ -1,11 +1,11 @@
 //! What an all-knowing pooler would have served: the limit against which a return is measured.
 
-use crate::client::Asked;
-use crate::host::warmth;
+use crate::client::RequestRecord;
+use crate::endpoint::warmth;
 
 /// Hosts of a group, as the oracle knows them.
 #[derive(Clone, Copy, Debug)]
-pub struct Model {
+pub struct CapacityModel {
     /// Replicas beside the primary.
     pub replicas: usize,
     /// Operations at once when warm, and the seconds that each takes.
@@ -14,7 +14,7 @@
     pub started: Option<i64>,
 }
 
-impl Model {
+impl CapacityModel {
     /// Operations a second that one host bears at a time.
     pub fn bears(&self, at: i64) -> f64 {
         let (slots, work) = self.host;
@@ -24,7 +24,7 @@
 }
 
 /// Worth of an answer, by the lab's settings.
-pub fn worth(one: &Asked) -> f64 {
+pub fn worth(one: &RequestRecord) -> f64 {
     match (one.write, one.own) {
         (true, _) => 6.0,
         (false, false) => 3.0,
@@ -38,9 +38,9 @@
 /// Worth that is served at its best: of the requests that were due from `from` to `to`, each waits for `patience` at
 /// the most, and the best go first. In steps of 20 ms, each step's worth with its time.
 pub fn best(
-    asked: &[Asked],
+    asked: &[RequestRecord],
     groups: u32,
-    model: Model,
+    model: CapacityModel,
     from: i64,
     to: i64,
     patience: i64,
@@ -49,7 +49,7 @@
     let mut all = Vec::new();
     // By group, writes and reads: what waits, and what could not be used of the steps before.
     let mut waits: Vec<[(Waiting, f64); 2]> = (0..=groups).map(|_| Default::default()).collect();
-    let mut due: Vec<&Asked> = crate::check::due(asked, from, to).collect();
+    let mut due: Vec<&RequestRecord> = crate::check::requests_due(asked, from, to).collect();
     due.sort_by_key(|a| a.due);
     let mut next = 0;
     for at in (from..to).step_by(STEP as usize) {
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -39,7 +39,7 @@
     }
 
     /// Waits for a line with these words.
-    pub fn line(&self, words: &str) -> String {
+    pub fn wait_for_line(&self, words: &str) -> String {
         let mut found = None;
         let began = std::time::Instant::now();
         while found.is_none() {
@@ -51,8 +51,8 @@
     }
 
     /// The address that a line names after these words.
-    pub fn address(&self, words: &str) -> SocketAddr {
-        let line = self.line(words);
+    pub fn wait_for_address(&self, words: &str) -> SocketAddr {
+        let line = self.wait_for_line(words);
         let rest = line.split(words).nth(1).unwrap_or("");
         let end = rest.find(|c: char| !(c.is_ascii_digit() || ".:".contains(c))).unwrap_or(rest.len());
         rest[..end].parse().expect("an address in the log")
@@ -71,7 +71,7 @@
     }
 
     /// Waits for its end.
-    pub fn ended(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         eventually("the process ends", || {
             status = self.child.try_wait().ok().flatten();
@@ -81,7 +81,7 @@
     }
 
     /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().is_ok_and(|s| s.is_none())
     }
 
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -11,7 +11,7 @@
 
 /// What happens to what goes one way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct LinkFaults {
     /// Every byte is so late.
     pub delay: Duration,
     /// Of a hundred frames so many are lost.
@@ -24,8 +24,8 @@
 
 #[derive(Debug, Default)]
 struct State {
-    forth: Weather,
-    back: Weather,
+    forth: LinkFaults,
+    back: LinkFaults,
     /// Grows when all connections are reset.
     resets: u64,
     /// Bytes that passed, forth and back.
@@ -61,12 +61,12 @@
     }
 
     /// Leads elsewhere from now on: whoever listened there has moved.
-    pub fn lead_to(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().expect("a relay's lock") = target;
     }
 
     /// Sets what happens to what goes forth, towards the one that listens, and back.
-    pub fn set(&self, forth: Weather, back: Weather) {
+    pub fn set(&self, forth: LinkFaults, back: LinkFaults) {
         let mut state = self.shared.0.lock().expect("a relay's lock");
         (state.forth, state.back) = (forth, back);
         self.shared.1.notify_all();
@@ -106,7 +106,7 @@
         let _ = back.join();
     }
 
-    fn weather(&self, way: usize) -> (Weather, u64) {
+    fn weather(&self, way: usize) -> (LinkFaults, u64) {
         let state = self.shared.0.lock().expect("a relay's lock");
         (if way == 0 { state.forth } else { state.back }, state.resets)
     }
--- a/tests/fleet_recovery.rs
+++ b/tests/fleet_recovery.rs
@@ -1,7 +1,7 @@
 //! The whole fleet after a loss of power: what each daemon trusts from before, and what nobody loses.
 
 use brookpass_testkit::check;
-use brookpass_testkit::fleet::{Lab, Setup};
+use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
 use brookpass_testkit::{eventually, http};
 use std::io::Write;
 use std::path::Path;
@@ -10,37 +10,37 @@
 use std::thread;
 use std::time::Duration;
 
-fn lab(setup: Setup) -> Lab {
+fn cluster(setup: ClusterConfig) -> TestCluster {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    Lab::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
+    TestCluster::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
 }
 
-fn power_off(lab: &mut Lab) {
-    (0..lab.daemons.len()).for_each(|n| lab.kill(n));
+fn power_off(cluster: &mut TestCluster) {
+    (0..cluster.daemons.len()).for_each(|n| cluster.kill(n));
 }
 
-fn power_on(lab: &mut Lab) {
-    (0..lab.daemons.len()).for_each(|n| lab.start(n));
-    (0..lab.daemons.len()).for_each(|n| lab.ready(n));
+fn power_on(cluster: &mut TestCluster) {
+    (0..cluster.daemons.len()).for_each(|n| cluster.start(n));
+    (0..cluster.daemons.len()).for_each(|n| cluster.wait_until_ready(n));
 }
 
 /// Waits until all daemons know the primaries of so many groups, and have that on their disks.
-fn kept(lab: &Lab, groups: usize) {
+fn kept(cluster: &TestCluster, groups: usize) {
     let knows = |n: usize| {
         let text =
-            http::call(lab.daemons[n].store, "GET", "/fleet/learned").map_or(String::new(), |m| m.text());
+            http::call(cluster.daemons[n].store, "GET", "/fleet/learned").map_or(String::new(), |m| m.text());
         text.lines().filter(|l| l.starts_with("group ") && l.contains(" primary ")).count() == groups
     };
     let count = |n: usize| {
-        let log = lab.daemons[n].process.as_ref().unwrap().log();
+        let log = cluster.daemons[n].process.as_ref().unwrap().log();
         log.iter().filter(|l| l.contains("words on hosts are kept")).count()
     };
     let number = AtomicU64::new(1_000_000);
-    for n in 0..lab.daemons.len() {
+    for n in 0..cluster.daemons.len() {
         eventually("it knows the primaries", || knows(n));
         let before = count(n);
         eventually("it keeps what it knows", || {
-            assert_eq!(lab.write(n, 1, number.fetch_add(1, Ordering::SeqCst)), 200);
+            assert_eq!(cluster.write(n, 1, number.fetch_add(1, Ordering::SeqCst)), 200);
             count(n) > before
         });
     }
@@ -50,7 +50,7 @@
 /// against what was learned before passing for fresh where the clock was set.
 #[test]
 fn primaries_from_before_are_first_guesses_unless_the_clock_was_set() {
-    let lab = &mut lab(Setup { daemons: 3, hosts: (6, 3), ..Setup::default() });
+    let cluster = &mut cluster(ClusterConfig { daemons: 3, hosts: (6, 3), ..ClusterConfig::default() });
     // Whoever the list's order would try first is no primary anywhere.
     let primary = |group: u32| {
         let mut members = brookpass::engine::endpoints::EndpointRegistry::default();
@@ -59,167 +59,175 @@
         names.pop().unwrap()
     };
     for group in 1..=6 {
-        lab.hosts.hand_over(group, &primary(group));
+        cluster.hosts.promote(group, &primary(group));
     }
-    lab.start_all();
+    cluster.start_all();
     for group in 1..=6 {
-        assert_eq!(lab.write(0, group, 100 + u64::from(group)), 200);
+        assert_eq!(cluster.write(0, group, 100 + u64::from(group)), 200);
     }
-    kept(lab, 6);
-    power_off(lab);
-    lab.set_clock(2, -60_000);
-    power_on(lab);
-    let said = |lab: &Lab, n: usize, words: &str| lab.daemons[n].process.as_ref().unwrap().line(words);
-    assert!(said(lab, 0, "it is a first guess").contains("ms old"));
-    assert!(said(lab, 2, "what was learned before is not used").contains("the clock"));
+    kept(cluster, 6);
+    power_off(cluster);
+    cluster.set_clock(2, -60_000);
+    power_on(cluster);
+    let said = |cluster: &TestCluster, n: usize, words: &str| {
+        cluster.daemons[n].process.as_ref().unwrap().wait_for_line(words)
+    };
+    assert!(said(cluster, 0, "it is a first guess").contains("ms old"));
+    assert!(said(cluster, 2, "what was learned before is not used").contains("the clock"));
     for n in [0, 1] {
-        let text = http::call(lab.daemons[n].store, "GET", "/fleet/learned").unwrap().text();
+        let text = http::call(cluster.daemons[n].store, "GET", "/fleet/learned").unwrap().text();
         assert!(text.contains("group 1 guess s-1-") || text.contains("group 1 primary s-1-"), "{text}");
         for group in 1..=6 {
             let number = 1_000 + 100 * n as u64 + u64::from(group);
-            assert_eq!(lab.write(n, group, number), 200);
-            assert_eq!(lab.reached(number), [primary(group)], "daemon {n}, group {group}");
+            assert_eq!(cluster.write(n, group, number), 200);
+            assert_eq!(cluster.endpoints_reached(number), [primary(group)], "daemon {n}, group {group}");
         }
     }
     // A guess that is wrong costs time only: the primaries have moved while all were down.
-    power_off(lab);
-    lab.set_clock(2, 0);
+    power_off(cluster);
+    cluster.set_clock(2, 0);
     for group in 1..=6 {
-        lab.hosts.hand_over(group, &format!("s-{group}-0"));
+        cluster.hosts.promote(group, &format!("s-{group}-0"));
     }
-    power_on(lab);
+    power_on(cluster);
     for group in 1..=6 {
         let number = 2_000 + u64::from(group);
-        assert_eq!(lab.write(1, group, number), 200);
-        assert_eq!(lab.reached(number).last(), Some(&format!("s-{group}-0")));
+        assert_eq!(cluster.write(1, group, number), 200);
+        assert_eq!(cluster.endpoints_reached(number).last(), Some(&format!("s-{group}-0")));
     }
-    check::one_attempt(&lab.hosts.arrivals()).unwrap();
-    check::agreement(&lab.logs(), 3).unwrap();
+    check::no_overlapping_attempts(&cluster.hosts.arrivals()).unwrap();
+    check::same_committed_sequence(&cluster.logs(), 3).unwrap();
 }
 
 /// Guards against an old or damaged disk that brings back what was ended, or loses a drain, after all lost their power.
 #[test]
 fn the_newest_agreed_state_wins_over_an_old_disk_and_a_damaged_one() {
-    let lab = &mut lab(Setup::default());
-    lab.start_all();
-    assert_eq!(lab.post(0, "/drain/s-1-0"), 200);
-    lab.settled();
-    power_off(lab);
-    let file = |lab: &Lab, n: usize| lab.daemons[n].folder.join("fleet.store");
-    let week_ago = std::fs::read(file(lab, 0)).unwrap();
-    power_on(lab);
-    assert_eq!(lab.post(1, "/undrain/s-1-0"), 200);
+    let cluster = &mut cluster(ClusterConfig::default());
+    cluster.start_all();
+    assert_eq!(cluster.post(0, "/drain/s-1-0"), 200);
+    cluster.wait_until_caught_up();
+    power_off(cluster);
+    let file = |cluster: &TestCluster, n: usize| cluster.daemons[n].folder.join("fleet.store");
+    let week_ago = std::fs::read(file(cluster, 0)).unwrap();
+    power_on(cluster);
+    assert_eq!(cluster.post(1, "/undrain/s-1-0"), 200);
     for host in ["s-1-1", "s-2-2"] {
-        assert_eq!(lab.post(2, &format!("/drain/{host}")), 200);
+        assert_eq!(cluster.post(2, &format!("/drain/{host}")), 200);
     }
-    lab.settled();
-    power_off(lab);
-    let mut old = std::fs::OpenOptions::new().write(true).truncate(true).open(file(lab, 0)).unwrap();
+    cluster.wait_until_caught_up();
+    power_off(cluster);
+    let mut old = std::fs::OpenOptions::new().write(true).truncate(true).open(file(cluster, 0)).unwrap();
     old.write_all(&week_ago).unwrap();
-    let bytes = std::fs::read(file(lab, 1)).unwrap();
+    let bytes = std::fs::read(file(cluster, 1)).unwrap();
     std::fs::OpenOptions::new()
         .write(true)
-        .open(file(lab, 1))
+        .open(file(cluster, 1))
         .unwrap()
         .set_len(bytes.len() as u64 / 3)
         .unwrap();
-    power_on(lab);
+    power_on(cluster);
     for n in 0..5 {
-        lab.all_leave(&[n], "s-1-0", false);
-        let seen = ["s-1-1", "s-2-2"].map(|host| lab.leaves(n, host));
+        cluster.all_leave(&[n], "s-1-0", false);
+        let seen = ["s-1-1", "s-2-2"].map(|host| cluster.is_draining(n, host));
         assert_eq!(seen, [Some(true); 2], "daemon {n}");
     }
-    eventually("all vote again", || lab.fleet(3).lines().filter(|l| l.contains(" voter ")).count() == 5);
-    assert!(lab.daemons[1].folder.join("fleet.store.damaged").exists());
-    check::agreement(&lab.logs(), 0).unwrap();
+    eventually("all vote again", || {
+        cluster.fleet_status(3).lines().filter(|l| l.contains(" voter ")).count() == 5
+    });
+    assert!(cluster.daemons[1].folder.join("fleet.store.damaged").exists());
+    check::same_committed_sequence(&cluster.logs(), 0).unwrap();
 }
 
 /// Guards against two of five that come back alone and act as if they were all, or serve nothing.
 #[test]
 fn two_of_five_serve_with_what_was_agreed_and_relax_nothing() {
-    let lab = &mut lab(Setup::default());
-    lab.start_all();
-    assert_eq!(lab.post(0, "/drain/s-1-1"), 200);
-    lab.settled();
-    power_off(lab);
+    let cluster = &mut cluster(ClusterConfig::default());
+    cluster.start_all();
+    assert_eq!(cluster.post(0, "/drain/s-1-1"), 200);
+    cluster.wait_until_caught_up();
+    power_off(cluster);
     for n in [1, 3] {
-        lab.start(n);
+        cluster.start(n);
     }
     for n in [1, 3] {
-        lab.ready(n);
-        assert!(lab.fleet(n).contains("serves with what was last agreed"), "{}", lab.fleet(n));
-        assert_eq!(lab.leaves(n, "s-1-1"), Some(true));
-        assert_eq!(lab.write(n, 1, 10 + n as u64), 200);
+        cluster.wait_until_ready(n);
+        assert!(
+            cluster.fleet_status(n).contains("serves with what was last agreed"),
+            "{}",
+            cluster.fleet_status(n)
+        );
+        assert_eq!(cluster.is_draining(n, "s-1-1"), Some(true));
+        assert_eq!(cluster.write(n, 1, 10 + n as u64), 200);
     }
-    assert_eq!(lab.post(1, "/undrain/s-1-1"), 503);
-    assert_eq!(lab.post(3, "/drain/s-2-1"), 202);
-    lab.all_leave(&[1, 3], "s-2-1", true);
+    assert_eq!(cluster.post(1, "/undrain/s-1-1"), 503);
+    assert_eq!(cluster.post(3, "/drain/s-2-1"), 202);
+    cluster.all_leave(&[1, 3], "s-2-1", true);
     // A loss of power keeps what only the two of them know.
     for n in [1, 3] {
-        lab.kill(n);
+        cluster.kill(n);
     }
     for n in 0..5 {
-        lab.start(n);
+        cluster.start(n);
     }
-    lab.all_leave(&[0, 1, 2, 3, 4], "s-2-1", true);
-    assert_eq!(lab.leaves(0, "s-1-1"), Some(true));
-    lab.settled();
-    check::agreement(&lab.logs(), 5).unwrap();
+    cluster.all_leave(&[0, 1, 2, 3, 4], "s-2-1", true);
+    assert_eq!(cluster.is_draining(0, "s-1-1"), Some(true));
+    cluster.wait_until_caught_up();
+    check::same_committed_sequence(&cluster.logs(), 5).unwrap();
 }
 
 /// Guards against a fleet that can never agree again, and against a word of the operator's that loses drains or splits
 /// a fleet that is there.
 #[test]
 fn on_an_operators_word_one_goes_on_alone_and_the_others_come_over() {
-    let lab = &mut lab(Setup::default());
-    lab.start_all();
+    let cluster = &mut cluster(ClusterConfig::default());
+    cluster.start_all();
     for host in ["s-1-1", "s-2-0"] {
-        assert_eq!(lab.post(0, &format!("/drain/{host}")), 200);
+        assert_eq!(cluster.post(0, &format!("/drain/{host}")), 200);
     }
-    lab.settled();
-    let word = |lab: &Lab, n: usize, more: &[&str]| {
+    cluster.wait_until_caught_up();
+    let word = |cluster: &TestCluster, n: usize, more: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_brookpass"));
-        let at = lab.daemons[n].store.to_string();
+        let at = cluster.daemons[n].store.to_string();
         let done = command.args(["fleet", "recover", &at]).args(more).output().unwrap();
         let text =
             String::from_utf8_lossy(&done.stdout).into_owned() + &String::from_utf8_lossy(&done.stderr);
         (done.status.success(), text)
     };
-    let (done, text) = word(lab, 3, &["--yes"]);
+    let (done, text) = word(cluster, 3, &["--yes"]);
     assert!(!done && text.contains("a majority is there"), "{text}");
-    power_off(lab);
+    power_off(cluster);
     for n in [0, 1, 2] {
-        lab.lose_disk(n);
+        cluster.delete_store(n);
     }
     for n in 0..5 {
-        lab.start(n);
+        cluster.start(n);
     }
     for n in [3, 4] {
-        lab.ready(n);
+        cluster.wait_until_ready(n);
     }
     // What only the other one knows comes along.
-    lab.split(&[vec![0, 1, 2, 3], vec![4]]);
-    assert_eq!(lab.post(4, "/drain/s-2-2"), 202);
-    let (done, text) = word(lab, 3, &[]);
+    cluster.partition(&[vec![0, 1, 2, 3], vec![4]]);
+    assert_eq!(cluster.post(4, "/drain/s-2-2"), 202);
+    let (done, text) = word(cluster, 3, &[]);
     assert!(done && text.contains("b0 is not heard") && text.contains("nothing was done"), "{text}");
-    assert!(lab.fleet(3).contains("leader none"));
-    let (done, text) = word(lab, 3, &["--yes"]);
+    assert!(cluster.fleet_status(3).contains("leader none"));
+    let (done, text) = word(cluster, 3, &["--yes"]);
     assert!(done && text.contains("goes on alone"), "{text}");
     for n in [0, 1, 2] {
-        lab.ready(n);
+        cluster.wait_until_ready(n);
     }
-    lab.heal();
-    lab.all_leave(&[0, 1, 2, 3, 4], "s-2-2", true);
+    cluster.heal_links();
+    cluster.all_leave(&[0, 1, 2, 3, 4], "s-2-2", true);
     for n in 0..5 {
-        assert_eq!(["s-1-1", "s-2-0"].map(|h| lab.leaves(n, h)), [Some(true); 2], "daemon {n}");
+        assert_eq!(["s-1-1", "s-2-0"].map(|h| cluster.is_draining(n, h)), [Some(true); 2], "daemon {n}");
     }
-    assert!(lab.daemons[4].folder.join("fleet.store.recovered").exists());
+    assert!(cluster.daemons[4].folder.join("fleet.store.recovered").exists());
     for n in [0, 1, 2, 4] {
-        eventually("it votes again", || lab.post(3, &format!("/fleet/vote/b{n}")) == 200);
+        eventually("it votes again", || cluster.post(3, &format!("/fleet/vote/b{n}")) == 200);
     }
-    assert_eq!(lab.post(1, "/undrain/s-1-1"), 200);
-    lab.settled();
-    assert_eq!(lab.fleet(2).lines().filter(|l| l.contains(" voter ")).count(), 5);
+    assert_eq!(cluster.post(1, "/undrain/s-1-1"), 200);
+    cluster.wait_until_caught_up();
+    assert_eq!(cluster.fleet_status(2).lines().filter(|l| l.contains(" voter ")).count(), 5);
 }
 
 /// Guards against a kill in the midst of a write that loses what was answered, or leaves a file that cannot be read.
@@ -227,15 +235,15 @@
 #[test]
 fn a_kill_at_any_moment_loses_nothing_that_was_answered() {
     let kills: u64 = std::env::var("LAB_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(15);
-    let lab = &mut lab(Setup { daemons: 1, hosts: (20, 3), ..Setup::default() });
-    lab.start_all();
-    let hosts: Vec<String> = lab.hosts.all.iter().map(|h| h.name.clone()).collect();
+    let cluster = &mut cluster(ClusterConfig { daemons: 1, hosts: (20, 3), ..ClusterConfig::default() });
+    cluster.start_all();
+    let hosts: Vec<String> = cluster.hosts.all.iter().map(|h| h.name.clone()).collect();
     let mut drained = vec![false; hosts.len()];
     let mut answered = 0;
     for round in 0..kills {
         let (stop, done) = (AtomicBool::new(false), Mutex::new(Vec::new()));
         thread::scope(|s| {
-            let at = lab.daemons[0].store;
+            let at = cluster.daemons[0].store;
             let (stop, done, hosts, before) = (&stop, &done, &hosts, drained.clone());
             s.spawn(move || {
                 let mut wanted = before;
@@ -254,12 +262,12 @@
                 }
             });
             thread::sleep(Duration::from_millis(5 + round * 13 % 40));
-            lab.kill(0);
+            cluster.kill(0);
             stop.store(true, Ordering::SeqCst);
         });
-        lab.start(0);
-        lab.ready(0);
-        let log = lab.daemons[0].process.as_ref().unwrap().log();
+        cluster.start(0);
+        cluster.wait_until_ready(0);
+        let log = cluster.daemons[0].process.as_ref().unwrap().log();
         assert!(!log.iter().any(|l| l.contains("set aside")), "round {round}: {log:#?}");
         let mut open = None;
         for (n, wanted, status) in done.into_inner().unwrap() {
@@ -273,7 +281,7 @@
             }
         }
         for (n, host) in hosts.iter().enumerate() {
-            let leaves = lab.leaves(0, host) == Some(true);
+            let leaves = cluster.is_draining(0, host) == Some(true);
             assert!(leaves == drained[n] || open == Some(n), "round {round}: {host}");
             drained[n] = leaves;
         }
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -1,9 +1,9 @@
 //! Zones that fail under several processes: left as one agreed change, and returned to step by step.
 
-use brookpass_testkit::check::{self, Cold};
-use brookpass_testkit::client::{Asked, Plan};
-use brookpass_testkit::fleet::{Lab, Setup};
-use brookpass_testkit::script::{Act, Script, Trouble};
+use brookpass_testkit::check::{self, ColdStartBound};
+use brookpass_testkit::client::{LoadProfile, RequestRecord};
+use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
+use brookpass_testkit::faults::{EndpointFault, FaultAction, FaultSchedule};
 use brookpass_testkit::{eventually, now, seeds};
 use std::path::Path;
 use std::thread;
@@ -12,54 +12,56 @@
 const PATIENCE: i64 = 2_500_000;
 const STEPS: [u16; 5] = [20, 125, 250, 500, 1000];
 
-fn lab(setup: Setup) -> Lab {
+fn cluster(setup: ClusterConfig) -> TestCluster {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    Lab::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
+    TestCluster::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
 }
 
-fn plan(seed: u64) -> Plan {
-    Plan { rate: 200.0, clients: 20, groups: 4, seed, again: true, ..Plan::default() }
+fn plan(seed: u64) -> LoadProfile {
+    LoadProfile { rate: 200.0, clients: 20, groups: 4, seed, again: true, ..LoadProfile::default() }
 }
 
 /// A fleet whose primaries are all in the first zone, under load for long enough to know its hosts.
-fn served(daemons: usize, seed: u64) -> (Lab, brookpass_testkit::client::Load) {
-    under_load(Setup { daemons, hosts: (4, 3), ..Setup::default() }, seed)
+fn served(daemons: usize, seed: u64) -> (TestCluster, brookpass_testkit::client::Load) {
+    under_load(ClusterConfig { daemons, hosts: (4, 3), ..ClusterConfig::default() }, seed)
 }
 
-fn under_load(setup: Setup, seed: u64) -> (Lab, brookpass_testkit::client::Load) {
+fn under_load(setup: ClusterConfig, seed: u64) -> (TestCluster, brookpass_testkit::client::Load) {
     let daemons = setup.daemons;
-    let mut lab = lab(setup);
-    lab.start_all();
-    let load = lab.load(plan(seed));
-    eventually("service is as ever", || (0..daemons).all(|n| lab.fleet(n).contains("recovery done")));
+    let mut cluster = cluster(setup);
+    cluster.start_all();
+    let load = cluster.start_load(plan(seed));
+    eventually("service is as ever", || {
+        (0..daemons).all(|n| cluster.fleet_status(n).contains("recovery done"))
+    });
     thread::sleep(Duration::from_secs(1));
-    (lab, load)
+    (cluster, load)
 }
 
-fn silence(lab: &Lab, zone: &str, silent: bool) -> i64 {
+fn silence(cluster: &TestCluster, zone: &str, silent: bool) -> i64 {
     let at = now();
-    lab.hosts.of_zone(zone).for_each(|h| h.set(|h| h.silent = silent));
+    cluster.hosts.in_zone(zone).for_each(|h| h.set(|h| h.silent = silent));
     at
 }
 
 /// The rules that hold whatever fails.
-fn rules(lab: &Lab, asked: &[Asked]) {
-    check::fresh(asked).unwrap();
-    check::one_attempt(&lab.hosts.arrivals()).unwrap();
-    check::answered(asked, &lab.down, PATIENCE).unwrap();
-    check::agreement(&lab.logs(), lab.daemons.len()).unwrap();
+fn rules(cluster: &TestCluster, asked: &[RequestRecord]) {
+    check::no_stale_reads(asked).unwrap();
+    check::no_overlapping_attempts(&cluster.hosts.arrivals()).unwrap();
+    check::every_request_answered(asked, &cluster.down, PATIENCE).unwrap();
+    check::same_committed_sequence(&cluster.logs(), cluster.daemons.len()).unwrap();
 }
 
 /// Arrivals at a zone's hosts within a time.
-fn reached(lab: &Lab, zone: &str, from: i64, to: i64) -> usize {
-    let arrivals = lab.hosts.arrivals();
-    let there = |name: &str| lab.hosts.named(name).zone == zone;
+fn reached(cluster: &TestCluster, zone: &str, from: i64, to: i64) -> usize {
+    let arrivals = cluster.hosts.arrivals();
+    let there = |name: &str| cluster.hosts.get(name).zone == zone;
     arrivals.iter().filter(|a| (from..to).contains(&a.at) && there(&a.host)).count()
 }
 
 /// The parts that a zone got at a daemon by agreed moves, in order.
-fn moves(lab: &Lab, n: usize, zone: &str) -> Vec<u16> {
-    let log = lab.log(n);
+fn moves(cluster: &TestCluster, n: usize, zone: &str) -> Vec<u16> {
+    let log = cluster.log(n);
     let number = zone.trim_start_matches("z-");
     let words = format!("zone {number} to ");
     let moved = log.iter().filter(|l| l.contains("fleet: agreed") && l.ends_with("Done"));
@@ -70,24 +72,24 @@
 /// and a return that is not one step after the other for all.
 #[test]
 fn a_silent_zone_is_left_by_all_at_once_and_returned_to_step_by_step() {
-    let (lab, load) = served(3, 1);
-    let from = silence(&lab, "z-1", true);
-    let took = lab.all_give("z-1", 0);
+    let (cluster, load) = served(3, 1);
+    let from = silence(&cluster, "z-1", true);
+    let took = cluster.wait_for_zone_weight("z-1", 0);
     assert!(took < Duration::from_secs(2), "{took:?}");
     let left = now() + 250_000;
     thread::sleep(Duration::from_millis(1_500));
     let quiet = now();
-    silence(&lab, "z-1", false);
-    let back = lab.all_give("z-1", 1000);
+    silence(&cluster, "z-1", false);
+    let back = cluster.wait_for_zone_weight("z-1", 1000);
     assert!(back > Duration::from_secs(4), "no step is left out: {back:?}");
-    let asked = load.end();
-    rules(&lab, &asked);
-    assert_eq!(reached(&lab, "z-1", left, quiet), 0, "nothing new goes there");
-    let lost = check::lost(&asked, from, quiet);
+    let asked = load.finish();
+    rules(&cluster, &asked);
+    assert_eq!(reached(&cluster, "z-1", left, quiet), 0, "nothing new goes there");
+    let lost = check::unserved(&asked, from, quiet);
     assert!(lost <= 6, "{lost} requests had no good answer");
     for n in 0..3 {
-        assert_eq!(moves(&lab, n, "z-1"), [&[0][..], &STEPS].concat(), "daemon {n}");
-        assert!(moves(&lab, n, "z-0").is_empty() && moves(&lab, n, "z-2").is_empty());
+        assert_eq!(moves(&cluster, n, "z-1"), [&[0][..], &STEPS].concat(), "daemon {n}");
+        assert!(moves(&cluster, n, "z-0").is_empty() && moves(&cluster, n, "z-2").is_empty());
     }
 }
 
@@ -95,24 +97,29 @@
 /// where one of them starts anew in the midst of it.
 #[test]
 fn hosts_of_a_zone_that_return_cold_are_not_pushed_over() {
-    let (mut lab, load) = served(3, 2);
-    let weak =
-        |h: &brookpass_testkit::host::Host| h.set(|h| (h.slots, h.work) = (4, Duration::from_millis(40)));
-    lab.hosts.of_zone("z-2").for_each(weak);
-    lab.hosts.of_zone("z-2").for_each(|h| h.power_off());
-    lab.all_give("z-2", 0);
-    lab.hosts.of_zone("z-2").for_each(|h| h.power_on());
+    let (mut cluster, load) = served(3, 2);
+    let weak = |h: &brookpass_testkit::endpoint::StandInEndpoint| {
+        h.set(|h| (h.slots, h.work) = (4, Duration::from_millis(40)))
+    };
+    cluster.hosts.in_zone("z-2").for_each(weak);
+    cluster.hosts.in_zone("z-2").for_each(|h| h.power_off());
+    cluster.wait_for_zone_weight("z-2", 0);
+    cluster.hosts.in_zone("z-2").for_each(|h| h.power_on());
     let started = now();
-    lab.all_give("z-2", 20);
-    lab.kill(1);
-    lab.start(1);
-    lab.ready(1);
-    lab.all_give("z-2", 1000);
-    let asked = load.end();
-    rules(&lab, &asked);
-    let arrivals = lab.hosts.arrivals();
-    for host in lab.hosts.of_zone("z-2") {
-        let worst = check::spared(&arrivals, &host.name, Cold { started, bears: 100.0, multiple: 4.0 });
+    cluster.wait_for_zone_weight("z-2", 20);
+    cluster.kill(1);
+    cluster.start(1);
+    cluster.wait_until_ready(1);
+    cluster.wait_for_zone_weight("z-2", 1000);
+    let asked = load.finish();
+    rules(&cluster, &asked);
+    let arrivals = cluster.hosts.arrivals();
+    for host in cluster.hosts.in_zone("z-2") {
+        let worst = check::cold_endpoint_not_overloaded(
+            &arrivals,
+            &host.name,
+            ColdStartBound { started, bears: 100.0, multiple: 4.0 },
+        );
         assert!(worst.clone().is_ok_and(|w| w < 0.8), "{}: {worst:?}", host.name);
     }
 }
@@ -120,26 +127,26 @@
 /// Guards against a zone that is left and returned to with every breath: each time it stays away for longer.
 #[test]
 fn a_zone_that_fails_again_on_its_way_back_goes_at_once_and_stays_away_for_longer() {
-    let (lab, load) = served(3, 3);
-    silence(&lab, "z-1", true);
-    lab.all_give("z-1", 0);
+    let (cluster, load) = served(3, 3);
+    silence(&cluster, "z-1", true);
+    cluster.wait_for_zone_weight("z-1", 0);
     let first = now();
-    silence(&lab, "z-1", false);
+    silence(&cluster, "z-1", false);
     // How long the first step takes depends on what little is asked there: only the time away is compared.
-    lab.all_give("z-1", 20);
+    cluster.wait_for_zone_weight("z-1", 20);
     let dwelt = now() - first;
-    lab.all_give("z-1", 125);
-    silence(&lab, "z-1", true);
-    lab.all_give("z-1", 0);
+    cluster.wait_for_zone_weight("z-1", 125);
+    silence(&cluster, "z-1", true);
+    cluster.wait_for_zone_weight("z-1", 0);
     let again = now();
-    silence(&lab, "z-1", false);
-    lab.all_give("z-1", 20);
+    silence(&cluster, "z-1", false);
+    cluster.wait_for_zone_weight("z-1", 20);
     let dwelt_again = now() - again;
     assert!(dwelt_again > dwelt + 1_500_000, "{dwelt} then {dwelt_again}");
-    lab.all_give("z-1", 125);
-    let asked = load.end();
-    rules(&lab, &asked);
-    let log = moves(&lab, 0, "z-1");
+    cluster.wait_for_zone_weight("z-1", 125);
+    let asked = load.finish();
+    rules(&cluster, &asked);
+    let log = moves(&cluster, 0, "z-1");
     assert_eq!(log.iter().filter(|part| **part == 0).count(), 2, "{log:?}");
 }
 
@@ -147,105 +154,105 @@
 /// do nothing.
 #[test]
 fn daemons_that_hear_nobody_leave_a_silent_zone_each_for_itself() {
-    let (lab, load) = served(3, 4);
-    lab.split(&[vec![0], vec![1], vec![2]]);
-    eventually("nobody leads", || (0..3).all(|n| lab.fact(n, "leader") == "none"));
-    silence(&lab, "z-1", true);
+    let (cluster, load) = served(3, 4);
+    cluster.partition(&[vec![0], vec![1], vec![2]]);
+    eventually("nobody leads", || (0..3).all(|n| cluster.fleet_field(n, "leader") == "none"));
+    silence(&cluster, "z-1", true);
     // Each in its own time, and only where it asked enough there to know: the module avoids silent hosts by itself.
-    let left = |n: usize| lab.log(n).iter().any(|l| l.contains("this daemon leaves z-1 for itself"));
+    let left = |n: usize| cluster.log(n).iter().any(|l| l.contains("this daemon leaves z-1 for itself"));
     eventually("one leaves the zone for itself", || (0..3).any(left));
     thread::sleep(Duration::from_millis(1_500));
     let known = now();
     thread::sleep(Duration::from_millis(1_500));
     let until = now();
-    assert!((0..3).all(|n| lab.zone(n, "z-1").is_some_and(|(_, agreed)| agreed == 1000)));
-    assert_eq!(lab.post(1, "/zone/z-2/leave"), 503, "an operator's word needs a majority");
-    silence(&lab, "z-1", false);
+    assert!((0..3).all(|n| cluster.zone_weight(n, "z-1").is_some_and(|(_, agreed)| agreed == 1000)));
+    assert_eq!(cluster.post(1, "/zone/z-2/leave"), 503, "an operator's word needs a majority");
+    silence(&cluster, "z-1", false);
     // What failed last is told for two seconds: whoever leads then must not act on what is over.
     thread::sleep(Duration::from_secs(3));
-    lab.heal();
-    lab.led();
-    lab.all_give("z-1", 1000);
-    let asked = load.end();
-    rules(&lab, &asked);
-    let lost = check::lost(&asked, known, until);
+    cluster.heal_links();
+    cluster.wait_for_leader();
+    cluster.wait_for_zone_weight("z-1", 1000);
+    let asked = load.finish();
+    rules(&cluster, &asked);
+    let lost = check::unserved(&asked, known, until);
     assert!(lost <= 12, "{lost} requests had no good answer though the zone was known to be silent");
-    assert!((0..3).all(|n| moves(&lab, n, "z-1").iter().all(|part| *part > 0)), "nothing was agreed");
+    assert!((0..3).all(|n| moves(&cluster, n, "z-1").iter().all(|part| *part > 0)), "nothing was agreed");
 }
 
 /// Guards against an operator's word that is overruled by what daemons see, and against one that takes all away.
 #[test]
 fn an_operators_word_holds_and_the_last_zone_is_kept() {
-    let (lab, load) = served(3, 5);
-    assert_eq!(lab.post(0, "/zone/z-2/leave"), 200);
-    lab.all_give("z-2", 0);
+    let (cluster, load) = served(3, 5);
+    assert_eq!(cluster.post(0, "/zone/z-2/leave"), 200);
+    cluster.wait_for_zone_weight("z-2", 0);
     let left = now() + 250_000;
-    assert_eq!(lab.post(1, "/zone/z-1/leave"), 200);
-    assert_eq!(lab.post(2, "/zone/z-0/leave"), 409);
-    assert_eq!((lab.post(0, "/zone/z-9/leave"), lab.post(0, "/zone/z-1/go")), (404, 404));
+    assert_eq!(cluster.post(1, "/zone/z-1/leave"), 200);
+    assert_eq!(cluster.post(2, "/zone/z-0/leave"), 409);
+    assert_eq!((cluster.post(0, "/zone/z-9/leave"), cluster.post(0, "/zone/z-1/go")), (404, 404));
     thread::sleep(Duration::from_secs(4));
-    lab.all_give("z-2", 0);
+    cluster.wait_for_zone_weight("z-2", 0);
     let settled = now() - 2_000_000;
-    assert_eq!(reached(&lab, "z-2", left, now()), 0);
+    assert_eq!(reached(&cluster, "z-2", left, now()), 0);
     // A primary is written to wherever it is.
-    (1..=4).for_each(|group| lab.hosts.hand_over(group, &format!("s-{group}-2")));
+    (1..=4).for_each(|group| cluster.hosts.promote(group, &format!("s-{group}-2")));
     for n in 0..3 {
-        eventually("writes go to the new primary", || lab.write(n, 1, 70_000 + n as u64) == 200);
-        assert_eq!(lab.reached(70_000 + n as u64).last().map(String::as_str), Some("s-1-2"));
+        eventually("writes go to the new primary", || cluster.write(n, 1, 70_000 + n as u64) == 200);
+        assert_eq!(cluster.endpoints_reached(70_000 + n as u64).last().map(String::as_str), Some("s-1-2"));
     }
-    assert_eq!(lab.post(1, "/zone/z-2/return-now"), 200);
-    lab.all_give("z-2", 1000);
-    assert_eq!(lab.post(1, "/zone/z-1/return"), 200);
-    lab.all_give("z-1", 125);
-    assert_eq!(lab.post(2, "/zone/z-1/hold"), 200);
-    let held = lab.zone(0, "z-1");
+    assert_eq!(cluster.post(1, "/zone/z-2/return-now"), 200);
+    cluster.wait_for_zone_weight("z-2", 1000);
+    assert_eq!(cluster.post(1, "/zone/z-1/return"), 200);
+    cluster.wait_for_zone_weight("z-1", 125);
+    assert_eq!(cluster.post(2, "/zone/z-1/hold"), 200);
+    let held = cluster.zone_weight(0, "z-1");
     thread::sleep(Duration::from_millis(2_500));
-    assert!(held.is_some_and(|(part, _)| part < 1000) && lab.zone(0, "z-1") == held);
-    assert_eq!(lab.post(2, "/zone/z-1/return"), 200);
-    lab.all_give("z-1", 1000);
-    let asked = load.end();
-    rules(&lab, &asked);
-    assert_eq!(check::lost(&asked, left, settled), 0, "nobody notices");
+    assert!(held.is_some_and(|(part, _)| part < 1000) && cluster.zone_weight(0, "z-1") == held);
+    assert_eq!(cluster.post(2, "/zone/z-1/return"), 200);
+    cluster.wait_for_zone_weight("z-1", 1000);
+    let asked = load.finish();
+    rules(&cluster, &asked);
+    assert_eq!(check::unserved(&asked, left, settled), 0, "nobody notices");
 }
 
 /// Guards against a zone whose hosts are slow and that keeps its share, and against hosts that fail one by one and are
 /// taken for their zone.
 #[test]
 fn a_slow_zone_is_left_and_one_dead_host_is_not_a_lost_zone() {
-    let (lab, load) = served(3, 6);
-    lab.hosts.named("s-1-1").set(|h| h.silent = true);
+    let (cluster, load) = served(3, 6);
+    cluster.hosts.get("s-1-1").set(|h| h.silent = true);
     thread::sleep(Duration::from_secs(3));
-    assert!((0..3).all(|n| lab.zone(n, "z-1") == Some((1000, 1000))), "one host of four");
-    lab.hosts.named("s-1-1").set(|h| h.silent = false);
-    lab.hosts.of_zone("z-2").for_each(|h| h.set(|h| h.work = Duration::from_millis(120)));
-    eventually("it is left", || lab.zone(0, "z-2").is_some_and(|(part, _)| part < 1000));
-    lab.hosts.of_zone("z-2").for_each(|h| h.set(|h| h.work = Duration::from_millis(2)));
-    lab.all_give("z-2", 1000);
-    let asked = load.end();
-    rules(&lab, &asked);
-    assert!(moves(&lab, 0, "z-1").is_empty());
+    assert!((0..3).all(|n| cluster.zone_weight(n, "z-1") == Some((1000, 1000))), "one host of four");
+    cluster.hosts.get("s-1-1").set(|h| h.silent = false);
+    cluster.hosts.in_zone("z-2").for_each(|h| h.set(|h| h.work = Duration::from_millis(120)));
+    eventually("it is left", || cluster.zone_weight(0, "z-2").is_some_and(|(part, _)| part < 1000));
+    cluster.hosts.in_zone("z-2").for_each(|h| h.set(|h| h.work = Duration::from_millis(2)));
+    cluster.wait_for_zone_weight("z-2", 1000);
+    let asked = load.finish();
+    rules(&cluster, &asked);
+    assert!(moves(&cluster, 0, "z-1").is_empty());
 }
 
 /// Guards against the loss of all primaries with their zone: writes go to the new ones once they are there, and the
 /// second zone that fails is left only where a third one works.
 #[test]
 fn a_zone_with_all_primaries_is_lost_and_another_one_right_after() {
-    let (lab, load) = served(5, 7);
+    let (cluster, load) = served(5, 7);
     let from = now();
-    lab.hosts.of_zone("z-0").for_each(|h| h.power_off());
-    (1..=4).for_each(|group| lab.hosts.hand_over(group, &format!("s-{group}-1")));
-    lab.all_give("z-0", 0);
-    silence(&lab, "z-2", true);
-    lab.all_give("z-2", 0);
+    cluster.hosts.in_zone("z-0").for_each(|h| h.power_off());
+    (1..=4).for_each(|group| cluster.hosts.promote(group, &format!("s-{group}-1")));
+    cluster.wait_for_zone_weight("z-0", 0);
+    silence(&cluster, "z-2", true);
+    cluster.wait_for_zone_weight("z-2", 0);
     let left = now();
     thread::sleep(Duration::from_secs(1));
-    assert!((0..5).all(|n| lab.zone(n, "z-1") == Some((1000, 1000))), "the last one is kept");
-    silence(&lab, "z-2", false);
-    lab.hosts.of_zone("z-0").for_each(|h| h.power_on());
-    lab.all_give("z-2", 1000);
-    lab.all_give("z-0", 1000);
-    let asked = load.end();
-    rules(&lab, &asked);
+    assert!((0..5).all(|n| cluster.zone_weight(n, "z-1") == Some((1000, 1000))), "the last one is kept");
+    silence(&cluster, "z-2", false);
+    cluster.hosts.in_zone("z-0").for_each(|h| h.power_on());
+    cluster.wait_for_zone_weight("z-2", 1000);
+    cluster.wait_for_zone_weight("z-0", 1000);
+    let asked = load.finish();
+    rules(&cluster, &asked);
     let served = |write: bool| {
         asked.iter().any(|a| a.write == write && a.status == 200 && a.sent > left && a.until > from)
     };
@@ -256,95 +263,96 @@
 #[test]
 fn a_region_that_is_lost_is_left_whole() {
     let regions = ["south", "north", "north"].map(String::from).to_vec();
-    let (lab, load) = under_load(Setup { daemons: 3, hosts: (4, 3), regions, ..Setup::default() }, 8);
-    silence(&lab, "z-1", true);
-    silence(&lab, "z-2", true);
-    lab.all_give("z-1", 0);
-    lab.all_give("z-2", 0);
-    assert!((0..3).all(|n| lab.zone(n, "z-0") == Some((1000, 1000))), "the other region is kept");
-    let text = brookpass_testkit::http::call(lab.daemons[0].store, "GET", "/zones").unwrap().text();
+    let (cluster, load) =
+        under_load(ClusterConfig { daemons: 3, hosts: (4, 3), regions, ..ClusterConfig::default() }, 8);
+    silence(&cluster, "z-1", true);
+    silence(&cluster, "z-2", true);
+    cluster.wait_for_zone_weight("z-1", 0);
+    cluster.wait_for_zone_weight("z-2", 0);
+    assert!((0..3).all(|n| cluster.zone_weight(n, "z-0") == Some((1000, 1000))), "the other region is kept");
+    let text = brookpass_testkit::http::call(cluster.daemons[0].store, "GET", "/zones").unwrap().text();
     assert!(
         text.lines().any(|l| l.starts_with("zone z-2 gets 0") && l.ends_with("of region north")),
         "{text}"
     );
-    silence(&lab, "z-1", false);
-    silence(&lab, "z-2", false);
-    lab.all_give("z-1", 1000);
-    lab.all_give("z-2", 1000);
-    rules(&lab, &load.end());
+    silence(&cluster, "z-1", false);
+    silence(&cluster, "z-2", false);
+    cluster.wait_for_zone_weight("z-1", 1000);
+    cluster.wait_for_zone_weight("z-2", 1000);
+    rules(&cluster, &load.finish());
 }
 
 /// Guards against a fleet that leaves a zone because one daemon cannot reach it, against a daemon that goes on sending
 /// there, and against one that finds nobody anywhere and is believed.
 #[test]
 fn a_daemon_whose_own_links_are_cut_moves_nothing_for_the_others() {
-    let (lab, load) = served(3, 9);
-    lab.cut_zone(1, "z-1", true);
+    let (cluster, load) = served(3, 9);
+    cluster.cut_zone(1, "z-1", true);
     thread::sleep(Duration::from_millis(1_500));
     let known = now();
     thread::sleep(Duration::from_millis(1_500));
     let until = now();
     for n in [0, 2] {
-        assert_eq!(lab.zone(n, "z-1"), Some((1000, 1000)));
-        assert!(!lab.log(n).iter().any(|line| line.contains("for itself")), "daemon {n} reaches it");
+        assert_eq!(cluster.zone_weight(n, "z-1"), Some((1000, 1000)));
+        assert!(!cluster.log(n).iter().any(|line| line.contains("for itself")), "daemon {n} reaches it");
     }
-    lab.cut_zone(1, "z-1", false);
+    cluster.cut_zone(1, "z-1", false);
     // Now it reaches nothing at all, and says so of every zone.
-    ["z-0", "z-1", "z-2"].iter().for_each(|zone| lab.cut_zone(2, zone, true));
+    ["z-0", "z-1", "z-2"].iter().for_each(|zone| cluster.cut_zone(2, zone, true));
     thread::sleep(Duration::from_secs(3));
-    ["z-0", "z-1", "z-2"].iter().for_each(|zone| lab.cut_zone(2, zone, false));
-    let served = |n: usize, from: i64| lab.write(n, 1, from as u64 % 1_000_000 + 80_000_000) == 200;
+    ["z-0", "z-1", "z-2"].iter().for_each(|zone| cluster.cut_zone(2, zone, false));
+    let served = |n: usize, from: i64| cluster.write(n, 1, from as u64 % 1_000_000 + 80_000_000) == 200;
     eventually("it serves again", || served(2, now()));
-    let asked = load.end();
-    rules(&lab, &asked);
-    let lost = check::lost(&asked, known, until);
+    let asked = load.finish();
+    rules(&cluster, &asked);
+    let lost = check::unserved(&asked, known, until);
     assert!(lost <= 12, "{lost} requests had no good answer though their daemon knew the zone");
     for (n, zone) in (0..3).flat_map(|n| ["z-0", "z-1", "z-2"].map(|zone| (n, zone))) {
-        assert!(moves(&lab, n, zone).is_empty(), "daemon {n}: {zone} moved");
+        assert!(moves(&cluster, n, zone).is_empty(), "daemon {n}: {zone} moved");
     }
 }
 
 /// Guards against a zone that answers two of three requests and is taken for lost, and against clients that pay for it.
 #[test]
 fn a_lossy_zone_is_not_a_lost_one() {
-    let (lab, load) = served(3, 10);
+    let (cluster, load) = served(3, 10);
     let from = now();
-    lab.trouble("z-1", Trouble::Lossy(30));
+    cluster.set_zone_fault("z-1", EndpointFault::Lossy(30));
     thread::sleep(Duration::from_secs(4));
-    lab.trouble("z-1", Trouble::None);
+    cluster.set_zone_fault("z-1", EndpointFault::None);
     let to = now();
-    let asked = load.end();
-    rules(&lab, &asked);
-    let due = check::due(&asked, from, to).count();
-    let lost = check::lost(&asked, from, to);
+    let asked = load.finish();
+    rules(&cluster, &asked);
+    let due = check::requests_due(&asked, from, to).count();
+    let lost = check::unserved(&asked, from, to);
     assert!(due > 400 && lost * 20 <= due, "{lost} of {due} had no good answer");
 }
 
 /// Any zones' faults at any time with daemons that are killed: the rules hold, one zone is never left, and all return.
 fn faults(seed: u64) {
-    let (mut lab, load) = served(3, seed);
+    let (mut cluster, load) = served(3, seed);
     let zones = ["z-0", "z-1", "z-2"].map(String::from);
-    let script = Script::zones(seed, 3, &zones, 6_000);
-    lab.play(&script);
-    (0..3).for_each(|n| lab.ready(n));
-    lab.led();
+    let script = FaultSchedule::zones(seed, 3, &zones, 6_000);
+    cluster.run_schedule(&script);
+    (0..3).for_each(|n| cluster.wait_until_ready(n));
+    cluster.wait_for_leader();
     for zone in &zones {
         // What failed again and again stays away for up to a minute; an operator knows better.
         eventually(&format!("seed {seed}: {zone} is back"), || {
-            lab.post(0, &format!("/zone/{zone}/return-now"));
-            (0..3).all(|n| lab.zone(n, zone).is_some_and(|(_, agreed)| agreed == 1000))
+            cluster.post(0, &format!("/zone/{zone}/return-now"));
+            (0..3).all(|n| cluster.zone_weight(n, zone).is_some_and(|(_, agreed)| agreed == 1000))
         });
     }
     let calm = now();
     eventually("all is served again", || load.served(calm, now()) > 100);
-    let asked = load.end();
-    rules(&lab, &asked);
+    let asked = load.finish();
+    rules(&cluster, &asked);
     let spared = zones.iter().filter(|zone| {
-        let touched = |act: &Act| matches!(act, Act::Zone(z, t) if z == *zone && *t != Trouble::None);
+        let touched = |act: &FaultAction| matches!(act, FaultAction::SetZoneFault(z, t) if z == *zone && *t != EndpointFault::None);
         !script.0.iter().any(|(_, act)| touched(act))
     });
     for (n, zone) in spared.flat_map(|zone| (0..3).map(move |n| (n, zone))) {
-        assert!(moves(&lab, n, zone).iter().all(|part| *part > 0), "seed {seed}: {zone} was left");
+        assert!(moves(&cluster, n, zone).iter().all(|part| *part > 0), "seed {seed}: {zone} was left");
     }
 }
 
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -5,7 +5,7 @@
 
 use brookpass::fleet::zones::Verdict;
 use brookpass::store::zone_weights::Why;
-use brookpass_testkit::fleet::{Lab, Setup};
+use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
 use stand_in::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -361,10 +361,10 @@
     golden("answers-without-a-fleet.txt", &(without_times(&t.text) + "\n"));
 }
 
-fn lab(daemons: usize) -> Lab {
+fn cluster(daemons: usize) -> TestCluster {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let setup = Setup { daemons, hosts: (1, 3), ..Setup::default() };
-    Lab::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
+    let setup = ClusterConfig { daemons, hosts: (1, 3), ..ClusterConfig::default() };
+    TestCluster::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
 }
 
 fn recover(at: SocketAddr, more: &[&str]) -> String {
@@ -378,59 +378,59 @@
 /// Guards against words that change for whoever has to act while daemons leave, are gone, or no majority is left.
 #[test]
 fn a_fleet_of_three_that_shrinks_answers_as_the_golden_text_says() {
-    let lab = &mut lab(3);
-    lab.start_all();
-    let leader = lab.led();
+    let cluster = &mut cluster(3);
+    cluster.start_all();
+    let leader = cluster.wait_for_leader();
     let rest: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     let (stays, goes) = (rest[0], rest[1]);
-    let ready = |lab: &Lab, n: usize| {
-        let text = lab.fleet(n);
+    let ready = |cluster: &TestCluster, n: usize| {
+        let text = cluster.fleet_status(n);
         text.contains("recovery done")
             && text.contains("its own file says the same")
             && !text.contains("never heard")
             && text.lines().all(|l| !l.starts_with("member ") || !l.ends_with(" leader none"))
     };
     for n in 0..3 {
-        eventually("it has come to rest", || ready(lab, n));
+        eventually("it has come to rest", || ready(cluster, n));
     }
     let mut text = String::new();
     let mut note = |what: &str, answer: &str| text += &format!("> {what}\n{}\n\n", answer.trim_end());
-    let post = |lab: &Lab, n: usize, path: &str| {
-        let answer = exchange(lab.daemons[n].store, &request("POST", path)).replace("\r\n", "\n");
-        answer.replace(&lab.daemons[n].name, "NAME").replace(&lab.daemons[goes].name, "GOES")
+    let post = |cluster: &TestCluster, n: usize, path: &str| {
+        let answer = exchange(cluster.daemons[n].store, &request("POST", path)).replace("\r\n", "\n");
+        answer.replace(&cluster.daemons[n].name, "NAME").replace(&cluster.daemons[goes].name, "GOES")
     };
-    note("the leader, GET /fleet", &shapes(&lab.fleet(leader)));
-    note("another one, GET /fleet", &shapes(&lab.fleet(stays)));
-    note("a majority is there, fleet recover", &recover(lab.daemons[stays].store, &[]));
-    note("POST /fleet/leave/GOES", &post(lab, leader, &format!("/fleet/leave/b{goes}")));
-    eventually("it says so itself", || lab.fleet(goes).contains(" removed\n"));
+    note("the leader, GET /fleet", &shapes(&cluster.fleet_status(leader)));
+    note("another one, GET /fleet", &shapes(&cluster.fleet_status(stays)));
+    note("a majority is there, fleet recover", &recover(cluster.daemons[stays].store, &[]));
+    note("POST /fleet/leave/GOES", &post(cluster, leader, &format!("/fleet/leave/b{goes}")));
+    eventually("it says so itself", || cluster.fleet_status(goes).contains(" removed\n"));
     // Whether it still hears the leader, and whether it took its own removal in, is a matter of moments.
-    let left = lab.fleet(goes).replace("\nleader none ", "\nleader b0 ");
+    let left = cluster.fleet_status(goes).replace("\nleader none ", "\nleader b0 ");
     let left: Vec<&str> =
         left.lines().filter(|l| !l.starts_with("member ") && !l.starts_with("removed ")).collect();
     note("it has left, GET /fleet without members", &shapes(&left.join("\n")));
     for path in ["/drain/s-1-1", "/undrain/s-1-1", "/zone/z-1/leave", "/fleet/vote/b0"] {
-        note(&format!("it has left, POST {path}"), &post(lab, goes, path));
+        note(&format!("it has left, POST {path}"), &post(cluster, goes, path));
     }
-    note("it has left, fleet recover", &recover(lab.daemons[goes].store, &[]));
-    lab.kill(goes);
-    eventually("the others know", || lab.fleet(stays).contains("\nremoved "));
-    assert_eq!(lab.post(stays, "/drain/s-1-2"), 200);
-    lab.settled();
-    lab.kill(leader);
-    eventually("no majority is known", || lab.fact(stays, "leader") == "none");
+    note("it has left, fleet recover", &recover(cluster.daemons[goes].store, &[]));
+    cluster.kill(goes);
+    eventually("the others know", || cluster.fleet_status(stays).contains("\nremoved "));
+    assert_eq!(cluster.post(stays, "/drain/s-1-2"), 200);
+    cluster.wait_until_caught_up();
+    cluster.kill(leader);
+    eventually("no majority is known", || cluster.fleet_field(stays, "leader") == "none");
     for path in ["/drain/s-1-1", "/undrain/s-1-2", "/zone/z-1/leave"] {
-        note(&format!("no majority, POST {path}"), &post(lab, stays, path));
+        note(&format!("no majority, POST {path}"), &post(cluster, stays, path));
     }
-    let wish = post(lab, stays, &format!("/fleet/leave/{}", lab.daemons[leader].name));
+    let wish = post(cluster, stays, &format!("/fleet/leave/{}", cluster.daemons[leader].name));
     note("no majority, POST /fleet/leave/LEADER", &wish);
-    note("no majority, GET /fleet", &shapes(&lab.fleet(stays)));
+    note("no majority, GET /fleet", &shapes(&cluster.fleet_status(stays)));
     eventually("the other one is not heard", || {
-        body(lab.daemons[stays].store, "/fleet/recover").contains("is not heard")
+        body(cluster.daemons[stays].store, "/fleet/recover").contains("is not heard")
     });
-    note("no majority, fleet recover", &recover(lab.daemons[stays].store, &[]));
-    note("no majority, fleet recover --yes", &recover(lab.daemons[stays].store, &["--yes"]));
-    eventually("it goes on alone", || lab.fleet(stays).contains(" leads\n"));
+    note("no majority, fleet recover", &recover(cluster.daemons[stays].store, &[]));
+    note("no majority, fleet recover --yes", &recover(cluster.daemons[stays].store, &["--yes"]));
+    eventually("it goes on alone", || cluster.fleet_status(stays).contains(" leads\n"));
     golden("answers-shrinking-fleet.txt", &text);
 }
 
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -56,8 +56,8 @@
         let program = Path::new(env!("CARGO_BIN_EXE_brookpass"));
         let file = folder.join("operator.yaml");
         let process = Process::start(program, &["--operator", &file.to_string_lossy()], 0);
-        let store = process.address("store at http://");
-        relay.lead_to(store);
+        let store = process.wait_for_address("store at http://");
+        relay.set_target(store);
         NewNode { process, store }
     }
 
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -300,7 +300,7 @@
     fs::write(&file, OPERATOR).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_brookpass"));
     let mut process = Process::start(program, &["--operator", &file.to_string_lossy()], 0);
-    let store = process.address("store at http://");
+    let store = process.wait_for_address("store at http://");
     let get = |path: &str| {
         let answer = http::call(store, "GET", path).unwrap();
         assert_eq!(answer.status(), 200);
@@ -362,8 +362,8 @@
     assert!(learned.starts_with("group 1 guess s-1-0 from before this start, "), "{learned}");
     assert_eq!(learned.lines().count(), 1, "{learned}");
     // The services that the operator's file asks for are named by the agreed settings only.
-    process.line("serving with what was last agreed");
-    assert!(process.runs());
+    process.wait_for_line("serving with what was last agreed");
+    assert!(process.is_running());
     drop(process);
     fs::remove_dir_all(folder).unwrap();
 }
