--- a/lab/src/bin/fleet-bench/catch_up.rs
+++ b/lab/src/bin/fleet-bench/catch_up.rs
@@ -1,58 +1,69 @@
-//! The measurement `catch_up`.
+//! The start of a node that missed many changes.
 
-use super::{Bench, ms};
-use brookpass_testkit::cluster::ClusterConfig;
+use crate::Bench;
+use crate::table::millis;
+use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
+use brookpass_testkit::http;
+use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
+const NODES: usize = 3;
+/// The node that misses the changes.
+const ABSENT: usize = 2;
+/// Connections that make the changes.
+const CALLERS: usize = 8;
+/// Endpoints that each of them drains and undrains: 10,000 changes in all.
+const ENDPOINTS_PER_CALLER: usize = 625;
+/// Bound of each call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+
 impl Bench {
-    pub(super) fn catch_up(&self) {
-        let mut lab = self.lab(ClusterConfig {
-            daemons: 3,
-            hosts: (1, 3),
-            more_hosts: 5_000,
+    pub fn catch_up(&self) {
+        let mut cluster = self.cluster(ClusterConfig {
+            nodes: NODES,
+            groups: 1,
+            unreachable_endpoints: CALLERS * ENDPOINTS_PER_CALLER,
             ..ClusterConfig::default()
         });
-        lab.start_all();
-        lab.kill(2);
-        lab.wait_for_leader();
-        let began = Instant::now();
-        let (at, per) = ([lab.daemons[0].store, lab.daemons[1].store], 625);
-        thread::scope(|s| {
-            for part in 0..8 {
-                let at = at[part % 2];
-                s.spawn(move || {
-                    let patience = Duration::from_secs(10);
-                    let mut open =
-                        brookpass_testkit::http::Connection::open(at, patience).expect("a connection");
-                    for n in 0..per {
-                        for word in ["drain", "undrain"] {
-                            let path = format!("/{word}/x-{}", part * per + n);
-                            let text =
-                                format!("POST {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n");
-                            let status = open.call(&text).map_or(0, |m| m.status());
-                            assert_eq!(status, 200, "{path}");
-                        }
-                    }
-                });
-            }
-        });
-        let changes = ms(began.elapsed());
-        println!("| changes | {} | 3, one dead | 10,000 agreed, ms | {changes:.0} | |", self.label());
-        let began = Instant::now();
-        lab.start(2);
-        lab.wait_until_ready(2);
-        println!(
-            "| catch-up | {} | 3 | missed 10,000 changes: until it serves, ms | {:.0} | |",
-            self.label(),
-            ms(began.elapsed())
-        );
-        lab.wait_until_caught_up();
-        let memory = lab.daemons.iter().filter_map(|d| d.process.as_ref()).map(|p| p.usage().1).max();
-        println!(
-            "| catch-up | {} | 3 | memory of the largest, MB | {} | |",
-            self.label(),
-            memory.unwrap_or(0) / 1024
-        );
+        cluster.start_all();
+        cluster.kill(ABSENT);
+        cluster.wait_for_leader();
+        let started = Instant::now();
+        make_changes(&cluster);
+        let changes = format!("{:.0}", millis(started.elapsed()));
+        self.rows("changes", "3, one dead").print_value("10,000 agreed, ms", changes);
+        let started = Instant::now();
+        cluster.start(ABSENT);
+        cluster.wait_until_ready(ABSENT);
+        let start = format!("{:.0}", millis(started.elapsed()));
+        let rows = self.rows("catch-up", "3");
+        rows.print_value("missed 10,000 changes: until it serves, ms", start);
+        cluster.wait_until_caught_up();
+        let memory = cluster.nodes.iter().map(|node| node.process().resource_usage().memory_kib);
+        rows.print_value("memory of the largest, MB", memory.max().unwrap_or(0) / 1024);
+    }
+}
+
+fn make_changes(cluster: &TestCluster) {
+    let addresses = [cluster.nodes[0].store_address, cluster.nodes[1].store_address];
+    thread::scope(|scope| {
+        for caller in 0..CALLERS {
+            let address = addresses[caller % addresses.len()];
+            scope.spawn(move || drain_and_undrain(address, caller * ENDPOINTS_PER_CALLER));
+        }
+    });
+}
+
+/// Drains and undrains endpoints from this index on.
+fn drain_and_undrain(address: SocketAddr, first: usize) {
+    let mut connection = http::Connection::open(address, CALL_TIMEOUT).expect("a connection");
+    for index in first..first + ENDPOINTS_PER_CALLER {
+        for action in ["drain", "undrain"] {
+            let path = format!("/{action}/x-{index}");
+            let response = connection.call(&http::empty_request("POST", &path));
+            let status = response.map_or(http::NO_RESPONSE, |response| response.status());
+            assert_eq!(status, 200, "{path}");
+        }
     }
 }
--- a/lab/src/bin/fleet-bench/front.rs
+++ b/lab/src/bin/fleet-bench/front.rs
@@ -1,44 +1,71 @@
-//! The measurement `front`.
+//! Latency and throughput of the SPARQL front.
 
-use super::Bench;
+use crate::Bench;
 use brookpass_testkit::client::{LoadProfile, RequestRecord};
 use brookpass_testkit::cluster::ClusterConfig;
 use hdrhistogram::Histogram;
 use std::thread;
 use std::time::Duration;
 
+/// How long nodes have after their start.
+const SETTLING_TIME: Duration = Duration::from_millis(500);
+/// How long each load lasts.
+const LOAD_TIME: Duration = Duration::from_secs(8);
+/// Seed of the first round.
+const FIRST_SEED: u64 = 7;
+/// Significant decimal digits of the latencies.
+const HISTOGRAM_DIGITS: u8 = 3;
+
+/// What the clients saw.
+struct FrontFigures {
+    served_per_second: f64,
+    median_ms: f64,
+    p99_ms: f64,
+}
+
 impl Bench {
-    pub(super) fn front(&self, round: usize) {
-        let mut lab = self.lab(ClusterConfig { daemons: 3, hosts: (4, 3), ..ClusterConfig::default() });
-        lab.start_all();
-        thread::sleep(Duration::from_millis(500));
-        for rate in [600.0, 1_500.0] {
-            let plan = LoadProfile {
-                rate,
+    pub fn front(&self, round: usize) {
+        let config = ClusterConfig { nodes: 3, groups: 4, ..ClusterConfig::default() };
+        let mut cluster = self.cluster(config);
+        cluster.start_all();
+        thread::sleep(SETTLING_TIME);
+        for requests_per_second in [600.0, 1_500.0] {
+            let load = cluster.start_load(LoadProfile {
+                requests_per_second,
                 clients: 48,
                 groups: 4,
-                writes: 3,
-                age: 800,
-                seed: 7 + round as u64,
-                again: false,
-            };
-            let load = lab.start_load(plan);
-            thread::sleep(Duration::from_secs(8));
-            let asked: Vec<RequestRecord> = load.finish();
-            let mut all: Histogram<u64> = Histogram::new(3).expect("a histogram");
-            let warm = asked.iter().skip(asked.len() / 4);
-            let served = warm.clone().filter(|a| a.status == 200);
-            served.clone().for_each(|a| all.record((a.until - a.sent).max(1) as u64).unwrap_or(()));
-            let (first, last) = (warm.clone().next(), warm.clone().last());
-            let span = last.map_or(0, |a| a.until) - first.map_or(0, |a| a.sent);
-            let rate_served = served.count() as f64 / (span as f64 / 1e6);
-            let at = |q: f64| all.value_at_quantile(q) as f64 / 1000.0;
-            println!(
-                "| front | {} | 3, {rate:.0}/s asked, round {round} | served/s; p50, p99 ms | {rate_served:.0} | {:.2}, {:.2} |",
-                self.label(),
-                at(0.5),
-                at(0.99)
+                seed: FIRST_SEED + round as u64,
+                ..LoadProfile::default()
+            });
+            thread::sleep(LOAD_TIME);
+            let records = load.finish();
+            // The first quarter warms connections up.
+            let figures = figures(&records[records.len() / 4..]);
+            self.rows("front", format!("3, {requests_per_second:.0}/s asked, round {round}")).print(
+                "served/s; p50, p99 ms",
+                format!("{:.0}", figures.served_per_second),
+                format!("{:.2}, {:.2}", figures.median_ms, figures.p99_ms),
             );
         }
     }
 }
+
+fn figures(records: &[RequestRecord]) -> FrontFigures {
+    let mut latencies: Histogram<u64> = Histogram::new(HISTOGRAM_DIGITS).expect("a histogram");
+    let mut served: u64 = 0;
+    for record in records.iter().filter(|record| record.is_served()) {
+        served += 1;
+        let micros = record.latency().as_micros().max(1) as u64;
+        latencies.record(micros).unwrap_or(());
+    }
+    let length = match (records.first(), records.last()) {
+        (Some(first), Some(last)) => last.finished_at.duration_since(first.sent_at),
+        _ => Duration::ZERO,
+    };
+    let quantile_ms = |quantile: f64| latencies.value_at_quantile(quantile) as f64 / 1000.0;
+    FrontFigures {
+        served_per_second: served as f64 / length.as_secs_f64(),
+        median_ms: quantile_ms(0.5),
+        p99_ms: quantile_ms(0.99),
+    }
+}
--- a/lab/src/bin/fleet-bench/idle.rs
+++ b/lab/src/bin/fleet-bench/idle.rs
@@ -1,47 +1,69 @@
-//! The measurement `idle`.
+//! Traffic, CPU time and memory at rest with many endpoints, and the start with very many.
 
-use super::{Bench, ms};
+use crate::Bench;
+use crate::table::millis;
 use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
-use brookpass_testkit::eventually;
+use brookpass_testkit::process::ResourceUsage;
+use brookpass_testkit::{eventually, http};
 use std::thread;
 use std::time::{Duration, Instant};
 
+const NODES: usize = 3;
+/// How long nodes have to come to rest.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
+/// How long they are measured at rest.
+const MEASURED_TIME: Duration = Duration::from_secs(20);
+/// Endpoints of the fleet that starts.
+const MANY_ENDPOINTS: usize = 10_000;
+
 impl Bench {
-    pub(super) fn idle(&self) {
-        let mut lab = self.lab(ClusterConfig { daemons: 3, more_hosts: 2_000, ..ClusterConfig::default() });
-        lab.start_all();
-        thread::sleep(Duration::from_secs(3));
-        let bytes = |lab: &TestCluster| -> u64 {
-            lab.links.values().chain(&lab.public).map(|r| r.passed().iter().sum::<u64>()).sum()
-        };
-        let usage = |lab: &TestCluster| -> Vec<(f64, u64)> {
-            lab.daemons.iter().map(|d| d.process.as_ref().map_or((0.0, 0), |p| p.usage())).collect()
-        };
-        let (sent, used, span) = (bytes(&lab), usage(&lab), Duration::from_secs(20));
-        thread::sleep(span);
-        let traffic = (bytes(&lab) - sent) as f64 / span.as_secs_f64() / 1000.0;
-        let after = usage(&lab);
-        let cpu = used.iter().zip(&after).map(|(a, b)| (b.0 - a.0) / span.as_secs_f64() * 100.0);
-        let cpu = cpu.fold(0.0, f64::max);
-        let memory = after.iter().map(|u| u.1).max().unwrap_or(0) / 1024;
-        println!(
-            "| idle | {} | 3, 2,000 hosts | kB/s all links, CPU % of the busiest | {traffic:.1} | {cpu:.2} |",
-            self.label()
-        );
-        println!("| idle | {} | 3, 2,000 hosts | memory of the largest, MB | {memory} | |", self.label());
-        drop(lab);
-        let mut lab = self.lab(ClusterConfig { daemons: 3, more_hosts: 10_000, ..ClusterConfig::default() });
-        let began = Instant::now();
-        lab.start_all();
-        let hosts = |n: usize| {
-            brookpass_testkit::http::call(lab.daemons[n].store, "GET", "/hosts")
-                .map_or(0, |m| m.text().lines().count())
-        };
-        eventually("all have all hosts", || (0..3).all(|n| hosts(n) >= 10_000));
-        println!(
-            "| start | {} | 3, 10,000 hosts | until all have all, ms | {:.0} | |",
-            self.label(),
-            ms(began.elapsed())
+    pub fn idle(&self) {
+        self.at_rest();
+        self.start_with_many_endpoints();
+    }
+
+    fn at_rest(&self) {
+        let config = ClusterConfig { nodes: NODES, unreachable_endpoints: 2_000, ..ClusterConfig::default() };
+        let mut cluster = self.cluster(config);
+        cluster.start_all();
+        thread::sleep(SETTLING_TIME);
+        let bytes_before = cluster.peer_traffic_bytes();
+        let usage_before = usage_of_all(&cluster);
+        thread::sleep(MEASURED_TIME);
+        let seconds = MEASURED_TIME.as_secs_f64();
+        let kilobytes_per_second = (cluster.peer_traffic_bytes() - bytes_before) as f64 / seconds / 1000.0;
+        let usage_after = usage_of_all(&cluster);
+        let cpu_percent = usage_before
+            .iter()
+            .zip(&usage_after)
+            .map(|(before, after)| (after.cpu_seconds - before.cpu_seconds) / seconds * 100.0)
+            .fold(0.0, f64::max);
+        let memory_mib = usage_after.iter().map(|usage| usage.memory_kib).max().unwrap_or(0) / 1024;
+        let rows = self.rows("idle", "3, 2,000 hosts");
+        rows.print(
+            "kB/s all links, CPU % of the busiest",
+            format!("{kilobytes_per_second:.1}"),
+            format!("{cpu_percent:.2}"),
         );
+        rows.print_value("memory of the largest, MB", memory_mib);
     }
+
+    fn start_with_many_endpoints(&self) {
+        let config =
+            ClusterConfig { nodes: NODES, unreachable_endpoints: MANY_ENDPOINTS, ..ClusterConfig::default() };
+        let mut cluster = self.cluster(config);
+        let started = Instant::now();
+        cluster.start_all();
+        let known_endpoints =
+            |node: usize| http::get_text(cluster.nodes[node].store_address, "/hosts").lines().count();
+        eventually("all nodes know all endpoints", || {
+            (0..NODES).all(|node| known_endpoints(node) >= MANY_ENDPOINTS)
+        });
+        let length = format!("{:.0}", millis(started.elapsed()));
+        self.rows("start", "3, 10,000 hosts").print_value("until all have all, ms", length);
+    }
+}
+
+fn usage_of_all(cluster: &TestCluster) -> Vec<ResourceUsage> {
+    cluster.nodes.iter().map(|node| node.process().resource_usage()).collect()
 }
--- a/lab/src/bin/fleet-bench/main.rs
+++ b/lab/src/bin/fleet-bench/main.rs
@@ -1,153 +1,132 @@
-//! Measures how several daemons behave together, one version beside another, and prints tables.
+//! Measures how the nodes of a fleet behave together, one version of the program beside another, and prints the figures
+//! as rows of one table.
 
 mod calm;
 mod catch_up;
 mod disk;
-mod drains;
+mod drain;
+mod election;
 mod front;
 mod idle;
-mod leader;
+mod options;
 mod power;
+mod table;
 mod zone;
 
 use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
-use clap::{Parser, ValueEnum};
+use clap::Parser;
+use options::{Measurement, Options};
+use power::PowerLoss;
 use std::path::PathBuf;
-use std::time::Duration;
+use table::Rows;
 
-#[derive(Parser)]
-#[command(about = "Measures how several daemons behave together, and prints tables")]
-struct Options {
-    /// The program.
-    program: PathBuf,
-    /// A version of before (0.2.0), played in turn with it.
-    #[arg(long)]
-    before: Option<PathBuf>,
-    /// A version of before that is set up as this one, played in turn with it after a loss of power.
-    #[arg(long)]
-    earlier: Option<PathBuf>,
-    /// For the clients' choices after a loss of power.
-    #[arg(long, default_value_t = 11)]
-    seed: u64,
-    /// Daemons that lose their power.
-    #[arg(long, value_delimiter = ',', default_value = "3,5,12")]
-    daemons: Vec<usize>,
-    /// Tell each half second after a loss of power.
-    #[arg(long)]
-    trace: bool,
-    /// Only with cold hosts, or only with warm ones.
-    #[arg(long)]
-    cold: Option<bool>,
-    /// What to measure; all of it if nothing is named.
-    #[arg(long, value_enum)]
-    what: Vec<Measurement>,
-    /// Times that each is done.
-    #[arg(long, default_value_t = 20)]
-    times: usize,
-    /// Where daemons keep their files.
-    #[arg(long, default_value = "target/tmp")]
-    folder: PathBuf,
-}
-
-#[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum Measurement {
-    /// A drain's way to all daemons.
-    Drain,
-    /// The time without a leader after it was killed.
-    Leader,
-    /// Traffic and CPU at rest with many hosts, and the start with very many.
-    Idle,
-    /// A daemon that missed many changes.
-    CatchUp,
-    /// The SPARQL front's latency and throughput.
-    Front,
-    /// What goes to the disk in service and at rest.
-    Disk,
-    /// A loss of power of all daemons, until they serve as before.
-    Power,
-    /// A zone that falls silent and comes back cold.
-    Zone,
-    /// Zones that are left though none of them failed, by seed.
-    Calm,
-}
-
-fn millis(values: &mut [f64]) -> String {
-    values.sort_by(f64::total_cmp);
-    let last = values.last().copied().unwrap_or(0.0);
-    format!("{:.1} | {:.1}", values.get(values.len() / 2).copied().unwrap_or(0.0), last)
-}
-
-fn ms(span: Duration) -> f64 {
-    span.as_secs_f64() * 1000.0
-}
+/// Rounds of the measurement of the front, each with another seed.
+const FRONT_ROUNDS: usize = 3;
 
+/// One version of the program, which is measured.
 struct Bench {
     program: PathBuf,
+    /// Where clusters keep their files.
     folder: PathBuf,
-    times: usize,
-    old: bool,
+    /// How often a measurement that takes a median is repeated.
+    repetitions: usize,
+    /// The program is of version 0.2.0 or before.
+    is_legacy: bool,
+    /// The version in the table.
     label: &'static str,
 }
 
 impl Bench {
-    fn label(&self) -> &'static str {
-        self.label
+    fn cluster(&self, config: ClusterConfig) -> TestCluster {
+        let config = ClusterConfig { is_legacy: self.is_legacy, ..config };
+        TestCluster::new(&self.program, &self.folder, config)
     }
 
-    fn lab(&self, setup: ClusterConfig) -> TestCluster {
-        TestCluster::new(&self.program, &self.folder, ClusterConfig { old: self.old, ..setup })
+    /// The rows of a measurement of clusters that `setting` describes.
+    fn rows(&self, measurement: &'static str, setting: impl Into<String>) -> Rows {
+        Rows { measurement, version: self.label, setting: setting.into() }
     }
 }
 
-fn main() {
-    let words = Options::parse();
-    let bench = |program: PathBuf, old, label| Bench {
-        program,
-        folder: words.folder.clone(),
-        times: words.times,
-        old,
-        label,
-    };
-    let this = bench(words.program.clone(), false, "now");
-    let before = words.before.clone().map(|program| bench(program, true, "before"));
-    let earlier = words.earlier.clone().map(|program| bench(program, false, "earlier"));
-    let wants = |what| words.what.is_empty() || words.what.contains(&what);
-    println!(
-        "| what | version | daemons | figure | median or value | worst |\n| --- | --- | --- | --- | --- | --- |"
-    );
-    if wants(Measurement::Front) {
-        for round in 0..3 {
-            before.iter().chain([&this]).for_each(|b| b.front(round));
+/// All versions that are measured.
+struct Versions {
+    current: Bench,
+    legacy: Option<Bench>,
+    earlier: Option<Bench>,
+}
+
+impl Versions {
+    fn new(options: &Options) -> Versions {
+        let bench = |program: &PathBuf, is_legacy, label| Bench {
+            program: program.clone(),
+            folder: options.folder.clone(),
+            repetitions: options.repetitions,
+            is_legacy,
+            label,
+        };
+        Versions {
+            current: bench(&options.program, false, "now"),
+            legacy: options.legacy_program.as_ref().map(|program| bench(program, true, "before")),
+            earlier: options.earlier_program.as_ref().map(|program| bench(program, false, "earlier")),
         }
     }
-    if wants(Measurement::Drain) {
-        before.iter().chain([&this]).for_each(Bench::drains);
+
+    fn with_legacy(&self) -> impl Iterator<Item = &Bench> {
+        self.legacy.iter().chain([&self.current])
     }
-    if wants(Measurement::Leader) {
-        this.leader();
+
+    fn with_earlier(&self) -> impl Iterator<Item = &Bench> {
+        self.earlier.iter().chain([&self.current])
     }
-    if wants(Measurement::Power) {
-        for cold in [false, true].into_iter().filter(|cold| words.cold.is_none_or(|only| only == *cold)) {
-            for &daemons in &words.daemons {
-                earlier.iter().chain([&this]).for_each(|b| b.power(daemons, cold, words.seed, words.trace));
+
+    fn run(&self, measurement: Measurement, options: &Options) {
+        match measurement {
+            Measurement::Front => {
+                for round in 0..FRONT_ROUNDS {
+                    self.with_legacy().for_each(|bench| bench.front(round));
+                }
+            }
+            Measurement::DrainPropagation => self.with_legacy().for_each(Bench::drain_propagation),
+            Measurement::LeaderElection => self.current.leader_election(),
+            Measurement::PowerLoss => {
+                for loss in power_losses(options) {
+                    self.with_earlier().for_each(|bench| bench.power_loss(loss));
+                }
             }
+            Measurement::ZoneFailure => {
+                for nodes in &options.nodes {
+                    self.with_earlier().for_each(|bench| bench.zone_failure(*nodes, options.seed));
+                }
+            }
+            Measurement::Calm => self.current.calm(options.repetitions as u64),
+            Measurement::Disk => self.current.disk(),
+            Measurement::Idle => self.with_legacy().for_each(Bench::idle),
+            Measurement::CatchUp => self.current.catch_up(),
         }
     }
-    if wants(Measurement::Zone) {
-        for &daemons in &words.daemons {
-            earlier.iter().chain([&this]).for_each(|b| b.zone(daemons, words.seed));
+}
+
+/// The losses of power that are measured: with warm endpoints and with cold ones, for each size of the fleet.
+fn power_losses(options: &Options) -> Vec<PowerLoss> {
+    let mut losses = Vec::new();
+    for endpoints_too in [false, true] {
+        if options.cold.is_some_and(|only| only != endpoints_too) {
+            continue;
+        }
+        for &nodes in &options.nodes {
+            losses.push(PowerLoss { nodes, endpoints_too, seed: options.seed, trace: options.trace });
         }
     }
-    if words.what.contains(&Measurement::Calm) {
-        this.calm(words.times as u64);
-    }
-    if wants(Measurement::Disk) {
-        this.disk();
-    }
-    if wants(Measurement::Idle) {
-        before.iter().chain([&this]).for_each(Bench::idle);
-    }
-    if wants(Measurement::CatchUp) {
-        this.catch_up();
+    losses
+}
+
+fn main() {
+    let options = Options::parse();
+    let versions = Versions::new(&options);
+    table::print_header();
+    for measurement in Measurement::ORDER {
+        if options.selects(measurement) {
+            versions.run(measurement, &options);
+        }
     }
 }
--- a/lab/src/bin/fleet-bench/power.rs
+++ b/lab/src/bin/fleet-bench/power.rs
@@ -1,157 +1,160 @@
-//! The measurement `power`.
+//! A loss of power of all nodes under load, with their endpoints or without, until they serve as before.
 
-use super::Bench;
-use brookpass_testkit::client::{LoadProfile, RequestRecord};
-use brookpass_testkit::cluster::ClusterConfig;
-use brookpass_testkit::oracle::{self, CapacityModel, worth};
-use brookpass_testkit::{check, now};
+mod figures;
+mod trace;
+
+use crate::Bench;
+use crate::table::Rows;
+use brookpass_testkit::Timestamp;
+use brookpass_testkit::client::{LoadProfile, REQUEST_TIMEOUT, RequestRecord};
+use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
+use brookpass_testkit::endpoint::Arrival;
+use brookpass_testkit::oracle::{self, CapacityModel, ServedValue};
+use std::ops::Range;
 use std::thread;
 use std::time::Duration;
 
+const GROUPS: u32 = 8;
+/// Replicas of each group, beside its primary.
+const REPLICAS: usize = 2;
+/// How long the load runs before the loss of power.
+const LEAD_TIME: Duration = Duration::from_secs(14);
+/// How long there is no power.
+const DARK_TIME: Duration = Duration::from_secs(1);
+/// How long the load runs after all nodes are ready.
+const RETURN_TIME: Duration = Duration::from_secs(9);
+/// At the end of the load, requests whose time had not passed.
+const UNFINISHED_TIME: Duration = Duration::from_millis(1_500);
+/// The window over which the served value is summed.
+const WINDOW: Duration = Duration::from_millis(500);
+
+/// A loss of power that is measured.
+#[derive(Clone, Copy)]
+pub struct PowerLoss {
+    pub nodes: usize,
+    /// The endpoints lose power too and start cold.
+    pub endpoints_too: bool,
+    pub seed: u64,
+    /// Print figures for each window.
+    pub trace: bool,
+}
+
+impl PowerLoss {
+    fn requests_per_second(&self) -> f64 {
+        if self.endpoints_too { 600.0 } else { 400.0 }
+    }
+
+    /// Operations that run at once at an endpoint.
+    fn slots(&self) -> usize {
+        if self.endpoints_too { 4 } else { 8 }
+    }
+
+    fn service_time(&self) -> Duration {
+        if self.endpoints_too { Duration::from_millis(40) } else { Duration::from_millis(2) }
+    }
+}
+
+/// What happened when, with what clients and endpoints recorded.
+struct PowerRun {
+    loss: PowerLoss,
+    off_at: Timestamp,
+    on_at: Timestamp,
+    end: Timestamp,
+    records: Vec<RequestRecord>,
+    arrivals: Vec<Arrival>,
+    /// What the oracle serves from the return of the power on.
+    best: Vec<ServedValue>,
+    cluster: TestCluster,
+}
+
 impl Bench {
-    /// All daemons lose their power under load, with their hosts or without; until they serve as before.
-    pub(super) fn power(&self, daemons: usize, cold: bool, seed: u64, words_of_time: bool) {
-        const GROUPS: u32 = 8;
-        let mut lab = self.lab(ClusterConfig { daemons, hosts: (GROUPS, 3), ..ClusterConfig::default() });
-        let host = if cold { (4, 0.04) } else { (8, 0.002) };
-        for h in &lab.hosts.all {
-            h.set(|h| (h.slots, h.work) = (host.0, Duration::from_secs_f64(host.1)));
+    pub fn power_loss(&self, loss: PowerLoss) {
+        let PowerLoss { nodes, seed, .. } = loss;
+        let config = ClusterConfig { nodes, groups: GROUPS, ..ClusterConfig::default() };
+        let run = PowerRun::new(self.cluster(config), loss);
+        let endpoints = if loss.endpoints_too { "cold hosts" } else { "warm hosts" };
+        let rows = self.rows("power", format!("{nodes}, {endpoints}, seed {seed}"));
+        run.print(&rows);
+    }
+}
+
+impl PowerRun {
+    fn new(mut cluster: TestCluster, loss: PowerLoss) -> PowerRun {
+        for endpoint in cluster.endpoints.iter() {
+            endpoint.configure(|behavior| {
+                behavior.slots = loss.slots();
+                behavior.service_time = loss.service_time();
+            });
         }
-        lab.start_all();
-        // No primary is the first of its group in the list.
+        cluster.start_all();
+        // No primary is the first endpoint of its group in the list.
         for group in 1..=GROUPS {
-            lab.hosts.promote(group, &format!("s-{group}-{}", group % 3));
-        }
-        let rate = if cold { 600.0 } else { 400.0 };
-        let plan =
-            LoadProfile { rate, clients: 120, groups: GROUPS, seed, again: true, ..LoadProfile::default() };
-        let load = lab.start_load(plan);
-        thread::sleep(Duration::from_secs(14));
-        let off = now();
-        (0..daemons).for_each(|n| lab.kill(n));
-        if cold {
-            lab.hosts.power_off();
+            cluster.endpoints.promote(group, &format!("s-{group}-{}", group % 3));
         }
-        thread::sleep(Duration::from_secs(1));
-        if cold {
-            lab.hosts.power_on(0);
-        }
-        let on = now();
-        lab.start_nodes(&(0..daemons).collect::<Vec<_>>());
-        (0..daemons).for_each(|n| lab.wait_until_ready(n));
-        thread::sleep(Duration::from_secs(9));
-        let end = now() - 1_500_000;
-        let asked = load.finish();
-        let window = 500_000;
-        let good = |from: i64, to: i64| -> f64 {
-            let all = asked.iter().filter(|a| a.status == 200 && (from..to).contains(&a.until));
-            all.map(worth).sum()
-        };
-        let usual = good(off - 4_000_000, off) / 4e6 * window as f64;
-        let back = |served: &dyn Fn(i64, i64) -> f64| {
-            let at = (on..end - window).step_by(50_000).find(|at| served(*at, at + window) >= usual * 0.95);
-            at.map_or("never".to_string(), |at| format!("{:.0}", (at + window - on) as f64 / 1000.0))
-        };
-        let first = |write| {
-            let all = asked.iter().filter(|a| a.status == 200 && a.sent >= on && a.write == write);
-            all.map(|a| a.until - on).min().unwrap_or(0) as f64 / 1000.0
-        };
-        let arrivals = lab.hosts.arrivals();
-        let mean = |all: &[i64]| all.iter().sum::<i64>() as f64 / all.len().max(1) as f64;
-        let model = CapacityModel { replicas: 2, host, started: cold.then_some(on) };
-        let best = oracle::best(&asked, GROUPS, model, on, end, 2_000_000);
-        let limit = |from: i64, to: i64| -> f64 {
-            best.iter().filter(|(at, _)| (from..to).contains(at)).map(|(_, worth)| worth).sum()
+        let load = cluster.start_load(LoadProfile {
+            requests_per_second: loss.requests_per_second(),
+            clients: 120,
+            groups: GROUPS,
+            seed: loss.seed,
+            retries_rejections: true,
+            ..LoadProfile::default()
+        });
+        thread::sleep(LEAD_TIME);
+        let off_at = Timestamp::now();
+        let on_at = cycle_power(&mut cluster, loss.endpoints_too);
+        thread::sleep(RETURN_TIME);
+        let end = Timestamp::now() - UNFINISHED_TIME;
+        let records = load.finish();
+        let arrivals = cluster.endpoints.arrivals();
+        let model = CapacityModel {
+            replicas: REPLICAS,
+            slots: loss.slots(),
+            service_time: loss.service_time(),
+            cold_since: loss.endpoints_too.then_some(on_at),
         };
-        // Of what was due since the power came back, at whichever try.
-        let mine = asked.iter().filter(|a| a.status == 200 && (on..end).contains(&a.due));
-        let share = mine.map(worth).sum::<f64>() / limit(on, end) * 100.0;
-        // The first second in which hosts are reached.
-        let began = arrivals.iter().map(|a| a.at).filter(|at| *at >= on).min().unwrap_or(on);
-        let probed = |host: &str, from: i64| {
-            let all = lab.hosts.get(host).polls();
-            all.into_iter().filter(|at| (from..from + 1_100_000).contains(at)).count()
-        };
-        let in_first = |host: &str| {
-            let reached = |a: &&brookpass_testkit::endpoint::Arrival| {
-                a.host == host && (began - 100_000..began + 1_000_000).contains(&a.at)
-            };
-            (
-                arrivals.iter().filter(reached).count(),
-                probed(host, began - 100_000),
-                probed(host, off - 3_000_000),
-            )
-        };
-        let all: Vec<(usize, usize, usize)> = lab.hosts.all.iter().map(|h| in_first(&h.name)).collect();
-        let most = all.iter().map(|(a, p, _)| a + p).max().unwrap_or(0);
-        let probes: usize = all.iter().map(|(_, p, _)| p).sum();
-        let before: usize = all.iter().map(|(.., p)| p).sum();
-        let most_probed = all.iter().map(|(_, p, _)| *p).max().unwrap_or(0);
-        let spared = check::ColdStartBound { started: on, bears: host.0 as f64 / host.1, multiple: 4.0 };
-        let worst =
-            lab.hosts.all.iter().map(|h| check::cold_endpoint_not_overloaded(&arrivals, &h.name, spared));
-        let worst = worst.map(|w| w.map_or(9.99, |w| w)).fold(0.0, f64::max);
-        let hosts = if cold { "cold hosts" } else { "warm hosts" };
-        let name = format!("| power | {} | {daemons}, {hosts}, seed {seed}", self.label());
-        println!("{name} | first served write; read, ms | {:.0} | {:.0} |", first(true), first(false));
-        println!(
-            "{name} | 95% of the worth of before after, ms; the oracle | {} | {} |",
-            back(&good),
-            back(&limit)
-        );
-        if words_of_time {
-            let own: std::collections::BTreeSet<u64> =
-                asked.iter().filter(|a| a.own).map(|a| a.request).collect();
-            for at in (on..end - window).step_by(window as usize) {
-                let refused =
-                    asked.iter().filter(|a| a.status == 503 && (at..at + window).contains(&a.until));
-                println!(
-                    "{name} | {} ms: worth served, of the oracle; refused | {:.0}, {:.0} | {} |",
-                    (at - on) / 1000,
-                    good(at, at + window),
-                    limit(at, at + window),
-                    refused.count()
-                );
-                let leads = |a: &&brookpass_testkit::endpoint::Arrival| lab.hosts.get(&a.host).is_primary();
-                let reads = arrivals.iter().filter(|a| !a.write && (at..at + window).contains(&a.at));
-                println!(
-                    "{name} | {} ms: reads that reached hosts; primaries among these, own | {} | {}, {} |",
-                    (at - on) / 1000,
-                    reads.clone().count(),
-                    reads.clone().filter(leads).count(),
-                    reads.filter(leads).filter(|a| own.contains(&a.request)).count()
-                );
-                for write in [true, false] {
-                    let mine = |a: &&RequestRecord| {
-                        a.status == 200 && a.write == write && (at..at + window).contains(&a.until)
-                    };
-                    let theirs = |a: &&brookpass_testkit::endpoint::Arrival| {
-                        a.served && a.write == write && (at..at + window).contains(&a.until)
-                    };
-                    let clients: Vec<i64> = asked.iter().filter(mine).map(|a| a.until - a.sent).collect();
-                    let hosts: Vec<i64> = arrivals.iter().filter(theirs).map(|a| a.until - a.at).collect();
-                    println!(
-                        "{name} | {} ms, {}: served; ms at clients; ms at hosts | {} | {:.0}; {:.0} |",
-                        (at - on) / 1000,
-                        if write { "writes" } else { "reads" },
-                        clients.len(),
-                        mean(&clients) / 1000.0,
-                        mean(&hosts) / 1000.0
-                    );
-                }
-            }
+        let best = oracle::best_served_value(&records, GROUPS, model, on_at..end, REQUEST_TIMEOUT);
+        PowerRun { loss, off_at, on_at, end, records, arrivals, best, cluster }
+    }
+
+    /// The value of the requests that were served within a window.
+    fn served_value(&self, window: &Range<Timestamp>) -> f64 {
+        let served = self.records.iter().filter(|record| record.is_served());
+        served.filter(|record| window.contains(&record.finished_at)).map(oracle::request_value).sum()
+    }
+
+    /// The value that the oracle serves within a window.
+    fn best_value(&self, window: &Range<Timestamp>) -> f64 {
+        self.best.iter().filter(|step| window.contains(&step.at)).map(|step| step.value).sum()
+    }
+
+    fn print(&self, rows: &Rows) {
+        self.print_return_of_service(rows);
+        if self.loss.trace {
+            self.print_trace(rows);
         }
-        println!("{name} | worth of what was due since, % of the oracle's | {share:.1} | |");
-        println!(
-            "{name} | first second: questions to all hosts; to one host at most | {probes} | {most_probed} |"
-        );
-        println!(
-            "{name} | questions in a second of before; all requests to one host in the first second | {before} | {most} |"
-        );
-        if cold {
-            println!(
-                "{name} | worst second of a cold host, share of its bound (9.99: over) | {worst:.2} | |"
+        self.print_share_and_polls(rows);
+        if self.loss.endpoints_too {
+            rows.print_value(
+                "worst second of a cold host, share of its bound (9.99: over)",
+                format!("{:.2}", self.worst_second()),
             );
         }
     }
 }
+
+/// Takes the power away and gives it back; when it came back. Returns when all nodes are ready.
+fn cycle_power(cluster: &mut TestCluster, endpoints_too: bool) -> Timestamp {
+    let nodes: Vec<usize> = (0..cluster.nodes.len()).collect();
+    nodes.iter().for_each(|node| cluster.kill(*node));
+    if endpoints_too {
+        cluster.endpoints.power_off();
+    }
+    thread::sleep(DARK_TIME);
+    if endpoints_too {
+        cluster.endpoints.power_on(Duration::ZERO);
+    }
+    let on_at = Timestamp::now();
+    cluster.start_nodes(&nodes);
+    nodes.iter().for_each(|node| cluster.wait_until_ready(*node));
+    on_at
+}
--- a/lab/src/bin/fleet-bench/zone.rs
+++ b/lab/src/bin/fleet-bench/zone.rs
@@ -1,80 +1,183 @@
-//! The measurement `zone`.
+//! A zone that falls silent for six seconds and comes back cold, under load.
 
-use super::{Bench, ms};
-use brookpass_testkit::client::LoadProfile;
+use crate::Bench;
+use crate::table::{Rows, millis};
+use brookpass_testkit::check::{self, ColdStartBound};
+use brookpass_testkit::client::{LoadProfile, RequestRecord};
 use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
-use brookpass_testkit::{check, now};
+use brookpass_testkit::endpoint::Arrival;
+use brookpass_testkit::{Timestamp, time};
+use std::ops::Range;
 use std::thread;
 use std::time::{Duration, Instant};
 
+const GROUPS: u32 = 8;
+/// The zone that fails.
+const ZONE: &str = "z-1";
+/// Four operations at once of 20 ms each: 200 per second.
+const SLOTS: usize = 4;
+const SERVICE_TIME: Duration = Duration::from_millis(20);
+const WARM_CAPACITY_PER_SECOND: f64 = 200.0;
+/// An endpoint fails above this multiple of its capacity; the nodes' settings name the same (`fall-multiple`).
+const OVERLOAD_MULTIPLE: f64 = 4.0;
+/// What is printed as the worst second of an endpoint that was over its bound.
+const OVER_BOUND: f64 = 9.99;
+
+/// How long the load runs before the zone fails.
+const LEAD_TIME: Duration = Duration::from_secs(6);
+/// How long the zone is silent.
+const SILENT_TIME: Duration = Duration::from_secs(6);
+/// How long the evacuation by all nodes is waited for.
+const MAX_EVACUATION_TIME: Duration = Duration::from_secs(3);
+/// How long the load runs after the zone is back.
+const RETURN_TIME: Duration = Duration::from_secs(25);
+/// At the end of the load, requests whose time had not passed.
+const UNFINISHED_TIME: Duration = Duration::from_secs(2);
+/// A served request counts as late after this time.
+const LATE: Duration = Duration::from_secs(1);
+
+/// What happened when, with what clients and endpoints recorded.
+struct ZoneFailure {
+    silent_at: Timestamp,
+    restarted_at: Timestamp,
+    end: Timestamp,
+    evacuation_time: Duration,
+    records: Vec<RequestRecord>,
+    cluster: TestCluster,
+}
+
 impl Bench {
-    /// One of three zones falls silent for six seconds and comes back cold, under 150 requests a second.
-    pub(super) fn zone(&self, daemons: usize, seed: u64) {
-        const GROUPS: u32 = 8;
-        let mut lab = self.lab(ClusterConfig { daemons, hosts: (GROUPS, 3), ..ClusterConfig::default() });
-        for h in &lab.hosts.all {
-            h.set(|h| (h.slots, h.work) = (4, Duration::from_millis(20)));
+    pub fn zone_failure(&self, nodes: usize, seed: u64) {
+        let config = ClusterConfig { nodes, groups: GROUPS, ..ClusterConfig::default() };
+        let mut cluster = self.cluster(config);
+        for endpoint in cluster.endpoints.iter() {
+            endpoint.configure(|behavior| {
+                behavior.slots = SLOTS;
+                behavior.service_time = SERVICE_TIME;
+            });
         }
-        lab.start_all();
-        let plan = LoadProfile {
-            rate: 150.0,
+        cluster.start_all();
+        let profile = LoadProfile {
+            requests_per_second: 150.0,
             clients: 60,
             groups: GROUPS,
             seed,
-            again: true,
+            retries_rejections: true,
             ..LoadProfile::default()
         };
-        let load = lab.start_load(plan);
-        thread::sleep(Duration::from_secs(6));
-        let silent = now();
-        lab.hosts.in_zone("z-1").for_each(|h| h.set(|h| h.silent = true));
-        let left = |lab: &TestCluster| {
-            (0..daemons).all(|n| lab.zone_weight(n, "z-1").is_some_and(|(part, _)| part == 0))
-        };
-        let began = Instant::now();
-        while began.elapsed() < Duration::from_secs(3) && !left(&lab) {
+        let failure = ZoneFailure::run(cluster, profile);
+        failure.print(&self.rows("zone", format!("{nodes}, seed {seed}")));
+    }
+}
+
+impl ZoneFailure {
+    fn run(cluster: TestCluster, profile: LoadProfile) -> ZoneFailure {
+        let load = cluster.start_load(profile);
+        thread::sleep(LEAD_TIME);
+        let silent_at = Timestamp::now();
+        for endpoint in cluster.endpoints.in_zone(ZONE) {
+            endpoint.configure(|behavior| behavior.is_silent = true);
+        }
+        let started = Instant::now();
+        while started.elapsed() < MAX_EVACUATION_TIME && !is_evacuated(&cluster) {
             thread::sleep(Duration::from_millis(5));
         }
-        let leaving = ms(began.elapsed());
-        thread::sleep(Duration::from_secs(6).saturating_sub(began.elapsed()));
-        let off = now();
-        lab.hosts.in_zone("z-1").for_each(|h| h.power_off());
-        lab.hosts.in_zone("z-1").for_each(|h| h.power_on());
-        lab.hosts.in_zone("z-1").for_each(|h| h.set(|h| h.silent = false));
-        lab.hosts.in_zone("z-1").for_each(|h| {
-            h.take_peak_concurrency();
-        });
-        thread::sleep(Duration::from_secs(25));
-        let end = now() - 2_000_000;
-        let asked = load.finish();
-        let lost = |from, to| check::unserved(&asked, from, to);
-        let late = asked.iter().filter(|a| a.status == 200 && (silent..off).contains(&a.due));
-        let late = late.filter(|a| a.until - a.due > 1_000_000).count();
-        let arrivals = lab.hosts.arrivals();
-        let of_zone = |at: &str| lab.hosts.get(at).zone == "z-1";
-        let in_zone = |from: i64, to: i64| {
-            arrivals.iter().filter(|a| (from..to).contains(&a.at) && of_zone(&a.host)).count()
-        };
-        let usual = in_zone(silent - 3_000_000, silent) as f64 / 3.0;
-        let full = (off..end).step_by(250_000).find(|at| in_zone(*at, at + 1_000_000) as f64 >= usual * 0.9);
-        let full = full.map_or("never".into(), |at| format!("{:.1}", (at + 1_000_000 - off) as f64 / 1e6));
-        let most = lab.hosts.in_zone("z-1").map(|h| h.take_peak_concurrency()).max().unwrap_or(0);
-        let cold = check::ColdStartBound { started: off, bears: 200.0, multiple: 4.0 };
-        let worst = lab
-            .hosts
-            .in_zone("z-1")
-            .map(|h| check::cold_endpoint_not_overloaded(&arrivals, &h.name, cold).unwrap_or(9.99));
-        let name = format!("| zone | {} | {daemons}, seed {seed}", self.label());
-        let all = check::requests_due(&asked, silent, off).count();
-        println!("{name} | lost while it was silent, of {all}; late | {} | {late} |", lost(silent, off));
-        println!(
-            "{name} | lost on its way back; until it has 90% of its share, s | {} | {full} |",
-            lost(off, end)
+        let evacuation_time = started.elapsed();
+        thread::sleep(SILENT_TIME.saturating_sub(started.elapsed()));
+        let restarted_at = Timestamp::now();
+        restart_zone(&cluster);
+        thread::sleep(RETURN_TIME);
+        let end = Timestamp::now() - UNFINISHED_TIME;
+        let records = load.finish();
+        ZoneFailure { silent_at, restarted_at, end, evacuation_time, records, cluster }
+    }
+
+    fn print(&self, rows: &Rows) {
+        let silent = self.silent_at..self.restarted_at;
+        let due_while_silent = check::requests_due(&self.records, silent.clone()).count();
+        let lost_while_silent = check::unserved_requests(&self.records, silent);
+        let late = self.late_while_silent();
+        rows.print(format!("lost while it was silent, of {due_while_silent}; late"), lost_while_silent, late);
+        let lost_on_return = check::unserved_requests(&self.records, self.restarted_at..self.end);
+        let arrivals = self.cluster.endpoints.arrivals();
+        rows.print(
+            "lost on its way back; until it has 90% of its share, s",
+            lost_on_return,
+            self.seconds_to_full_share(&arrivals),
         );
-        println!("{name} | until all have left, ms (3000: not) | {leaving:.0} | |");
-        println!(
-            "{name} | most at once at a returning host that runs 1 to 4; worst second, share of its bound | {most} | {:.2} |",
-            worst.fold(0.0, f64::max)
+        rows.print_value(
+            "until all have left, ms (3000: not)",
+            format!("{:.0}", millis(self.evacuation_time)),
         );
+        let peaks = self.cluster.endpoints.in_zone(ZONE).map(|endpoint| endpoint.take_peak_concurrency());
+        let peak = peaks.max().unwrap_or(0);
+        rows.print(
+            "most at once at a returning host that runs 1 to 4; worst second, share of its bound",
+            peak,
+            format!("{:.2}", self.worst_second(&arrivals)),
+        );
+    }
+
+    /// Requests due while the zone was silent that were served late.
+    fn late_while_silent(&self) -> usize {
+        let silent = self.silent_at..self.restarted_at;
+        let served =
+            self.records.iter().filter(|record| record.is_served() && silent.contains(&record.due_at));
+        served.filter(|record| record.finished_at.duration_since(record.due_at) > LATE).count()
+    }
+
+    /// Operations that reached the zone within a window.
+    fn arrivals_in_zone(&self, arrivals: &[Arrival], window: Range<Timestamp>) -> usize {
+        let in_window = arrivals.iter().filter(|arrival| window.contains(&arrival.arrived_at));
+        in_window.filter(|arrival| self.cluster.endpoints.get(&arrival.endpoint).zone == ZONE).count()
+    }
+
+    /// From the zone's restart until it gets 90% of its usual operations over a second.
+    fn seconds_to_full_share(&self, arrivals: &[Arrival]) -> String {
+        let second = Duration::from_secs(1);
+        let before_failure = self.silent_at - 3 * second..self.silent_at;
+        let usual_per_second = self.arrivals_in_zone(arrivals, before_failure) as f64 / 3.0;
+        let mut starts = time::steps(self.restarted_at..self.end, Duration::from_millis(250));
+        let is_full = |start: &Timestamp| {
+            self.arrivals_in_zone(arrivals, *start..*start + second) as f64 >= usual_per_second * 0.9
+        };
+        match starts.find(is_full) {
+            Some(start) => {
+                let length = (start + second).duration_since(self.restarted_at);
+                format!("{:.1}", length.as_micros() as f64 / 1e6)
+            }
+            None => "never".into(),
+        }
+    }
+
+    /// The highest load of an endpoint of the zone after its restart, as a share of its bound.
+    fn worst_second(&self, arrivals: &[Arrival]) -> f64 {
+        let bound = ColdStartBound {
+            started_at: self.restarted_at,
+            warm_capacity_per_second: WARM_CAPACITY_PER_SECOND,
+            overload_multiple: OVERLOAD_MULTIPLE,
+        };
+        let share =
+            |name: &str| check::cold_endpoint_not_overloaded(arrivals, name, bound).unwrap_or(OVER_BOUND);
+        let endpoints = self.cluster.endpoints.in_zone(ZONE);
+        endpoints.map(|endpoint| share(&endpoint.name)).fold(0.0, f64::max)
+    }
+}
+
+/// Whether all nodes give the zone no reads.
+fn is_evacuated(cluster: &TestCluster) -> bool {
+    let weight = |node: usize| cluster.zone_weight(node, ZONE);
+    (0..cluster.nodes.len()).all(|node| weight(node).is_some_and(|weight| weight.applied_permille == 0))
+}
+
+/// Restarts the zone's endpoints, which are cold then and answer again.
+fn restart_zone(cluster: &TestCluster) {
+    cluster.endpoints.in_zone(ZONE).for_each(|endpoint| endpoint.power_off());
+    cluster.endpoints.in_zone(ZONE).for_each(|endpoint| endpoint.power_on());
+    for endpoint in cluster.endpoints.in_zone(ZONE) {
+        endpoint.configure(|behavior| behavior.is_silent = false);
+    }
+    for endpoint in cluster.endpoints.in_zone(ZONE) {
+        endpoint.take_peak_concurrency();
     }
 }
--- /dev/null
+++ b/lab/src/check/arrivals.rs
@@ -0,0 +1,140 @@
+//! Checks of what reached the endpoints.
+
+use super::{CheckError, SCHEDULING_TOLERANCE};
+use crate::Timestamp;
+use crate::endpoint::{Arrival, warm_up_share};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// The window in which requests of a cold endpoint are counted.
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
+
+/// How much load a cold endpoint bears.
+#[derive(Clone, Copy, Debug)]
+pub struct ColdStartBound {
+    /// When the endpoint started.
+    pub started_at: Timestamp,
+    /// Operations per second that the endpoint bears when it is warm.
+    pub warm_capacity_per_second: f64,
+    /// The endpoint fails above this multiple of its present capacity, over a second.
+    pub overload_multiple: f64,
+}
+
+impl ColdStartBound {
+    /// The share of the warm capacity at a time.
+    fn share_at(&self, time: Timestamp) -> f64 {
+        warm_up_share(time.duration_since(self.started_at))
+    }
+
+    /// Requests that the endpoint may get in the second from this time on. The platform allows for chance: three
+    /// standard deviations of a Poisson distribution, and 3.
+    fn limit_from(&self, time: Timestamp) -> f64 {
+        let mean = self.warm_capacity_per_second * self.share_at(time) * self.overload_multiple;
+        mean + 3.0 * mean.sqrt() + 3.0
+    }
+}
+
+/// A cold endpoint did not get more requests within any second than it bears, summed over all nodes. Returns the load of
+/// the worst second, as a share of the bound in it.
+///
+/// # Errors
+///
+/// [`CheckError::ColdEndpointOverloaded`].
+pub fn cold_endpoint_not_overloaded(
+    arrivals: &[Arrival],
+    endpoint: &str,
+    bound: ColdStartBound,
+) -> Result<f64, CheckError> {
+    let own = arrivals.iter().filter(|arrival| arrival.endpoint == endpoint);
+    let mut times: Vec<Timestamp> = own.map(|arrival| arrival.arrived_at).collect();
+    times.retain(|time| *time >= bound.started_at && bound.share_at(*time) < 1.0);
+    times.sort_unstable();
+    let mut worst_share: f64 = 0.0;
+    let mut window_start = 0;
+    for (index, time) in times.iter().enumerate() {
+        while time.duration_since(times[window_start]) >= OVERLOAD_WINDOW {
+            window_start += 1;
+        }
+        let limit = bound.limit_from(times[window_start]);
+        let requests = index + 1 - window_start;
+        worst_share = worst_share.max(requests as f64 / limit);
+        if requests as f64 > limit {
+            let since_start = times[window_start].duration_since(bound.started_at);
+            let endpoint = endpoint.to_string();
+            return Err(CheckError::ColdEndpointOverloaded { endpoint, requests, since_start, limit });
+        }
+    }
+    Ok(worst_share)
+}
+
+/// No two attempts of a request were at endpoints at the same time, and no write, which here has no idempotency key,
+/// was executed twice. Returns the count of requests.
+///
+/// # Errors
+///
+/// [`CheckError::OverlappingAttempts`] or [`CheckError::DuplicateWrite`].
+pub fn no_overlapping_attempts(arrivals: &[Arrival]) -> Result<usize, CheckError> {
+    let mut by_request: BTreeMap<u64, Vec<&Arrival>> = BTreeMap::new();
+    for arrival in arrivals.iter().filter(|arrival| arrival.request_id > 0) {
+        by_request.entry(arrival.request_id).or_default().push(arrival);
+    }
+    for (&request_id, attempts) in &mut by_request {
+        attempts.sort_by_key(|attempt| attempt.arrived_at);
+        for pair in attempts.windows(2) {
+            if pair[1].arrived_at < pair[0].finished_at - SCHEDULING_TOLERANCE {
+                let first = pair[0].endpoint.clone();
+                let second = pair[1].endpoint.clone();
+                return Err(CheckError::OverlappingAttempts { request_id, first, second });
+            }
+        }
+        // An attempt that was rejected without effect finished when it arrived.
+        let was_executed = |attempt: &&&Arrival| attempt.is_write && attempt.finished_at > attempt.arrived_at;
+        let executions = attempts.iter().filter(was_executed).count();
+        if executions > 1 {
+            return Err(CheckError::DuplicateWrite { request_id, executions });
+        }
+    }
+    Ok(by_request.len())
+}
+
+/// A time in which an endpoint is drained.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct DrainPeriod {
+    /// The endpoint's name.
+    pub endpoint: String,
+    /// When all nodes had to know of the drain.
+    pub effective_from: Timestamp,
+    /// When the drain was ended; [`Timestamp::MAX`]: it was not.
+    pub until: Timestamp,
+}
+
+impl DrainPeriod {
+    /// A drain that is not ended.
+    pub fn since(endpoint: &str, effective_from: Timestamp) -> DrainPeriod {
+        DrainPeriod { endpoint: endpoint.into(), effective_from, until: Timestamp::MAX }
+    }
+}
+
+/// No new request reached an endpoint while it was drained.
+///
+/// # Errors
+///
+/// [`CheckError::ArrivalWhileDrained`].
+pub fn no_arrivals_while_drained(arrivals: &[Arrival], drains: &[DrainPeriod]) -> Result<(), CheckError> {
+    for drain in drains {
+        let earliest = drain.effective_from + SCHEDULING_TOLERANCE;
+        let is_late = |arrival: &&Arrival| {
+            arrival.endpoint == drain.endpoint
+                && arrival.arrived_at > earliest
+                && arrival.arrived_at < drain.until
+        };
+        if let Some(late) = arrivals.iter().find(is_late) {
+            return Err(CheckError::ArrivalWhileDrained {
+                endpoint: drain.endpoint.clone(),
+                request_id: late.request_id,
+                lateness: late.arrived_at.duration_since(drain.effective_from),
+            });
+        }
+    }
+    Ok(())
+}
--- a/lab/src/check/tests.rs
+++ b/lab/src/check/tests.rs
@@ -1,119 +1,152 @@
 use super::*;
+use crate::client::RequestRecord;
+use crate::endpoint::{Arrival, LostCommits};
+use crate::{LogPosition, Timestamp};
+use std::collections::BTreeMap;
 
-fn asked(status: u16, write: bool, needs: i64, got: i64) -> RequestRecord {
+const TIMEOUT: Duration = Duration::from_secs(2);
+
+fn at(micros: i64) -> Timestamp {
+    Timestamp::from_micros(micros)
+}
+
+fn record(status: u16, is_write: bool, required: i64, observed: i64) -> RequestRecord {
     RequestRecord {
-        request: 1,
-        daemon: 0,
-        due: 0,
-        sent: 0,
-        until: 5_000,
+        request_id: 1,
+        node: 0,
+        due_at: at(0),
+        sent_at: at(0),
+        finished_at: at(5_000),
         status,
-        write,
+        is_write,
         group: 1,
-        needs: Some(needs),
-        own: false,
-        tries: 0,
-        come_back: None,
-        got: Some(got),
+        required_position: Some(LogPosition::from_millis(required)),
+        reads_own_write: false,
+        earlier_attempts: 0,
+        retry_after: None,
+        observed_position: Some(LogPosition::from_millis(observed)),
     }
 }
 
 #[test]
-fn a_lost_write_that_is_served_and_a_kept_one_that_is_told_as_lost_are_seen() {
-    let lost = BTreeMap::from([(1, vec![(10, 20, -1)])]);
-    let own = |status, needs| RequestRecord { own: true, ..asked(status, false, needs, 99) };
-    assert_eq!(
-        sessions_told_of_lost_writes(&[own(412, 15), own(200, 10), own(200, 21), own(503, 15)], &lost),
-        Ok(1)
-    );
-    assert!(sessions_told_of_lost_writes(&[own(200, 15)], &lost).is_err());
-    assert!(sessions_told_of_lost_writes(&[own(412, 10)], &lost).is_err());
-    assert_eq!(
-        sessions_told_of_lost_writes(&[asked(200, false, 15, 99)], &lost),
-        Ok(0),
-        "its session wrote nothing"
-    );
+fn a_lost_write_that_is_served_and_a_kept_one_that_is_told_as_lost_are_found() {
+    let lost_commits = LostCommits {
+        after: LogPosition::from_millis(10),
+        up_to: LogPosition::from_millis(20),
+        lost_at: at(-1),
+    };
+    let lost = BTreeMap::from([(1, vec![lost_commits])]);
+    let own =
+        |status, required| RequestRecord { reads_own_write: true, ..record(status, false, required, 99) };
+    let valid = [own(412, 15), own(200, 10), own(200, 21), own(503, 15)];
+    assert_eq!(sessions_told_of_lost_writes(&valid, &lost), Ok(1));
+    let served = sessions_told_of_lost_writes(&[own(200, 15)], &lost);
+    assert!(matches!(served, Err(CheckError::LostWriteServed { .. })));
+    let false_loss = sessions_told_of_lost_writes(&[own(412, 10)], &lost);
+    assert!(matches!(false_loss, Err(CheckError::FalseLossReported { .. })));
+    let of_others = sessions_told_of_lost_writes(&[record(200, false, 15, 99)], &lost);
+    assert_eq!(of_others, Ok(0), "its session wrote nothing");
 }
 
 #[test]
-fn a_cold_host_that_gets_too_much_is_seen() {
-    let cold = ColdStartBound { started: 0, bears: 20.0, multiple: 4.0 };
-    let at = |n: usize, gap: i64| -> Vec<Arrival> {
-        (0..n).map(|n| arrival("a", n as u64 + 1, n as i64 * gap, n as i64 * gap)).collect()
+fn a_cold_endpoint_that_gets_too_much_is_found() {
+    let bound = ColdStartBound { started_at: at(0), warm_capacity_per_second: 20.0, overload_multiple: 4.0 };
+    let arrivals = |count: u64, gap_micros: i64| -> Vec<Arrival> {
+        (0..count).map(|n| arrival("a", n + 1, n as i64 * gap_micros, n as i64 * gap_micros)).collect()
     };
-    // 20 and what chance adds to it: 36 in the first second.
-    assert!(cold_endpoint_not_overloaded(&at(36, 1_000), "a", cold).is_ok_and(|worst| worst > 0.9));
-    assert!(cold_endpoint_not_overloaded(&at(38, 1_000), "a", cold).is_err());
-    assert!(
-        cold_endpoint_not_overloaded(&at(38, 1_000), "b", cold).is_ok()
-            && cold_endpoint_not_overloaded(&at(38, 40_000), "a", cold).is_ok()
-    );
+    let check = |arrivals: &[Arrival], endpoint| cold_endpoint_not_overloaded(arrivals, endpoint, bound);
+    // 20 and the allowance for chance: 36 in the first second.
+    assert!(check(&arrivals(36, 1_000), "a").is_ok_and(|worst| worst > 0.9));
+    let overloaded = check(&arrivals(38, 1_000), "a");
+    assert!(matches!(overloaded, Err(CheckError::ColdEndpointOverloaded { .. })));
+    assert!(check(&arrivals(38, 1_000), "b").is_ok());
+    assert!(check(&arrivals(38, 40_000), "a").is_ok());
 }
 
-fn arrival(host: &str, request: u64, at: i64, until: i64) -> Arrival {
-    Arrival { host: host.into(), request, at, until, write: true, served: true }
+fn arrival(endpoint: &str, request_id: u64, arrived_at: i64, finished_at: i64) -> Arrival {
+    Arrival {
+        endpoint: endpoint.into(),
+        request_id,
+        arrived_at: at(arrived_at),
+        finished_at: at(finished_at),
+        is_write: true,
+        served: true,
+    }
 }
 
 #[test]
-fn a_stale_read_is_seen() {
-    assert!(
-        no_stale_reads(&[asked(200, false, 10, 10), asked(503, false, 10, 3), asked(200, true, 10, 3)])
-            .is_ok()
-    );
-    assert!(no_stale_reads(&[asked(200, false, 10, 9)]).is_err());
+fn a_stale_read_is_found() {
+    let valid = [record(200, false, 10, 10), record(503, false, 10, 3), record(200, true, 10, 3)];
+    assert!(no_stale_reads(&valid).is_ok());
+    assert!(matches!(no_stale_reads(&[record(200, false, 10, 9)]), Err(CheckError::StaleRead { .. })));
 }
 
 #[test]
-fn a_missing_or_late_answer_is_seen_unless_the_daemon_was_down() {
-    assert!(every_request_answered(&[asked(503, false, 0, 0)], &[], 2_000_000).is_ok());
-    assert!(every_request_answered(&[asked(0, false, 0, 0)], &[], 2_000_000).is_err());
-    assert!(every_request_answered(&[asked(0, false, 0, 0)], &[(0, -50_000, 1)], 2_000_000).is_ok());
-    assert!(every_request_answered(&[asked(0, false, 0, 0)], &[(1, -50_000, 1)], 2_000_000).is_err());
-    let late = RequestRecord { until: 3_000_000, ..asked(200, false, 0, 0) };
-    assert!(every_request_answered(&[late], &[], 2_000_000).is_err());
+fn a_missing_or_late_response_is_found_unless_the_node_was_down() {
+    let check =
+        |record: RequestRecord, downtimes: &[Downtime]| every_request_answered(&[record], downtimes, TIMEOUT);
+    let down = |node| [Downtime { node, from: at(-50_000), until: at(1) }];
+    assert!(check(record(503, false, 0, 0), &[]).is_ok());
+    let missing = check(record(0, false, 0, 0), &[]);
+    assert!(matches!(missing, Err(CheckError::NoResponse { .. })));
+    assert!(check(record(0, false, 0, 0), &down(0)).is_ok());
+    let of_another_node = check(record(0, false, 0, 0), &down(1));
+    assert!(matches!(of_another_node, Err(CheckError::NoResponse { .. })));
+    let late = RequestRecord { finished_at: at(3_000_000), ..record(200, false, 0, 0) };
+    assert!(matches!(check(late, &[]), Err(CheckError::LateResponse { .. })));
 }
 
 #[test]
-fn two_attempts_at_once_and_a_write_that_ran_twice_are_seen() {
-    let after = [arrival("a", 1, 0, 100_000), arrival("b", 2, 0, 100_000)];
-    assert_eq!(no_overlapping_attempts(&after), Ok(2));
-    assert!(
-        no_overlapping_attempts(&[arrival("a", 1, 0, 100_000), arrival("b", 1, 20_000, 30_000)]).is_err()
-    );
-    assert!(
-        no_overlapping_attempts(&[arrival("a", 1, 0, 100_000), arrival("b", 1, 200_000, 300_000)]).is_err()
-    );
-    // The first one was no primary.
-    assert!(no_overlapping_attempts(&[arrival("a", 1, 0, 0), arrival("b", 1, 200_000, 300_000)]).is_ok());
+fn overlapping_attempts_and_a_write_that_was_executed_twice_are_found() {
+    let valid = [arrival("a", 1, 0, 100_000), arrival("b", 2, 0, 100_000)];
+    assert_eq!(no_overlapping_attempts(&valid), Ok(2));
+    let overlapping = [arrival("a", 1, 0, 100_000), arrival("b", 1, 20_000, 30_000)];
+    let found = no_overlapping_attempts(&overlapping);
+    assert!(matches!(found, Err(CheckError::OverlappingAttempts { .. })));
+    let twice = [arrival("a", 1, 0, 100_000), arrival("b", 1, 200_000, 300_000)];
+    let found = no_overlapping_attempts(&twice);
+    assert!(matches!(found, Err(CheckError::DuplicateWrite { .. })));
+    // The first endpoint was no primary.
+    let rejected_first = [arrival("a", 1, 0, 0), arrival("b", 1, 200_000, 300_000)];
+    assert!(no_overlapping_attempts(&rejected_first).is_ok());
 }
 
 #[test]
-fn an_arrival_at_a_drained_host_is_seen() {
-    let all = [arrival("a", 1, 300_000, 300_000), arrival("b", 2, 900_000, 900_000)];
-    assert!(no_arrivals_while_drained(&all, &[("a".into(), 290_000, i64::MAX)]).is_ok());
-    assert!(no_arrivals_while_drained(&all, &[("a".into(), 250_000, i64::MAX)]).is_err());
-    assert!(no_arrivals_while_drained(&all, &[("b".into(), 250_000, 800_000)]).is_ok());
+fn an_arrival_at_a_drained_endpoint_is_found() {
+    let arrivals = [arrival("a", 1, 300_000, 300_000), arrival("b", 2, 900_000, 900_000)];
+    let check = |drain: DrainPeriod| no_arrivals_while_drained(&arrivals, &[drain]);
+    assert!(check(DrainPeriod::since("a", at(290_000))).is_ok());
+    let late = check(DrainPeriod::since("a", at(250_000)));
+    assert!(matches!(late, Err(CheckError::ArrivalWhileDrained { .. })));
+    let ended = DrainPeriod { until: at(800_000), ..DrainPeriod::since("b", at(250_000)) };
+    assert!(check(ended).is_ok());
 }
 
-fn log(lines: &[&str]) -> Log {
-    lines.iter().map(|l| l.to_string()).collect()
+fn log(lines: &[&str]) -> NodeLog {
+    lines.iter().map(|line| line.to_string()).collect()
 }
 
 #[test]
-fn sequences_that_differ_go_back_or_lack_a_majority_are_seen() {
-    let a = log(&["1.000 DEBUG store: holds 5 of term 2", "1.002 DEBUG fleet: agreed 5 ab: drain x: Done"]);
-    let b = log(&["1.001 DEBUG store: holds 5 of term 2", "1.003 DEBUG fleet: agreed 5 ab: drain x: Done"]);
-    assert_eq!(same_committed_sequence(&[a.clone(), b.clone(), log(&[])], 3), Ok(1));
-    assert!(same_committed_sequence(&[a.clone(), log(&[]), log(&[])], 3).is_err(), "only one had it");
+fn sequences_that_differ_go_back_or_lack_a_majority_are_found() {
+    let first =
+        log(&["1.000 DEBUG store: holds 5 of term 2", "1.002 DEBUG fleet: agreed 5 ab: drain x: Done"]);
+    let second =
+        log(&["1.001 DEBUG store: holds 5 of term 2", "1.003 DEBUG fleet: agreed 5 ab: drain x: Done"]);
+    let check = |logs: &[NodeLog], voters| same_committed_sequence(logs, voters);
+    assert_eq!(check(&[first.clone(), second, log(&[])], Some(3)), Ok(1));
+    let only_one_had_it = check(&[first.clone(), log(&[]), log(&[])], Some(3));
+    assert!(matches!(only_one_had_it, Err(CheckError::NoMajority { .. })));
     let late = log(&["1.009 DEBUG store: holds 5 of term 2"]);
-    assert!(same_committed_sequence(&[a.clone(), late, log(&[])], 3).is_err(), "the second had it later");
+    let second_had_it_later = check(&[first.clone(), late, log(&[])], Some(3));
+    assert!(matches!(second_had_it_later, Err(CheckError::NoMajority { .. })));
     let other = log(&["1.003 DEBUG fleet: agreed 5 ac: drain y: Done"]);
-    assert!(same_committed_sequence(&[a.clone(), other], 0).is_err());
+    assert!(matches!(check(&[first, other], None), Err(CheckError::Diverged { .. })));
     let again = log(&[
         "1.003 DEBUG fleet: agreed 5 ab: drain x: Done",
         "1.004 DEBUG fleet: agreed 5 ab: drain x: Done",
     ]);
-    assert!(same_committed_sequence(std::slice::from_ref(&again), 0).is_err());
+    let twice = check(std::slice::from_ref(&again), None);
+    assert!(matches!(twice, Err(CheckError::OutOfOrder { .. })));
     let restarted = log(&[&again[0], "1.004 INFO b: store at http://1", &again[1]]);
-    assert!(same_committed_sequence(&[restarted], 0).is_ok());
+    assert!(check(&[restarted], None).is_ok());
 }
--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -1,176 +1,254 @@
-//! A fleet of processes with a relay on every link, their hosts, and what scripts do to them.
+//! A cluster of real processes of the program with a relay on every link, and their stand-in endpoints.
 
 mod files;
 mod lifecycle;
 mod links;
-mod permit;
-mod queries;
+mod process_permit;
 mod schedule;
+mod status;
 
+pub use schedule::OperatorCall;
+pub use status::ZoneWeight;
+
+use crate::check::{Downtime, NodeLog};
+use crate::client::{Load, LoadProfile};
 use crate::endpoint::StandInEndpoints;
-use crate::process::Process;
-use crate::relay::Relay;
-use permit::ProcessPermit;
+use crate::process::{ClockOffset, Process};
+use crate::relay::{Relay, RelayProtocol};
+use process_permit::ProcessPermit;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// How a lab is set up.
+/// The zones of every cluster.
+const ZONES: [&str; 3] = ["z-0", "z-1", "z-2"];
+
+/// The discard port, where nobody listens: the target of relays whose process does not run yet.
+const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
+
+/// Count of the clusters of this process, for the names of their folders.
+static NEXT_CLUSTER: AtomicUsize = AtomicUsize::new(0);
+
+/// What a cluster consists of.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Daemons.
-    pub daemons: usize,
-    /// Groups of hosts, and hosts in each.
-    pub hosts: (u32, usize),
-    /// The daemons keep a disk.
-    pub disk: bool,
-    /// How far each daemon's clock is off, in milliseconds; missing: not at all.
-    pub clocks: Vec<i64>,
-    /// The program is of version 0.2.0 or before: it exchanges whole copies and knows no fleet.
-    pub old: bool,
-    /// Hosts in the inventory beside those that run: nobody listens there.
-    pub more_hosts: usize,
-    /// Regions of the zones, in their order; none by default.
+    /// Count of nodes.
+    pub nodes: usize,
+    /// Count of groups of endpoints.
+    pub groups: u32,
+    /// Endpoints of each group.
+    pub endpoints_per_group: usize,
+    /// Nodes keep their store in a file.
+    pub has_store_files: bool,
+    /// The clock offset of each node by its index; [`ClockOffset::NONE`] for those beyond the end.
+    pub clock_offsets: Vec<ClockOffset>,
+    /// The program is of version 0.2.0 or before: it has no fleet, and its links carry no frames.
+    pub is_legacy: bool,
+    /// Endpoints in the inventory beside those that run: nobody listens at their address.
+    pub unreachable_endpoints: usize,
+    /// The region of each zone by the zone's number; none by default.
     pub regions: Vec<String>,
 }
 
 impl Default for ClusterConfig {
     fn default() -> ClusterConfig {
         ClusterConfig {
-            daemons: 5,
-            hosts: (2, 3),
-            disk: true,
-            clocks: Vec::new(),
-            old: false,
-            more_hosts: 0,
+            nodes: 5,
+            groups: 2,
+            endpoints_per_group: 3,
+            has_store_files: true,
+            clock_offsets: Vec::new(),
+            is_legacy: false,
+            unreachable_endpoints: 0,
             regions: Vec::new(),
         }
     }
 }
 
-/// One daemon.
+/// One node of a cluster. Its process may be killed and started again.
 pub struct ClusterNode {
-    /// Its name.
+    /// Its name: `b` and its index.
     pub name: String,
-    /// Its process, if it runs.
-    pub process: Option<Process>,
-    /// Its store's address, behind all relays.
-    pub store: SocketAddr,
-    /// Its front's address, behind the relay.
-    pub front: SocketAddr,
-    /// Its files.
+    /// Where the present process's store listens, behind all relays.
+    pub store_address: SocketAddr,
+    /// Its folder, with the files that it reads and writes.
     pub folder: PathBuf,
-    /// Logs of the processes before.
-    before: Vec<String>,
-    stopped: bool,
+    process: Option<Process>,
+    /// The log of its processes that have ended.
+    earlier_log: NodeLog,
+    is_paused: bool,
 }
 
-/// A fleet in the lab.
-pub struct TestCluster {
-    program: PathBuf,
-    /// The daemons.
-    pub daemons: Vec<ClusterNode>,
-    /// Their hosts.
-    pub hosts: StandInEndpoints,
-    /// The relay on the link from a daemon to another.
-    pub links: BTreeMap<(usize, usize), Relay>,
-    /// The relay before each daemon's front.
-    pub fronts: Vec<Relay>,
-    /// The relay before each daemon's store, for those whose files do not name it.
-    pub public: Vec<Relay>,
-    /// The relay before each host, by name.
-    pub host_links: BTreeMap<String, Relay>,
-    /// Daemons that were down or stood still: from when until when.
-    pub down: Vec<(usize, i64, i64)>,
-    setup: ClusterConfig,
-    _room: ProcessPermit,
+impl ClusterNode {
+    fn new(index: usize, folder: PathBuf) -> ClusterNode {
+        ClusterNode {
+            name: format!("b{index}"),
+            store_address: NO_ADDRESS,
+            folder,
+            process: None,
+            earlier_log: Vec::new(),
+            is_paused: false,
+        }
+    }
+
+    /// The node's process.
+    ///
+    /// # Panics
+    ///
+    /// When it does not run.
+    pub fn process(&self) -> &Process {
+        self.process.as_ref().expect("the node runs")
+    }
+
+    /// The path of the node's store.
+    pub fn store_file(&self) -> PathBuf {
+        self.folder.join(files::STORE_FILE)
+    }
+}
+
+/// The link that a node opens to another one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct PeerLink {
+    from: usize,
+    to: usize,
 }
 
-fn nowhere() -> SocketAddr {
-    ([127, 0, 0, 1], 9).into()
+/// A cluster. Nodes are named by their index. All processes are killed when it is dropped, and its files are removed,
+/// unless the test has failed or the variable `LAB_KEEP` is set: then each node's log is written beside its files.
+pub struct TestCluster {
+    /// The nodes.
+    pub nodes: Vec<ClusterNode>,
+    /// The endpoints behind the nodes.
+    pub endpoints: StandInEndpoints,
+    /// When nodes did not run.
+    pub downtimes: Vec<Downtime>,
+    program: PathBuf,
+    config: ClusterConfig,
+    /// The relay on each link between nodes.
+    peer_links: BTreeMap<PeerLink, Relay>,
+    /// The relay before each node's SPARQL server.
+    sparql_relays: Vec<Relay>,
+    /// The relay before each node's store at the address that it advertises, for nodes whose files do not name it.
+    advertised_relays: Vec<Relay>,
+    /// The relay before each endpoint, by the endpoint's name.
+    endpoint_relays: BTreeMap<String, Relay>,
+    _permit: ProcessPermit,
 }
 
 impl TestCluster {
-    /// Sets a lab up; nothing runs yet. `folder` is emptied.
-    pub fn new(program: &Path, folder: &Path, setup: ClusterConfig) -> TestCluster {
-        let room = ProcessPermit::take(setup.daemons);
-        static NEXT: AtomicUsize = AtomicUsize::new(0);
-        let n = NEXT.fetch_add(1, Ordering::Relaxed);
-        let folder = folder.join(format!("lab-{}-{n}", std::process::id()));
+    /// Creates a cluster of this program, whose processes do not run yet, with its files below `parent_folder`. Waits
+    /// until the machine has room for its nodes.
+    ///
+    /// # Panics
+    ///
+    /// When files cannot be written or no port is free.
+    pub fn new(program: &Path, parent_folder: &Path, config: ClusterConfig) -> TestCluster {
+        let permit = ProcessPermit::acquire(config.nodes);
+        let number = NEXT_CLUSTER.fetch_add(1, Ordering::Relaxed);
+        let folder = parent_folder.join(format!("lab-{}-{number}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        let zones = ["z-0".to_string(), "z-1".to_string(), "z-2".to_string()];
-        let hosts = StandInEndpoints::start(setup.hosts.0, setup.hosts.1, &zones);
-        let host_links: BTreeMap<String, Relay> =
-            hosts.all.iter().map(|h| (h.name.clone(), Relay::start(h.address, false))).collect();
-        let mut lab = TestCluster {
+        let endpoints =
+            StandInEndpoints::start(config.groups, config.endpoints_per_group, &ZONES.map(String::from));
+        let endpoint_relays = endpoints
+            .iter()
+            .map(|endpoint| (endpoint.name.clone(), Relay::start(endpoint.address, RelayProtocol::Bytes)));
+        let mut cluster = TestCluster {
+            nodes: Vec::new(),
+            downtimes: Vec::new(),
             program: program.to_path_buf(),
-            daemons: Vec::new(),
-            links: BTreeMap::new(),
-            fronts: Vec::new(),
-            public: Vec::new(),
-            host_links,
-            down: Vec::new(),
-            hosts,
-            setup,
-            _room: room,
+            peer_links: BTreeMap::new(),
+            sparql_relays: Vec::new(),
+            advertised_relays: Vec::new(),
+            endpoint_relays: endpoint_relays.collect(),
+            endpoints,
+            config,
+            _permit: permit,
         };
-        for n in 0..lab.setup.daemons {
-            let own = folder.join(format!("b{n}"));
-            std::fs::create_dir_all(&own).expect("a folder");
-            lab.add(own);
+        let all: Vec<usize> = (0..cluster.config.nodes).collect();
+        for index in &all {
+            cluster.add_stopped_node(folder.join(format!("b{index}")));
         }
-        let all: Vec<usize> = (0..lab.daemons.len()).collect();
-        for n in &all {
-            lab.write_files(*n, &all);
+        for index in &all {
+            cluster.write_files(*index, &all);
         }
-        lab
+        cluster
     }
 
-    fn add(&mut self, folder: PathBuf) {
-        let n = self.daemons.len();
-        self.daemons.push(ClusterNode {
-            name: format!("b{n}"),
-            process: None,
-            store: nowhere(),
-            front: nowhere(),
-            folder,
-            before: Vec::new(),
-            stopped: false,
-        });
-        self.fronts.push(Relay::start(nowhere(), false));
-        self.public.push(Relay::start(nowhere(), true));
-        for other in 0..n {
-            let frames = !self.setup.old;
-            self.links.insert((n, other), Relay::start(self.daemons[other].store, frames));
-            self.links.insert((other, n), Relay::start(nowhere(), frames));
-        }
+    /// Adds a node, which does not run yet, whose file names these peers; theirs do not name it. Returns its index.
+    ///
+    /// # Panics
+    ///
+    /// As [`TestCluster::new`].
+    pub fn add_node(&mut self, peers: &[usize]) -> usize {
+        let index = self.nodes.len();
+        let folder = self.nodes[0].folder.with_file_name(format!("b{index}"));
+        self.add_stopped_node(folder);
+        self.write_files(index, peers);
+        index
     }
 
-    /// Another daemon, whose file names these others; they do not name it.
-    pub fn add_node(&mut self, names: &[usize]) -> usize {
-        let n = self.daemons.len();
-        let folder = self.daemons[0].folder.with_file_name(format!("b{n}"));
+    /// Adds a node with its relays.
+    fn add_stopped_node(&mut self, folder: PathBuf) {
         std::fs::create_dir_all(&folder).expect("a folder");
-        self.add(folder);
-        self.write_files(n, names);
-        n
+        let index = self.nodes.len();
+        self.nodes.push(ClusterNode::new(index, folder));
+        self.sparql_relays.push(Relay::start(NO_ADDRESS, RelayProtocol::Bytes));
+        self.advertised_relays.push(Relay::start(NO_ADDRESS, RelayProtocol::FleetFrames));
+        let protocol = if self.config.is_legacy { RelayProtocol::Bytes } else { RelayProtocol::FleetFrames };
+        for other in 0..index {
+            let to_other = Relay::start(self.nodes[other].store_address, protocol);
+            self.peer_links.insert(PeerLink { from: index, to: other }, to_other);
+            let from_other = Relay::start(NO_ADDRESS, protocol);
+            self.peer_links.insert(PeerLink { from: other, to: index }, from_other);
+        }
+    }
+
+    /// Where clients reach a node's SPARQL server; it stays when the node starts again.
+    pub fn sparql_address(&self, node: usize) -> SocketAddr {
+        self.sparql_relays[node].address
+    }
+
+    /// Starts a load on all nodes.
+    pub fn start_load(&self, profile: LoadProfile) -> Load {
+        let addresses: Vec<SocketAddr> = self.sparql_relays.iter().map(|relay| relay.address).collect();
+        Load::start(&addresses, profile)
+    }
+
+    /// The log of a node's present process.
+    ///
+    /// # Panics
+    ///
+    /// When the node does not run.
+    pub fn log(&self, node: usize) -> NodeLog {
+        self.nodes[node].process().log()
+    }
+
+    /// The logs of all nodes, with those of processes that have ended.
+    pub fn logs(&self) -> Vec<NodeLog> {
+        let whole_log = |node: &ClusterNode| {
+            let mut lines = node.earlier_log.clone();
+            lines.extend(node.process.as_ref().map(Process::log).unwrap_or_default());
+            lines
+        };
+        self.nodes.iter().map(whole_log).collect()
     }
 }
 
 impl Drop for TestCluster {
     fn drop(&mut self) {
-        // What failed is kept, each daemon's log beside its files.
-        let failed = thread::panicking() || std::env::var_os("LAB_KEEP").is_some();
-        for (daemon, log) in self.daemons.iter().zip(self.logs()) {
-            let kept = failed && std::fs::write(daemon.folder.join("log"), log.join("\n")).is_ok();
-            if kept {
-                eprintln!("{}: {}", daemon.name, daemon.folder.display());
+        let keep_files = thread::panicking() || std::env::var_os("LAB_KEEP").is_some();
+        for (node, log) in self.nodes.iter().zip(self.logs()) {
+            if keep_files && std::fs::write(node.folder.join("log"), log.join("\n")).is_ok() {
+                eprintln!("{}: {}", node.name, node.folder.display());
             }
         }
-        self.daemons.iter_mut().for_each(|d| drop(d.process.take()));
-        if !failed && let Some(folder) = self.daemons.first().and_then(|d| d.folder.parent()) {
+        for node in &mut self.nodes {
+            node.process = None;
+        }
+        let folder = self.nodes.first().and_then(|node| node.folder.parent());
+        if let Some(folder) = folder.filter(|_| !keep_files) {
             let _ = std::fs::remove_dir_all(folder);
         }
     }
--- a/lab/src/cluster/files.rs
+++ b/lab/src/cluster/files.rs
@@ -1,48 +1,83 @@
-//! The files of daemons.
+//! The files that nodes read: the operator's file and the inventory.
 
-use super::TestCluster;
+use super::{TestCluster, ZONES};
+
+/// The name of a node's store in its folder.
+pub(super) const STORE_FILE: &str = "fleet.store";
+/// The name of the operator's file in a node's folder.
+pub(super) const OPERATOR_FILE: &str = "operator.yaml";
+/// The name of the inventory in a node's folder.
+const INVENTORY_FILE: &str = "hosts.csv";
+/// Groups of unreachable endpoints are numbered from this one on.
+const FIRST_UNREACHABLE_GROUP: usize = 1000;
 
 impl TestCluster {
-    /// Writes a daemon's own inventory, changed now.
-    pub fn write_inventory(&self, n: usize, text: &str) {
-        let path = self.daemons[n].folder.join("hosts.csv");
-        let beside = path.with_extension("new");
-        std::fs::write(&beside, text).expect("a file");
-        std::fs::rename(&beside, &path).expect("a file");
+    /// Replaces a node's own inventory in one step, as an operator would.
+    ///
+    /// # Panics
+    ///
+    /// When the file cannot be written.
+    pub fn write_inventory(&self, node: usize, csv: &str) {
+        let path = self.nodes[node].folder.join(INVENTORY_FILE);
+        let temporary = path.with_extension("new");
+        std::fs::write(&temporary, csv).expect("a file");
+        std::fs::rename(&temporary, &path).expect("a file");
     }
 
-    /// The inventory that says what there is.
-    pub fn inventory(&self) -> String {
-        let region = |zone: &str| {
-            let at =
-                zone.trim_start_matches("z-").parse().ok().and_then(|n: usize| self.setup.regions.get(n));
-            at.cloned().unwrap_or_default()
-        };
-        let mut text = self.hosts.inventory(|h| self.host_links[&h.name].address, region);
-        for n in 0..self.setup.more_hosts {
-            text += &format!("x-{n},127.0.0.1:9,{},z-{},\n", 1000 + n / 3, n % 3);
+    /// The inventory with all endpoints, as CSV.
+    pub fn inventory_csv(&self) -> String {
+        let address_of =
+            |endpoint: &crate::endpoint::StandInEndpoint| self.endpoint_relays[&endpoint.name].address;
+        let mut csv = self.endpoints.inventory_csv(address_of, |zone| self.region_of(zone));
+        for index in 0..self.config.unreachable_endpoints {
+            let group = FIRST_UNREACHABLE_GROUP + index / ZONES.len();
+            let zone = ZONES[index % ZONES.len()];
+            csv += &format!("x-{index},127.0.0.1:9,{group},{zone},\n");
         }
-        text
+        csv
+    }
+
+    /// The region of a zone; empty: none.
+    fn region_of(&self, zone: &str) -> String {
+        let number = ZONES.iter().position(|name| *name == zone);
+        let region = number.and_then(|number| self.config.regions.get(number));
+        region.cloned().unwrap_or_default()
     }
 
-    pub(super) fn write_files(&self, n: usize, named: &[usize]) {
-        let daemon = &self.daemons[n];
-        let peers = named.iter().filter(|o| **o != n).map(|o| self.links[&(n, *o)].address.to_string());
-        let peers = peers.collect::<Vec<_>>().join(", ");
-        let public = self.public[n].address;
-        let advertise = if self.setup.old { String::new() } else { format!("\n  advertise: {public}") };
-        let disk = if self.setup.disk { "\n  snapshot: fleet.store" } else { "" };
-        let text = format!(
-            "name: {}\nnumber: {n}\nsparql:\n  listen: 127.0.0.1:0\n  query: catalog-read\n  session: own-edit-read\n  \
-             update: score-write\nstore:\n  listen: 127.0.0.1:0{advertise}\n  peers: [{peers}]{disk}\nadmin: 127.0.0.1:0\n\
-             inventory: hosts.csv\nzones: [z-0, z-1, z-2]\nsockets: 1024\nsettings:\n  balancers: {}\n{SETTINGS}",
-            daemon.name, self.setup.daemons
-        );
-        std::fs::write(daemon.folder.join("operator.yaml"), text).expect("a file");
-        self.write_inventory(n, &self.inventory());
+    /// Writes a node's files; `peers`: the nodes that its file names, itself left out.
+    pub(super) fn write_files(&self, node: usize, peers: &[usize]) {
+        let text = self.operator_file(node, peers);
+        std::fs::write(self.nodes[node].folder.join(OPERATOR_FILE), text).expect("a file");
+        self.write_inventory(node, &self.inventory_csv());
+    }
+
+    fn operator_file(&self, node: usize, peers: &[usize]) -> String {
+        let is_peer = |link: &super::PeerLink| link.from == node && peers.contains(&link.to);
+        let links = self.peer_links.iter().filter(|(link, _)| is_peer(link));
+        let peer_addresses: Vec<String> = links.map(|(_, relay)| relay.address.to_string()).collect();
+        let advertise = match self.config.is_legacy {
+            true => String::new(),
+            false => format!("\n  advertise: {}", self.advertised_relays[node].address),
+        };
+        let snapshot = match self.config.has_store_files {
+            true => format!("\n  snapshot: {STORE_FILE}"),
+            false => String::new(),
+        };
+        format!(
+            "name: {}\nnumber: {node}\nsparql:\n  listen: 127.0.0.1:0\n  query: catalog-read\n  \
+             session: own-edit-read\n  update: score-write\nstore:\n  listen: 127.0.0.1:0{advertise}\n  \
+             peers: [{}]{snapshot}\nadmin: 127.0.0.1:0\ninventory: {INVENTORY_FILE}\nzones: [{}]\n\
+             sockets: 1024\nsettings:\n  balancers: {}\n{SETTINGS}",
+            self.nodes[node].name,
+            peer_addresses.join(", "),
+            ZONES.join(", "),
+            self.config.nodes
+        )
     }
 }
 
+/// The settings of all nodes. [`crate::oracle::request_value`] knows the values of `worth`, and
+/// [`crate::endpoint::warm_up_share`] those of `cold-share` and `warm-up`.
 const SETTINGS: &str = "  services:
     - {name: catalog-read, consistency: lag_bound, max-age: 0.8, target: 1.0, deadline: 2.5, worth: 3, late-worth: 0.2, repeat: repeatable}
     - {name: own-edit-read, consistency: causal, target: 0.8, deadline: 2.0, worth: 1, late-worth: 0, repeat: repeatable}
--- a/lab/src/cluster/lifecycle.rs
+++ b/lab/src/cluster/lifecycle.rs
@@ -1,123 +1,151 @@
-//! Starts, stops and kills daemons.
+//! Starts, stops and kills nodes, and records when they did not run.
 
+use super::files::OPERATOR_FILE;
 use super::{ClusterNode, TestCluster};
-use crate::process::Process;
-use crate::{eventually, http, now};
+use crate::check::Downtime;
+use crate::process::{ClockOffset, Process};
+use crate::{Timestamp, eventually, http, log_lines};
+use std::time::Duration;
+
+/// A downtime that ended with a start within this time before the node was ready lasts until it was ready.
+const MAX_START_UP: Duration = Duration::from_secs(30);
 
 impl TestCluster {
-    /// Starts a daemon; comes back when its store listens.
-    pub fn start(&mut self, n: usize) {
-        self.start_nodes(&[n]);
+    /// Starts a node and waits until its store listens.
+    ///
+    /// # Panics
+    ///
+    /// When it does not within [`crate::DEFAULT_TIMEOUT`].
+    pub fn start(&mut self, node: usize) {
+        self.start_nodes(&[node]);
     }
 
-    /// Starts daemons, all in the same moment.
-    pub fn start_nodes(&mut self, daemons: &[usize]) {
-        let spawn = |n: &usize| {
-            let file = self.daemons[*n].folder.join("operator.yaml");
-            let clock = self.setup.clocks.get(*n).copied().unwrap_or(0);
-            Process::start(&self.program, &["--operator", &file.to_string_lossy()], clock)
-        };
-        let processes: Vec<Process> = daemons.iter().map(spawn).collect();
-        for (n, process) in daemons.iter().zip(processes) {
-            self.started(*n, process);
+    /// Starts nodes at the same moment and waits until their stores listen.
+    ///
+    /// # Panics
+    ///
+    /// When one does not within [`crate::DEFAULT_TIMEOUT`].
+    pub fn start_nodes(&mut self, nodes: &[usize]) {
+        let processes: Vec<Process> = nodes.iter().map(|node| self.start_process(*node)).collect();
+        for (node, process) in nodes.iter().zip(processes) {
+            self.attach(*node, process);
         }
     }
 
-    fn started(&mut self, n: usize, process: Process) {
-        let store = process.wait_for_address("store at http://");
-        for ((_, to), relay) in &self.links {
-            if *to == n {
-                relay.set_target(store);
+    fn start_process(&self, node: usize) -> Process {
+        let file = self.nodes[node].folder.join(OPERATOR_FILE);
+        let offset = self.config.clock_offsets.get(node).copied().unwrap_or_default();
+        Process::start(&self.program, &["--operator", &file.to_string_lossy()], offset)
+    }
+
+    /// Waits until a process's store listens, and points the relays to it.
+    fn attach(&mut self, node: usize, process: Process) {
+        let store_address = process.wait_for_address(log_lines::STORE_LISTENING);
+        for (link, relay) in &self.peer_links {
+            if link.to == node {
+                relay.set_target(store_address);
             }
         }
-        self.public[n].set_target(store);
-        let daemon = &mut self.daemons[n];
-        (daemon.process, daemon.store) = (Some(process), store);
-        for (d, _, until) in &mut self.down {
-            // Until it serves again; the front's address is another one.
-            if *d == n && *until == i64::MAX {
-                *until = now();
+        self.advertised_relays[node].set_target(store_address);
+        self.nodes[node].process = Some(process);
+        self.nodes[node].store_address = store_address;
+        self.end_downtime(node);
+    }
+
+    /// Ends a node's downtime that has not ended.
+    fn end_downtime(&mut self, node: usize) {
+        let now = Timestamp::now();
+        for downtime in &mut self.downtimes {
+            if downtime.node == node && downtime.until == Timestamp::MAX {
+                downtime.until = now;
             }
         }
     }
 
-    /// Sets how far a daemon's clock is off from its next start on, in milliseconds.
-    pub fn set_clock(&mut self, n: usize, off: i64) {
-        let clocks = &mut self.setup.clocks;
-        clocks.resize(clocks.len().max(n + 1), 0);
-        clocks[n] = off;
+    /// Sets a node's clock offset from its next start on.
+    pub fn set_clock_offset(&mut self, node: usize, offset: ClockOffset) {
+        let offsets = &mut self.config.clock_offsets;
+        offsets.resize(offsets.len().max(node + 1), ClockOffset::NONE);
+        offsets[node] = offset;
     }
 
-    /// Waits until a daemon serves.
-    pub fn wait_until_ready(&mut self, n: usize) {
-        let process = self.daemons[n].process.as_ref().expect("it runs");
-        let front = process.wait_for_address("SPARQL at http://");
-        self.daemons[n].front = front;
-        self.fronts[n].set_target(front);
-        eventually("a daemon serves", || {
-            http::call(front, "GET", "/-/ready").is_some_and(|m| m.status() == 200)
+    /// Waits until a node that was started is ready to serve.
+    ///
+    /// # Panics
+    ///
+    /// When it is not within [`crate::DEFAULT_TIMEOUT`].
+    pub fn wait_until_ready(&mut self, node: usize) {
+        // The SPARQL server listens at another address after each start.
+        let sparql_address = self.nodes[node].process().wait_for_address(log_lines::SPARQL_LISTENING);
+        self.sparql_relays[node].set_target(sparql_address);
+        eventually("a node is ready", || {
+            http::call(sparql_address, "GET", "/-/ready").is_some_and(|response| response.status() == 200)
         });
-        let end = now();
-        for (d, _, until) in &mut self.down {
-            if *d == n && *until < end && end - *until < 30_000_000 {
-                *until = end;
+        let ready_at = Timestamp::now();
+        for downtime in &mut self.downtimes {
+            let has_ended = downtime.until < ready_at;
+            if downtime.node == node && has_ended && ready_at.duration_since(downtime.until) < MAX_START_UP {
+                downtime.until = ready_at;
             }
         }
     }
 
-    /// Starts all, and waits until they serve and the fleet is complete.
+    /// Starts all nodes and waits until all are ready, all vote, and all have applied the same.
+    ///
+    /// # Panics
+    ///
+    /// When that takes longer than [`crate::DEFAULT_TIMEOUT`] at any step.
     pub fn start_all(&mut self) {
-        let all: Vec<usize> = (0..self.daemons.len()).collect();
-        all.iter().for_each(|n| self.start(*n));
-        all.iter().for_each(|n| self.wait_until_ready(*n));
-        let size = all.len();
-        if self.setup.old {
+        let all: Vec<usize> = (0..self.nodes.len()).collect();
+        all.iter().for_each(|node| self.start(*node));
+        all.iter().for_each(|node| self.wait_until_ready(*node));
+        if self.config.is_legacy {
             return;
         }
-        eventually("all vote", || {
-            all.iter()
-                .all(|n| self.fleet_status(*n).lines().filter(|l| l.contains(" voter ")).count() == size)
-        });
+        eventually("all nodes vote", || all.iter().all(|node| self.voter_count(*node) == all.len()));
         self.wait_until_caught_up();
     }
 
-    /// Kills a daemon, as the power would.
-    pub fn kill(&mut self, n: usize) {
-        if let Some(mut process) = self.daemons[n].process.take() {
-            self.down.push((n, now(), i64::MAX));
+    /// Kills a node, as a loss of power does.
+    pub fn kill(&mut self, node: usize) {
+        if let Some(mut process) = self.nodes[node].process.take() {
+            self.begin_downtime(node);
             process.kill();
-            self.daemons[n].before.extend(process.log());
-            self.daemons[n].stopped = false;
+            self.nodes[node].earlier_log.extend(process.log());
+            self.nodes[node].is_paused = false;
         }
     }
 
-    /// A daemon stands still.
-    pub fn pause(&mut self, n: usize) {
-        if let Some(process) = &self.daemons[n].process {
-            self.down.push((n, now(), i64::MAX));
-            process.signal("-STOP");
-            self.daemons[n].stopped = true;
+    /// Stops a node (SIGSTOP).
+    pub fn pause(&mut self, node: usize) {
+        if self.nodes[node].process.is_some() {
+            self.begin_downtime(node);
+            self.nodes[node].process().signal("-STOP");
+            self.nodes[node].is_paused = true;
         }
     }
 
-    /// It goes on.
-    pub fn resume(&mut self, n: usize) {
-        if let Some(process) = &self.daemons[n].process {
-            process.signal("-CONT");
-            self.daemons[n].stopped = false;
-            let end = now();
-            self.down.iter_mut().filter(|(d, _, u)| *d == n && *u == i64::MAX).for_each(|d| d.2 = end);
+    /// Lets a node that was stopped continue (SIGCONT).
+    pub fn resume(&mut self, node: usize) {
+        if self.nodes[node].process.is_some() {
+            self.nodes[node].process().signal("-CONT");
+            self.nodes[node].is_paused = false;
+            self.end_downtime(node);
         }
     }
 
-    /// Takes a daemon's disk away; it must not run.
-    pub fn delete_store(&self, n: usize) {
-        let _ = std::fs::remove_file(self.daemons[n].folder.join("fleet.store"));
+    fn begin_downtime(&mut self, node: usize) {
+        self.downtimes.push(Downtime { node, from: Timestamp::now(), until: Timestamp::MAX });
+    }
+
+    /// Deletes the store of a node that does not run.
+    pub fn delete_store(&self, node: usize) {
+        let _ = std::fs::remove_file(self.nodes[node].store_file());
     }
 
-    /// Daemons that run and do not stand still.
+    /// The nodes that run and are not stopped.
     pub fn running_nodes(&self) -> Vec<usize> {
-        let runs = |d: &ClusterNode| d.process.is_some() && !d.stopped;
-        (0..self.daemons.len()).filter(|n| runs(&self.daemons[*n])).collect()
+        let runs = |node: &ClusterNode| node.process.is_some() && !node.is_paused;
+        (0..self.nodes.len()).filter(|node| runs(&self.nodes[*node])).collect()
     }
 }
--- a/lab/src/cluster/links.rs
+++ b/lab/src/cluster/links.rs
@@ -1,76 +1,112 @@
-//! Faults of links and zones.
+//! Faults of the links between nodes, and of the endpoints by zone.
 
-use super::TestCluster;
-use crate::endpoint::WORK;
+use super::{PeerLink, TestCluster};
+use crate::endpoint::DEFAULT_SERVICE_TIME;
 use crate::faults::EndpointFault;
-use crate::relay::LinkFaults;
-use std::time::Duration;
+use crate::relay::{LinkFaults, Relay};
 
 impl TestCluster {
-    fn both(&self, a: usize, b: usize, weather: LinkFaults) {
-        for key in [(a, b), (b, a)] {
-            if let Some(relay) = self.links.get(&key) {
-                relay.set(weather, weather);
+    /// Sets the faults of the links between two nodes, in both directions.
+    pub fn set_link_faults(&self, first: usize, second: usize, faults: LinkFaults) {
+        for link in [PeerLink { from: first, to: second }, PeerLink { from: second, to: first }] {
+            if let Some(relay) = self.peer_links.get(&link) {
+                relay.set_faults(faults, faults);
             }
         }
     }
 
-    /// Only daemons of the same part hear one another.
+    /// Sets the faults of all links of a node to others that it names or that name it, in both directions.
+    pub fn set_node_faults(&self, node: usize, faults: LinkFaults) {
+        for (link, relay) in &self.peer_links {
+            if link.from == node || link.to == node {
+                relay.set_faults(faults, faults);
+            }
+        }
+    }
+
+    /// Cuts all links but those between nodes of the same part.
     pub fn partition(&self, parts: &[Vec<usize>]) {
-        let part = |n: usize| parts.iter().position(|p| p.contains(&n));
-        for (a, b) in self.links.keys() {
-            let cut = part(*a) != part(*b);
-            self.both(*a, *b, LinkFaults { cut, ..LinkFaults::default() });
+        let part_of = |node: usize| parts.iter().position(|part| part.contains(&node));
+        for (link, relay) in &self.peer_links {
+            let is_cut = part_of(link.from) != part_of(link.to);
+            let faults = if is_cut { LinkFaults::CUT } else { LinkFaults::NONE };
+            relay.set_faults(faults, faults);
+        }
+        // All nodes reach a node at its advertised address: one that is not reached at the address in a file would be
+        // reached there.
+        for relay in &self.advertised_relays {
+            relay.set_faults(LinkFaults::CUT, LinkFaults::NONE);
         }
-        // That way all reach a daemon: whoever is not met at the named address would be met there.
-        self.public
-            .iter()
-            .for_each(|r| r.set(LinkFaults { cut: true, ..LinkFaults::default() }, LinkFaults::default()));
     }
 
-    /// What the first says does not reach the second, on whichever connection.
+    /// What one node sends does not reach another one, whichever of them opened the connection.
     pub fn cut_one_way(&self, from: usize, to: usize) {
-        let cut = LinkFaults { cut: true, ..LinkFaults::default() };
-        if let Some(relay) = self.links.get(&(from, to)) {
-            relay.set(cut, LinkFaults::default());
+        if let Some(relay) = self.peer_links.get(&PeerLink { from, to }) {
+            relay.set_faults(LinkFaults::CUT, LinkFaults::NONE);
         }
-        if let Some(relay) = self.links.get(&(to, from)) {
-            relay.set(LinkFaults::default(), cut);
+        if let Some(relay) = self.peer_links.get(&PeerLink { from: to, to: from }) {
+            relay.set_faults(LinkFaults::NONE, LinkFaults::CUT);
         }
     }
 
-    /// The link between two is late and loses frames.
-    pub fn set_link_faults(&self, a: usize, b: usize, delay: Duration, loss: u8) {
-        self.both(a, b, LinkFaults { delay, loss, ..LinkFaults::default() });
+    /// Resets the connections that one node has opened to another one.
+    pub fn reset_link(&self, from: usize, to: usize) {
+        if let Some(relay) = self.peer_links.get(&PeerLink { from, to }) {
+            relay.reset_connections();
+        }
     }
 
-    /// All links are sound again.
+    /// Ends all faults of links between nodes.
     pub fn heal_links(&self) {
-        for relay in self.links.values().chain(&self.public) {
-            relay.set(LinkFaults::default(), LinkFaults::default());
+        for relay in self.relays_between_nodes() {
+            relay.set_faults(LinkFaults::NONE, LinkFaults::NONE);
         }
     }
 
-    /// What happens to all hosts of a zone.
-    pub fn set_zone_fault(&self, zone: &str, trouble: EndpointFault) {
-        for host in self.hosts.in_zone(zone) {
-            if trouble == EndpointFault::Off {
-                host.power_off();
+    /// Bytes that nodes have sent one another up to now.
+    pub fn peer_traffic_bytes(&self) -> u64 {
+        self.relays_between_nodes().map(|relay| relay.traffic().total_bytes()).sum()
+    }
+
+    fn relays_between_nodes(&self) -> impl Iterator<Item = &Relay> {
+        self.peer_links.values().chain(&self.advertised_relays)
+    }
+
+    /// Sets the fault of all endpoints of a zone; it replaces the one before.
+    pub fn set_zone_fault(&self, zone: &str, fault: EndpointFault) {
+        for endpoint in self.endpoints.in_zone(zone) {
+            if fault == EndpointFault::PowerOff {
+                endpoint.power_off();
                 continue;
             }
-            if !host.is_up() {
-                host.power_on();
+            if !endpoint.is_up() {
+                endpoint.power_on();
             }
-            host.set(|h| {
-                h.silent = trouble == EndpointFault::Silent;
-                h.loss = if let EndpointFault::Lossy(part) = trouble { part } else { 0 };
-                h.work = if let EndpointFault::Slow(times) = trouble { WORK * times } else { WORK };
+            endpoint.configure(|behavior| {
+                behavior.is_silent = fault == EndpointFault::Silent;
+                behavior.loss_percent = match fault {
+                    EndpointFault::Lossy(percent) => percent,
+                    _ => 0,
+                };
+                behavior.service_time = match fault {
+                    EndpointFault::Slow(factor) => DEFAULT_SERVICE_TIME * factor,
+                    _ => DEFAULT_SERVICE_TIME,
+                };
             });
         }
     }
 
-    /// A daemon cannot reach the hosts of a zone, or can again.
-    pub fn cut_zone(&self, n: usize, zone: &str, cut: bool) {
-        self.hosts.in_zone(zone).for_each(|host| host.cut(&self.daemons[n].name, cut));
+    /// Loses all requests of a node to the endpoints of a zone.
+    pub fn cut_zone(&self, node: usize, zone: &str) {
+        for endpoint in self.endpoints.in_zone(zone) {
+            endpoint.cut_from(&self.nodes[node].name);
+        }
+    }
+
+    /// Ends [`TestCluster::cut_zone`].
+    pub fn reconnect_zone(&self, node: usize, zone: &str) {
+        for endpoint in self.endpoints.in_zone(zone) {
+            endpoint.reconnect_to(&self.nodes[node].name);
+        }
     }
 }
--- a/lab/src/cluster/schedule.rs
+++ b/lab/src/cluster/schedule.rs
@@ -1,56 +1,74 @@
-//! Plays scripts.
+//! Runs fault schedules.
 
 use super::TestCluster;
 use crate::faults::{FaultAction, FaultSchedule};
-use crate::{http, now};
-use std::sync::Arc;
-use std::thread;
-use std::time::{Duration, Instant};
+use crate::relay::LinkFaults;
+use crate::{Timestamp, http};
+use std::thread::{self, JoinHandle};
+use std::time::Instant;
+
+/// An operator's call of a schedule, with its response.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OperatorCall {
+    /// [`FaultAction::Drain`] or [`FaultAction::Undrain`].
+    pub action: FaultAction,
+    /// When the call was made.
+    pub called_at: Timestamp,
+    /// The status of its response; [`http::NO_RESPONSE`]: none.
+    pub status: u16,
+}
 
 impl TestCluster {
-    /// Carries a script out. Operators' calls go on beside it: what each was answered, with when it was said.
-    pub fn run_schedule(&mut self, script: &FaultSchedule) -> Vec<(FaultAction, i64, u16)> {
-        let began = Instant::now();
-        let (send, answers) = std::sync::mpsc::channel();
-        let send = Arc::new(send);
+    /// Injects all faults of a schedule at their times. Operators' calls run beside it; they are returned in the order of
+    /// the schedule once all have a response.
+    ///
+    /// # Panics
+    ///
+    /// When a node does not start.
+    pub fn run_schedule(&mut self, schedule: &FaultSchedule) -> Vec<OperatorCall> {
+        let started = Instant::now();
         let mut calls = Vec::new();
-        for (at, act) in &script.0 {
-            thread::sleep((began + Duration::from_millis(*at)).saturating_duration_since(Instant::now()));
-            match act {
-                FaultAction::Kill(n) => self.kill(*n),
-                FaultAction::Start(n) | FaultAction::StartWithoutStore(n) => {
-                    if *act == FaultAction::StartWithoutStore(*n) {
-                        self.delete_store(*n);
-                    }
-                    self.start(*n);
-                }
-                FaultAction::Pause(n) => self.pause(*n),
-                FaultAction::Resume(n) => self.resume(*n),
-                FaultAction::Partition(parts) => self.partition(parts),
-                FaultAction::CutOneWay(a, b) => self.cut_one_way(*a, *b),
-                FaultAction::SetLinkFaults(a, b, delay, loss) => {
-                    self.set_link_faults(*a, *b, Duration::from_millis(*delay), *loss)
-                }
-                FaultAction::ResetLink(a, b) => self.links[&(*a, *b)].reset(),
-                FaultAction::HealLinks => self.heal_links(),
-                FaultAction::SetZoneFault(zone, trouble) => self.set_zone_fault(zone, *trouble),
-                FaultAction::Cut(n, zone, cut) => self.cut_zone(*n, zone, *cut),
-                FaultAction::Drain(n, host) | FaultAction::Undrain(n, host) => {
-                    let word = if matches!(act, FaultAction::Drain(..)) { "drain" } else { "undrain" };
-                    let (at, path) = (self.daemons[*n].store, format!("/{word}/{host}"));
-                    let (send, act) = (send.clone(), act.clone());
-                    calls.push(thread::spawn(move || {
-                        let said = now();
-                        let status = http::call(at, "POST", &path).map_or(0, |m| m.status());
-                        let _ = send.send((act, said, status));
-                    }));
-                }
-            }
+        for scheduled in &schedule.faults {
+            thread::sleep((started + scheduled.after).saturating_duration_since(Instant::now()));
+            calls.extend(self.inject(&scheduled.action));
         }
-        for call in calls {
-            call.join().expect("an operator's call");
+        calls.into_iter().map(|call| call.join().expect("an operator's call")).collect()
+    }
+
+    /// Injects one fault; an operator's call is left running.
+    fn inject(&mut self, action: &FaultAction) -> Option<JoinHandle<OperatorCall>> {
+        match action {
+            FaultAction::Kill { node } => self.kill(*node),
+            FaultAction::Start { node } => self.start(*node),
+            FaultAction::Pause { node } => self.pause(*node),
+            FaultAction::Resume { node } => self.resume(*node),
+            FaultAction::Partition { parts } => self.partition(parts),
+            FaultAction::CutOneWay { from, to } => self.cut_one_way(*from, *to),
+            FaultAction::DegradeLink { first, second, delay, loss_percent } => {
+                let faults = LinkFaults { delay: *delay, loss_percent: *loss_percent, ..LinkFaults::NONE };
+                self.set_link_faults(*first, *second, faults);
+            }
+            FaultAction::ResetLink { from, to } => self.reset_link(*from, *to),
+            FaultAction::HealLinks => self.heal_links(),
+            FaultAction::SetZoneFault { zone, fault } => self.set_zone_fault(zone, *fault),
+            FaultAction::CutZone { node, zone } => self.cut_zone(*node, zone),
+            FaultAction::ReconnectZone { node, zone } => self.reconnect_zone(*node, zone),
+            FaultAction::Drain { node, endpoint } => {
+                return Some(self.call_beside(*node, format!("/drain/{endpoint}"), action.clone()));
+            }
+            FaultAction::Undrain { node, endpoint } => {
+                return Some(self.call_beside(*node, format!("/undrain/{endpoint}"), action.clone()));
+            }
         }
-        drop(send);
-        answers.into_iter().collect()
+        None
+    }
+
+    fn call_beside(&self, node: usize, path: String, action: FaultAction) -> JoinHandle<OperatorCall> {
+        let address = self.nodes[node].store_address;
+        thread::spawn(move || {
+            let called_at = Timestamp::now();
+            let status = http::post_status(address, &path);
+            OperatorCall { action, called_at, status }
+        })
     }
 }
--- /dev/null
+++ b/lab/src/cluster/status.rs
@@ -0,0 +1,183 @@
+//! What nodes say about the fleet, zones and endpoints, and calls to them.
+
+use super::TestCluster;
+use crate::{eventually, http};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Bound of each read of a write's response.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// The weight of a zone at a node, per mille of its usual reads.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ZoneWeight {
+    /// What the node gives the zone.
+    pub applied_permille: u16,
+    /// What the fleet has agreed on.
+    pub agreed_permille: u16,
+}
+
+impl ZoneWeight {
+    /// The node does as the fleet has agreed.
+    pub const fn agreed(permille: u16) -> ZoneWeight {
+        ZoneWeight { applied_permille: permille, agreed_permille: permille }
+    }
+}
+
+/// How far a node has come in the replicated log.
+#[derive(Clone, Default, PartialEq)]
+struct Progress {
+    applied_index: String,
+    digest: String,
+    has_pending_drains: bool,
+}
+
+impl TestCluster {
+    /// A node's status page of the fleet; empty where it does not respond.
+    pub fn fleet_status(&self, node: usize) -> String {
+        http::get_text(self.nodes[node].store_address, "/fleet")
+    }
+
+    /// The value after a name in a node's status page of the fleet, up to the next space; empty where there is none.
+    pub fn fleet_field(&self, node: usize, name: &str) -> String {
+        let status = self.fleet_status(node);
+        let mut fields = status.split_whitespace();
+        fields.find(|field| *field == name);
+        fields.next().unwrap_or("").to_string()
+    }
+
+    /// The voters that a node's status page of the fleet lists.
+    pub fn voter_count(&self, node: usize) -> usize {
+        self.fleet_status(node).lines().filter(|line| line.contains(" voter ")).count()
+    }
+
+    /// The leader that a majority of the running nodes names, if it agrees itself.
+    pub fn leader(&self) -> Option<usize> {
+        let running = self.running_nodes();
+        let mut votes: BTreeMap<String, usize> = BTreeMap::new();
+        for node in &running {
+            *votes.entry(self.fleet_field(*node, "leader")).or_default() += 1;
+        }
+        let (name, count) = votes.into_iter().max_by_key(|(_, count)| *count)?;
+        let leader = self.nodes.iter().position(|node| node.name == name)?;
+        let has_majority = count * 2 > running.len() && running.contains(&leader);
+        (has_majority && self.fleet_field(leader, "leader") == name).then_some(leader)
+    }
+
+    /// Waits until there is a leader and returns it.
+    ///
+    /// # Panics
+    ///
+    /// When there is none within [`crate::DEFAULT_TIMEOUT`].
+    pub fn wait_for_leader(&self) -> usize {
+        let mut leader = None;
+        eventually("there is a leader", || {
+            leader = self.leader();
+            leader.is_some()
+        });
+        leader.expect("a leader was found")
+    }
+
+    /// Waits until all running nodes have applied the same entries and no drain waits for its commit.
+    ///
+    /// # Panics
+    ///
+    /// When they have not within [`crate::DEFAULT_TIMEOUT`].
+    pub fn wait_until_caught_up(&self) {
+        eventually("all running nodes have applied the same", || {
+            let progress: Vec<Progress> =
+                self.running_nodes().iter().map(|node| self.progress(*node)).collect();
+            let first = progress.first().cloned().unwrap_or_default();
+            let has_applied = !first.applied_index.is_empty() && first.applied_index != "0";
+            has_applied && !first.has_pending_drains && progress.iter().all(|other| *other == first)
+        });
+    }
+
+    fn progress(&self, node: usize) -> Progress {
+        Progress {
+            applied_index: self.fleet_field(node, "applied"),
+            digest: self.fleet_field(node, "digest"),
+            has_pending_drains: self.fleet_status(node).contains("\nunagreed "),
+        }
+    }
+
+    /// An operator's call to a node's store: the status of the response, [`http::NO_RESPONSE`] where there is none.
+    pub fn post(&self, node: usize, path: &str) -> u16 {
+        http::post_status(self.nodes[node].store_address, path)
+    }
+
+    /// A client's write to a node: the status of the response, [`http::NO_RESPONSE`] where there is none.
+    pub fn write(&self, node: usize, group: u32, request_id: u64) -> u16 {
+        let response = self.write_response(node, group, request_id);
+        response.map_or(http::NO_RESPONSE, |response| response.status())
+    }
+
+    /// A client's write to a node: its response, if any. The arrivals at endpoints have this id.
+    pub fn write_response(&self, node: usize, group: u32, request_id: u64) -> Option<http::Message> {
+        let body = format!("INSERT r#{request_id}");
+        let request = format!(
+            "POST /sparql HTTP/1.1\r\nHost: lab\r\nBrookpass-Group: {group}\r\n\
+             Content-Type: application/sparql-update\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        http::Connection::open(self.sparql_address(node), WRITE_TIMEOUT)?.call(&request)
+    }
+
+    /// The names of the endpoints that a request reached, in order.
+    pub fn endpoints_reached(&self, request_id: u64) -> Vec<String> {
+        let arrivals = self.endpoints.arrivals().into_iter();
+        let own = arrivals.filter(|arrival| arrival.request_id == request_id);
+        own.map(|arrival| arrival.endpoint).collect()
+    }
+
+    /// The weight of a zone at a node; `None`: it does not respond, or knows no such zone.
+    pub fn zone_weight(&self, node: usize, zone: &str) -> Option<ZoneWeight> {
+        let zones = http::get_text(self.nodes[node].store_address, "/zones");
+        let line = zones.lines().find(|line| line.starts_with(&format!("zone {zone} gets ")))?;
+        let number_after = |name: &str| line.split(name).nth(1)?.split([' ', ',']).next()?.parse().ok();
+        let applied_permille = number_after(" gets ")?;
+        let agreed_permille = number_after(" agreed ")?;
+        Some(ZoneWeight { applied_permille, agreed_permille })
+    }
+
+    /// Waits until the fleet has agreed on this weight of a zone and all running nodes apply it; how long that took.
+    ///
+    /// # Panics
+    ///
+    /// When they do not within [`crate::DEFAULT_TIMEOUT`].
+    pub fn wait_for_zone_weight(&self, zone: &str, permille: u16) -> Duration {
+        let wanted = Some(ZoneWeight::agreed(permille));
+        eventually(&format!("{zone} has the weight {permille}"), || {
+            self.running_nodes().iter().all(|node| self.zone_weight(*node, zone) == wanted)
+        })
+    }
+
+    /// Whether a node drains an endpoint; `None`: it does not respond, or knows no such endpoint.
+    pub fn is_draining(&self, node: usize, endpoint: &str) -> Option<bool> {
+        let endpoints = http::get_text(self.nodes[node].store_address, "/hosts");
+        let line = endpoints.lines().find(|line| line.starts_with(&format!("{endpoint} ")))?;
+        Some(line.contains(" leaving "))
+    }
+
+    /// Waits until all these nodes drain an endpoint; how long that took.
+    ///
+    /// # Panics
+    ///
+    /// When they do not within [`crate::DEFAULT_TIMEOUT`].
+    pub fn wait_until_draining(&self, nodes: &[usize], endpoint: &str) -> Duration {
+        eventually(&format!("{endpoint} is draining"), || {
+            nodes.iter().all(|node| self.is_draining(*node, endpoint) == Some(true))
+        })
+    }
+
+    /// Waits until all these nodes know an endpoint and do not drain it; how long that took.
+    ///
+    /// # Panics
+    ///
+    /// When they do not within [`crate::DEFAULT_TIMEOUT`].
+    pub fn wait_until_active(&self, nodes: &[usize], endpoint: &str) -> Duration {
+        eventually(&format!("{endpoint} is active"), || {
+            nodes.iter().all(|node| self.is_draining(*node, endpoint) == Some(false))
+        })
+    }
+}
--- a/lab/src/endpoint/serving.rs
+++ b/lab/src/endpoint/serving.rs
@@ -1,172 +1,237 @@
-//! How a host answers.
+//! How an endpoint serves a connection: polls, operations, admission to its slots, responses.
 
-use super::{Arrival, StandInEndpoint};
+use super::{Arrival, EndpointBehavior, StandInEndpoint};
 use crate::http::{self, Message};
-use crate::now;
-use std::io::{BufReader, Write};
+use crate::{LogPosition, Timestamp};
+use std::io::{BufReader, ErrorKind, Write};
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The query of a poll, as it stands in a request line.
+const POLL_QUERY: &str = "ASK%20%7B%7D ";
+/// What stands before the request's id in a query, and in a body.
+const ENCODED_ID_MARK: &str = "r%23";
+const ID_MARK: &str = "r#";
+/// Pause between two looks at a slot by an operation that waits for one.
+const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(1);
+/// Pause between two looks at the power by a request that is lost.
+const LOST_REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+/// The shortest read timeout that is set: zero would mean none.
+const MIN_READ_TIMEOUT: Duration = Duration::from_micros(100);
+/// The uptime that an endpoint reports which never had a cold start: one day.
+const WARM_UPTIME_SECONDS: f64 = 86_400.0;
+
+/// How an operation ended, for its response.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Outcome {
+    Read,
+    Committed,
+    NotPrimary,
+    QueueFull,
+}
+
+impl Outcome {
+    fn status(self) -> u16 {
+        match self {
+            Outcome::Read | Outcome::Committed => 200,
+            Outcome::NotPrimary => 421,
+            Outcome::QueueFull => 503,
+        }
+    }
+}
+
+/// Whether an operation got a slot.
+enum Admission {
+    Admitted,
+    QueueFull,
+    ClientClosed,
+}
+
 impl StandInEndpoint {
-    fn life(&self) -> Option<u64> {
-        let inner = self.inner.lock().expect("a host");
-        inner.health.up.then_some(inner.life)
+    /// The present incarnation; `None`: the endpoint has no power.
+    fn incarnation(&self) -> Option<u64> {
+        let state = self.state();
+        state.behavior.is_up.then_some(state.incarnation)
     }
 
+    /// Serves one connection until it ends or the endpoint loses power.
     pub(super) fn serve(&self, stream: TcpStream) {
-        let Some(life) = self.life() else { return };
+        let Some(incarnation) = self.incarnation() else { return };
         let _ = stream.set_nodelay(true);
-        if let Ok(own) = stream.try_clone() {
-            self.streams.lock().expect("streams").push(own);
+        if let Ok(copy) = stream.try_clone() {
+            self.streams.lock().expect("lock of the connections").push(copy);
         }
         let Ok(mut writer) = stream.try_clone() else { return };
         let mut reader = BufReader::new(stream);
         while let Some(request) = http::read(&mut reader) {
-            let health = self.inner.lock().expect("a host").health;
-            // Whoever means a process that had this port before, in a lab beside this one, is no operation.
-            if !health.up || !request.first.contains(" /sparql") {
+            // A request for another path is meant for a process that had this port before, in a cluster of another
+            // test: it is no operation.
+            if !self.is_up() || !request.first_line.contains(" /sparql") {
                 return;
             }
-            let probe = request.first.contains("ASK%20%7B%7D ");
-            if self.is_lost(&request) {
-                // It never came: nothing is written down but that somebody waits for it.
-                while self.life() == Some(life) && !gone(reader.get_ref(), Duration::from_millis(20)) {}
+            if self.loses(&request) {
+                // Nothing is recorded; the client's wait alone shows that it was sent.
+                while self.incarnation() == Some(incarnation)
+                    && !closes_within(reader.get_ref(), LOST_REQUEST_INTERVAL)
+                {}
                 return;
             }
-            if probe {
-                self.probes.lock().expect("the record").push(now());
-            }
-            let Some(answer) =
-                (if probe { Some(self.answer(false, 200)) } else { self.work(&request, reader.get_ref()) })
-            else {
-                return;
-            };
-            if self.life() != Some(life) {
-                return;
-            }
-            if writer.write_all(answer.as_bytes()).is_err() {
+            let Some(response) = self.handle(&request, reader.get_ref()) else { return };
+            if self.incarnation() != Some(incarnation) || writer.write_all(response.as_bytes()).is_err() {
                 return;
             }
         }
     }
 
-    fn note(&self, arrival: Arrival) {
-        self.arrivals.lock().expect("the record").push(arrival);
+    /// Handles a request; `None`: there is no response, and the connection ends.
+    fn handle(&self, request: &Message, stream: &TcpStream) -> Option<String> {
+        if request.first_line.contains(POLL_QUERY) {
+            self.polls.lock().expect("lock of the polls").push(Timestamp::now());
+            return Some(self.response(Outcome::Read));
+        }
+        self.execute(request, stream)
     }
 
-    /// Works on an operation; `None`: its connection has gone, or the host is silent.
-    fn work(&self, request: &Message, stream: &TcpStream) -> Option<String> {
-        let write = request.header("content-type") == Some("application/sparql-update");
-        let text = if write { request.text() } else { request.first.clone() };
-        let number: String = text.split("r%23").nth(1).or(text.split("r#").nth(1)).unwrap_or("").to_string();
-        let number = number.chars().take_while(char::is_ascii_digit).collect::<String>().parse().unwrap_or(0);
-        let at = now();
-        let mut arrival =
-            Arrival { host: self.name.clone(), request: number, at, until: at, write, served: false };
-        let (health, primary) = {
-            let inner = self.inner.lock().expect("a host");
-            (inner.health, inner.primary)
+    /// Executes an operation; `None`: its client closed the connection, or the endpoint lost power.
+    fn execute(&self, request: &Message, stream: &TcpStream) -> Option<String> {
+        let is_write = request.header("content-type") == Some("application/sparql-update");
+        let arrived_at = Timestamp::now();
+        let mut arrival = Arrival {
+            endpoint: self.name.clone(),
+            request_id: request_id(request, is_write),
+            arrived_at,
+            finished_at: arrived_at,
+            is_write,
+            served: false,
         };
-        if write && !primary {
-            self.note(arrival);
-            return Some(self.answer(false, 421));
+        let state = self.state();
+        let behavior = state.behavior;
+        let is_primary = state.is_primary;
+        drop(state);
+        if is_write && !is_primary {
+            self.record(arrival);
+            return Some(self.response(Outcome::NotPrimary));
         }
-        let life = self.life()?;
-        let mut waited = false;
-        loop {
-            let mut inner = self.inner.lock().expect("a host");
-            if inner.running < StandInEndpoint::slots(&health) && !health.silent {
-                inner.running += 1;
-                inner.waiting -= usize::from(waited);
-                inner.most = inner.most.max(inner.running + inner.waiting);
-                break;
+        let incarnation = self.incarnation()?;
+        match self.wait_for_slot(&behavior, stream) {
+            Admission::Admitted => {}
+            Admission::QueueFull => {
+                self.record(arrival);
+                return Some(self.response(Outcome::QueueFull));
             }
-            if !waited {
-                if inner.waiting >= health.queue && !health.silent {
-                    drop(inner);
-                    self.note(arrival);
-                    return Some(self.answer(false, 503));
-                }
-                inner.waiting += 1;
-                inner.most = inner.most.max(inner.running + inner.waiting);
-                waited = true;
-            }
-            drop(inner);
-            if gone(stream, Duration::from_millis(1)) {
-                self.inner.lock().expect("a host").waiting -= 1;
-                arrival.until = now();
-                self.note(arrival);
+            Admission::ClientClosed => {
+                arrival.finished_at = Timestamp::now();
+                self.record(arrival);
                 return None;
             }
         }
-        let left = gone(stream, health.work);
-        self.inner.lock().expect("a host").running -= 1;
-        arrival.until = now();
-        arrival.served = !left;
-        self.note(arrival);
-        if self.life() != Some(life) {
-            // Its power went before it was done.
+        let client_closed = closes_within(stream, behavior.service_time);
+        self.state().running -= 1;
+        arrival.finished_at = Timestamp::now();
+        arrival.served = !client_closed;
+        self.record(arrival);
+        if self.incarnation() != Some(incarnation) {
             return None;
         }
-        // A write has its effect, whether or not anybody hears of it.
-        let answer = self.answer(write, 200);
-        (!left).then_some(answer)
+        // A write takes effect also when its client no longer waits for the response.
+        let response = self.response(if is_write { Outcome::Committed } else { Outcome::Read });
+        (!client_closed).then_some(response)
     }
 
-    fn answer(&self, commits: bool, status: u16) -> String {
-        let (health, primary, running) = {
-            let inner = self.inner.lock().expect("a host");
-            (inner.health, inner.primary, inner.running)
-        };
-        let util = (running as f64 / StandInEndpoint::slots(&health) as f64).min(1.0);
-        let mut log = self.log.lock().expect("a group's log");
-        let present = now() / 1000;
-        let position = if commits {
-            let next = log.commits.last().map_or(present, |last| present.max(last + 1));
-            log.commits.push(next);
-            log.back = None;
-            next
-        } else if let Some(back) = log.back {
-            if primary { back } else { back.min(present - health.lag) }
-        } else if primary {
-            present.max(log.commits.last().copied().unwrap_or(0))
+    fn record(&self, arrival: Arrival) {
+        self.arrivals.lock().expect("lock of the arrivals").push(arrival);
+    }
+
+    /// Waits in the queue until a slot is free.
+    fn wait_for_slot(&self, behavior: &EndpointBehavior, stream: &TcpStream) -> Admission {
+        let mut is_queued = false;
+        loop {
+            let mut state = self.state();
+            if state.running < behavior.available_slots() && !behavior.is_silent {
+                state.running += 1;
+                state.waiting -= usize::from(is_queued);
+                state.peak = state.peak.max(state.running + state.waiting);
+                return Admission::Admitted;
+            }
+            if !is_queued {
+                if state.waiting >= behavior.queue_limit && !behavior.is_silent {
+                    return Admission::QueueFull;
+                }
+                state.waiting += 1;
+                state.peak = state.peak.max(state.running + state.waiting);
+                is_queued = true;
+            }
+            drop(state);
+            if closes_within(stream, SLOT_RETRY_INTERVAL) {
+                self.state().waiting -= 1;
+                return Admission::ClientClosed;
+            }
+        }
+    }
+
+    /// The response to an operation, with the endpoint's role, position and load; commits where the outcome says so.
+    fn response(&self, outcome: Outcome) -> String {
+        let state = self.state();
+        let behavior = state.behavior;
+        let is_primary = state.is_primary;
+        let running = state.running;
+        drop(state);
+        let utilization = (running as f64 / behavior.available_slots() as f64).min(1.0);
+        let mut log = self.log();
+        let present = LogPosition::at(Timestamp::now());
+        let position = if outcome == Outcome::Committed {
+            log.commit(present)
+        } else if is_primary {
+            log.primary_position(present)
         } else {
-            present - health.lag
+            log.replica_position(present, behavior.replication_lag)
         };
         drop(log);
-        let role = if primary { "primary" } else { "replica" };
-        let up = health.started.map_or(86_400.0, |at| at.elapsed().as_secs_f64());
-        // The body tells as of when the data is that it was made from: a primary's is of the present, wherever its log
-        // stands.
-        let body = if primary { position.max(present) } else { position }.to_string();
+        let role = if is_primary { "primary" } else { "replica" };
+        let uptime = behavior.cold_since.map_or(WARM_UPTIME_SECONDS, |start| start.elapsed().as_secs_f64());
+        // The body is the instant of the data that the response was made from: a primary's data is of the present,
+        // wherever its log stands.
+        let data_as_of = if is_primary { position.max(present) } else { position };
+        let body = data_as_of.as_millis().to_string();
         format!(
-            "HTTP/1.1 {status} S\r\nBrookpass-Role: {role}\r\nBrookpass-Position: {position}\r\n\
-             Brookpass-Load: util={util:.3},up={up:.3}\r\nContent-Type: text/plain\r\nContent-Length: {}\r\n\r\n{body}",
+            "HTTP/1.1 {} S\r\nBrookpass-Role: {role}\r\nBrookpass-Position: {}\r\n\
+             Brookpass-Load: util={utilization:.3},up={uptime:.3}\r\nContent-Type: text/plain\r\n\
+             Content-Length: {}\r\n\r\n{body}",
+            outcome.status(),
+            position.as_millis(),
             body.len()
         )
     }
 }
 
-/// Waits so long; true as soon as the other side has closed.
-fn gone(stream: &TcpStream, span: Duration) -> bool {
-    let end = Instant::now() + span;
+/// The id that the client put into a request; 0: none.
+fn request_id(request: &Message, is_write: bool) -> u64 {
+    let text = if is_write { request.text() } else { request.first_line.clone() };
+    let id = text.split(ENCODED_ID_MARK).nth(1).or(text.split(ID_MARK).nth(1)).unwrap_or("");
+    let digits: String = id.chars().take_while(char::is_ascii_digit).collect();
+    digits.parse().unwrap_or(0)
+}
+
+/// Waits for this long; true as soon as the peer has closed the connection.
+fn closes_within(stream: &TcpStream, length: Duration) -> bool {
+    let end = Instant::now() + length;
     loop {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return false;
         }
-        let _ = stream.set_read_timeout(Some(left.max(Duration::from_micros(100))));
-        let seen = stream.peek(&mut [0]);
+        let _ = stream.set_read_timeout(Some(left.max(MIN_READ_TIMEOUT)));
+        let peeked = stream.peek(&mut [0]);
         let _ = stream.set_read_timeout(None);
-        match seen {
+        match peeked {
             Ok(0) => return true,
-            // Something was written behind: it is read after this answer.
+            // A pipelined request: it is read after this response.
             Ok(_) => {
                 thread::sleep(left);
                 return false;
             }
-            Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {}
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
             Err(_) => return true,
         }
     }
--- a/lab/src/faults/tests.rs
+++ b/lab/src/faults/tests.rs
@@ -1,23 +1,27 @@
 use super::*;
+use std::collections::HashSet;
 
-/// Guards against scripts that prove nothing: each leaves a majority of processes and ends with all of them.
+/// Guards against schedules that prove nothing: each leaves a majority of nodes running and ends with all of them.
 #[test]
-fn random_scripts_are_alike_for_a_seed_and_end_whole() {
-    let hosts = ["x".to_string(), "y".to_string()];
-    let mut kinds = std::collections::HashSet::new();
+fn schedules_of_a_seed_are_equal_keep_a_majority_running_and_end_with_all_nodes() {
+    let endpoints = ["x".to_string(), "y".to_string()];
+    let length = Duration::from_millis(4_000);
+    let mut kinds = HashSet::new();
     for seed in 0..300 {
-        let script = FaultSchedule::random(seed, 5, &hosts, 4_000);
-        assert_eq!(script, FaultSchedule::random(seed, 5, &hosts, 4_000));
+        let schedule = FaultSchedule::of_nodes(seed, 5, &endpoints, length);
+        assert_eq!(schedule, FaultSchedule::of_nodes(seed, 5, &endpoints, length));
         let mut down = Vec::new();
-        for (_, act) in &script.0 {
-            match act {
-                FaultAction::Kill(n) | FaultAction::Pause(n) => down.push(*n),
-                FaultAction::Start(n) | FaultAction::Resume(n) => down.retain(|d| d != n),
-                FaultAction::Drain(n, _) | FaultAction::Undrain(n, _) => assert!(!down.contains(n)),
+        for scheduled in &schedule.faults {
+            match &scheduled.action {
+                FaultAction::Kill { node } | FaultAction::Pause { node } => down.push(*node),
+                FaultAction::Start { node } | FaultAction::Resume { node } => down.retain(|n| n != node),
+                FaultAction::Drain { node, .. } | FaultAction::Undrain { node, .. } => {
+                    assert!(!down.contains(node));
+                }
                 _ => {}
             }
             assert!(down.len() <= 2, "seed {seed}");
-            kinds.insert(std::mem::discriminant(act));
+            kinds.insert(std::mem::discriminant(&scheduled.action));
         }
         assert!(down.is_empty(), "seed {seed}");
     }
--- a/lab/src/http.rs
+++ b/lab/src/http.rs
@@ -1,37 +1,48 @@
-//! As much of HTTP/1.1 as clients, hosts and the checker need.
+//! A minimal HTTP/1.1 codec and client, as much as clients, stand-in endpoints and tests need.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A message.
+/// The status of a call that got no response.
+pub const NO_RESPONSE: u16 = 0;
+
+/// The longest body that is read; longer stated lengths are cut to it.
+const MAX_BODY_BYTES: i64 = 64 << 20;
+/// Bound of a connection's set-up.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Bound of each read of a call that has a connection of its own.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// A request or a response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Its first line.
-    pub first: String,
-    /// Its headers, in small letters.
+    /// The request line or the status line.
+    pub first_line: String,
+    /// The headers, their names in lower case.
     pub headers: BTreeMap<String, String>,
-    /// Its body.
+    /// The body, as far as it was received.
     pub body: Vec<u8>,
-    /// The body came to its stated end.
-    pub whole: bool,
+    /// The body was received up to its stated end.
+    pub is_complete: bool,
 }
 
 impl Message {
-    /// A header.
+    /// The value of a header, whose name may be in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(&name.to_ascii_lowercase()).map(String::as_str)
     }
 
-    /// A header that is a number.
+    /// The value of a header that is a number.
     pub fn number(&self, name: &str) -> Option<i64> {
         self.header(name)?.parse().ok()
     }
 
-    /// The status of an answer; 0: none.
+    /// The status of a response; [`NO_RESPONSE`] where the first line has none.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        let status = self.first_line.split(' ').nth(1);
+        status.and_then(|text| text.parse().ok()).unwrap_or(NO_RESPONSE)
     }
 
     /// The body as text.
@@ -40,38 +51,41 @@
     }
 }
 
-/// Reads one message; `None` at the end of the stream, or where it broke.
+/// Reads one complete message; `None` at the end of the stream, or where the message is malformed or broken off.
 pub fn read(reader: &mut impl BufRead) -> Option<Message> {
-    read_part(reader).filter(|message| message.whole)
+    read_partial(reader).filter(|message| message.is_complete)
 }
 
-/// Reads one message, or as much of its body as came; `None`: not even its head did.
-pub fn read_part(reader: &mut impl BufRead) -> Option<Message> {
-    let mut line = || {
-        let mut text = String::new();
-        reader.read_line(&mut text).ok().filter(|n| *n > 0).map(|_| text.trim_end().to_string())
-    };
-    let mut message = Message { first: line()?, ..Message::default() };
+/// Reads one message with as much of its body as was received; `None` where its head is malformed or broken off.
+pub fn read_partial(reader: &mut impl BufRead) -> Option<Message> {
+    let mut message = Message { first_line: read_line(reader)?, ..Message::default() };
     loop {
-        let text = line()?;
-        if text.is_empty() {
+        let line = read_line(reader)?;
+        if line.is_empty() {
             break;
         }
-        let (name, value) = text.split_once(':')?;
+        let (name, value) = line.split_once(':')?;
         message.headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
     }
     if message.header("transfer-encoding") == Some("chunked") {
-        message.whole = chunks(reader, &mut message.body).is_some();
+        message.is_complete = read_chunks(reader, &mut message.body).is_some();
     } else {
-        let length = message.number("content-length").unwrap_or(0).clamp(0, 64 << 20);
+        let length = message.number("content-length").unwrap_or(0).clamp(0, MAX_BODY_BYTES);
         message.body = vec![0; length as usize];
-        message.whole = reader.read_exact(&mut message.body).is_ok();
+        message.is_complete = reader.read_exact(&mut message.body).is_ok();
     }
     Some(message)
 }
 
-/// Reads a body in chunks up to the last one; `None`: it broke off.
-fn chunks(reader: &mut impl BufRead, body: &mut Vec<u8>) -> Option<()> {
+/// Reads a line without its end; `None` at the end of the stream.
+fn read_line(reader: &mut impl BufRead) -> Option<String> {
+    let mut line = String::new();
+    let length = reader.read_line(&mut line).ok()?;
+    (length > 0).then(|| line.trim_end().to_string())
+}
+
+/// Reads a chunked body up to its last chunk; `None` where it is broken off.
+fn read_chunks(reader: &mut impl BufRead, body: &mut Vec<u8>) -> Option<()> {
     loop {
         let mut size = String::new();
         reader.read_line(&mut size).ok()?;
@@ -85,41 +99,56 @@
     }
 }
 
-/// A connection to a server.
+/// A client's persistent connection.
 pub struct Connection {
     reader: BufReader<TcpStream>,
 }
 
 impl Connection {
-    /// Opens one, with a time for each read.
-    pub fn open(at: SocketAddr, patience: Duration) -> Option<Connection> {
-        let stream = TcpStream::connect_timeout(&at, Duration::from_secs(2)).ok()?;
+    /// Opens a connection whose reads are each bounded by `read_timeout`; `None` where that fails.
+    pub fn open(address: SocketAddr, read_timeout: Duration) -> Option<Connection> {
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
-        stream.set_read_timeout(Some(patience)).ok()?;
+        stream.set_read_timeout(Some(read_timeout)).ok()?;
         Some(Connection { reader: BufReader::new(stream) })
     }
 
-    /// Whether the other side has neither closed it nor said anything unasked.
-    pub fn is_open(&self) -> bool {
+    /// Whether the server has neither closed the connection nor sent anything without a request.
+    pub fn is_idle(&self) -> bool {
+        self.reader.buffer().is_empty() && self.peek_would_block().unwrap_or(false)
+    }
+
+    fn peek_would_block(&self) -> Option<bool> {
         let stream = self.reader.get_ref();
-        let quiet = || {
-            stream.set_nonblocking(true).ok()?;
-            let seen = stream.peek(&mut [0]);
-            stream.set_nonblocking(false).ok()?;
-            Some(seen.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock))
-        };
-        self.reader.buffer().is_empty() && quiet().unwrap_or(false)
+        stream.set_nonblocking(true).ok()?;
+        let peeked = stream.peek(&mut [0]);
+        stream.set_nonblocking(false).ok()?;
+        Some(peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock))
     }
 
-    /// One exchange.
+    /// Sends a request and reads its response; `None` where either fails.
     pub fn call(&mut self, request: &str) -> Option<Message> {
         self.reader.get_mut().write_all(request.as_bytes()).ok()?;
         read(&mut self.reader)
     }
 }
 
-/// One call on a connection of its own.
-pub fn call(at: SocketAddr, method: &str, path: &str) -> Option<Message> {
-    let mut connection = Connection::open(at, Duration::from_secs(10))?;
-    connection.call(&format!("{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n"))
+/// One request without a body, as text.
+pub fn empty_request(method: &str, path: &str) -> String {
+    format!("{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n")
+}
+
+/// One call on a connection of its own; `None`: no response.
+pub fn call(address: SocketAddr, method: &str, path: &str) -> Option<Message> {
+    Connection::open(address, CALL_TIMEOUT)?.call(&empty_request(method, path))
+}
+
+/// The body of the response to a GET, as text; empty where there is no response.
+pub fn get_text(address: SocketAddr, path: &str) -> String {
+    call(address, "GET", path).map_or(String::new(), |response| response.text())
+}
+
+/// The status of the response to a POST; [`NO_RESPONSE`] where there is none.
+pub fn post_status(address: SocketAddr, path: &str) -> u16 {
+    call(address, "POST", path).map_or(NO_RESPONSE, |response| response.status())
 }
--- a/lab/src/oracle.rs
+++ b/lab/src/oracle.rs
@@ -1,78 +1,127 @@
-//! What an all-knowing pooler would have served: the limit against which a return is measured.
+//! What a pooler with full knowledge of all endpoints would have served: the limit against which recovery is measured.
 
+use crate::check::requests_due;
 use crate::client::RequestRecord;
-use crate::endpoint::warmth;
+use crate::endpoint::warm_up_share;
+use crate::{Timestamp, time};
+use std::ops::Range;
+use std::time::Duration;
 
-/// Hosts of a group, as the oracle knows them.
+/// The step in which the oracle serves.
+const STEP: Duration = Duration::from_millis(20);
+
+/// The capacity of each group, as the oracle knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityModel {
     /// Replicas beside the primary.
     pub replicas: usize,
-    /// Operations at once when warm, and the seconds that each takes.
-    pub host: (usize, f64),
-    /// When they started cold, in Unix microseconds; `None`: they are warm.
-    pub started: Option<i64>,
+    /// Operations that run at once at a warm endpoint.
+    pub slots: usize,
+    /// How long an operation runs.
+    pub service_time: Duration,
+    /// When the endpoints had their cold start; `None`: they are warm.
+    pub cold_since: Option<Timestamp>,
 }
 
 impl CapacityModel {
-    /// Operations a second that one host bears at a time.
-    pub fn bears(&self, at: i64) -> f64 {
-        let (slots, work) = self.host;
-        let warm = self.started.map_or(1.0, |from| warmth((at - from) as f64 / 1e6));
-        ((slots as f64 * warm) as usize).max(1) as f64 / work
+    /// Operations per second that one endpoint bears at a time.
+    pub fn operations_per_second(&self, time: Timestamp) -> f64 {
+        let share = self.cold_since.map_or(1.0, |start| warm_up_share(time.duration_since(start)));
+        ((self.slots as f64 * share) as usize).max(1) as f64 / self.service_time.as_secs_f64()
     }
 }
 
-/// Worth of an answer, by the lab's settings.
-pub fn worth(one: &RequestRecord) -> f64 {
-    match (one.write, one.own) {
+/// The value of serving a request: the priority weight (`worth`) of its service class in the settings of the nodes.
+pub fn request_value(record: &RequestRecord) -> f64 {
+    match (record.is_write, record.reads_own_write) {
         (true, _) => 6.0,
         (false, false) => 3.0,
         (false, true) => 1.0,
     }
 }
 
-/// Requests for a host that wait for the oracle: when each gives up, and its worth.
-type Waiting = Vec<(i64, f64)>;
+/// The value that is served in one step.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ServedValue {
+    /// The beginning of the step.
+    pub at: Timestamp,
+    /// The sum of the values of the requests.
+    pub value: f64,
+}
+
+/// A request that waits at the oracle.
+struct Waiting {
+    gives_up_at: Timestamp,
+    value: f64,
+}
 
-/// Worth that is served at its best: of the requests that were due from `from` to `to`, each waits for `patience` at
-/// the most, and the best go first. In steps of 20 ms, each step's worth with its time.
-pub fn best(
-    asked: &[RequestRecord],
+/// The requests of one group for its primary, or for its replicas.
+#[derive(Default)]
+struct Queue {
+    waiting: Vec<Waiting>,
+    /// Operations that were not used in earlier steps; a fraction of one carries over.
+    spare_operations: f64,
+}
+
+impl Queue {
+    /// Serves the most valuable requests for one step with this many operations and returns their value.
+    fn serve(&mut self, now: Timestamp, operations: f64) -> f64 {
+        self.waiting.retain(|request| request.gives_up_at > now);
+        self.waiting.sort_by(|a, b| b.value.total_cmp(&a.value).then(a.gives_up_at.cmp(&b.gives_up_at)));
+        self.spare_operations += operations;
+        let count = (self.spare_operations as usize).min(self.waiting.len());
+        let served = self.waiting.drain(..count).map(|request| request.value).sum();
+        // An endpoint without work does not save its capacity for later.
+        self.spare_operations = if self.waiting.is_empty() {
+            self.spare_operations.fract()
+        } else {
+            self.spare_operations - count as f64
+        };
+        served
+    }
+}
+
+/// The queues of one group.
+#[derive(Default)]
+struct GroupQueues {
+    writes: Queue,
+    reads: Queue,
+}
+
+/// The value that can be served at best in each step of a window: of the requests due in it, each waits for `timeout` at
+/// most, and the most valuable are served first. Writes are for the primary and reads for the replicas of a group.
+pub fn best_served_value(
+    records: &[RequestRecord],
     groups: u32,
     model: CapacityModel,
-    from: i64,
-    to: i64,
-    patience: i64,
-) -> Vec<(i64, f64)> {
-    const STEP: i64 = 20_000;
-    let mut all = Vec::new();
-    // By group, writes and reads: what waits, and what could not be used of the steps before.
-    let mut waits: Vec<[(Waiting, f64); 2]> = (0..=groups).map(|_| Default::default()).collect();
-    let mut due: Vec<&RequestRecord> = crate::check::requests_due(asked, from, to).collect();
-    due.sort_by_key(|a| a.due);
-    let mut next = 0;
-    for at in (from..to).step_by(STEP as usize) {
-        while let Some(one) = due.get(next).filter(|a| a.due < at + STEP) {
-            waits[one.group as usize][usize::from(!one.write)].0.push((one.due + patience, worth(one)));
-            next += 1;
+    window: Range<Timestamp>,
+    timeout: Duration,
+) -> Vec<ServedValue> {
+    let mut due: Vec<&RequestRecord> = requests_due(records, window.clone()).collect();
+    due.sort_by_key(|record| record.due_at);
+    let mut due = due.into_iter().peekable();
+    let mut queues: Vec<GroupQueues> = (0..=groups).map(|_| GroupQueues::default()).collect();
+    let mut served = Vec::new();
+    for at in time::steps(window, STEP) {
+        while let Some(record) = due.next_if(|record| record.due_at < at + STEP) {
+            let queues = &mut queues[record.group as usize];
+            let queue = if record.is_write { &mut queues.writes } else { &mut queues.reads };
+            let gives_up_at = record.due_at + timeout;
+            queue.waiting.push(Waiting { gives_up_at, value: request_value(record) });
         }
-        let mut served = 0.0;
-        for group in &mut waits {
-            for (side, (waiting, left)) in group.iter_mut().enumerate() {
-                waiting.retain(|(until, _)| *until > at);
-                waiting.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-                let hosts = if side == 0 { 1 } else { model.replicas };
-                *left += model.bears(at) * hosts as f64 * STEP as f64 / 1e6;
-                let some = (*left as usize).min(waiting.len());
-                served += waiting.drain(..some).map(|(_, worth)| worth).sum::<f64>();
-                // A host that had nothing to do does not catch up.
-                *left = if waiting.is_empty() { left.fract() } else { *left - some as f64 };
-            }
+        let per_endpoint = model.operations_per_second(at);
+        let mut value = 0.0;
+        for group in &mut queues {
+            value += group.writes.serve(at, operations_in_step(per_endpoint, 1));
+            value += group.reads.serve(at, operations_in_step(per_endpoint, model.replicas));
         }
-        all.push((at, served));
+        served.push(ServedValue { at, value });
     }
-    all
+    served
+}
+
+fn operations_in_step(per_second: f64, endpoints: usize) -> f64 {
+    per_second * endpoints as f64 * STEP.as_micros() as f64 / 1e6
 }
 
 #[cfg(test)]
--- a/tests/discovery_orders.rs
+++ b/tests/discovery_orders.rs
@@ -229,7 +229,7 @@
     (0..6).for_each(|_| moved.next_call().close());
     let last = ScriptedDiscovery::start();
     std::fs::write(&path, config("127.0.0.1:0", last.address, SETTINGS)).unwrap();
-    daemon.line("SIGHUP: discovery at");
+    daemon.line(log_lines::DISCOVERY_RELOADED);
     let told = Instant::now();
     daemon.signal("-HUP");
     last.next_call().close();
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -64,8 +64,8 @@
     std::fs::write(&config, text(discovery.address, "\"admin_addr\":\"127.0.0.1:0\",")).unwrap();
     let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config.to_str().unwrap())]);
     // The door is there before the clients' listener says so, or after it.
-    let clients = daemon.address("clients at ");
-    let door = daemon.address("operators at http://");
+    let clients = daemon.address(log_lines::POSTGRES_LISTENING);
+    let door = daemon.address(log_lines::ADMIN_LISTENING);
     discovery.wait_for_watch();
     Setup { daemon, clients, door, discovery, primary, replica, go }
 }
@@ -178,11 +178,11 @@
     let config = folder("door").join("config.json");
     std::fs::write(&config, text(discovery.address, "")).unwrap();
     let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config.to_str().unwrap())]);
-    daemon.line("of long messages");
+    daemon.line(log_lines::LONG_MESSAGES_LIMITED);
     discovery.wait_for_watch();
     daemon.signal("-TERM");
     assert!(daemon.wait().success());
-    daemon.line("drained");
+    daemon.line(log_lines::DRAINED);
     assert!(!daemon.seen.iter().any(|l| l.contains("operators")), "{:?}", daemon.seen);
 }
 
@@ -230,7 +230,7 @@
     eventually("the primary has the write", || s.primary.count() > before);
     assert_eq!(door(s.door, "PUT", "/v1/pooler/drain").status(), 200);
     s.daemon.signal("-TERM");
-    s.daemon.line("SIGTERM");
+    s.daemon.line(log_lines::SIGTERM_RECEIVED);
     assert_eq!(door(s.door, "PUT", "/v1/pooler/activate").status(), 409);
     assert_eq!(door(s.door, "PUT", "/v1/pooler/drain").status(), 200);
     assert_eq!(door(s.door, "GET", "/v1/readyz").status(), 503);
@@ -270,18 +270,18 @@
     rustix::io::fcntl_setfd(&socket, rustix::io::FdFlags::empty()).unwrap();
     let clients = socket.local_addr().unwrap();
     let mut old = started_on(&socket, config, "127.0.0.1:0");
-    let old_door = old.address("operators at http://");
+    let old_door = old.address(log_lines::ADMIN_LISTENING);
     eventually("the old one says yes", || door(old_door, "GET", "/v1/readyz").status() == 200);
     let mut client = PgClient::connect(clients);
     let before = primary.count();
     client.send(&pg_query(&write("1")));
     eventually("the primary has the write", || primary.count() > before);
     let mut new = started_on(&socket, config, "127.0.0.1:0");
-    new.line("once it is free");
-    let new_door = new.address("operators at http://");
+    new.line(log_lines::ADMIN_ADDRESS_BUSY);
+    let new_door = new.address(log_lines::ADMIN_LISTENING);
     eventually("the new one says yes", || door(new_door, "GET", "/v1/readyz").status() == 200);
     old.signal("-TERM");
-    old.line("SIGTERM");
+    old.line(log_lines::SIGTERM_RECEIVED);
     for n in 2..20 {
         let answer = PgClient::connect(clients).ask(&read(&n.to_string()));
         assert_eq!(
--- a/tests/fleet_recovery.rs
+++ b/tests/fleet_recovery.rs
@@ -2,7 +2,8 @@
 
 use brookpass_testkit::check;
 use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
-use brookpass_testkit::{eventually, http};
+use brookpass_testkit::process::ClockOffset;
+use brookpass_testkit::{eventually, http, log_lines};
 use std::io::Write;
 use std::path::Path;
 use std::sync::Mutex;
@@ -16,27 +17,27 @@
 }
 
 fn power_off(cluster: &mut TestCluster) {
-    (0..cluster.daemons.len()).for_each(|n| cluster.kill(n));
+    (0..cluster.nodes.len()).for_each(|n| cluster.kill(n));
 }
 
 fn power_on(cluster: &mut TestCluster) {
-    (0..cluster.daemons.len()).for_each(|n| cluster.start(n));
-    (0..cluster.daemons.len()).for_each(|n| cluster.wait_until_ready(n));
+    (0..cluster.nodes.len()).for_each(|n| cluster.start(n));
+    (0..cluster.nodes.len()).for_each(|n| cluster.wait_until_ready(n));
 }
 
 /// Waits until all daemons know the primaries of so many groups, and have that on their disks.
 fn kept(cluster: &TestCluster, groups: usize) {
     let knows = |n: usize| {
-        let text =
-            http::call(cluster.daemons[n].store, "GET", "/fleet/learned").map_or(String::new(), |m| m.text());
+        let text = http::call(cluster.nodes[n].store_address, "GET", "/fleet/learned")
+            .map_or(String::new(), |m| m.text());
         text.lines().filter(|l| l.starts_with("group ") && l.contains(" primary ")).count() == groups
     };
     let count = |n: usize| {
-        let log = cluster.daemons[n].process.as_ref().unwrap().log();
-        log.iter().filter(|l| l.contains("words on hosts are kept")).count()
+        let log = cluster.nodes[n].process().log();
+        log.iter().filter(|l| l.contains(log_lines::GOSSIP_SAVED)).count()
     };
     let number = AtomicU64::new(1_000_000);
-    for n in 0..cluster.daemons.len() {
+    for n in 0..cluster.nodes.len() {
         eventually("it knows the primaries", || knows(n));
         let before = count(n);
         eventually("it keeps what it knows", || {
@@ -50,7 +51,7 @@
 /// against what was learned before passing for fresh where the clock was set.
 #[test]
 fn primaries_from_before_are_first_guesses_unless_the_clock_was_set() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, hosts: (6, 3), ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, groups: 6, ..ClusterConfig::default() });
     // Whoever the list's order would try first is no primary anywhere.
     let primary = |group: u32| {
         let mut members = brookpass::engine::endpoints::EndpointRegistry::default();
@@ -59,7 +60,7 @@
         names.pop().unwrap()
     };
     for group in 1..=6 {
-        cluster.hosts.promote(group, &primary(group));
+        cluster.endpoints.promote(group, &primary(group));
     }
     cluster.start_all();
     for group in 1..=6 {
@@ -67,15 +68,13 @@
     }
     kept(cluster, 6);
     power_off(cluster);
-    cluster.set_clock(2, -60_000);
+    cluster.set_clock_offset(2, ClockOffset::from_millis(-60_000));
     power_on(cluster);
-    let said = |cluster: &TestCluster, n: usize, words: &str| {
-        cluster.daemons[n].process.as_ref().unwrap().wait_for_line(words)
-    };
-    assert!(said(cluster, 0, "it is a first guess").contains("ms old"));
-    assert!(said(cluster, 2, "what was learned before is not used").contains("the clock"));
+    let said = |cluster: &TestCluster, n: usize, words: &str| cluster.nodes[n].process().wait_for_line(words);
+    assert!(said(cluster, 0, log_lines::SAVED_GOSSIP_USED).contains(log_lines::SAVED_GOSSIP_AGE));
+    assert!(said(cluster, 2, log_lines::SAVED_GOSSIP_REJECTED).contains(log_lines::CLOCK_CHANGED));
     for n in [0, 1] {
-        let text = http::call(cluster.daemons[n].store, "GET", "/fleet/learned").unwrap().text();
+        let text = http::call(cluster.nodes[n].store_address, "GET", "/fleet/learned").unwrap().text();
         assert!(text.contains("group 1 guess s-1-") || text.contains("group 1 primary s-1-"), "{text}");
         for group in 1..=6 {
             let number = 1_000 + 100 * n as u64 + u64::from(group);
@@ -85,9 +84,9 @@
     }
     // A guess that is wrong costs time only: the primaries have moved while all were down.
     power_off(cluster);
-    cluster.set_clock(2, 0);
+    cluster.set_clock_offset(2, ClockOffset::NONE);
     for group in 1..=6 {
-        cluster.hosts.promote(group, &format!("s-{group}-0"));
+        cluster.endpoints.promote(group, &format!("s-{group}-0"));
     }
     power_on(cluster);
     for group in 1..=6 {
@@ -95,8 +94,8 @@
         assert_eq!(cluster.write(1, group, number), 200);
         assert_eq!(cluster.endpoints_reached(number).last(), Some(&format!("s-{group}-0")));
     }
-    check::no_overlapping_attempts(&cluster.hosts.arrivals()).unwrap();
-    check::same_committed_sequence(&cluster.logs(), 3).unwrap();
+    check::no_overlapping_attempts(&cluster.endpoints.arrivals()).unwrap();
+    check::same_committed_sequence(&cluster.logs(), Some(3)).unwrap();
 }
 
 /// Guards against an old or damaged disk that brings back what was ended, or loses a drain, after all lost their power.
@@ -107,7 +106,7 @@
     assert_eq!(cluster.post(0, "/drain/s-1-0"), 200);
     cluster.wait_until_caught_up();
     power_off(cluster);
-    let file = |cluster: &TestCluster, n: usize| cluster.daemons[n].folder.join("fleet.store");
+    let file = |cluster: &TestCluster, n: usize| cluster.nodes[n].folder.join("fleet.store");
     let week_ago = std::fs::read(file(cluster, 0)).unwrap();
     power_on(cluster);
     assert_eq!(cluster.post(1, "/undrain/s-1-0"), 200);
@@ -127,15 +126,13 @@
         .unwrap();
     power_on(cluster);
     for n in 0..5 {
-        cluster.all_leave(&[n], "s-1-0", false);
+        cluster.wait_until_active(&[n], "s-1-0");
         let seen = ["s-1-1", "s-2-2"].map(|host| cluster.is_draining(n, host));
         assert_eq!(seen, [Some(true); 2], "daemon {n}");
     }
-    eventually("all vote again", || {
-        cluster.fleet_status(3).lines().filter(|l| l.contains(" voter ")).count() == 5
-    });
-    assert!(cluster.daemons[1].folder.join("fleet.store.damaged").exists());
-    check::same_committed_sequence(&cluster.logs(), 0).unwrap();
+    eventually("all vote again", || cluster.voter_count(3) == 5);
+    assert!(cluster.nodes[1].folder.join("fleet.store.damaged").exists());
+    check::same_committed_sequence(&cluster.logs(), None).unwrap();
 }
 
 /// Guards against two of five that come back alone and act as if they were all, or serve nothing.
@@ -161,7 +158,7 @@
     }
     assert_eq!(cluster.post(1, "/undrain/s-1-1"), 503);
     assert_eq!(cluster.post(3, "/drain/s-2-1"), 202);
-    cluster.all_leave(&[1, 3], "s-2-1", true);
+    cluster.wait_until_draining(&[1, 3], "s-2-1");
     // A loss of power keeps what only the two of them know.
     for n in [1, 3] {
         cluster.kill(n);
@@ -169,10 +166,10 @@
     for n in 0..5 {
         cluster.start(n);
     }
-    cluster.all_leave(&[0, 1, 2, 3, 4], "s-2-1", true);
+    cluster.wait_until_draining(&[0, 1, 2, 3, 4], "s-2-1");
     assert_eq!(cluster.is_draining(0, "s-1-1"), Some(true));
     cluster.wait_until_caught_up();
-    check::same_committed_sequence(&cluster.logs(), 5).unwrap();
+    check::same_committed_sequence(&cluster.logs(), Some(5)).unwrap();
 }
 
 /// Guards against a fleet that can never agree again, and against a word of the operator's that loses drains or splits
@@ -187,7 +184,7 @@
     cluster.wait_until_caught_up();
     let word = |cluster: &TestCluster, n: usize, more: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_brookpass"));
-        let at = cluster.daemons[n].store.to_string();
+        let at = cluster.nodes[n].store_address.to_string();
         let done = command.args(["fleet", "recover", &at]).args(more).output().unwrap();
         let text =
             String::from_utf8_lossy(&done.stdout).into_owned() + &String::from_utf8_lossy(&done.stderr);
@@ -217,17 +214,17 @@
         cluster.wait_until_ready(n);
     }
     cluster.heal_links();
-    cluster.all_leave(&[0, 1, 2, 3, 4], "s-2-2", true);
+    cluster.wait_until_draining(&[0, 1, 2, 3, 4], "s-2-2");
     for n in 0..5 {
         assert_eq!(["s-1-1", "s-2-0"].map(|h| cluster.is_draining(n, h)), [Some(true); 2], "daemon {n}");
     }
-    assert!(cluster.daemons[4].folder.join("fleet.store.recovered").exists());
+    assert!(cluster.nodes[4].folder.join("fleet.store.recovered").exists());
     for n in [0, 1, 2, 4] {
         eventually("it votes again", || cluster.post(3, &format!("/fleet/vote/b{n}")) == 200);
     }
     assert_eq!(cluster.post(1, "/undrain/s-1-1"), 200);
     cluster.wait_until_caught_up();
-    assert_eq!(cluster.fleet_status(2).lines().filter(|l| l.contains(" voter ")).count(), 5);
+    assert_eq!(cluster.voter_count(2), 5);
 }
 
 /// Guards against a kill in the midst of a write that loses what was answered, or leaves a file that cannot be read.
@@ -235,15 +232,15 @@
 #[test]
 fn a_kill_at_any_moment_loses_nothing_that_was_answered() {
     let kills: u64 = std::env::var("LAB_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(15);
-    let cluster = &mut cluster(ClusterConfig { daemons: 1, hosts: (20, 3), ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 1, groups: 20, ..ClusterConfig::default() });
     cluster.start_all();
-    let hosts: Vec<String> = cluster.hosts.all.iter().map(|h| h.name.clone()).collect();
+    let hosts = cluster.endpoints.names();
     let mut drained = vec![false; hosts.len()];
     let mut answered = 0;
     for round in 0..kills {
         let (stop, done) = (AtomicBool::new(false), Mutex::new(Vec::new()));
         thread::scope(|s| {
-            let at = cluster.daemons[0].store;
+            let at = cluster.nodes[0].store_address;
             let (stop, done, hosts, before) = (&stop, &done, &hosts, drained.clone());
             s.spawn(move || {
                 let mut wanted = before;
@@ -267,8 +264,8 @@
         });
         cluster.start(0);
         cluster.wait_until_ready(0);
-        let log = cluster.daemons[0].process.as_ref().unwrap().log();
-        assert!(!log.iter().any(|l| l.contains("set aside")), "round {round}: {log:#?}");
+        let log = cluster.nodes[0].process().log();
+        assert!(!log.iter().any(|l| l.contains(log_lines::STORE_SET_ASIDE)), "round {round}: {log:#?}");
         let mut open = None;
         for (n, wanted, status) in done.into_inner().unwrap() {
             match status {
--- a/tests/fleet_recovery_power.rs
+++ b/tests/fleet_recovery_power.rs
@@ -1,16 +1,17 @@
 //! Power that fails for the whole fleet and its hosts, under load: in which order service returns, and what hosts and
 //! sessions get.
 
-use brookpass_testkit::check::{self, ColdStartBound, LostCommits};
+use brookpass_testkit::check::{self, ColdStartBound, DrainPeriod};
 use brookpass_testkit::client::{LoadProfile, RequestRecord};
 use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
-use brookpass_testkit::{eventually, http, now};
+use brookpass_testkit::endpoint::{LostCommits, StandInEndpoint};
+use brookpass_testkit::{Timestamp, eventually, http, log_lines};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::thread;
 use std::time::Duration;
 
-const PATIENCE: i64 = 2_500_000;
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 fn cluster(setup: ClusterConfig) -> TestCluster {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
@@ -19,35 +20,39 @@
 
 /// Hosts that a load can push over: four operations at once of 40 ms each, 100 a second.
 fn weak(cluster: &TestCluster) {
-    cluster.hosts.all.iter().for_each(|h| h.set(|h| (h.slots, h.work) = (4, Duration::from_millis(40))));
+    for endpoint in cluster.endpoints.iter() {
+        endpoint.configure(|behavior| {
+            behavior.slots = 4;
+            behavior.service_time = Duration::from_millis(40);
+        });
+    }
 }
 
 fn losses(cluster: &TestCluster) -> BTreeMap<u32, Vec<LostCommits>> {
-    cluster.hosts.all.iter().map(|h| (h.group, cluster.hosts.lost_commits(h.group))).collect()
+    cluster.endpoints.iter().map(|h| (h.group, cluster.endpoints.lost_commits(h.group))).collect()
 }
 
 /// The rules that hold whatever fails: no stale read, one attempt, no write twice, one answer each, sessions told.
 fn rules(cluster: &TestCluster, asked: &[RequestRecord]) -> usize {
     check::no_stale_reads(asked).unwrap();
-    check::no_overlapping_attempts(&cluster.hosts.arrivals()).unwrap();
-    check::every_request_answered(asked, &cluster.down, PATIENCE).unwrap();
+    check::no_overlapping_attempts(&cluster.endpoints.arrivals()).unwrap();
+    check::every_request_answered(asked, &cluster.downtimes, ANSWER_TIMEOUT).unwrap();
     check::sessions_told_of_lost_writes(asked, &losses(cluster)).unwrap()
 }
 
 /// No cold host over its bound; the worst second of all, as a share of it.
-fn spared(cluster: &TestCluster, started: i64) -> f64 {
-    let arrivals = cluster.hosts.arrivals();
-    let cold = ColdStartBound { started, bears: 100.0, multiple: 4.0 };
+fn spared(cluster: &TestCluster, started_at: Timestamp) -> f64 {
+    let arrivals = cluster.endpoints.arrivals();
+    let cold = ColdStartBound { started_at, warm_capacity_per_second: 100.0, overload_multiple: 4.0 };
     cluster
-        .hosts
-        .all
+        .endpoints
         .iter()
         .map(|h| check::cold_endpoint_not_overloaded(&arrivals, &h.name, cold).unwrap())
         .fold(0.0, f64::max)
 }
 
-fn served(asked: &[RequestRecord], from: i64, to: i64) -> usize {
-    asked.iter().filter(|a| a.status == 200 && (from..to).contains(&a.until)).count()
+fn served(asked: &[RequestRecord], from: Timestamp, to: Timestamp) -> usize {
+    asked.iter().filter(|a| a.status == 200 && (from..to).contains(&a.finished_at)).count()
 }
 
 fn place(log: &[String], words: &str) -> usize {
@@ -55,13 +60,20 @@
 }
 
 fn plan(seed: u64) -> LoadProfile {
-    LoadProfile { rate: 240.0, clients: 20, groups: 4, seed, again: true, ..LoadProfile::default() }
+    LoadProfile {
+        requests_per_second: 240.0,
+        clients: 20,
+        groups: 4,
+        seed,
+        retries_rejections: true,
+        ..LoadProfile::default()
+    }
 }
 
 /// Waits until each daemon has written what it knows to its disk while it served.
 fn kept(cluster: &TestCluster) {
-    for n in 0..cluster.daemons.len() {
-        cluster.daemons[n].process.as_ref().unwrap().wait_for_line("words on hosts are kept");
+    for n in 0..cluster.nodes.len() {
+        cluster.nodes[n].process().wait_for_line(log_lines::GOSSIP_SAVED);
     }
 }
 
@@ -69,41 +81,45 @@
 /// and drains that are undone, when daemons and hosts lose their power at once.
 #[test]
 fn all_daemons_and_hosts_lose_their_power_under_load() {
-    let cluster = &mut cluster(ClusterConfig { hosts: (4, 3), ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { groups: 4, ..ClusterConfig::default() });
     weak(cluster);
     cluster.start_all();
     assert_eq!(cluster.post(0, "/drain/s-4-2"), 200);
     let load = cluster.start_load(plan(1));
     kept(cluster);
     thread::sleep(Duration::from_secs(1));
-    let off = now();
+    let off = Timestamp::now();
     (0..5).for_each(|n| cluster.kill(n));
-    cluster.hosts.power_off();
+    cluster.endpoints.power_off();
     thread::sleep(Duration::from_millis(300));
-    cluster.hosts.power_on(150);
-    let on = now();
+    cluster.endpoints.power_on(Duration::from_millis(150));
+    let on = Timestamp::now();
     cluster.start_nodes(&[0, 1, 2, 3, 4]);
     (0..5).for_each(|n| cluster.wait_until_ready(n));
-    let stood = (0..5).filter(|n| cluster.log(*n).iter().any(|l| l.contains("this daemon stands"))).count();
+    let stood = (0..5)
+        .filter(|n| cluster.log(*n).iter().any(|l| l.contains(log_lines::FIRST_ELECTION_STARTED)))
+        .count();
     assert!(stood >= 1, "nobody waits for an election to come by itself");
-    let before = load.served(off - 1_000_000, off);
+    let before = load.served_within(off - Duration::from_secs(1)..off);
     eventually("service is back at half of what it was", || {
-        let end = now();
-        load.served(end - 1_000_000, end) * 2 > before
+        let end = Timestamp::now();
+        load.served_within(end - Duration::from_secs(1)..end) * 2 > before
     });
     eventually("sessions had writes that were lost", || load.any(|a| a.status == 412));
     let asked = load.finish();
     assert!(rules(cluster, &asked) > 0);
     let worst = spared(cluster, on);
     assert!(worst < 1.0);
-    check::no_arrivals_while_drained(&cluster.hosts.arrivals(), &[("s-4-2".into(), on, i64::MAX)]).unwrap();
+    check::no_arrivals_while_drained(&cluster.endpoints.arrivals(), &[DrainPeriod::since("s-4-2", on)])
+        .unwrap();
     for n in 0..5 {
         assert_eq!(cluster.is_draining(n, "s-4-2"), Some(true));
         let log = cluster.log(n);
-        let steps = ["step 2 of 4", "step 4 of 4"].map(|step| place(&log, step));
+        let steps =
+            [log_lines::RECOVERY_PHASE_WRITES, log_lines::RECOVERY_PHASE_LAST].map(|step| place(&log, step));
         assert!(steps[0] < steps[1]);
     }
-    check::same_committed_sequence(&cluster.logs(), 5).unwrap();
+    check::same_committed_sequence(&cluster.logs(), Some(5)).unwrap();
 }
 
 /// Guards against hosts that are asked by each daemon for itself: the sum does not grow with the daemons.
@@ -111,22 +127,20 @@
 fn hosts_are_asked_in_turn_however_many_daemons_return() {
     let mut most = Vec::new();
     for daemons in [3, 9] {
-        let cluster = &mut cluster(ClusterConfig { daemons, hosts: (4, 3), ..ClusterConfig::default() });
+        let cluster = &mut cluster(ClusterConfig { nodes: daemons, groups: 4, ..ClusterConfig::default() });
         cluster.start_all();
         (0..daemons).for_each(|n| cluster.kill(n));
-        let on = now();
+        let on = Timestamp::now();
         (0..daemons).for_each(|n| cluster.start(n));
         (0..daemons).for_each(|n| cluster.wait_until_ready(n));
         for n in 0..daemons {
             assert_eq!(cluster.write(n, 1, 9_000 + n as u64), 200);
         }
-        let asked = |h: &brookpass_testkit::endpoint::StandInEndpoint| {
-            h.polls().into_iter().filter(|at| *at >= on).count()
-        };
-        let counts: Vec<usize> = cluster.hosts.all.iter().map(asked).collect();
+        let asked = |h: &StandInEndpoint| h.polls().into_iter().filter(|at| *at >= on).count();
+        let counts: Vec<usize> = cluster.endpoints.iter().map(asked).collect();
         assert!(counts.iter().all(|n| *n >= 1), "{counts:?}");
         most.push(counts.iter().sum::<usize>());
-        let moments = cluster.daemons.len();
+        let moments = cluster.nodes.len();
         assert!(counts.iter().all(|n| *n <= 4), "{moments} daemons: {counts:?}");
         eventually("service is as ever", || {
             (0..daemons).all(|n| cluster.fleet_status(n).contains("recovery done"))
@@ -138,7 +152,7 @@
 /// Guards against two halves that do not see one another and each take all that a cold host bears.
 #[test]
 fn two_halves_that_do_not_see_one_another_spare_cold_hosts_together() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 4, hosts: (3, 3), ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 4, groups: 3, ..ClusterConfig::default() });
     weak(cluster);
     cluster.start_all();
     assert_eq!(cluster.post(1, "/drain/s-2-2"), 200);
@@ -146,10 +160,10 @@
     let load = cluster.start_load(LoadProfile { groups: 3, ..plan(2) });
     kept(cluster);
     (0..4).for_each(|n| cluster.kill(n));
-    cluster.hosts.power_off();
+    cluster.endpoints.power_off();
     cluster.partition(&[vec![0, 1], vec![2, 3]]);
-    cluster.hosts.power_on(0);
-    let on = now();
+    cluster.endpoints.power_on(Duration::ZERO);
+    let on = Timestamp::now();
     (0..4).for_each(|n| cluster.start(n));
     (0..4).for_each(|n| cluster.wait_until_ready(n));
     // Neither half is a majority: drains hold, and nothing is relaxed.
@@ -164,26 +178,27 @@
     assert_eq!(cluster.post(0, "/drain/s-3-1"), 202);
     thread::sleep(Duration::from_millis(500));
     cluster.heal_links();
-    cluster.all_leave(&[0, 1, 2, 3], "s-3-1", true);
+    cluster.wait_until_draining(&[0, 1, 2, 3], "s-3-1");
     cluster.wait_until_caught_up();
     let asked = load.finish();
     rules(cluster, &asked);
     assert!(spared(cluster, on) < 1.0);
-    check::no_arrivals_while_drained(&cluster.hosts.arrivals(), &[("s-2-2".into(), on, i64::MAX)]).unwrap();
-    assert!(served(&asked, on, i64::MAX) > 100);
-    check::same_committed_sequence(&cluster.logs(), 4).unwrap();
+    check::no_arrivals_while_drained(&cluster.endpoints.arrivals(), &[DrainPeriod::since("s-2-2", on)])
+        .unwrap();
+    assert!(served(&asked, on, Timestamp::MAX) > 100);
+    check::same_committed_sequence(&cluster.logs(), Some(4)).unwrap();
 }
 
 /// Guards against a return one by one in which whoever comes first takes all, or waits for all, and against changes
 /// that are lost because the power went while they were being agreed.
 #[test]
 fn they_come_back_one_by_one_while_changes_were_being_agreed() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, hosts: (3, 3), ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, groups: 3, ..ClusterConfig::default() });
     weak(cluster);
     cluster.start_all();
     let load = cluster.start_load(LoadProfile { groups: 3, ..plan(3) });
     kept(cluster);
-    let stores: Vec<_> = cluster.daemons.iter().map(|d| d.store).collect();
+    let stores: Vec<_> = cluster.nodes.iter().map(|d| d.store_address).collect();
     let calls: Vec<_> = ["s-1-2", "s-2-2", "s-3-2"]
         .into_iter()
         .zip(stores)
@@ -196,9 +211,9 @@
     thread::sleep(Duration::from_millis(3));
     (0..3).for_each(|n| cluster.kill(n));
     let said: Vec<(&str, u16)> = calls.into_iter().map(|c| c.join().unwrap()).collect();
-    cluster.hosts.power_off();
-    cluster.hosts.power_on(0);
-    let on = now();
+    cluster.endpoints.power_off();
+    cluster.endpoints.power_on(Duration::ZERO);
+    let on = Timestamp::now();
     for n in 0..3 {
         cluster.start(n);
         cluster.wait_until_ready(n);
@@ -213,14 +228,14 @@
         assert!(leaves.iter().all(|l| *l == leaves[0]), "{host}: {leaves:?}");
         assert!(status == 0 || leaves[0] == Some(true), "{host} was answered with {status}: {leaves:?}");
     }
-    check::same_committed_sequence(&cluster.logs(), 3).unwrap();
+    check::same_committed_sequence(&cluster.logs(), Some(3)).unwrap();
 }
 
 /// Guards against a rolling loss, and the loss of all but one, in which those that return forget what the others know
 /// or ask all hosts anew.
 #[test]
 fn those_that_return_take_over_what_the_others_know() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, hosts: (3, 3), ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, groups: 3, ..ClusterConfig::default() });
     cluster.start_all();
     let load = cluster.start_load(LoadProfile { groups: 3, ..plan(4) });
     kept(cluster);
@@ -245,7 +260,7 @@
     cluster.wait_until_caught_up();
     let asked = load.finish();
     rules(cluster, &asked);
-    check::same_committed_sequence(&cluster.logs(), 3).unwrap();
+    check::same_committed_sequence(&cluster.logs(), Some(3)).unwrap();
 }
 
 /// A read of a session whose last write has this position: the status, and the position of the answer.
@@ -254,7 +269,7 @@
         "GET /sparql?query=SELECT%20r%23901 HTTP/1.1\r\nHost: lab\r\nBrookpass-Group: 1\r\n\
          Brookpass-Session: s\r\nBrookpass-Position: {commit}\r\n\r\n"
     );
-    let mut open = http::Connection::open(cluster.fronts[n].address, Duration::from_secs(5)).unwrap();
+    let mut open = http::Connection::open(cluster.sparql_address(n), Duration::from_secs(5)).unwrap();
     open.call(&text).map(|m| (m.status(), m.number("brookpass-position"))).expect("an answer")
 }
 
@@ -262,7 +277,7 @@
 /// them, and against a loss that is forgotten with the process.
 #[test]
 fn a_session_whose_write_was_lost_is_told_so_everywhere_and_after_restarts() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, hosts: (1, 3), ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, groups: 1, ..ClusterConfig::default() });
     cluster.start_all();
     let write = |cluster: &TestCluster, n: usize| {
         let mut commit = None;
@@ -286,8 +301,8 @@
     thread::sleep(Duration::from_millis(400));
     let lost = write(cluster, 0);
     assert_eq!((read(cluster, 1, kept).0, read(cluster, 1, lost).0), (200, 200));
-    cluster.hosts.power_off();
-    cluster.hosts.power_on(200);
+    cluster.endpoints.power_off();
+    cluster.endpoints.power_on(Duration::from_millis(200));
     // The primary itself shows what it lacks.
     eventually("a session is told", || read(cluster, 1, lost) == (412, Some(kept)));
     assert_eq!(read(cluster, 1, kept).0, 200);
@@ -303,14 +318,14 @@
             ((412, Some(kept)), 200, 200)
         );
     }
-    let knows = |cluster: &TestCluster, n: usize| cluster.daemons[n].process.as_ref().unwrap().log();
+    let knows = |cluster: &TestCluster, n: usize| cluster.nodes[n].process().log();
     for n in 0..3 {
         let seen = knows(cluster, n).len();
         eventually("it is on the disk", || {
             read(cluster, n, kept);
             knows(cluster, n)[seen.min(knows(cluster, n).len())..]
                 .iter()
-                .any(|l| l.contains("words on hosts are kept"))
+                .any(|l| l.contains(log_lines::GOSSIP_SAVED))
         });
     }
     (0..3).for_each(|n| cluster.kill(n));
