--- a/tests/fleet_replication.rs
+++ b/tests/fleet_replication.rs
@@ -1,12 +1,13 @@
 //! Several processes of the program with faults between them: what is agreed, what acts before, what never counts.
 
-use brookpass_testkit::check;
-use brookpass_testkit::client::LoadProfile;
+use brookpass_testkit::check::{self, CheckError, DrainPeriod};
+use brookpass_testkit::client::{LoadProfile, REQUEST_TIMEOUT};
 use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
 use brookpass_testkit::endpoint::Arrival;
 use brookpass_testkit::faults::{FaultAction, FaultSchedule};
+use brookpass_testkit::process::ClockOffset;
 use brookpass_testkit::relay::LinkFaults;
-use brookpass_testkit::{eventually, http, now, seeds};
+use brookpass_testkit::{Timestamp, eventually, http, log_lines, seed_range};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::path::Path;
@@ -25,17 +26,17 @@
 }
 
 fn plan(rate: f64, seed: u64) -> LoadProfile {
-    LoadProfile { rate, clients: 20, seed, ..LoadProfile::default() }
+    LoadProfile { requests_per_second: rate, clients: 20, seed, ..LoadProfile::default() }
 }
 
 fn others(cluster: &TestCluster, one: usize) -> Vec<usize> {
-    (0..cluster.daemons.len()).filter(|n| *n != one).collect()
+    (0..cluster.nodes.len()).filter(|n| *n != one).collect()
 }
 
 /// The histories hold, whatever happened. `answers`: with a load beside it.
-fn holds(cluster: &TestCluster, voters: usize) -> usize {
+fn holds(cluster: &TestCluster, voters: Option<usize>) -> usize {
     let agreed = check::same_committed_sequence(&cluster.logs(), voters).unwrap_or_else(|e| panic!("{e}"));
-    check::no_overlapping_attempts(&cluster.hosts.arrivals()).unwrap_or_else(|e| panic!("{e}"));
+    check::no_overlapping_attempts(&cluster.endpoints.arrivals()).unwrap_or_else(|e| panic!("{e}"));
     agreed
 }
 
@@ -48,10 +49,10 @@
     let rest = others(&cluster, leader);
     cluster.kill(leader);
     // Nobody leads yet: it acts at once all the same, everywhere.
-    let said = now();
+    let said = Timestamp::now();
     let status = thread::scope(|s| {
         let call = s.spawn(|| cluster.post(rest[0], "/drain/s-1-1"));
-        let reached = cluster.all_leave(&rest, "s-1-1", true);
+        let reached = cluster.wait_until_draining(&rest, "s-1-1");
         assert!(reached < Duration::from_millis(250), "{reached:?}");
         call.join().unwrap()
     });
@@ -62,14 +63,18 @@
     cluster.wait_until_caught_up();
     assert_eq!(cluster.is_draining(leader, "s-1-1"), Some(true), "it has caught up");
     let asked = load.finish();
-    let arrivals = cluster.hosts.arrivals();
-    check::no_arrivals_while_drained(&arrivals, &[("s-1-1".into(), said + 250_000, i64::MAX)]).unwrap();
+    let arrivals = cluster.endpoints.arrivals();
+    check::no_arrivals_while_drained(
+        &arrivals,
+        &[DrainPeriod::since("s-1-1", said + Duration::from_millis(250))],
+    )
+    .unwrap();
     assert!(check::no_stale_reads(&asked).unwrap() > 100);
-    check::every_request_answered(&asked, &cluster.down, 2_000_000).unwrap();
-    let alive: Vec<_> = asked.iter().filter(|a| a.daemon != leader).collect();
+    check::every_request_answered(&asked, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
+    let alive: Vec<_> = asked.iter().filter(|a| a.node != leader).collect();
     let served = alive.iter().filter(|a| a.status == 200).count();
     assert!(served * 100 > alive.len() * 98, "{served} of {} served", alive.len());
-    holds(&cluster, 5);
+    holds(&cluster, Some(5));
 }
 
 /// Guards against a leader that is cut off and goes on alone: a drain acts there, nothing else counts.
@@ -92,7 +97,7 @@
     );
     eventually("the others have a leader", || {
         rest.iter().all(|n| {
-            cluster.fleet_field(*n, "leader") != cluster.daemons[leader].name
+            cluster.fleet_field(*n, "leader") != cluster.nodes[leader].name
                 && cluster.fleet_field(*n, "leader") != "none"
         })
     });
@@ -108,7 +113,7 @@
             "daemon {n}: no drain is lost, and no undrain of a minority counts"
         );
     }
-    holds(cluster, 5);
+    holds(cluster, Some(5));
 }
 
 /// Guards against a process that stood still, wakes up and takes itself for the leader.
@@ -123,14 +128,14 @@
     assert_eq!(cluster.post(rest[0], "/drain/s-1-0"), 200);
     thread::sleep(Duration::from_secs(2));
     cluster.resume(leader);
-    let heard = cluster.all_leave(&[leader], "s-1-0", true);
+    let heard = cluster.wait_until_draining(&[leader], "s-1-0");
     assert!(heard < Duration::from_millis(250), "{heard:?}");
     assert_eq!(cluster.post(leader, "/undrain/s-1-0"), 200);
     cluster.wait_until_caught_up();
     let asked = load.finish();
     assert!(check::no_stale_reads(&asked).unwrap() > 100);
-    check::every_request_answered(&asked, &cluster.down, 2_000_000).unwrap();
-    holds(cluster, 5);
+    check::every_request_answered(&asked, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
+    holds(cluster, Some(5));
 }
 
 /// Guards against a minority whose inventory or undrain counts, now or after healing, also where the minority has
@@ -145,7 +150,7 @@
     cluster.wait_until_caught_up();
     let load = cluster.start_load(plan(300.0, 3));
     cluster.partition(&[vec![leader, second], rest.clone()]);
-    let inventory = cluster.inventory();
+    let inventory = cluster.inventory_csv();
     let shorter: String =
         inventory.lines().filter(|l| !l.starts_with("s-2-2")).map(|l| format!("{l}\n")).collect();
     cluster.write_inventory(second, &shorter);
@@ -167,7 +172,7 @@
     assert_eq!(cluster.post(rest[0], "/drain/s-1-2"), 200);
     thread::sleep(Duration::from_millis(20));
     cluster.write_inventory(rest[1], &(inventory.clone() + "s-9-9,127.0.0.1:9,1,z-0,\n"));
-    cluster.all_leave(&rest, "s-9-9", false);
+    cluster.wait_until_active(&rest, "s-9-9");
     cluster.heal_links();
     cluster.wait_until_caught_up();
     for n in 0..5 {
@@ -189,8 +194,8 @@
     );
     let asked = load.finish();
     assert!(check::no_stale_reads(&asked).unwrap() > 100);
-    check::every_request_answered(&asked, &[], 2_000_000).unwrap();
-    holds(cluster, 5);
+    check::every_request_answered(&asked, &[], REQUEST_TIMEOUT).unwrap();
+    holds(cluster, Some(5));
 }
 
 /// Guards against one that hears and is not heard, and against links that are late and lose messages.
@@ -213,8 +218,10 @@
     cluster.heal_links();
     cluster.wait_until_caught_up();
     let leader = cluster.wait_for_leader();
+    let slow_and_lossy =
+        LinkFaults { delay: Duration::from_millis(200), loss_percent: 20, ..LinkFaults::NONE };
     for n in others(cluster, leader) {
-        cluster.set_link_faults(leader, n, Duration::from_millis(200), 20);
+        cluster.set_link_faults(leader, n, slow_and_lossy);
     }
     for host in ["s-2-0", "s-2-1", "s-2-2"] {
         let n = others(cluster, leader)[0];
@@ -226,7 +233,7 @@
     cluster.heal_links();
     cluster.wait_until_caught_up();
     assert_eq!(cluster.is_draining(leader, "s-2-2"), Some(true));
-    holds(cluster, 5);
+    holds(cluster, Some(5));
 }
 
 /// Guards against a drain that two restarts lose, and against all losing their power while changes run.
@@ -236,7 +243,7 @@
     let leader = cluster.wait_for_leader();
     let rest = others(cluster, leader);
     let status = thread::scope(|s| {
-        let (at, path) = (cluster.daemons[rest[0]].store, "/drain/s-1-1");
+        let (at, path) = (cluster.nodes[rest[0]].store_address, "/drain/s-1-1");
         let call = s.spawn(move || http::call(at, "POST", path).map_or(0, |m| m.status()));
         cluster.kill(rest[1]);
         cluster.kill(rest[2]);
@@ -245,7 +252,7 @@
         call.join().unwrap()
     });
     assert_eq!(status, 200);
-    cluster.all_leave(&[0, 1, 2, 3, 4], "s-1-1", true);
+    cluster.wait_until_draining(&[0, 1, 2, 3, 4], "s-1-1");
     for round in 0..3 {
         let hosts = ["s-1-2", "s-2-0", "s-2-1"];
         let status = cluster.post(round, &format!("/drain/{}", hosts[round]));
@@ -259,7 +266,7 @@
         }
     }
     cluster.wait_until_caught_up();
-    holds(cluster, 5);
+    holds(cluster, Some(5));
 }
 
 /// Guards against a daemon that comes back without its disk and votes as its old self, or with an older copy.
@@ -269,7 +276,7 @@
     let leader = cluster.wait_for_leader();
     let rest = others(cluster, leader);
     let (lost, old) = (rest[0], rest[1]);
-    let file = cluster.daemons[old].folder.join("fleet.store");
+    let file = cluster.nodes[old].folder.join("fleet.store");
     cluster.kill(old);
     let copy = std::fs::read(&file).unwrap();
     cluster.start(old);
@@ -291,7 +298,7 @@
     cluster.delete_store(lost);
     cluster.start(lost);
     cluster.wait_until_ready(lost);
-    cluster.all_leave(&[lost], "s-1-1", true);
+    cluster.wait_until_draining(&[lost], "s-1-1");
     eventually("it votes again, as another one", || {
         let text = cluster.fleet_status(leader);
         text.lines().any(|l| {
@@ -312,20 +319,20 @@
     cluster.wait_until_ready(old);
     cluster.wait_until_caught_up();
     assert_eq!(cluster.is_draining(old, "s-1-1"), Some(true));
-    let voters = cluster.fleet_status(leader).lines().filter(|l| l.contains(" voter ")).count();
+    let voters = cluster.voter_count(leader);
     assert_eq!(voters, 5);
-    holds(cluster, 0);
+    holds(cluster, None);
 }
 
 /// Members come and go one at a time while requests run.
 #[test]
 fn a_fleet_goes_from_three_to_five_and_back_under_load() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start_all();
     let load = cluster.start_load(plan(300.0, 4));
     let runs = || {
-        let before = load.count();
-        eventually("requests run", || load.count() > before + 80);
+        let before = load.finished_count();
+        eventually("requests run", || load.finished_count() > before + 80);
     };
     for _ in 0..2 {
         runs();
@@ -339,9 +346,7 @@
         );
         assert_eq!(cluster.post(n, &format!("/fleet/vote/b{n}")), 200);
     }
-    eventually("five vote", || {
-        cluster.fleet_status(3).lines().filter(|l| l.contains(" voter ")).count() == 5
-    });
+    eventually("five vote", || cluster.voter_count(3) == 5);
     assert_eq!(cluster.post(4, "/drain/s-1-1"), 200);
     // The leader itself goes first, then another one.
     for _ in 0..2 {
@@ -358,22 +363,24 @@
     }
     let stays = cluster.running_nodes();
     assert_eq!(stays.len(), 3);
-    let voters = cluster.fleet_status(stays[0]).lines().filter(|l| l.contains(" voter ")).count();
+    let voters = cluster.voter_count(stays[0]);
     assert_eq!(voters, 3);
     assert_eq!(cluster.post(stays[0], "/undrain/s-1-1"), 200);
     cluster.wait_until_caught_up();
     runs();
     let asked = load.finish();
     assert!(check::no_stale_reads(&asked).unwrap() > 100);
-    check::every_request_answered(&asked, &cluster.down, 2_000_000).unwrap();
-    holds(cluster, 0);
+    check::every_request_answered(&asked, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
+    holds(cluster, None);
 }
 
 /// Guards against an order of changes, a lease or an election that trusts clocks.
 #[test]
 fn clocks_that_differ_by_five_seconds_change_nothing_in_what_is_agreed() {
-    let cluster =
-        &mut cluster(ClusterConfig { clocks: vec![5_000, 0, -5_000, 0, 2_500], ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig {
+        clock_offsets: [5_000, 0, -5_000, 0, 2_500].map(ClockOffset::from_millis).to_vec(),
+        ..ClusterConfig::default()
+    });
     cluster.start_all();
     for (n, host) in [(0, "s-1-0"), (2, "s-1-1"), (4, "s-1-2")] {
         assert_eq!(cluster.post(n, &format!("/drain/{host}")), 200);
@@ -392,20 +399,20 @@
         let seen = ["s-1-0", "s-1-1", "s-1-2", "s-2-0"].map(|h| cluster.is_draining(n, h));
         assert_eq!(seen, [Some(false), Some(true), Some(true), Some(true)], "daemon {n}");
     }
-    holds(cluster, 5);
+    holds(cluster, Some(5));
 }
 
 /// Guards against two fleets out of one, and against a daemon that acts on what nobody agreed to.
 #[test]
 fn a_fleet_forms_when_all_have_answered_or_an_operator_says_so() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start(0);
     cluster.start(1);
     eventually("it says what it waits for", || cluster.fleet_status(0).contains("waits for an answer of"));
     assert!(cluster.fleet_status(0).contains("serves nothing"));
     assert_eq!(cluster.post(0, "/drain/s-1-1"), 404, "it knows no host yet");
     // Nothing is served yet, and whoever asks is told so at once, with a time to come back.
-    let front = cluster.daemons[0].process.as_ref().unwrap().wait_for_address("SPARQL at http://");
+    let front = cluster.nodes[0].process().wait_for_address(log_lines::SPARQL_LISTENING);
     for path in ["/-/ready", "/sparql?query=ASK%20%7B%7D"] {
         let early = brookpass_testkit::http::call(front, "GET", path).unwrap();
         assert_eq!((early.status(), early.header("retry-after").is_some()), (503, path != "/-/ready"));
@@ -424,15 +431,15 @@
         "{}",
         cluster.fleet_status(0)
     );
-    holds(cluster, 0);
+    holds(cluster, None);
 }
 
 /// Guards against a daemon that strangers' bytes stop, or that loses what it has over them.
 #[test]
 fn bytes_out_of_form_are_dropped_and_counted() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start_all();
-    let at = cluster.daemons[0].store;
+    let at = cluster.nodes[0].store_address;
     let upgrade = "POST /fleet/link HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: brookpass-fleet/1\r\nContent-Length: 0\r\n\r\n";
     let mut rng = fastrand_bytes(7);
     for round in 0..60 {
@@ -456,7 +463,7 @@
     assert_eq!(cluster.post(0, "/drain/s-1-1"), 200);
     cluster.wait_until_caught_up();
     assert_eq!(cluster.fleet_field(0, "panics"), "0");
-    holds(cluster, 3);
+    holds(cluster, Some(3));
 }
 
 /// A little noise by seed.
@@ -471,17 +478,12 @@
 /// Guards against one slow daemon that holds the others up, or for which they hold ever more.
 #[test]
 fn a_slow_daemon_makes_nobody_else_slow_and_catches_up() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start_all();
     let leader = cluster.wait_for_leader();
     let rest = others(cluster, leader);
     let (slow, other) = (rest[0], rest[1]);
-    let crawl = LinkFaults { rate: 2_000, ..LinkFaults::default() };
-    for ((from, to), relay) in &cluster.links {
-        if *from == slow || *to == slow {
-            relay.set(crawl, crawl);
-        }
-    }
+    cluster.set_node_faults(slow, LinkFaults { bytes_per_second: 2_000, ..LinkFaults::NONE });
     for round in 0..150 {
         let host = ["s-1-0", "s-1-1", "s-2-2"][round % 3];
         let began = std::time::Instant::now();
@@ -491,24 +493,24 @@
         assert_eq!(cluster.post(leader, &format!("/undrain/{host}")), 200);
     }
     for n in [leader, other] {
-        let (_, memory) = cluster.daemons[n].process.as_ref().unwrap().usage();
+        let memory = cluster.nodes[n].process().resource_usage().memory_kib;
         assert!(memory < 64 * 1024, "daemon {n} holds {memory} KiB");
     }
     assert_eq!(cluster.post(leader, "/drain/s-1-1"), 200);
     cluster.heal_links();
-    cluster.all_leave(&[slow], "s-1-1", true);
+    cluster.wait_until_draining(&[slow], "s-1-1");
     cluster.wait_until_caught_up();
-    holds(cluster, 3);
+    holds(cluster, Some(3));
 }
 
 /// Guards against a change that goes into the log in the midst of another one's step.
 #[test]
 fn changes_side_by_side_are_all_agreed() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, hosts: (8, 3), ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, groups: 8, ..ClusterConfig::default() });
     cluster.start_all();
     thread::scope(|s| {
         for group in 1..=8 {
-            let at = cluster.daemons[group % 3].store;
+            let at = cluster.nodes[group % 3].store_address;
             s.spawn(move || {
                 for round in 0..12 {
                     for word in ["drain", "undrain"] {
@@ -524,22 +526,22 @@
         assert_eq!(cluster.fleet_field(n, "panics"), "0", "daemon {n}");
         assert!(!cluster.fleet_status(n).contains("\ndrain "), "daemon {n}");
     }
-    holds(cluster, 3);
+    holds(cluster, Some(3));
 }
 
 /// Guards against daemons that each find a new primary by themselves, with a write that has to fail first.
 #[test]
 fn what_one_daemon_hears_of_a_primary_the_others_know() {
-    let cluster = &mut cluster(ClusterConfig { daemons: 3, ..ClusterConfig::default() });
+    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start_all();
     let learned = |cluster: &TestCluster, n: usize| {
-        http::call(cluster.daemons[n].store, "GET", "/fleet/learned").unwrap().text()
+        http::call(cluster.nodes[n].store_address, "GET", "/fleet/learned").unwrap().text()
     };
     // The hub hears of it only through the one between them.
     cluster.cut_one_way(0, 2);
     let primaries = ["s-1-0", "s-1-2", "s-1-1"];
     for (round, host) in primaries.into_iter().enumerate() {
-        cluster.hosts.promote(1, host);
+        cluster.endpoints.promote(1, host);
         let number = 1_000_000 + 10 * round as u64;
         assert_eq!(cluster.write(0, 1, number), 200);
         for n in [1, 2] {
@@ -554,37 +556,41 @@
     }
     let text = learned(cluster, 2);
     assert!(text.lines().any(|l| l.starts_with("s-1-1 b0 primary ")), "{text}");
-    holds(cluster, 3);
+    holds(cluster, Some(3));
 }
 
 /// Plays faults by seed with a load beside them, and reads the histories.
 fn play(seed: u64) {
     let cluster = &mut five();
-    let hosts: Vec<String> = cluster.hosts.all.iter().map(|h| h.name.clone()).collect();
+    let endpoints = cluster.endpoints.names();
     let load = cluster.start_load(plan(250.0, seed));
-    let script = FaultSchedule::random(seed, 5, &hosts, 5_000);
-    let calls = cluster.run_schedule(&script);
+    let schedule = FaultSchedule::of_nodes(seed, 5, &endpoints, Duration::from_secs(5));
+    let calls = cluster.run_schedule(&schedule);
     let running = cluster.running_nodes();
     assert_eq!(running.len(), 5, "seed {seed}");
     running.iter().for_each(|n| cluster.wait_until_ready(*n));
     cluster.wait_until_caught_up();
     let asked = load.finish();
-    let faulty = |why: String| -> ! { panic!("seed {seed}: {why}\n{script:#?}") };
-    check::same_committed_sequence(&cluster.logs(), 5).unwrap_or_else(|e| faulty(e));
-    check::no_stale_reads(&asked).unwrap_or_else(|e| faulty(e));
-    check::every_request_answered(&asked, &cluster.down, 2_000_000).unwrap_or_else(|e| faulty(e));
-    let arrivals: Vec<Arrival> = cluster.hosts.arrivals();
-    check::no_overlapping_attempts(&arrivals).unwrap_or_else(|e| faulty(e));
+    let faulty = |why: String| -> ! { panic!("seed {seed}: {why}\n{schedule:#?}") };
+    let violated = |error: CheckError| -> ! { faulty(error.to_string()) };
+    check::same_committed_sequence(&cluster.logs(), Some(5)).unwrap_or_else(|e| violated(e));
+    check::no_stale_reads(&asked).unwrap_or_else(|e| violated(e));
+    check::every_request_answered(&asked, &cluster.downtimes, REQUEST_TIMEOUT)
+        .unwrap_or_else(|e| violated(e));
+    let arrivals: Vec<Arrival> = cluster.endpoints.arrivals();
+    check::no_overlapping_attempts(&arrivals).unwrap_or_else(|e| violated(e));
     // A drain that was answered stands, unless an undrain was said after it, or beside it.
-    for (act, said, status) in &calls {
-        let FaultAction::Drain(_, host) = act else { continue };
-        let undone = calls.iter().any(|(other, at, _)| {
-            matches!(other, FaultAction::Undrain(_, h) if h == host) && *at > said - 5_000_000
+    for call in &calls {
+        let FaultAction::Drain { endpoint, .. } = &call.action else { continue };
+        let undone = calls.iter().any(|other| {
+            matches!(&other.action, FaultAction::Undrain { endpoint: undrained, .. } if undrained == endpoint)
+                && other.called_at > call.called_at - Duration::from_secs(5)
         });
+        let status = call.status;
         if matches!(status, 200 | 202) && !undone {
             for n in 0..5 {
-                if cluster.is_draining(n, host) != Some(true) {
-                    faulty(format!("the drain of {host}, answered {status}, is lost at daemon {n}"));
+                if cluster.is_draining(n, endpoint) != Some(true) {
+                    faulty(format!("the drain of {endpoint}, answered {status}, is lost at node {n}"));
                 }
             }
         }
@@ -594,7 +600,7 @@
 /// Random faults by seed; `LAB_SEEDS=100..300` plays others.
 #[test]
 fn random_faults_by_seed() {
-    for seed in seeds("0..3") {
+    for seed in seed_range("0..3") {
         play(seed);
         println!("seed {seed} holds");
     }
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -195,8 +195,8 @@
     let file = folder.join("operator.yaml");
     std::fs::write(&file, text).unwrap();
     let mut daemon = Daemon::start(&["--operator", file.to_str().unwrap()], &[]);
-    let store = daemon.address("store at http://");
-    let front = daemon.address("SPARQL at http://");
+    let store = daemon.address(log_lines::STORE_LISTENING);
+    let front = daemon.address(log_lines::SPARQL_LISTENING);
     One { daemon, store, front, door: None, primary, replica }
 }
 
@@ -208,7 +208,7 @@
     /// One that serves all groups.
     fn served() -> One {
         let mut one = one(&[]);
-        one.door = Some(one.daemon.address("operators at http://"));
+        one.door = Some(one.daemon.address(log_lines::ADMIN_LISTENING));
         eventually("it serves", || one.is_ready());
         eventually("its own file is agreed", || {
             let text = body(one.store, "/fleet");
@@ -363,7 +363,7 @@
 
 fn cluster(daemons: usize) -> TestCluster {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let setup = ClusterConfig { daemons, hosts: (1, 3), ..ClusterConfig::default() };
+    let setup = ClusterConfig { nodes: daemons, groups: 1, ..ClusterConfig::default() };
     TestCluster::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
 }
 
@@ -396,12 +396,12 @@
     let mut text = String::new();
     let mut note = |what: &str, answer: &str| text += &format!("> {what}\n{}\n\n", answer.trim_end());
     let post = |cluster: &TestCluster, n: usize, path: &str| {
-        let answer = exchange(cluster.daemons[n].store, &request("POST", path)).replace("\r\n", "\n");
-        answer.replace(&cluster.daemons[n].name, "NAME").replace(&cluster.daemons[goes].name, "GOES")
+        let answer = exchange(cluster.nodes[n].store_address, &request("POST", path)).replace("\r\n", "\n");
+        answer.replace(&cluster.nodes[n].name, "NAME").replace(&cluster.nodes[goes].name, "GOES")
     };
     note("the leader, GET /fleet", &shapes(&cluster.fleet_status(leader)));
     note("another one, GET /fleet", &shapes(&cluster.fleet_status(stays)));
-    note("a majority is there, fleet recover", &recover(cluster.daemons[stays].store, &[]));
+    note("a majority is there, fleet recover", &recover(cluster.nodes[stays].store_address, &[]));
     note("POST /fleet/leave/GOES", &post(cluster, leader, &format!("/fleet/leave/b{goes}")));
     eventually("it says so itself", || cluster.fleet_status(goes).contains(" removed\n"));
     // Whether it still hears the leader, and whether it took its own removal in, is a matter of moments.
@@ -412,7 +412,7 @@
     for path in ["/drain/s-1-1", "/undrain/s-1-1", "/zone/z-1/leave", "/fleet/vote/b0"] {
         note(&format!("it has left, POST {path}"), &post(cluster, goes, path));
     }
-    note("it has left, fleet recover", &recover(cluster.daemons[goes].store, &[]));
+    note("it has left, fleet recover", &recover(cluster.nodes[goes].store_address, &[]));
     cluster.kill(goes);
     eventually("the others know", || cluster.fleet_status(stays).contains("\nremoved "));
     assert_eq!(cluster.post(stays, "/drain/s-1-2"), 200);
@@ -422,14 +422,14 @@
     for path in ["/drain/s-1-1", "/undrain/s-1-2", "/zone/z-1/leave"] {
         note(&format!("no majority, POST {path}"), &post(cluster, stays, path));
     }
-    let wish = post(cluster, stays, &format!("/fleet/leave/{}", cluster.daemons[leader].name));
+    let wish = post(cluster, stays, &format!("/fleet/leave/{}", cluster.nodes[leader].name));
     note("no majority, POST /fleet/leave/LEADER", &wish);
     note("no majority, GET /fleet", &shapes(&cluster.fleet_status(stays)));
     eventually("the other one is not heard", || {
-        body(cluster.daemons[stays].store, "/fleet/recover").contains("is not heard")
+        body(cluster.nodes[stays].store_address, "/fleet/recover").contains("is not heard")
     });
-    note("no majority, fleet recover", &recover(cluster.daemons[stays].store, &[]));
-    note("no majority, fleet recover --yes", &recover(cluster.daemons[stays].store, &["--yes"]));
+    note("no majority, fleet recover", &recover(cluster.nodes[stays].store_address, &[]));
+    note("no majority, fleet recover --yes", &recover(cluster.nodes[stays].store_address, &["--yes"]));
     eventually("it goes on alone", || cluster.fleet_status(stays).contains(" leads\n"));
     golden("answers-shrinking-fleet.txt", &text);
 }
@@ -471,7 +471,7 @@
         holds.iter().any(|host| host.came.try_iter().any(|came| came.contains("query=hold")))
     });
     one.daemon.signal("-TERM");
-    one.daemon.line("SIGTERM");
+    one.daemon.line(log_lines::SIGTERM_RECEIVED);
     t.call("GET", "/v1/readyz");
     t.call("PUT", "/v1/pooler/activate");
     t.call("PUT", "/v1/pooler/drain");
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -3,9 +3,9 @@
 
 mod old_node;
 
-use brookpass_testkit::process::Process;
-use brookpass_testkit::relay::Relay;
-use brookpass_testkit::{eventually, http};
+use brookpass_testkit::process::{ClockOffset, Process};
+use brookpass_testkit::relay::{Relay, RelayProtocol};
+use brookpass_testkit::{eventually, http, log_lines};
 use old_node::OldNode;
 use std::fs;
 use std::net::SocketAddr;
@@ -55,18 +55,18 @@
         fs::write(folder.join("hosts.csv"), hosts).unwrap();
         let program = Path::new(env!("CARGO_BIN_EXE_brookpass"));
         let file = folder.join("operator.yaml");
-        let process = Process::start(program, &["--operator", &file.to_string_lossy()], 0);
-        let store = process.wait_for_address("store at http://");
+        let process = Process::start(program, &["--operator", &file.to_string_lossy()], ClockOffset::NONE);
+        let store = process.wait_for_address(log_lines::STORE_LISTENING);
         relay.set_target(store);
         NewNode { process, store }
     }
 
     fn get(&self, path: &str) -> String {
-        http::call(self.store, "GET", path).map_or(String::new(), |answer| answer.text())
+        http::get_text(self.store, path)
     }
 
     fn post(&self, path: &str) -> u16 {
-        http::call(self.store, "POST", path).map_or(0, |answer| answer.status())
+        http::post_status(self.store, path)
     }
 
     fn wait_for_voters(&self, voters: usize) {
@@ -98,7 +98,7 @@
 fn one_new_daemon_and_two_old_ones_agree_on_drains() {
     let folder = folder("two-old");
     let old = [OldNode::start(0x0b1, "b1"), OldNode::start(0x0b2, "b2")];
-    let relay = Relay::start(NOWHERE, false);
+    let relay = Relay::start(NOWHERE, RelayProtocol::Bytes);
     let new = NewNode::start(&folder, 0, &relay, &[old[0].address, old[1].address]);
     old.iter().for_each(|node| node.link_to(relay.address));
     new.wait_for_voters(3);
@@ -118,7 +118,7 @@
 fn two_new_daemons_and_an_old_one_agree_on_drains_and_on_a_leader() {
     let folder = folder("one-old");
     let old = OldNode::start(0x0b2, "b2");
-    let relays = [Relay::start(NOWHERE, false), Relay::start(NOWHERE, false)];
+    let relays = [Relay::start(NOWHERE, RelayProtocol::Bytes), Relay::start(NOWHERE, RelayProtocol::Bytes)];
     let start = |n: usize| NewNode::start(&folder, n, &relays[n], &[relays[1 - n].address, old.address]);
     let mut new = [start(0), start(1)];
     relays.iter().for_each(|relay| old.link_to(relay.address));
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -403,7 +403,7 @@
     client.send(&pg_query(&write("1", 2_000, ",k=1")));
     eventually("the primary has the write", || p.count() == 1);
     s.daemon.signal("-TERM");
-    s.daemon.line("draining");
+    s.daemon.line(log_lines::DRAINING);
     assert_eq!(idle.ask(&read("2", 1000)).value.as_deref(), Some(&b"replica"[..]), "taken after SIGTERM");
     go.send(()).unwrap();
     assert_eq!(client.answer().unwrap().value.as_deref(), Some(&b"late"[..]));
@@ -430,7 +430,7 @@
     std::fs::write(&s.config, config("127.0.0.1:0", moved.address, SETTINGS)).unwrap();
     // The old discovery holds a watch open all the while and says nothing.
     s.daemon.signal("-HUP");
-    s.daemon.line("SIGHUP: discovery at");
+    s.daemon.line(log_lines::DISCOVERY_RELOADED);
     moved.wait_for_watch();
     let mut second = PgClient::connect(s.address);
     for n in 2..12 {
@@ -438,14 +438,14 @@
     }
     std::fs::write(&s.config, "{\"name\":7}").unwrap();
     s.daemon.signal("-HUP");
-    let line = s.daemon.line("the last good configuration stays");
+    let line = s.daemon.line(log_lines::CONFIGURATION_KEPT);
     assert!(line.contains("name is no text"), "{line}");
     moved.publish(&[endpoint("other", other.address, 1, "active")]);
     go.send(()).unwrap();
     assert_eq!(client.answer().unwrap().value.as_deref(), Some(&b"late"[..]));
     s.daemon.signal("-TERM");
     s.daemon.signal("-HUP");
-    s.daemon.line("the last good configuration stays");
+    s.daemon.line(log_lines::CONFIGURATION_KEPT);
     assert!(s.daemon.wait().success());
 }
 
--- a/tests/shutdown_orders.rs
+++ b/tests/shutdown_orders.rs
@@ -38,7 +38,7 @@
     let (first, rest) = query.split_at(query.len() / 2);
     half.send(first);
     s.daemon.signal("-TERM");
-    s.daemon.line("draining");
+    s.daemon.line(log_lines::DRAINING);
     assert_eq!(idle.answer(), None, "idle connections end");
     half.send(rest);
     assert!(half.answer().expect("an answer").value.is_some());
@@ -54,7 +54,7 @@
     let mut s = one_of_two(&both(&p, &r));
     drop(served(&s));
     s.daemon.signal("-TERM");
-    s.daemon.line("draining");
+    s.daemon.line(log_lines::DRAINING);
     s.daemon.signal("-STOP");
     let clients: Vec<PgClient> = (0..20)
         .map(|n| {
@@ -82,7 +82,7 @@
     let mut client = served(&s);
     let before = p.count() + r.count();
     s.daemon.signal("-TERM");
-    s.daemon.line("draining");
+    s.daemon.line(log_lines::DRAINING);
     assert_eq!(client.stream.read(&mut [0; 64]).unwrap(), 0, "the write side was shut");
     for n in 0..200 {
         client.send(&pg_query(&read(&format!("late-{n}"), 1_000)));
@@ -174,7 +174,7 @@
     let mut s = one_of_two(&[endpoint("p", host.address, 1, "active")]);
     let mut client = PgClient::connect(s.address);
     s.daemon.signal("-TERM");
-    s.daemon.line("draining");
+    s.daemon.line(log_lines::DRAINING);
     client.send(&pg_query(&write("again", 1_500, ",k=1")));
     assert_eq!(client.answer().unwrap().value.as_deref(), Some(&b"second"[..]));
     assert_eq!(*sent.lock().unwrap(), 2);
@@ -194,7 +194,7 @@
     std::fs::write(&path, config(&address.to_string(), discovery.address, SETTINGS)).unwrap();
     let start = || {
         let mut daemon = Daemon::start(&[], &[("GW_CONFIG", path.to_str().unwrap())]);
-        daemon.line("waiting for it");
+        daemon.line(log_lines::DISCOVERY_AWAITED);
         daemon
     };
     let mut ended = start();
@@ -202,7 +202,7 @@
     assert!(ended.wait().success());
     let mut daemon = start();
     drop(held);
-    daemon.line("clients at ");
+    daemon.line(log_lines::POSTGRES_LISTENING);
     assert!(PgClient::connect(address).ask(&read("1", 1_000)).value.is_some());
 }
 
@@ -214,7 +214,7 @@
     let mut s = one_of_two(&both(&p, &r));
     let mut client = served(&s);
     s.daemon.signal("-TERM");
-    s.daemon.line("draining");
+    s.daemon.line(log_lines::DRAINING);
     let ahead: Vec<u8> = (0..40).flat_map(|n| pg_query(&read(&format!("ahead-{n}"), 2_000))).collect();
     client.send(&ahead);
     for n in 0..40 {
--- a/tests/sparql.rs
+++ b/tests/sparql.rs
@@ -47,7 +47,7 @@
     let mut writer = stream.try_clone().ok()?;
     let mut reader = BufReader::new(stream);
     while let Some(request) = read_http(&mut reader) {
-        let probe = request.first.contains("ASK%20%7B%7D ");
+        let probe = request.first_line.contains("ASK%20%7B%7D ");
         if !probe {
             seen.lock().unwrap().push(request.clone());
         }
@@ -170,8 +170,8 @@
 fn start(folder: &Path) -> Running {
     let file = folder.join("operator.yaml");
     let mut daemon = Daemon::start(&["--operator", file.to_str().unwrap()], &[]);
-    let store = daemon.address("store at http://");
-    let front = daemon.address("SPARQL at http://");
+    let store = daemon.address(log_lines::STORE_LISTENING);
+    let front = daemon.address(log_lines::SPARQL_LISTENING);
     eventually("ready", || call(front, "GET /-/ready HTTP/1.1\r\n\r\n").status() == 200);
     Running { daemon, store, front }
 }
@@ -196,8 +196,9 @@
 fn the_operators_door_counts_drains_and_brings_back_the_sparql_front() {
     let primary = Host::plain(true, 0);
     let mut running = start(&files("door", &[("p", primary.address)], &[]));
-    let door = running.daemon.seen.iter().find_map(|l| l.split("operators at http://").nth(1)?.parse().ok());
-    let door: SocketAddr = door.unwrap_or_else(|| running.daemon.address("operators at http://"));
+    let door =
+        running.daemon.seen.iter().find_map(|l| l.split(log_lines::ADMIN_LISTENING).nth(1)?.parse().ok());
+    let door: SocketAddr = door.unwrap_or_else(|| running.daemon.address(log_lines::ADMIN_LISTENING));
     let call_door = |method: &str, path: &str| call(door, &format!("{method} {path} HTTP/1.1\r\n\r\n"));
     let mut client = HttpClient::connect(running.front);
     assert_eq!(client.call(&query("")).status(), 200);
@@ -315,7 +316,7 @@
         assert_eq!(answer.body, b"a,b\r\n");
         assert!(answer.header("brookpass-position").is_some() && answer.header("brookpass-load").is_none());
         let seen = host.operations.lock().unwrap().last().cloned().unwrap();
-        assert_eq!(seen.first, text.lines().next().unwrap());
+        assert_eq!(seen.first_line, text.lines().next().unwrap());
         assert_eq!(seen.text(), text.split("\r\n\r\n").nth(1).unwrap());
         let write = seen.header("content-type").is_some_and(|_| class == "score-write");
         assert_eq!(write, class == "score-write", "{text}");
@@ -412,10 +413,10 @@
     let host = Host::start(true, 0, move |_| Some(Does::Long(SIZE, whole.load(Ordering::SeqCst))));
     let running = start(&files("long", &[("p", host.address)], &[]));
     let answer = call(running.front, &update(""));
-    assert_eq!((answer.status(), answer.body.len(), answer.whole), (200, SIZE, true));
+    assert_eq!((answer.status(), answer.body.len(), answer.is_complete), (200, SIZE, true));
     ends.store(false, Ordering::SeqCst);
     let answer = call(running.front, &update(""));
-    assert_eq!((answer.status(), answer.whole), (200, false));
+    assert_eq!((answer.status(), answer.is_complete), (200, false));
     assert!(answer.body.len() < SIZE);
     // One that is short enough to be held back is never begun: the client gets a status instead.
     let short = Host::start(true, 0, |_| Some(Does::Long(1000, false)));
@@ -486,7 +487,7 @@
     let file = folder.join("hosts.csv");
     std::fs::write(&file, "name,address,group\ntwo,nowhere,1\n").unwrap();
     running.daemon.signal("-HUP");
-    let line = running.daemon.line("the last good inventory stays");
+    let line = running.daemon.line(log_lines::INVENTORY_KEPT);
     assert!(line.contains("hosts.csv: line 2"), "{line}");
     assert_eq!(names(&running), ["one"]);
     std::fs::write(&file, inventory(&[("one", one.address), ("two", two.address)])).unwrap();
@@ -550,7 +551,11 @@
     let bytes = std::fs::read(&snapshot).unwrap();
     std::fs::write(&snapshot, &bytes[..bytes.len() / 2]).unwrap();
     let mut anew = start(&folder);
-    assert!(anew.daemon.seen.iter().any(|l| l.contains("set aside as")), "{:?}", anew.daemon.seen);
+    assert!(
+        anew.daemon.seen.iter().any(|l| l.contains(log_lines::STORE_SET_ASIDE_AS)),
+        "{:?}",
+        anew.daemon.seen
+    );
     assert!(folder.join("b1.store.damaged").exists());
     anew.daemon.signal("-KILL");
     anew.daemon.wait();
@@ -570,7 +575,7 @@
     let good = std::fs::read_to_string(&file).unwrap();
     let starts = |why: &str| {
         let mut daemon = Daemon::start(&["--operator", file.to_str().unwrap()], &[]);
-        let line = daemon.line("ERROR");
+        let line = daemon.line(log_lines::ERROR_LEVEL);
         assert!(line.contains(why), "{line}");
         assert!(!daemon.wait().success());
     };
@@ -609,7 +614,7 @@
     client.send(&update(""));
     eventually("the host has it", || count.load(Ordering::SeqCst) == 1);
     running.daemon.signal("-TERM");
-    running.daemon.line("draining");
+    running.daemon.line(log_lines::DRAINING);
     hold.store(false, Ordering::SeqCst);
     assert_eq!(client.receive().status(), 200);
     assert!(running.daemon.wait().success());
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -138,7 +138,8 @@
 
 // ---- HTTP ----
 
-pub use brookpass_testkit::http::{Message as Http, read_part as read_http};
+pub use brookpass_testkit::http::{Message as Http, read_partial as read_http};
+pub use brookpass_testkit::log_lines;
 
 pub struct HttpClient {
     pub reader: BufReader<TcpStream>,
@@ -205,7 +206,7 @@
                 let (lock, changed) = &*shared;
                 let mut told = lock.lock().unwrap();
                 let after = request
-                    .first
+                    .first_line
                     .split("after=")
                     .nth(1)
                     .and_then(|t| t.split(['&', ' ']).next()?.parse().ok());
@@ -290,7 +291,7 @@
         let address = listen(move |stream| {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
             while let Some(request) = read_http(&mut reader) {
-                let target = request.first.split(' ').nth(1).unwrap().to_string();
+                let target = request.first_line.split(' ').nth(1).unwrap().to_string();
                 let (next, answered) = channel();
                 let (came, stream) = (Instant::now(), stream.try_clone().unwrap());
                 if send.lock().unwrap().send(DiscoveryCall { target, came, stream, _next: next }).is_err() {
--- a/tests/stand_in/platform.rs
+++ b/tests/stand_in/platform.rs
@@ -47,7 +47,7 @@
 /// The program on a configuration, and where clients find it.
 pub fn daemon_on(config: &std::path::Path) -> (Daemon, SocketAddr) {
     let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config.to_str().unwrap())]);
-    let address = daemon.address("clients at ");
+    let address = daemon.address(log_lines::POSTGRES_LISTENING);
     (daemon, address)
 }
 
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -14,8 +14,8 @@
 use brookpass::store::storage::{Disk, Held};
 use brookpass::store::store_thread::{self, Input, Output};
 use brookpass::time::Timestamp;
-use brookpass_testkit::process::Process;
-use brookpass_testkit::{eventually, http, now};
+use brookpass_testkit::process::{ClockOffset, Process};
+use brookpass_testkit::{eventually, http, log_lines};
 use raft::eraftpb;
 use redb::Database;
 use std::fs;
@@ -294,13 +294,13 @@
     let path = copy(&folder, "fleet.store", true);
     // What was learned is worth nothing after an hour: here it was written now.
     let mut learned = saved();
-    learned.at.wall = Timestamp::from_micros(now());
+    learned.at.wall = Timestamp::from_micros(brookpass_testkit::Timestamp::now().as_micros());
     put(&path, "learned", &records::write(&records::write(&learned)));
     let file = folder.join("operator.yaml");
     fs::write(&file, OPERATOR).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_brookpass"));
-    let mut process = Process::start(program, &["--operator", &file.to_string_lossy()], 0);
-    let store = process.wait_for_address("store at http://");
+    let mut process = Process::start(program, &["--operator", &file.to_string_lossy()], ClockOffset::NONE);
+    let store = process.wait_for_address(log_lines::STORE_LISTENING);
     let get = |path: &str| {
         let answer = http::call(store, "GET", path).unwrap();
         assert_eq!(answer.status(), 200);
@@ -362,7 +362,7 @@
     assert!(learned.starts_with("group 1 guess s-1-0 from before this start, "), "{learned}");
     assert_eq!(learned.lines().count(), 1, "{learned}");
     // The services that the operator's file asks for are named by the agreed settings only.
-    process.wait_for_line("serving with what was last agreed");
+    process.wait_for_line(log_lines::SERVING_WITHOUT_MAJORITY);
     assert!(process.is_running());
     drop(process);
     fs::remove_dir_all(folder).unwrap();
