--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -124,6 +124,7 @@
     .collect()
 }
 
+#[expect(clippy::too_many_lines, reason = "a table: one value of each variant")]
 fn changes() -> Vec<(&'static str, PeerMessage)> {
     let drains = vec![DrainId { node: NodeId(5), sequence: 6 }, DrainId { node: NodeId(7), sequence: 800 }];
     let record = |address: &str, leaving, started_at| HostRecord {
--- a/tests/discovery_orders.rs
+++ b/tests/discovery_orders.rs
@@ -2,6 +2,7 @@
 
 mod stand_in;
 
+use brookpass_testkit::log_lines;
 use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{
     DiscoveryCall, ScriptedDiscoveryServer, changes_json, endpoint_json, snapshot_json,
@@ -297,7 +298,7 @@
     }
     let third_server = ScriptedDiscoveryServer::start();
     std::fs::write(&pooler.config_path, config("127.0.0.1:0", third_server.address, SETTINGS)).unwrap();
-    pooler.daemon.wait_for_log("SIGHUP: discovery at");
+    pooler.daemon.wait_for_log(log_lines::DISCOVERY_RELOADED);
     let moved_at = Instant::now();
     pooler.daemon.signal("-HUP");
     third_server.next_call().close();
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -2,6 +2,7 @@
 
 mod stand_in;
 
+use brookpass_testkit::log_lines;
 use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{DiscoveryServer, endpoint_json};
 use stand_in::http::{HttpClient, HttpMessage, call, read_http_message};
@@ -95,8 +96,8 @@
     let config_path = test_directory("door").join("config.json");
     std::fs::write(&config_path, config(discovery.address, ADMIN_ON_ANY_PORT)).unwrap();
     let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-    let client_address = daemon.wait_for_address("clients at ");
-    let admin = AdminServer { address: daemon.wait_for_address("operators at http://") };
+    let client_address = daemon.wait_for_address(log_lines::POSTGRES_LISTENING);
+    let admin = AdminServer { address: daemon.wait_for_address(log_lines::ADMIN_LISTENING) };
     discovery.wait_for_watch();
     RunningPooler { daemon, client_address, admin, discovery, group }
 }
@@ -221,11 +222,11 @@
     let config_path = test_directory("door").join("config.json");
     std::fs::write(&config_path, config(discovery.address, "")).unwrap();
     let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-    daemon.wait_for_log("of long messages");
+    daemon.wait_for_log(log_lines::LONG_MESSAGES_LIMITED);
     discovery.wait_for_watch();
     daemon.signal("-TERM");
     assert!(daemon.wait_for_exit().success());
-    daemon.wait_for_log("drained");
+    daemon.wait_for_log(log_lines::DRAINED);
     let names_admin_server = daemon.log_lines.iter().any(|line| line.contains("operators"));
     assert!(!names_admin_server, "{:?}", daemon.log_lines);
 }
@@ -276,7 +277,7 @@
     pooler.group.send_write(&mut busy, "1", 11);
     assert_eq!(pooler.admin.status("PUT", "/v1/pooler/drain"), 200);
     pooler.daemon.signal("-TERM");
-    pooler.daemon.wait_for_log("SIGTERM");
+    pooler.daemon.wait_for_log(log_lines::SIGTERM_RECEIVED);
     assert_eq!(pooler.admin.status("PUT", "/v1/pooler/activate"), 409);
     assert_eq!(pooler.admin.status("PUT", "/v1/pooler/drain"), 200);
     assert_eq!(pooler.admin.status("GET", "/v1/readyz"), 503);
@@ -318,16 +319,16 @@
     let socket = inheritable_listener();
     let client_address = socket.local_addr().unwrap();
     let mut old = start_on_inherited_socket(&socket, &config_path);
-    let old_admin = AdminServer { address: old.wait_for_address("operators at http://") };
+    let old_admin = AdminServer { address: old.wait_for_address(log_lines::ADMIN_LISTENING) };
     eventually("the old one says yes", || old_admin.is_ready());
     let mut client = PostgresClient::connect(client_address);
     group.send_write(&mut client, "1", 11);
     let mut new = start_on_inherited_socket(&socket, &config_path);
-    new.wait_for_log("once it is free");
-    let new_admin = AdminServer { address: new.wait_for_address("operators at http://") };
+    new.wait_for_log(log_lines::ADMIN_ADDRESS_BUSY);
+    let new_admin = AdminServer { address: new.wait_for_address(log_lines::ADMIN_LISTENING) };
     eventually("the new one says yes", || new_admin.is_ready());
     old.signal("-TERM");
-    old.wait_for_log("SIGTERM");
+    old.wait_for_log(log_lines::SIGTERM_RECEIVED);
     for number in 2..20 {
         let read = read_statement(&number.to_string(), DEADLINE_MS);
         let response = PostgresClient::connect(client_address).query(&read);
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -5,7 +5,8 @@
 
 use brookpass::fleet::zones::ZoneHealth;
 use brookpass::store::zone_weights::WeightReason;
-use brookpass_lab::fleet::{Lab, Setup};
+use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
+use brookpass_testkit::log_lines;
 use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{endpoint_json, snapshot_json};
 use stand_in::http::{HttpClient, call};
@@ -200,8 +201,8 @@
     let file = folder.join("operator.yaml");
     std::fs::write(&file, text).unwrap();
     let mut daemon = Daemon::start(&["--operator", file.to_str().unwrap()], &[]);
-    let store = daemon.wait_for_address("store at http://");
-    let front = daemon.wait_for_address("SPARQL at http://");
+    let store = daemon.wait_for_address(log_lines::STORE_LISTENING);
+    let front = daemon.wait_for_address(log_lines::SPARQL_LISTENING);
     One { daemon, store, front, door: None, primary, replica }
 }
 
@@ -213,7 +214,7 @@
     /// One that serves all groups.
     fn served() -> One {
         let mut one = one(&[]);
-        one.door = Some(one.daemon.wait_for_address("operators at http://"));
+        one.door = Some(one.daemon.wait_for_address(log_lines::ADMIN_LISTENING));
         eventually("it serves", || one.is_ready());
         eventually("its own file is agreed", || {
             let text = body(one.store, "/fleet");
@@ -368,10 +369,10 @@
     golden("answers-without-a-fleet.txt", &(without_times(&t.text) + "\n"));
 }
 
-fn lab(daemons: usize) -> Lab {
+fn cluster(daemons: usize) -> TestCluster {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    let setup = Setup { daemons, hosts: (1, 3), ..Setup::default() };
-    Lab::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
+    let setup = ClusterConfig { nodes: daemons, groups: 1, ..ClusterConfig::default() };
+    TestCluster::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
 }
 
 fn recover(at: SocketAddr, more: &[&str]) -> String {
@@ -385,59 +386,59 @@
 /// Guards against words that change for whoever has to act while daemons leave, are gone, or no majority is left.
 #[test]
 fn a_fleet_of_three_that_shrinks_answers_as_the_golden_text_says() {
-    let lab = &mut lab(3);
-    lab.start_all();
-    let leader = lab.led();
+    let cluster = &mut cluster(3);
+    cluster.start_all();
+    let leader = cluster.wait_for_leader();
     let rest: Vec<usize> = (0..3).filter(|n| *n != leader).collect();
     let (stays, goes) = (rest[0], rest[1]);
-    let ready = |lab: &Lab, n: usize| {
-        let text = lab.fleet(n);
+    let ready = |cluster: &TestCluster, n: usize| {
+        let text = cluster.fleet_status(n);
         text.contains("recovery done")
             && text.contains("its own file says the same")
             && !text.contains("never heard")
             && text.lines().all(|l| !l.starts_with("member ") || !l.ends_with(" leader none"))
     };
     for n in 0..3 {
-        eventually("it has come to rest", || ready(lab, n));
+        eventually("it has come to rest", || ready(cluster, n));
     }
     let mut text = String::new();
     let mut note = |what: &str, answer: &str| text += &format!("> {what}\n{}\n\n", answer.trim_end());
-    let post = |lab: &Lab, n: usize, path: &str| {
-        let answer = exchange(lab.daemons[n].store, &request("POST", path)).replace("\r\n", "\n");
-        answer.replace(&lab.daemons[n].name, "NAME").replace(&lab.daemons[goes].name, "GOES")
+    let post = |cluster: &TestCluster, n: usize, path: &str| {
+        let answer = exchange(cluster.nodes[n].store_address, &request("POST", path)).replace("\r\n", "\n");
+        answer.replace(&cluster.nodes[n].name, "NAME").replace(&cluster.nodes[goes].name, "GOES")
     };
-    note("the leader, GET /fleet", &shapes(&lab.fleet(leader)));
-    note("another one, GET /fleet", &shapes(&lab.fleet(stays)));
-    note("a majority is there, fleet recover", &recover(lab.daemons[stays].store, &[]));
-    note("POST /fleet/leave/GOES", &post(lab, leader, &format!("/fleet/leave/b{goes}")));
-    eventually("it says so itself", || lab.fleet(goes).contains(" removed\n"));
+    note("the leader, GET /fleet", &shapes(&cluster.fleet_status(leader)));
+    note("another one, GET /fleet", &shapes(&cluster.fleet_status(stays)));
+    note("a majority is there, fleet recover", &recover(cluster.nodes[stays].store_address, &[]));
+    note("POST /fleet/leave/GOES", &post(cluster, leader, &format!("/fleet/leave/b{goes}")));
+    eventually("it says so itself", || cluster.fleet_status(goes).contains(" removed\n"));
     // Whether it still hears the leader, and whether it took its own removal in, is a matter of moments.
-    let left = lab.fleet(goes).replace("\nleader none ", "\nleader b0 ");
+    let left = cluster.fleet_status(goes).replace("\nleader none ", "\nleader b0 ");
     let left: Vec<&str> =
         left.lines().filter(|l| !l.starts_with("member ") && !l.starts_with("removed ")).collect();
     note("it has left, GET /fleet without members", &shapes(&left.join("\n")));
     for path in ["/drain/s-1-1", "/undrain/s-1-1", "/zone/z-1/leave", "/fleet/vote/b0"] {
-        note(&format!("it has left, POST {path}"), &post(lab, goes, path));
+        note(&format!("it has left, POST {path}"), &post(cluster, goes, path));
     }
-    note("it has left, fleet recover", &recover(lab.daemons[goes].store, &[]));
-    lab.kill(goes);
-    eventually("the others know", || lab.fleet(stays).contains("\nremoved "));
-    assert_eq!(lab.post(stays, "/drain/s-1-2"), 200);
-    lab.settled();
-    lab.kill(leader);
-    eventually("no majority is known", || lab.fact(stays, "leader") == "none");
+    note("it has left, fleet recover", &recover(cluster.nodes[goes].store_address, &[]));
+    cluster.kill(goes);
+    eventually("the others know", || cluster.fleet_status(stays).contains("\nremoved "));
+    assert_eq!(cluster.post(stays, "/drain/s-1-2"), 200);
+    cluster.wait_until_caught_up();
+    cluster.kill(leader);
+    eventually("no majority is known", || cluster.fleet_field(stays, "leader") == "none");
     for path in ["/drain/s-1-1", "/undrain/s-1-2", "/zone/z-1/leave"] {
-        note(&format!("no majority, POST {path}"), &post(lab, stays, path));
+        note(&format!("no majority, POST {path}"), &post(cluster, stays, path));
     }
-    let wish = post(lab, stays, &format!("/fleet/leave/{}", lab.daemons[leader].name));
+    let wish = post(cluster, stays, &format!("/fleet/leave/{}", cluster.nodes[leader].name));
     note("no majority, POST /fleet/leave/LEADER", &wish);
-    note("no majority, GET /fleet", &shapes(&lab.fleet(stays)));
+    note("no majority, GET /fleet", &shapes(&cluster.fleet_status(stays)));
     eventually("the other one is not heard", || {
-        body(lab.daemons[stays].store, "/fleet/recover").contains("is not heard")
+        body(cluster.nodes[stays].store_address, "/fleet/recover").contains("is not heard")
     });
-    note("no majority, fleet recover", &recover(lab.daemons[stays].store, &[]));
-    note("no majority, fleet recover --yes", &recover(lab.daemons[stays].store, &["--yes"]));
-    eventually("it goes on alone", || lab.fleet(stays).contains(" leads\n"));
+    note("no majority, fleet recover", &recover(cluster.nodes[stays].store_address, &[]));
+    note("no majority, fleet recover --yes", &recover(cluster.nodes[stays].store_address, &["--yes"]));
+    eventually("it goes on alone", || cluster.fleet_status(stays).contains(" leads\n"));
     golden("answers-shrinking-fleet.txt", &text);
 }
 
@@ -478,7 +479,7 @@
         holds.iter().any(|host| host.came.try_iter().any(|came| came.contains("query=hold")))
     });
     one.daemon.signal("-TERM");
-    one.daemon.wait_for_log("SIGTERM");
+    one.daemon.wait_for_log(log_lines::SIGTERM_RECEIVED);
     t.call("GET", "/v1/readyz");
     t.call("PUT", "/v1/pooler/activate");
     t.call("PUT", "/v1/pooler/drain");
@@ -502,6 +503,7 @@
 
 /// Guards against a header that clients and hosts of the version before do not know, or that is left out.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one conversation, written down in its order")]
 fn requests_and_answers_pass_between_clients_and_hosts_with_the_golden_headers() {
     let one = One::served();
     let probe = one.primary.came.recv_timeout(DEFAULT_TIMEOUT).unwrap();
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -201,6 +201,7 @@
 /// Guards against a key of the operator's file that is read into another field, with another default path or in
 /// another unit, and against settings that reach the fleet's store as other pairs.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a list: one assertion for each key")]
 fn every_key_of_the_operators_file_is_read_into_its_field() {
     let path = fixture("operator-every-key.yaml");
     let OperatorConfig {
--- a/tests/platform/signals.rs
+++ b/tests/platform/signals.rs
@@ -9,6 +9,7 @@
 use super::stand_in::postgres::client::{PostgresClient, row_of};
 use super::stand_in::postgres::endpoint::{PostgresEndpoint, Reply, release_channel};
 use super::stand_in::waiting::eventually;
+use brookpass_testkit::log_lines;
 
 /// Guards against requests lost at a planned restart.
 #[test]
@@ -24,7 +25,7 @@
     client.send_query(&keyed_write_statement("1", 2_000, 1));
     eventually("the primary has the write", || group.primary.statement_count() == 1);
     pooler.daemon.signal("-TERM");
-    pooler.daemon.wait_for_log("draining");
+    pooler.daemon.wait_for_log(log_lines::DRAINING);
     assert_eq!(idle.query(&read_statement("2", 1000)).value, row_of(b"replica"), "taken after SIGTERM");
     release.send(()).unwrap();
     assert_eq!(client.receive().unwrap().value, row_of(b"late"));
@@ -54,7 +55,7 @@
     std::fs::write(&pooler.config_path, config("127.0.0.1:0", new_discovery.address, SETTINGS)).unwrap();
     // The old discovery server holds a watch open meanwhile and does not answer it.
     pooler.daemon.signal("-HUP");
-    pooler.daemon.wait_for_log("SIGHUP: discovery at");
+    pooler.daemon.wait_for_log(log_lines::DISCOVERY_RELOADED);
     new_discovery.wait_for_watch();
     let mut second_client = PostgresClient::connect(pooler.address);
     for number in 2..12 {
@@ -63,14 +64,14 @@
     }
     std::fs::write(&pooler.config_path, "{\"name\":7}").unwrap();
     pooler.daemon.signal("-HUP");
-    let line = pooler.daemon.wait_for_log("the last good configuration stays");
+    let line = pooler.daemon.wait_for_log(log_lines::CONFIGURATION_KEPT);
     assert!(line.contains("name is no text"), "{line}");
     new_discovery.publish(&[endpoint_json("other", new_replica.address, 1, "active")]);
     release.send(()).unwrap();
     assert_eq!(client.receive().unwrap().value, row_of(b"late"));
     pooler.daemon.signal("-TERM");
     pooler.daemon.signal("-HUP");
-    pooler.daemon.wait_for_log("the last good configuration stays");
+    pooler.daemon.wait_for_log(log_lines::CONFIGURATION_KEPT);
     assert!(pooler.daemon.wait_for_exit().success());
 }
 
--- a/tests/shutdown_orders.rs
+++ b/tests/shutdown_orders.rs
@@ -2,6 +2,7 @@
 
 mod stand_in;
 
+use brookpass_testkit::log_lines;
 use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{DiscoveryServer, endpoint_json};
 use stand_in::platform::{
@@ -36,7 +37,7 @@
 /// Sends SIGTERM and waits until the program drains.
 fn begin_shutdown(pooler: &mut RunningPooler) {
     pooler.daemon.signal("-TERM");
-    pooler.daemon.wait_for_log("draining");
+    pooler.daemon.wait_for_log(log_lines::DRAINING);
 }
 
 /// Checks that a read has an answer. A read that would queue for too long is rejected: that is an answer too.
@@ -217,7 +218,7 @@
     std::fs::write(&config_path, config(&address.to_string(), discovery.address, SETTINGS)).unwrap();
     let start_waiting_daemon = || {
         let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-        daemon.wait_for_log("waiting for it");
+        daemon.wait_for_log(log_lines::DISCOVERY_AWAITED);
         daemon
     };
     let mut stopped = start_waiting_daemon();
@@ -225,7 +226,7 @@
     assert!(stopped.wait_for_exit().success());
     let mut daemon = start_waiting_daemon();
     drop(previous_listener);
-    daemon.wait_for_log("clients at ");
+    daemon.wait_for_log(log_lines::POSTGRES_LISTENING);
     assert!(PostgresClient::connect(address).query(&read_statement("1", 1_000)).value.is_some());
 }
 
--- a/tests/sparql/answers.rs
+++ b/tests/sparql/answers.rs
@@ -41,7 +41,7 @@
         let has_load = answer.header("brookpass-load").is_some();
         assert!(has_position && !has_load);
         let forwarded = endpoint.last_operation();
-        assert_eq!(forwarded.first, request.lines().next().unwrap());
+        assert_eq!(forwarded.first_line, request.lines().next().unwrap());
         assert_eq!(forwarded.text(), request.split("\r\n\r\n").nth(1).unwrap());
         let is_write = class == "score-write";
         let is_forwarded_as_write = forwarded.header("content-type").is_some_and(|_| is_write);
@@ -138,10 +138,10 @@
     });
     let pooler = start_pooler(&OperatorFiles::write("long", &[entry("p", endpoint.address)]));
     let answer = pooler.call(&update_request(""));
-    assert_eq!((answer.status(), answer.body.len(), answer.whole), (200, LENGTH, true));
+    assert_eq!((answer.status(), answer.body.len(), answer.is_complete), (200, LENGTH, true));
     is_truncated.store(true, Ordering::SeqCst);
     let answer = pooler.call(&update_request(""));
-    assert_eq!((answer.status(), answer.whole), (200, false));
+    assert_eq!((answer.status(), answer.is_complete), (200, false));
     assert!(answer.body.len() < LENGTH);
     // An answer that is short enough to be buffered is not begun: the client gets an error status instead.
     let endpoint = SparqlEndpoint::primary_replying(|_| Some(Reply::TruncatedAnswer { length: 1000 }));
--- a/tests/sparql/connections.rs
+++ b/tests/sparql/connections.rs
@@ -4,6 +4,7 @@
 use super::pooler::{OperatorFiles, entry, query_request, start_pooler, update_request};
 use super::stand_in::http::{HttpClient, read_http_message};
 use super::stand_in::waiting::{DEFAULT_TIMEOUT, eventually};
+use brookpass_testkit::log_lines;
 use std::io::{Read, Write};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -87,7 +88,7 @@
     client.send(&update_request(""));
     eventually("the host has it", || received_count.load(Ordering::SeqCst) == 1);
     pooler.daemon.signal("-TERM");
-    pooler.daemon.wait_for_log("draining");
+    pooler.daemon.wait_for_log(log_lines::DRAINING);
     is_held.store(false, Ordering::SeqCst);
     assert_eq!(client.receive().status(), 200);
     assert!(pooler.daemon.wait_for_exit().success());
--- a/tests/sparql/endpoint.rs
+++ b/tests/sparql/endpoint.rs
@@ -145,7 +145,7 @@
 
 /// Whether a request is the pooler's health check, `ASK {}`.
 fn is_health_check(request: &HttpMessage) -> bool {
-    request.first.contains("ASK%20%7B%7D ")
+    request.first_line.contains("ASK%20%7B%7D ")
 }
 
 fn is_update(request: &HttpMessage) -> bool {
--- a/tests/sparql/pooler.rs
+++ b/tests/sparql/pooler.rs
@@ -3,6 +3,7 @@
 use super::stand_in::daemon::{Daemon, test_directory};
 use super::stand_in::http::{HttpMessage, call};
 use super::stand_in::waiting::eventually;
+use brookpass_testkit::log_lines;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -87,8 +88,8 @@
 /// Starts the program on these files and waits until it is ready.
 pub fn start_pooler(files: &OperatorFiles) -> RunningPooler {
     let mut daemon = start_daemon(&files.operator_path());
-    let store_address = daemon.wait_for_address("store at http://");
-    let client_address = daemon.wait_for_address("SPARQL at http://");
+    let store_address = daemon.wait_for_address(log_lines::STORE_LISTENING);
+    let client_address = daemon.wait_for_address(log_lines::SPARQL_LISTENING);
     let pooler = RunningPooler { daemon, store_address, client_address };
     eventually("ready", || pooler.readiness() == 200);
     pooler
--- a/tests/stand_in/discovery.rs
+++ b/tests/stand_in/discovery.rs
@@ -40,7 +40,7 @@
 
 /// The index after which a watch asks; `None`: the call asks for the complete list.
 fn watched_index(request: &HttpMessage) -> Option<u64> {
-    let after = request.first.split("after=").nth(1)?;
+    let after = request.first_line.split("after=").nth(1)?;
     after.split(['&', ' ']).next()?.parse().ok()
 }
 
@@ -186,7 +186,7 @@
 fn hand_out_calls(stream: TcpStream, calls: &Mutex<Sender<DiscoveryCall>>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(request) = read_http_message(&mut reader) {
-        let target = request.first.split(' ').nth(1).unwrap().to_string();
+        let target = request.first_line.split(' ').nth(1).unwrap().to_string();
         let (finish_sender, finished) = channel();
         let call = DiscoveryCall {
             target,
--- a/tests/stand_in/http.rs
+++ b/tests/stand_in/http.rs
@@ -4,7 +4,7 @@
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-pub use brookpass_lab::http::{Message as HttpMessage, read_part as read_http_message};
+pub use brookpass_testkit::http::{Message as HttpMessage, read_partial as read_http_message};
 
 /// One connection to an HTTP server.
 pub struct HttpClient {
--- a/tests/stand_in/platform.rs
+++ b/tests/stand_in/platform.rs
@@ -3,6 +3,7 @@
 use super::daemon::{Daemon, test_directory};
 use super::discovery::{DiscoveryServer, endpoint_json};
 use super::postgres::endpoint::{PostgresEndpoint, Reply};
+use brookpass_testkit::log_lines;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -66,7 +67,7 @@
 /// Starts the program on a configuration and waits until it accepts clients.
 pub fn start_daemon(config_path: &Path) -> StartedDaemon {
     let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-    let address = daemon.wait_for_address("clients at ");
+    let address = daemon.wait_for_address(log_lines::POSTGRES_LISTENING);
     StartedDaemon { daemon, address }
 }
 
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -16,8 +16,8 @@
 use brookpass::store::storage::{DurableStorage, NodeValue, OpenedStorage, StoreContents};
 use brookpass::store::store_thread::{self, RunningStore, StoreCommand, StoreEvent};
 use brookpass::time::Timestamp;
-use brookpass_lab::process::Process;
-use brookpass_lab::{eventually, http, now};
+use brookpass_testkit::process::{ClockOffset, Process};
+use brookpass_testkit::{eventually, http, log_lines};
 use raft::eraftpb;
 use redb::Database;
 use std::fs;
@@ -307,18 +307,19 @@
 /// The program on the fixture, without any of its peers: it serves by what was last committed, and drains that are in
 /// its marks or in its log act.
 #[test]
+#[expect(clippy::too_many_lines, reason = "a list: the lines that the program must answer")]
 fn the_program_serves_hosts_drains_members_and_settings_of_an_earlier_builds_store() {
     let folder = folder("program");
     let path = copy(&folder, "fleet.store", true);
     // What was learned is worth nothing after an hour: here it was written now.
     let mut learned = persisted_gossip();
-    learned.written_at.wall = Timestamp::from_micros(now());
+    learned.written_at.wall = Timestamp::from_micros(brookpass_testkit::Timestamp::now().as_micros());
     put(&path, "learned", &codec::encode(&codec::encode(&learned)));
     let file = folder.join("operator.yaml");
     fs::write(&file, OPERATOR).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_brookpass"));
-    let mut process = Process::start(program, &["--operator", &file.to_string_lossy()], 0);
-    let store = process.address("store at http://");
+    let mut process = Process::start(program, &["--operator", &file.to_string_lossy()], ClockOffset::NONE);
+    let store = process.wait_for_address(log_lines::STORE_LISTENING);
     let get = |path: &str| {
         let answer = http::call(store, "GET", path).unwrap();
         assert_eq!(answer.status(), 200);
@@ -380,8 +381,8 @@
     assert!(learned.starts_with("group 1 guess s-1-0 from before this start, "), "{learned}");
     assert_eq!(learned.lines().count(), 1, "{learned}");
     // The services that the operator's file names are described in the committed settings only.
-    process.line("serving with the last agreed state");
-    assert!(process.runs());
+    process.wait_for_line(log_lines::SERVING_WITHOUT_MAJORITY);
+    assert!(process.is_running());
     drop(process);
     fs::remove_dir_all(folder).unwrap();
 }
--- a/tests/stored_records.rs
+++ b/tests/stored_records.rs
@@ -125,6 +125,7 @@
     ]
 }
 
+#[expect(clippy::too_many_lines, reason = "a table: one value of each stored record")]
 fn records() -> Vec<Record> {
     let membership = |steps, comes| MembershipChange { steps, joining: comes };
     let mut all = vec![
