--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -28,7 +28,8 @@
 /// many at the most; the library draws the number at random.
 pub const ELECTION_TICKS: usize = 10;
 
-/// A leader sends heartbeats after this many ticks. Two of them may be lost before a follower starts an election.
+/// A leader sends heartbeats after this many ticks. One of them may be lost without an election, since
+/// 2 times 4 is less than 10.
 pub const HEARTBEAT_TICKS: usize = 4;
 
 /// Entries in one message to a follower: a long log is sent in parts.
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -1,7 +1,7 @@
 //! The durable storage of one node: its identity, the consensus state, pending drains, and what peers and endpoints
 //! have reported.
 //!
-//! A crash-safe embedded database (`redb`) holds two tables. `meta` has one value for each key of [`key`], `log` has
+//! A crash-safe embedded database (`redb`) holds two tables. `meta` has one value for each of the keys in `key`, `log` has
 //! the entries by index. Each value has a checksum of its own, besides those of the database: see [`super::codec`].
 //! Every write is synced before it counts.
 
