--- a/lab/src/endpoint.rs
+++ b/lab/src/endpoint.rs
@@ -33,8 +33,10 @@
 
 /// The share of its capacity that an endpoint has this long after a cold start: it rises linearly up to 1.
 pub fn warm_up_share(since_start: Duration) -> f64 {
-    let progress = since_start.as_secs_f64() / WARM_UP.as_secs_f64();
-    (COLD_START_SHARE + (1.0 - COLD_START_SHARE) * progress).min(1.0)
+    // One division rounds once: the same instants give the same share to the last bit, whatever they were computed from.
+    let seconds = since_start.as_nanos() as f64 / 1e9;
+    let gained = (1.0 - COLD_START_SHARE) * seconds / WARM_UP.as_secs_f64();
+    (COLD_START_SHARE + gained).min(1.0)
 }
 
 /// One operation that reached an endpoint.
