--- a/lab/src/check/tests.rs
+++ b/lab/src/check/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::client::RequestRecord;
 use crate::endpoint::{Arrival, LostCommits};
-use crate::{LogPosition, Timestamp};
+use crate::{LogPosition, Timestamp, log_lines};
 use std::collections::BTreeMap;
 
 const TIMEOUT: Duration = Duration::from_secs(2);
@@ -122,31 +122,33 @@
     assert!(check(ended).is_ok());
 }
 
-fn log(lines: &[&str]) -> NodeLog {
-    lines.iter().map(|line| line.to_string()).collect()
+/// A log line of a node that has entries up to index 5 on its disk.
+fn on_disk(time: &str) -> String {
+    format!("{time} DEBUG {}5 of term 2", log_lines::ENTRIES_ON_DISK)
+}
+
+/// A log line of a node that has applied the entry with index 5.
+fn applied(time: &str, content: &str) -> String {
+    format!("{time} DEBUG {}5 {content}: {}", log_lines::ENTRY_APPLIED, log_lines::ENTRY_SUCCEEDED)
 }
 
 #[test]
 fn sequences_that_differ_go_back_or_lack_a_majority_are_found() {
-    let first =
-        log(&["1.000 DEBUG store: holds 5 of term 2", "1.002 DEBUG fleet: agreed 5 ab: drain x: Done"]);
-    let second =
-        log(&["1.001 DEBUG store: holds 5 of term 2", "1.003 DEBUG fleet: agreed 5 ab: drain x: Done"]);
+    let first = vec![on_disk("1.000"), applied("1.002", "ab: drain x")];
+    let second = vec![on_disk("1.001"), applied("1.003", "ab: drain x")];
     let check = |logs: &[NodeLog], voters| same_committed_sequence(logs, voters);
-    assert_eq!(check(&[first.clone(), second, log(&[])], Some(3)), Ok(1));
-    let only_one_had_it = check(&[first.clone(), log(&[]), log(&[])], Some(3));
+    assert_eq!(check(&[first.clone(), second, vec![]], Some(3)), Ok(1));
+    let only_one_had_it = check(&[first.clone(), vec![], vec![]], Some(3));
     assert!(matches!(only_one_had_it, Err(CheckError::NoMajority { .. })));
-    let late = log(&["1.009 DEBUG store: holds 5 of term 2"]);
-    let second_had_it_later = check(&[first.clone(), late, log(&[])], Some(3));
+    let late = vec![on_disk("1.009")];
+    let second_had_it_later = check(&[first.clone(), late, vec![]], Some(3));
     assert!(matches!(second_had_it_later, Err(CheckError::NoMajority { .. })));
-    let other = log(&["1.003 DEBUG fleet: agreed 5 ac: drain y: Done"]);
+    let other = vec![applied("1.003", "ac: drain y")];
     assert!(matches!(check(&[first, other], None), Err(CheckError::Diverged { .. })));
-    let again = log(&[
-        "1.003 DEBUG fleet: agreed 5 ab: drain x: Done",
-        "1.004 DEBUG fleet: agreed 5 ab: drain x: Done",
-    ]);
+    let again = vec![applied("1.003", "ab: drain x"), applied("1.004", "ab: drain x")];
     let twice = check(std::slice::from_ref(&again), None);
     assert!(matches!(twice, Err(CheckError::OutOfOrder { .. })));
-    let restarted = log(&[&again[0], "1.004 INFO b: store at http://1", &again[1]]);
+    let process_started = format!("1.004 INFO b{}1", log_lines::PROCESS_STARTED);
+    let restarted = vec![again[0].clone(), process_started, again[1].clone()];
     assert!(check(&[restarted], None).is_ok());
 }
