--- a/tests/fleet_recovery_power.rs
+++ b/tests/fleet_recovery_power.rs
@@ -13,6 +13,10 @@
 
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
+/// Ids from here on belong to single writes: the load numbers its requests from 1, one counter for all clusters of the
+/// process.
+const ABOVE_THE_LOADS_REQUEST_IDS: u64 = 80_000_000;
+
 fn cluster(setup: ClusterConfig) -> TestCluster {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
     TestCluster::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
@@ -253,7 +257,7 @@
     others.iter().for_each(|n| cluster.start(*n));
     others.iter().for_each(|n| cluster.wait_until_ready(*n));
     for n in others {
-        let number = 8_000 + n as u64;
+        let number = ABOVE_THE_LOADS_REQUEST_IDS + n as u64;
         assert_eq!(cluster.write(n, 2, number), 200);
         assert_eq!(cluster.endpoints_reached(number), ["s-2-0"], "it knew who is primary");
     }
