--- a/src/fleet/peer_link.rs
+++ b/src/fleet/peer_link.rs
@@ -1,7 +1,7 @@
 //! The outgoing connection to one peer: reopened with backoff whenever it breaks, fed from a bounded queue.
 //!
 //! A link only sends, but for the answer to its handshake; what a peer sends arrives on a connection that the peer
-//! opened. A slow peer delays nobody else: a message that does not fit into the queue is dropped, and whoever
+//! opened. A slow peer delays nobody else: a message that does not fit into the queue is dropped, and the one that
 //! still needs it sent repeats it.
 
 use super::bootstrap::{Handshake, HandshakeVerdict};
