--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -7,6 +7,7 @@
 mod schedule;
 mod status;
 
+pub use files::SERVICE_SETTINGS;
 pub use schedule::OperatorCall;
 pub use status::ZoneWeight;
 
--- a/lab/src/cluster/files.rs
+++ b/lab/src/cluster/files.rs
@@ -67,7 +67,7 @@
             "name: {}\nnumber: {node}\nsparql:\n  listen: 127.0.0.1:0\n  query: catalog-read\n  \
              session: own-edit-read\n  update: score-write\nstore:\n  listen: 127.0.0.1:0{advertise}\n  \
              peers: [{}]{snapshot}\nadmin: 127.0.0.1:0\ninventory: {INVENTORY_FILE}\nzones: [{}]\n\
-             sockets: 1024\nsettings:\n  balancers: {}\n{SETTINGS}",
+             sockets: 1024\nsettings:\n  balancers: {}\n{SERVICE_SETTINGS}",
             self.nodes[node].name,
             peer_addresses.join(", "),
             ZONES.join(", "),
@@ -76,9 +76,9 @@
     }
 }
 
-/// The settings of all nodes. [`crate::oracle::request_value`] knows the values of `worth`, and
+/// The settings of all nodes, as they stand under `settings` in an operator's file. [`crate::oracle::request_value`] knows the values of `worth`, and
 /// [`crate::endpoint::warm_up_share`] those of `cold-share` and `warm-up`.
-const SETTINGS: &str = "  services:
+pub const SERVICE_SETTINGS: &str = "  services:
     - {name: catalog-read, consistency: lag_bound, max-age: 0.8, target: 1.0, deadline: 2.5, worth: 3, late-worth: 0.2, repeat: repeatable}
     - {name: own-edit-read, consistency: causal, target: 0.8, deadline: 2.0, worth: 1, late-worth: 0, repeat: repeatable}
     - {name: score-write, consistency: mutate, target: 0.6, deadline: 2.0, worth: 6, late-worth: 0.5, repeat: by_key, group: cell, dedup-window: 1.2}
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -5,7 +5,7 @@
 
 use brookpass::fleet::zones::ZoneHealth;
 use brookpass::store::zone_weights::WeightReason;
-use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
+use brookpass_testkit::cluster::{ClusterConfig, SERVICE_SETTINGS, TestCluster};
 use brookpass_testkit::log_lines;
 use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{endpoint_json, snapshot_json};
@@ -172,17 +172,6 @@
     replica: Host,
 }
 
-const SETTINGS: &str = "settings:
-  balancers: 1
-  services:
-    - {name: catalog-read, consistency: lag_bound, max-age: 0.8, target: 1.0, deadline: 2.5, worth: 3, late-worth: 0.2, repeat: repeatable}
-    - {name: own-edit-read, consistency: causal, target: 0.8, deadline: 2.0, worth: 1, late-worth: 0, repeat: repeatable}
-    - {name: score-write, consistency: mutate, target: 0.6, deadline: 2.0, worth: 6, late-worth: 0.5, repeat: by_key, group: cell, dedup-window: 1.2}
-  limits: {conn-idle: 15, connect-timeout: 0.25, max-attempts: 8, max-retry-after: 1}
-  guarantees: {cold-share: 0.25, warm-up: 16, fall-multiple: 4, tip-after: 1}
-  family-info: {behind: none}
-";
-
 /// Starts a daemon whose file names these others; it may not serve yet.
 fn one(peers: &[SocketAddr]) -> One {
     let (primary, replica) = (host("primary"), host("replica"));
@@ -196,7 +185,7 @@
     let text = format!(
         "name: b1\nnumber: 0\nsparql: {{listen: 127.0.0.1:0, host_path: /host, query: catalog-read, session: own-edit-read, \
          update: score-write, group: 1}}\nstore: {{listen: 127.0.0.1:0, peers: [{peers}]}}\nadmin: 127.0.0.1:0\n\
-         inventory: hosts.csv\nzones: [north, south]\n{SETTINGS}"
+         inventory: hosts.csv\nzones: [north, south]\nsettings:\n  balancers: 1\n{SERVICE_SETTINGS}"
     );
     let file = folder.join("operator.yaml");
     std::fs::write(&file, text).unwrap();
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -3,6 +3,7 @@
 
 mod old_node;
 
+use brookpass_testkit::cluster::SERVICE_SETTINGS;
 use brookpass_testkit::process::{ClockOffset, Process};
 use brookpass_testkit::relay::{Relay, RelayProtocol};
 use brookpass_testkit::{eventually, http, log_lines};
@@ -11,15 +12,6 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const SETTINGS: &str = "  services:
-    - {name: catalog-read, consistency: lag_bound, max-age: 0.8, target: 1.0, deadline: 2.5, worth: 3, late-worth: 0.2, repeat: repeatable}
-    - {name: own-edit-read, consistency: causal, target: 0.8, deadline: 2.0, worth: 1, late-worth: 0, repeat: repeatable}
-    - {name: score-write, consistency: mutate, target: 0.6, deadline: 2.0, worth: 6, late-worth: 0.5, repeat: by_key, group: cell, dedup-window: 1.2}
-  limits: {conn-idle: 15, connect-timeout: 0.25, max-attempts: 8, max-retry-after: 1}
-  guarantees: {cold-share: 0.25, warm-up: 16, fall-multiple: 4, tip-after: 1}
-  family-info: {behind: none}
-";
-
 /// Nobody listens there.
 const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
 
@@ -45,7 +37,7 @@
             "name: b{number}\nnumber: {number}\nsparql:\n  listen: 127.0.0.1:0\n  query: catalog-read\n  \
              session: own-edit-read\n  update: score-write\nstore:\n  listen: 127.0.0.1:0\n  advertise: {}\n  \
              peers: [{}]\n  snapshot: fleet.store\ninventory: hosts.csv\nzones: [z-0, z-1]\nsockets: 512\n\
-             settings:\n  balancers: 3\n{SETTINGS}",
+             settings:\n  balancers: 3\n{SERVICE_SETTINGS}",
             relay.address,
             peers.join(", ")
         );
