--- a/src/engine/admission/policy.rs
+++ b/src/engine/admission/policy.rs
@@ -79,11 +79,6 @@
 }
 
 impl GroupAdmission {
-    /// The mode of writes, then that of reads.
-    pub fn modes(&self) -> [AdmissionMode; 2] {
-        [self.writes, self.reads]
-    }
-
     pub(super) fn mode(&self, traffic: Traffic) -> AdmissionMode {
         match traffic {
             Traffic::Writes => self.writes,
--- a/src/engine/request_engine/attempts.rs
+++ b/src/engine/request_engine/attempts.rs
@@ -190,8 +190,10 @@
             let is_read = class.is_some_and(|class| class.idempotency == Some(Idempotency::Idempotent));
             let endpoint = self.endpoints.get(in_flight.endpoint);
             let is_named = endpoint.is_some_and(|endpoint| endpoint_names.contains(&endpoint.name));
-            let is_overdue = self.outcome_window.is_overdue(now, in_flight);
-            if is_read && is_named && is_overdue && self.requests.is_open(id) {
+            if !is_read || !is_named || !self.requests.is_open(id) {
+                continue;
+            }
+            if self.outcome_window.is_overdue(now, in_flight) {
                 commands.push(Command::Cancel { id, attempt });
             }
         }
--- a/src/fleet/recovery/phases/tests.rs
+++ b/src/fleet/recovery/phases/tests.rs
@@ -4,6 +4,11 @@
 const COLD: SlowStartPolicy =
     SlowStartPolicy { share: 0.25, warm_up: TimeDelta::from_secs(16), multiple: 4.0 };
 
+/// The mode of writes, then that of reads.
+fn modes(admission: &GroupAdmission) -> [AdmissionMode; 2] {
+    [admission.writes, admission.reads]
+}
+
 fn endpoint(group: u32) -> EndpointView {
     EndpointView { group: GroupId(group), ..EndpointView::default() }
 }
@@ -101,7 +106,7 @@
                 );
             }
             for (group, admission) in decision.admission.iter().flat_map(|t| &t.groups) {
-                for (side, mode) in admission.modes().into_iter().enumerate() {
+                for (side, mode) in modes(admission).into_iter().enumerate() {
                     let is_open = !matches!(mode, AdmissionMode::Closed(_));
                     let was = open.insert((*group, side), is_open).unwrap_or(false);
                     assert!(is_open || !was, "seed {seed}: group {group} was closed again");
@@ -133,7 +138,7 @@
     let [
         AdmissionMode::Paced { capacity_per_s: start, max_per_s: most, .. },
         AdmissionMode::Paced { capacity_per_s: reads, .. },
-    ] = decision.admission.unwrap().groups[&GroupId(1)].modes()
+    ] = modes(&decision.admission.unwrap().groups[&GroupId(1)])
     else {
         panic!("not paced");
     };
@@ -144,7 +149,7 @@
     let early =
         schedule.advance(&view(TimeDelta::from_micros(1), vec![cold(true, 20.0), cold(false, 20.0), silent]));
     let [_, AdmissionMode::Paced { capacity_per_s: early, .. }] =
-        early.admission.unwrap().groups[&GroupId(1)].modes()
+        modes(&early.admission.unwrap().groups[&GroupId(1)])
     else {
         panic!("not paced")
     };
@@ -154,7 +159,7 @@
     schedule.advance(&view(TimeDelta::ZERO, vec![]));
     let unknown = view(PROOF_TIMEOUT, vec![cold(false, 20.0), cold(false, 12.0)]);
     let [AdmissionMode::Paced { capacity_per_s: start, .. }, _] =
-        schedule.advance(&unknown).admission.unwrap().groups[&GroupId(1)].modes()
+        modes(&schedule.advance(&unknown).admission.unwrap().groups[&GroupId(1)])
     else {
         panic!("not paced");
     };
--- a/src/time.rs
+++ b/src/time.rs
@@ -5,7 +5,7 @@
 //! Arithmetic that overflows panics, as it does for plain integers in this program's builds.
 
 use serde::{Deserialize, Serialize};
-use std::ops::{Add, AddAssign, Div, Mul, Neg, Rem, Shl, Sub, SubAssign};
+use std::ops::{Add, AddAssign, Div, Mul, Rem, Shl, Sub};
 use std::time::Duration;
 
 const MICROS_PER_MILLI: i64 = 1_000;
@@ -149,11 +149,6 @@
         self.max(TimeDelta::ZERO)
     }
 
-    /// The sum, or the longest length where it would overflow.
-    pub fn saturating_add(self, other: TimeDelta) -> TimeDelta {
-        TimeDelta(self.0.saturating_add(other.0))
-    }
-
     /// This many times the length, or the longest length where it would overflow.
     pub fn saturating_mul(self, factor: i64) -> TimeDelta {
         TimeDelta(self.0.saturating_mul(factor))
@@ -259,19 +254,6 @@
     }
 }
 
-impl SubAssign for TimeDelta {
-    fn sub_assign(&mut self, other: TimeDelta) {
-        *self = *self - other;
-    }
-}
-
-impl Neg for TimeDelta {
-    type Output = TimeDelta;
-    fn neg(self) -> TimeDelta {
-        TimeDelta(-self.0)
-    }
-}
-
 impl Mul<i64> for TimeDelta {
     type Output = TimeDelta;
     fn mul(self, factor: i64) -> TimeDelta {
@@ -322,9 +304,3 @@
         LogPosition(self.0 + delta.0)
     }
 }
-
-impl std::iter::Sum for TimeDelta {
-    fn sum<I: Iterator<Item = TimeDelta>>(lengths: I) -> TimeDelta {
-        lengths.fold(TimeDelta::ZERO, Add::add)
-    }
-}
