--- a/src/daemon/operator/agreed_settings.rs
+++ b/src/daemon/operator/agreed_settings.rs
@@ -44,9 +44,9 @@
     /// How endpoints behave after a cold start. What the settings leave out means that they are warm at once.
     pub fn cold_start_policy(&self) -> SlowStartPolicy {
         SlowStartPolicy {
-            share: self.settings.cold_capacity.unwrap_or(1.0),
+            initial_share: self.settings.cold_capacity.unwrap_or(1.0),
             warm_up: self.settings.warm_up.unwrap_or(TimeDelta::ZERO),
-            multiple: self.settings.overload_multiple.unwrap_or(1.0).max(1.0),
+            overload_multiple: self.settings.overload_multiple.unwrap_or(1.0).max(1.0),
         }
     }
 
--- a/src/fleet/recovery/first_election.rs
+++ b/src/fleet/recovery/first_election.rs
@@ -1,28 +1,29 @@
 //! Which node starts the first election after a start.
 //!
-//! Elections come by themselves after 10 to 20 ticks without a heartbeat of a leader, since a leader sends one that
-//! often. After a power failure there is no leader to wait for: once enough voters are heard and none of them knows a
-//! leader, the one with the newest log starts an election at once. Raft decides whether it wins, and that nobody wins a
-//! term twice: a wrong guess here costs one exchange of messages.
+//! By default an election starts after 10 to 20 ticks without a heartbeat, since a leader may be there and sends one
+//! that often. After a power failure there is no leader to wait for: once a majority of the voters is reachable and
+//! none of them knows a leader, the one with the newest log starts an election at once. Raft still decides whether it
+//! wins and that a term has at most one winner: a wrong choice here costs one exchange of messages.
 
 use crate::ids::NodeId;
 use crate::store::records::EntryId;
 use crate::time::{TimeDelta, Timestamp};
 use std::cmp::Reverse;
 
-/// While some voters are silent, those of a majority wait this long for them: one of them may have a newer log.
-const SILENT_VOTER_WAIT: TimeDelta = TimeDelta::from_millis(150);
-/// A node whose election brought no leader starts the next one after this.
+/// While some voters are unreachable, the reachable majority waits this long for them: one of them may have a newer
+/// log.
+const UNREACHABLE_VOTER_WAIT: TimeDelta = TimeDelta::from_millis(150);
+/// A node whose election produced no leader starts the next one after this time.
 const ELECTION_RETRY: TimeDelta = TimeDelta::from_millis(150);
 
-/// What is known of a voter.
+/// What is known about one voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Voter {
-    /// The node.
+    /// The voter's node.
     pub id: NodeId,
-    /// The last entry of its log.
+    /// The last entry of the voter's log.
     pub last_entry: EntryId,
-    /// The leader that it knows; [`NodeId::NOBODY`]: none.
+    /// The leader that the voter knows; [`NodeId::NOBODY`] if none.
     pub leader: NodeId,
 }
 
@@ -31,38 +32,40 @@
         self.leader != NodeId::NOBODY
     }
 
-    /// Whether this voter rather than `other` is to be elected: the newer log by term, then index, as in Raft; of equal
-    /// ones the lower id.
-    fn precedes(&self, other: &Voter) -> bool {
+    /// Whether this voter is to be elected rather than `other`: the one with the newer log by term, then index, as in
+    /// Raft; of equal logs the one with the lower id.
+    fn is_preferred_over(&self, other: &Voter) -> bool {
         (self.last_entry, Reverse(self.id)) > (other.last_entry, Reverse(other.id))
     }
 }
 
-/// The first election as one node sees it.
+/// The first election after a start, as seen by one node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstElection {
-    /// Since when a majority of the voters is heard.
+    /// Since when a majority of the voters is reachable.
     majority_since: Option<Timestamp>,
     /// When this node last started an election.
     started_at: Option<Timestamp>,
-    /// This node has known a leader since its start: from then on elections come by themselves.
+    /// This node has known a leader since its start: from then on elections start by Raft's own timeout.
     leader_known: bool,
 }
 
 impl FirstElection {
-    /// Whether this node starts an election now. `heard`: the other nodes that are heard and take part in the
-    /// consensus.
-    pub fn is_due(&mut self, now: Timestamp, local: Voter, voters: &[NodeId], heard: &[Voter]) -> bool {
+    /// Whether this node starts an election now; if so, the call counts as its start. `reachable` lists the other nodes
+    /// that are reachable and take part in the consensus.
+    pub fn is_due(&mut self, now: Timestamp, local: Voter, voters: &[NodeId], reachable: &[Voter]) -> bool {
         self.leader_known |= local.knows_leader();
-        let reachable = heard.iter().filter(|voter| voters.contains(&voter.id)).count() + 1;
-        if reachable * 2 > voters.len() {
+        let reachable_count = reachable.iter().filter(|voter| voters.contains(&voter.id)).count() + 1;
+        if reachable_count * 2 > voters.len() {
             self.majority_since.get_or_insert(now);
         } else {
             self.majority_since = None;
         }
-        let waited = self.majority_since.map_or(TimeDelta::ZERO, |since| now - since);
+        let majority_duration = self.majority_since.map_or(TimeDelta::ZERO, |since| now - since);
         let started_recently = self.started_at.is_some_and(|started_at| now - started_at < ELECTION_RETRY);
-        let is_due = !self.leader_known && !started_recently && is_candidate(local, voters, heard, waited);
+        let is_due = !self.leader_known
+            && !started_recently
+            && is_candidate(local, voters, reachable, majority_duration);
         if is_due {
             self.started_at = Some(now);
         }
@@ -70,23 +73,24 @@
     }
 }
 
-/// Whether the local node is the one to be elected. `waited`: how long a majority of all voters has been heard.
-fn is_candidate(local: Voter, voters: &[NodeId], heard: &[Voter], waited: TimeDelta) -> bool {
+/// Whether the local node is the one to be elected. `majority_duration` is how long a majority of all voters has been
+/// reachable.
+fn is_candidate(local: Voter, voters: &[NodeId], reachable: &[Voter], majority_duration: TimeDelta) -> bool {
     if !voters.contains(&local.id) || local.knows_leader() {
         return false;
     }
-    let mut reachable = 1;
-    for voter in heard {
+    let mut reachable_count = 1;
+    for voter in reachable {
         if !voters.contains(&voter.id) || voter.id == local.id {
             continue;
         }
-        if voter.knows_leader() || !local.precedes(voter) {
+        if voter.knows_leader() || !local.is_preferred_over(voter) {
             return false;
         }
-        reachable += 1;
+        reachable_count += 1;
     }
-    let is_majority = reachable * 2 > voters.len();
-    is_majority && (reachable == voters.len() || waited >= SILENT_VOTER_WAIT)
+    let is_majority = reachable_count * 2 > voters.len();
+    is_majority && (reachable_count == voters.len() || majority_duration >= UNREACHABLE_VOTER_WAIT)
 }
 
 #[cfg(test)]
--- a/src/fleet/recovery/persisted.rs
+++ b/src/fleet/recovery/persisted.rs
@@ -1,7 +1,7 @@
-//! What of the gossip on disk a process can use after its start.
+//! Which persisted gossip a process can use after its start.
 //!
-//! Persisted gossip is a first guess and nothing more: it is sent to nobody, proves no log position, and gives way to
-//! whatever is observed after the start.
+//! Persisted gossip only serves first guesses: it is not sent to peers, does not prove a log position, and is replaced
+//! by whatever is observed after the start.
 
 use crate::engine::log_rollback::LogRollback;
 use crate::fleet::gossip::GossipRecord;
@@ -11,48 +11,48 @@
 
 /// Older gossip is not used: roles and capacities may have changed since.
 const MAX_PERSISTED_AGE: TimeDelta = TimeDelta::from_secs(3_600);
-/// Wall clock and uptime of the machine may drift apart by this; if they differ by more, the clock was set.
+/// Largest drift between the machine's wall clock and its uptime; if they differ by more, the wall clock was set.
 const CLOCK_DRIFT_TOLERANCE: TimeDelta = TimeDelta::from_secs(2);
 
-/// The clocks of a machine at one moment. Field order is part of the stored format.
+/// Reading of a machine's clocks at one moment. Field order is part of the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClockReading {
-    /// Unix time.
+    /// Wall clock, as Unix time.
     pub wall: Timestamp,
-    /// Identifies the machine's start; empty: not known.
+    /// Identifies the machine's boot; empty if not known.
     pub boot_id: String,
-    /// Time since the machine's start, suspended time included.
+    /// Time since the machine's boot, including suspended time.
     pub uptime: TimeDelta,
 }
 
-/// Gossip as it is kept on disk. Field order is part of the stored format.
+/// Gossip as stored on disk. Field order is part of the stored format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedGossip {
-    /// When it was written.
+    /// The machine's clocks when the gossip was written.
     pub written_at: ClockReading,
-    /// All observations.
+    /// The observations of all nodes.
     pub records: Vec<GossipRecord>,
-    /// The ranges that groups have lost from their logs. They count whatever the clock did: they are positions.
+    /// Log ranges that groups have lost. They are positions, so they stay valid whatever happened to the clock.
     pub rollbacks: Vec<LogRollback>,
 }
 
-/// Whether persisted gossip can be used.
+/// The age of persisted gossip, if it can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestoredAge {
-    /// As a guess; it was written this long ago.
+    /// The gossip can serve as a guess; it was written this long ago.
     Usable(TimeDelta),
-    /// Not at all.
+    /// The gossip must be discarded.
     Unusable(UnusableReason),
 }
 
 /// Why persisted gossip cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnusableReason {
-    /// It was written in what is now the future.
+    /// The wall clock now shows an earlier time than when the gossip was written.
     ClockWentBack,
-    /// The wall clock was set since, so that its age is not known.
+    /// The wall clock was set in between, so the age is not known.
     ClockWasSet,
-    /// It is older than anything that is still used.
+    /// The gossip is older than the maximum age.
     TooOld,
 }
 
@@ -68,8 +68,8 @@
 
 /// The age at `now` of something written at `written_at`.
 ///
-/// Time during which the machine was off counts. Where the clock was set, the age is not known, and what was written
-/// must not pass for fresh.
+/// Time during which the machine was off is included. If the clock was set, the age is not known, and old data must not
+/// count as fresh.
 pub fn restored_age(written_at: &ClockReading, now: &ClockReading) -> RestoredAge {
     let age = now.wall - written_at.wall;
     if age < TimeDelta::ZERO {
--- a/src/fleet/recovery/persisted/tests.rs
+++ b/src/fleet/recovery/persisted/tests.rs
@@ -4,9 +4,9 @@
     ClockReading { wall: Timestamp::ZERO + wall, boot_id: boot_id.into(), uptime }
 }
 
-/// Guards against something old that passes for fresh, however the clock was set meanwhile.
+/// Guards against old gossip that counts as fresh because the clock was set in between.
 #[test]
-fn persisted_gossip_ages_while_it_lies_and_is_unusable_if_the_clock_was_set() {
+fn persisted_gossip_ages_on_disk_and_is_unusable_if_the_clock_was_set() {
     let second = TimeDelta::from_secs(1);
     let written_at = reading(1_000 * second, "a", 50 * second);
     for (now, expected) in [
@@ -22,11 +22,12 @@
     }
     let mut rng = fastrand::Rng::with_seed(2);
     for _ in 0..5_000 {
-        // The machine was on all the time: however its clock was set, nothing looks younger than it is.
-        let (true_age, set) = (rng.i64(0..4_000_000_000), rng.i64(-5_000_000_000..5_000_000_000));
-        let (true_age, set) = (TimeDelta::from_micros(true_age), TimeDelta::from_micros(set));
+        // Without a reboot, nothing may look younger than it is, however the wall clock was set.
+        let (true_age, clock_change) = (rng.i64(0..4_000_000_000), rng.i64(-5_000_000_000..5_000_000_000));
+        let (true_age, clock_change) =
+            (TimeDelta::from_micros(true_age), TimeDelta::from_micros(clock_change));
         let now = reading(
-            written_at.wall.since(Timestamp::ZERO) + true_age + set,
+            written_at.wall.since(Timestamp::ZERO) + true_age + clock_change,
             "a",
             written_at.uptime + true_age,
         );
--- a/src/fleet/recovery/phases.rs
+++ b/src/fleet/recovery/phases.rs
@@ -1,14 +1,14 @@
-//! The phases in which service returns after a start.
+//! The phases in which a process returns to service after a start.
 //!
-//! 1. List: drains and the committed endpoint list are awaited; nothing is admitted before.
-//! 2. Writes, group by group: the group's primary has answered, here or recently to a peer, or a majority of the nodes
-//!    names it.
-//! 3. Reads, group by group: the log position of an endpoint is known.
-//! 4. The rest, once all groups have both.
+//! 1. Endpoint list: no request is admitted before the drains and the committed endpoint list have been received.
+//! 2. Writes, group by group: a group opens once its primary has reported itself to this process, or recently to a
+//!    peer, or once a majority of the nodes names it.
+//! 3. Reads, group by group: a group opens once the log position of one of its endpoints is known.
+//! 4. The remaining requests, once all groups are open to writes and reads.
 //!
-//! A group without such proof is opened after [`PROOF_TIMEOUT`] all the same: from then on the router looks for its
-//! primary with the requests themselves, as it does at any other time. A group whose endpoints are all cold opens at a
-//! limited rate: this process's share of what they bear (see [`super::slow_start`]).
+//! A group that does not meet these conditions opens after [`READINESS_TIMEOUT`] anyway: from then on the router looks
+//! for its primary with the requests themselves, as it does at any other time. A group whose endpoints are all cold
+//! opens at a limited rate: this process's share of what they can take (see [`super::slow_start`]).
 
 use super::slow_start::{AdmissionShare, SlowStartPolicy};
 use crate::engine::admission::{AdmissionMode, AdmissionPolicy, CapacitySource, GroupAdmission};
@@ -17,44 +17,46 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A group is opened without proof after this: clients should not wait longer for what the router finds out anyway.
-pub const PROOF_TIMEOUT: TimeDelta = TimeDelta::from_millis(600);
-/// Endpoints are polled in turn with peers for at least this long: a log position is worth something for a second.
-pub const MIN_SHARED_POLLING: TimeDelta = TimeDelta::from_secs(1);
-/// Recovery is not done before this, and shared polling does not last longer, although some endpoint may not have
-/// answered: a process that waits for a peer's observation sends its reads to the primary meanwhile.
+/// A group is opened after this time even if its primary or its log positions are not known: clients should not wait
+/// any longer for what the router finds out with the requests themselves.
+pub const READINESS_TIMEOUT: TimeDelta = TimeDelta::from_millis(600);
+/// Peers take turns polling endpoints for at least this long after the endpoint list was received: an observed log
+/// position stays useful for about a second.
+pub const MIN_SHARED_POLLING_TIME: TimeDelta = TimeDelta::from_secs(1);
+/// Recovery takes at least this long, and shared polling ends after it even if some endpoint has not answered: a
+/// process that waits for a peer's observation sends its reads to the primary in the meantime.
 pub const MIN_RECOVERY_TIME: TimeDelta = TimeDelta::from_secs(2);
-/// The capacity of a warm endpoint that was never seen at work, in requests per second: a low guess that gives
-/// admission a rate to grow from.
+/// The minimum capacity assumed of a warm endpoint, in requests per second: a low guess where no service rate is known,
+/// to give admission a rate to grow from.
 const MIN_WARM_CAPACITY_RPS: f64 = 10.0;
 /// Retry-after hint for requests rejected while a group is closed to admission.
 const CLOSED_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
-/// More groups than this are counted instead of named.
+/// Status texts name at most this many groups and give the number of the others.
 const MAX_NAMED_GROUPS: usize = 8;
 
-/// What the first phase waits for, as operators see it.
+/// What the first phase waits for, as shown to operators.
 pub const WAITING_FOR_LIST: &str = "a majority's word of what is agreed";
 
-/// How far service has returned, in order. The numeric value is a metric.
+/// How far the return to service has come, in order. The numeric value is exported as a metric.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryPhase {
-    /// Drains and the committed list are awaited.
+    /// Waits for the drains and the committed endpoint list.
     #[default]
-    List,
-    /// Primaries are awaited.
+    EndpointList,
+    /// Waits until the primary of each group is known.
     Writes,
-    /// Log positions are awaited.
+    /// Waits until a log position is known in each group.
     Reads,
-    /// All requests are served, at a limited rate where endpoints are cold.
+    /// All requests are admitted, at a limited rate where endpoints are cold.
     Remaining,
-    /// Recovery is over.
+    /// Recovery is complete; admission is no longer restricted.
     Done,
 }
 
 impl fmt::Display for RecoveryPhase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RecoveryPhase::List => "1 of 4, drains and the agreed list",
+            RecoveryPhase::EndpointList => "1 of 4, drains and the agreed list",
             RecoveryPhase::Writes => "2 of 4, writes",
             RecoveryPhase::Reads => "3 of 4, reads with proven positions",
             RecoveryPhase::Remaining => "4 of 4, the rest",
@@ -63,90 +65,90 @@
     }
 }
 
-/// What is known of an endpoint.
+/// What is known about one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointView {
-    /// Its group.
+    /// The replication group of the endpoint.
     pub group: GroupId,
-    /// It called itself the primary, to this process or recently to a peer.
+    /// The endpoint reported itself as the primary to this process, or recently to a peer.
     pub is_primary: bool,
-    /// Nodes to which it last called itself the primary.
+    /// Number of nodes to which the endpoint last reported itself as the primary.
     pub primary_claims: usize,
-    /// It reported its log position, to this process or recently to a peer.
+    /// The endpoint reported its log position to this process, or recently to a peer.
     pub position_known: bool,
-    /// How long ago it started; `None`: not known.
+    /// Time since the endpoint started; `None` if not known.
     pub age: Option<TimeDelta>,
-    /// Requests per second that it bears from all processes together when warm; 0: not known.
+    /// Requests per second from all processes together that the endpoint can serve when warm; 0 if not known.
     pub warm_capacity_rps: f64,
-    /// It reported itself which part of its capacity was in use.
+    /// Whether the endpoint reported its own utilization.
     pub utilization_reported: bool,
-    /// Requests per second that it serves for all processes now: it bears at least these.
+    /// Requests per second that the endpoint serves for all processes now, a lower bound of its capacity.
     pub current_rate_rps: f64,
 }
 
 impl EndpointView {
-    /// Whether anything was heard of it since its start.
-    fn was_heard(&self) -> bool {
+    /// Whether the endpoint has reported anything since its start.
+    fn has_reported(&self) -> bool {
         self.position_known || self.is_primary || self.age.is_some()
     }
 
-    /// Requests per second that it bears now.
+    /// Requests per second that the endpoint can serve now.
     fn capacity_rps(&self, policy: SlowStartPolicy) -> f64 {
         let warm_capacity = self.warm_capacity_rps.max(MIN_WARM_CAPACITY_RPS);
         (warm_capacity * policy.capacity_share(self.age)).max(self.current_rate_rps)
     }
 }
 
-/// All that the phases depend on.
+/// The input of one step of the recovery schedule.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveryView {
-    /// The present.
+    /// The current time.
     pub now: Timestamp,
-    /// The committed endpoint list has been received.
+    /// Whether the committed endpoint list has been received.
     pub list_received: bool,
-    /// Members of the fleet.
+    /// Number of members of the fleet.
     pub member_count: usize,
-    /// Members that are heard, this one included.
+    /// Number of members that are reachable, this one included.
     pub reachable_count: usize,
     /// The endpoints that are not drained.
     pub endpoints: Vec<EndpointView>,
 }
 
-/// What holds now.
+/// The result of one step of the recovery schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveryDecision {
-    /// The phase.
+    /// The current phase.
     pub phase: RecoveryPhase,
-    /// What is waited for, as operators see it; empty: nothing.
+    /// What the schedule waits for, as shown to operators; empty if nothing.
     pub waiting_for: String,
-    /// How requests are admitted; `None`: all are.
+    /// How requests are admitted; `None` if without restriction.
     pub admission: Option<AdmissionPolicy>,
-    /// Endpoints are polled in turn with peers that recover as well.
+    /// Whether this process takes turns polling endpoints with peers that recover as well.
     pub share_polling: bool,
 }
 
-/// Which requests of a group have been admitted: they stay so.
+/// Which requests of a group are admitted. An opened group is never closed again.
 #[derive(Clone, Copy, Debug, Default)]
 struct OpenedGroup {
     writes: bool,
     reads: bool,
 }
 
-/// The state of all groups at one moment.
+/// Which groups are open, and how their requests are admitted, at one moment.
 #[derive(Default)]
-struct Survey {
+struct AdmissionPlan {
     admission: BTreeMap<GroupId, GroupAdmission>,
     closed_to_writes: Vec<GroupId>,
     closed_to_reads: Vec<GroupId>,
     paced: Vec<GroupId>,
 }
 
-impl Survey {
-    fn all_are_open(&self) -> bool {
+impl AdmissionPlan {
+    fn all_groups_open(&self) -> bool {
         self.closed_to_writes.is_empty() && self.closed_to_reads.is_empty()
     }
 
-    /// The phase, and what it waits for.
+    /// Returns the phase and what it waits for. `elapsed` is the time since the endpoint list was received.
     fn phase(&self, elapsed: TimeDelta) -> (RecoveryPhase, String) {
         if !self.closed_to_writes.is_empty() {
             return (
@@ -168,27 +170,27 @@
     }
 }
 
-/// The recovery of one process. Phases only go forward, and what was opened is not closed again.
+/// The return to service of one process. Phases only advance, and an opened group is not closed again.
 #[derive(Clone, Debug)]
 pub struct RecoverySchedule {
     policy: SlowStartPolicy,
     list_received_at: Option<Timestamp>,
-    opened: BTreeMap<GroupId, OpenedGroup>,
+    opened_groups: BTreeMap<GroupId, OpenedGroup>,
     phase: RecoveryPhase,
 }
 
 impl RecoverySchedule {
-    /// The schedule of a process that knows nothing yet.
+    /// Returns the schedule of a process that has not received the endpoint list.
     pub fn new(policy: SlowStartPolicy) -> RecoverySchedule {
         RecoverySchedule {
             policy,
             list_received_at: None,
-            opened: BTreeMap::new(),
-            phase: RecoveryPhase::List,
+            opened_groups: BTreeMap::new(),
+            phase: RecoveryPhase::EndpointList,
         }
     }
 
-    /// Moves on by what is known now.
+    /// Opens the groups that are ready by `view`, and returns the phase and the admission that now apply.
     pub fn advance(&mut self, view: &RecoveryView) -> RecoveryDecision {
         if !view.list_received {
             return self.wait_for_list();
@@ -198,18 +200,19 @@
         for endpoint in &view.endpoints {
             groups.entry(endpoint.group).or_default().push(endpoint);
         }
-        self.opened.retain(|group, _| groups.contains_key(group));
-        let mut survey = Survey::default();
+        self.opened_groups.retain(|group, _| groups.contains_key(group));
+        let mut plan = AdmissionPlan::default();
         for (group, endpoints) in &groups {
-            self.admit_group(view, elapsed, *group, endpoints, &mut survey);
+            self.admit_group(view, elapsed, *group, endpoints, &mut plan);
         }
-        let (phase, waiting_for) = survey.phase(elapsed);
+        let (phase, waiting_for) = plan.phase(elapsed);
         self.phase = self.phase.max(phase);
-        let all_known = view.endpoints.iter().all(|endpoint| endpoint.position_known);
-        let share_polling = elapsed < MIN_SHARED_POLLING || elapsed < MIN_RECOVERY_TIME && !all_known;
+        let all_positions_known = view.endpoints.iter().all(|endpoint| endpoint.position_known);
+        let share_polling =
+            elapsed < MIN_SHARED_POLLING_TIME || elapsed < MIN_RECOVERY_TIME && !all_positions_known;
         let admission = AdmissionPolicy {
-            admit_eventual_reads: survey.all_are_open(),
-            groups: survey.admission,
+            admit_eventual_reads: plan.all_groups_open(),
+            groups: plan.admission,
             retry_after: CLOSED_RETRY_AFTER,
         };
         let is_done = self.phase == RecoveryPhase::Done;
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Nothing is admitted before the list is there.
+    /// Rejects all requests until the endpoint list has been received.
     fn wait_for_list(&self) -> RecoveryDecision {
         let admission = AdmissionPolicy {
             groups: BTreeMap::new(),
@@ -236,41 +239,41 @@
         }
     }
 
-    /// Decides on one group, and notes in `survey` how it is admitted.
+    /// Decides how the requests of one group are admitted and records the result in `plan`.
     fn admit_group(
         &mut self,
         view: &RecoveryView,
         elapsed: TimeDelta,
         group: GroupId,
         endpoints: &[&EndpointView],
-        survey: &mut Survey,
+        plan: &mut AdmissionPlan,
     ) {
-        let is_named_primary =
+        let is_confirmed_primary =
             |endpoint: &&EndpointView| endpoint.is_primary || endpoint.primary_claims * 2 > view.member_count;
-        let primary = endpoints.iter().position(is_named_primary);
-        let proof_timed_out = elapsed >= PROOF_TIMEOUT;
-        let opened = self.opened.entry(group).or_default();
-        opened.writes |= primary.is_some() || proof_timed_out;
-        opened.reads |= endpoints.iter().any(|endpoint| endpoint.position_known) || proof_timed_out;
+        let primary = endpoints.iter().position(is_confirmed_primary);
+        let readiness_timed_out = elapsed >= READINESS_TIMEOUT;
+        let opened = self.opened_groups.entry(group).or_default();
+        opened.writes |= primary.is_some() || readiness_timed_out;
+        opened.reads |= endpoints.iter().any(|endpoint| endpoint.position_known) || readiness_timed_out;
 
         let mut admission = group_admission(self.policy, view, endpoints, primary);
         if !opened.writes {
             admission.writes = AdmissionMode::Closed(CLOSED_RETRY_AFTER);
-            survey.closed_to_writes.push(group);
+            plan.closed_to_writes.push(group);
         }
         if !opened.reads {
             admission.reads = AdmissionMode::Closed(CLOSED_RETRY_AFTER);
-            survey.closed_to_reads.push(group);
+            plan.closed_to_reads.push(group);
         }
         let is_paced = |mode| matches!(mode, AdmissionMode::Paced { .. });
         if is_paced(admission.writes) || is_paced(admission.reads) {
-            survey.paced.push(group);
+            plan.paced.push(group);
         }
-        survey.admission.insert(group, admission);
+        plan.admission.insert(group, admission);
     }
 }
 
-/// How an open group's requests are admitted; `primary`: the index of its primary, if that is known.
+/// Returns how an open group's requests are admitted. `primary` is the index of its primary in `endpoints`, if known.
 fn group_admission(
     policy: SlowStartPolicy,
     view: &RecoveryView,
@@ -278,14 +281,14 @@
     primary: Option<usize>,
 ) -> GroupAdmission {
     let Some(primary) = primary else {
-        // Each of them may turn out to be the primary: writes have to suit the weakest.
+        // Any endpoint may turn out to be the primary, so writes are limited to what the weakest can take.
         return GroupAdmission {
             writes: admission_mode(policy, view, endpoints, weakest_capacity),
             reads: admission_mode(policy, view, endpoints, total_capacity),
         };
     };
     let replicas: Vec<&EndpointView> = [&endpoints[..primary], &endpoints[primary + 1..]].concat();
-    // A primary that is alone in its group serves the reads too.
+    // A primary without replicas serves the reads as well.
     let readers = if replicas.is_empty() { endpoints } else { &replicas };
     GroupAdmission {
         writes: admission_mode(policy, view, &endpoints[primary..=primary], total_capacity),
@@ -293,23 +296,24 @@
     }
 }
 
-/// How requests to these endpoints are admitted; `capacity` adds up what the endpoints bear, in requests per second.
+/// Returns how requests to these endpoints are admitted. `capacity` combines what the endpoints can serve, in requests
+/// per second.
 fn admission_mode(
     policy: SlowStartPolicy,
     view: &RecoveryView,
     endpoints: &[&EndpointView],
     capacity: fn(SlowStartPolicy, &[&EndpointView]) -> f64,
 ) -> AdmissionMode {
-    // One that was not heard yet is neither taken for warm beside one that is known to be cold, nor for any help.
-    let heard: Vec<&EndpointView> =
-        endpoints.iter().copied().filter(|endpoint| endpoint.was_heard()).collect();
-    // Where one of them is warm the router spares the others by itself.
-    if heard.is_empty() || heard.iter().any(|endpoint| policy.is_warm(endpoint.age)) {
+    // An endpoint that has not reported yet does not count as warm beside a cold one, and adds no capacity.
+    let reporting: Vec<&EndpointView> =
+        endpoints.iter().copied().filter(|endpoint| endpoint.has_reported()).collect();
+    // If one endpoint is warm, the router itself sends less to the cold ones.
+    if reporting.is_empty() || reporting.iter().any(|endpoint| policy.is_warm(endpoint.age)) {
         return AdmissionMode::Open;
     }
-    let capacity_rps = capacity(policy, &heard);
-    let share = AdmissionShare::new(view.member_count, view.reachable_count, policy.multiple);
-    let all_reported = heard.iter().all(|endpoint| endpoint.utilization_reported);
+    let capacity_rps = capacity(policy, &reporting);
+    let share = AdmissionShare::new(view.member_count, view.reachable_count, policy.overload_multiple);
+    let all_reported = reporting.iter().all(|endpoint| endpoint.utilization_reported);
     AdmissionMode::Paced {
         capacity_per_s: capacity_rps * share.initial,
         max_per_s: capacity_rps * share.maximum,
@@ -325,7 +329,7 @@
     endpoints.iter().map(|endpoint| endpoint.capacity_rps(policy)).fold(f64::MAX, f64::min)
 }
 
-/// The groups as operators see them.
+/// Lists the groups as shown to operators.
 fn group_names(groups: &[GroupId]) -> String {
     let named: Vec<String> = groups.iter().take(MAX_NAMED_GROUPS).map(GroupId::to_string).collect();
     let unnamed = groups.len().saturating_sub(MAX_NAMED_GROUPS);
--- a/src/fleet/recovery/restart_detector.rs
+++ b/src/fleet/recovery/restart_detector.rs
@@ -1,9 +1,9 @@
-//! Endpoints that restarted while this process was in service, and who spares them while they are cold.
+//! Detects endpoints that restart while this process is in service, and decides how they are protected while cold.
 //!
-//! Where a group has a warm endpoint beside a cold one, the router is told and spares the cold one. Where all endpoints
-//! of a group are cold there is nothing left to spare them for: that group goes through the phases of recovery again, at
-//! the rate that its endpoints bear. What is not known yet stays undecided: the endpoints of a group are heard one after
-//! the other, also when all of them lost their power.
+//! If a group has a warm endpoint beside a cold one, the router is told and sends less to the cold one. If all
+//! endpoints of a group are cold, there is no endpoint to shift load to: the group goes through the recovery phases
+//! again, at the rate that its endpoints can take. As long as it is not known which case applies, the restart stays
+//! undecided: endpoints report one after the other, even if all of them lost power at once.
 
 use super::slow_start::SlowStartPolicy;
 use crate::engine::observations::START_TIME_TOLERANCE;
@@ -11,25 +11,25 @@
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of an endpoint.
+/// What is known about one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KnownEndpoint {
-    /// Its group.
+    /// The replication group of the endpoint.
     pub group: GroupId,
-    /// Its start by the committed list.
+    /// The endpoint's start time in the committed list; `None` if not listed.
     pub listed_start: Option<Timestamp>,
-    /// Its latest start that any node observed.
+    /// The endpoint's latest start time that any node observed; `None` if not known.
     pub observed_start: Option<Timestamp>,
-    /// When any node last heard it.
+    /// When the endpoint last reported anything to any node.
     pub last_heard: Option<Timestamp>,
 }
 
-/// What follows from what endpoints reported.
+/// The restarts found by one call of [`RestartDetector::check`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RestartReport {
-    /// Endpoints that restarted beside a warm one: the router is to start them slowly.
+    /// Endpoints that restarted beside a warm one: the router has to start them slowly.
     pub slow_starting: Vec<String>,
-    /// All endpoints of some group are cold.
+    /// Whether all endpoints of some group are cold.
     pub group_is_cold: bool,
 }
 
@@ -37,42 +37,43 @@
 enum GroupWarmth {
     OtherIsWarm,
     AllCold,
-    /// An endpoint that looks warm was not heard since the restart.
+    /// An endpoint that looks warm has not reported since the restart.
     Undecided,
 }
 
-/// The restarts that were seen in service.
+/// Tracks the restarts seen while in service.
 #[derive(Clone, Debug, Default)]
 pub struct RestartDetector {
-    /// The start of each endpoint that the router was told of.
+    /// The start time of each endpoint as last reported to the router.
     reported_starts: BTreeMap<String, Timestamp>,
-    /// Restarted endpoints of whose group it is not known yet whether it has a warm endpoint.
+    /// Restarted endpoints for which it is not known yet whether their group has a warm endpoint.
     undecided: BTreeSet<String>,
 }
 
 impl RestartDetector {
-    /// The start of an endpoint that the router was told of.
+    /// The start time of an endpoint as last reported to the router.
     pub fn reported_start(&self, endpoint: &str) -> Option<Timestamp> {
         self.reported_starts.get(endpoint).copied()
     }
 
-    /// Whether it is not known of some restarted endpoint whether its group has a warm one.
+    /// Whether some restarted endpoint still waits for the decision whether its group has a warm one.
     pub fn has_undecided(&self) -> bool {
         !self.undecided.is_empty()
     }
 
-    /// Takes in that these endpoints were heard. `known`: all endpoints, by name.
-    pub fn record(
+    /// Checks the endpoints that have just reported, and those still undecided, for restarts. `known` holds all
+    /// endpoints by name.
+    pub fn check(
         &mut self,
         now: Timestamp,
         policy: SlowStartPolicy,
-        heard: impl Iterator<Item = String>,
+        reporting: impl Iterator<Item = String>,
         known: &BTreeMap<&str, KnownEndpoint>,
     ) -> RestartReport {
         self.reported_starts.retain(|endpoint, _| known.contains_key(endpoint.as_str()));
         let mut report = RestartReport::default();
         let undecided = std::mem::take(&mut self.undecided);
-        let to_check: BTreeSet<String> = heard.chain(undecided).collect();
+        let to_check: BTreeSet<String> = reporting.chain(undecided).collect();
         for endpoint in to_check {
             let Some(own) = known.get(endpoint.as_str()) else { continue };
             let Some(started_at) = self.new_start(now, policy, &endpoint, own) else { continue };
@@ -90,7 +91,7 @@
         report
     }
 
-    /// The observed start of an endpoint that is still cold, unless the list or the router knows it already.
+    /// The observed start time of an endpoint that is still cold; `None` if the list or the router has it already.
     fn new_start(
         &self,
         now: Timestamp,
@@ -108,8 +109,8 @@
     }
 }
 
-/// Whether the endpoint that started at `started_at` has a warm one beside it: one that was heard since that start and
-/// has not restarted itself.
+/// Whether the endpoint that started at `started_at` has a warm one beside it: one that has reported since that time
+/// and has not restarted itself.
 fn group_warmth(
     now: Timestamp,
     policy: SlowStartPolicy,
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -33,7 +33,7 @@
     fn starting(waits_for: &str) -> RecoveryStatus {
         let now = Instant::now();
         RecoveryStatus {
-            phase: RecoveryPhase::List,
+            phase: RecoveryPhase::EndpointList,
             waits_for: waits_for.into(),
             since: now,
             started_at: now,
@@ -254,6 +254,6 @@
             };
             known.insert(name, endpoint);
         }
-        restarts.record(now, slow_start, cold.into_iter(), &known)
+        restarts.check(now, slow_start, cold.into_iter(), &known)
     }
 }
