--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -118,7 +118,7 @@
             log::warn!(
                 "zones: local evacuation of {}: {:?}",
                 zones.state.name(zone),
-                zones.state.own_outcomes().get(&zone)
+                zones.state.own_report().get(&zone)
             );
         }
     }
@@ -132,7 +132,7 @@
 
     /// Sends this node's outcomes to the peers, if there are any.
     pub(super) fn broadcast_zone_outcomes(&self) {
-        let outcomes = self.zones.borrow().state.own_outcomes().clone();
+        let outcomes = self.zones.borrow().state.own_report().clone();
         if !outcomes.is_empty() {
             self.broadcast(&PeerMessage::ZoneOutcomes(outcomes));
         }
@@ -188,7 +188,7 @@
     /// Has the endpoint list follow the weights of zones.
     pub(super) fn apply_zone_weights(&self, now: Timestamp) {
         let agreed = self.agreed();
-        let changed = self.zones.borrow_mut().state.take_changed(now, agreed.state());
+        let changed = self.zones.borrow_mut().state.take_changed_zones(now, agreed.state());
         let zones = self.zones.borrow();
         // A zone with less than its full weight is looked at each time: one of its endpoints may have become a primary.
         let affected = &changed | &zones.state.reduced_zones(now, agreed.state());
--- a/src/fleet/zones/evacuation.rs
+++ b/src/fleet/zones/evacuation.rs
@@ -1,4 +1,4 @@
-//! The next weights of zones, as the leader decides on them.
+//! The next weights of zones, as decided by the leader.
 
 use super::capacity::ZoneLoad;
 use super::detector::{ZoneReports, assess_returning_zone, assess_zone, is_region_lost};
@@ -9,24 +9,26 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// The weights through which a zone returns. The first is a trickle that shows whether it answers at all.
+/// The weights that a returning zone passes through. The first one sends just enough requests to show whether the zone
+/// answers at all.
 const RETURN_STEPS_PERMILLE: [u16; 5] = [20, 125, 250, 500, FULL_WEIGHT_PERMILLE];
 /// The first weight of a returning zone.
 pub const FIRST_RETURN_PERMILLE: u16 = RETURN_STEPS_PERMILLE[0];
-/// A weight is kept at least this long: its effect has to show in reports, which cover less time.
+/// Minimum time between two changes of a weight: the effect of a change has to show in the reports, which cover a
+/// shorter time.
 pub(super) const MIN_STEP_TIME: TimeDelta = TimeDelta::from_secs(1);
-/// Without any attempts there a returning zone takes the next step after this: no answer can come, and the few attempts
-/// that do come show more at the next step.
+/// A returning zone without any attempts takes the next step after this time: there are no answers to wait for, and the
+/// next step brings more attempts to judge by.
 const STEP_TIME_WITHOUT_ATTEMPTS: TimeDelta = TimeDelta::from_micros(3 * MIN_STEP_TIME.as_micros());
-/// After this time in service a zone's earlier failures no longer lengthen its backoff.
-pub(super) const FAILURE_MEMORY: TimeDelta = TimeDelta::from_secs(120);
+/// After this time in service a zone's earlier failures no longer extend its backoff.
+pub(super) const FAILURE_RETENTION_TIME: TimeDelta = TimeDelta::from_secs(120);
 
-/// A new weight for a zone.
+/// A change of one zone's weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneMove {
     /// The zone.
     pub zone: ZoneId,
-    /// Its next weight.
+    /// The zone's next weight.
     pub weight: ZoneWeight,
 }
 
@@ -37,7 +39,7 @@
     seen_at: Timestamp,
 }
 
-/// Decides on the weights of zones while this process leads.
+/// Decides the weights of zones while this process leads.
 #[derive(Clone, Debug, Default)]
 pub struct EvacuationController {
     backoff: EvacuationBackoff,
@@ -45,13 +47,14 @@
 }
 
 impl EvacuationController {
-    /// A controller that has seen no weight yet.
+    /// Returns a controller that has not seen any weights.
     pub fn new(backoff: EvacuationBackoff) -> EvacuationController {
         EvacuationController { backoff, seen_weights: BTreeMap::new() }
     }
 
-    /// The moves that are due; more than one only where all of them are lost zones. `weights`: the committed weights of
-    /// all zones that have endpoints; `region`: the zones that fail together with one, itself included.
+    /// Returns the moves that are due; more than one only if all of them are of lost zones. `weights` holds the
+    /// committed weights of all zones that have endpoints; `region` returns the zones that fail together with a zone,
+    /// including itself.
     pub fn next_moves(
         &mut self,
         now: Timestamp,
@@ -66,19 +69,20 @@
             health.insert(*zone, current_health(*zone, weight, &region, reports));
             unchanged_for.insert(*zone, self.unchanged_for(now, *zone, weight));
         }
-        let survey = Survey { weights, health, unchanged_for, loads };
-        // Lost zones first, then slow ones, among them those that fail on their way back, then those that may return.
-        let lost = survey.zones_in_service_with(ZoneHealth::Lost);
+        let snapshot = ZoneSnapshot { weights, health, unchanged_for, loads };
+        // Lost zones come first, then slow ones (among them those that fail while they return), then zones that may
+        // return.
+        let lost = snapshot.zones_in_service_with(ZoneHealth::Lost);
         if !lost.is_empty() {
-            return lost.into_iter().filter_map(|zone| survey.evacuate(zone, WeightReason::Lost)).collect();
+            return lost.into_iter().filter_map(|zone| snapshot.evacuate(zone, WeightReason::Lost)).collect();
         }
-        let slow = survey.zones_in_service_with(ZoneHealth::Slow).first().copied();
+        let slow = snapshot.zones_in_service_with(ZoneHealth::Slow).first().copied();
         if let Some(zone) = slow
-            && survey.unchanged_for[&zone] >= MIN_STEP_TIME
+            && snapshot.unchanged_for[&zone] >= MIN_STEP_TIME
         {
-            return survey.evacuate(zone, WeightReason::Slow).into_iter().collect();
+            return snapshot.evacuate(zone, WeightReason::Slow).into_iter().collect();
         }
-        survey.next_return(self.backoff).into_iter().collect()
+        snapshot.next_return(self.backoff).into_iter().collect()
     }
 
     /// How long a zone has had its weight, as far as this process has seen.
@@ -92,7 +96,8 @@
     }
 }
 
-/// How a zone looks now. Where it gets too little to tell, the other zones of its region may show that it is lost.
+/// Returns the current health of a zone. If it gets too few attempts to tell, the other zones of its region may show
+/// that it is lost.
 fn current_health(
     zone: ZoneId,
     weight: &ZoneWeight,
@@ -111,15 +116,15 @@
     health
 }
 
-/// All that is known of the zones at one moment.
-struct Survey<'a> {
+/// What is known about the zones at one moment.
+struct ZoneSnapshot<'a> {
     weights: &'a BTreeMap<ZoneId, ZoneWeight>,
     health: BTreeMap<ZoneId, ZoneHealth>,
     unchanged_for: BTreeMap<ZoneId, TimeDelta>,
     loads: &'a BTreeMap<ZoneId, ZoneLoad>,
 }
 
-impl Survey<'_> {
+impl ZoneSnapshot<'_> {
     fn load(&self, zone: ZoneId) -> ZoneLoad {
         self.loads.get(&zone).copied().unwrap_or_default()
     }
@@ -129,20 +134,20 @@
         in_service.map(|(zone, _)| *zone).filter(|zone| self.health[zone] == health).collect()
     }
 
-    /// The zones in service that could take over the traffic of `zone`.
+    /// The other zones in service that are neither lost nor slow: they could take over the traffic of `zone`.
     fn alternatives_to(&self, zone: ZoneId) -> Vec<ZoneId> {
         let mut alternatives = Vec::new();
         for (other, weight) in self.weights {
-            let works = !matches!(self.health[other], ZoneHealth::Lost | ZoneHealth::Slow);
-            if *other != zone && weight.permille > 0 && works {
+            let is_usable = !matches!(self.health[other], ZoneHealth::Lost | ZoneHealth::Slow);
+            if *other != zone && weight.permille > 0 && is_usable {
                 alternatives.push(*other);
             }
         }
         alternatives
     }
 
-    /// The move that evacuates a zone as far as the others can carry its reads. `None`: nothing would be gained, or no
-    /// other zone is seen to work, since where all are slow or silent the fault is elsewhere.
+    /// The move that takes as many reads off a zone as the others can serve. `None` if this would not reduce its
+    /// weight, or if no other zone is healthy: if all are slow or do not answer, the fault is elsewhere.
     fn evacuate(&self, zone: ZoneId, reason: WeightReason) -> Option<ZoneMove> {
         let alternatives = self.alternatives_to(zone);
         if !alternatives.iter().any(|other| self.health[other] == ZoneHealth::Healthy) {
@@ -150,7 +155,8 @@
         }
         let weight = self.weights[&zone];
         let remaining = match reason {
-            // A lost zone serves nothing of what stays there: what the others cannot carry is rejected instead.
+            // A lost zone serves none of the reads that stay with it, so it keeps none: what the others cannot serve is
+            // rejected.
             WeightReason::Lost => 0,
             _ => self.permille_to_keep(zone, &alternatives),
         };
@@ -158,7 +164,7 @@
             return None;
         }
         let failed_on_return = weight.reason == WeightReason::Returns && weight.version > 0;
-        let failed_returns = if failed_on_return && self.unchanged_for[&zone] < FAILURE_MEMORY {
+        let failed_returns = if failed_on_return && self.unchanged_for[&zone] < FAILURE_RETENTION_TIME {
             weight.failed_returns.saturating_add(1)
         } else {
             weight.failed_returns
@@ -166,7 +172,7 @@
         Some(ZoneMove { zone, weight: ZoneWeight { failed_returns, ..weight.next(remaining, reason) } })
     }
 
-    /// The part of a zone's reads that its alternatives cannot carry.
+    /// The share of a zone's reads that its alternatives cannot serve, in thousandths.
     fn permille_to_keep(&self, zone: ZoneId, alternatives: &[ZoneId]) -> u16 {
         let reads_rps = self.load(zone).reads_rps;
         if reads_rps <= 0.0 {
@@ -174,33 +180,34 @@
         }
         let spare = |other: &ZoneId| self.load(*other).spare_rps(self.weights[other].permille);
         let spare_rps: f64 = alternatives.iter().map(spare).sum();
-        let uncarried_rps = (reads_rps - spare_rps).max(0.0);
-        (uncarried_rps / reads_rps * f64::from(FULL_WEIGHT_PERMILLE)) as u16
+        let overflow_rps = (reads_rps - spare_rps).max(0.0);
+        (overflow_rps / reads_rps * f64::from(FULL_WEIGHT_PERMILLE)) as u16
     }
 
-    /// The next step of the zone that is furthest on its way back; one zone returns at a time, and no faster than its
-    /// endpoints warm up. Zones that an operator holds stay as they are.
+    /// The next step of the zone that is furthest in its return. Only one zone returns at a time, and no faster than
+    /// its endpoints warm up. Zones held by an operator keep their weight.
     fn next_return(&self, backoff: EvacuationBackoff) -> Option<ZoneMove> {
-        let is_away = |weight: &ZoneWeight| {
+        let is_reduced = |weight: &ZoneWeight| {
             weight.permille < FULL_WEIGHT_PERMILLE && weight.reason != WeightReason::Operator
         };
-        let away = self.weights.iter().filter(|(_, weight)| is_away(weight));
-        let (zone, weight) = away.max_by_key(|(_, weight)| weight.permille)?;
+        let reduced = self.weights.iter().filter(|(_, weight)| is_reduced(weight));
+        let (zone, weight) = reduced.max_by_key(|(_, weight)| weight.permille)?;
         if !self.may_take_next_step(*zone, weight, backoff) {
             return None;
         }
         let next_step = RETURN_STEPS_PERMILLE.into_iter().find(|step| *step > weight.permille);
         let permille = next_step.unwrap_or(FULL_WEIGHT_PERMILLE);
-        if weight.permille > 0 && !self.load(*zone).bears(permille) {
+        if weight.permille > 0 && !self.load(*zone).has_capacity_for(permille) {
             return None;
         }
-        let is_forgiven = permille == FULL_WEIGHT_PERMILLE && self.unchanged_for[zone] >= FAILURE_MEMORY;
-        let failed_returns = if is_forgiven { 0 } else { weight.failed_returns };
+        let resets_failures =
+            permille == FULL_WEIGHT_PERMILLE && self.unchanged_for[zone] >= FAILURE_RETENTION_TIME;
+        let failed_returns = if resets_failures { 0 } else { weight.failed_returns };
         let weight = ZoneWeight { failed_returns, ..weight.next(permille, WeightReason::Returns) };
         Some(ZoneMove { zone: *zone, weight })
     }
 
-    /// Whether a zone's backoff is over, or its last step has shown good answers.
+    /// Whether a zone's backoff has ended or, once it gets reads, its last step has shown good answers.
     fn may_take_next_step(&self, zone: ZoneId, weight: &ZoneWeight, backoff: EvacuationBackoff) -> bool {
         let unchanged_for = self.unchanged_for[&zone];
         if weight.permille == 0 {
--- a/src/fleet/zones/health.rs
+++ b/src/fleet/zones/health.rs
@@ -1,33 +1,33 @@
-//! How a zone looks.
+//! The health of a zone.
 
 use crate::ids::NodeId;
 use std::collections::BTreeSet;
 
-/// From this part of late answers on a zone is slow.
+/// A zone with at least this percentage of late answers is slow.
 const SLOW_PERCENT: u32 = 50;
-/// Below this part of late and failed attempts together a zone is healthy. Between the two limits nothing moves, so that
-/// a zone near one of them does not flap.
+/// A zone with a lower percentage of late and failed attempts together is healthy. Between the two limits its weight
+/// stays, so that a zone near one of them does not flap.
 const HEALTHY_PERCENT: u32 = 10;
 
-/// How a zone looks to the fleet.
+/// The health of a zone as seen by the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// Too few attempts to tell.
+    /// There are too few attempts to tell.
     Unknown,
-    /// It answers in time.
+    /// The zone answers in time.
     Healthy,
-    /// Some attempts fail or are late, too few to move its traffic.
+    /// Some attempts fail or are late, but too few to move the zone's traffic.
     Degraded,
-    /// It answers, but late.
+    /// The zone answers, but late.
     Slow,
-    /// Most of the nodes that tried find no endpoint there.
+    /// Most of the nodes that tried the zone get no answer from its endpoints.
     Lost,
-    /// Only these nodes find no endpoint there: the fault lies between them and the zone.
+    /// Only these nodes get no answer from the zone's endpoints: the fault lies between them and the zone.
     CutOff(BTreeSet<NodeId>),
 }
 
 impl ZoneHealth {
-    /// The health as operators read it.
+    /// The health as shown to operators.
     pub fn label(&self) -> &'static str {
         match self {
             ZoneHealth::Unknown => "unknown",
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The health of a zone that is not lost, by the percentage of its attempts that were late and that failed.
+    /// The health of a zone that is not lost, by the percentages of late and of failed attempts.
     pub(super) fn of_reachable_zone(late_percent: u32, failed_percent: u32) -> ZoneHealth {
         if late_percent >= SLOW_PERCENT {
             ZoneHealth::Slow
--- a/src/fleet/zones/local_evacuation.rs
+++ b/src/fleet/zones/local_evacuation.rs
@@ -1,8 +1,8 @@
-//! What one peer does for itself: it evacuates a zone that it cannot reach, while others may reach it or the fleet has
-//! not decided yet. A committed weight of the zone takes its place.
+//! Zones that one peer evacuates for itself: it cannot reach them, while others may, or the fleet has not decided yet.
+//! A committed weight of the zone replaces the local evacuation.
 
 use super::detector::ZoneReport;
-use super::evacuation::FAILURE_MEMORY;
+use super::evacuation::FAILURE_RETENTION_TIME;
 use super::outcomes::{MIN_ATTEMPTS, ZoneOutcomes};
 use super::policy::EvacuationBackoff;
 use crate::ids::ZoneId;
@@ -10,11 +10,11 @@
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One zone's evacuation by this peer.
+/// The evacuation of one zone by this peer.
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
     until: Timestamp,
-    /// How often the zone was evacuated.
+    /// How often this peer has evacuated the zone.
     count: u8,
 }
 
@@ -26,24 +26,24 @@
 }
 
 impl LocalEvacuation {
-    /// No zone is evacuated.
+    /// Returns a state in which no zone is evacuated.
     pub fn new(backoff: EvacuationBackoff) -> LocalEvacuation {
         LocalEvacuation { backoff, evacuations: BTreeMap::new() }
     }
 
-    /// Whether a zone is evacuated now.
+    /// Whether the zone is evacuated at `now`.
     pub fn is_evacuated(&self, now: Timestamp, zone: ZoneId) -> bool {
         self.evacuations.get(&zone).is_some_and(|evacuation| now < evacuation.until)
     }
 
-    /// The zones that are evacuated now.
+    /// The zones that are evacuated at `now`.
     pub fn evacuated(&self, now: Timestamp) -> impl Iterator<Item = ZoneId> {
         let current = self.evacuations.iter().filter(move |(_, evacuation)| now < evacuation.until);
         current.map(|(zone, _)| *zone)
     }
 
-    /// Evacuates the zones that are lost by this peer's own report, and returns them. At least one zone that works
-    /// always stays.
+    /// Evacuates the zones that are lost by this peer's own report, and returns them. At least one healthy zone always
+    /// stays in service.
     pub fn update(
         &mut self,
         now: Timestamp,
@@ -52,11 +52,12 @@
     ) -> BTreeSet<ZoneId> {
         let has_full_weight =
             |zone: &ZoneId| committed.get(zone).is_none_or(|weight| weight.permille == FULL_WEIGHT_PERMILLE);
-        self.evacuations
-            .retain(|zone, evacuation| now - evacuation.until < FAILURE_MEMORY && has_full_weight(zone));
-        let works =
+        self.evacuations.retain(|zone, evacuation| {
+            now - evacuation.until < FAILURE_RETENTION_TIME && has_full_weight(zone)
+        });
+        let is_usable =
             |zone: ZoneId, outcomes: &ZoneOutcomes| outcomes.is_healthy() && !self.is_evacuated(now, zone);
-        if !own_report.iter().any(|(zone, outcomes)| works(*zone, outcomes)) {
+        if !own_report.iter().any(|(zone, outcomes)| is_usable(*zone, outcomes)) {
             return BTreeSet::new();
         }
         let mut newly_evacuated = BTreeSet::new();
@@ -74,8 +75,8 @@
     }
 }
 
-/// Whether a zone is lost by this peer's report alone: it has to have seen more of the zone than where the reports of
-/// others say the same.
+/// Whether a zone is lost by this peer's report alone. Without the reports of others, it must have seen half of the
+/// zone's endpoints fail.
 fn is_lost_to_this_peer(outcomes: &ZoneOutcomes) -> bool {
     let half_of_zone_failed = u32::from(outcomes.endpoints_failed) * 2 >= u32::from(outcomes.endpoints_total);
     outcomes.finished() >= MIN_ATTEMPTS && outcomes.is_lost() && half_of_zone_failed
--- a/src/fleet/zones/mod.rs
+++ b/src/fleet/zones/mod.rs
@@ -1,16 +1,16 @@
-//! Which zones a fleet evacuates, to which weight, and how it returns to them. No I/O.
+//! Which zones a fleet evacuates, with which weights, and how traffic returns to them. No I/O.
 //!
-//! A zone's weight is the part of its usual reads that it gets; writes follow each group's primary. Each peer reports
-//! what became of its recent attempts in each zone ([`ZoneOutcomes`]). The leader judges the zones by all reports
-//! ([`assess_zone`]) and proposes weights with a version ([`EvacuationController`]); every peer acts on the committed
-//! ones. All lost zones are evacuated at once, any other move is one zone's.
+//! A zone's weight is the fraction of its usual reads that it gets; writes follow each group's primary. Each peer
+//! reports the outcomes of its recent attempts in each zone ([`ZoneOutcomes`]). The leader assesses the zones by all
+//! reports ([`assess_zone`]) and proposes versioned weights ([`EvacuationController`]); every peer applies the
+//! committed ones. All lost zones are evacuated at once; any other move changes one zone at a time.
 //!
-//! - `health`, `outcomes`, `detector`: what is wrong with a zone, by one report and by all of them.
+//! - `health`, `outcomes`, `detector`: the health of a zone by one report and by all reports.
 //! - `evacuation`: the next weights that the leader proposes.
-//! - `local_evacuation`: what one peer does for itself.
-//! - `capacity`: what a zone carries, and what it could carry.
+//! - `local_evacuation`: zones that one peer evacuates for itself.
+//! - `capacity`: the load and the capacity of a zone.
 //! - `policy`: the operator's settings and commands.
-//! - `state`: all that one peer knows, and how its endpoint list follows.
+//! - `state`: all that one peer knows about zones, and how its endpoint list follows.
 
 mod capacity;
 mod detector;
--- a/src/fleet/zones/outcomes.rs
+++ b/src/fleet/zones/outcomes.rs
@@ -1,38 +1,39 @@
-//! What became of one node's recent attempts in a zone.
+//! The outcomes of one node's recent attempts in a zone.
 
 use super::health::ZoneHealth;
 use crate::engine::outcome_window::OutcomeCounts;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Fewer finished attempts, those of all nodes together, do not tell how a zone is.
+/// Fewer finished attempts, of all nodes together, are too few to assess a zone.
 pub(super) const MIN_ATTEMPTS: u32 = 5;
-/// From this part of failed attempts on a zone is lost to the node that made them.
+/// A zone with at least this percentage of failed attempts is lost to the node that made them.
 const LOST_PERCENT: u32 = 70;
 
-/// What became of one node's recent attempts in a zone. Field order is part of the message format.
+/// The outcomes of one node's recent attempts in a zone. Field order is part of the message format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneOutcomes {
     /// Attempts that were answered in time.
     pub on_time: u32,
-    /// Attempts that were answered late for their class, or are overdue at an endpoint that answers others.
+    /// Attempts that were answered late for their class, or that are overdue at an endpoint that answers other
+    /// attempts.
     pub late: u32,
-    /// Attempts without an answer: none for too long, or the connection broke.
+    /// Attempts that got no answer: none for too long, or the connection broke.
     pub unanswered: u32,
-    /// Attempts for which no connection was made.
+    /// Attempts that failed to connect.
     pub connect_failed: u32,
-    /// Endpoints that were tried.
+    /// Number of endpoints that were tried.
     pub endpoints_tried: u16,
-    /// Those among them that answered nothing.
+    /// Number of tried endpoints that answered none of the attempts.
     pub endpoints_failed: u16,
-    /// Endpoints in the zone.
+    /// Number of endpoints in the zone.
     pub endpoints_total: u16,
-    /// The part of their capacity that endpoints reported to be in use, on average, in thousandths; 0: none reported.
+    /// Average utilization reported by the endpoints, in thousandths; 0 if none reported it.
     pub utilization_permille: u16,
 }
 
 impl ZoneOutcomes {
-    /// The sum over the endpoints of a zone that has `endpoints_total` of them.
+    /// Sums the outcomes of the tried endpoints of a zone that has `endpoints_total` endpoints.
     pub fn new<'a>(
         endpoints: impl Iterator<Item = &'a OutcomeCounts>,
         endpoints_total: usize,
@@ -62,7 +63,8 @@
         zone
     }
 
-    /// Adds the attempts of another report. Counts that several reports give of the same zone are not added up.
+    /// Adds the attempts of another report. `endpoints_total` and the utilization are not added up, since several
+    /// reports describe the same zone: the greater one counts.
     pub(super) fn add(&mut self, other: &ZoneOutcomes) {
         self.on_time = self.on_time.saturating_add(other.on_time);
         self.late = self.late.saturating_add(other.late);
@@ -74,7 +76,7 @@
         self.utilization_permille = self.utilization_permille.max(other.utilization_permille);
     }
 
-    /// Attempts that have finished.
+    /// Number of attempts that have finished.
     pub fn finished(&self) -> u32 {
         self.on_time.saturating_add(self.late).saturating_add(self.failed())
     }
@@ -95,25 +97,26 @@
         self.percent(self.failed())
     }
 
-    /// Whether the zone is lost as far as this report tells: most attempts failed, at two thirds of the endpoints that
-    /// were tried, so that one dead endpoint does not pass for a lost zone.
+    /// Whether the zone is lost by this report alone: most attempts failed, and at least two thirds of the tried
+    /// endpoints gave no answer, so that one dead endpoint does not make a zone count as lost.
     pub fn is_lost(&self) -> bool {
         let most_endpoints_failed =
             u32::from(self.endpoints_failed) * 3 >= u32::from(self.endpoints_tried) * 2;
         self.finished() > 0 && self.failed_percent() >= LOST_PERCENT && most_endpoints_failed
     }
 
-    /// Whether enough attempts show that the zone answers in time.
+    /// Whether there are enough attempts to tell that the zone is healthy.
     pub fn is_healthy(&self) -> bool {
         self.finished() >= MIN_ATTEMPTS && self.health() == ZoneHealth::Healthy
     }
 
-    /// Whether enough attempts show that too much fails or is late there for waiting to be worthwhile.
+    /// Whether there are enough attempts to tell that the zone is not healthy: too many fail or are late for waiting to
+    /// be worthwhile.
     pub fn is_unhealthy(&self) -> bool {
         self.finished() >= MIN_ATTEMPTS && self.health() != ZoneHealth::Healthy
     }
 
-    /// How the zone looks by this report alone.
+    /// The zone's health by this report alone.
     pub(super) fn health(&self) -> ZoneHealth {
         if self.finished() == 0 {
             ZoneHealth::Unknown
--- a/src/fleet/zones/policy.rs
+++ b/src/fleet/zones/policy.rs
@@ -1,16 +1,16 @@
-//! The operator's settings and commands on zones.
+//! The operator's settings and commands for zones.
 
 use crate::time::TimeDelta;
 
-/// How often a zone's time out of service is doubled at most: beyond that the maximum has long been reached.
+/// The evacuation time is doubled at most this often: by then the maximum has long been reached.
 const MAX_DOUBLINGS: u8 = 16;
 
-/// How long a zone stays evacuated: exponential backoff.
+/// How long a zone stays evacuated: an exponential backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EvacuationBackoff {
-    /// The first time; twice as long each time the zone fails again soon after its return.
+    /// The time for the first evacuation; doubled each time the zone fails again soon after its return.
     pub initial: TimeDelta,
-    /// The longest time.
+    /// The upper limit of the time.
     pub maximum: TimeDelta,
 }
 
@@ -21,19 +21,19 @@
 }
 
 impl EvacuationBackoff {
-    /// The time out of service after this many failed returns.
+    /// The evacuation time after this many failed returns.
     pub fn after(&self, failed_returns: u8) -> TimeDelta {
         let doublings = failed_returns.min(MAX_DOUBLINGS);
         self.initial.saturating_mul(1 << doublings).min(self.maximum)
     }
 }
 
-/// How this process evacuates zones, from its operator's file.
+/// How this process evacuates zones, as set in the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationPolicy {
     /// The names of the zones, in the order of their ids.
     pub zone_names: Vec<String>,
-    /// Zones are evacuated and return without an operator's command.
+    /// Whether zones are evacuated and return without an operator's command.
     pub automatic: bool,
     /// How long they stay evacuated.
     pub backoff: EvacuationBackoff,
@@ -45,20 +45,20 @@
     }
 }
 
-/// An operator's command on a zone.
+/// An operator's command for a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneCommand {
-    /// It gets no reads, at once.
+    /// Stop the zone's reads at once.
     Evacuate,
-    /// It returns step by step.
+    /// Return the zone to service step by step.
     Return,
-    /// It returns at once.
+    /// Return the zone to its full weight at once.
     ReturnNow,
-    /// It keeps its weight until the next command.
+    /// Keep the zone's current weight until the next command.
     Hold,
 }
 
-/// Why a command on a zone cannot be carried out.
+/// Why a command for a zone cannot be carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ZoneCommandError {
     /// No other zone gets reads.
--- a/src/fleet/zones/state.rs
+++ b/src/fleet/zones/state.rs
@@ -1,9 +1,9 @@
-//! All that one peer knows of zones: its own report, those of its peers, the committed weights, and how its endpoint
+//! All that one peer knows about zones: its own report, those of its peers, the committed weights, and how its endpoint
 //! list follows them.
 //!
-//! Reports go to all peers, so that the next leader knows as much as this one. In the list a zone's endpoints get their
-//! part of the reads by weight, none where the zone is evacuated. The primary of a group stays on the list wherever it
-//! is: only it can take writes, and the router finds out by itself whether it does.
+//! Reports go to all peers, so that the next leader has the same information as this one. On the list, the endpoints of
+//! a zone get reads according to the zone's weight, and none if it is evacuated. The primary of a group stays on the
+//! list in any zone: only it can take writes, and the router finds out by itself whether it does.
 
 use super::capacity::{UsualLoad, ZoneLoad};
 use super::detector::{ZoneReport, ZoneReports, assess_zone};
@@ -21,28 +21,28 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A peer's report counts for this long: peers send one several times a second while anything is wrong.
+/// A peer's report is used for this long: peers send one several times a second while any attempt fails or is late.
 const REPORT_TTL: TimeDelta = TimeDelta::from_secs(1);
-/// The weight of a primary in an evacuated zone: it stays on the list for writes, and the router gives it no reads.
+/// List weight of a primary in an evacuated zone: it stays on the list for writes, and the router gives it no reads.
 const PRIMARY_ONLY_WEIGHT: f64 = 0.01;
 
-/// A peer's last report.
+/// The last report of one peer.
 #[derive(Debug)]
 struct PeerReport {
     report: ZoneReport,
     received_at: Timestamp,
 }
 
-/// What decides whether an endpoint stays on the list although its zone is evacuated.
+/// Reasons for an endpoint to stay on the list although its zone is evacuated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointPlacement {
-    /// It is believed to be its group's primary, or may be it.
+    /// The endpoint is, or may be, the primary of its group.
     pub may_be_primary: bool,
-    /// Its group has endpoints in no other zone: such a group keeps all of them.
+    /// The endpoint's group has no endpoints in other zones, so it keeps all of them.
     pub group_confined_to_zone: bool,
 }
 
-/// What this peer knows of zones.
+/// What this peer knows about zones.
 #[derive(Debug)]
 pub struct ZoneState {
     policy: EvacuationPolicy,
@@ -51,12 +51,12 @@
     controller: EvacuationController,
     local_evacuation: LocalEvacuation,
     usual_loads: BTreeMap<ZoneId, UsualLoad>,
-    /// The weights below the full one that the list followed when it was last asked for.
+    /// The weights below the full one at the last call of [`ZoneState::take_changed_zones`].
     listed_weights: BTreeMap<ZoneId, u16>,
 }
 
 impl ZoneState {
-    /// A state without reports.
+    /// Returns a state without reports.
     pub fn new(policy: EvacuationPolicy) -> ZoneState {
         ZoneState {
             own_report: BTreeMap::new(),
@@ -69,19 +69,20 @@
         }
     }
 
-    /// The name of a zone; of one without a name its id.
+    /// The name of a zone, or its id if it has no name.
     pub fn name(&self, zone: ZoneId) -> String {
         self.policy.zone_names.get(usize::from(zone.0)).cloned().unwrap_or_else(|| zone.to_string())
     }
 
-    /// The zone of a name.
+    /// The zone with this name.
     pub fn find(&self, name: &str) -> Option<ZoneId> {
         let index = self.policy.zone_names.iter().position(|known| known == name)?;
         u8::try_from(index).ok().map(ZoneId)
     }
 
-    /// Takes in the recent outcomes of this peer's attempts, by endpoint name. Returns its report on zones if peers
-    /// should have it at once: something is wrong or has just been, or a zone is not at its full weight.
+    /// Records the recent outcomes of this peer's attempts, by endpoint name. Returns its report on zones if it should
+    /// be sent to the peers at once: an attempt failed or was late in this report or the one before, or a zone is below
+    /// its full weight.
     pub fn record_outcomes(
         &mut self,
         outcomes: &BTreeMap<String, OutcomeCounts>,
@@ -98,24 +99,24 @@
             let endpoints_total = state.hosts.values().filter(|host| host.zone == zone).count();
             report.insert(zone, ZoneOutcomes::new(counts.into_iter(), endpoints_total));
         }
-        let has_trouble = |zone: &ZoneOutcomes| zone.unanswered + zone.connect_failed + zone.late > 0;
-        let is_urgent = report.values().chain(self.own_report.values()).any(has_trouble)
+        let has_problems = |zone: &ZoneOutcomes| zone.unanswered + zone.connect_failed + zone.late > 0;
+        let is_urgent = report.values().chain(self.own_report.values()).any(has_problems)
             || state.zone_weights.values().any(|weight| weight.permille < FULL_WEIGHT_PERMILLE);
         self.own_report = report;
         is_urgent.then(|| self.own_report.clone())
     }
 
-    /// This peer's last report.
-    pub fn own_outcomes(&self) -> &ZoneReport {
+    /// This peer's own last report.
+    pub fn own_report(&self) -> &ZoneReport {
         &self.own_report
     }
 
-    /// Takes in the report of another peer.
+    /// Records the report of another peer.
     pub fn record_report(&mut self, now: Timestamp, peer: NodeId, report: ZoneReport) {
         self.peer_reports.insert(peer, PeerReport { report, received_at: now });
     }
 
-    /// The reports that count: this peer's, and recent ones of members.
+    /// The reports in use: this peer's own, and recent ones of members.
     pub fn current_reports(&self, now: Timestamp, local_node: NodeId, state: &ClusterState) -> ZoneReports {
         let mut reports = ZoneReports::new();
         for (peer, known) in &self.peer_reports {
@@ -127,8 +128,8 @@
         reports
     }
 
-    /// The moves that are due, as the leader decides on them. `capacity_share`: the part of its capacity that a zone
-    /// has, by the age of its endpoints.
+    /// Returns the moves that are due, as decided by the leader. `capacity_share` returns the fraction of its capacity
+    /// that a zone has by the age of its endpoints.
     pub fn next_moves(
         &mut self,
         now: Timestamp,
@@ -152,7 +153,7 @@
         self.controller.next_moves(now, &weights, |zone| state.zones_in_region(zone), &reports, &loads)
     }
 
-    /// Measures what zones serve while all of them have their full weight.
+    /// Measures the usual load of zones, while all of them have their full weight.
     fn measure_usual_loads(&mut self, zones: &BTreeSet<ZoneId>, reports: &ZoneReports) {
         for zone in zones {
             let mut answers = 0.0;
@@ -178,7 +179,7 @@
         usual.map_or(ZoneLoad::default(), |usual| usual.at_capacity_share(capacity_share))
     }
 
-    /// Evacuates the zones that are lost to this peer alone, and returns those that it evacuates from now on.
+    /// Evacuates the zones that are lost to this peer alone, and returns those that are newly evacuated.
     pub fn update_local_evacuation(&mut self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
         if !self.policy.automatic {
             return BTreeSet::new();
@@ -186,14 +187,14 @@
         self.local_evacuation.update(now, &self.own_report, &state.zone_weights)
     }
 
-    /// The part of its usual reads that a zone gets from this peer.
+    /// The share of its usual reads that a zone gets from this peer, in thousandths.
     pub fn effective_permille(&self, now: Timestamp, zone: ZoneId, state: &ClusterState) -> u16 {
         let committed = state.zone_weight(zone).permille;
         let is_evacuated = self.local_evacuation.is_evacuated(now, zone);
         if committed == FULL_WEIGHT_PERMILLE && is_evacuated { 0 } else { committed }
     }
 
-    /// The zones that do not get all of their reads from this peer.
+    /// The zones that do not get all of their usual reads from this peer.
     pub fn reduced_zones(&self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
         let mut zones: BTreeSet<ZoneId> = self.local_evacuation.evacuated(now).collect();
         for (zone, weight) in &state.zone_weights {
@@ -204,8 +205,8 @@
         zones
     }
 
-    /// The zones from whose endpoints an overdue answer is not waited for: evacuated ones, and those that fail much of
-    /// what is asked while another one is healthy.
+    /// The zones whose overdue answers are not awaited: evacuated ones and, while another zone is healthy, unhealthy
+    /// ones.
     pub fn abandoned_zones(&self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
         let mut zones = self.reduced_zones(now, state);
         zones.retain(|zone| self.effective_permille(now, *zone, state) == 0);
@@ -219,13 +220,13 @@
         zones
     }
 
-    /// The zones whose effective weight has changed since this was last called.
-    pub fn take_changed(&mut self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
+    /// Returns the zones whose effective weight has changed since the last call.
+    pub fn take_changed_zones(&mut self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
         let mut weights = BTreeMap::new();
         for zone in self.reduced_zones(now, state) {
             weights.insert(zone, self.effective_permille(now, zone, state));
         }
-        // A zone that is not named has its full weight.
+        // A zone without an entry has its full weight.
         let weight_in = |weights: &BTreeMap<ZoneId, u16>, zone: &ZoneId| {
             weights.get(zone).copied().unwrap_or(FULL_WEIGHT_PERMILLE)
         };
@@ -239,7 +240,7 @@
         changed
     }
 
-    /// An endpoint of the committed list as this peer's router is to see it.
+    /// Returns an endpoint of the committed list as this peer's router has to see it.
     pub fn apply_weight(
         &self,
         now: Timestamp,
@@ -253,15 +254,15 @@
         }
         let weight = listed.weight * f64::from(permille) / f64::from(FULL_WEIGHT_PERMILLE);
         let is_ready = listed.availability == Availability::Ready;
-        let drains = is_ready && permille == 0 && !placement.may_be_primary;
-        let availability = if drains { Availability::Draining } else { listed.availability };
+        let is_drained = is_ready && permille == 0 && !placement.may_be_primary;
+        let availability = if is_drained { Availability::Draining } else { listed.availability };
         EndpointRecord { weight: weight.max(PRIMARY_ONLY_WEIGHT), availability, ..listed }
     }
 
-    /// The weight that an operator's command gives a zone.
+    /// Returns the weight that an operator's command gives a zone.
     ///
     /// # Errors
-    /// The last zone in service cannot be evacuated.
+    /// [`ZoneCommandError::LastZone`] if the command would evacuate the last zone in service.
     pub fn weight_for_command(
         &self,
         command: ZoneCommand,
@@ -293,7 +294,7 @@
     }
 }
 
-/// How each zone that has endpoints looks by these reports.
+/// Returns the health of each zone that has endpoints, by these reports.
 pub fn assess_zones(reports: &ZoneReports, state: &ClusterState) -> BTreeMap<ZoneId, ZoneHealth> {
     populated_zones(state).into_iter().map(|zone| (zone, assess_zone(zone, reports))).collect()
 }
@@ -303,7 +304,7 @@
     state.hosts.values().map(|host| host.zone).collect()
 }
 
-/// The groups that have endpoints in this zone only.
+/// The groups whose endpoints are all in this zone.
 pub fn groups_confined_to(zone: ZoneId, state: &ClusterState) -> BTreeSet<GroupId> {
     let mut inside = BTreeSet::new();
     let mut outside = BTreeSet::new();
--- a/src/fleet/zones/tests.rs
+++ b/src/fleet/zones/tests.rs
@@ -5,13 +5,13 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-const S: TimeDelta = TimeDelta::from_secs(1);
+const SECOND: TimeDelta = TimeDelta::from_secs(1);
 
-fn answering(n: u32) -> ZoneOutcomes {
+fn answered(n: u32) -> ZoneOutcomes {
     ZoneOutcomes { on_time: n, endpoints_tried: 4, endpoints_total: 4, ..ZoneOutcomes::default() }
 }
 
-fn silent(n: u32) -> ZoneOutcomes {
+fn unanswered(n: u32) -> ZoneOutcomes {
     ZoneOutcomes {
         unanswered: n,
         endpoints_tried: 4,
@@ -30,10 +30,10 @@
 }
 
 #[test]
-fn a_lost_zone_is_told_from_a_slow_one_a_cut_link_chance_and_an_isolated_node() {
-    let (ok, lost) = (answering(20), silent(20));
+fn lost_zones_are_distinguished_from_slow_zones_cut_links_chance_and_isolated_nodes() {
+    let (ok, lost) = (answered(20), unanswered(20));
     let late = ZoneOutcomes { late: 15, on_time: 5, ..ZoneOutcomes::default() };
-    let unlucky = ZoneOutcomes {
+    let one_endpoint_failing = ZoneOutcomes {
         on_time: 15,
         unanswered: 3,
         endpoints_tried: 4,
@@ -46,27 +46,33 @@
         ZoneHealth::CutOff(BTreeSet::from([NodeId(1)]))
     );
     assert_eq!(assess_zone(ZoneId(0), &reports(&[&[late, ok], &[late, ok], &[ok, ok]])), ZoneHealth::Slow);
-    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[unlucky, ok], &[ok, ok]])), ZoneHealth::Healthy);
-    assert_eq!(assess_zone(ZoneId(0), &reports(&[&[unlucky, ok], &[unlucky, ok]])), ZoneHealth::Degraded);
+    assert_eq!(
+        assess_zone(ZoneId(0), &reports(&[&[one_endpoint_failing, ok], &[ok, ok]])),
+        ZoneHealth::Healthy
+    );
+    assert_eq!(
+        assess_zone(ZoneId(0), &reports(&[&[one_endpoint_failing, ok], &[one_endpoint_failing, ok]])),
+        ZoneHealth::Degraded
+    );
     assert_eq!(
         assess_zone(ZoneId(0), &reports(&[&[lost, lost], &[ok, ok]])),
         ZoneHealth::Healthy,
-        "its own link is cut"
+        "node 1 is isolated"
     );
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[silent(2), ok], &[answering(2), ok]])),
+        assess_zone(ZoneId(0), &reports(&[&[unanswered(2), ok], &[answered(2), ok]])),
         ZoneHealth::Unknown
     );
-    // Many nodes with few attempts each have enough together.
+    // Few attempts of each of many nodes are enough together.
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[silent(2), ok], &[silent(2), ok], &[silent(1), ok]])),
+        assess_zone(ZoneId(0), &reports(&[&[unanswered(2), ok], &[unanswered(2), ok], &[unanswered(1), ok]])),
         ZoneHealth::Lost
     );
 }
 
 #[test]
-fn one_dead_endpoint_or_an_exaggerating_node_does_not_make_a_zone_lost() {
-    let ok = answering(20);
+fn neither_one_dead_endpoint_nor_one_node_with_many_attempts_makes_a_zone_lost() {
+    let ok = answered(20);
     let one_dead = ZoneOutcomes {
         on_time: 0,
         unanswered: 9,
@@ -82,43 +88,48 @@
     assert_ne!(
         assess_zone(ZoneId(0), &reports(&[&[one_dead, ok]])),
         ZoneHealth::Lost,
-        "one endpoint of four is all that was tried"
+        "only one of four endpoints was tried"
     );
     let one_each = &[&[one_dead, ok][..], &[one_dead, ok], &[one_dead, ok]];
     assert_eq!(
         assess_zone(ZoneId(0), &reports(one_each)),
         ZoneHealth::Lost,
-        "each node may have tried another endpoint"
+        "each node may have tried a different endpoint"
     );
-    // A node that reports every zone as lost, with however many attempts.
-    let exaggerating = silent(u32::MAX);
+    // A node that reports every zone as lost, with any number of attempts.
+    let all_unanswered = unanswered(u32::MAX);
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[exaggerating, exaggerating], &[ok, ok], &[ok, ok]])),
+        assess_zone(ZoneId(0), &reports(&[&[all_unanswered, all_unanswered], &[ok, ok], &[ok, ok]])),
         ZoneHealth::Healthy
     );
     assert_eq!(
-        assess_zone(ZoneId(0), &reports(&[&[exaggerating, ok], &[ok, ok], &[ok, ok]])),
+        assess_zone(ZoneId(0), &reports(&[&[all_unanswered, ok], &[ok, ok], &[ok, ok]])),
         ZoneHealth::CutOff(BTreeSet::from([NodeId(1)]))
     );
 }
 
-/// Three zones whose endpoints fail and return cold, by seed, and their committed weights.
-struct World {
+/// A simulation of three zones whose endpoints fail and return cold, with their committed weights.
+struct ZoneSimulation {
     weights: BTreeMap<ZoneId, ZoneWeight>,
-    /// Until when each zone is silent, and since when its endpoints run.
-    silent: [Timestamp; 3],
-    started: [Timestamp; 3],
+    /// Until when each zone gives no answers.
+    unresponsive_until: [Timestamp; 3],
+    /// Since when the endpoints of each zone have been running.
+    started_at: [Timestamp; 3],
 }
 
-impl World {
-    fn new() -> World {
+impl ZoneSimulation {
+    fn new() -> ZoneSimulation {
         let weights = (0..3).map(|z| (ZoneId(z), ZoneWeight::default())).collect();
-        World { weights, silent: [Timestamp::ZERO; 3], started: [Timestamp::ZERO - 100 * S; 3] }
+        ZoneSimulation {
+            weights,
+            unresponsive_until: [Timestamp::ZERO; 3],
+            started_at: [Timestamp::ZERO - 100 * SECOND; 3],
+        }
     }
 
     fn capacity_share(&self, now: Timestamp, zone: ZoneId) -> f64 {
-        let age =
-            (now - self.started[usize::from(zone.0)]).or_zero().as_micros_f64() / (16 * S).as_micros_f64();
+        let age = (now - self.started_at[usize::from(zone.0)]).or_zero().as_micros_f64()
+            / (16 * SECOND).as_micros_f64();
         (0.25 + 0.75 * age).min(1.0)
     }
 
@@ -127,43 +138,44 @@
         (0..3).map(ZoneId).map(|z| (z, load(z))).collect()
     }
 
-    /// What `nodes` nodes report of one second, each with an equal part of the attempts.
+    /// What `nodes` nodes report for one second, each with an equal share of the attempts.
     fn reports(&self, now: Timestamp, nodes: u64) -> ZoneReports {
         let outcomes = |zone: ZoneId| {
             let sent =
                 (f64::from(self.weights[&zone].permille) / 1000.0 * 100.0 / nodes as f64).ceil() as u32;
-            if self.silent[usize::from(zone.0)] > now { silent(sent) } else { answering(sent) }
+            if self.unresponsive_until[usize::from(zone.0)] > now { unanswered(sent) } else { answered(sent) }
         };
-        let own = || (0..3).map(ZoneId).map(|z| (z, outcomes(z))).collect();
-        (1..=nodes).map(|id| (NodeId(id), own())).collect()
+        let report = || (0..3).map(ZoneId).map(|z| (z, outcomes(z))).collect();
+        (1..=nodes).map(|id| (NodeId(id), report())).collect()
     }
 }
 
-/// Guards against evacuating the last zone, two moves at once, a step on the way back that the zone does not bear,
-/// flapping, and a zone that never returns. Seeded: zones fall silent and return cold at any time.
+/// Guards against evacuating the last zone, two moves at once, a return step beyond a zone's capacity, flapping, and a
+/// zone that never returns. Seeded: zones stop answering and return cold at any time.
 #[test]
 fn zones_are_evacuated_at_once_and_return_no_faster_than_they_warm_up() {
     for seed in 0..40 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut world, mut controller) = (World::new(), EvacuationController::default());
+        let (mut simulation, mut controller) = (ZoneSimulation::new(), EvacuationController::default());
         let mut moves: Vec<(Timestamp, ZoneId, ZoneWeight)> = Vec::new();
-        let (last_fault, end) = (Timestamp::ZERO + 120 * S, Timestamp::ZERO + 400 * S);
+        let (last_fault, end) = (Timestamp::ZERO + 120 * SECOND, Timestamp::ZERO + 400 * SECOND);
         let mut now = Timestamp::ZERO;
         while now < end {
             now += TimeDelta::from_millis(100);
             if now < last_fault && rng.u16(..600) == 0 {
                 let zone = rng.usize(..3);
-                world.silent[zone] = now + TimeDelta::from_micros(rng.i64(1_000_000..10_000_000));
-                world.started[zone] = world.silent[zone];
+                simulation.unresponsive_until[zone] =
+                    now + TimeDelta::from_micros(rng.i64(1_000_000..10_000_000));
+                simulation.started_at[zone] = simulation.unresponsive_until[zone];
             }
-            let (reports, loads) = (world.reports(now, 5), world.loads(now));
-            let due = controller.next_moves(now, &world.weights, |zone| vec![zone], &reports, &loads);
+            let (reports, loads) = (simulation.reports(now, 5), simulation.loads(now));
+            let due = controller.next_moves(now, &simulation.weights, |zone| vec![zone], &reports, &loads);
             assert!(
                 due.len() < 2 || due.iter().all(|next| next.weight.reason == WeightReason::Lost),
                 "seed {seed}: {due:?}"
             );
             for ZoneMove { zone, weight } in due {
-                let old = world.weights[&zone];
+                let old = simulation.weights[&zone];
                 assert_eq!(weight.version, old.version + 1, "seed {seed}");
                 assert_ne!(weight.permille, old.permille, "seed {seed}: a move that changes nothing");
                 if weight.permille > old.permille && old.permille > 0 {
@@ -173,31 +185,31 @@
                         "seed {seed}"
                     );
                     assert!(
-                        world.silent[usize::from(zone.0)] <= now,
-                        "seed {seed}: a step into a silent zone"
+                        simulation.unresponsive_until[usize::from(zone.0)] <= now,
+                        "seed {seed}: a step up of a zone that does not answer"
                     );
                 }
-                world.weights.insert(zone, weight);
+                simulation.weights.insert(zone, weight);
                 assert!(
-                    world.weights.values().any(|weight| weight.permille > 0),
+                    simulation.weights.values().any(|weight| weight.permille > 0),
                     "seed {seed}: all zones are evacuated"
                 );
                 moves.push((now, zone, weight));
             }
         }
         assert!(
-            world.weights.values().all(|weight| weight.permille == FULL_WEIGHT_PERMILLE),
+            simulation.weights.values().all(|weight| weight.permille == FULL_WEIGHT_PERMILLE),
             "seed {seed}: {:?}",
-            world.weights
+            simulation.weights
         );
         for zone in (0..3).map(ZoneId) {
-            let own: Vec<_> = moves.iter().filter(|(_, z, _)| *z == zone).collect();
-            for pair in own.windows(2) {
-                let (left, back) = (pair[0].2, pair[1].2);
-                let rested = pair[1].0 - pair[0].0;
+            let zone_moves: Vec<_> = moves.iter().filter(|(_, moved, _)| *moved == zone).collect();
+            for pair in zone_moves.windows(2) {
+                let (old, new) = (pair[0].2, pair[1].2);
+                let elapsed = pair[1].0 - pair[0].0;
                 assert!(
-                    left.permille > 0 || back.permille == 0 || rested >= EvacuationBackoff::default().initial,
-                    "seed {seed}: it flaps"
+                    old.permille > 0 || new.permille == 0 || elapsed >= EvacuationBackoff::default().initial,
+                    "seed {seed}: the zone flaps"
                 );
             }
         }
@@ -205,41 +217,52 @@
 }
 
 #[test]
-fn a_slow_zone_is_evacuated_as_far_as_the_others_can_carry_it_and_a_lost_one_wholly() {
+fn a_slow_zone_is_evacuated_as_far_as_others_have_capacity_and_a_lost_zone_completely() {
     let late = ZoneOutcomes { late: 20, ..ZoneOutcomes::default() };
-    let (ok, lost) = (answering(20), silent(20));
+    let (ok, lost) = (answered(20), unanswered(20));
     let weights: BTreeMap<ZoneId, ZoneWeight> = (0..2).map(|z| (ZoneId(z), ZoneWeight::default())).collect();
     let loads = BTreeMap::from([
         (ZoneId(0), ZoneLoad { reads_rps: 100.0, capacity_rps: 150.0 }),
         (ZoneId(1), ZoneLoad { reads_rps: 100.0, capacity_rps: 150.0 }),
     ]);
     let (mut controller, zero) = (EvacuationController::default(), Timestamp::ZERO);
-    let own = |zone| vec![zone];
+    let own_region = |zone| vec![zone];
     assert!(
-        controller.next_moves(zero, &weights, own, &reports(&[&[late, ok]]), &loads).is_empty(),
+        controller.next_moves(zero, &weights, own_region, &reports(&[&[late, ok]]), &loads).is_empty(),
         "not with the first report"
     );
     let ZoneMove { zone, weight } =
-        controller.next_moves(zero + MIN_STEP_TIME, &weights, own, &reports(&[&[late, ok]]), &loads)[0];
-    // The other zone can carry 35 of its 100 reads.
+        controller.next_moves(zero + MIN_STEP_TIME, &weights, own_region, &reports(&[&[late, ok]]), &loads)
+            [0];
+    // The other zone can serve 35 of its 100 reads.
     assert_eq!((zone, weight.permille, weight.reason), (ZoneId(0), 650, WeightReason::Slow));
-    let ZoneMove { zone, weight } =
-        EvacuationController::default().next_moves(zero, &weights, own, &reports(&[&[lost, ok]]), &loads)[0];
+    let ZoneMove { zone, weight } = EvacuationController::default().next_moves(
+        zero,
+        &weights,
+        own_region,
+        &reports(&[&[lost, ok]]),
+        &loads,
+    )[0];
     assert_eq!((zone, weight.permille, weight.reason), (ZoneId(0), 0, WeightReason::Lost));
-    // Both are slow: nothing would be gained. Only one is left that works: it stays.
+    // Both zones are slow: a move would gain nothing.
     assert!(
         controller
-            .next_moves(zero + 2 * MIN_STEP_TIME, &weights, own, &reports(&[&[late, late]]), &loads)
+            .next_moves(zero + 2 * MIN_STEP_TIME, &weights, own_region, &reports(&[&[late, late]]), &loads)
             .is_empty()
     );
-    let mut one_left = weights.clone();
-    one_left.insert(
+    // Zone 1 is the last one in service: it keeps its weight although it is lost.
+    let mut last_in_service = weights.clone();
+    last_in_service.insert(
         ZoneId(0),
         ZoneWeight { permille: 0, reason: WeightReason::Lost, version: 1, failed_returns: 0 },
     );
     let both = reports(&[&[ZoneOutcomes::default(), lost], &[ZoneOutcomes::default(), lost]]);
-    assert!(EvacuationController::default().next_moves(zero, &one_left, own, &both, &loads).is_empty());
-    // A zone that an operator evacuated returns on a command only.
+    assert!(
+        EvacuationController::default()
+            .next_moves(zero, &last_in_service, own_region, &both, &loads)
+            .is_empty()
+    );
+    // A zone that an operator evacuated returns only on a command.
     let mut held = weights.clone();
     held.insert(
         ZoneId(0),
@@ -249,55 +272,58 @@
     for now in [zero, zero + EvacuationBackoff::default().maximum * 2] {
         assert!(
             controller
-                .next_moves(now, &held, own, &reports(&[&[ZoneOutcomes::default(), ok]]), &loads)
+                .next_moves(now, &held, own_region, &reports(&[&[ZoneOutcomes::default(), ok]]), &loads)
                 .is_empty()
         );
     }
 }
 
 /// Guards against a lost region of which only the zone with much traffic is evacuated, against lost zones that are
-/// evacuated one after the other, and against one zone's fault that is taken for its region's.
+/// evacuated one after the other, and against a fault of one zone that counts as one of its region.
 #[test]
-fn a_lost_region_is_evacuated_wholly_and_a_lost_zone_alone() {
-    let (ok, lost, none) = (answering(20), silent(20), ZoneOutcomes::default());
+fn a_lost_region_is_evacuated_completely_and_a_lost_zone_alone() {
+    let (ok, lost, none) = (answered(20), unanswered(20), ZoneOutcomes::default());
     let weights: BTreeMap<ZoneId, ZoneWeight> = (0..4).map(|z| (ZoneId(z), ZoneWeight::default())).collect();
     let loads = BTreeMap::new();
-    // Zones 0, 1 and 2 are a region.
+    // Zones 0, 1 and 2 form a region.
     let region = |zone: ZoneId| if zone.0 < 3 { [0, 1, 2].map(ZoneId).to_vec() } else { vec![zone] };
-    let left = |seen: &[&[ZoneOutcomes]]| -> Vec<(u8, u16)> {
-        let due = EvacuationController::default().next_moves(
+    let evacuated = |reports_seen: &[&[ZoneOutcomes]]| -> Vec<(u8, u16)> {
+        let due_moves = EvacuationController::default().next_moves(
             Timestamp::ZERO,
             &weights,
             region,
-            &reports(seen),
+            &reports(reports_seen),
             &loads,
         );
-        due.into_iter().map(|ZoneMove { zone, weight }| (zone.0, weight.permille)).collect()
+        due_moves.into_iter().map(|ZoneMove { zone, weight }| (zone.0, weight.permille)).collect()
     };
-    assert_eq!(left(&[&[lost, silent(3), none, ok], &[lost, none, none, ok]]), [(0, 0), (1, 0), (2, 0)]);
     assert_eq!(
-        left(&[&[lost, lost, ok, ok], &[lost, lost, ok, ok]]),
+        evacuated(&[&[lost, unanswered(3), none, ok], &[lost, none, none, ok]]),
+        [(0, 0), (1, 0), (2, 0)]
+    );
+    assert_eq!(
+        evacuated(&[&[lost, lost, ok, ok], &[lost, lost, ok, ok]]),
         [(0, 0), (1, 0)],
-        "one of its zones works"
+        "zone 2 of the region answers"
     );
     assert_eq!(
-        left(&[&[lost, none, none, ok], &[lost, none, none, ok]]),
+        evacuated(&[&[lost, none, none, ok], &[lost, none, none, ok]]),
         [(0, 0)],
-        "nothing was tried elsewhere"
+        "no other zone of the region was tried"
     );
     assert_eq!(
-        left(&[&[lost, lost, lost, lost], &[lost, lost, lost, lost]]),
+        evacuated(&[&[lost, lost, lost, lost], &[lost, lost, lost, lost]]),
         [],
         "no zone is left to move to"
     );
-    // The same without regions: few attempts tell nothing.
-    let seen = reports(&[&[lost, silent(3), none, ok], &[lost, none, none, ok]]);
-    let alone = EvacuationController::default().next_moves(
+    // Without regions the same few attempts are not enough.
+    let reports_seen = reports(&[&[lost, unanswered(3), none, ok], &[lost, none, none, ok]]);
+    let due_moves = EvacuationController::default().next_moves(
         Timestamp::ZERO,
         &weights,
         |zone| vec![zone],
-        &seen,
+        &reports_seen,
         &loads,
     );
-    assert_eq!(alone.iter().map(|next| next.zone).collect::<Vec<_>>(), [ZoneId(0)]);
+    assert_eq!(due_moves.iter().map(|next| next.zone).collect::<Vec<_>>(), [ZoneId(0)]);
 }
