--- a/src/fleet/gossip/endpoint_summary.rs
+++ b/src/fleet/gossip/endpoint_summary.rs
@@ -1,4 +1,4 @@
-//! What is known about one endpoint at this moment, for the decisions on recovery.
+//! Summarizes what is known about one endpoint at a moment, for recovery decisions.
 
 use super::primary_beliefs::MAX_CLAIM_AGE;
 use super::restored::RestoredEndpoint;
@@ -8,28 +8,28 @@
 /// What is known about an endpoint from recent observations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointSummary {
-    /// It called itself the primary, to this process or recently to a peer.
+    /// The endpoint reported itself as the primary to this process, or recently to a peer.
     pub is_primary: bool,
-    /// Nodes to which it last called itself the primary, and not too long ago.
+    /// Number of nodes to which the endpoint last reported itself as the primary, except for claims that are too old.
     pub primary_claims: usize,
-    /// It reported a log position, to this process or recently to a peer.
+    /// The endpoint reported a log position to this process, or recently to a peer.
     pub position_known: bool,
-    /// When it started; `None`: not known.
+    /// When the endpoint started; `None` if not known.
     pub started_at: Option<Timestamp>,
-    /// Requests per second that it bears when warm, from what it served for all peers together before this start and
-    /// the part of its capacity that it reported this to take; 0: not known.
+    /// Requests per second that the endpoint can serve when warm, from its service rate for all peers together before
+    /// this process started and the utilization that it reported with it; 0 if not known.
     pub warm_capacity_rps: f64,
-    /// It reported itself which part of its capacity was in use.
+    /// Whether the endpoint reported its own utilization before this process started.
     pub utilization_reported: bool,
-    /// Requests per second that it serves for all peers together now.
+    /// Requests per second that the endpoint serves for all peers together now.
     pub current_rate_rps: f64,
 }
 
 impl GossipState {
-    /// What is known about an endpoint now.
+    /// Returns what is known about an endpoint now.
     ///
-    /// This process's own observations are all of this start; those of peers count if they are recent. Nothing that
-    /// was observed before the endpoint's last start counts, except for its capacity.
+    /// This process's own observations were all made since its start and always count; those of peers count if they are
+    /// recent. Observations from before the endpoint's last start count only for its capacity.
     pub fn endpoint_summary(&self, now: Timestamp, endpoint: &str) -> EndpointSummary {
         let restored = self.restored.get(endpoint);
         let started_at = self.started_at(endpoint);
--- a/src/fleet/gossip/mod.rs
+++ b/src/fleet/gossip/mod.rs
@@ -1,17 +1,17 @@
 //! What the peers of a fleet know about endpoints, spread by gossip. No I/O.
 //!
-//! Each peer keeps what it observed itself and what others observed, with the age and the source of every
-//! observation ([`GossipState`]). Peers exchange digests of versions and then send what the other one lacks. This
-//! state is soft: it has no quorum and no log, and nothing in it proves a log position to anybody.
+//! Each peer keeps its own observations and those of others, with the age and the source of each one ([`GossipState`]).
+//! Peers exchange digests of versions, then send what the other one lacks. This state is soft: it has no quorum and no
+//! log, and does not prove a log position.
 //!
-//! Messages carry ages, never points in time: the clocks of peers may differ.
+//! Messages carry ages instead of times, since the clocks of peers may differ.
 //!
 //! - `record`: what is sent about one endpoint, and its version.
-//! - `state`, `observation_table`: all observations, their merge and what is sent next.
+//! - `state`, `observation_table`: all observations, how they are merged and which are sent next.
 //! - `primary_beliefs`: which endpoint of each group is believed to be the primary.
-//! - `service_rate`: how much an endpoint serves for this process.
-//! - `restored`: what the disk held from before this start, good for first guesses only.
-//! - `endpoint_summary`: all of that about one endpoint, for the decisions on recovery.
+//! - `service_rate`: the rate at which an endpoint serves this process.
+//! - `restored`: what was read from disk at the start, used for first guesses only.
+//! - `endpoint_summary`: all of this about one endpoint, for recovery decisions.
 
 mod endpoint_summary;
 mod observation_table;
--- a/src/fleet/gossip/observation_table.rs
+++ b/src/fleet/gossip/observation_table.rs
@@ -1,4 +1,4 @@
-//! All observations, by the node that made them and by endpoint.
+//! Stores all observations, by observing node and by endpoint.
 
 use super::record::{GossipRecord, GossipVersion};
 use crate::ids::NodeId;
@@ -23,7 +23,7 @@
         now - self.observed_at
     }
 
-    /// The observation as it is sent: its times become ages.
+    /// Converts the observation to a record to send: times become ages.
     pub(super) fn to_record(&self, now: Timestamp, observer: NodeId, endpoint: &str) -> GossipRecord {
         GossipRecord {
             observer,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The observation that a record received at `now` carries.
+    /// Returns the observation carried by a record that was received at `now`.
     pub(super) fn from_record(now: Timestamp, record: &GossipRecord) -> StoredObservation {
         StoredObservation {
             version: record.version,
@@ -57,14 +57,14 @@
 /// The observations of one node, by endpoint name.
 pub(super) type ObservationsOfNode = BTreeMap<String, StoredObservation>;
 
-/// The observations of all nodes, the latest of each node about each endpoint.
+/// The observations of all nodes: the latest of each node about each endpoint.
 #[derive(Debug, Default)]
 pub(super) struct ObservationTable {
     pub(super) by_node: BTreeMap<NodeId, ObservationsOfNode>,
 }
 
 impl ObservationTable {
-    /// What each node last observed about one endpoint, in order of nodes.
+    /// The last observation of each node about one endpoint, ordered by node.
     pub(super) fn about(&self, endpoint: &str) -> impl Iterator<Item = (NodeId, &StoredObservation)> {
         self.by_node.iter().filter_map(move |(node, observations)| {
             let observation = observations.get(endpoint)?;
@@ -72,14 +72,14 @@
         })
     }
 
-    /// All observations with their node and endpoint, in order of nodes, then endpoints.
+    /// All observations with their node and endpoint, ordered by node, then endpoint.
     pub(super) fn iter(&self) -> impl Iterator<Item = (NodeId, &String, &StoredObservation)> {
         self.by_node.iter().flat_map(|(node, observations)| {
             observations.iter().map(|(endpoint, observation)| (*node, endpoint, observation))
         })
     }
 
-    /// The endpoints that any node observed.
+    /// The endpoints observed by any node.
     pub(super) fn endpoints(&self) -> BTreeSet<&String> {
         self.by_node.values().flat_map(BTreeMap::keys).collect()
     }
--- a/src/fleet/gossip/primary_beliefs.rs
+++ b/src/fleet/gossip/primary_beliefs.rs
@@ -6,7 +6,7 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// An older claim to be the primary is not believed: a failover takes less than this.
+/// An older claim to be the primary is ignored: a failover takes less time than this.
 pub(super) const MAX_CLAIM_AGE: TimeDelta = TimeDelta::from_secs(60);
 
 /// The endpoint that is believed to be the primary of a group.
@@ -14,13 +14,13 @@
 pub struct PrimaryBelief {
     /// The endpoint's name.
     pub endpoint: String,
-    /// When it last called itself the primary, by this process's clock.
+    /// When the endpoint last reported itself as the primary, by this process's clock.
     pub observed_at: Timestamp,
-    /// The node that observed it.
+    /// The node that observed the claim.
     pub observer: NodeId,
 }
 
-/// The beliefs about all groups. A belief only gives way to a later claim.
+/// The believed primary of each group. It is only replaced by a later claim.
 #[derive(Debug, Default)]
 pub(super) struct PrimaryBeliefs {
     by_group: BTreeMap<GroupId, PrimaryBelief>,
@@ -31,7 +31,7 @@
         &self.by_group
     }
 
-    /// Takes in the latest claims, and returns the groups whose believed primary has changed.
+    /// Applies the latest claims, and returns the groups whose believed primary has changed.
     pub(super) fn update(
         &mut self,
         now: Timestamp,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The latest claim to be the primary of each group, among those that are neither too old nor contradicted.
+/// Returns the latest claim to be the primary of each group, among those that are neither too old nor contradicted.
 fn latest_claims(
     now: Timestamp,
     local_node: NodeId,
@@ -72,7 +72,7 @@
             continue;
         }
         let Some(group) = state.hosts.get(endpoint).map(|host| host.group) else { continue };
-        // What this process observed itself voids every earlier observation of a peer about the same endpoint.
+        // An observation of this process overrides every earlier observation of a peer about the same endpoint.
         let own = own_observations.get(endpoint);
         let contradicted =
             observer != local_node && own.is_some_and(|own| own.observed_at >= observation.observed_at);
--- a/src/fleet/gossip/record.rs
+++ b/src/fleet/gossip/record.rs
@@ -6,60 +6,60 @@
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// A record as old as this is not accepted, and a node that was not heard for so long is forgotten.
+/// Records of this age or older are rejected, and a node that has not been heard of for this long is forgotten.
 pub(super) const MAX_RECORD_AGE: TimeDelta = TimeDelta::from_secs(600);
 
-/// The version of one node's observations: which start of the node, and how many it has made since.
+/// The version of one node's observations: the node's incarnation and a counter within it.
 ///
-/// Peers compare versions to find out what the other one lacks. Field order is part of the message format and of the
-/// ordering.
+/// Peers compare versions to find out what the other one lacks. Field order is part of the message format and
+/// determines the ordering.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GossipVersion {
-    /// The start of the node; a later start has a greater value.
+    /// Identifies the start of the node; each later start has a greater value.
     pub incarnation: u64,
-    /// Observations since that start.
+    /// Number of observations since that start.
     pub sequence: u64,
 }
 
-/// The latest version known of each node, for peers to compare.
+/// The latest known version of each node, sent to peers for comparison.
 pub type GossipDigest = Vec<(NodeId, GossipVersion)>;
 
-/// What one node observed about one endpoint, as it is sent to peers and kept on disk.
+/// What one node observed about one endpoint, as sent to peers and stored on disk.
 ///
 /// Field order is part of the message format and of the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipRecord {
     /// The node that made the observation.
     pub observer: NodeId,
-    /// Its version among that node's observations.
+    /// The version of the observation among those of its observer.
     pub version: GossipVersion,
     /// The endpoint's name.
     pub endpoint: String,
-    /// The endpoint called itself the primary.
+    /// Whether the endpoint reported itself as the primary.
     pub is_primary: bool,
-    /// The log position that it reported, by its own clock.
+    /// The log position that the endpoint reported, by the endpoint's clock.
     pub position: LogPosition,
     /// Age of the observation when the record was written.
     pub age: TimeDelta,
-    /// Attempts that the observer had in flight there at that time.
+    /// Attempts that the observer had in flight to the endpoint at that time.
     pub attempts_in_flight: u16,
-    /// How long ago the endpoint started; `None`: not known.
+    /// Time since the endpoint started; `None` if not known.
     pub uptime: Option<TimeDelta>,
-    /// What the endpoint served for the observer, in thousandths of a request per second.
+    /// Rate at which the endpoint served the observer, in thousandths of a request per second.
     pub service_rate_milli: u32,
-    /// The part of its capacity that the endpoint reported to be in use, in thousandths; 0: it reports none.
+    /// The endpoint's reported utilization, in thousandths; 0 if it reports none.
     pub utilization_permille: u16,
 }
 
 impl GossipRecord {
-    /// Whether the ages can be true: not of the future, and not older than anything that is still sent.
-    pub(super) fn has_plausible_age(&self) -> bool {
+    /// Whether the ages are plausible: not negative, and the observation younger than [`MAX_RECORD_AGE`].
+    pub(super) fn has_plausible_ages(&self) -> bool {
         let age_in_range = TimeDelta::ZERO <= self.age && self.age < MAX_RECORD_AGE;
         let uptime_in_range = self.uptime.is_none_or(|uptime| uptime >= TimeDelta::ZERO);
         age_in_range && uptime_in_range
     }
 
-    /// The record as the engine takes observations of peers; `None` if its age is out of range.
+    /// Converts the record for the engine; `None` if its age is out of range.
     pub(super) fn to_peer_observation(&self, now: Timestamp) -> Option<PeerObservation> {
         if self.age < TimeDelta::ZERO || self.age >= MAX_RECORD_AGE {
             return None;
--- a/src/fleet/gossip/restored.rs
+++ b/src/fleet/gossip/restored.rs
@@ -1,7 +1,7 @@
 //! What was known about endpoints before this start, as read from disk.
 //!
-//! It is good for first guesses only: it is sent to nobody, proves nothing, and gives way to whatever is observed
-//! after the start.
+//! It serves first guesses only: it is not sent to peers, does not prove anything, and is replaced by whatever is
+//! observed after the start.
 
 use super::record::GossipRecord;
 use super::service_rate::RATE_DECAY;
@@ -11,10 +11,10 @@
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// The utilization that an endpoint reported is weighed against this many answers at full utilization: a few reports
-/// alone must not make its capacity look many times what it served.
+/// Number of assumed answers at full utilization that are averaged with the reported utilization: without them, a few
+/// reports of a low utilization could give a capacity many times the rate served.
 const PRIOR_ANSWERS_AT_FULL_UTILIZATION: f64 = 4.0;
-/// A lower utilization than this says no more than this: endpoints round it, and it varies by chance.
+/// A lower utilization counts as this: endpoints round it, and it varies by chance.
 const MIN_UTILIZATION: f64 = 0.1;
 
 /// A guess at the primary of a group, from before this start.
@@ -22,21 +22,22 @@
 pub struct RestoredPrimary {
     /// The endpoint's name.
     pub endpoint: String,
-    /// When it last called itself the primary, by this process's clock.
+    /// When the endpoint last reported itself as the primary, by this process's clock.
     pub observed_at: Timestamp,
 }
 
 /// What was known about one endpoint before this start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RestoredEndpoint {
-    /// When it last called itself the primary.
+    /// When the endpoint last reported itself as the primary.
     primary_at: Option<Timestamp>,
-    /// The greatest log position that it reported, and when.
+    /// The greatest log position that the endpoint reported, and when it did.
     position: LogPosition,
     position_at: Timestamp,
-    /// What it served for all peers together, in thousandths of a request per second.
+    /// Rate at which the endpoint served all peers together, in thousandths of a request per second.
     service_rate_milli: u32,
-    /// Requests per second for which the endpoint reported its utilization, and these weighted by that utilization.
+    /// The part of the service rate, in requests per second, that came with a reported utilization, and the same
+    /// weighted by that utilization.
     reported_rate_rps: f64,
     utilized_rate_rps: f64,
 }
@@ -59,13 +60,13 @@
         }
     }
 
-    /// Whether the endpoint reported which part of its capacity was in use.
+    /// Whether the endpoint reported its utilization.
     pub(super) fn reported_utilization(&self) -> bool {
         self.reported_rate_rps > 0.0
     }
 
-    /// Requests per second that the endpoint bears when warm: what it served, divided by the part of its capacity that
-    /// this took, as far as that rests on enough answers.
+    /// Requests per second that the endpoint can serve when warm: the rate served divided by the utilization. The fewer
+    /// answers the reported utilization rests on, the closer to 1 it is taken.
     pub(super) fn warm_capacity_rps(&self) -> f64 {
         let rate_rps = f64::from(self.service_rate_milli) / 1000.0;
         if !self.reported_utilization() {
@@ -86,7 +87,7 @@
 }
 
 impl RestoredGossip {
-    /// Takes in records that were written `elapsed` before `now`.
+    /// Adds records that were written `elapsed` before `now`.
     pub(super) fn add(&mut self, now: Timestamp, records: &[GossipRecord], elapsed: TimeDelta) {
         for record in records {
             if record.age < TimeDelta::ZERO {
@@ -116,8 +117,8 @@
         positions
     }
 
-    /// The endpoint of each group that last called itself the primary. Endpoints that `state` does not list, and groups
-    /// for which `is_known` holds, are left out.
+    /// Returns for each group the endpoint that last reported itself as the primary. Endpoints that `state` does not
+    /// list and groups for which `is_known` holds are left out.
     pub(super) fn primaries(
         &self,
         state: &ClusterState,
--- a/src/fleet/gossip/state.rs
+++ b/src/fleet/gossip/state.rs
@@ -1,4 +1,4 @@
-//! All that gossip has brought: observations with their versions, their merge, and what peers lack.
+//! The state of gossip: all observations with their versions, how they are merged, and what peers lack.
 
 use super::observation_table::{ObservationTable, ObservationsOfNode, StoredObservation};
 use super::primary_beliefs::{PrimaryBelief, PrimaryBeliefs};
@@ -12,16 +12,16 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// A changed log position is sent again after this time, and no endpoint's more often: positions move with every
-/// commit, and each record costs every peer a message.
+/// Minimum time between two sendings of a changed log position of one endpoint: positions move with every commit, and
+/// each record costs a message to every peer.
 const POSITION_REFRESH: TimeDelta = TimeDelta::from_secs(5);
-/// The same while this process recovers and its peers wait for what it observes.
+/// The same while this process recovers and its peers wait for its observations.
 const URGENT_POSITION_REFRESH: TimeDelta = TimeDelta::from_millis(200);
 /// Peers' observations count as recent up to this age: each is refreshed at least every [`POSITION_REFRESH`], and one
 /// refresh may be lost.
 pub(super) const MAX_RECENT_AGE: TimeDelta = TimeDelta::from_micros(2 * POSITION_REFRESH.as_micros());
 
-/// How soon observations are to reach the peers.
+/// How soon observations have to reach the peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GossipUrgency {
     /// With the next exchange of digests.
@@ -30,7 +30,7 @@
     Immediate,
 }
 
-/// The latest version known of a node, and when that node's observations last arrived.
+/// The latest known version of a node, and when that node's observations last arrived.
 #[derive(Clone, Copy, Debug, Default)]
 struct KnownVersion {
     version: GossipVersion,
@@ -45,21 +45,22 @@
     pub(super) observations: ObservationTable,
     known_versions: BTreeMap<NodeId, KnownVersion>,
     primary_beliefs: PrimaryBeliefs,
-    /// What was known before this start.
+    /// What was known before this process started.
     pub(super) restored: RestoredGossip,
-    /// What each endpoint serves for this process.
+    /// The rate at which each endpoint serves this process.
     pub(super) service_rates: BTreeMap<String, ServiceRate>,
 }
 
 impl GossipState {
-    /// A state without observations. `incarnation` must be greater than at any earlier start of this node.
+    /// Returns a state without observations. `incarnation` must be greater than at any earlier start of this node.
     pub fn new(local_node: NodeId, incarnation: u64) -> GossipState {
         let own_version = GossipVersion { incarnation, sequence: 0 };
         GossipState { local_node, own_version, ..GossipState::default() }
     }
 
-    /// Takes in what endpoints reported to this process, and returns how soon peers are to be told.
-    /// [`GossipUrgency::Immediate`] as input makes every change urgent: this process recovers, and peers wait for it.
+    /// Records what endpoints reported to this process, and returns how soon peers have to be told. While this process
+    /// recovers and peers wait for its observations, the caller passes [`GossipUrgency::Immediate`], which makes every
+    /// change urgent.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -88,8 +89,8 @@
         let previous = own.get(&new.endpoint_name);
         let role_changed = previous.is_none_or(|previous| previous.is_primary != new.primary);
         let refresh_due = previous.is_none_or(|previous| needs_refresh(previous, new, urgency));
-        let went_back = new.regression.is_some();
-        if !role_changed && !refresh_due && !went_back {
+        let position_regressed = new.regression.is_some();
+        if !role_changed && !refresh_due && !position_regressed {
             return GossipUrgency::Routine;
         }
         self.own_version.sequence += 1;
@@ -105,27 +106,28 @@
         };
         own.insert(new.endpoint_name.clone(), stored);
         let new_primary = role_changed && new.primary;
-        if new_primary || went_back { GossipUrgency::Immediate } else { urgency }
+        if new_primary || position_regressed { GossipUrgency::Immediate } else { urgency }
     }
 
-    /// The latest version known of each node.
+    /// The latest known version of each node.
     pub fn digest(&self) -> GossipDigest {
         self.known_versions.iter().map(|(node, known)| (*node, known.version)).collect()
     }
 
-    /// What a peer with this digest lacks: this node's own observations, and those of nodes that the peer does not hear
-    /// itself (`peer_hears`). The oldest of each node first and at most `limit`; the rest follows with the next digest.
+    /// Returns the records that a peer with this digest lacks: this node's own observations, and those of nodes that
+    /// the peer does not reach itself (`peer_reaches`). The oldest of each node come first, `limit` at most in total;
+    /// the rest follows with the next digest.
     pub fn records_missing_from(
         &self,
         now: Timestamp,
         digest: &[(NodeId, GossipVersion)],
-        peer_hears: impl Fn(NodeId) -> bool,
+        peer_reaches: impl Fn(NodeId) -> bool,
         limit: usize,
     ) -> Vec<GossipRecord> {
         let versions_at_peer: BTreeMap<NodeId, GossipVersion> = digest.iter().copied().collect();
         let mut records = Vec::new();
         for (node, observations) in &self.observations.by_node {
-            if *node != self.local_node && peer_hears(*node) {
+            if *node != self.local_node && peer_reaches(*node) {
                 continue;
             }
             let version_at_peer = versions_at_peer.get(node).copied().unwrap_or_default();
@@ -142,8 +144,8 @@
         records
     }
 
-    /// Takes in the records of a peer. Left out are endpoints that the committed list lacks, nodes that are no members,
-    /// this node's own observations, and records whose age cannot be true.
+    /// Merges the records of a peer. It ignores observations of endpoints that are not on the committed list, of nodes
+    /// that are not members and of this node, and records with implausible ages.
     pub fn merge(&mut self, now: Timestamp, records: Vec<GossipRecord>, state: &ClusterState) {
         for record in records {
             self.merge_one(now, record, state);
@@ -153,12 +155,12 @@
     fn merge_one(&mut self, now: Timestamp, record: GossipRecord, state: &ClusterState) {
         let observer = record.observer;
         let is_member = state.members.contains_key(&observer);
-        if observer == self.local_node || !is_member || !record.has_plausible_age() {
+        if observer == self.local_node || !is_member || !record.has_plausible_ages() {
             return;
         }
         let known = self.known_versions.get(&observer).copied().unwrap_or_default().version;
         if record.version.incarnation > known.incarnation {
-            // The node has restarted: what it observed before is no longer its view.
+            // The node has restarted: its earlier observations are no longer valid.
             self.observations.by_node.remove(&observer);
         } else if record.version < known {
             return;
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Forgets endpoints that are no longer listed, and nodes that are no members or were not heard for
+    /// Removes endpoints that are no longer listed, and nodes that are not members or have not been heard of for
     /// [`MAX_RECORD_AGE`].
     pub fn remove_departed(&mut self, now: Timestamp, state: &ClusterState) {
         let local_node = self.local_node;
@@ -187,8 +189,8 @@
         self.service_rates.retain(|endpoint, _| state.hosts.contains_key(endpoint));
     }
 
-    /// Works out which endpoints are primaries from recent observations, and returns the groups whose believed primary
-    /// has changed. A later claim is never replaced by an earlier one.
+    /// Updates the believed primaries from recent observations, and returns the groups whose believed primary has
+    /// changed. A claim is never replaced by an earlier one.
     pub fn update_beliefs(
         &mut self,
         now: Timestamp,
@@ -202,15 +204,15 @@
         self.primary_beliefs.by_group()
     }
 
-    /// Whether a group's believed primary has not denied that role since.
+    /// Whether a group has a believed primary that no later observation contradicts.
     pub fn is_primary_known(&self, group: GroupId) -> bool {
         let Some(belief) = self.primary_beliefs().get(&group) else { return false };
         let latest = self.observations.about(&belief.endpoint).max_by_key(|(_, latest)| latest.observed_at);
         latest.is_none_or(|(_, latest)| latest.is_primary)
     }
 
-    /// All observations, to be kept on disk. Own ones carry the peak service rate instead of the current one where that
-    /// is the greater: after the next start it shows what the endpoint bears.
+    /// All observations, to be stored on disk. Own records carry the peak service rate if it is greater than the
+    /// current one: after the next start it shows how much the endpoint can serve.
     pub fn records_to_persist(&self, now: Timestamp) -> Vec<GossipRecord> {
         let mut records = self.records_missing_from(now, &[], |_| false, usize::MAX);
         for record in &mut records {
@@ -228,33 +230,33 @@
         records
     }
 
-    /// Takes in records that the disk held; `elapsed` has passed since they were written. They serve first guesses only.
+    /// Adds records that were read from disk, `elapsed` after they were written. They serve first guesses only.
     pub fn restore(&mut self, now: Timestamp, records: &[GossipRecord], elapsed: TimeDelta) {
         self.restored.add(now, records, elapsed);
     }
 
-    /// Log positions from before this start. Each proves only what its endpoint once reported: one that reports less
-    /// now has gone back.
+    /// Log positions from before this start. They only prove what their endpoints once reported: an endpoint that
+    /// reports a lower position now has gone back.
     pub fn restored_positions(&self) -> Vec<PeerObservation> {
         self.restored.positions()
     }
 
-    /// Guesses from before this start at the primaries of groups about which nothing was observed since.
+    /// The primaries known before this start, as guesses for groups without a believed primary.
     pub fn restored_primaries(&self, state: &ClusterState) -> BTreeMap<GroupId, RestoredPrimary> {
         self.restored.primaries(state, |group| self.primary_beliefs().contains_key(&group))
     }
 
-    /// Records of peers as the engine takes them.
+    /// Converts records of peers for the engine, leaving out those whose age is out of range.
     pub fn peer_observations(now: Timestamp, records: &[GossipRecord]) -> Vec<PeerObservation> {
         records.iter().filter_map(|record| record.to_peer_observation(now)).collect()
     }
 
-    /// When an endpoint started, by the latest start that any node knows of.
+    /// When an endpoint started: the latest start that any node observed; `None` if not known.
     pub fn started_at(&self, endpoint: &str) -> Option<Timestamp> {
         self.observations.about(endpoint).filter_map(|(_, observation)| observation.started_at).max()
     }
 
-    /// When an endpoint last reported anything to any node.
+    /// When an endpoint last reported anything to any node; `None` if never.
     pub fn last_heard(&self, endpoint: &str) -> Option<Timestamp> {
         let observed =
             self.observations.about(endpoint).map(|(_, observation)| observation.observed_at).max();
@@ -262,23 +264,23 @@
         observed.max(served)
     }
 
-    /// Attempts that all nodes together had in flight at an endpoint when they last observed it.
+    /// Attempts that all nodes together had in flight to an endpoint when they last observed it.
     pub fn attempts_in_flight(&self, endpoint: &str) -> u32 {
         let observations = self.observations.about(endpoint);
         observations.map(|(_, observation)| u32::from(observation.attempts_in_flight)).sum()
     }
 
-    /// The number of observations.
+    /// The number of observations stored, of all nodes.
     pub fn len(&self) -> usize {
         self.observations.len()
     }
 
-    /// Whether no node has observed anything.
+    /// Whether no node's observations are stored.
     pub fn is_empty(&self) -> bool {
         self.observations.is_empty()
     }
 
-    /// All observations for operators, a line for each: endpoint, observer, role, position, age in ms, attempts in
+    /// Lists all observations for operators, one per line: endpoint, observer, role, position, age in ms, attempts in
     /// flight.
     pub fn describe(&self, now: Timestamp, node_name: impl Fn(NodeId) -> String) -> Vec<String> {
         let mut lines = Vec::new();
@@ -296,7 +298,7 @@
     }
 }
 
-/// Whether an observation has to be sent again although the endpoint's role is the same.
+/// Whether an observation has to be sent again although the endpoint's role has not changed.
 fn needs_refresh(previous: &StoredObservation, new: &Observation, urgency: GossipUrgency) -> bool {
     let interval = match urgency {
         GossipUrgency::Routine => POSITION_REFRESH,
