--- a/src/bin/brookpass-simulator-adapter/records.rs
+++ b/src/bin/brookpass-simulator-adapter/records.rs
@@ -92,7 +92,7 @@
         group: GroupId(u32::from(u16_at(bytes, entry::GROUP))),
         availability: availability(bytes[entry::AVAILABILITY])?,
         primary: f32_at(bytes, entry::PRIMARY) >= 0.5,
-        units: f32_at(bytes, entry::UNITS),
+        capacity_units: f32_at(bytes, entry::UNITS),
         started_at: has_start.then(|| Timestamp::from_secs_f64(started_at)),
     })
 }
@@ -136,7 +136,7 @@
         work_hint: has_work_hint.then(|| TimeDelta::from_secs_f64(f64_at(record, request::WORK_HINT))),
         last_commit_age: (commit_age_ms > 0.0).then(|| TimeDelta::from_secs_f64(commit_age_ms / 1000.0)),
         session: u64_at(record, request::SESSION),
-        repeated: flags & request::FLAG_REPEATED != 0,
+        is_client_retry: flags & request::FLAG_REPEATED != 0,
         client_timeout: TimeDelta::from_secs_f64(f64_at(record, request::CLIENT_TIMEOUT)),
     }
 }
@@ -148,7 +148,7 @@
         endpoint: endpoint_at(record, attempt_finished::ENDPOINT),
         took: TimeDelta::from_secs_f64(f64_at(record, attempt_finished::TOOK)),
         outcome: attempt_outcome(record[attempt_finished::OUTCOME])?,
-        finished: record[attempt_finished::REQUEST_FINISHED] != 0,
+        request_answered: record[attempt_finished::REQUEST_FINISHED] != 0,
         replica_status: replica_status(u32_at(record, attempt_finished::REPLICA_STATUS)),
         report: load_report_at(record, attempt_finished::REPORT),
     })
--- a/src/bin/brookpass-simulator-adapter/reply.rs
+++ b/src/bin/brookpass-simulator-adapter/reply.rs
@@ -30,8 +30,8 @@
             Action::Cancel { id, attempt } => {
                 self.push_record(action_code::CANCEL, instance, &[&id.0.to_le_bytes(), &[*attempt]]);
             }
-            Action::SetTimer { span, timer } => {
-                self.push_record(action_code::SET_TIMER, instance, &[&seconds(*span), &timer.to_le_bytes()]);
+            Action::SetTimer { delay, timer } => {
+                self.push_record(action_code::SET_TIMER, instance, &[&seconds(*delay), &timer.to_le_bytes()]);
             }
             Action::Probe { endpoint } => {
                 self.push_record(action_code::PROBE, instance, &[&endpoint_bytes(*endpoint)]);
--- a/src/bin/brookpass-simulator-adapter/tests.rs
+++ b/src/bin/brookpass-simulator-adapter/tests.rs
@@ -134,7 +134,7 @@
         Action::Reject { id: RequestId(2), retry_after: Some(TimeDelta::from_millis(250)) },
         Action::Fail { id: RequestId(3) },
         Action::Cancel { id: RequestId(4), attempt: 6 },
-        Action::SetTimer { span: TimeDelta::from_millis(1), timer: 8 },
+        Action::SetTimer { delay: TimeDelta::from_millis(1), timer: 8 },
         Action::Probe { endpoint },
         Action::CloseIdle { endpoint },
         Action::SendToPeers { to: None, bytes: b"hi".to_vec() },
--- a/src/daemon/operator_config/settings.rs
+++ b/src/daemon/operator_config/settings.rs
@@ -108,7 +108,7 @@
         (0..).map_while(|class| pairs.get(&format!("services.{class}.name")).cloned()).collect();
     let borrowed = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
     let settings =
-        settings_parser::read(borrowed).map_err(|error| SettingsError::Value(error.to_string()))?;
+        settings_parser::from_pairs(borrowed).map_err(|error| SettingsError::Value(error.to_string()))?;
     Ok(ParsedSettings { settings, class_names, pairs })
 }
 
--- a/src/daemon/operator_config/tests.rs
+++ b/src/daemon/operator_config/tests.rs
@@ -15,7 +15,7 @@
         parse_settings(config.settings.as_deref().unwrap(), 1).unwrap();
     assert_eq!(class_names, ["catalog-read", "own-edit-read", "score-write"]);
     assert_eq!(settings.classes[0].max_age, Some(TimeDelta::from_micros(800_000)));
-    assert_eq!(settings.me, Some(1));
+    assert_eq!(settings.pooler_number, Some(1));
 }
 
 #[test]
--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -199,7 +199,7 @@
             group: record.group,
             availability: record.availability,
             primary: record.primary,
-            units: record.weight,
+            capacity_units: record.weight,
             started_at: record.started_at,
         };
         self.groups.insert(record.group);
--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -163,11 +163,11 @@
     }
 
     fn gauges(&self, now: Timestamp) -> Gauges {
-        let endpoints = self.router.avoids(now);
+        let endpoints = self.router.endpoint_counts(now);
         Gauges {
             concurrent: self.requests.concurrent(),
             targets: endpoints.listed,
-            disabled: endpoints.avoided,
+            disabled: endpoints.unavailable,
         }
     }
 
@@ -248,7 +248,7 @@
                     commands.push(Command::Cancel { id, attempt });
                 }
             }
-            Action::SetTimer { span, timer } => self.timers.set(now + span.or_zero(), timer),
+            Action::SetTimer { delay, timer } => self.timers.set(now + delay.or_zero(), timer),
             Action::Probe { endpoint } => self.request_poll(now, endpoint, commands),
             // Discovery watches the list from the start of the process to its end, whether or not the router asks.
             Action::Subscribe { on: _ } | Action::FetchList => commands.push(Command::FetchList),
--- a/src/engine/request_engine/attempts.rs
+++ b/src/engine/request_engine/attempts.rs
@@ -108,7 +108,7 @@
             endpoint,
             took: TimeDelta::ZERO,
             outcome,
-            finished: false,
+            request_answered: false,
             replica_status: None,
             report: LoadReport::default(),
         }));
@@ -146,7 +146,7 @@
             endpoint: in_flight.endpoint,
             took,
             outcome,
-            finished: !self.requests.is_open(id),
+            request_answered: !self.requests.is_open(id),
             replica_status,
             report,
         };
--- a/src/engine/request_engine/plausibility.rs
+++ b/src/engine/request_engine/plausibility.rs
@@ -24,7 +24,7 @@
 
 /// A load report, or an empty one where its position cannot be true.
 pub(super) fn plausible_report(settings: &Settings, now: Timestamp, report: LoadReport) -> LoadReport {
-    let zero_micros = settings.zero.unwrap_or(Timestamp::ZERO).as_micros() as f64;
+    let zero_micros = settings.position_epoch.unwrap_or(Timestamp::ZERO).as_micros() as f64;
     let latest_micros = (now + MAX_CLOCK_SKEW).as_micros() as f64;
     let position_seconds = load_report::value(&settings.report_fields, &report, ReportField::Position);
     let is_implausible = |seconds: f64| seconds < 0.0 || zero_micros + seconds * 1e6 > latest_micros;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -50,7 +50,7 @@
 //!     group: GroupId(1),
 //!     availability: Availability::Ready,
 //!     primary: true,
-//!     units: 1.0,
+//!     capacity_units: 1.0,
 //!     started_at: None,
 //! };
 //! let start = Timestamp::ZERO;
--- a/src/net/postgres/front.rs
+++ b/src/net/postgres/front.rs
@@ -75,7 +75,7 @@
             group: statement.group,
             last_commit_age,
             session: session_hash(&statement.session_key),
-            repeated: statement.is_client_retry,
+            is_client_retry: statement.is_client_retry,
             ..IncomingRequest::default()
         })
     }
--- a/src/platform_config.rs
+++ b/src/platform_config.rs
@@ -167,13 +167,13 @@
 
 fn parse_settings(text: &str, pairs: &BTreeMap<String, String>) -> Result<Settings, PlatformConfigError> {
     let borrowed = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
-    let settings = settings_parser::read(borrowed).map_err(|error| {
+    let settings = settings_parser::from_pairs(borrowed).map_err(|error| {
         let message = error.to_string();
         let line = line_of_setting(text, &message);
         LineError::new(line, PlatformConfigProblem::Settings(message))
     })?;
     // Log positions on the sockets are Unix times, as the program's clock is.
-    Ok(Settings { zero: Some(Timestamp::ZERO), ..settings })
+    Ok(Settings { position_epoch: Some(Timestamp::ZERO), ..settings })
 }
 
 /// The line of the setting that `message` names as `settings: PATH=VALUE …`; the last part of the path is the key.
--- a/src/platform_config/tests.rs
+++ b/src/platform_config/tests.rs
@@ -20,7 +20,7 @@
         (vec!["read".to_string()], Some(15.0), Some(1024))
     );
     assert_eq!(
-        (config.seed, config.settings.zero, config.settings.may_probe),
+        (config.seed, config.settings.position_epoch, config.settings.may_probe),
         (0x8c1f_30d2_7a5b_e964, Some(Timestamp::ZERO), Some(false))
     );
     assert_eq!(
--- a/src/routing/action.rs
+++ b/src/routing/action.rs
@@ -3,71 +3,71 @@
 use crate::ids::{EndpointId, RequestId};
 use crate::time::{TimeDelta, Timestamp};
 
-/// Something to do. The runtime carries actions out in their order.
+/// An instruction to the runtime, which carries out actions in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Send an attempt of a request to an endpoint.
     Send {
-        /// The request.
+        /// The request to send.
         id: RequestId,
-        /// The endpoint.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// When to abandon the attempt; `None`: at the client's deadline.
+        /// When to abandon the attempt; `None` for the client's deadline.
         stop_at: Option<Timestamp>,
     },
-    /// Final answer: rejected, with the promise that a retry by the client is harmless.
+    /// Final answer: rejected. The client may safely send the request again.
     Reject {
-        /// The request.
+        /// The request to answer.
         id: RequestId,
-        /// How long the client should wait before it retries.
+        /// How long the client should wait before it retries; `None` if the answer carries no such hint.
         retry_after: Option<TimeDelta>,
     },
     /// Final answer: failed. The request may have run.
     Fail {
-        /// The request.
+        /// The request to answer.
         id: RequestId,
     },
-    /// Cancel an attempt. Its outcome is reported all the same.
+    /// Cancel an attempt. Its outcome must still be reported.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's number within the request, counted from 0.
         attempt: u8,
     },
-    /// Set a timer, which is reported by [`super::Event::TimerFired`]. It cannot be cancelled.
+    /// Set a timer that fires as [`super::Event::TimerFired`]. It cannot be cancelled.
     SetTimer {
-        /// Time from now.
-        span: TimeDelta,
-        /// A number that the event hands back.
+        /// Time from now until the timer fires.
+        delay: TimeDelta,
+        /// Number of the timer, which the event returns.
         timer: u64,
     },
-    /// Probe an endpoint.
+    /// Send a probe, which ends in [`super::Event::ProbeFinished`].
     Probe {
-        /// The endpoint.
+        /// The endpoint to probe.
         endpoint: EndpointId,
     },
-    /// Subscribe to the endpoint list, or unsubscribe.
+    /// Subscribe to the endpoint list, or unsubscribe from it.
     Subscribe {
-        /// Whether to subscribe.
+        /// `true` to subscribe, `false` to unsubscribe.
         on: bool,
     },
     /// Fetch the whole endpoint list once.
     FetchList,
     /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// The endpoint.
+        /// The endpoint whose connections are closed.
         endpoint: EndpointId,
     },
     /// Send a message to another pooler, or to all of them.
     SendToPeers {
-        /// That pooler's number; `None`: all.
+        /// The number of the receiving pooler; `None` for all other poolers.
         to: Option<u16>,
-        /// The message, of 256 bytes at most.
+        /// The encoded message, at most 256 bytes.
         bytes: Vec<u8>,
     },
     /// Write a line to the log.
     Log {
-        /// The line.
+        /// The line, without a line break.
         text: String,
     },
 }
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -1,4 +1,4 @@
-//! The queue of a group: which requests wait, in which order they are dispatched, and when they are given up.
+//! The queue of a group: which requests are queued, in which order they are dispatched, and when they are given up.
 
 use super::group::{QueuePosition, Urgency};
 use super::request::{Request, RequestPath};
@@ -7,27 +7,27 @@
 use super::{Action, GroupId, Idempotency, KeyScope, RequestId, TimeDelta, Timestamp};
 use std::ops::Bound;
 
-/// Queued reads that may fail to find an endpoint in one event before the rest are left: reads differ in what is fresh
-/// enough for them.
-const MAX_WAITING_READS_TRIED: usize = 4;
-/// The same for writes, which all want the same endpoint.
-const MAX_WAITING_WRITES_TRIED: usize = 1;
-/// Retry-after of a rejected request in latency objectives of its class. Crowds and failovers last that long; a client
-/// that comes back at once meets the same obstacle.
+/// A dispatch of queued reads ends once this many found no endpoint. More than one, because reads differ in the
+/// freshness that they require.
+const MAX_UNROUTED_READS: usize = 4;
+/// The same limit for queued writes: one, because all of them need the same endpoint.
+const MAX_UNROUTED_WRITES: usize = 1;
+/// Retry-after of a rejected request, as a multiple of its latency objective. Overload and failovers last about that
+/// long; a client that retries at once would be rejected again.
 const RETRY_AFTER_OBJECTIVES: i64 = 4;
-/// Time that an answer needs at most to reach the client.
+/// Upper bound of the time in which an answer reaches the client.
 const RESPONSE_DELIVERY_TIME: TimeDelta = TimeDelta::from_millis(15);
-/// A new read is rejected where those queued before it would take more than this fraction of the time it has left:
-/// then its client's retry still finds time, and so do those that are queued.
-const QUEUE_SHARE_DIVISOR: f64 = 4.0;
+/// A new read is rejected if sending the reads queued before it would take more than its remaining time divided by
+/// this. That leaves time for its client to retry elsewhere, and for the queued reads to be served.
+const MAX_QUEUE_WAIT_DIVISOR: f64 = 4.0;
 
 impl Router {
-    /// Puts a request at its place in its group's queue, also where it is queued already.
+    /// Puts a request into its group's queue, or moves it to its current place if it is queued already.
     pub(super) fn enqueue(&mut self, now: Timestamp, id: RequestId) {
         self.dequeue(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let usual = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
-        let urgency = if now + usual > request.objective_at {
+        let typical_latency = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
+        let urgency = if now + typical_latency > request.objective_at {
             Urgency::PastObjective(request.deadline)
         } else {
             Urgency::WithinObjective(request.objective_at)
@@ -39,18 +39,19 @@
         let was_sent = !request.attempts.is_empty();
         self.groups.entry(group_id).or_default().queued.on_path_mut(path).insert(position);
 
-        // Where few requests come, no event may dispatch the queue in time once an endpoint accepts attempts.
+        // With little traffic, no other event may dispatch the queue in time when an endpoint accepts attempts again.
         if let Some(accepts_at) = self.next_endpoint_accepts_at(now, group_id) {
             self.schedule(accepts_at, Timer::DispatchQueued(group_id));
         }
         if was_sent {
-            // While an attempt was open, its timer may have been set to the deadline.
+            // While an attempt was open, the request's timer may have been set to the deadline.
             let queue_until = self.queue_until(&self.requests[&id]);
             self.schedule(queue_until, Timer::Request(id));
         }
     }
 
-    /// When the first of the group's endpoints that accepts nothing now may do so, as far as time decides that.
+    /// The earliest time at which one of the group's endpoints that accepts nothing now will accept attempts again,
+    /// considering only reasons that end with time; `None` if no endpoint has such a reason.
     fn next_endpoint_accepts_at(&self, now: Timestamp, group_id: GroupId) -> Option<Timestamp> {
         let endpoints = self.groups[&group_id].endpoints.iter().map(|id| &self.endpoints[id]);
         let accept_times = endpoints.map(|endpoint| self.accepts_attempts_from(now, endpoint));
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Load shedding: whether a new read is rejected at once because too many others are queued. Its client still has
-    /// time for a retry, and those that are queued have a prospect.
+    /// Load shedding: whether a new read is to be rejected at once because too many others are queued. Its client then
+    /// still has time to retry, and the queued reads can be served in time.
     pub(super) fn queue_is_too_long(&self, now: Timestamp, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let is_new = request.arrived_at == now
@@ -80,39 +81,41 @@
         let spare_us = time_left.as_micros_f64() - self.class_latency_us[request.class];
         let send_rate = group.send_rate.per_us(now, self.overload_window).max(f64::MIN_POSITIVE);
         let queue_length = group.queued.on_path(RequestPath::Read).len() as f64;
-        queue_length / send_rate > spare_us / QUEUE_SHARE_DIVISOR
+        queue_length / send_rate > spare_us / MAX_QUEUE_WAIT_DIVISOR
     }
 
-    /// Until when a request is queued: until no response can have value any more, and where no endpoint can have
-    /// received it, until half of its client's time is over. The client can do more with the other half than this
-    /// pooler, which waits for a failover that takes seconds.
+    /// Until when a request may be queued: until a response would come too late to have value. If no endpoint can have
+    /// received the request, it is queued for at most half of the client's timeout. The client makes better use of the
+    /// other half by a retry than this pooler does by waiting for a failover, which takes seconds.
     pub(super) fn queue_until(&self, request: &Request) -> Timestamp {
-        let usual = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
-        let last_start = request.value_ends_at - usual;
-        let half_time = request.arrived_at.midpoint(request.deadline) - RESPONSE_DELIVERY_TIME;
+        let typical_latency = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
+        let latest_useful_start = request.value_ends_at - typical_latency;
+        let half_of_timeout_at = request.arrived_at.midpoint(request.deadline) - RESPONSE_DELIVERY_TIME;
         let may_have_arrived = request.attempts.iter().any(|attempt| attempt.may_have_arrived);
-        let until = if may_have_arrived { last_start } else { last_start.min(half_time) };
+        let until =
+            if may_have_arrived { latest_useful_start } else { latest_useful_start.min(half_of_timeout_at) };
         until.max(request.arrived_at)
     }
 
-    /// Dispatches a group's queued requests in the order of their urgency, writes first.
+    /// Dispatches a group's queued requests in order of urgency, writes before reads.
     pub(super) fn dispatch_queued(&mut self, now: Timestamp, group: GroupId, actions: &mut Vec<Action>) {
-        self.dispatch_queue(now, group, RequestPath::Write, MAX_WAITING_WRITES_TRIED, actions);
-        self.dispatch_queue(now, group, RequestPath::Read, MAX_WAITING_READS_TRIED, actions);
+        self.dispatch_queue(now, group, RequestPath::Write, MAX_UNROUTED_WRITES, actions);
+        self.dispatch_queue(now, group, RequestPath::Read, MAX_UNROUTED_READS, actions);
     }
 
-    /// Routes queued requests until `max_waiting` of them had to stay in the queue.
+    /// Routes the queued requests of one path until `max_unrouted` of them had to stay in the queue. Requests that may
+    /// no longer be sent are given up.
     fn dispatch_queue(
         &mut self,
         now: Timestamp,
         group_id: GroupId,
         path: RequestPath,
-        max_waiting: usize,
+        max_unrouted: usize,
         actions: &mut Vec<Action>,
     ) {
         let mut after = Bound::Unbounded;
-        let mut waiting = 0;
-        while waiting < max_waiting {
+        let mut unrouted = 0;
+        while unrouted < max_unrouted {
             let Some(group) = self.groups.get(&group_id) else { return };
             let rest = (after, Bound::Unbounded);
             let Some(&position) = group.queued.on_path(path).range(rest).next() else { return };
@@ -124,11 +127,11 @@
                 self.give_up(id, actions);
             }
             let still_queued = self.requests.get(&id).is_some_and(|request| request.queue_position.is_some());
-            waiting += usize::from(still_queued);
+            unrouted += usize::from(still_queued);
         }
     }
 
-    /// Gives a request its final answer at once: a rejection where a repeat is harmless, else a failure.
+    /// Answers a request at once: with a rejection if the client may safely retry it, otherwise with a failure.
     pub(super) fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if self.is_rejection_safe(request) {
@@ -140,18 +143,19 @@
         self.finish_request(id, actions);
     }
 
-    /// Whether the client may send the request again to any pooler: it never ran, or a second run has no effect.
+    /// Whether the client may send the request again to any pooler: it did not run, or a second run has no effect.
     fn is_rejection_safe(&self, request: &Request) -> bool {
         let class = &self.settings.classes[request.class];
         let may_have_run = request.may_have_run_since.is_some() || request.has_open_attempt();
-        let harmless = match class.idempotency {
+        let repeat_is_safe = match class.idempotency {
             Some(Idempotency::Idempotent) => true,
             Some(Idempotency::Keyed) => class.key_scope == Some(KeyScope::AllEndpoints),
             Some(Idempotency::NonIdempotent) | None => false,
         };
-        !may_have_run || harmless
+        !may_have_run || repeat_is_safe
     }
 
+    /// The retry-after of a rejection; `None` if the settings do not permit one.
     fn retry_after(&self, request: &Request) -> Option<TimeDelta> {
         if self.settings.may_send_retry_after != Some(true) {
             return None;
@@ -160,7 +164,7 @@
         Some((RETRY_AFTER_OBJECTIVES * request.latency_objective).min(longest))
     }
 
-    /// Removes a request that has its final answer, and cancels its open attempts.
+    /// Removes a request that has its final answer. Cancels its open attempts if the settings permit it.
     pub(super) fn finish_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.dequeue(id);
         let Some(request) = self.requests.remove(&id) else { return };
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,7 +1,7 @@
-//! The life of a request: arrival, attempts, their outcomes, retries, and attempts that are overdue.
+//! The life cycle of a request: arrival, attempts, their outcomes, retries, and overdue attempts.
 //!
-//! A retry follows the class: an idempotent request may always be repeated, a keyed one while its key is known, any
-//! other only where no attempt may have run.
+//! Whether a request may be retried depends on the idempotency of its class: an idempotent request always, a keyed one
+//! while the endpoints remember its key, any other one only if no earlier attempt can have run.
 
 use super::endpoints::EndpointState;
 use super::learning::POSITION_RESOLUTION;
@@ -13,20 +13,21 @@
     KeyScope, RequestId, SessionTracking, TimeDelta, Timestamp,
 };
 
-/// Attempts of a request where the settings state no limit.
+/// Maximum number of attempts per request, if the settings define none.
 const DEFAULT_MAX_ATTEMPTS: u32 = 4;
-/// Errors after which a request is given up: a second endpoint that errs on it confirms that it is the request.
+/// Errors after which a request is given up: a second error shows that the request causes it, not the endpoint.
 const MAX_ERRORS_PER_REQUEST: u32 = 2;
-/// Errors or broken connections without a good response between them after which an endpoint is ejected: fewer follow
-/// a request, key or tenant, or one connection.
+/// Consecutive errors or broken connections after which an endpoint is ejected. Fewer may be caused by one request,
+/// key or tenant, or by a single connection.
 const ERRORS_BEFORE_EJECTION: u32 = 3;
-/// Ejection of an endpoint that no connection reaches; the shortest time in which it may be back.
+/// Initial ejection time of an endpoint that cannot be connected to: the shortest time in which it may be back.
 const CONNECTION_FAILURE_EJECTION: TimeDelta = TimeDelta::from_millis(500);
-/// An attempt is taken for lost after this many usual latencies, where its endpoint has answered
-/// [`LOST_AFTER_OVERTAKEN`] attempts that were sent after it. Long work is overtaken too, but seldom by as much.
+/// An attempt is considered lost after this multiple of the typical latency, if its endpoint has answered
+/// [`LOST_AFTER_OVERTAKEN`] attempts that were sent after it. Later attempts also overtake a long-running one, but
+/// rarely that many.
 const LOST_AFTER_LATENCIES: f64 = 8.0;
 const LOST_AFTER_OVERTAKEN: u64 = 16;
-/// Overdue attempts at a silent endpoint that make it suspected: a single one may be long work.
+/// Overdue attempts after which a silent endpoint is suspected. A single one may just be long-running.
 const OVERDUE_ATTEMPTS_TO_SUSPECT: usize = 2;
 
 impl Router {
@@ -42,19 +43,20 @@
             return;
         };
         let request = self.new_request(now, incoming, class);
-        // It is looked at when it can no longer meet its objective, when its queueing ends, and at its deadline.
-        let usual = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
-        let first_look = (request.objective_at - usual).min(self.queue_until(&request));
-        self.schedule(first_look.clamp(now, request.deadline), Timer::Request(id));
+        // The request is checked when it can no longer meet its objective, when it may no longer be queued, and at its
+        // deadline.
+        let typical_latency = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
+        let first_check_at = (request.objective_at - typical_latency).min(self.queue_until(&request));
+        self.schedule(first_check_at.clamp(now, request.deadline), Timer::Request(id));
         self.requests.insert(id, request);
         self.route(now, id, actions);
     }
 
     fn new_request(&self, now: Timestamp, incoming: &IncomingRequest, class: &Class) -> Request {
         let work_us = incoming.work_hint.unwrap_or(TimeDelta::ZERO).as_micros_f64();
-        let allowed_for_work_us = class.latency_objective_per_work.unwrap_or(0.0) * work_us;
+        let work_allowance_us = class.latency_objective_per_work.unwrap_or(0.0) * work_us;
         let latency_objective = class.latency_objective.unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
-        let objective_at = now + latency_objective + TimeDelta::from_micros_f64(allowed_for_work_us);
+        let objective_at = now + latency_objective + TimeDelta::from_micros_f64(work_allowance_us);
         let deadline = now + incoming.client_timeout.or_zero();
         let late_response_has_value = class.late_priority_weight > Some(0.0);
         Request {
@@ -74,12 +76,13 @@
             response_started: false,
             queue_position: None,
             waiting_for_probe_since: None,
-            error_outcomes: 0,
+            error_count: 0,
             lost_attempt_cancelled: false,
         }
     }
 
-    /// A strong read searches for the primary only where a wrong endpoint would reject it.
+    /// The path of a request with this consistency. Strong reads take the write path, which tries endpoints until it
+    /// finds the primary, only if a replica would reject them.
     fn path_for(&self, consistency: Option<Consistency>) -> RequestPath {
         match consistency {
             Some(Consistency::Write) => RequestPath::Write,
@@ -88,6 +91,7 @@
         }
     }
 
+    /// Commit time of the last write that a session read must reflect; `None` if there is none.
     fn required_commit(&self, now: Timestamp, incoming: &IncomingRequest) -> Option<Timestamp> {
         match self.settings.session_tracking {
             Some(SessionTracking::Remembered) => {
@@ -97,11 +101,12 @@
         }
     }
 
-    /// Sends a request to the endpoint that its path chooses, or queues it, or gives it up.
+    /// Sends a request to an endpoint of its path. If none accepts it now, queues it, or gives it up if the queue is
+    /// too long.
     pub(super) fn route(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let endpoint = match self.requests[&id].path {
             RequestPath::Write => self.choose_primary(now, id),
-            RequestPath::Read => self.choose_reader(now, id, actions),
+            RequestPath::Read => self.choose_read_endpoint(now, id, actions),
         };
         match endpoint {
             Some(endpoint) => self.send(now, id, endpoint, actions),
@@ -145,15 +150,15 @@
         self.groups.entry(request.group).or_default().send_rate.record(now, self.overload_window);
 
         let suspect_at = now + request.latency_objective / 2;
-        let usual_us = self.class_latency_us[request.class] * endpoint.relative_latency.max(1.0);
-        let lost_at = now + TimeDelta::from_micros_f64(usual_us * LOST_AFTER_LATENCIES);
+        let typical_latency_us = self.class_latency_us[request.class] * endpoint.relative_latency.max(1.0);
+        let lost_at = now + TimeDelta::from_micros_f64(typical_latency_us * LOST_AFTER_LATENCIES);
         self.schedule(suspect_at, Timer::SuspectEndpoint(attempt));
         self.schedule(lost_at, Timer::LostAttempt(attempt));
         actions.push(Action::Send { id, endpoint: endpoint_id, stop_at: None });
     }
 
-    /// An attempt ended. Outcomes for unknown endpoints are ignored; those of finished requests still count for their
-    /// endpoint.
+    /// Handles the end of an attempt. Outcomes for unknown endpoints are ignored; those of finished requests still
+    /// update the state of their endpoint.
     pub(super) fn attempt_finished(
         &mut self,
         now: Timestamp,
@@ -163,11 +168,11 @@
         let id = finished.id;
         let Some(endpoint) = self.endpoints.get_mut(&finished.endpoint) else { return };
         endpoint.attempt_ended(AttemptId { request: id, number: finished.attempt }, finished.outcome);
-        self.judge_endpoint(now, finished);
+        self.update_endpoint_health(now, finished);
 
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.attempt_ended(now, finished.attempt, finished.outcome);
-        if finished.finished {
+        if finished.request_answered {
             if let (AttemptOutcome::Served, RequestPath::Write, Some(status)) =
                 (finished.outcome, request.path, finished.replica_status)
             {
@@ -196,29 +201,29 @@
         }
     }
 
-    /// What an attempt's outcome says of its endpoint: its latency, or a failure for which it is ejected.
-    fn judge_endpoint(&mut self, now: Timestamp, finished: &AttemptFinished) {
+    /// Updates an endpoint's state by the outcome of an attempt: records its latency, or a failure, which may eject it.
+    fn update_endpoint_health(&mut self, now: Timestamp, finished: &AttemptFinished) {
         let Some(endpoint) = self.endpoints.get_mut(&finished.endpoint) else { return };
         let request = self.requests.get(&finished.id);
         let class = request.map(|request| request.class);
         let attempt = request.and_then(|request| request.attempt(finished.attempt));
         let overtaken = attempt.is_some_and(|attempt| endpoint.has_overtaken(attempt));
-        let erred_elsewhere = request.is_some_and(|request| request.error_outcomes > 0);
+        let failed_before = request.is_some_and(|request| request.error_count > 0);
         let error_limit_reached = endpoint.errors_since_success + 1 >= ERRORS_BEFORE_EJECTION;
         match finished.outcome {
             AttemptOutcome::Served => self.record_attempt_latency(now, class, finished),
-            // An overtaken attempt's endpoint is well: it was the connection that fell silent.
+            // The endpoint answered later attempts, so it is healthy and only this attempt's connection is broken.
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if overtaken => {}
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
                 self.record_attempt_latency(now, class, finished);
             }
-            // An error on what erred elsewhere too follows the request, its key or its tenant.
-            AttemptOutcome::Error if erred_elsewhere => {}
+            // An earlier attempt failed too, so the request, its key or its tenant causes the error.
+            AttemptOutcome::Error if failed_before => {}
             AttemptOutcome::Error if !error_limit_reached => endpoint.errors_since_success += 1,
             AttemptOutcome::Error | AttemptOutcome::Overloaded => {
                 self.eject_for_rejected_work(now, finished.endpoint, class);
             }
-            // One broken connection says little: where the endpoint is down, the next attempt finds no connection.
+            // One broken connection is weak evidence: if the endpoint is down, the next attempt fails to connect.
             AttemptOutcome::Reset if !error_limit_reached => endpoint.errors_since_success += 1,
             AttemptOutcome::Reset | AttemptOutcome::ConnectFailed => {
                 endpoint.unreachable = true;
@@ -235,22 +240,23 @@
         }
     }
 
-    /// An endpoint that rejects or fails work is ejected for a usual latency: it may have room again after that.
+    /// Ejects an endpoint that rejected or failed work, for the typical latency of the class: after that it may have
+    /// capacity again.
     fn eject_for_rejected_work(&mut self, now: Timestamp, endpoint: EndpointId, class: Option<usize>) {
-        let usual_us = class.map(|class| self.class_latency_us[class]);
-        self.decrease_concurrency_limit(now, endpoint, usual_us);
-        let base = usual_us.map_or(CONNECTION_FAILURE_EJECTION, TimeDelta::from_micros_f64);
+        let typical_latency_us = class.map(|class| self.class_latency_us[class]);
+        self.decrease_concurrency_limit(now, endpoint, typical_latency_us);
+        let base = typical_latency_us.map_or(CONNECTION_FAILURE_EJECTION, TimeDelta::from_micros_f64);
         self.eject(now, endpoint, base);
     }
 
-    /// Whether another attempt of the request is allowed.
+    /// Whether another attempt of the request is allowed now.
     pub(super) fn may_retry(&self, now: Timestamp, id: RequestId) -> bool {
         let request = &self.requests[&id];
         self.may_retry_at(now, request, request.may_have_run_since)
     }
 
-    /// Whether another attempt is allowed at `retry_at`, where the first one that may have run was sent at
-    /// `may_have_run_since`: by the class's idempotency, the limit of attempts and the time left.
+    /// Whether another attempt is allowed at `retry_at`, according to the class's idempotency, the maximum number of
+    /// attempts and the time left. `may_have_run_since` is when the first attempt was sent that may have run.
     fn may_retry_at(
         &self,
         retry_at: Timestamp,
@@ -258,32 +264,32 @@
         may_have_run_since: Option<Timestamp>,
     ) -> bool {
         let max_attempts = self.settings.max_attempts.unwrap_or(DEFAULT_MAX_ATTEMPTS);
-        let harmless = match may_have_run_since {
+        let repeat_is_safe = match may_have_run_since {
             None => true,
-            Some(since) => is_repeat_harmless(&self.settings.classes[request.class], retry_at, since),
+            Some(since) => is_repeat_safe(&self.settings.classes[request.class], retry_at, since),
         };
-        harmless
+        repeat_is_safe
             && (request.attempts.len() as u32) < max_attempts
             && retry_at < request.value_ends_at
             && !request.response_started
-            && request.error_outcomes < MAX_ERRORS_PER_REQUEST
+            && request.error_count < MAX_ERRORS_PER_REQUEST
     }
 
-    /// Cancels an attempt whose connection fell silent while its endpoint answers others; its outcome leads to the
-    /// retry. Where it is not overtaken yet, looks again after a usual latency.
+    /// Cancels an attempt whose connection is silent while its endpoint answers others; the reported outcome then leads
+    /// to a retry. If the endpoint has not answered enough later attempts yet, checks again after the typical latency.
     pub(super) fn cancel_lost_attempt(&mut self, now: Timestamp, id: AttemptId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id.request) else { return };
         let Some(attempt) = request.attempt(id.number).filter(|attempt| attempt.open) else { return };
         if request.lost_attempt_cancelled || self.settings.may_cancel != Some(true) {
             return;
         }
-        let usual = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
+        let typical_latency = TimeDelta::from_micros_f64(self.class_latency_us[request.class]);
         let class = &self.settings.classes[request.class];
         let half_key_window = class.key_window.unwrap_or(TimeDelta::ZERO) / 2;
-        let key_lasts =
+        let key_still_valid =
             class.idempotency == Some(Idempotency::Idempotent) || now < attempt.sent_at + half_key_window;
         let may_have_run_since = request.may_have_run_since.or(Some(attempt.sent_at));
-        if !key_lasts || !self.may_retry_at(now + usual, request, may_have_run_since) {
+        if !key_still_valid || !self.may_retry_at(now + typical_latency, request, may_have_run_since) {
             return;
         }
         let endpoint = self.endpoints.get(&attempt.endpoint);
@@ -291,12 +297,13 @@
             self.requests.entry(id.request).and_modify(|request| request.lost_attempt_cancelled = true);
             actions.push(Action::Cancel { id: id.request, attempt: id.number });
         } else {
-            self.schedule(now + usual.max(POSITION_RESOLUTION), Timer::LostAttempt(id));
+            self.schedule(now + typical_latency.max(POSITION_RESOLUTION), Timer::LostAttempt(id));
         }
     }
 
-    /// An attempt is overdue. Its endpoint is suspected where that is not the only one and it has been silent since:
-    /// nothing new goes there. Open attempts stay, because copies add work where all endpoints are slow.
+    /// Handles an overdue attempt: suspects its endpoint if other attempts there are overdue too and it has not
+    /// responded since this one was sent. A suspected endpoint gets no new attempts while any is in flight. Open
+    /// attempts are not sent again elsewhere, because that adds load when all endpoints are slow.
     pub(super) fn suspect_endpoint(&mut self, id: AttemptId) {
         let Some(request) = self.requests.get(&id.request) else { return };
         if request.response_started {
@@ -323,7 +330,7 @@
 
     fn attempt_ended(&mut self, attempt: AttemptId, outcome: AttemptOutcome) {
         self.in_flight.remove(&attempt);
-        // A misdirected attempt is a good response: the endpoint knows its role.
+        // A rejection as misdirected counts as a success: the endpoint is healthy and knows its role.
         if matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Misdirected) {
             self.consecutive_failures = 0;
             self.errors_since_success = 0;
@@ -331,7 +338,8 @@
         }
     }
 
-    /// Whether the endpoint has answered so much that was sent after `attempt` that its connection must be broken.
+    /// Whether the endpoint has answered so many attempts sent after `attempt` that the connection of `attempt` must be
+    /// broken.
     fn has_overtaken(&self, attempt: &Attempt) -> bool {
         self.answered_attempts >= attempt.overtaken_at_count
     }
@@ -342,23 +350,24 @@
         let Some(attempt) = self.attempts.get_mut(usize::from(number)) else { return };
         attempt.open = false;
         attempt.may_have_arrived = outcome != AttemptOutcome::ConnectFailed;
-        // An overloaded endpoint may be tried again by the same request: its ejection ends soon.
+        // The same request may try an overloaded endpoint again, since its ejection is short.
         attempt.unserved_at = (outcome != AttemptOutcome::Overloaded).then_some(now);
         if outcome.may_have_run() {
             let since = self.may_have_run_since.unwrap_or(attempt.sent_at);
             self.may_have_run_since = Some(since.min(attempt.sent_at));
         }
         if outcome == AttemptOutcome::Error {
-            self.error_outcomes += 1;
+            self.error_count += 1;
         }
     }
 }
 
-/// Whether a request may run again at `retry_at`, where its first attempt that may have run was sent at `since`.
-fn is_repeat_harmless(class: &Class, retry_at: Timestamp, since: Timestamp) -> bool {
+/// Whether a request of `class` may run a second time at `retry_at`, if the first attempt that may have run was sent at
+/// `since`.
+fn is_repeat_safe(class: &Class, retry_at: Timestamp, since: Timestamp) -> bool {
     match class.idempotency.unwrap_or(Idempotency::NonIdempotent) {
         Idempotency::Idempotent => true,
-        // Where a key is known in one zone only, the group's next primary may be in another.
+        // The group's next primary may be in another zone, where the key is unknown.
         Idempotency::Keyed if class.key_scope == Some(KeyScope::Zone) => false,
         Idempotency::Keyed => {
             retry_at < since + class.key_window.unwrap_or(TimeDelta::ZERO) - POSITION_RESOLUTION
--- a/src/routing/capacity.rs
+++ b/src/routing/capacity.rs
@@ -1,30 +1,32 @@
-//! How much an endpoint may be given now: its concurrency limit, the pauses between attempts, and its ejection.
+//! Whether an endpoint accepts an attempt now: its concurrency limit, the pauses between attempts, and its ejection.
 //!
 //! The concurrency limit follows additive increase, multiplicative decrease (AIMD; Chiu and Jain, "Analysis of the
-//! Increase and Decrease Algorithms for Congestion Avoidance in Computer Networks", 1989): it grows by one for a
-//! window of responses that come well in time, and halves when they come late or the endpoint rejects work. Below
-//! one it is the share of time in which one attempt may be in flight, so that many poolers can share one endpoint.
+//! Increase and Decrease Algorithms for Congestion Avoidance in Computer Networks", 1989). It grows by one per window
+//! of early responses, and is halved when responses are late or the endpoint rejects work. A limit below one is the
+//! fraction of time in which one attempt may be in flight, so that many poolers can share one endpoint.
 
 use super::endpoints::{EndpointState, MAX_BACKOFF_DOUBLINGS};
 use super::router::Router;
 use super::{Availability, EndpointId, TimeDelta, Timestamp};
 
-/// Attempts that all poolers together may always have in flight at an endpoint; with fewer it could not be seen to
-/// recover.
+/// Attempts that all poolers together may always have in flight at an endpoint. With fewer, its recovery could not be
+/// observed.
 pub(super) const MIN_CONCURRENCY_OF_ALL_POOLERS: f64 = 3.0;
-/// A pooler's first concurrency limit against its lowest, before it has seen how the endpoint bears it; one at least.
+/// Initial concurrency limit of an endpoint as a multiple of its minimum; the initial limit is at least one.
 pub(super) const INITIAL_LIMIT_FACTOR: f64 = 8.0;
-/// Multiplicative decrease of the concurrency limit.
+/// Factor by which the concurrency limit is decreased.
 const LIMIT_DECREASE_FACTOR: f64 = 0.5;
-/// The limit decreases once in this time at most: responses to attempts of before a decrease say nothing about it.
+/// Minimum time between two decreases: responses to attempts sent before a decrease do not show its effect.
 const LIMIT_DECREASE_INTERVAL: TimeDelta = TimeDelta::from_millis(250);
-/// Responses within the latency objective divided by this raise the limit: a limit that is right leaves a margin.
+/// A response increases the limit if it took less than the latency objective divided by this: at the right limit,
+/// responses come well before the objective.
 const EARLY_RESPONSE_DIVISOR: i64 = 3;
-/// How often a cold endpoint is looked at again while its slow-start bucket fills.
+/// How often a cold endpoint is checked again while its slow-start bucket fills.
 const SLOW_START_RECHECK_INTERVAL: TimeDelta = TimeDelta::from_micros(62_500);
 
 impl EndpointState {
-    /// Additive increase after a served attempt. A limit that is not in use says nothing and stays.
+    /// Additive increase of the concurrency limit after a served attempt that took `took`. While less than half of the
+    /// limit is in use, responses do not show whether a higher limit is safe, so it stays.
     pub(super) fn increase_concurrency_limit(&mut self, took: TimeDelta, latency_objective: TimeDelta) {
         let in_use = (self.in_flight.len() + 1) as f64 > self.concurrency_limit / 2.0;
         if in_use && took < latency_objective / EARLY_RESPONSE_DIVISOR {
@@ -34,8 +36,8 @@
 }
 
 impl Router {
-    /// Whether an endpoint is in service, not ejected, and has room for one more attempt. A suspected one takes one at
-    /// a time.
+    /// Whether an endpoint is in service, not ejected, and may get one more attempt. A suspected one gets one at a
+    /// time.
     pub(super) fn accepts_attempt(&self, now: Timestamp, id: EndpointId) -> bool {
         let endpoint = &self.endpoints[&id];
         let below_limit = (endpoint.in_flight.len() as f64) < endpoint.concurrency_limit;
@@ -46,8 +48,8 @@
             && now >= self.accepts_attempts_from(now, endpoint)
     }
 
-    /// When an endpoint may accept an attempt, as far as time decides that: its ejection ends, its slow-start bucket
-    /// fills, or the pause that a limit below one requires is over. Past for one that waits for none of these.
+    /// When an endpoint accepts attempts again, considering only what ends with time: its ejection, the refill of its
+    /// slow-start bucket, and the pause that a limit below one requires. In the past if none of these applies.
     pub(super) fn accepts_attempts_from(&self, now: Timestamp, endpoint: &EndpointState) -> Timestamp {
         let pause_ends_at = endpoint.last_sent_at + self.pause_between_attempts(endpoint);
         let mut bucket_checked_at = Timestamp::ZERO;
@@ -60,22 +62,22 @@
         pause_ends_at.max(bucket_checked_at).max(ejected_until)
     }
 
-    /// Time between two attempts at a limit below one: an attempt's usual latency, which is that of the first class,
-    /// divided by the share of time in which one may be in flight.
+    /// Minimum time between the sending of two attempts at a limit below one: the typical latency of the first class
+    /// divided by the limit. Zero at a higher limit.
     fn pause_between_attempts(&self, endpoint: &EndpointState) -> TimeDelta {
         match self.class_latency_us.first() {
-            Some(usual_us) if endpoint.concurrency_limit < 1.0 => {
-                TimeDelta::from_micros_f64(usual_us / endpoint.concurrency_limit)
+            Some(typical_latency_us) if endpoint.concurrency_limit < 1.0 => {
+                TimeDelta::from_micros_f64(typical_latency_us / endpoint.concurrency_limit)
             }
             _ => TimeDelta::ZERO,
         }
     }
 
-    /// Multiplicative decrease of the concurrency limit, starting from what was in use.
+    /// Multiplicative decrease of the concurrency limit, starting from the concurrency that was in use.
     ///
-    /// `unserved_latency_us`: after an attempt that was not served, the usual latency of its class. The endpoint may
-    /// be busy with work that no client waits for any more, so a pooler that sends seldom counts as using the share
-    /// of time that its attempts take.
+    /// `unserved_latency_us` is the typical latency of the attempt's class if the attempt was not served, otherwise
+    /// `None`. An endpoint that does not serve attempts may be busy with abandoned work. For a pooler that rarely sends
+    /// to it, the concurrency in use is then the fraction of time in which this pooler has an attempt in flight.
     pub(super) fn decrease_concurrency_limit(
         &mut self,
         now: Timestamp,
@@ -98,8 +100,8 @@
         endpoint.limit_decreased_at = now;
     }
 
-    /// Ejects an endpoint that failed, for `base` and twice as long each time in a row. One that fails fast looks idle
-    /// and would otherwise draw all reads to itself.
+    /// Ejects an endpoint that failed, for a time that is `base` at first and doubles with each consecutive failure.
+    /// Without ejection, an endpoint that fails fast looks idle and attracts all reads.
     pub(super) fn eject(&mut self, now: Timestamp, id: EndpointId, base: TimeDelta) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let doublings = endpoint.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
--- a/src/routing/decayed_rate.rs
+++ b/src/routing/decayed_rate.rs
@@ -3,22 +3,23 @@
 
 use super::{TimeDelta, Timestamp};
 
-/// An exponentially decayed count of events. It starts at zero, so the rate is underestimated at first.
+/// A rate of events, derived from an exponentially decayed count. The count starts at zero, so the rate is
+/// underestimated at first.
 #[derive(Default)]
 pub(super) struct DecayedRate {
-    /// The decayed count, as of `updated_at`.
+    /// The decayed count at the time `updated_at`.
     count: f64,
     updated_at: Timestamp,
 }
 
 impl DecayedRate {
-    /// Events per microsecond, where an event loses its weight with the time constant `window`.
+    /// Events per microsecond. The weight of an event decays with the time constant `window`.
     pub(super) fn per_us(&self, now: Timestamp, window: TimeDelta) -> f64 {
         let decay = (-(now - self.updated_at).as_micros_f64() / window.as_micros_f64()).exp();
         self.count * decay / window.as_micros_f64()
     }
 
-    /// Counts one event. Every call for one rate must name the same `window`.
+    /// Counts one event. All calls for the same rate must pass the same `window`.
     pub(super) fn record(&mut self, now: Timestamp, window: TimeDelta) {
         self.count = self.per_us(now, window) * window.as_micros_f64() + 1.0;
         self.updated_at = now;
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -10,23 +10,26 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Delay before the first retry of a failed subscription; it doubles with each failure in a row.
+/// Delay before the first retry of a failed subscription; it doubles with each consecutive failure.
 const LIST_RETRY_DELAY: TimeDelta = TimeDelta::from_millis(500);
-/// Doublings of a backoff at most: from half a second to 8 s, about as long as an endpoint takes to restart.
+/// Maximum number of doublings of a backoff: from half a second to 8 s, about the time that an endpoint takes to
+/// restart.
 pub(super) const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// An endpoint that the list removed is forgotten when it has not responded for this long: late outcomes and delayed
-/// lists are over by then.
+/// The state of an endpoint that the list removed is deleted once it has not responded for this long. Late outcomes
+/// and delayed lists are unlikely after that.
 const REMOVED_ENDPOINT_RETENTION: TimeDelta = TimeDelta::from_secs(30);
-/// The list trails by seconds: a primary that it names counts only where the endpoint has told no role for this long.
-const TOLD_ROLE_PRECEDENCE: TimeDelta = TimeDelta::from_millis(500);
-/// Bounds of an endpoint's listed size, so that a wrong entry neither divides by zero nor takes all reads.
+/// The list lags by seconds, so the primary that it names is used only if that endpoint has not reported a role for
+/// this long.
+const REPORTED_ROLE_PRECEDENCE: TimeDelta = TimeDelta::from_millis(500);
+/// Bounds of an endpoint's listed capacity, so that a wrong entry neither causes a division by zero nor attracts all
+/// reads.
 const MIN_CAPACITY_UNITS: f64 = 0.01;
 const MAX_CAPACITY_UNITS: f64 = 100.0;
-/// Start time of an endpoint that no entry has described yet. It differs from every listed start time, so the first
-/// entry initializes the endpoint as a restart does.
-const NOT_STARTED: Option<Timestamp> = Some(Timestamp::MIN);
+/// Start time of an endpoint before its first list entry is applied. It differs from every listed start time, so that
+/// the first entry initializes the endpoint in the same way as a restart.
+const START_TIME_UNSET: Option<Timestamp> = Some(Timestamp::MIN);
 
-/// What an endpoint is in its group.
+/// The role of an endpoint in its group.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Role {
     Primary,
@@ -39,62 +42,62 @@
     }
 }
 
-/// State of an endpoint.
+/// The state that the router keeps of an endpoint.
 #[derive(Default)]
 pub(super) struct EndpointState {
     pub(super) group: GroupId,
     pub(super) zone: ZoneId,
     pub(super) availability: Availability,
-    /// Its size against other endpoints.
+    /// Its capacity relative to other endpoints.
     pub(super) capacity_units: f64,
-    /// Start time of its process, which identifies its incarnation; `None` is long ago.
+    /// Start time of its process; a change means a restart. `None` if that was long ago.
     pub(super) started_at: Option<Timestamp>,
     pub(super) listed_as_primary: bool,
-    /// The role it told last. A response sets it, other sources only where they are newer.
+    /// The last reported role. A response always sets it, a load report only if it is newer than the last response.
     pub(super) role: Option<Role>,
     pub(super) role_updated_at: Option<Timestamp>,
-    /// The log position that it is proven to have reached, as commit time. It never goes back.
+    /// The log position that it has reached for certain, as commit time. It never decreases.
     pub(super) proven_position: Option<Timestamp>,
-    /// How far its position trailed when it last told one.
+    /// How far its position lagged behind the present in the last response that contained one.
     pub(super) replication_lag: TimeDelta,
     pub(super) last_response_at: Option<Timestamp>,
-    /// Attempts that it has answered.
+    /// Number of attempts that it has served or rejected as misdirected.
     pub(super) answered_attempts: u64,
-    /// Its smoothed latency against the mean of the class, 1 for an average endpoint.
+    /// Its smoothed latency divided by the typical latency of the class; 1 for an average endpoint.
     pub(super) relative_latency: f64,
-    /// When the probe that is under way was sent.
+    /// When a probe was sent that has not been answered yet.
     pub(super) probe_sent_at: Option<Timestamp>,
     /// Attempts without an outcome, and when each was sent.
     pub(super) in_flight: BTreeMap<AttemptId, Timestamp>,
-    /// Attempts that may be in flight; below one, the share of time in which one may be.
+    /// Maximum number of attempts in flight; below one, the fraction of time in which one may be in flight.
     pub(super) concurrency_limit: f64,
     pub(super) limit_decreased_at: Timestamp,
     pub(super) last_sent_at: Timestamp,
-    /// Time between its last two attempts.
+    /// Time between the sending of its last two attempts.
     pub(super) last_send_interval: TimeDelta,
-    /// Suspected to be unresponsive: attempts stay unanswered. The next response clears it.
+    /// Whether it is suspected to be unresponsive because attempts stay unanswered. The next response clears this.
     pub(super) suspected: bool,
-    /// Not to be used before this.
+    /// End of its ejection: it gets no attempts before this.
     pub(super) ejected_until: Option<Timestamp>,
-    /// No connection could be made for its last attempt.
+    /// Whether a connection to it failed, or several broke, since its last response.
     pub(super) unreachable: bool,
-    /// Ejections since its last good response; each doubles the length of the next.
+    /// Ejections since its last success; each doubles the length of the next.
     pub(super) consecutive_failures: u32,
-    /// Errors since its last good response that are attributed to it.
+    /// Errors and broken connections since its last success that may be its own fault.
     pub(super) errors_since_success: u32,
-    /// Tokens of its slow-start bucket.
+    /// Tokens in its slow-start bucket.
     pub(super) slow_start_budget: f64,
     pub(super) slow_start_budget_updated_at: Timestamp,
 }
 
 impl EndpointState {
     fn new(group: GroupId, concurrency_limit: f64) -> EndpointState {
-        EndpointState { group, started_at: NOT_STARTED, concurrency_limit, ..EndpointState::default() }
+        EndpointState { group, started_at: START_TIME_UNSET, concurrency_limit, ..EndpointState::default() }
     }
 
-    /// Another process took the endpoint's address: it is cold, holds no role, and failures of the one before do not
-    /// count.
-    fn restarted(&mut self, now: Timestamp, started_at: Option<Timestamp>, slow_start_budget: f64) {
+    /// Resets the state after a restart: the new process is cold, its role is unknown, and failures of the previous
+    /// process do not count.
+    fn reset_for_restart(&mut self, now: Timestamp, started_at: Option<Timestamp>, slow_start_budget: f64) {
         self.started_at = started_at;
         self.role = None;
         self.suspected = false;
@@ -109,20 +112,20 @@
         Some(now) < self.ejected_until
     }
 
-    fn can_be_forgotten(&self, now: Timestamp) -> bool {
+    fn can_be_purged(&self, now: Timestamp) -> bool {
         let silent =
             self.last_response_at.is_none_or(|response_at| now - response_at > REMOVED_ENDPOINT_RETENTION);
         self.availability == Availability::Gone && self.in_flight.is_empty() && silent
     }
 }
 
-/// Endpoints on the list.
+/// Numbers of endpoints on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// All that the list has not removed.
+    /// All endpoints that the list has not removed.
     pub listed: usize,
-    /// Those of them that get nothing new now: draining, ejected or suspected.
-    pub avoided: usize,
+    /// Listed endpoints that are draining, ejected or suspected.
+    pub unavailable: usize,
 }
 
 impl Router {
@@ -144,15 +147,16 @@
         for entry in entries {
             self.update_endpoint(now, entry);
         }
-        self.forget_removed_endpoints(now);
+        self.purge_removed_endpoints(now);
         self.total_capacity_units = self.listed_endpoints().map(|endpoint| endpoint.capacity_units).sum();
         if !self.received_first_list {
             self.received_first_list = true;
-            self.first_list_received(actions);
+            self.subscribe_and_probe(actions);
         }
     }
 
-    /// All poolers fail at once where the source of the list is overloaded: backoff with jitter spreads their retries.
+    /// Schedules a retry with exponential backoff and jitter. If the source of the list is overloaded, the
+    /// subscriptions of all poolers fail at once; the jitter spreads their retries.
     fn schedule_subscription_retry(&mut self, now: Timestamp) {
         let delay = LIST_RETRY_DELAY << self.consecutive_list_failures.min(MAX_BACKOFF_DOUBLINGS);
         self.consecutive_list_failures += 1;
@@ -160,9 +164,10 @@
         self.schedule(now + delay + jitter, Timer::RetrySubscription);
     }
 
-    /// A whole list removes what it does not name, unless only an entry that says draining binds.
+    /// Removes the endpoints that a whole list does not contain, unless the settings say that only a draining entry
+    /// takes an endpoint out of use.
     fn remove_unlisted_endpoints(&mut self, entries: &[EndpointEntry]) {
-        if self.settings.only_stated_drain_binds == Some(true) {
+        if self.settings.keep_unlisted_endpoints == Some(true) {
             return;
         }
         let named: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
@@ -174,12 +179,12 @@
         }
     }
 
-    fn first_list_received(&mut self, actions: &mut Vec<Action>) {
+    fn subscribe_and_probe(&mut self, actions: &mut Vec<Action>) {
         if self.settings.must_subscribe == Some(true) {
             actions.push(Action::Subscribe { on: true });
         }
         if self.settings.may_probe == Some(true) {
-            // A new router probes each endpoint once to learn roles and positions.
+            // A new router knows no roles or positions yet; it gets them from one probe per endpoint.
             for (&id, endpoint) in &self.endpoints {
                 if endpoint.availability == Availability::Ready {
                     actions.push(Action::Probe { endpoint: id });
@@ -194,24 +199,24 @@
             EndpointState::new(entry.group, concurrency_limit)
         });
         if endpoint.started_at != entry.started_at {
-            // Each pooler's bucket starts at a point of its own, or all would send their first attempt at once.
+            // A random initial fill, so that the poolers do not all send their first attempt at the same time.
             let slow_start_budget = self.rng.f64();
-            endpoint.restarted(now, entry.started_at, slow_start_budget);
+            endpoint.reset_for_restart(now, entry.started_at, slow_start_budget);
         }
         let newly_listed_as_primary = entry.primary && !endpoint.listed_as_primary;
         endpoint.listed_as_primary = entry.primary;
         endpoint.zone = entry.zone;
-        endpoint.capacity_units = bounded_capacity(entry.units);
-        // Where only a stated drain binds, `Gone` says nothing of an endpoint that an earlier list named.
-        let not_binding = self.settings.only_stated_drain_binds == Some(true)
+        endpoint.capacity_units = bounded_capacity(entry.capacity_units);
+        // If only a draining entry takes an endpoint out of use, `Gone` does not apply to one that is in service.
+        let ignore_removal = self.settings.keep_unlisted_endpoints == Some(true)
             && entry.availability == Availability::Gone
             && endpoint.availability == Availability::Ready;
-        if !not_binding {
+        if !ignore_removal {
             endpoint.availability = entry.availability;
         }
         let removed = endpoint.availability == Availability::Gone;
-        let told_no_recent_role =
-            endpoint.role_updated_at.is_none_or(|updated_at| now - updated_at > TOLD_ROLE_PRECEDENCE);
+        let no_recent_role_report =
+            endpoint.role_updated_at.is_none_or(|updated_at| now - updated_at > REPORTED_ROLE_PRECEDENCE);
 
         let previous_group = std::mem::replace(&mut endpoint.group, entry.group);
         self.groups.entry(previous_group).or_default().endpoints.remove(&entry.endpoint);
@@ -219,15 +224,16 @@
         if !removed {
             group.endpoints.insert(entry.endpoint);
         }
-        if newly_listed_as_primary && told_no_recent_role && !removed {
+        if newly_listed_as_primary && no_recent_role_report && !removed {
             group.set_primary(entry.endpoint);
         }
         self.groups_to_dispatch.insert(entry.group);
     }
 
-    /// Endpoints are replaced for as long as the router runs: those that were removed for good are not kept.
-    fn forget_removed_endpoints(&mut self, now: Timestamp) {
-        self.endpoints.retain(|_, endpoint| !endpoint.can_be_forgotten(now));
+    /// Deletes the state of endpoints that were removed for good. Endpoints are replaced again and again while the
+    /// router runs, so their state would grow without bound.
+    fn purge_removed_endpoints(&mut self, now: Timestamp) {
+        self.endpoints.retain(|_, endpoint| !endpoint.can_be_purged(now));
         self.groups.retain(|_, group| group.is_in_use());
     }
 
@@ -235,13 +241,13 @@
         self.endpoints.values().filter(|endpoint| endpoint.availability != Availability::Gone)
     }
 
-    /// How many endpoints are on the list, and how many of these get nothing new now.
-    pub fn avoids(&self, now: Timestamp) -> EndpointCounts {
-        let mut counts = EndpointCounts { listed: 0, avoided: 0 };
+    /// Counts the endpoints on the list, and those of them that are draining, ejected or suspected at `now`.
+    pub fn endpoint_counts(&self, now: Timestamp) -> EndpointCounts {
+        let mut counts = EndpointCounts { listed: 0, unavailable: 0 };
         for endpoint in self.listed_endpoints() {
             let ready = endpoint.availability == Availability::Ready;
             counts.listed += 1;
-            counts.avoided += usize::from(!ready || endpoint.suspected || endpoint.is_ejected(now));
+            counts.unavailable += usize::from(!ready || endpoint.suspected || endpoint.is_ejected(now));
         }
         counts
     }
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -3,36 +3,36 @@
 use crate::ids::{EndpointId, GroupId, RequestId, ZoneId};
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 
-/// What an endpoint responded about itself.
+/// Role and log position that an endpoint reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// It is the primary of its group.
+    /// Whether it is the primary of its group.
     pub primary: bool,
-    /// How far it has applied its group's log; in the response to a write, that write's commit.
+    /// How far it has applied its group's log; in the response to a write, the position of that write's commit.
     pub position: LogPosition,
 }
 
 /// Values of a load report, in the order of [`super::Settings::report_fields`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// How many of `values` were reported.
+    /// How many of `values` were reported, counted from the first.
     pub count: u8,
-    /// The values.
+    /// The reported values, followed by unused elements.
     pub values: [f64; LoadReport::MAX_VALUES],
 }
 
 impl LoadReport {
-    /// Values that a load report has at most.
+    /// The maximum number of values in a load report.
     pub const MAX_VALUES: usize = 4;
 }
 
-/// Whether the endpoint list permits an endpoint's use.
+/// Whether an endpoint may be used, according to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Availability {
     /// In service.
     #[default]
     Ready,
-    /// Finishes what it has; it must get nothing new.
+    /// It finishes the attempts that it has and must not be sent new ones.
     Draining,
     /// Removed from the list.
     Gone,
@@ -41,61 +41,61 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointEntry {
-    /// The endpoint.
+    /// The endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// Its zone.
+    /// The zone in which the endpoint runs.
     pub zone: ZoneId,
-    /// Its group.
+    /// The group that the endpoint serves.
     pub group: GroupId,
-    /// Whether it may be used.
+    /// Whether the endpoint may be used.
     pub availability: Availability,
-    /// The list names it as its group's primary. The list trails by seconds.
+    /// Whether the list names it as its group's primary. The list lags by seconds.
     pub primary: bool,
-    /// Its size against other endpoints.
-    pub units: f64,
-    /// When its process started; `None` is long ago.
+    /// Its capacity relative to other endpoints.
+    pub capacity_units: f64,
+    /// When its process started; `None` if that was long ago.
     pub started_at: Option<Timestamp>,
 }
 
-/// What an update of the endpoint list holds.
+/// What an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Nothing: a call or the subscription failed. The list stays as it is.
+    /// Nothing: a call or the subscription failed. The current list stays in use.
     Failed,
-    /// The whole list from a cache; it may be out of date.
+    /// The whole list from a cache, possibly out of date.
     Cached,
-    /// The whole list.
+    /// The whole list from its source.
     Full,
-    /// Changed entries only.
+    /// Only the entries that changed.
     Delta,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served.
+    /// The endpoint ran it and returned its result.
     Served,
     /// The endpoint responded with an error; the attempt may have run.
     Error,
-    /// Rejected for overload; it never ran.
+    /// The endpoint rejected it as overloaded; it did not run.
     Overloaded,
     /// No response in time; it may have run.
     TimedOut,
-    /// No connection could be established; it never ran.
+    /// No connection could be established; it did not run.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The pooler cancelled it; it may have run.
     Cancelled,
-    /// It was never sent.
+    /// It was not sent and did not run.
     NotSent,
-    /// Rejected without running: the endpoint is not the primary, or its data is too old.
+    /// The endpoint rejected it without running it: it is not the primary, or its data is too old.
     Misdirected,
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt may have had an effect though it was not served, so that a retry needs the class's
-    /// permission.
+    /// Whether the attempt may have had an effect although it was not served. Such an attempt is retried only if the
+    /// class's idempotency permits it.
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
@@ -107,10 +107,10 @@
     }
 }
 
-/// A request of a client.
+/// A request from a client.
 #[derive(Clone, Debug, Default)]
 pub struct IncomingRequest {
-    /// Its id, which no other request of this pooler has had.
+    /// Its id, unique among all requests of this pooler.
     pub id: RequestId,
     /// Its class, as an index into [`super::Settings::classes`].
     pub class: usize,
@@ -118,14 +118,14 @@
     pub group: GroupId,
     /// Its tenant, as an index into [`super::Settings::tenants`].
     pub tenant: usize,
-    /// An estimate of its work, where one came with it.
+    /// The client's estimate of its service time, if it sent one.
     pub work_hint: Option<TimeDelta>,
-    /// Age of its session's last commit; `None` where there is none.
+    /// Age of its session's last commit; `None` if the client sent none.
     pub last_commit_age: Option<TimeDelta>,
-    /// Its session; 0 is none.
+    /// Its session; 0 for none.
     pub session: u64,
-    /// The client marks it as a retry of its own.
-    pub repeated: bool,
+    /// Whether the client marked it as a retry of an earlier request.
+    pub is_client_retry: bool,
     /// Time until the client gives up.
     pub client_timeout: TimeDelta,
 }
@@ -133,73 +133,73 @@
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptFinished {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub id: RequestId,
     /// The attempt's number within the request, counted from 0.
     pub attempt: u8,
-    /// Where it was sent.
+    /// The endpoint that it was sent to.
     pub endpoint: EndpointId,
-    /// Time since it was sent.
+    /// Time from its sending to its end.
     pub took: TimeDelta,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// The request has its final answer: no retry may follow.
-    pub finished: bool,
-    /// What the endpoint responded about itself, if anything.
+    /// Whether the request has its final answer, so that no retry may follow.
+    pub request_answered: bool,
+    /// The role and position in the response; `None` if there was no response or it contained neither.
     pub replica_status: Option<ReplicaStatus>,
-    /// The endpoint's load report.
+    /// The load report in the response; empty if there was none.
     pub report: LoadReport,
 }
 
-/// Something that happened. [`super::Router::handle`] takes one at a time.
+/// An input to the router. [`super::Router::handle`] takes one at a time.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list, or a part of it.
+    /// The endpoint list or an update of it was received, or its subscription failed.
     EndpointList {
-        /// What `entries` holds.
+        /// What `entries` contains.
         kind: ListKind,
-        /// The entries.
+        /// All entries, or only the changed ones; empty for [`ListKind::Failed`].
         entries: Vec<EndpointEntry>,
     },
     /// A client sent a request.
     Request(IncomingRequest),
-    /// A response has begun to reach the client: no other attempt can replace this one.
+    /// A part of the response has been sent to the client, so no other attempt can replace this one.
     ResponseStarted {
-        /// The request.
+        /// The request that is answered.
         id: RequestId,
-        /// The attempt's number.
+        /// The attempt's number within the request, counted from 0.
         attempt: u8,
-        /// Which endpoint responds.
+        /// The endpoint that responds.
         endpoint: EndpointId,
     },
     /// An attempt has ended.
     AttemptFinished(AttemptFinished),
-    /// The client left or its deadline passed: no answer is expected any more.
+    /// The client disconnected or its deadline passed; no answer is needed any more.
     RequestCancelled {
-        /// The request.
+        /// The request that was cancelled.
         id: RequestId,
     },
     /// The timer of a [`super::Action::SetTimer`] fired.
     TimerFired {
-        /// As in the action.
+        /// The number from the action.
         timer: u64,
     },
     /// A probe ended.
     ProbeFinished {
-        /// The endpoint.
+        /// The endpoint that was probed.
         endpoint: EndpointId,
-        /// It responded.
+        /// Whether the endpoint responded.
         ok: bool,
-        /// Time since it was sent.
+        /// Time from the probe's sending to its end.
         took: TimeDelta,
-        /// Its load report.
+        /// The load report in the response; empty if there was no response.
         report: LoadReport,
     },
-    /// A message of another pooler.
+    /// A message from another pooler.
     PeerMessage {
-        /// That pooler's number.
+        /// The number of the sending pooler.
         from: u16,
-        /// The message; untrusted.
+        /// The encoded message, which must be treated as untrusted.
         bytes: Vec<u8>,
     },
 }
--- a/src/routing/group.rs
+++ b/src/routing/group.rs
@@ -5,47 +5,48 @@
 use super::{EndpointId, RequestId, Timestamp};
 use std::collections::BTreeSet;
 
-/// A group: one primary and its replicas.
+/// The state that the router keeps of a group, which consists of one primary and its replicas.
 #[derive(Default)]
 pub(super) struct Group {
-    /// Its endpoints that the list has not removed. In sorted order they form the ring on which a write looks for
+    /// Its endpoints that the list has not removed. In sorted order they form the ring along which a write searches for
     /// the primary.
     pub(super) endpoints: BTreeSet<EndpointId>,
-    /// The believed primary.
+    /// The believed primary: the endpoint that is the primary according to the latest information.
     pub(super) primary: Option<EndpointId>,
-    /// A round of the ring found no primary: writes stay queued until a role names one or the timer fires.
+    /// Whether a round of the ring found no primary or the primary is suspected. Writes stay queued until an endpoint
+    /// reports that it is the primary; until then the discovery timer tries one endpoint at a time.
     pub(super) awaiting_primary: bool,
-    /// The only write that looks for the primary along the ring; other writes wait for its result.
+    /// The only write that searches for the primary along the ring; other writes wait for its result.
     pub(super) discovery_request: Option<RequestId>,
-    /// Endpoints that were tried in this round of the ring.
+    /// Endpoints that were tried in the current round of the ring.
     pub(super) tried_in_round: BTreeSet<EndpointId>,
-    /// When the discovery timer fires next, or last fired.
+    /// When the discovery timer fires next, or fired last.
     pub(super) discovery_timer_at: Option<Timestamp>,
     pub(super) queued: RequestQueues,
-    /// Attempts that this pooler sends to the group.
+    /// Rate of the attempts that this pooler sends to the group.
     pub(super) send_rate: DecayedRate,
 }
 
 impl Group {
-    /// Believes `endpoint` to be the primary, which ends any discovery.
+    /// Makes `endpoint` the believed primary, which ends a search for the primary.
     pub(super) fn set_primary(&mut self, endpoint: EndpointId) {
         self.primary = Some(endpoint);
         self.awaiting_primary = false;
         self.discovery_request = None;
     }
 
-    /// Whether `endpoint` is the believed primary and nothing searches for another.
+    /// Whether `endpoint` is the believed primary and no search for another one is in progress.
     pub(super) fn is_settled_on(&self, endpoint: EndpointId) -> bool {
         self.primary == Some(endpoint) && !self.awaiting_primary && self.discovery_request.is_none()
     }
 
-    /// Whether there is anything left to remember about it.
+    /// Whether the group has endpoints, queued requests or a search for its primary, so that its state is kept.
     pub(super) fn is_in_use(&self) -> bool {
         !self.endpoints.is_empty() || !self.queued.is_empty() || self.discovery_request.is_some()
     }
 }
 
-/// The queued requests of a group, in the order in which they are dispatched.
+/// The queued requests of a group by path, each queue in dispatch order.
 #[derive(Default)]
 pub(super) struct RequestQueues {
     reads: BTreeSet<QueuePosition>,
@@ -72,19 +73,19 @@
     }
 }
 
-/// The place of a queued request. Ordered by urgency, then by age (request ids grow).
+/// The place of a request in its queue. Ordered by urgency, then by age, since request ids increase.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
     pub(super) urgency: Urgency,
     pub(super) request: RequestId,
 }
 
-/// How urgent a queued request is. Requests that can still meet their objective go first, each kind by its next
-/// point in time: the order of the variants matters.
+/// How urgent a queued request is. The order of the variants matters: requests that can still meet their latency
+/// objective go first. Within a variant the earlier time goes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Urgency {
-    /// It can still meet its latency objective, which ends then.
+    /// The request can still meet its latency objective, which ends at this time.
     WithinObjective(Timestamp),
-    /// It will be late; its deadline is then.
+    /// The request can no longer meet its latency objective; its deadline is at this time.
     PastObjective(Timestamp),
 }
--- a/src/routing/learning.rs
+++ b/src/routing/learning.rs
@@ -1,7 +1,7 @@
-//! What the router learns of endpoints: roles, log positions, latencies, and the last commits of sessions.
+//! What the router learns about endpoints: roles, log positions and latencies, and the last commits of sessions.
 //!
-//! Sources rank by how direct they are. A response sets an endpoint's role. A load report, a peer's hint or the
-//! endpoint list counts only where it is newer than that endpoint's last response, since each of them trails.
+//! A response always sets an endpoint's role. Load reports, hints from peers and the endpoint list may be out of date,
+//! so they are used only if they are newer than the endpoint's last response.
 
 use super::endpoints::{EndpointState, Role};
 use super::router::{DEFAULT_LATENCY_OBJECTIVE, Router};
@@ -10,29 +10,30 @@
 };
 use crate::primary_hint::PrimaryHint;
 
-/// Weight of a new sample in an endpoint's smoothed latency: its last ten or so responses count.
+/// Weight of a new sample in an endpoint's smoothed latency, so that about its last ten responses determine it.
 const LATENCY_SMOOTHING: f64 = 0.1;
-/// A class's smoothed latency moves this many times slower than an endpoint's: all endpoints feed it.
+/// The smoothed latency of a class adapts this many times slower than that of an endpoint, since it gets samples from
+/// all endpoints.
 const CLASS_LATENCY_DAMPING: f64 = 4.0;
-/// Bounds of an endpoint's latency against its class: one stalled response must not exclude it for long, and a draw's
-/// weight must stay finite.
+/// Bounds of an endpoint's relative latency: one stalled response must not exclude the endpoint from reads for long,
+/// and the weight of an endpoint must stay finite.
 const MAX_RELATIVE_LATENCY_SAMPLE: f64 = 20.0;
 const MIN_RELATIVE_LATENCY: f64 = 0.05;
-/// Endpoints report positions in whole milliseconds, rounded down.
+/// Resolution of reported log positions: endpoints round them down to whole milliseconds.
 pub(super) const POSITION_RESOLUTION: TimeDelta = TimeDelta::from_millis(1);
-/// Sessions whose last commit is kept one by one: bounds memory to some megabytes.
+/// Maximum number of sessions whose last commit is remembered individually; limits their memory to a few megabytes.
 const MAX_SESSIONS: usize = 50_000;
-/// Name of a load report's value for the applied log position, in seconds after `Settings::zero`.
+/// Load report field for the applied log position, in seconds after `Settings::position_epoch`.
 const REPORT_POSITION: &str = "x0";
-/// Name of a load report's value for the role: 1 for the primary, 0 for a replica.
+/// Load report field for the role: 1 for the primary, 0 for a replica.
 const REPORT_ROLE: &str = "x1";
-/// From this value of a reported role on, the endpoint is a primary.
+/// Lowest reported role value that denotes the primary.
 const REPORTED_PRIMARY: f64 = 0.5;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Router {
-    /// Takes in what an endpoint reported about itself, by a response or by a load report.
-    pub(super) fn learn_endpoint_state(
+    /// Applies the role and position that an endpoint reported in a response (`status`) or in a load report.
+    pub(super) fn update_endpoint_state(
         &mut self,
         now: Timestamp,
         id: EndpointId,
@@ -40,25 +41,26 @@
         report: &LoadReport,
         actions: &mut Vec<Action>,
     ) {
-        let zero = self.settings.zero.unwrap_or(Timestamp::ZERO);
+        let position_epoch = self.settings.position_epoch.unwrap_or(Timestamp::ZERO);
         let reported_position = self.report_value(report, REPORT_POSITION);
         let reported_role = self.report_value(report, REPORT_ROLE);
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
-        let mut told_role = None;
+        let mut new_role = None;
         if let Some(seconds) = reported_position {
-            let position = zero + TimeDelta::from_micros_f64(seconds * MICROS_PER_SECOND);
-            told_role = endpoint.apply_report(position, reported_role.map(role_from_report));
+            let position = position_epoch + TimeDelta::from_micros_f64(seconds * MICROS_PER_SECOND);
+            new_role = endpoint.apply_report(position, reported_role.map(role_from_report));
         }
         if let Some(status) = status {
-            told_role = Some(endpoint.apply_status(now, status, zero));
+            new_role = Some(endpoint.apply_status(now, status, position_epoch));
         }
-        endpoint.role = told_role.or(endpoint.role);
+        endpoint.role = new_role.or(endpoint.role);
         endpoint.probe_sent_at = None;
         self.groups_to_dispatch.insert(endpoint.group);
         let group = self.groups.entry(endpoint.group).or_default();
-        if told_role == Some(Role::Primary) && !group.is_settled_on(id) {
+        if new_role == Some(Role::Primary) && !group.is_settled_on(id) {
             group.set_primary(id);
-            // One of many poolers seldom sends to a given group: without hints each would search by misses of its own.
+            // In a large tier, each pooler rarely sends to a given group. Without hints, each of them would have to
+            // find the new primary by misdirected attempts of its own.
             if status.is_some() && self.settings.peer_messages == Some(true) {
                 let hint = PrimaryHint { endpoint: id, at: now };
                 actions.push(Action::SendToPeers { to: None, bytes: hint.write() });
@@ -69,21 +71,22 @@
         }
     }
 
-    /// The value of `report` that the settings name `name`.
+    /// The value of the load report field `name`; `None` if the settings list no such field or the report lacks it.
     fn report_value(&self, report: &LoadReport, name: &str) -> Option<f64> {
         let index = self.settings.report_fields.iter().position(|field| field == name)?;
         (index < usize::from(report.count)).then(|| report.values[index])
     }
 
-    /// Messages of peers are untrusted; other kinds than a primary hint are ignored.
+    /// Handles a message from a peer, which is untrusted. Any message that is not a primary hint is ignored.
     pub(super) fn receive_peer_message(&mut self, now: Timestamp, bytes: &[u8]) {
         if let Some(hint) = PrimaryHint::read(bytes) {
             self.apply_primary_hint(now, hint);
         }
     }
 
-    /// A peer saw a response of a primary. It counts where it is newer than what that endpoint and the believed
-    /// primary responded to this pooler, and where the endpoint is in service. It proves no log position.
+    /// Applies a peer's hint that an endpoint responded as the primary. The hint is used only if the endpoint is in
+    /// service, and if the hint is newer than the last role that the endpoint, and the believed primary, reported to
+    /// this pooler. It is no proof of a log position.
     fn apply_primary_hint(&mut self, now: Timestamp, hint: PrimaryHint) {
         let Some(endpoint) = self.endpoints.get(&hint.endpoint) else { return };
         if endpoint.availability != Availability::Ready {
@@ -92,11 +95,11 @@
         let Some(group) = self.groups.get_mut(&endpoint.group) else { return };
         let seen_at = Some(hint.at.min(now));
         let believed = group.primary.and_then(|primary| self.endpoints.get(&primary));
-        let believed_told_at = match believed {
+        let believed_role_updated_at = match believed {
             Some(believed) if believed.role != Some(Role::Replica) => believed.role_updated_at,
             _ => None,
         };
-        if seen_at <= endpoint.role_updated_at || seen_at <= believed_told_at {
+        if seen_at <= endpoint.role_updated_at || seen_at <= believed_role_updated_at {
             return;
         }
         group.set_primary(hint.endpoint);
@@ -107,7 +110,7 @@
         }
     }
 
-    /// An endpoint responded: it is reachable and responsive.
+    /// Records that an endpoint responded, which ends suspicion and ejection.
     pub(super) fn record_response(&mut self, now: Timestamp, id: EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.last_response_at = Some(now);
@@ -117,9 +120,9 @@
         self.groups_to_dispatch.insert(endpoint.group);
     }
 
-    /// Takes in how long an attempt of `class` took: smoothed latencies and the endpoint's concurrency limit.
+    /// Updates the smoothed latencies and the endpoint's concurrency limit by the latency of an attempt of `class`.
     ///
-    /// The latency of an attempt that was not served says only that the endpoint is at least as slow as that.
+    /// For an attempt that was not served, `took` is only a lower bound of the latency.
     pub(super) fn record_latency(
         &mut self,
         now: Timestamp,
@@ -148,12 +151,12 @@
         }
     }
 
-    /// Keeps the commit of a session's write for the reads that follow, where the settings want that.
+    /// Remembers the commit of a session's write for its later reads, if the settings ask for it.
     pub(super) fn remember_commit(&mut self, session: u64, status: ReplicaStatus) {
         if self.settings.session_tracking != Some(SessionTracking::Remembered) {
             return;
         }
-        let commit = status.position.commit_time(self.settings.zero.unwrap_or(Timestamp::ZERO));
+        let commit = status.position.commit_time(self.settings.position_epoch.unwrap_or(Timestamp::ZERO));
         let last_commit = self.session_commits.entry(session).or_insert(commit);
         *last_commit = commit.max(*last_commit);
         if self.session_commits.len() > MAX_SESSIONS {
@@ -161,8 +164,8 @@
         }
     }
 
-    /// Evicts the sessions with the older half of commits. An evicted session's reads must reflect all that any
-    /// of them has written.
+    /// Evicts the half of the sessions with the older commits. Reads of an evicted session must reflect the latest
+    /// commit of all evicted sessions, since its own commit is no longer known.
     fn evict_old_sessions(&mut self) {
         let mut commits: Vec<Timestamp> = self.session_commits.values().copied().collect();
         let (_, median, _) = commits.select_nth_unstable(MAX_SESSIONS / 2);
@@ -173,18 +176,18 @@
 }
 
 impl EndpointState {
-    /// Takes in a reported position; returns the reported role where it is newer than the last response.
+    /// Applies a position from a load report. Returns the reported role if it is newer than the last response.
     fn apply_report(&mut self, position: Timestamp, role: Option<Role>) -> Option<Role> {
         self.proven_position = self.proven_position.max(Some(position - POSITION_RESOLUTION));
-        // No position is ahead of the present, so a report with a later one is newer than the last response.
+        // A position is never ahead of the clock, so a position later than the last response proves a newer report.
         if self.role.is_none() || Some(position) > self.role_updated_at { role } else { None }
     }
 
-    /// Takes in what a response told; returns the role.
-    fn apply_status(&mut self, now: Timestamp, status: ReplicaStatus, zero: Timestamp) -> Role {
+    /// Applies the role and position from a response, and returns the role.
+    fn apply_status(&mut self, now: Timestamp, status: ReplicaStatus, position_epoch: Timestamp) -> Role {
         self.role_updated_at = Some(now);
         if status.position.is_known() {
-            let position = status.position.commit_time(zero);
+            let position = status.position.commit_time(position_epoch);
             self.replication_lag = (now - position).or_zero();
             self.proven_position = self.proven_position.max(Some(position));
         }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,10 +1,10 @@
-//! The decision module: where each request goes, when it is retried, queued or rejected, and what is learned of the
-//! endpoints. It does no I/O and reads no clock: the runtime reports an [`Event`] with the time at which it happened
-//! to [`Router::handle`], and carries out the [`Action`]s that come back. `docs/design.md` describes the mechanism.
+//! The decision module: decides where each request is sent and when it is retried, queued or rejected, and tracks the
+//! state of the endpoints. It does no I/O and reads no clock: the runtime passes each [`Event`], with the time at which
+//! it happened, to [`Router::handle`] and carries out the returned [`Action`]s. `docs/design.md` describes the design.
 //!
-//! Where to start: `router` dispatches the events; `attempts` holds the life of a request; `writes` and `reads` choose
-//! its endpoint. The other modules answer their questions: `endpoints` (the list), `learning` (roles, positions,
-//! latencies), `capacity` and `slow_start` (how much an endpoint may be given), `admission` (the queue) and `timers`.
+//! Where to start: `router` dispatches the events, `attempts` implements the life cycle of a request, and `writes` and
+//! `reads` choose its endpoint. They use `endpoints` (the endpoint list), `learning` (roles, positions and latencies),
+//! `capacity` and `slow_start` (how many attempts an endpoint may get), `admission` (the queue) and `timers`.
 //! `request` and `group` hold state.
 
 mod action;
@@ -28,7 +28,7 @@
 pub use action::*;
 pub use endpoints::EndpointCounts;
 pub use event::*;
-pub use router::{RetainedState, Router};
+pub use router::{Router, TableSizes};
 pub use settings::*;
 
 pub use crate::ids::{EndpointId, GroupId, RequestId, ZoneId};
--- a/src/routing/reads.rs
+++ b/src/routing/reads.rs
@@ -1,8 +1,8 @@
-//! The read path: a replica that is fresh enough, drawn at random by its capacity over latency and load.
+//! The read path: a weighted random choice among the replicas that are fresh enough.
 //!
-//! The draw weighs an endpoint by `capacity / (latency * (1 + attempts in flight))`, the inverse of the cost by which
-//! the peak-EWMA balancer of Finagle compares endpoints, with the whole group as candidates. A random draw keeps many
-//! poolers, which do not see each other's load, from choosing the same endpoint together.
+//! The weight of an endpoint is `capacity / (latency * (1 + attempts in flight))`, the inverse of the cost by which
+//! Finagle's peak-EWMA balancer compares endpoints; the candidates are the whole group. The choice is random because
+//! poolers do not see each other's load and would otherwise all choose the same endpoint.
 
 use super::endpoints::{EndpointState, Role};
 use super::group::Group;
@@ -13,50 +13,51 @@
 use super::{Action, Consistency, EndpointId, ReplicationLagPolicy, RequestId, TimeDelta, Timestamp};
 use fastrand::Rng;
 
-/// A read waits for a probe this long at most: some ten round trips between zones.
+/// Maximum time that a read waits for a probe: about ten round trips between zones.
 const PROBE_TIMEOUT: TimeDelta = TimeDelta::from_millis(50);
-/// Weight in the draw of an endpoint in another zone, against one in this pooler's own.
+/// Weight factor of an endpoint in another zone, compared with one in this pooler's zone.
 const REMOTE_ZONE_WEIGHT: f64 = 0.6;
-/// Bounds of the time for which an endpoint's estimated replication lag is believed, by default that lag itself: it
-/// catches up no faster than it applies the log.
+/// Bounds of the time for which an endpoint's last known replication lag is used as an estimate. Within these bounds
+/// that time equals the lag itself, since an endpoint catches up no faster than it applies the log.
 const MIN_LAG_ESTIMATE_VALIDITY: TimeDelta = TimeDelta::from_millis(500);
 const MAX_LAG_ESTIMATE_VALIDITY: TimeDelta = TimeDelta::from_secs(8);
-/// Reads may use the primary's concurrency limit divided by this; the rest is for writes.
+/// Reads may use the primary's concurrency limit divided by this; the rest is reserved for writes.
 const PRIMARY_LIMIT_READ_DIVISOR: f64 = 2.0;
 
-/// An endpoint with its weight in a draw.
+/// An endpoint with its weight in the random choice.
 struct WeightedEndpoint {
     endpoint: EndpointId,
     weight: f64,
 }
 
-/// Replicas that a read may be sent to.
+/// Endpoints that accept a read now.
 struct ReadCandidates {
+    /// Endpoints whose data is fresh enough for the read.
     fresh: Vec<WeightedEndpoint>,
-    /// Replicas whose data is too old, or not known to be fresh enough.
+    /// Endpoints whose data is too old, or not known to be fresh enough.
     unproven: Vec<WeightedEndpoint>,
 }
 
-/// What a read requires of an endpoint's data.
+/// How fresh an endpoint's data must be for a read.
 enum FreshnessRequirement {
-    /// Any data will do.
+    /// Data of any age is sufficient.
     None,
-    /// Only the primary's data will do.
+    /// Only the primary's data is sufficient.
     Primary,
-    /// All commits up to this time.
+    /// The data must include all commits up to this time.
     CommitsUntil(Timestamp),
 }
 
 impl Router {
-    /// Endpoints reject reads that they may not answer themselves. Where they do not, only proof of a position or role
-    /// permits a read.
+    /// Whether endpoints reject reads for which their data is too old. If they do not, a read is sent only to an
+    /// endpoint whose position or role proves that its data is fresh enough.
     pub(super) fn endpoints_reject_stale_reads(&self) -> bool {
         self.settings.replication_lag_policy.is_some_and(|policy| policy != ReplicationLagPolicy::ServeStale)
     }
 
-    /// Where a read goes now: to a fresh replica by a weighted draw. Where none is known to be fresh, one is probed and
-    /// the read waits for that; else it goes to the primary. `None` where it has to be queued.
-    pub(super) fn choose_reader(
+    /// Chooses the endpoint for a read: a fresh replica by weighted random choice. If none is known to be fresh, the
+    /// read may wait for a probe of one; otherwise the primary serves it. `None` if the read has to be queued.
+    pub(super) fn choose_read_endpoint(
         &mut self,
         now: Timestamp,
         id: RequestId,
@@ -64,21 +65,21 @@
     ) -> Option<EndpointId> {
         let candidates = self.read_candidates(now, &self.requests[&id])?;
         if !candidates.fresh.is_empty() {
-            return draw_by_weight(&mut self.rng, &candidates.fresh);
+            return choose_by_weight(&mut self.rng, &candidates.fresh);
         }
-        if self.waits_for_probe(now, id, &candidates.unproven, actions) {
+        if self.wait_for_probe(now, id, &candidates.unproven, actions) {
             return None;
         }
         self.primary_for_read(now, &self.requests[&id])
     }
 
-    /// Replicas that accept an attempt now; `None` for an unknown group.
+    /// Endpoints that may serve the read and accept an attempt now; `None` for an unknown group.
     fn read_candidates(&self, now: Timestamp, request: &Request) -> Option<ReadCandidates> {
         let group = self.groups.get(&request.group)?;
         let mut candidates = ReadCandidates { fresh: Vec::new(), unproven: Vec::new() };
         for &id in &group.endpoints {
             let endpoint = &self.endpoints[&id];
-            let eligible = self.is_reader(group, id, endpoint)
+            let eligible = self.is_read_candidate(group, id, endpoint)
                 && !was_tried(request, id, endpoint)
                 && self.accepts_attempt(now, id);
             if !eligible {
@@ -94,9 +95,10 @@
         Some(candidates)
     }
 
-    /// The believed primary serves reads only as a last resort, unless its role has yet to be told: then it is probed
-    /// like the others.
-    fn is_reader(&self, group: &Group, id: EndpointId, endpoint: &EndpointState) -> bool {
+    /// Whether an endpoint is a candidate for reads. The believed primary is not, since it serves reads only as a last
+    /// resort. But if endpoints serve stale data and neither a response nor the list confirmed its role, it is probed
+    /// like a replica.
+    fn is_read_candidate(&self, group: &Group, id: EndpointId, endpoint: &EndpointState) -> bool {
         let unknown_role =
             endpoint.role.is_none() && !endpoint.listed_as_primary && !self.endpoints_reject_stale_reads();
         group.primary != Some(id) || unknown_role
@@ -105,15 +107,15 @@
     fn read_weight(&self, now: Timestamp, endpoint: &EndpointState) -> f64 {
         let in_own_zone = self.settings.zone.is_none_or(|zone| zone == endpoint.zone);
         let zone_weight = if in_own_zone { 1.0 } else { REMOTE_ZONE_WEIGHT };
-        let capacity = zone_weight * endpoint.capacity_units * self.warmth(now, endpoint);
+        let capacity = zone_weight * endpoint.capacity_units * self.warm_up_fraction(now, endpoint);
         capacity / (endpoint.relative_latency * (1.0 + endpoint.in_flight.len() as f64))
     }
 
-    /// Whether the read waits for a probe, which is sent to one of `unproven` unless one is under way.
+    /// Whether the read is to wait for a probe of one of `unproven`. Sends that probe unless one is in flight.
     ///
-    /// A pooler that sends little has no recent response of any replica. Each read waits once, and no longer than a
-    /// probe of a healthy endpoint takes.
-    fn waits_for_probe(
+    /// Probes are needed because a pooler with little traffic has no recent response from any replica. Each read waits
+    /// for [`PROBE_TIMEOUT`] in total, within which a healthy endpoint answers a probe.
+    fn wait_for_probe(
         &mut self,
         now: Timestamp,
         id: RequestId,
@@ -121,32 +123,33 @@
         actions: &mut Vec<Action>,
     ) -> bool {
         let request = &self.requests[&id];
-        let probing = self.settings.may_probe == Some(true) && !self.endpoints_reject_stale_reads();
-        // No position proves that a replica has every commit.
-        let provable = request.consistency.is_some_and(|consistency| consistency != Consistency::Strong);
-        if !probing || !provable || unproven.is_empty() {
+        let probes_allowed = self.settings.may_probe == Some(true) && !self.endpoints_reject_stale_reads();
+        // A strong read cannot be served by a replica: no position proves that it has every commit.
+        let replicas_may_serve =
+            request.consistency.is_some_and(|consistency| consistency != Consistency::Strong);
+        if !probes_allowed || !replicas_may_serve || unproven.is_empty() {
             return false;
         }
         let first_wait = request.waiting_for_probe_since.is_none();
         let may_wait = request.waiting_for_probe_since.is_none_or(|since| now - since < PROBE_TIMEOUT);
-        let under_way = unproven.iter().any(|candidate| {
+        let probe_in_flight = unproven.iter().any(|candidate| {
             let sent_at = self.endpoints[&candidate.endpoint].probe_sent_at;
             sent_at.is_some_and(|sent_at| now - sent_at < PROBE_TIMEOUT)
         });
-        if !may_wait || !(first_wait || under_way) {
+        if !may_wait || !(first_wait || probe_in_flight) {
             return false;
         }
         if let Some(request) = self.requests.get_mut(&id) {
             request.waiting_for_probe_since.get_or_insert(now);
         }
-        if !under_way {
+        if !probe_in_flight {
             self.probe_one(now, unproven, actions);
         }
         true
     }
 
     fn probe_one(&mut self, now: Timestamp, candidates: &[WeightedEndpoint], actions: &mut Vec<Action>) {
-        let Some(id) = draw_by_weight(&mut self.rng, candidates) else { return };
+        let Some(id) = choose_by_weight(&mut self.rng, candidates) else { return };
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.probe_sent_at = Some(now);
         let group = endpoint.group;
@@ -154,7 +157,7 @@
         actions.push(Action::Probe { endpoint: id });
     }
 
-    /// The believed primary, where it may serve the read and is not needed for writes.
+    /// The believed primary, if it may serve the read and has capacity that writes do not need.
     fn primary_for_read(&self, now: Timestamp, request: &Request) -> Option<EndpointId> {
         let group = self.groups.get(&request.group)?;
         let primary = group.primary?;
@@ -162,17 +165,17 @@
             return None;
         }
         let endpoint = self.endpoints.get(&primary)?;
-        // Where endpoints serve stale data, only one that is known to have been primary is safe.
-        let proven = match endpoint.role {
+        // If endpoints serve stale data, the read is safe only at an endpoint that was confirmed as primary.
+        let confirmed = match endpoint.role {
             Some(role) => role == Role::Primary,
             None => self.endpoints_reject_stale_reads() || endpoint.listed_as_primary,
         };
-        // A limit below one means that it responds late; then it is left to writes.
+        // A limit below one means that the primary responds late; its capacity is then reserved for writes.
         let limit = endpoint.concurrency_limit;
-        let spare = limit >= 1.0
+        let has_spare_capacity = limit >= 1.0
             && (endpoint.in_flight.len() as f64) < limit / PRIMARY_LIMIT_READ_DIVISOR
             && group.queued.on_path(RequestPath::Write).is_empty();
-        (proven && spare && self.accepts_attempt(now, primary)).then_some(primary)
+        (confirmed && has_spare_capacity && self.accepts_attempt(now, primary)).then_some(primary)
     }
 
     fn is_fresh_enough(&self, now: Timestamp, request: &Request, endpoint: &EndpointState) -> bool {
@@ -187,14 +190,14 @@
         if !self.endpoints_reject_stale_reads() {
             return false;
         }
-        // Endpoints check by themselves, so an estimate will do: a miss costs only time.
+        // Endpoints reject reads that they may not serve, so an estimate suffices: a wrong one costs only time.
         let validity = endpoint.replication_lag.clamp(MIN_LAG_ESTIMATE_VALIDITY, MAX_LAG_ESTIMATE_VALIDITY);
         let estimate_valid =
             endpoint.last_response_at.is_some_and(|response_at| now - response_at < validity);
         if endpoint.proven_position.is_some() && estimate_valid {
             now - endpoint.replication_lag >= required
         } else {
-            // Only a read can find out whether it has caught up.
+            // Without a valid estimate, only a read shows whether the endpoint has caught up.
             true
         }
     }
@@ -215,7 +218,8 @@
     }
 }
 
-/// Whether the endpoint has the read already, or rejected it and has not responded to anything since.
+/// Whether the endpoint has an open attempt of the read, or did not serve an earlier one and has not responded to
+/// anything since.
 fn was_tried(request: &Request, id: EndpointId, endpoint: &EndpointState) -> bool {
     let mut attempts = request.attempts.iter().filter(|attempt| attempt.endpoint == id);
     attempts.any(|attempt| {
@@ -225,8 +229,8 @@
     })
 }
 
-/// Draws one of `candidates` with a probability that is proportional to its weight; `None` where there is none.
-fn draw_by_weight(rng: &mut Rng, candidates: &[WeightedEndpoint]) -> Option<EndpointId> {
+/// Chooses one of `candidates` at random, with a probability proportional to its weight; `None` if there are none.
+fn choose_by_weight(rng: &mut Rng, candidates: &[WeightedEndpoint]) -> Option<EndpointId> {
     let total: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
     let mut remaining = rng.f64() * total;
     for candidate in candidates {
@@ -235,6 +239,6 @@
             return Some(candidate.endpoint);
         }
     }
-    // Rounding, or a weight that is not a number, can leave a rest.
+    // Rounding, or a weight that is not a number, can leave `remaining` above zero.
     candidates.last().map(|candidate| candidate.endpoint)
 }
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -1,4 +1,4 @@
-//! State of a request from its arrival to its final answer, and of its attempts.
+//! The state of a request from its arrival to its final answer, and of its attempts.
 
 use super::group::QueuePosition;
 use super::{Consistency, EndpointId, GroupId, RequestId, TimeDelta, Timestamp};
@@ -6,9 +6,9 @@
 /// Which endpoints a request may be sent to.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestPath {
-    /// To a replica that is fresh enough, or to the primary where none is.
+    /// A replica that is fresh enough, or the primary if there is none.
     Read,
-    /// To the primary only: writes, and strong reads where replicas reject what they may not answer.
+    /// Only the primary. For writes, and for strong reads if replicas reject reads that need fresher data.
     Write,
 }
 
@@ -16,21 +16,21 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptId {
     pub(super) request: RequestId,
-    /// Counts from 0 in the order of sending.
+    /// Counted from 0 in the order of sending.
     pub(super) number: u8,
 }
 
-/// A request that was sent to an endpoint.
+/// One sending of a request to an endpoint.
 pub(super) struct Attempt {
     pub(super) endpoint: EndpointId,
     pub(super) sent_at: Timestamp,
-    /// Its outcome has yet to come.
+    /// Whether its outcome is still pending.
     pub(super) open: bool,
-    /// The endpoint may have received it: any outcome but a failed connection.
+    /// Whether the endpoint may have received it: for any outcome but a failed connection.
     pub(super) may_have_arrived: bool,
-    /// The endpoint's `answered_attempts` from which on this attempt counts as overtaken.
+    /// This attempt counts as overtaken once the endpoint's `answered_attempts` reaches this number.
     pub(super) overtaken_at_count: u64,
-    /// When it ended without a response for the client, other than by a rejection for overload.
+    /// When it ended with any outcome but a rejection as overloaded; `None` while it is open.
     pub(super) unserved_at: Option<Timestamp>,
 }
 
@@ -43,26 +43,28 @@
     pub(super) latency_objective: TimeDelta,
     pub(super) group: GroupId,
     pub(super) arrived_at: Timestamp,
-    /// A response by then meets the latency objective, which grows with the request's own work.
+    /// End of the latency objective, which includes an allowance for the client's estimate of the service time.
     pub(super) objective_at: Timestamp,
     /// A response after this has no value.
     pub(super) value_ends_at: Timestamp,
-    /// The client gives up.
+    /// When the client gives up.
     pub(super) deadline: Timestamp,
-    /// For a session read: commit time of the last write that the response must reflect.
+    /// Commit time of the last write that a session read must reflect; `None` if there is none.
     pub(super) required_commit: Option<Timestamp>,
     pub(super) session: u64,
     pub(super) attempts: Vec<Attempt>,
-    /// When the first attempt was sent that may have run without being served.
+    /// When the first attempt was sent that was not served but may have run.
     pub(super) may_have_run_since: Option<Timestamp>,
-    /// The response has begun to reach the client: no other attempt can replace it.
+    /// Whether a part of the response has been sent to the client, so that no other attempt can replace it.
     pub(super) response_started: bool,
     /// Its place in its group's queue; `None` while it is not queued.
     pub(super) queue_position: Option<QueuePosition>,
+    /// When it first waited for a probe; `None` if it never did.
     pub(super) waiting_for_probe_since: Option<Timestamp>,
-    /// Attempts that ended in [`super::AttemptOutcome::Error`].
-    pub(super) error_outcomes: u32,
-    /// An attempt was taken for lost and cancelled. Once at most, or long work would never complete.
+    /// Number of attempts that ended in [`super::AttemptOutcome::Error`].
+    pub(super) error_count: u32,
+    /// Whether an attempt was considered lost and cancelled. Done only once per request, since a long-running request
+    /// would never complete otherwise.
     pub(super) lost_attempt_cancelled: bool,
 }
 
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -10,23 +10,23 @@
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Latency objective of a class whose settings state none.
+/// Latency objective of a class whose settings define none.
 pub(super) const DEFAULT_LATENCY_OBJECTIVE: TimeDelta = TimeDelta::from_secs(1);
-/// Time in which an overloaded cold endpoint falls over, where the settings state none.
+/// How long a cold endpoint withstands overload before it fails, if the settings define no such time.
 const DEFAULT_OVERLOAD_WINDOW: TimeDelta = TimeDelta::from_secs(2);
-/// Latency assumed for a class before its first response, as a share of its latency objective.
+/// Latency assumed for a class before its first response, as a fraction of its latency objective.
 const INITIAL_LATENCY_SHARE: f64 = 0.25;
 
-/// The decisions of one pooler. It does no I/O and reads no clock: [`Router::handle`] takes an event and returns what
-/// is to be done about it.
+/// Makes the routing decisions of one pooler. It does no I/O and reads no clock: [`Router::handle`] takes an event and
+/// returns the actions to carry out.
 #[derive(Default)]
 pub struct Router {
     pub(super) settings: Settings,
-    /// Time in which a cold endpoint that gets too much falls over. Send rates are taken over this window.
+    /// How long a cold endpoint withstands overload before it fails. Send rates are measured over this window.
     pub(super) overload_window: TimeDelta,
-    /// The lowest concurrency limit of an endpoint: this pooler's part of [`MIN_CONCURRENCY_OF_ALL_POOLERS`].
+    /// Lower bound of an endpoint's concurrency limit: this pooler's share of [`MIN_CONCURRENCY_OF_ALL_POOLERS`].
     pub(super) min_concurrency_limit: f64,
-    /// Draws of replicas and jitter.
+    /// Source of the random choice of replicas and of jitter.
     pub(super) rng: Rng,
     pub(super) endpoints: BTreeMap<EndpointId, EndpointState>,
     pub(super) groups: BTreeMap<GroupId, Group>,
@@ -34,31 +34,31 @@
     pub(super) requests: BTreeMap<RequestId, Request>,
     /// Smoothed latency of each class over all endpoints, in microseconds.
     pub(super) class_latency_us: Vec<f64>,
-    /// The last commit seen of each session, where the router must remember them.
+    /// Commit time of each session's last write; empty unless the settings ask the router to remember commits.
     pub(super) session_commits: BTreeMap<u64, Timestamp>,
-    /// The last commit of any session that was evicted from `session_commits`.
+    /// The latest commit time among the sessions that were evicted from `session_commits`.
     pub(super) evicted_sessions_commit: Option<Timestamp>,
-    /// Served attempts.
+    /// Rate of served attempts at all endpoints.
     pub(super) served_rate: DecayedRate,
-    /// Capacity of all listed endpoints.
+    /// Total capacity of all listed endpoints.
     pub(super) total_capacity_units: f64,
-    /// The highest rate that a unit of capacity has served, per microsecond.
+    /// The highest rate measured so far of attempts served per unit of capacity, per microsecond.
     pub(super) peak_rate_per_unit: f64,
     pub(super) timers: BTreeSet<ScheduledTimer>,
-    /// When the runtime's timer fires, where it is set.
+    /// When the runtime's timer fires; `None` while it is not set.
     pub(super) armed_timer_at: Option<Timestamp>,
-    /// Groups whose queued requests may have found an endpoint; dispatched at the end of each event.
+    /// Groups in which an endpoint may now accept queued requests; dispatched at the end of each event.
     pub(super) groups_to_dispatch: BTreeSet<GroupId>,
     pub(super) received_first_list: bool,
     pub(super) consecutive_list_failures: u32,
 }
 
-/// Sizes of a router's tables.
+/// Numbers of entries in a router's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RetainedState {
-    /// Endpoints, also removed ones that may still respond.
+pub struct TableSizes {
+    /// Endpoints, including removed ones that may still respond.
     pub endpoints: usize,
-    /// Groups.
+    /// Groups; those that are no longer in use are removed at the next list update.
     pub groups: usize,
     /// Requests without a final answer.
     pub requests: usize,
@@ -67,7 +67,7 @@
 }
 
 impl Router {
-    /// A router that knows nothing but its settings; `seed` determines its random draws.
+    /// Creates a router without endpoints. `seed` initializes its random number generator.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut class_latency_us = Vec::with_capacity(settings.classes.len());
         for class in &settings.classes {
@@ -85,9 +85,9 @@
         }
     }
 
-    /// Takes one event at time `now` and appends what is to be done to `actions`.
+    /// Handles one event that happened at `now` and appends the resulting actions to `actions`.
     ///
-    /// `now` must never go back. The same settings, seed and events give the same actions.
+    /// `now` must not decrease from call to call. The same settings, seed and events give the same actions.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.handle_event(now, event, actions);
         while let Some(group) = self.groups_to_dispatch.pop_first() {
@@ -106,14 +106,14 @@
             }
             Event::AttemptFinished(finished) => {
                 let status = finished.replica_status;
-                self.learn_endpoint_state(now, finished.endpoint, status, &finished.report, actions);
+                self.update_endpoint_state(now, finished.endpoint, status, &finished.report, actions);
                 self.attempt_finished(now, &finished, actions);
             }
-            // Open attempts are cancelled: impatient clients would pile abandoned work on the endpoints.
+            // Cancels the open attempts: otherwise clients that give up early would load endpoints with abandoned work.
             Event::RequestCancelled { id } => self.finish_request(id, actions),
             Event::ProbeFinished { endpoint, ok, report, .. } => {
                 if ok {
-                    self.learn_endpoint_state(now, endpoint, None, &report, actions);
+                    self.update_endpoint_state(now, endpoint, None, &report, actions);
                 }
             }
             Event::PeerMessage { bytes, .. } => self.receive_peer_message(now, &bytes),
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Sizes of its tables, to show that memory is bounded.
-    pub fn retained(&self) -> RetainedState {
-        RetainedState {
+    /// Numbers of entries in the router's tables, to check that its memory use is bounded.
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes {
             endpoints: self.endpoints.len(),
             groups: self.groups.len(),
             requests: self.requests.len(),
--- a/src/routing/settings.rs
+++ b/src/routing/settings.rs
@@ -1,22 +1,22 @@
-//! Settings of the decision module, as the operator states them.
+//! Settings of the decision module, as configured by the operator.
 //!
-//! A setting that is not stated is `None` or empty; the module that uses it defines the default.
+//! A setting that is not configured is `None` or empty; the module that uses it defines the default.
 
 use crate::ids::ZoneId;
 use crate::time::{TimeDelta, Timestamp};
 
-/// How current the data behind a response must be, or that the request writes.
+/// Whether a request is a write, and if not, how fresh the data that it reads must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
     /// A write: only the primary accepts it.
     Write,
-    /// A read that reflects every commit made before it arrived.
+    /// A read that must reflect every commit made before it arrived.
     Strong,
-    /// A read that reflects all writes of its own session.
+    /// A read that must reflect all earlier writes of its session.
     Session,
-    /// A read from data that is no older than [`Class::max_age`] when the read is sent.
+    /// A read of data that is no older than [`Class::max_age`] when the read is sent.
     Bounded,
-    /// A read from any endpoint's data.
+    /// A read of data of any age.
     Eventual,
 }
 
@@ -25,13 +25,13 @@
 pub enum Idempotency {
     /// A second run has no further effect.
     Idempotent,
-    /// It carries an idempotency key: within [`Class::key_window`] endpoints drop repeats.
+    /// It carries an idempotency key: endpoints drop repeats within [`Class::key_window`].
     Keyed,
-    /// It must never run twice.
+    /// It must not run twice.
     NonIdempotent,
 }
 
-/// Which endpoints know an idempotency key and drop repeats.
+/// Which endpoints share the idempotency keys that they have seen, and so drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints.
@@ -42,123 +42,125 @@
     Zone,
 }
 
-/// What an endpoint does with a read that its data is too old for.
+/// What an endpoint does with a read for which its data is too old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicationLagPolicy {
-    /// It responds from the data it has.
+    /// It serves the read from its stale data.
     ServeStale,
     /// It rejects the read without running it.
     Reject,
-    /// It waits for up to [`Settings::catch_up_timeout`] to catch up, then rejects the read.
+    /// It waits for up to [`Settings::catch_up_timeout`] until it has caught up; if it has not by then, it rejects the
+    /// read.
     WaitThenReject,
 }
 
-/// How it is known which writes a session read must reflect.
+/// Where the router gets the last commit of a session, which a session read must reflect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTracking {
-    /// The read carries the age of its session's last commit.
+    /// The client sends the age of its session's last commit with the read.
     Carried,
-    /// The router remembers the commits of the responses that it saw.
+    /// The router remembers the commits of the writes that it routed.
     Remembered,
 }
 
-/// A class of requests: objectives and what is permitted.
+/// A class of requests: its latency objective, value, idempotency and consistency.
 #[derive(Clone, Debug, Default)]
 pub struct Class {
-    /// Responses within this time have their full value.
+    /// A response within this time has its full value.
     pub latency_objective: Option<TimeDelta>,
-    /// The objective grows by this multiple of the request's own work.
+    /// The objective is extended by [`super::IncomingRequest::work_hint`] times this factor.
     pub latency_objective_per_work: Option<f64>,
-    /// A client waits this long over all its attempts.
+    /// How long a client waits in total, including its own retries.
     pub deadline: Option<TimeDelta>,
     /// Value of a response within the objective.
     pub priority_weight: Option<f64>,
-    /// Share of that value that a response after the objective still has.
+    /// Fraction of that value that a response after the objective still has.
     pub late_priority_weight: Option<f64>,
-    /// Whether it may run more than once.
+    /// Whether its requests may run more than once.
     pub idempotency: Option<Idempotency>,
-    /// Which endpoints drop its repeats.
+    /// Which endpoints drop repeats of its keyed requests.
     pub key_scope: Option<KeyScope>,
-    /// How long endpoints drop repeats, from the first attempt that may have run.
+    /// How long endpoints drop repeats, counted from the first attempt that may have run.
     pub key_window: Option<TimeDelta>,
-    /// How current its data must be.
+    /// Whether its requests are writes, and if not, how fresh their data must be.
     pub consistency: Option<Consistency>,
-    /// Maximal age of the data of a [`Consistency::Bounded`] class.
+    /// Maximum age of the data for a [`Consistency::Bounded`] class.
     pub max_age: Option<TimeDelta>,
 }
 
-/// A tenant's quota.
+/// A tenant, whose requests share a quota.
 #[derive(Clone, Debug, Default)]
 pub struct Tenant {
-    /// Requests per second within the quota, over all poolers.
+    /// Requests per second that are within the quota, counted over all poolers.
     pub quota_per_s: Option<f64>,
 }
 
 /// All settings of one pooler's decision module.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Poolers that share the endpoints.
+    /// Number of poolers that share the endpoints.
     pub pooler_count: Option<u32>,
-    /// This pooler's number among them.
-    pub me: Option<u16>,
+    /// This pooler's number among them, counted from 0.
+    pub pooler_number: Option<u16>,
     /// This pooler's zone.
     pub zone: Option<ZoneId>,
-    /// The shortest time between two batches of events.
-    pub step: Option<TimeDelta>,
-    /// Classes, by number.
+    /// Minimum time between two batches of events.
+    pub event_batch_interval: Option<TimeDelta>,
+    /// The classes; a request names its class by the index.
     pub classes: Vec<Class>,
-    /// Tenants, by number.
+    /// The tenants; a request names its tenant by the index.
     pub tenants: Vec<Tenant>,
-    /// Value of a request beyond its tenant's quota, against one within.
+    /// Value of a request beyond its tenant's quota, relative to one within it.
     pub over_quota_priority_weight: Option<f64>,
-    /// The endpoint list comes only after [`super::Action::Subscribe`] or [`super::Action::FetchList`].
+    /// Whether the endpoint list is sent only after [`super::Action::Subscribe`] or [`super::Action::FetchList`].
     pub must_subscribe: Option<bool>,
-    /// A pooler that neither subscribes nor fetches for this long still counts as informed of the list.
+    /// A pooler that has neither subscribed to the list nor fetched it for this long is considered informed all the
+    /// same.
     pub list_request_interval: Option<TimeDelta>,
-    /// Two attempts of one request may be in flight at once (hedging).
+    /// Whether requests may be hedged: two attempts of one request in flight at once.
     pub may_hedge: Option<bool>,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: Option<bool>,
-    /// Endpoints may be probed.
+    /// Whether endpoints may be probed.
     pub may_probe: Option<bool>,
-    /// Poolers may send each other messages.
+    /// Whether poolers may send each other messages.
     pub peer_messages: Option<bool>,
-    /// Rejections may carry a retry-after.
+    /// Whether rejections may carry a retry-after.
     pub may_send_retry_after: Option<bool>,
     /// The longest retry-after that clients honour.
     pub max_retry_after: Option<TimeDelta>,
-    /// Limit of attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: Option<u32>,
     /// A connection that is not established within this time has failed.
     pub connect_timeout: Option<TimeDelta>,
-    /// Time after a client's deadline in which a final answer still counts.
+    /// Time after a client's deadline within which a final answer is still accepted.
     pub answer_grace: Option<TimeDelta>,
-    /// Attempts to a draining or removed endpoint must stop within this time.
+    /// Time within which a pooler must stop sending attempts to a draining or removed endpoint.
     pub drain_grace: Option<TimeDelta>,
-    /// Only an entry that says draining ends an endpoint's use; its removal from the list does not.
-    pub only_stated_drain_binds: Option<bool>,
-    /// Share of its capacity that an endpoint has at least when it starts.
+    /// Whether only an explicit draining entry takes an endpoint out of use. If set, removal from the list does not.
+    pub keep_unlisted_endpoints: Option<bool>,
+    /// Minimum capacity of an endpoint when it starts, as a fraction of its full capacity.
     pub cold_capacity: Option<f64>,
-    /// Time within which a started endpoint reaches its full capacity.
+    /// Time after its start within which an endpoint reaches its full capacity.
     pub warm_up: Option<TimeDelta>,
-    /// Load, as a multiple of its present capacity, above which a cold endpoint falls over.
+    /// Load, as a multiple of its current capacity, above which a cold endpoint fails.
     pub overload_multiple: Option<f64>,
-    /// How long such a load has to last for that.
+    /// How long such an overload must last to make the endpoint fail.
     pub overload_window: Option<TimeDelta>,
-    /// What an endpoint does with a read that its data is too old for.
+    /// What an endpoint does with a read for which its data is too old.
     pub replication_lag_policy: Option<ReplicationLagPolicy>,
-    /// How long an endpoint waits first under [`ReplicationLagPolicy::WaitThenReject`].
+    /// How long an endpoint waits to catch up under [`ReplicationLagPolicy::WaitThenReject`].
     pub catch_up_timeout: Option<TimeDelta>,
-    /// How it is known which writes a session read must reflect.
+    /// Where the router gets the last commit of a session.
     pub session_tracking: Option<SessionTracking>,
-    /// Clock time from which log positions count.
-    pub zero: Option<Timestamp>,
-    /// Names of the values of a load report, in their order.
+    /// Clock time from which log positions are counted.
+    pub position_epoch: Option<Timestamp>,
+    /// Names of the values of a load report, in the order in which they are reported.
     pub report_fields: Vec<String>,
-    /// Cost of an attempt that crosses zones, in points per first attempt.
+    /// Cost of an attempt in another zone, in points per first attempt.
     pub cross_zone_cost: Option<f64>,
     /// Cost of a probe, in points per first attempt.
     pub probe_cost: Option<f64>,
-    /// Cost of work that endpoints did in vain, in points, as a share of the work offered.
+    /// Cost in points of wasted work at the endpoints, as a fraction of the offered work.
     pub waste_cost: Option<f64>,
 }
--- a/src/routing/settings_parser.rs
+++ b/src/routing/settings_parser.rs
@@ -1,6 +1,7 @@
-//! Reads [`Settings`] from `path=value` pairs. Paths that are unknown are skipped.
+//! Parses [`Settings`] from pairs of a path and a value. Unknown paths are ignored.
 //!
-//! The simulator's adapter gets the pairs as text; the daemon flattens its configuration into them.
+//! The simulator's adapter receives the pairs as text with one `path=value` per line; the daemon converts its
+//! configuration into such pairs.
 
 use super::{
     Class, Consistency, Idempotency, KeyScope, ReplicationLagPolicy, SessionTracking, Settings, Tenant,
@@ -9,48 +10,48 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Classes or tenants that settings may announce: more than any deployment has, and few enough to allocate.
+/// Maximum number of classes or tenants: more than any deployment has, and few enough to allocate memory for.
 const MAX_COUNT: usize = 65_536;
 
-/// A setting that cannot be read. The text names the path and the value.
+/// An invalid setting. The message names the path and, except for an invalid age, the value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A line is no pair.
+    /// A line has no equals sign.
     #[error("settings: line {line} has no '='")]
     NotAPair {
         /// The line's number, counted from 1.
         line: usize,
     },
-    /// A value is not of the form that its path requires.
+    /// A value is not of the type that its path requires.
     #[error("settings: {path}={value} does not parse")]
     Malformed {
-        /// The path.
+        /// Path of the setting.
         path: String,
-        /// The value as stated.
+        /// The value as text.
         value: String,
     },
     /// A number is infinite or not a number.
     #[error("settings: {path}={value} is not a finite number")]
     NotFinite {
-        /// The path.
+        /// Path of the setting.
         path: String,
-        /// The value as read.
+        /// The parsed number, formatted as text.
         value: String,
     },
-    /// More classes or tenants than 65,536.
+    /// More than 65,536 classes or tenants.
     #[error("settings: {path}={count} is too many")]
     TooMany {
-        /// The path.
+        /// Path of the setting.
         path: String,
-        /// The count as stated.
+        /// The number of classes or tenants in the setting.
         count: usize,
     },
-    /// An item of the list of ages is no number.
+    /// An item of the list of maximum ages is not a number.
     #[error("settings: family-info.max-age does not parse")]
     MalformedMaxAge,
 }
 
-/// Keywords of an enumerated setting and what they mean.
+/// Keywords of an enumerated setting, each with its value.
 type Keywords<T> = [(&'static str, T)];
 
 const IDEMPOTENCY: &Keywords<Idempotency> = &[
@@ -76,11 +77,12 @@
 const SESSION_TRACKING: &Keywords<SessionTracking> =
     &[("brought", SessionTracking::Carried), ("kept", SessionTracking::Remembered)];
 
-/// Reads settings from text with one pair a line; empty lines are skipped.
+/// Parses settings from text with one `path=value` pair per line. Empty lines are ignored; if a path occurs more than
+/// once, its last value is used.
 ///
 /// # Errors
 ///
-/// The first line that is no pair, or the first value that its path does not permit.
+/// Returns an error for the first line without an equals sign, or for the first invalid value.
 pub fn parse(text: &str) -> Result<Settings, SettingsError> {
     let mut pairs = BTreeMap::new();
     for (index, line) in text.lines().enumerate() {
@@ -92,15 +94,15 @@
         };
         pairs.insert(path.trim(), value.trim());
     }
-    read(pairs)
+    from_pairs(pairs)
 }
 
-/// Reads settings from pairs of path and value.
+/// Parses settings from values by path.
 ///
 /// # Errors
 ///
-/// The first value that its path does not permit.
-pub fn read(pairs: BTreeMap<&str, &str>) -> Result<Settings, SettingsError> {
+/// Returns an error for the first invalid value.
+pub fn from_pairs(pairs: BTreeMap<&str, &str>) -> Result<Settings, SettingsError> {
     let pairs = Pairs(pairs);
     let mut settings =
         Settings { classes: pairs.classes()?, tenants: pairs.tenants()?, ..Settings::default() };
@@ -120,18 +122,18 @@
         let consistencies = self.list("family-info.consistency");
         let max_ages = self.list("family-info.max-age");
         let mut classes = Vec::new();
-        for n in 0..self.count("services.count")? {
-            let mut class = self.class(n)?;
-            class.consistency = consistencies.get(n).and_then(|keyword| lookup(keyword, CONSISTENCY));
-            class.max_age = max_ages.get(n).map(|seconds| parse_max_age(seconds)).transpose()?;
+        for index in 0..self.count("services.count")? {
+            let mut class = self.class(index)?;
+            class.consistency = consistencies.get(index).and_then(|keyword| lookup(keyword, CONSISTENCY));
+            class.max_age = max_ages.get(index).map(|seconds| parse_max_age(seconds)).transpose()?;
             classes.push(class);
         }
         Ok(classes)
     }
 
-    /// The settings of class `n` that have a path of their own.
-    fn class(&self, n: usize) -> Result<Class, SettingsError> {
-        let path = |key: &str| format!("services.{n}.{key}");
+    /// Class `index`, without its consistency and maximum age, which are lists over all classes.
+    fn class(&self, index: usize) -> Result<Class, SettingsError> {
+        let path = |key: &str| format!("services.{index}.{key}");
         Ok(Class {
             latency_objective: self.duration(&path("target"))?,
             latency_objective_per_work: self.number(&path("aim-stretch"))?,
@@ -148,17 +150,17 @@
 
     fn tenants(&self) -> Result<Vec<Tenant>, SettingsError> {
         let mut tenants = Vec::new();
-        for n in 0..self.count("tenants.count")? {
-            tenants.push(Tenant { quota_per_s: self.number(&format!("tenants.{n}.quota-per-s"))? });
+        for index in 0..self.count("tenants.count")? {
+            tenants.push(Tenant { quota_per_s: self.number(&format!("tenants.{index}.quota-per-s"))? });
         }
         Ok(tenants)
     }
 
     fn read_deployment(&self, settings: &mut Settings) -> Result<(), SettingsError> {
         settings.pooler_count = self.value("balancers")?;
-        settings.me = self.value("me")?;
+        settings.pooler_number = self.value("me")?;
         settings.zone = self.value("zone")?;
-        settings.step = self.duration("step")?;
+        settings.event_batch_interval = self.duration("step")?;
         settings.over_quota_priority_weight = self.number("over-share-worth")?;
         settings.must_subscribe = self.keyword("discovery", MUST_SUBSCRIBE);
         settings.list_request_interval = self.duration("guarantees.must-ask-in")?;
@@ -180,7 +182,7 @@
     fn read_guarantees(&self, settings: &mut Settings) -> Result<(), SettingsError> {
         settings.answer_grace = self.duration("guarantees.grace-to-answer")?;
         settings.drain_grace = self.duration("guarantees.stop-sending-within")?;
-        settings.only_stated_drain_binds = self.value("guarantees.drain-binds-alone")?;
+        settings.keep_unlisted_endpoints = self.value("guarantees.drain-binds-alone")?;
         settings.cold_capacity = self.number("guarantees.cold-share")?;
         settings.warm_up = self.duration("guarantees.warm-up")?;
         settings.overload_multiple = self.number("guarantees.fall-multiple")?;
@@ -192,7 +194,7 @@
         settings.replication_lag_policy = self.keyword("family-info.behind", REPLICATION_LAG_POLICY);
         settings.catch_up_timeout = self.duration("family-info.holds-for")?;
         settings.session_tracking = self.keyword("family-info.session-marks", SESSION_TRACKING);
-        settings.zero = self.number("family-info.zero")?.map(Timestamp::from_secs_f64);
+        settings.position_epoch = self.number("family-info.zero")?.map(Timestamp::from_secs_f64);
         Ok(())
     }
 
@@ -221,7 +223,7 @@
         }
     }
 
-    /// A length of time, stated in seconds.
+    /// A duration, given in seconds.
     fn duration(&self, path: &str) -> Result<Option<TimeDelta>, SettingsError> {
         Ok(self.number(path)?.map(TimeDelta::from_secs_f64))
     }
@@ -233,13 +235,13 @@
         }
     }
 
-    /// The items of a list that commas separate.
+    /// The items of a comma-separated list, without empty ones.
     fn list(&self, path: &str) -> Vec<&'a str> {
         let Some(text) = self.0.get(path) else { return Vec::new() };
         text.split(',').filter(|item| !item.is_empty()).collect()
     }
 
-    /// One of `keywords`; an unknown one is skipped like an unknown path.
+    /// The value of a keyword setting. An unknown keyword is ignored, like an unknown path.
     fn keyword<T: Copy>(&self, path: &str, keywords: &Keywords<T>) -> Option<T> {
         lookup(self.0.get(path)?, keywords)
     }
--- a/src/routing/settings_parser/tests.rs
+++ b/src/routing/settings_parser/tests.rs
@@ -1,9 +1,9 @@
-//! Settings read from pairs, and the errors that operators see.
+//! Settings parsed from text, and the error messages that operators see.
 
 use super::*;
 
 #[test]
-fn stated_settings_are_read_and_the_rest_stay_absent() {
+fn configured_settings_are_parsed_and_the_others_stay_absent() {
     let settings = parse(
         "services.count=2\nservices.0.target=0.25\nservices.1.repeat=by_key\nservices.1.group=cell\n\
          family-info.consistency=lag_bound,mutate\nfamily-info.max-age=0.5,0.0\nsome.new-key=7\n",
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn a_value_that_does_not_parse_is_named() {
+fn the_error_names_a_value_that_does_not_parse() {
     assert!(parse("step=soon").unwrap_err().to_string().contains("step=soon"));
     assert!(parse("no equals sign").unwrap_err().to_string().contains("line 1"));
 }
 
-/// Guards against an error text that operators and their tools know and that becomes another one.
+/// Guards against changes of error messages that operators and their tools match.
 #[test]
 fn error_texts_name_the_path_and_the_value() {
     for (text, expected) in [
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -1,25 +1,25 @@
-//! Timers: what is due when. The runtime offers one timer; the earliest entry of the schedule sets it.
+//! The schedule of timers. The runtime offers a single timer, which is set for the earliest entry of the schedule.
 
 use super::request::AttemptId;
 use super::router::Router;
 use super::{Action, GroupId, RequestId, Timestamp};
 
-/// What is to be done when a timer fires.
+/// What to do when a timer fires.
 ///
-/// Timers of the same instant fire in the order of the variants, then of their ids.
+/// Timers that are due at the same time run in the order of the variants, then of their ids.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// Subscribe to the endpoint list again after a failure.
     RetrySubscription,
-    /// Try one further endpoint for a group that awaits its primary.
+    /// Try one more endpoint for a group that awaits its primary.
     PrimaryDiscovery(GroupId),
-    /// Dispatch a group's queued requests: an endpoint may accept attempts again.
+    /// Dispatch a group's queued requests, since an endpoint may accept attempts again.
     DispatchQueued(GroupId),
-    /// A request's latency objective, queueing limit or deadline is reached.
+    /// Check a request: it has reached the end of its latency objective, of its time in the queue, or its deadline.
     Request(RequestId),
-    /// An attempt is overdue: its endpoint may be unresponsive.
+    /// Check an overdue attempt, whose endpoint may be unresponsive.
     SuspectEndpoint(AttemptId),
-    /// An attempt is far overdue: its connection may have fallen silent.
+    /// Check an attempt that is long overdue, whose connection may be broken.
     LostAttempt(AttemptId),
 }
 
@@ -31,14 +31,15 @@
 }
 
 impl Router {
-    /// Schedules `timer`; a second identical entry has no effect.
+    /// Schedules `timer` to run at `at`; a second identical entry has no effect.
     pub(super) fn schedule(&mut self, at: Timestamp, timer: Timer) {
         self.timers.insert(ScheduledTimer { at, timer });
     }
 
     /// Runs all timers that are due.
     pub(super) fn timer_fired(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        // A timer cannot be cancelled: one that an earlier one replaced must not set another.
+        // A timer of the runtime cannot be cancelled. If one that was replaced by an earlier one fires, the one that is
+        // still due later stays armed and must not be set a second time.
         self.armed_timer_at = self.armed_timer_at.filter(|at| *at > now);
         while let Some(&ScheduledTimer { at, timer }) = self.timers.first()
             && at <= now
@@ -55,29 +56,28 @@
             Timer::DispatchQueued(group) => {
                 self.groups_to_dispatch.insert(group);
             }
-            Timer::Request(request) => self.request_timer(now, request, actions),
+            Timer::Request(request) => self.request_timer_fired(now, request, actions),
             Timer::SuspectEndpoint(attempt) => self.suspect_endpoint(attempt),
             Timer::LostAttempt(attempt) => self.cancel_lost_attempt(now, attempt, actions),
         }
     }
 
-    /// Sets the runtime's timer where the schedule has an earlier entry than the one it is set for.
+    /// Sets the runtime's timer if it is not set, or is set for a time after the earliest entry of the schedule.
     pub(super) fn arm_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let Some(&ScheduledTimer { at, .. }) = self.timers.first() else { return };
         if self.armed_timer_at.is_none_or(|armed| at < armed) {
             self.armed_timer_at = Some(at);
-            actions.push(Action::SetTimer { span: (at - now).or_zero(), timer: 0 });
+            actions.push(Action::SetTimer { delay: (at - now).or_zero(), timer: 0 });
         }
     }
 
-    /// A point in a request's life is reached: gives it up where it has no prospect any more, else schedules the
-    /// next such point.
-    fn request_timer(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
+    /// Checks a request when its timer fires: gives it up if its time is over, otherwise schedules the next check.
+    fn request_timer_fired(&mut self, now: Timestamp, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.response_started) else {
             return;
         };
         let queue_until = self.queue_until(request);
-        // While an attempt is open its outcome may come as late as the deadline.
+        // The outcome of an open attempt is awaited until the deadline.
         let ends_at = if request.has_open_attempt() { request.deadline } else { queue_until };
         let queued = request.queue_position.is_some();
         if now >= ends_at {
@@ -86,7 +86,7 @@
         }
         self.schedule(ends_at, Timer::Request(id));
         if queued {
-            // It may have passed its objective, which changes its place in the queue.
+            // The request may no longer meet its latency objective, which changes its place in the queue.
             self.enqueue(now, id);
         }
     }
--- a/src/routing/writes.rs
+++ b/src/routing/writes.rs
@@ -1,9 +1,9 @@
 //! The write path: the believed primary, and the search for another one along the ring.
 //!
-//! The mechanism is that of "RFT: Scalable and Fault-Tolerant Microservices for the O-RAN Control Plane": messages of
-//! a context go to its primary and are re-routed at once to a backup, which knows its role, when the primary is
-//! unreachable. The context here is a group, its backups are the other endpoints of the group in sorted order (the
-//! ring), and after a round without a primary the group's writes are held until one is known.
+//! The mechanism follows "RFT: Scalable and Fault-Tolerant Microservices for the O-RAN Control Plane": messages of a
+//! context are sent to its primary; if that is unreachable, they are re-routed at once to a backup, which knows its
+//! role. Here the context is a group, and the backups are the other endpoints of the group in sorted order (the ring).
+//! If a round of the ring finds no primary, the group's writes are queued until one is known.
 
 use super::endpoints::{EndpointState, Role};
 use super::request::RequestPath;
@@ -11,24 +11,26 @@
 use super::timers::Timer;
 use super::{Action, Availability, EndpointId, GroupId, RequestId, TimeDelta, Timestamp};
 
-/// Time between two single tries for a group that awaits its primary. A failover takes seconds, a try costs one miss.
+/// Time between two attempts to find the primary of a group that awaits one. A failover takes seconds, and each
+/// unsuccessful try costs a misdirected attempt.
 const DISCOVERY_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
-/// A role that a replica told itself excludes it from discovery for this long: a try would be a miss for certain.
+/// An endpoint that reported to be a replica is excluded from discovery for this long, since it would reject the write.
 const REPLICA_ROLE_VALIDITY: TimeDelta = TimeDelta::from_millis(500);
-/// Queued writes that a discovery timer examines for one that may be sent again.
+/// Maximum number of queued writes that the discovery timer examines to find one that may be sent.
 const MAX_WRITES_EXAMINED: usize = 4;
 
-/// What is known of a believed primary.
+/// Whether the believed primary can be used for writes.
 enum PrimaryCondition {
-    /// It takes attempts and answers nothing.
+    /// It accepts attempts but does not respond.
     Suspected,
-    /// Out of service, without a connection, a replica as it told itself, or forgotten.
+    /// It is out of service, unreachable, no longer on the list, or reported to be a replica.
     Lost,
+    /// None of the above.
     Usable,
 }
 
 impl Router {
-    /// Where a write goes now; `None` where it has to be queued.
+    /// Chooses the endpoint for a write; `None` if it has to be queued.
     pub(super) fn choose_primary(&mut self, now: Timestamp, id: RequestId) -> Option<EndpointId> {
         let group_id = self.requests[&id].group;
         let group = self.groups.get_mut(&group_id)?;
@@ -43,12 +45,14 @@
         match self.primary_condition(now, primary) {
             PrimaryCondition::Usable => self.accepts_attempt(now, primary).then_some(primary),
             PrimaryCondition::Suspected => {
-                // Unreachable for new writes until it responds. A write that it has may still run.
+                // New writes stay queued until it responds or the discovery timer finds another primary. Writes in
+                // flight at the suspected primary may still run.
                 self.await_primary(now, group_id);
                 None
             }
             PrimaryCondition::Lost => {
-                // This write alone searches for its group, so that a failover does not send all of them round the ring.
+                // Only this write searches for the primary, so that a failover does not send every queued write along
+                // the ring.
                 let group = self.groups.get_mut(&group_id)?;
                 group.discovery_request = Some(id);
                 group.tried_in_round.clear();
@@ -63,16 +67,17 @@
         if endpoint.suspected {
             return PrimaryCondition::Suspected;
         }
-        let connectable = !endpoint.unreachable || !endpoint.is_ejected(now);
+        let reachable = !endpoint.unreachable || !endpoint.is_ejected(now);
         let in_service = endpoint.availability == Availability::Ready;
-        if connectable && in_service && endpoint.role != Some(Role::Replica) {
+        if reachable && in_service && endpoint.role != Some(Role::Replica) {
             PrimaryCondition::Usable
         } else {
             PrimaryCondition::Lost
         }
     }
 
-    /// The next endpoint for the group's discovery request; after a whole round the group awaits its primary.
+    /// The next endpoint that the group's discovery request tries. `None` after a full round; the group then awaits its
+    /// primary.
     fn continue_along_ring(&mut self, now: Timestamp, group_id: GroupId) -> Option<EndpointId> {
         let Some(next) = self.next_ring_candidate(now, group_id) else {
             self.await_primary(now, group_id);
@@ -82,7 +87,8 @@
         Some(next)
     }
 
-    /// The next endpoint on the ring that was not tried in this round and may be the primary for all that is known.
+    /// The next endpoint on the ring, starting at the believed primary, that was not tried in this round and may be the
+    /// primary.
     fn next_ring_candidate(&self, now: Timestamp, group_id: GroupId) -> Option<EndpointId> {
         let group = self.groups.get(&group_id)?;
         let primary = group.primary?;
@@ -92,8 +98,10 @@
         ring.find(|id| !group.tried_in_round.contains(id) && self.may_be_primary(now, &self.endpoints[id]))
     }
 
+    /// Whether an endpoint is worth trying as primary: it may get an attempt now and has not recently reported to be a
+    /// replica.
     fn may_be_primary(&self, now: Timestamp, endpoint: &EndpointState) -> bool {
-        // A suspected endpoint is tried one attempt at a time, as only that can show that it is healthy.
+        // A suspected endpoint gets one attempt at a time, because only a response can show that it is healthy.
         let responsive = !endpoint.suspected || endpoint.in_flight.is_empty();
         let recently_replica = endpoint.role == Some(Role::Replica)
             && endpoint.role_updated_at.is_some_and(|updated_at| now - updated_at < REPLICA_ROLE_VALIDITY);
@@ -104,7 +112,8 @@
             && self.slow_start_allowance(now, endpoint) >= 1.0
     }
 
-    /// Holds the group's writes until a role names its primary; a timer tries one further endpoint at a time.
+    /// Queues the group's writes until an endpoint reports that it is the primary. Meanwhile the discovery timer tries
+    /// one endpoint at a time.
     fn await_primary(&mut self, now: Timestamp, group_id: GroupId) {
         let group = self.groups.entry(group_id).or_default();
         group.awaiting_primary = true;
@@ -116,7 +125,7 @@
         }
     }
 
-    /// The discovery timer: one queued write tries one further endpoint.
+    /// Handles the discovery timer: sends one queued write to the next endpoint that may be the primary.
     pub(super) fn continue_discovery(
         &mut self,
         now: Timestamp,
@@ -124,7 +133,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(group) = self.groups.get(&group_id).filter(|group| group.awaiting_primary) else { return };
-        // A write may have lost its permission to be repeated while it was queued: its key has expired.
+        // A queued write that may have run must not be sent again once its key has expired.
         let queued = group.queued.on_path(RequestPath::Write).iter().take(MAX_WRITES_EXAMINED);
         let request = queued.map(|position| position.request).find(|&request| self.may_retry(now, request));
         self.await_primary(now, group_id);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -75,7 +75,7 @@
         overload_window: Some(3_000 * MS),
         replication_lag_policy: Some(ReplicationLagPolicy::ServeStale),
         session_tracking: Some(SessionTracking::Carried),
-        zero: Some(Timestamp::ZERO),
+        position_epoch: Some(Timestamp::ZERO),
         report_fields: vec!["x0".into(), "x1".into()],
         ..Settings::default()
     }
@@ -88,7 +88,7 @@
         group: GroupId(1),
         availability: Availability::Ready,
         primary: false,
-        units: 1.0,
+        capacity_units: 1.0,
         started_at: None,
     }
 }
@@ -172,7 +172,7 @@
             endpoint: endpoint(from),
             took: self.latency,
             outcome,
-            finished: outcome == AttemptOutcome::Served,
+            request_answered: outcome == AttemptOutcome::Served,
             replica_status,
             report: LoadReport::default(),
         }))
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -40,9 +40,9 @@
 fn every_settings_key_is_read_into_its_field() {
     let Settings {
         pooler_count,
-        me,
+        pooler_number: number,
         zone,
-        step,
+        event_batch_interval: interval,
         classes,
         tenants,
         over_quota_priority_weight,
@@ -58,7 +58,7 @@
         connect_timeout,
         answer_grace,
         drain_grace,
-        only_stated_drain_binds,
+        keep_unlisted_endpoints,
         cold_capacity,
         warm_up,
         overload_multiple,
@@ -66,13 +66,13 @@
         replication_lag_policy,
         catch_up_timeout,
         session_tracking,
-        zero,
+        position_epoch,
         report_fields,
         cross_zone_cost,
         probe_cost,
         waste_cost,
     } = settings_parser::parse(SETTINGS).unwrap();
-    assert_eq!((pooler_count, me, zone, step), (Some(3), Some(2), Some(ZoneId(1)), micros(5_000)));
+    assert_eq!((pooler_count, number, zone, interval), (Some(3), Some(2), Some(ZoneId(1)), micros(5_000)));
     assert_eq!(
         (over_quota_priority_weight, must_subscribe, list_request_interval),
         (Some(0.3), Some(true), micros(30_000_000))
@@ -83,7 +83,7 @@
         (Some(false), Some(true), micros(1_100_000))
     );
     assert_eq!((max_attempts, connect_timeout, answer_grace), (Some(8), micros(220_000), micros(50_000)));
-    assert_eq!((drain_grace, only_stated_drain_binds), (micros(150_000), Some(true)));
+    assert_eq!((drain_grace, keep_unlisted_endpoints), (micros(150_000), Some(true)));
     assert_eq!((cold_capacity, warm_up), (Some(0.35), micros(16_000_000)));
     assert_eq!((overload_multiple, overload_window), (Some(4.0), micros(1_750_000)));
     assert_eq!(
@@ -91,7 +91,7 @@
         (Some(ReplicationLagPolicy::WaitThenReject), micros(450_000))
     );
     assert_eq!(
-        (session_tracking, zero),
+        (session_tracking, position_epoch),
         (Some(SessionTracking::Carried), Some(Timestamp::from_micros(12_500_000)))
     );
     assert_eq!(report_fields, ["x0", "x1", "up", "util"]);
@@ -248,7 +248,10 @@
     assert_eq!(text, PAIRS, "the pairs that the store gets:\n{text}");
     let ParsedSettings { settings, class_names, pairs } = operator_config::parse_settings(&text, 3).unwrap();
     assert_eq!(class_names, ["catalog-read", "own-edit-read", "score-write"]);
-    assert_eq!((settings.pooler_count, settings.me, settings.may_probe), (Some(5), Some(3), Some(true)));
+    assert_eq!(
+        (settings.pooler_count, settings.pooler_number, settings.may_probe),
+        (Some(5), Some(3), Some(true))
+    );
     assert_eq!(pairs["limits.conn-idle"], "15");
     assert_eq!(pairs.len(), PAIRS.lines().count() + 9, "and those that the daemon itself decides");
     for (key, value) in [
@@ -377,9 +380,10 @@
     ];
     assert_eq!(cached_list, Some(EndpointUpdate { index: 41, whole: false, entries }));
     assert_eq!((classes, zones), (vec!["read".into(), "write".into()], vec!["a".into(), "b".into()]));
-    assert_eq!((settings.pooler_count, settings.me, settings.zone), (Some(2), Some(1), Some(ZoneId(1))));
+    let pooler_number = settings.pooler_number;
+    assert_eq!((settings.pooler_count, pooler_number, settings.zone), (Some(2), Some(1), Some(ZoneId(1))));
     assert_eq!(
-        (settings.must_subscribe, settings.zero),
+        (settings.must_subscribe, settings.position_epoch),
         (Some(false), Some(Timestamp::ZERO)),
         "log positions are Unix times"
     );
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -111,7 +111,7 @@
                 self.open.remove(&id).expect("a second final answer");
                 self.final_answers += 1;
             }
-            Action::SetTimer { span, .. } => self.timers.push(self.now + span),
+            Action::SetTimer { delay, .. } => self.timers.push(self.now + delay),
             Action::Cancel { id, attempt } => self.cancel(id, attempt),
             _ => {}
         }
@@ -193,7 +193,7 @@
 
     fn finish_attempt(&mut self, id: RequestId, attempt: u8, n: u8) {
         let mut outcome = AttemptOutcome::Cancelled;
-        let mut finished = true;
+        let mut request_answered = true;
         if let Some(request) = self.open.get_mut(&id) {
             let sent_at = request.in_flight.remove(&attempt).unwrap().sent_at;
             outcome = random_outcome(&mut self.rng, self.now >= request.deadline);
@@ -202,9 +202,9 @@
             if matches!(outcome, Error | Reset | TimedOut | Cancelled) {
                 request.may_have_run_since = Some(request.may_have_run_since.unwrap_or(sent_at).min(sent_at));
             }
-            finished = outcome == AttemptOutcome::Served;
+            request_answered = outcome == AttemptOutcome::Served;
         }
-        if finished && self.open.remove(&id).is_some() {
+        if request_answered && self.open.remove(&id).is_some() {
             self.final_answers += 1;
         }
         let replica_status = self.random_status(n, outcome);
@@ -214,7 +214,7 @@
             endpoint: endpoint(n),
             took: MS,
             outcome,
-            finished,
+            request_answered,
             replica_status,
             report: LoadReport::default(),
         }));
@@ -407,7 +407,8 @@
 #[test]
 fn the_rules_hold_for_one_of_150_poolers_over_60_endpoints() {
     for seed in 0..6 {
-        let settings = Settings { pooler_count: Some(150), me: Some(149), ..varied_settings(seed) };
+        let settings =
+            Settings { pooler_count: Some(150), pooler_number: Some(149), ..varied_settings(seed) };
         let scenario = Scenario { settings, groups: 15, endpoints: 60, cold: false, steps: 8_000 };
         let Simulation { sends, final_answers, .. } = simulate(seed, scenario);
         assert!(sends > 300 && final_answers > 300, "{sends} sends, {final_answers} answers");
--- a/tests/router/endpoint_list.rs
+++ b/tests/router/endpoint_list.rs
@@ -1,10 +1,10 @@
-//! The endpoint list: which endpoints may be used, and what is forgotten.
+//! The endpoint list: which endpoints may be used, and when the state of removed endpoints and of sessions is deleted.
 
 use crate::common::*;
 use brookpass::routing::*;
 
 #[test]
-fn a_draining_or_removed_endpoint_gets_nothing_new() {
+fn a_draining_or_removed_endpoint_gets_no_new_attempts() {
     for availability in [Availability::Draining, Availability::Gone] {
         let mut harness = RouterHarness::new(settings(), 2);
         harness.update_list(ListKind::Delta, vec![EndpointEntry { availability, ..entry(2) }]);
@@ -25,7 +25,7 @@
     harness.update_list(ListKind::Failed, Vec::new());
     assert!(
         !harness.advance(400 * MS).contains(&Action::Subscribe { on: true }),
-        "not before the delay is over"
+        "no retry before the delay is over"
     );
     assert!(harness.advance(600 * MS).contains(&Action::Subscribe { on: true }));
 }
@@ -34,18 +34,18 @@
 fn poolers_whose_subscriptions_fail_together_retry_at_different_times() {
     let mut settings = settings();
     settings.must_subscribe = Some(true);
-    let early = (0..20).filter(|seed| {
+    let retried_early = (0..20).filter(|seed| {
         let mut harness = RouterHarness::seeded(settings.clone(), 2, *seed);
         harness.update_list(ListKind::Failed, Vec::new());
         harness.advance(750 * MS).contains(&Action::Subscribe { on: true })
     });
-    assert!((4..17).contains(&early.count()), "about half of them by the middle of the span");
+    assert!((4..17).contains(&retried_early.count()), "about half of them in the first half of the jitter");
 }
 
 #[test]
-fn where_only_a_stated_drain_binds_an_endpoint_that_left_the_list_is_still_used() {
+fn an_unlisted_endpoint_is_still_used_if_only_a_draining_entry_takes_it_out_of_use() {
     let mut settings = settings();
-    settings.only_stated_drain_binds = Some(true);
+    settings.keep_unlisted_endpoints = Some(true);
     let mut harness = RouterHarness::new(settings, 1);
     harness.update_list(ListKind::Full, Vec::new());
     let (id, sent) = harness.request(WRITE, 2_000 * MS, None);
@@ -77,12 +77,12 @@
 
 /// Guards against memory that grows with every endpoint that was replaced and every session that ever wrote.
 #[test]
-fn removed_endpoints_and_old_sessions_are_forgotten() {
+fn the_state_of_removed_endpoints_and_old_sessions_is_deleted() {
     let mut settings = settings();
     settings.session_tracking = Some(SessionTracking::Remembered);
     settings.classes[WRITE].latency_objective = Some(10_000 * MS);
     let mut harness = RouterHarness::new(settings, 2);
-    let host = |n: u16, availability| {
+    let entry_in_own_group = |n: u16, availability| {
         let endpoint = EndpointId { ip: [10, 1, (n >> 8) as u8, n as u8], port: 1 };
         EndpointEntry { endpoint, availability, group: GroupId(u32::from(n)), ..entry(0) }
     };
@@ -90,23 +90,26 @@
         harness.now += 2_000 * MS;
         harness.update_list(
             ListKind::Delta,
-            vec![host(n, Availability::Gone), host(n + 1, Availability::Ready)],
+            vec![entry_in_own_group(n, Availability::Gone), entry_in_own_group(n + 1, Availability::Ready)],
+        );
+        let TableSizes { endpoints, groups, .. } = harness.router.table_sizes();
+        assert!(
+            endpoints <= 20 && groups <= 20,
+            "{endpoints} endpoints and {groups} groups after {n} replacements"
         );
-        let RetainedState { endpoints, groups, .. } = harness.router.retained();
-        assert!(endpoints <= 20 && groups <= 20, "{endpoints} endpoints, {groups} groups after {n}");
     }
-    // An endpoint with an attempt in flight is kept until that has its outcome.
+    // The state of an endpoint with an attempt in flight is kept until the attempt has its outcome.
     let (id, sent) = harness.request(WRITE, 60_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(1)]);
     harness
         .update_list(ListKind::Delta, vec![EndpointEntry { availability: Availability::Gone, ..entry(1) }]);
     harness.now += 50_000 * MS;
     harness.update_list(ListKind::Delta, Vec::new());
-    let end = harness.finish_attempt(id, 0, 1, AttemptOutcome::Error, None, FRESH);
-    assert!(failed(&end, id), "its request gets its final answer");
+    let actions = harness.finish_attempt(id, 0, 1, AttemptOutcome::Error, None, FRESH);
+    assert!(failed(&actions, id), "its request gets a final answer");
     harness.update_list(ListKind::Delta, Vec::new());
     let (id, sent) = harness.request(WRITE, 5_000 * MS, None);
-    assert_eq!(sent_to(&sent, id), [endpoint(2)], "the believed primary is forgotten, the ring goes on");
+    assert_eq!(sent_to(&sent, id), [endpoint(2)], "after the removed primary, the next on the ring");
     harness.finish_attempt(id, 0, 2, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     for session in 0..60_000 {
         harness.now += MS;
@@ -120,9 +123,9 @@
             ..IncomingRequest::default()
         };
         let sent = harness.handle(Event::Request(request));
-        assert_eq!(sent_to(&sent, id), [endpoint(2)], "{session}");
+        assert_eq!(sent_to(&sent, id), [endpoint(2)], "session {session}");
         harness.finish_attempt(id, 0, 2, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     }
-    let RetainedState { requests, sessions, .. } = harness.router.retained();
+    let TableSizes { requests, sessions, .. } = harness.router.table_sizes();
     assert!(requests == 0 && sessions <= 50_000, "{requests} requests, {sessions} sessions");
 }
