--- a/tests/router/admission.rs
+++ b/tests/router/admission.rs
@@ -1,16 +1,16 @@
-//! The queue: which requests wait, and which are rejected.
+//! The queue: which requests are queued, and which are rejected.
 
 use crate::common::*;
 use brookpass::routing::*;
 
 #[test]
-fn a_queued_write_is_rejected_before_its_clients_deadline() {
+fn a_queued_write_is_rejected_before_its_client_gives_up() {
     let mut harness = RouterHarness::new(settings(), 2);
     let (id, _) = harness.request(WRITE, 400 * MS, None);
     harness.finish_attempt(id, 0, 1, AttemptOutcome::ConnectFailed, None, FRESH);
     harness.finish_attempt(id, 1, 2, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
-    let end = harness.advance(400 * MS);
-    assert!(rejected(&end, id), "it never ran: a retry by the client is harmless");
+    let actions = harness.advance(400 * MS);
+    assert!(rejected(&actions, id), "it did not run, so the client may safely retry it");
 }
 
 #[test]
@@ -18,20 +18,21 @@
     let mut harness = RouterHarness::new(settings(), 1);
     harness.report_state(1, Role::Primary, FRESH);
     let rejections = (0..60).filter(|_| {
-        let (id, done) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-        rejected(&done, id)
+        let (id, actions) = harness.request(BOUNDED_READ, 2_000 * MS, None);
+        rejected(&actions, id)
     });
-    assert!(rejections.count() > 0, "sixty reads at once on one endpoint cannot all be in time");
+    assert!(rejections.count() > 0, "one endpoint cannot serve sixty simultaneous reads in time");
 }
 
-/// Guards against clients that wait in vain: half of a client's time must be left for another pooler.
+/// Guards against requests that stay queued until their client gives up. Half of the client's timeout must be left for
+/// a retry at another pooler.
 #[test]
-fn a_queued_request_that_no_endpoint_received_is_rejected_while_half_of_its_time_is_left() {
+fn a_queued_request_that_no_endpoint_received_is_rejected_after_half_of_its_timeout() {
     let mut harness = RouterHarness::new(settings(), 3);
-    let (sent_before, _) = harness.request(WRITE, 2_000 * MS, None);
+    let (received, _) = harness.request(WRITE, 2_000 * MS, None);
     for (attempt, from) in [(0, 1), (1, 2), (2, 3)] {
         harness.finish_attempt(
-            sent_before,
+            received,
             attempt,
             from,
             AttemptOutcome::Misdirected,
@@ -41,14 +42,14 @@
     }
     let (queued, sent) = harness.request(WRITE, 2_000 * MS, None);
     assert!(sent_to(&sent, queued).is_empty());
-    let early = harness.advance(900 * MS);
-    assert!(!rejected(&early, queued), "a write stays queued while it still has a prospect");
-    let half = harness.advance(100 * MS);
+    let before_half = harness.advance(900 * MS);
+    assert!(!rejected(&before_half, queued), "a write stays queued during the first half of its timeout");
+    let after_half = harness.advance(100 * MS);
     assert!(
-        rejected(&half, queued) && !rejected(&half, sent_before),
-        "one that an endpoint may have received stays queued"
+        rejected(&after_half, queued) && !rejected(&after_half, received),
+        "a write that an endpoint may have received stays queued"
     );
-    // The same holds where its attempts found no connection, also where that is known late.
+    // The same applies to a request whose attempts could not connect, even if that is known only later.
     let mut harness = RouterHarness::new(settings(), 1);
     let (id, sent) = harness.request(WRITE, 2_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(1)]);
@@ -57,18 +58,18 @@
     assert!(rejected(&harness.advance(10 * MS), id));
 }
 
-/// Guards against requests of a pooler with little traffic that stay queued until their deadline, although their
-/// endpoint accepts attempts again: a pause and a slow-start bucket end with time, and no other event may come.
+/// Guards against requests that stay queued until their deadline at a pooler with little traffic. Their endpoint
+/// accepts attempts again when a pause ends or a slow-start bucket fills, but no event announces that.
 #[test]
-fn a_queued_request_is_sent_once_its_endpoint_accepts_attempts_without_another_event() {
-    let one_of_many = || {
+fn a_queued_request_is_sent_without_another_event_once_its_endpoint_accepts_attempts() {
+    let one_of_many_poolers = || {
         let mut settings = settings();
         settings.pooler_count = Some(100);
         let mut harness = RouterHarness::new(settings, 1);
         harness.report_state(1, Role::Primary, FRESH);
         harness
     };
-    let mut pausing = one_of_many();
+    let mut pausing = one_of_many_poolers();
     let (id, _) = pausing.request(WRITE, 5_000 * MS, None);
     pausing.now += 450 * MS;
     pausing.latency = 450 * MS;
@@ -79,12 +80,12 @@
     pausing.latency = 200 * MS;
     pausing.now += 200 * MS;
     pausing.finish_attempt(id, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
-    let mut cold = one_of_many();
+    let mut cold = one_of_many_poolers();
     cold.serve_requests(WRITE, 40);
     cold.update_list(ListKind::Delta, vec![EndpointEntry { started_at: Some(cold.now), ..entry(1) }]);
-    for (mut harness, why) in [(pausing, "it pauses"), (cold, "its bucket is not full")] {
+    for (mut harness, case) in [(pausing, "pause between attempts"), (cold, "slow-start bucket not full")] {
         let (id, sent) = harness.request(WRITE, 2_000 * MS, None);
-        assert!(sent_to(&sent, id).is_empty(), "{why}");
-        assert_eq!(sent_to(&harness.advance(900 * MS), id), [endpoint(1)], "{why}");
+        assert!(sent_to(&sent, id).is_empty(), "{case}");
+        assert_eq!(sent_to(&harness.advance(900 * MS), id), [endpoint(1)], "{case}");
     }
 }
--- a/tests/router/main.rs
+++ b/tests/router/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of the router, one behaviour a test, named for what would be seen if it broke.
+//! Tests of the router's decisions. Each test checks one behaviour, which its name describes.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/router/reads.rs
+++ b/tests/router/reads.rs
@@ -4,7 +4,7 @@
 use brookpass::routing::*;
 
 #[test]
-fn a_replica_whose_known_position_is_too_old_gets_no_bounded_read() {
+fn a_replica_whose_last_known_position_is_too_old_gets_no_bounded_read() {
     let mut harness = RouterHarness::new(settings(), 2);
     harness.report_state(1, Role::Primary, FRESH);
     harness.report_state(2, Role::Replica, 400 * MS);
@@ -15,11 +15,11 @@
     }
     harness.report_state(2, Role::Replica, 10 * MS);
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    assert_eq!(sent_to(&sent, id), [endpoint(2)], "a fresh replica spares the primary");
+    assert_eq!(sent_to(&sent, id), [endpoint(2)], "a fresh replica is preferred to the primary");
 }
 
 #[test]
-fn a_session_read_reflects_its_sessions_write() {
+fn a_session_read_reflects_the_last_write_of_its_session() {
     let mut harness = RouterHarness::new(settings(), 2);
     harness.report_state(1, Role::Primary, FRESH);
     harness.report_state(2, Role::Replica, 200 * MS);
@@ -37,12 +37,16 @@
     harness.report_state(1, Role::Primary, FRESH);
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(2)]);
-    let back = harness.finish_attempt(id, 0, 2, AttemptOutcome::Misdirected, Some(Role::Replica), 900 * MS);
-    assert_eq!(sent_to(&back, id), [endpoint(1)], "a misdirected read moves on, here to the primary");
+    let retry = harness.finish_attempt(id, 0, 2, AttemptOutcome::Misdirected, Some(Role::Replica), 900 * MS);
+    assert_eq!(
+        sent_to(&retry, id),
+        [endpoint(1)],
+        "a rejected read is retried elsewhere, here at the primary"
+    );
 }
 
 #[test]
-fn reads_that_fall_back_on_the_primary_leave_it_room_for_writes() {
+fn reads_that_fall_back_to_the_primary_leave_capacity_for_writes() {
     let mut harness = RouterHarness::new(settings(), 2);
     harness.report_state(1, Role::Primary, FRESH);
     let reads = (0..20).filter(|_| {
@@ -63,22 +67,22 @@
     harness.report_state(2, Role::Replica, FRESH);
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(1)]);
-    let next = harness.finish_attempt(id, 0, 1, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
-    assert!(sent_to(&next, id).is_empty(), "queued until a primary is known");
+    let retry = harness.finish_attempt(id, 0, 1, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
+    assert!(sent_to(&retry, id).is_empty(), "queued until a primary is known");
     harness.report_state(3, Role::Primary, FRESH);
-    let freed = harness.advance(700 * MS);
-    assert!(sent_to(&freed, id).iter().all(|to| *to == endpoint(3)));
+    let released = harness.advance(700 * MS);
+    assert!(sent_to(&released, id).iter().all(|to| *to == endpoint(3)));
 }
 
 #[test]
-fn a_remembered_write_is_reflected_by_its_sessions_next_read() {
+fn a_session_read_reflects_a_write_that_the_router_remembers() {
     let mut settings = settings();
     settings.session_tracking = Some(SessionTracking::Remembered);
     let mut harness = RouterHarness::new(settings, 2);
     harness.report_state(1, Role::Primary, FRESH);
     harness.report_state(2, Role::Replica, 50 * MS);
     let (read, sent) = harness.request(SESSION_READ, 2_000 * MS, None);
-    assert_eq!(sent_to(&sent, read), [endpoint(2)], "no write remembered: any replica");
+    assert_eq!(sent_to(&sent, read), [endpoint(2)], "no write is remembered, so any replica may serve");
     let (id, _) = harness.request(WRITE, 2_000 * MS, None);
     harness.finish_attempt(id, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     let (read, sent) = harness.request(SESSION_READ, 2_000 * MS, None);
@@ -86,35 +90,35 @@
 }
 
 #[test]
-fn a_read_without_a_fresh_replica_probes_one_and_spares_the_primary() {
+fn a_read_without_a_fresh_replica_waits_for_a_probe_before_it_uses_the_primary() {
     let mut settings = settings();
     settings.may_probe = Some(true);
     let mut harness = RouterHarness::new(settings, 3);
     harness.report_state(1, Role::Primary, FRESH);
     harness.now += 1_000 * MS;
-    let (id, done) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    let asked = done
+    let (id, actions) = harness.request(BOUNDED_READ, 2_000 * MS, None);
+    let probed = actions
         .iter()
         .filter_map(|action| if let Action::Probe { endpoint } = action { Some(*endpoint) } else { None });
-    let asked: Vec<EndpointId> = asked.collect();
-    assert!(asked.len() == 1 && asked[0] != endpoint(1) && sent_to(&done, id).is_empty());
-    let (other, done) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    assert!(done.is_empty(), "a second read waits for the probe that is under way");
+    let probed: Vec<EndpointId> = probed.collect();
+    assert!(probed.len() == 1 && probed[0] != endpoint(1) && sent_to(&actions, id).is_empty());
+    let (other, actions) = harness.request(BOUNDED_READ, 2_000 * MS, None);
+    assert!(actions.is_empty(), "a second read waits for the probe that is in flight");
     let position = harness.now.as_secs_f64();
     let report = LoadReport { count: 2, values: [position, 0.0, 0.0, 0.0] };
-    let freed = harness.handle(Event::ProbeFinished { endpoint: asked[0], ok: true, took: MS, report });
-    assert_eq!((sent_to(&freed, id), sent_to(&freed, other)), (vec![asked[0]], vec![asked[0]]));
+    let released = harness.handle(Event::ProbeFinished { endpoint: probed[0], ok: true, took: MS, report });
+    assert_eq!((sent_to(&released, id), sent_to(&released, other)), (vec![probed[0]], vec![probed[0]]));
     harness.now += 1_000 * MS;
     let (id, _) = harness.request(BOUNDED_READ, 2_000 * MS, None);
     assert_eq!(
         sent_to(&harness.advance(60 * MS), id),
         [endpoint(1)],
-        "an unanswered probe delays no further read"
+        "the read goes to the primary when its probe stays unanswered"
     );
 }
 
 #[test]
-fn reads_spare_a_primary_that_responds_late() {
+fn a_primary_that_responds_late_gets_no_reads() {
     let mut settings = settings();
     settings.pooler_count = Some(100);
     let mut harness = RouterHarness::new(settings, 2);
@@ -126,13 +130,13 @@
     harness.finish_attempt(id, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     harness.now += 10_000 * MS;
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    assert!(sent_to(&sent, id).is_empty(), "its capacity is for writes");
+    assert!(sent_to(&sent, id).is_empty(), "its capacity is reserved for writes");
     let (id, sent) = harness.request(WRITE, 2_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(1)]);
 }
 
 #[test]
-fn a_replica_that_rejects_stale_reads_and_lagged_by_seconds_is_avoided_for_as_long() {
+fn a_replica_that_rejects_stale_reads_gets_none_for_as_long_as_it_lagged() {
     let mut settings = settings();
     settings.replication_lag_policy = Some(ReplicationLagPolicy::Reject);
     let mut harness = RouterHarness::new(settings, 3);
@@ -145,9 +149,9 @@
     }
     harness.now += 1_000 * MS;
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    assert_eq!(sent_to(&sent, id), [endpoint(1)], "a replica would reject it, for all that is known");
+    assert_eq!(sent_to(&sent, id), [endpoint(1)], "by its last known lag, a replica would reject it");
     harness.finish_attempt(id, 0, 1, AttemptOutcome::Served, Some(Role::Primary), FRESH);
     harness.now += 3_000 * MS;
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
-    assert_ne!(sent_to(&sent, id), [endpoint(1)], "a read finds out whether it has caught up");
+    assert_ne!(sent_to(&sent, id), [endpoint(1)], "a read shows whether the replica has caught up");
 }
--- a/tests/router/retries.rs
+++ b/tests/router/retries.rs
@@ -1,4 +1,4 @@
-//! When a request may be sent again, and what ends an attempt.
+//! When a request may be retried, and when an attempt is cancelled.
 
 use crate::common::*;
 use brookpass::routing::*;
@@ -8,26 +8,26 @@
     for outcome in [AttemptOutcome::Error, AttemptOutcome::Reset, AttemptOutcome::TimedOut] {
         let mut harness = RouterHarness::new(settings(), 3);
         let (id, _) = harness.request(WRITE, 5_000 * MS, None);
-        let end = harness.finish_attempt(id, 0, 1, outcome, None, FRESH);
-        assert!(failed(&end, id) && !rejected(&end, id) && sent_to(&end, id).is_empty());
+        let actions = harness.finish_attempt(id, 0, 1, outcome, None, FRESH);
+        assert!(failed(&actions, id) && !rejected(&actions, id) && sent_to(&actions, id).is_empty());
     }
 }
 
 #[test]
 fn a_keyed_write_is_retried_only_within_its_key_window() {
-    let keyed = || {
+    let keyed_writes = || {
         let mut settings = settings();
         settings.classes[WRITE].idempotency = Some(Idempotency::Keyed);
         settings
     };
-    let mut harness = RouterHarness::new(keyed(), 3);
+    let mut harness = RouterHarness::new(keyed_writes(), 3);
     let (id, _) = harness.request(WRITE, 5_000 * MS, None);
     harness.now += 1_000 * MS;
-    let again = harness.finish_attempt(id, 0, 1, AttemptOutcome::Error, Some(Role::Primary), FRESH);
-    assert_eq!(sent_to(&again, id), [endpoint(1)], "retried once, at the same primary");
+    let retry = harness.finish_attempt(id, 0, 1, AttemptOutcome::Error, Some(Role::Primary), FRESH);
+    assert_eq!(sent_to(&retry, id), [endpoint(1)], "retried once, at the same primary");
     let end = harness.finish_attempt(id, 1, 1, AttemptOutcome::Error, Some(Role::Primary), FRESH);
     assert!(sent_to(&end, id).is_empty() && failed(&end, id), "a second error is attributed to the request");
-    let mut harness = RouterHarness::new(keyed(), 3);
+    let mut harness = RouterHarness::new(keyed_writes(), 3);
     let (id, _) = harness.request(WRITE, 5_000 * MS, None);
     harness.now += 3_000 * MS;
     let end = harness.finish_attempt(id, 0, 1, AttemptOutcome::Error, Some(Role::Primary), FRESH);
@@ -53,12 +53,12 @@
     let mut harness = RouterHarness::new(settings(), 2);
     harness.report_state(1, Role::Primary, FRESH);
     let (id, _) = harness.request(EVENTUAL_READ, 2_000 * MS, None);
-    let left = harness.handle(Event::RequestCancelled { id });
-    assert_eq!(left.first(), Some(&Action::Cancel { id, attempt: 0 }));
+    let actions = harness.handle(Event::RequestCancelled { id });
+    assert_eq!(actions.first(), Some(&Action::Cancel { id, attempt: 0 }));
 }
 
 #[test]
-fn a_write_whose_key_is_known_in_one_zone_is_not_retried_in_another() {
+fn a_write_whose_key_is_known_in_only_one_zone_is_not_retried_in_another() {
     let mut settings = settings();
     settings.classes[WRITE].idempotency = Some(Idempotency::Keyed);
     settings.classes[WRITE].key_scope = Some(KeyScope::Zone);
@@ -83,19 +83,23 @@
     for (attempt, n) in [(2, 2), (3, 3)] {
         harness.finish_attempt(id, attempt, n, AttemptOutcome::Misdirected, Some(Role::Replica), FRESH);
     }
-    let all = harness.advance(2_000 * MS);
-    assert!(sent_to(&all, id).len() <= 1 && failed(&all, id), "at 500 ms at most, never after 700");
+    let actions = harness.advance(2_000 * MS);
+    assert!(
+        sent_to(&actions, id).len() <= 1 && failed(&actions, id),
+        "the timer may retry it at 500 ms, but not after its key expired at 700 ms"
+    );
 }
 
-/// Guards against a connection that fell silent: its endpoint answers all others, and must not be taken for slow.
+/// Guards against a request that is stuck on a silent connection while its endpoint answers all others. The endpoint
+/// must not be treated as slow because of it.
 #[test]
-fn an_attempt_that_is_overtaken_by_far_is_cancelled_and_retried_once() {
+fn an_attempt_that_many_later_ones_overtake_is_cancelled_and_retried_once() {
     let mut harness = RouterHarness::new(settings(), 2);
     harness.serve_requests(WRITE, 3);
     harness.report_state(2, Role::Replica, FRESH);
-    let (silent, sent) = harness.request(BOUNDED_READ, 5_000 * MS, None);
-    assert_eq!(sent_to(&sent, silent), [endpoint(2)]);
-    let from = harness.actions.len();
+    let (stuck, sent) = harness.request(BOUNDED_READ, 5_000 * MS, None);
+    assert_eq!(sent_to(&sent, stuck), [endpoint(2)]);
+    let first_action = harness.actions.len();
     for _ in 0..60 {
         harness.report_state(2, Role::Replica, FRESH);
         let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
@@ -112,14 +116,14 @@
             ))
         });
     }
-    let cancels = |action: &&Action| matches!(action, Action::Cancel { id, attempt: 0 } if *id == silent);
-    assert_eq!(harness.actions[from..].iter().filter(cancels).count(), 1);
+    let cancels = |action: &&Action| matches!(action, Action::Cancel { id, attempt: 0 } if *id == stuck);
+    assert_eq!(harness.actions[first_action..].iter().filter(cancels).count(), 1);
     harness.latency = 1_200 * MS;
-    let again = harness.finish_attempt(silent, 0, 2, AttemptOutcome::Cancelled, None, FRESH);
-    assert_eq!(sent_to(&again, silent).len(), 1, "retried: it is a read");
+    let retry = harness.finish_attempt(stuck, 0, 2, AttemptOutcome::Cancelled, None, FRESH);
+    assert_eq!(sent_to(&retry, stuck).len(), 1, "retried, since reads are idempotent");
     let sent: Vec<_> = (0..4).flat_map(|_| harness.request(BOUNDED_READ, 2_000 * MS, None).1).collect();
     assert!(
         sent.iter().filter(|action| matches!(action, Action::Send { .. })).count() >= 4,
-        "its concurrency limit is as it was"
+        "the concurrency limit of its endpoint was not decreased"
     );
 }
