--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -176,7 +176,7 @@
             }
         }
         let group = self.groups.entry(request.group).or_default();
-        group.discovery_request = group.discovery_request.filter(|discovering| *discovering != id);
+        group.discovery_request = group.discovery_request.filter(|searching| *searching != id);
         self.groups_to_dispatch.insert(request.group);
     }
 }
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -31,6 +31,7 @@
 const OVERDUE_ATTEMPTS_TO_SUSPECT: usize = 2;
 
 impl Router {
+    /// Accepts a request from a client and routes it. A request of an unknown class fails at once.
     pub(super) fn receive_request(
         &mut self,
         now: Timestamp,
@@ -115,6 +116,7 @@
         }
     }
 
+    /// Sends an attempt of a request to `endpoint_id` and schedules the checks of the attempt.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
@@ -185,6 +187,7 @@
         }
     }
 
+    /// Decides how a request continues after its last open attempt ended with `outcome`.
     fn retry_or_give_up(
         &mut self,
         now: Timestamp,
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -129,6 +129,8 @@
 }
 
 impl Router {
+    /// Applies the endpoint list, a part of it, or a failure to get it. The first list starts the subscription and the
+    /// initial probes.
     pub(super) fn update_endpoint_list(
         &mut self,
         now: Timestamp,
--- a/src/routing/learning.rs
+++ b/src/routing/learning.rs
@@ -135,13 +135,13 @@
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let sample = took.as_micros_f64() / self.class_latency_us[class].max(1.0);
         if served || sample > endpoint.relative_latency {
-            let step =
+            let change =
                 (sample.min(MAX_RELATIVE_LATENCY_SAMPLE) - endpoint.relative_latency) * LATENCY_SMOOTHING;
-            endpoint.relative_latency = (endpoint.relative_latency + step).max(MIN_RELATIVE_LATENCY);
+            endpoint.relative_latency = (endpoint.relative_latency + change).max(MIN_RELATIVE_LATENCY);
         }
         if served {
-            let error_us = took.as_micros_f64() - self.class_latency_us[class];
-            self.class_latency_us[class] += error_us * LATENCY_SMOOTHING / CLASS_LATENCY_DAMPING;
+            let difference_us = took.as_micros_f64() - self.class_latency_us[class];
+            self.class_latency_us[class] += difference_us * LATENCY_SMOOTHING / CLASS_LATENCY_DAMPING;
             endpoint.increase_concurrency_limit(took, objective);
             self.record_served(now);
         }
--- a/src/routing/reads.rs
+++ b/src/routing/reads.rs
@@ -178,6 +178,8 @@
         (confirmed && has_spare_capacity && self.accepts_attempt(now, primary)).then_some(primary)
     }
 
+    /// Whether the endpoint's data is fresh enough for the read: for certain, or only by estimate if endpoints reject
+    /// stale reads themselves.
     fn is_fresh_enough(&self, now: Timestamp, request: &Request, endpoint: &EndpointState) -> bool {
         let required = match self.freshness_requirement(now, request) {
             FreshnessRequirement::None => return true,
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -38,8 +38,8 @@
 
     /// Runs all timers that are due.
     pub(super) fn timer_fired(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        // A timer of the runtime cannot be cancelled. If one that was replaced by an earlier one fires, the one that is
-        // still due later stays armed and must not be set a second time.
+        // The runtime's timers cannot be cancelled, so the one that fired may have been replaced since. A timer that is
+        // armed for a later time stays armed, so that it is not set twice.
         self.armed_timer_at = self.armed_timer_at.filter(|at| *at > now);
         while let Some(&ScheduledTimer { at, timer }) = self.timers.first()
             && at <= now
--- a/src/routing/writes.rs
+++ b/src/routing/writes.rs
@@ -35,7 +35,7 @@
         let group_id = self.requests[&id].group;
         let group = self.groups.get_mut(&group_id)?;
         match group.discovery_request {
-            Some(discovering) if discovering == id => return self.continue_along_ring(now, group_id),
+            Some(searching) if searching == id => return self.continue_along_ring(now, group_id),
             Some(_) => return None,
             None if group.awaiting_primary => return None,
             None => {}
@@ -103,12 +103,12 @@
     fn may_be_primary(&self, now: Timestamp, endpoint: &EndpointState) -> bool {
         // A suspected endpoint gets one attempt at a time, because only a response can show that it is healthy.
         let responsive = !endpoint.suspected || endpoint.in_flight.is_empty();
-        let recently_replica = endpoint.role == Some(Role::Replica)
+        let recently_reported_replica = endpoint.role == Some(Role::Replica)
             && endpoint.role_updated_at.is_some_and(|updated_at| now - updated_at < REPLICA_ROLE_VALIDITY);
         endpoint.availability == Availability::Ready
             && responsive
             && !endpoint.is_ejected(now)
-            && !recently_replica
+            && !recently_reported_replica
             && self.slow_start_allowance(now, endpoint) >= 1.0
     }
 
