--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -1,10 +1,11 @@
 //! Messages between the nodes of a fleet and their framing.
 //!
-//! A frame is a length of four bytes, big-endian, then a record as [`codec::encode`] makes it: a CRC-32 and the
-//! message in postcard form. Nodes of the version before read the same bytes: variants and fields keep their
-//! order and types, whatever they are called. The golden tests hold the bytes.
+//! A frame is a four-byte big-endian length followed by the output of [`codec::encode`]: a CRC-32 and the message
+//! serialized with postcard. Nodes of the previous version exchange messages with this one during an upgrade, so the
+//! order and types of variants and fields must not change; their names are not on the wire. The golden tests compare
+//! the bytes.
 //!
-//! Ages are sent, never times: the clocks of nodes may differ.
+//! Times are sent as ages, because the clocks of nodes may differ.
 
 use super::bootstrap::{Handshake, HandshakeVerdict};
 use super::gossip::{GossipDigest, GossipRecord};
@@ -22,7 +23,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Bytes of the length before each message.
+/// Size of the length field before each message.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// A message from one node to another.
@@ -30,77 +31,78 @@
 pub enum PeerMessage {
     /// The first message on a connection, from the node that opened it.
     Handshake(Handshake),
-    /// The answer to it: the only message that goes back on that connection.
+    /// The reply to a handshake: the only message sent to the node that opened the connection.
     HandshakeReply(HandshakeReply),
-    /// Messages of the consensus.
+    /// Raft messages from the sender.
     RaftMessages(Vec<RaftMessage>),
-    /// A change for the leader to put into the log.
+    /// A change that the sender asks the leader to append to the log.
     ForwardedProposal(Proposal),
-    /// What an operator requests of a member, for the leader to carry out.
+    /// An operator's request to change a member, for the leader to carry out.
     MembershipRequest(MemberRequest),
-    /// All drains that the sender holds and that are not committed yet.
+    /// All drains known to the sender that are not committed yet.
     PendingDrains(Vec<PendingDrain>),
     /// The sender's state, sent periodically and when its leader, term or participation changes.
     Heartbeat(Heartbeat),
-    /// Which gossip the sender has, by the node that it comes from.
+    /// The latest gossip version that the sender has from each node.
     GossipDigest(GossipDigest),
-    /// Gossip that the receiver lacks by its last digest.
+    /// Gossip that is missing from the receiver's last digest.
     GossipRecords(Vec<GossipRecord>),
-    /// An endpoint has reported to be the primary.
+    /// An endpoint has reported that it is its group's primary.
     PrimaryHint {
-        /// The endpoint.
+        /// The endpoint that reported it.
         endpoint: EndpointBytes,
-        /// How long ago it reported that.
+        /// Time since that report; negative ages are rejected.
         age: TimeDelta,
     },
-    /// Ranges of groups' logs that were lost.
+    /// Ranges of log positions that groups have lost.
     LogRollbacks(Vec<LogRollback>),
-    /// The sender's recent outcomes of attempts, by zone.
+    /// The outcomes of the sender's recent attempts, by zone.
     ZoneOutcomes(BTreeMap<ZoneId, ZoneOutcomes>),
 }
 
-/// The answer to a handshake.
+/// The reply to a handshake.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HandshakeReply {
-    /// What the answering node makes of the handshake.
+    /// Whether the replying node accepts the handshake, and why not.
     pub verdict: HandshakeVerdict,
-    /// The answering node's own handshake.
+    /// The replying node's own handshake.
     pub handshake: Handshake,
 }
 
-/// The state of a node, as its peers last heard it.
+/// The state that a node reports to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The leader that it knows; [`NodeId::NOBODY`] for none.
+    /// The leader that the sender follows; [`NodeId::NOBODY`] if it knows none.
     pub leader: NodeId,
-    /// Its consensus term.
+    /// The sender's Raft term.
     pub term: u64,
-    /// The last entry in its log: term and index.
+    /// Term and index of the last entry in the sender's log.
     pub last_entry: EntryId,
-    /// It participates in the consensus: it receives messages and votes.
+    /// Whether the sender takes part in the consensus: it processes Raft messages and votes.
     pub participates: bool,
-    /// The last log index that it knows to be committed.
+    /// The highest log index that the sender knows to be committed.
     pub commit_index: u64,
-    /// What it has applied to its state.
+    /// The last log entry that the sender has applied.
     pub applied: AppliedPosition,
-    /// Digest of the drains that it holds and that are not committed yet.
+    /// Checksum of the sender's drains that are not committed yet. If it differs, peers send theirs.
     pub pending_drains_digest: u32,
-    /// Peers from which it has recently received messages.
+    /// Peers from which the sender has recently received messages.
     pub reachable_peers: Vec<NodeId>,
-    /// It recovers after a start, and takes turns with others that do in polling endpoints.
+    /// Whether the sender is still recovering after a start. Recovering nodes divide the polling of endpoints among
+    /// themselves.
     pub recovering: bool,
 }
 
-/// How far a node's state is.
+/// The log entry up to which a node has applied the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedPosition {
-    /// The last log index that it has applied.
+    /// Index of the last applied entry.
     pub index: u64,
-    /// Checksum over all that was applied up to there.
+    /// Checksum over everything applied up to this index, to compare the states of nodes.
     pub digest: u32,
 }
 
-/// An endpoint's IPv4 address and port in network order.
+/// An endpoint's IPv4 address and port in network byte order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointBytes(pub [u8; 6]);
 
@@ -118,33 +120,33 @@
     }
 }
 
-/// A message read from a buffer.
+/// A message decoded from the start of a buffer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedMessage {
-    /// The message.
+    /// The decoded message.
     pub message: PeerMessage,
-    /// Bytes of the buffer that it took, with its length prefix.
+    /// Size of the message in the buffer, including the length prefix: what the caller has to consume.
     pub encoded_bytes: usize,
 }
 
-/// Bytes that are not a message. The connection cannot be read on: where the next message starts is unknown.
+/// Why bytes could not be decoded. The connection must be closed, since the start of the next message is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The length prefix exceeds the limit.
-    #[error("a message of {length} bytes exceeds the limit of {limit}")]
+    /// The length prefix exceeds the limit of the receiver.
+    #[error("message of {length} bytes exceeds the limit of {limit} bytes")]
     TooLong {
-        /// The length that the prefix states.
+        /// The length in the prefix, in bytes.
         length: usize,
-        /// The longest that is accepted.
+        /// The longest accepted message, in bytes.
         limit: usize,
     },
-    /// The checksum is wrong, or the bytes are not those of a message.
-    #[error("a message is malformed or was damaged on the way")]
+    /// The checksum does not match, or the content does not decode to a message.
+    #[error("message is malformed or corrupted")]
     Malformed,
 }
 
 impl PeerMessage {
-    /// The bytes to send, with the length prefix.
+    /// Serializes the message for sending, including the length prefix.
     pub fn encode(&self) -> Vec<u8> {
         let body = codec::encode(self);
         let mut bytes = (body.len() as u32).to_be_bytes().to_vec();
@@ -152,11 +154,11 @@
         bytes
     }
 
-    /// Reads the first message of a buffer; `None` while it is incomplete.
+    /// Decodes the first message in `buffer`. Returns `None` while the message is incomplete.
     ///
     /// # Errors
     ///
-    /// [`MessageError`] where the message is longer than `limit` bytes or malformed.
+    /// [`MessageError`] if the message is longer than `limit` bytes, not counting the prefix, or malformed.
     pub fn decode(buffer: &[u8], limit: usize) -> Result<Option<DecodedMessage>, MessageError> {
         let Some((prefix, rest)) = buffer.split_first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
--- a/src/fleet/message/golden_tests.rs
+++ b/src/fleet/message/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Golden bytes of every message between nodes. The names of types and fields may change, the bytes may not: a
-//! node of the next version exchanges messages with nodes of this one.
+//! Golden tests of the wire format of messages between nodes. Types and fields may be renamed, but the bytes must not
+//! change, because nodes of adjacent versions exchange messages during an upgrade.
 
 use super::*;
 use crate::fleet::bootstrap::MemberAddress;
@@ -14,10 +14,10 @@
 use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType, Snapshot};
 use std::collections::BTreeSet;
 
-/// One message a line, `name = hex`: the whole message with length prefix and checksum.
+/// One message per line, as `name = hex`. The hex covers the whole frame, with length prefix and checksum.
 const GOLDEN: &str = include_str!("../../../tests/fixtures/peer-messages.hex");
 
-/// Longer than any of them.
+/// A decoding limit above the longest golden message.
 const LIMIT_BYTES: usize = 4096;
 
 fn handshake(name: &str, fleet: u128) -> Handshake {
@@ -34,8 +34,8 @@
     }
 }
 
-fn verdicts() -> Vec<(&'static str, PeerMessage)> {
-    let candidate = vec![
+fn handshake_replies() -> Vec<(&'static str, PeerMessage)> {
+    let members = vec![
         MemberAddress { name: "b0".to_string(), address: "127.0.0.1:8001".parse().unwrap() },
         MemberAddress { name: "b1".to_string(), address: "[::1]:8002".parse().unwrap() },
     ];
@@ -45,7 +45,7 @@
         ("verdict removed", HandshakeVerdict::RemovedMember),
         ("verdict older", HandshakeVerdict::OutdatedStorage),
         ("verdict recovered", HandshakeVerdict::SupersededFleet),
-        ("verdict candidate", HandshakeVerdict::NotYetMember(candidate)),
+        ("verdict candidate", HandshakeVerdict::NotYetMember(members)),
     ]
     .map(|(name, verdict)| {
         (name, PeerMessage::HandshakeReply(HandshakeReply { verdict, handshake: handshake("b2", 9) }))
@@ -53,39 +53,40 @@
     .into()
 }
 
-/// A message in which every field that all kinds share has a value of its own.
-fn message(kind: MessageType) -> Message {
-    let mut m =
+/// A Raft message with a distinct value in every field that all types share.
+fn raft_message(message_type: MessageType) -> Message {
+    let mut message =
         Message { to: 11, from: 12, term: 13, log_term: 14, index: 15, commit: 16, ..Message::default() };
-    m.set_msg_type(kind);
-    m.commit_term = 17;
-    m.request_snapshot = 18;
-    m.reject = true;
-    m.reject_hint = 19;
-    m.priority = -20;
-    m.context = vec![0xc0, 0xff, 0xee].into();
-    m
+    message.set_msg_type(message_type);
+    message.commit_term = 17;
+    message.request_snapshot = 18;
+    message.reject = true;
+    message.reject_hint = 19;
+    message.priority = -20;
+    message.context = vec![0xc0, 0xff, 0xee].into();
+    message
 }
 
 fn entries() -> Vec<Entry> {
     let normal = Entry { index: 300, term: 21, data: vec![0xda, 0x7a].into(), ..Entry::default() };
-    let mut member = Entry { index: 301, term: 22, context: vec![0x4d, 0x45].into(), ..Entry::default() };
-    member.set_entry_type(EntryType::EntryConfChangeV2);
-    vec![normal, member, Entry { index: 302, term: 23, ..Entry::default() }]
+    let mut conf_change =
+        Entry { index: 301, term: 22, context: vec![0x4d, 0x45].into(), ..Entry::default() };
+    conf_change.set_entry_type(EntryType::EntryConfChangeV2);
+    vec![normal, conf_change, Entry { index: 302, term: 23, ..Entry::default() }]
 }
 
 fn snapshot() -> Snapshot {
-    let mut conf = ConfState::default();
-    conf.set_voters(vec![1, 2]);
-    conf.set_learners(vec![3]);
-    conf.set_voters_outgoing(vec![1, 4]);
-    conf.set_learners_next(vec![5]);
-    conf.auto_leave = true;
+    let mut configuration = ConfState::default();
+    configuration.set_voters(vec![1, 2]);
+    configuration.set_learners(vec![3]);
+    configuration.set_voters_outgoing(vec![1, 4]);
+    configuration.set_learners_next(vec![5]);
+    configuration.auto_leave = true;
     let mut snapshot = Snapshot { data: vec![0x57, 0xa7, 0xe0].into(), ..Snapshot::default() };
     let meta = snapshot.mut_metadata();
     meta.index = 400;
     meta.term = 24;
-    meta.set_conf_state(conf);
+    meta.set_conf_state(configuration);
     snapshot
 }
 
@@ -105,46 +106,49 @@
         ("letter request pre-vote", MessageType::MsgRequestPreVote),
         ("letter request pre-vote response", MessageType::MsgRequestPreVoteResponse),
     ]
-    .map(|(name, kind)| (name, message(kind)))
+    .map(|(name, message_type)| (name, raft_message(message_type)))
     .into();
-    for (name, m) in &mut all {
+    for (name, message) in &mut all {
         match *name {
-            "letter append" => m.set_entries(entries().into()),
-            "letter snapshot" => m.set_snapshot(snapshot()),
+            "letter append" => message.set_entries(entries().into()),
+            "letter snapshot" => message.set_snapshot(snapshot()),
             _ => {}
         }
     }
-    let encoded = |m: &Message| RaftMessage::from_raft(m.clone()).expect("it is sent between nodes");
-    let two = vec![encoded(&all[5].1), encoded(&all[6].1)];
-    let one = all.iter().map(|(name, m)| (*name, PeerMessage::RaftMessages(vec![encoded(m)])));
-    one.chain([
-        ("letters none", PeerMessage::RaftMessages(Vec::new())),
-        ("letters two", PeerMessage::RaftMessages(two)),
-    ])
-    .collect()
+    let to_raft_message =
+        |message: &Message| RaftMessage::from_raft(message.clone()).expect("a type sent between nodes");
+    let pair = vec![to_raft_message(&all[5].1), to_raft_message(&all[6].1)];
+    let singles =
+        all.iter().map(|(name, message)| (*name, PeerMessage::RaftMessages(vec![to_raft_message(message)])));
+    singles
+        .chain([
+            ("letters none", PeerMessage::RaftMessages(Vec::new())),
+            ("letters two", PeerMessage::RaftMessages(pair)),
+        ])
+        .collect()
 }
 
-#[expect(clippy::too_many_lines, reason = "a table: one value of each variant")]
-fn changes() -> Vec<(&'static str, PeerMessage)> {
+#[expect(clippy::too_many_lines, reason = "a table with one value of each variant")]
+fn forwarded_proposals() -> Vec<(&'static str, PeerMessage)> {
     let drains = vec![DrainId { node: NodeId(5), sequence: 6 }, DrainId { node: NodeId(7), sequence: 800 }];
-    let record = |address: &str, leaving, started_at| HostRecord {
+    let record = |address: &str, draining, started_at| HostRecord {
         address: address.parse().unwrap(),
         group: GroupId(300),
         zone: ZoneId(2),
         weight: 0.75,
-        draining: leaving,
+        draining,
         started_at,
     };
-    let set = vec![
+    let upserts = vec![
         NamedHost {
             name: "s-1".to_string(),
             host: record("127.0.0.1:7001", false, Some(Timestamp::from_micros(1_767_225_600_123_000))),
         },
         NamedHost { name: "s-2".to_string(), host: record("[::1]:7002", true, None) },
     ];
-    let share = |part, why| Change::ZoneWeight {
+    let zone_weight = |permille, reason| Change::ZoneWeight {
         zone: ZoneId(4),
-        weight: ZoneWeight { permille: part, reason: why, version: 31, failed_returns: 2 },
+        weight: ZoneWeight { permille, reason, version: 31, failed_returns: 2 },
     };
     [
         (
@@ -158,7 +162,7 @@
                 read_by: "b0".into(),
                 changed_at: Timestamp::from_micros(-5),
                 base_version: 41,
-                upserts: set,
+                upserts,
                 removals: vec!["s-9".into()],
             },
         ),
@@ -170,10 +174,10 @@
                 text: "step=1\n".into(),
             },
         ),
-        ("forward zone returns", share(20, WeightReason::Returns)),
-        ("forward zone lost", share(0, WeightReason::Lost)),
-        ("forward zone slow", share(650, WeightReason::Slow)),
-        ("forward zone operator", share(1000, WeightReason::Operator)),
+        ("forward zone returns", zone_weight(20, WeightReason::Returns)),
+        ("forward zone lost", zone_weight(0, WeightReason::Lost)),
+        ("forward zone slow", zone_weight(650, WeightReason::Slow)),
+        ("forward zone operator", zone_weight(1000, WeightReason::Operator)),
         (
             "forward regions",
             Change::Regions {
@@ -228,7 +232,7 @@
 }
 
 fn zone_outcomes() -> BTreeMap<ZoneId, ZoneOutcomes> {
-    let one = ZoneOutcomes {
+    let outcomes = ZoneOutcomes {
         on_time: 1000,
         late: 2,
         unanswered: 3,
@@ -238,10 +242,13 @@
         endpoints_total: 700,
         utilization_permille: 810,
     };
-    BTreeMap::from([(ZoneId(0), one), (ZoneId(200), ZoneOutcomes { on_time: 9, ..ZoneOutcomes::default() })])
+    BTreeMap::from([
+        (ZoneId(0), outcomes),
+        (ZoneId(200), ZoneOutcomes { on_time: 9, ..ZoneOutcomes::default() }),
+    ])
 }
 
-/// Every message, each variant of what is in it among them.
+/// Golden messages by name: one at least for each message type and each variant inside a message.
 fn messages() -> Vec<(&'static str, PeerMessage)> {
     let fleet = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
     let drains = vec![
@@ -291,14 +298,15 @@
         ("breaks", PeerMessage::LogRollbacks(rollbacks)),
         ("sights", PeerMessage::ZoneOutcomes(zone_outcomes())),
     ];
-    all.extend(verdicts());
+    all.extend(handshake_replies());
     all.extend(raft_messages());
-    all.extend(changes());
+    all.extend(forwarded_proposals());
     all
 }
 
-/// Fails to compile where a variant is added: it needs a golden message above, and a line here.
-fn kinds(message: &PeerMessage) -> (&'static str, &'static str) {
+/// The golden name's parts for a message: its type, and the variant inside it. A new variant does not compile until it
+/// has a line here; it also needs a golden message above.
+fn type_and_variant(message: &PeerMessage) -> (&'static str, &'static str) {
     match message {
         PeerMessage::Handshake(_) => ("hello", ""),
         PeerMessage::HandshakeReply(HandshakeReply { verdict, .. }) => (
@@ -320,7 +328,7 @@
                 Change::Undrain { .. } => "undrain",
                 Change::Inventory { .. } => "inventory",
                 Change::Settings { .. } => "settings",
-                Change::ZoneWeight { weight: share, .. } => match share.reason {
+                Change::ZoneWeight { weight, .. } => match weight.reason {
                     WeightReason::Returns => "zone returns",
                     WeightReason::Lost => "zone lost",
                     WeightReason::Slow => "zone slow",
@@ -346,44 +354,48 @@
 }
 
 fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn bytes_from_hex(hex: &str) -> Vec<u8> {
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex")).collect()
 }
 
-/// Guards against a message that nodes of the version before cannot read.
+/// Guards against a change of the wire format, which nodes of the previous version could not decode.
 #[test]
-fn every_peer_message_is_written_as_its_golden_bytes() {
-    let written: String =
+fn every_peer_message_is_encoded_as_its_golden_bytes() {
+    let encoded: String =
         messages().iter().map(|(name, message)| format!("{name} = {}\n", hex(&message.encode()))).collect();
-    assert_eq!(written, GOLDEN, "what is written now:\n{written}");
+    assert_eq!(encoded, GOLDEN, "encoded now:\n{encoded}");
 }
 
-/// Guards against a message of a node of the version before that is read as something else.
+/// Guards against decoding a message of the previous version as something else.
 #[test]
-fn the_golden_bytes_of_every_peer_message_are_read_as_its_value() {
+fn the_golden_bytes_of_every_peer_message_decode_to_its_value() {
     let mut golden = GOLDEN.lines();
     for (name, message) in messages() {
-        let (known, hex) = golden.next().and_then(|l| l.split_once(" = ")).expect("name = hex");
-        let bytes = bytes(hex);
+        let (golden_name, hex) = golden.next().and_then(|line| line.split_once(" = ")).expect("name = hex");
+        let bytes = bytes_from_hex(hex);
         let decoded = DecodedMessage { message, encoded_bytes: bytes.len() };
-        assert_eq!((known, PeerMessage::decode(&bytes, LIMIT_BYTES)), (name, Ok(Some(decoded))), "{name}");
+        assert_eq!(
+            (golden_name, PeerMessage::decode(&bytes, LIMIT_BYTES)),
+            (name, Ok(Some(decoded))),
+            "{name}"
+        );
     }
     assert_eq!(golden.next(), None);
 }
 
-/// Guards against a message whose golden bytes are right and that the consensus gets as another one.
+/// Guards against a Raft message that decodes correctly but reaches the Raft library as a different message.
 #[test]
-fn the_golden_raft_messages_become_the_same_consensus_messages() {
+fn the_golden_raft_messages_survive_conversion_to_the_raft_library_and_back() {
     for (name, message) in messages() {
         let PeerMessage::RaftMessages(raft_messages) = message else { continue };
         for raft_message in raft_messages {
-            let kind = raft_message.clone().into_raft().map(|m| m.msg_type);
-            // A snapshot message must carry a snapshot, any other message must not.
+            let message_type = raft_message.clone().into_raft().map(|message| message.msg_type);
+            // Conversion succeeds exactly if a snapshot message carries a snapshot and no other message does.
             assert_eq!(
-                kind.is_some(),
+                message_type.is_some(),
                 raft_message.carries_state() == name.starts_with("letter snapshot"),
                 "{name}"
             );
@@ -396,13 +408,14 @@
     }
 }
 
-/// Guards against a variant that has no golden message.
+/// Guards against a message variant without a golden message.
 #[test]
 fn every_variant_of_a_peer_message_has_golden_bytes() {
     let messages = messages();
-    let named: BTreeSet<&str> = messages.iter().map(|(name, _)| *name).collect();
-    assert_eq!(named.len(), messages.len(), "each name once");
-    let found: BTreeSet<(&str, &str)> = messages.iter().map(|(_, message)| kinds(message)).collect();
-    let tops: BTreeSet<&str> = found.iter().map(|(top, _)| *top).collect();
-    assert_eq!((tops.len(), found.len()), (12, 6 + 9 + 2 + 9), "{found:?}");
+    let names: BTreeSet<&str> = messages.iter().map(|(name, _)| *name).collect();
+    assert_eq!(names.len(), messages.len(), "names are unique");
+    let found: BTreeSet<(&str, &str)> =
+        messages.iter().map(|(_, message)| type_and_variant(message)).collect();
+    let message_types: BTreeSet<&str> = found.iter().map(|(message_type, _)| *message_type).collect();
+    assert_eq!((message_types.len(), found.len()), (12, 6 + 9 + 2 + 9), "{found:?}");
 }
--- a/src/fleet/message/tests.rs
+++ b/src/fleet/message/tests.rs
@@ -1,8 +1,8 @@
-//! The framing of messages: what is incomplete, too long or damaged.
+//! Decoding of incomplete, oversized and corrupted frames.
 
 use super::*;
 
-/// Guards against messages that are cut off, too long or changed and are acted on, and against a panic.
+/// Guards against acting on truncated, oversized or corrupted messages, and against a panic while decoding them.
 #[test]
 fn only_complete_and_undamaged_messages_are_decoded() {
     let heartbeat = Heartbeat {
@@ -33,10 +33,10 @@
         assert_eq!(PeerMessage::decode(&damaged, 1000), Err(MessageError::Malformed));
         let noise: Vec<u8> = (0..rng.usize(..64)).map(|_| rng.u8(..)).collect();
         let _ = PeerMessage::decode(&noise, 1000);
-        // A right checksum over something that is not a message.
-        let mut sealed_noise = (noise.len() as u32 + 4).to_be_bytes().to_vec();
-        sealed_noise.extend(crc32fast::hash(&noise).to_be_bytes());
-        sealed_noise.extend(&noise);
-        let _ = PeerMessage::decode(&sealed_noise, 1000);
+        // Random content with a valid checksum.
+        let mut checksummed_noise = (noise.len() as u32 + 4).to_be_bytes().to_vec();
+        checksummed_noise.extend(crc32fast::hash(&noise).to_be_bytes());
+        checksummed_noise.extend(&noise);
+        let _ = PeerMessage::decode(&checksummed_noise, 1000);
     }
 }
