--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -108,7 +108,7 @@
             service: self.config.service.clone(),
             ready: feeds.all_groups_served,
             lifecycle: self.lifecycle.clone(),
-            log_rollbacks: self.fleet.breaks.clone(),
+            log_rollbacks: self.fleet.log_rollbacks.clone(),
         });
         let terminate = SignalStream::subscribe(Signal::Terminate)?;
         let ClientFront { limiter, acceptor, .. } = client_front;
--- a/src/daemon/operator/fleet_startup.rs
+++ b/src/daemon/operator/fleet_startup.rs
@@ -7,7 +7,7 @@
 use crate::daemon::operator_config::{self, OperatorConfig};
 use crate::daemon::{DaemonError, Executor};
 use crate::fleet::admin_api;
-use crate::fleet::runtime::{Files, Fleet, LocalNode};
+use crate::fleet::runtime::{FileContents, Fleet, LocalNode};
 use crate::net::connection::ClientConnection;
 use crate::net::connection_limiter::{AcceptDecision, ConnectionLimiter};
 use crate::store::storage::{DurableStorage, OpenedStorage};
@@ -33,12 +33,12 @@
 ///
 /// # Errors
 /// [`DaemonError::Config`] where the inventory cannot be used.
-pub fn read_local_files(config: &OperatorConfig, limits: &Limits) -> Result<Files, DaemonError> {
+pub fn read_local_files(config: &OperatorConfig, limits: &Limits) -> Result<FileContents, DaemonError> {
     let settings = config.settings.clone().map(|text| (text, config.modified_at));
-    let mut files = Files { settings, hosts: None };
+    let mut files = FileContents { settings, inventory: None };
     if let Some(path) = &config.inventory {
         let read = operator_config::load_inventory(path, &config.zones, limits)?;
-        files.hosts = Some((read.inventory, read.modified_at));
+        files.inventory = Some((read.inventory, read.modified_at));
     }
     Ok(files)
 }
@@ -69,7 +69,7 @@
 pub fn start(
     config: &OperatorConfig,
     store: OpenedStore,
-    local_files: Files,
+    local_files: FileContents,
     limits: &Limits,
     clock: &Clock,
     executor: &Executor,
@@ -79,8 +79,8 @@
     let local = LocalNode {
         name: config.name.clone(),
         address: config.store.advertise.unwrap_or(address),
-        named: config.store.peers.clone(),
-        leaving: config.leaving.clone(),
+        configured_peers: config.store.peers.clone(),
+        evacuation_policy: config.leaving.clone(),
     };
     let limits = Rc::new(store_limits(limits));
     let fleet = Fleet::new(local, limits.clone(), clock.clone(), executor.clone(), opened, commands);
--- a/src/daemon/operator/inventory_reload.rs
+++ b/src/daemon/operator/inventory_reload.rs
@@ -53,7 +53,7 @@
         known_version = version;
         match operator_config::load_inventory(path, &config.zones, limits) {
             Ok(read) => {
-                fleet.update_own_files(|files| files.hosts = Some((read.inventory, read.modified_at)))
+                fleet.update_own_files(|files| files.inventory = Some((read.inventory, read.modified_at)))
             }
             Err(error) => log::error!("{error}; the last good inventory stays"),
         }
--- a/src/fleet/admin_api/description.rs
+++ b/src/fleet/admin_api/description.rs
@@ -158,11 +158,11 @@
             out,
             "recovery step {} for {} ms; waits for {}",
             recovery.phase,
-            recovery.since.elapsed().as_millis(),
-            recovery.waits_for
+            recovery.phase_since.elapsed().as_millis(),
+            recovery.waiting_for
         )?,
     }
-    for rollback in fleet.breaks.borrow().all() {
+    for rollback in fleet.log_rollbacks.borrow().all() {
         let (from, to) = (rollback.from.as_millis(), rollback.to.as_millis());
         writeln!(out, "lost group {} after {from} up to {to}", rollback.group)?;
     }
--- a/src/fleet/admin_api/metrics.rs
+++ b/src/fleet/admin_api/metrics.rs
@@ -18,7 +18,7 @@
     let status = agreed.status();
     let unsent_messages: u64 = peers.links().map(|link| link.dropped_messages()).sum();
     let pending_drains = fleet.drains().pending().all().len();
-    let rollbacks = fleet.breaks.borrow().all().len();
+    let rollbacks = fleet.log_rollbacks.borrow().all().len();
     let metrics = [
         ("members", agreed.state().members.len() as u64, Kind::Gauge),
         ("voters", status.configuration.voters.len() as u64, Kind::Gauge),
--- a/src/fleet/peer_link.rs
+++ b/src/fleet/peer_link.rs
@@ -1,8 +1,8 @@
-//! The outgoing connection to one peer: reopened with backoff whenever it breaks, fed from a bounded queue.
+//! The outgoing connection to one peer: reconnects with backoff, and sends messages from a bounded queue.
 //!
-//! A link only sends, but for the answer to its handshake; what a peer sends arrives on a connection that the peer
-//! opened. A slow peer delays nobody else: a message that does not fit into the queue is dropped, and the one that
-//! still needs it sent repeats it.
+//! Messages only travel from the node that opened the connection to its peer; the handshake reply is the one
+//! exception. A peer's own messages arrive on the connection that it opened. A message that does not fit into the queue
+//! is dropped, so that a slow peer delays no other; the sender repeats what is still needed.
 
 use super::bootstrap::{Handshake, HandshakeVerdict};
 use super::message::{HandshakeReply, MessageError, PeerMessage};
@@ -18,41 +18,42 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The protocol that an HTTP connection is upgraded to.
-pub const PROTOCOL: &str = "brookpass-fleet/1";
-/// The HTTP path at which a connection is upgraded.
-pub const PATH: &str = "/fleet/link";
+/// The value of the HTTP `Upgrade` header for connections between peers.
+pub const UPGRADE_PROTOCOL: &str = "brookpass-fleet/1";
+/// The HTTP path of the upgrade request.
+pub const UPGRADE_PATH: &str = "/fleet/link";
 
-/// Queued messages are joined into one write of about this size: fewer system calls, and no write that takes long.
+/// No more queued messages are added to a write once it has this size. Batching saves system calls; the bound keeps a
+/// single write short.
 const WRITE_BATCH_BYTES: usize = 64 * 1024;
 
-/// What a link asks and tells its owner.
+/// Callbacks from a link to its owner.
 pub trait PeerLinkEvents {
-    /// This node's handshake, as of now.
+    /// This node's current handshake. Called for each new connection.
     fn handshake(&self) -> Handshake;
-    /// The peer has answered the handshake. Says what becomes of the connection.
+    /// Called with the peer's reply to the handshake; decides whether the connection is used.
     fn on_handshake_reply(&self, link: &PeerLink, reply: HandshakeReply) -> LinkDecision;
-    /// The connection is open for messages.
+    /// Called once messages can be sent on the connection.
     fn on_connected(&self, link: &PeerLink);
-    /// A connection that was open for messages has ended.
+    /// Called when a connection has ended for which [`PeerLinkEvents::on_connected`] was called.
     fn on_disconnected(&self, link: &PeerLink);
 }
 
-/// What becomes of a connection after the handshake.
+/// What happens to a connection after the handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkDecision {
-    /// Messages are sent on it.
+    /// The connection is kept and messages are sent on it.
     Use,
-    /// It is closed, and opened again later.
+    /// The connection is closed; the link reconnects after its backoff.
     Close,
 }
 
-/// Where the address of a peer comes from.
+/// The source of a peer's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkOrigin {
-    /// The operator's file names it.
+    /// The operator's file lists the address.
     OperatorFile,
-    /// The fleet names it: a member's address, or that of a fleet to join.
+    /// The fleet reported the address: that of a member, or of a member of a fleet to join.
     Fleet,
 }
 
@@ -69,10 +70,10 @@
 impl fmt::Display for DisconnectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DisconnectReason::LinkClosed => write!(f, "the link is closed"),
-            DisconnectReason::ReconnectRequested => write!(f, "a reconnect was requested"),
-            DisconnectReason::ClosedByPeer => write!(f, "the peer closed the connection"),
-            DisconnectReason::WriteTimedOut => write!(f, "a write timed out"),
+            DisconnectReason::LinkClosed => write!(f, "link closed"),
+            DisconnectReason::ReconnectRequested => write!(f, "reconnect requested"),
+            DisconnectReason::ClosedByPeer => write!(f, "closed by the peer"),
+            DisconnectReason::WriteTimedOut => write!(f, "write timed out"),
             DisconnectReason::WriteFailed(error) => write!(f, "{error}"),
         }
     }
@@ -83,19 +84,19 @@
 enum ConnectError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("the handshake's answer: {0}")]
+    #[error("invalid handshake reply: {0}")]
     Message(#[from] MessageError),
-    #[error("the handshake was answered by another kind of message")]
+    #[error("the peer answered the handshake with another type of message")]
     UnexpectedMessage,
 }
 
-/// A connection whose handshake was answered.
+/// A connection with a completed handshake.
 struct Connected {
     client: Client,
     reply: HandshakeReply,
 }
 
-/// A channel that only signals: closed, or one message.
+/// A channel without payload. Depending on its use, the event is a queued message or the closing of the channel.
 struct Signal {
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -108,7 +109,7 @@
     }
 }
 
-/// What a connection does next.
+/// The next step of an open connection.
 enum NextStep {
     Send(Vec<u8>),
     Disconnect(DisconnectReason),
@@ -116,25 +117,27 @@
 
 /// The link to the peer at one address.
 pub struct PeerLink {
-    /// The peer's address.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// Where the address comes from.
+    /// The source of the address.
     pub origin: LinkOrigin,
+    /// The peer's handshake from its last reply; `None` before the first one.
     last_handshake: RefCell<Option<Handshake>>,
     is_up: Cell<bool>,
     dropped_messages: Cell<u64>,
+    /// Total size of the messages in the queue.
     queued_bytes: Cell<usize>,
     max_queued_bytes: usize,
     queue_sender: Sender<Vec<u8>>,
     queue_receiver: Receiver<Vec<u8>>,
-    /// Closed once the link is not wanted any more.
+    /// The channel is closed once the link is no longer wanted.
     closed: Signal,
-    /// Holds a message while a reconnect is requested.
+    /// Holds a message while a requested reconnect is still to be done.
     reconnect_requested: Signal,
 }
 
 impl PeerLink {
-    /// A link that is not connected yet.
+    /// Creates a link that is not connected. [`PeerLink::run`] connects it.
     pub fn new(address: SocketAddr, origin: LinkOrigin, limits: &Limits) -> PeerLink {
         let (max_queued_messages, max_queued_bytes) = limits.peer_queue;
         let (queue_sender, queue_receiver) = async_channel::bounded(max_queued_messages);
@@ -153,12 +156,12 @@
         }
     }
 
-    /// The id of the node that last answered here; [`NodeId::NOBODY`] before the first answer.
+    /// The id of the node that last replied at this address; [`NodeId::NOBODY`] before the first reply.
     pub fn peer_id(&self) -> NodeId {
         self.last_handshake.borrow().as_ref().map_or(NodeId::NOBODY, |peer| peer.id)
     }
 
-    /// The name of the node that last answered here.
+    /// The name of the node that last replied at this address; `None` before the first reply.
     pub fn peer_name(&self) -> Option<String> {
         self.last_handshake.borrow().as_ref().map(|peer| peer.name.clone())
     }
@@ -168,12 +171,13 @@
         self.is_up.get()
     }
 
-    /// Messages that were dropped since the start: the link was down or its queue full.
+    /// Number of messages dropped since the link was created because it was down or its queue was full.
     pub fn dropped_messages(&self) -> u64 {
         self.dropped_messages.get()
     }
 
-    /// Queues an encoded message; returns whether it was queued. Otherwise it was dropped.
+    /// Queues an encoded message. Returns false if the message was dropped instead: the link is down, or the queue is
+    /// full.
     pub fn send(&self, message: &[u8]) -> bool {
         let fits = self.is_up.get() && self.queued_bytes.get() + message.len() <= self.max_queued_bytes;
         if fits && self.queue_sender.try_send(message.to_vec()).is_ok() {
@@ -184,17 +188,17 @@
         false
     }
 
-    /// Ends the link for good.
+    /// Closes the link permanently: [`PeerLink::run`] returns.
     pub fn close(&self) {
         self.closed.sender.close();
     }
 
-    /// Has the connection opened again: this node's handshake has changed.
+    /// Requests that the connection be closed and reopened, because this node's handshake has changed.
     pub fn reconnect(&self) {
         let _ = self.reconnect_requested.sender.try_send(());
     }
 
-    /// Keeps the link connected until it is closed.
+    /// Connects, sends queued messages and reconnects, until the link is closed.
     pub async fn run(&self, limits: &Limits, events: &impl PeerLinkEvents) {
         let (shortest_backoff, longest_backoff) = limits.discovery_backoff;
         let mut backoff = shortest_backoff;
@@ -202,7 +206,7 @@
             let connecting = self.connect(limits, events);
             match until(Instant::now() + limits.discovery_timeout, connecting).await {
                 Some(Ok(Connected { client, reply })) => {
-                    let is_foreign = matches!(
+                    let is_excluded = matches!(
                         reply.verdict,
                         HandshakeVerdict::OtherFleet | HandshakeVerdict::RemovedMember
                     );
@@ -212,21 +216,21 @@
                         let reason = self.send_queued(client, limits, events).await;
                         log::debug!("fleet: connection to {} ended: {reason}", self.address);
                         events.on_disconnected(self);
-                    } else if is_foreign {
+                    } else if is_excluded {
                         backoff = longest_backoff;
                     }
                 }
-                Some(Err(error)) => log::debug!("fleet: connecting to {}: {error}", self.address),
-                None => log::debug!("fleet: connecting to {}: timed out", self.address),
+                Some(Err(error)) => log::debug!("fleet: connecting to {} failed: {error}", self.address),
+                None => log::debug!("fleet: connecting to {} timed out", self.address),
             }
-            // Half of the backoff is random: peers that start together must not connect in step.
+            // Up to half of the backoff is jitter, so that nodes that start together do not reconnect in lockstep.
             let pause = backoff.mul_f64(0.5 + fastrand::f64() / 2.0);
             let _ = until(Instant::now() + pause, self.closed.receiver.recv()).await;
             backoff = (backoff * 2).min(longest_backoff / 2).max(shortest_backoff);
         }
     }
 
-    /// Opens a connection and exchanges handshakes.
+    /// Opens a connection, upgrades it and exchanges handshakes.
     async fn connect(
         &self,
         limits: &Limits,
@@ -234,7 +238,7 @@
     ) -> Result<Connected, ConnectError> {
         let mut client = Client::connect(self.address).await?;
         let request = format!(
-            "POST {PATH} HTTP/1.1\r\nHost: {}\r\nConnection: Upgrade\r\nUpgrade: {PROTOCOL}\r\nContent-Length: 0\r\n\r\n",
+            "POST {UPGRADE_PATH} HTTP/1.1\r\nHost: {}\r\nConnection: Upgrade\r\nUpgrade: {UPGRADE_PROTOCOL}\r\nContent-Length: 0\r\n\r\n",
             self.address
         );
         client.send(request.as_bytes()).await?;
@@ -254,8 +258,8 @@
         }
     }
 
-    /// Sends queued messages until the connection ends. What was queued for the connection before is dropped: it
-    /// may be outdated.
+    /// Sends queued messages until the connection ends. Messages left over from an earlier connection are discarded
+    /// first, since they may be outdated.
     async fn send_queued(
         &self,
         mut client: Client,
@@ -284,7 +288,7 @@
         reason
     }
 
-    /// Waits for a message to send or for a reason to disconnect.
+    /// Waits for the next message or a reason to disconnect. Closing and reconnecting take precedence over messages.
     async fn next_step(&self, client: &mut Client) -> NextStep {
         let message = async {
             let next = self.queue_receiver.recv().await;
@@ -298,7 +302,7 @@
             let _ = self.reconnect_requested.receiver.recv().await;
             NextStep::Disconnect(DisconnectReason::ReconnectRequested)
         };
-        // After its answer to the handshake a peer sends nothing here: whatever is read means the end.
+        // A peer sends nothing after its handshake reply, so any result of this read ends the connection.
         let closed_by_peer = async {
             let _ = client.more_of(&mut Buffer::default()).await;
             NextStep::Disconnect(DisconnectReason::ClosedByPeer)
@@ -307,7 +311,7 @@
         or(or(closed, reconnect), or(message, closed_by_peer)).await
     }
 
-    /// Joins a message and those that wait behind it into one write.
+    /// Appends queued messages to `first`, up to about [`WRITE_BATCH_BYTES`].
     fn join_queued(&self, first: Vec<u8>) -> Vec<u8> {
         let mut batch = first;
         while batch.len() < WRITE_BATCH_BYTES
@@ -319,7 +323,7 @@
     }
 }
 
-/// Sleeps, or returns early when a message arrives; returns whether one arrived.
+/// Sleeps for `duration`. Returns early, with true, if `wake` receives a message or its channel is closed.
 pub async fn sleep_or_wake(duration: Duration, wake: &Receiver<()>) -> bool {
     until(Instant::now() + duration, wake.recv()).await.is_some()
 }
--- a/src/fleet/runtime/agreed_state.rs
+++ b/src/fleet/runtime/agreed_state.rs
@@ -1,4 +1,4 @@
-//! What the consensus has committed, as this node has applied it, and this node's part in the consensus.
+//! The committed state as applied by this node, and this node's part in the consensus.
 
 use crate::ids::{FleetId, NodeId};
 use crate::store::raft_node::{AppliedContent, AppliedEntry};
@@ -8,8 +8,8 @@
 use crate::store::zone_weights::ZoneWeight;
 use std::time::Instant;
 
-/// The committed state and this node's part in the consensus. Only events of the store's thread change it, and a
-/// peer's verdict that this node was removed.
+/// The committed state and this node's part in the consensus. It changes only by events from the store's thread, and
+/// when a peer replies that this node was removed.
 pub struct AgreedState {
     identity: NodeIdentity,
     state: ClusterState,
@@ -20,18 +20,18 @@
     storage_failure: Option<String>,
 }
 
-/// What the application of a log entry means for others.
+/// The effect of applying a log entry on other parts of the fleet.
 pub(super) enum AppliedEffect {
-    /// The whole state was replaced: any endpoint may have changed.
+    /// A snapshot replaced the whole state, so any endpoint may have changed.
     StateReplaced,
-    /// A change was applied, or refused by the state machine.
+    /// The state machine accepted or rejected this change.
     Changed(Proposal),
-    /// Nothing that others depend on.
+    /// The entry changes nothing outside [`AgreedState`].
     Nothing,
 }
 
 impl AgreedState {
-    /// What the storage held at the start.
+    /// Creates the state from what the storage held at the start.
     pub(super) fn new(identity: NodeIdentity, state: ClusterState, status: StoreStatus) -> AgreedState {
         AgreedState {
             identity,
@@ -44,27 +44,27 @@
         }
     }
 
-    /// This node's id, as its storage holds it.
+    /// This node's id. The storage assigns it; it changes when the identity is reset.
     pub fn local_id(&self) -> NodeId {
         self.identity.id
     }
 
-    /// The committed state, as far as it is applied here.
+    /// The committed state up to [`AgreedState::applied_index`].
     pub fn state(&self) -> &ClusterState {
         &self.state
     }
 
-    /// The last log index that is applied here.
+    /// The index of the last log entry applied here.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 
-    /// The state of the consensus, as the store's thread last reported it.
+    /// The consensus status last reported by the store's thread.
     pub fn status(&self) -> &StoreStatus {
         &self.status
     }
 
-    /// Since when this node has been the leader.
+    /// When this node became the leader; `None` while it is not.
     pub fn leading_since(&self) -> Option<Instant> {
         self.leading_since
     }
@@ -79,27 +79,28 @@
         self.status.leader != NodeId::NOBODY
     }
 
-    /// Whether this node is the leader, as far as it knows.
+    /// Whether this node considers itself the leader. A deposed leader may not know of its successor yet.
     pub fn is_leader(&self) -> bool {
         self.status.leader == self.identity.id
     }
 
-    /// Whether this node is the leader and participates in the consensus: it may propose.
+    /// Whether this node is the leader and participates in the consensus, and may therefore propose changes.
     pub fn is_active_leader(&self) -> bool {
         self.is_leader() && self.status.participating
     }
 
-    /// Whether this node was removed from its fleet. It serves with what it last knew.
+    /// Whether this node was removed from its fleet. It keeps serving with the last known state.
     pub fn is_removed(&self) -> bool {
         self.is_removed
     }
 
-    /// Why the storage failed, if it did. The node serves with what it has and participates no more.
+    /// Why the storage failed; `None` while it works. After a failure the node keeps serving with its current state but
+    /// no longer participates in the consensus.
     pub fn storage_failure(&self) -> Option<&str> {
         self.storage_failure.as_deref()
     }
 
-    /// Whether this node was removed or its storage failed: it takes no part in a fleet any more.
+    /// Whether this node no longer takes part in a fleet: it was removed, or its storage failed.
     pub fn is_retired(&self) -> bool {
         self.is_removed || self.storage_failure.is_some()
     }
@@ -109,19 +110,19 @@
         self.state.members.contains_key(&id)
     }
 
-    /// The name of a member; of another node its id.
+    /// The name of a member, or the id in hexadecimal for any other node.
     pub fn node_name(&self, id: NodeId) -> String {
         self.state.members.get(&id).map_or(format!("{id:016x}"), |member| member.name.clone())
     }
 
-    /// Takes over what the store's thread reports; returns whether leader, term or participation has changed.
+    /// Stores the status reported by the store's thread; returns whether leader, term or participation changed.
     pub(super) fn update_status(&mut self, status: StoreStatus) -> bool {
         let old = &self.status;
         let is_new_leadership = (old.leader, old.term) != (status.leader, status.term);
         let has_changed = is_new_leadership || old.participating != status.participating;
         if is_new_leadership {
             let leader = self.state.members.get(&status.leader);
-            let name = leader.map_or("nobody", |member| member.name.as_str());
+            let name = leader.map_or("none", |member| member.name.as_str());
             log::info!("raft: leader changed: term {}, leader {name}", status.term);
         }
         self.status = status;
@@ -133,7 +134,7 @@
         has_changed
     }
 
-    /// Applies a log entry.
+    /// Applies a committed log entry to the state.
     pub(super) fn apply(&mut self, entry: AppliedEntry) -> AppliedEffect {
         let effect = match entry.content {
             AppliedContent::Snapshot(state) => {
@@ -164,33 +165,34 @@
         effect
     }
 
-    /// Whether the committed state says that this node was removed, which was not known before.
+    /// Whether the committed state shows that this node was removed and [`AgreedState::mark_removed`] was not called
+    /// yet.
     pub(super) fn is_newly_removed(&self) -> bool {
         let id = self.local_id();
         let was_removed = self.state.removed.contains_key(&id) && !self.is_member(id);
         self.has_fleet() && was_removed && !self.is_removed
     }
 
-    /// This node was removed from its fleet.
+    /// Records that this node was removed from its fleet.
     pub(super) fn mark_removed(&mut self) {
         self.is_removed = true;
     }
 
-    /// The store has given this node a new identity. What was committed is served on until the fleet has sent its
-    /// state.
-    pub(super) fn renew_identity(&mut self, identity: NodeIdentity) {
+    /// Records the new identity assigned by the store. The committed state stays in use until the fleet has sent its
+    /// own.
+    pub(super) fn replace_identity(&mut self, identity: NodeIdentity) {
         self.identity = identity;
         self.state.fleet = FleetId::NONE;
         self.is_removed = false;
     }
 
-    /// The storage failed.
+    /// Records why the storage failed.
     pub(super) fn record_storage_failure(&mut self, reason: String) {
         self.storage_failure = Some(reason);
     }
 }
 
-/// A change and its result, for the log.
+/// Describes a change and its result for the log.
 fn describe_change(change: &Change, result: ApplyResult) -> String {
     match change {
         Change::Drain { host, .. } => format!("drain {host}: {result:?}"),
--- a/src/fleet/runtime/change_notifier.rs
+++ b/src/fleet/runtime/change_notifier.rs
@@ -1,24 +1,25 @@
-//! Wakes the tasks that wait for a change of what the fleet knows.
+//! Wakes tasks that wait for a change of the fleet's state.
 
 use async_channel::{Receiver, Sender};
 use std::cell::RefCell;
 
-/// The tasks that wait for changes.
+/// The subscriptions of tasks that wait for changes.
 #[derive(Default)]
 pub(super) struct ChangeNotifier {
-    watchers: RefCell<Vec<Sender<()>>>,
+    subscribers: RefCell<Vec<Sender<()>>>,
 }
 
 impl ChangeNotifier {
-    /// Receives a message after every change from now on. Changes that come before one is received count once.
+    /// Returns a channel that receives a message after each later change. Changes that occur before the receiver reads
+    /// the message are merged into one.
     pub(super) fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = async_channel::bounded(1);
-        self.watchers.borrow_mut().push(sender);
+        self.subscribers.borrow_mut().push(sender);
         receiver
     }
 
-    /// Wakes all watchers. A full channel wakes its receiver already; one without a receiver is forgotten.
+    /// Wakes all subscribers. A full channel already has a wake-up pending; a closed one is removed.
     pub(super) fn notify(&self) {
-        self.watchers.borrow_mut().retain(|watcher| watcher.try_send(()).is_ok() || !watcher.is_closed());
+        self.subscribers.borrow_mut().retain(|sender| sender.try_send(()).is_ok() || !sender.is_closed());
     }
 }
--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -1,7 +1,7 @@
-//! Drains: requested by operators here, received from peers, kept on disk until the log has resolved them.
+//! Drains requested by operators here or received from peers, kept on disk until the log has resolved them.
 //!
-//! A drain only takes traffic away, so it acts wherever it is known, also without a majority. The end of a drain
-//! gives traffic back and needs the consensus.
+//! A drain only removes traffic from an endpoint, so each node that knows of one applies it at once, even without a
+//! majority. Ending a drain returns traffic to the endpoint and requires the consensus.
 
 use super::Fleet;
 use super::proposals::NoMajority;
@@ -14,17 +14,17 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Drains that are not committed yet, and which version of them is on disk.
+/// The drains that are not committed yet, and the version of them that is on disk.
 pub struct DrainState {
     pending: PendingDrains,
-    /// The last version that was handed to the store's thread.
+    /// The last version that was queued for the store's thread.
     submitted_version: u64,
-    /// The last version that is on disk.
+    /// The last version known to be on disk.
     persisted_version: u64,
 }
 
 impl DrainState {
-    /// Drains that the storage held.
+    /// Creates the state from the drains that the storage held.
     pub(super) fn new(pending: PendingDrains) -> DrainState {
         DrainState { pending, submitted_version: 0, persisted_version: 0 }
     }
@@ -34,28 +34,28 @@
         &self.pending
     }
 
-    /// The same, to be changed.
+    /// Mutable access to the drains that are not committed yet.
     pub(super) fn pending_mut(&mut self) -> &mut PendingDrains {
         &mut self.pending
     }
 
-    /// The store's thread has written this version.
+    /// Records that the store's thread has written this version.
     pub(super) fn record_persisted(&mut self, version: u64) {
         self.persisted_version = self.persisted_version.max(version);
     }
 
-    /// The storage is a new one: everything has to be written again.
-    pub(super) fn storage_replaced(&mut self) {
+    /// Marks the drains as not submitted, because the storage was replaced by an empty one.
+    pub(super) fn reset_submitted(&mut self) {
         self.submitted_version = 0;
     }
 }
 
-/// How far a drain has come.
+/// The state of a drain when its request is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainOutcome {
-    /// It is committed.
+    /// A majority has committed it.
     Committed,
-    /// It acts here and at the peers that are reached, and awaits a majority.
+    /// It is in force here and at all reachable peers, but a majority has not committed it yet.
     AwaitsMajority,
 }
 
@@ -65,12 +65,13 @@
 pub struct UnknownEndpoint(pub String);
 
 impl Fleet {
-    /// Drains an endpoint: at once here and at all peers that are reached, for good once a majority has committed
-    /// it. Returns when that is so, or after the agreement timeout, once the drain is on disk.
+    /// Drains an endpoint. The drain takes effect at once here and at all reachable peers, and is permanent once a
+    /// majority has committed it. Returns after the commit. If that takes longer than the agreement timeout, returns
+    /// once the drain is on disk, waiting for at most another agreement timeout.
     ///
     /// # Errors
     ///
-    /// [`UnknownEndpoint`] where the inventory has no such endpoint.
+    /// [`UnknownEndpoint`] if the committed inventory has no such endpoint.
     pub async fn drain(&self, endpoint: &str) -> Result<DrainOutcome, UnknownEndpoint> {
         let drain_id = {
             let agreed = self.agreed();
@@ -101,11 +102,11 @@
         Ok(if is_committed { DrainOutcome::Committed } else { DrainOutcome::AwaitsMajority })
     }
 
-    /// Ends the drains of an endpoint that this node knows of, once a majority has committed that.
+    /// Ends all drains of an endpoint that this node knows of. Takes effect once a majority has committed it.
     ///
     /// # Errors
     ///
-    /// [`NoMajority`] where that took longer than the agreement timeout; the endpoint stays drained.
+    /// [`NoMajority`] if that takes longer than the agreement timeout. The endpoint then stays drained.
     pub async fn undrain(&self, endpoint: &str) -> Result<(), NoMajority> {
         let drains = self.known_drains(endpoint);
         if drains.is_empty() {
@@ -124,7 +125,7 @@
         known
     }
 
-    /// Waits until the log has resolved a drain: it is committed, or was undone.
+    /// Waits until the log has resolved a drain, by committing or ending it.
     async fn wait_until_resolved(&self, endpoint: &str, drain_id: DrainId, changed: &Receiver<()>) {
         while !self.agreed().state().is_resolved(endpoint, drain_id) {
             let _ = changed.recv().await;
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Merges the pending drains of a peer. What is new is sent on: a peer that the sender does not reach may be
-    /// reached from here.
+    /// Merges a peer's pending drains with this node's. New ones are forwarded to all peers, because this node may
+    /// reach peers that the sender does not.
     pub(super) fn receive_pending_drains(&self, received: Vec<PendingDrain>) {
         let has_changed = {
             let agreed = self.agreed();
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Forgets pending drains that the log has resolved.
+    /// Removes pending drains that the log has resolved.
     pub(super) fn remove_settled_drains(&self) {
         let settled = {
             let agreed = self.agreed();
@@ -168,8 +169,8 @@
         self.persist_pending_drains();
     }
 
-    /// Has the store's thread write the pending drains, if they have changed. A full queue is tried again with the
-    /// next round of the event loop.
+    /// Queues the pending drains for writing to disk, if they have changed since the last time. If the store's queue is
+    /// full, the next round of the event loop retries.
     pub(super) fn persist_pending_drains(&self) {
         let mut drains = self.drains.borrow_mut();
         let version = drains.pending.version();
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Sends all pending drains to all peers.
+    /// Sends all pending drains to all connected peers.
     fn broadcast_pending_drains(&self) {
         let drains = self.drains().pending.all();
         self.broadcast(&PeerMessage::PendingDrains(drains));
--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that the engine is given: the committed inventory, without what is drained here, weighted by zone.
+//! The endpoint list for the engine: the committed inventory, with drains known here applied and weighted by zone.
 
 use super::Fleet;
 use super::agreed_state::AgreedState;
@@ -15,16 +15,16 @@
 use std::cell::Ref;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The endpoints whose entry in the list may have changed since it was last made.
+/// The endpoints whose list entries may have changed since the last update.
 pub(super) enum EndpointChanges {
-    /// Any may have changed.
+    /// Every entry has to be checked.
     All,
-    /// These may have changed.
+    /// Only the entries of these endpoints have to be checked.
     Some(BTreeSet<String>),
 }
 
 impl EndpointChanges {
-    /// Any endpoint may have changed.
+    /// Records that any endpoint may have changed.
     pub(super) fn record_all(&mut self) {
         *self = EndpointChanges::All;
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// All that the entries of the list depend on.
+/// Everything that determines the entries of the list.
 struct ListInputs<'a> {
     now: Timestamp,
     agreed: Ref<'a, AgreedState>,
@@ -48,12 +48,12 @@
     gossip: Ref<'a, GossipExchange>,
     recovery: Ref<'a, RecoveryProgress>,
     zones: Ref<'a, ZoneControl>,
-    /// Of each zone that does not get all of its reads, the groups that have no endpoint in another zone.
+    /// For each zone with reduced reads, the groups that have no endpoint in any other zone.
     confined_groups: BTreeMap<ZoneId, BTreeSet<GroupId>>,
 }
 
 impl ListInputs<'_> {
-    /// The entry of an endpoint; `None` where the inventory lacks it.
+    /// The list entry of an endpoint; `None` if the inventory does not contain it.
     fn record(&self, name: &str) -> Option<EndpointRecord> {
         let state = self.agreed.state();
         let is_drained = state.is_drained(name) || self.drains.pending().is_draining(name);
@@ -67,8 +67,8 @@
         Some(self.zones.state().apply_weight(self.now, record, state, placement))
     }
 
-    /// Whether an endpoint is believed to be its group's primary. Where the primary is not known, or was in a zone that
-    /// is lost, each endpoint outside of lost zones may be it.
+    /// Whether an endpoint may be its group's primary. If the primary is unknown or was last seen in a lost zone, this
+    /// is true for every endpoint of the group outside lost zones.
     fn may_be_primary(&self, name: &str, record: &EndpointRecord) -> bool {
         let gossip = self.gossip.state();
         let Some(belief) = gossip.primary_beliefs().get(&record.group) else {
@@ -89,9 +89,9 @@
 }
 
 impl Fleet {
-    /// What has changed in the endpoint list since it was last asked for; `None` where nothing has, or no inventory is
-    /// committed. An endpoint that is drained here is drained in the list, whether or not that is committed. `list` is
-    /// the list as the caller has it; it is brought up to date.
+    /// Returns the entries that have changed since the last call, and applies them to `list`, the caller's copy of the
+    /// list. If `list` is empty, returns all entries. Returns `None` if nothing has changed or no inventory is
+    /// committed. Drains known here are applied whether or not they are committed.
     pub fn next_endpoint_update(
         &self,
         list: &mut BTreeMap<String, EndpointRecord>,
@@ -99,9 +99,9 @@
         self.agreed().state().inventory.as_ref()?;
         let changes = self.endpoint_changes.borrow_mut().take();
         let inputs = self.list_inputs();
-        let is_whole = list.is_empty();
+        let is_full_list = list.is_empty();
         let names = match changes {
-            EndpointChanges::Some(names) if !is_whole => names,
+            EndpointChanges::Some(names) if !is_full_list => names,
             _ => inputs.agreed.state().hosts.keys().chain(list.keys()).cloned().collect(),
         };
         let mut entries = Vec::new();
@@ -123,7 +123,7 @@
         if entries.is_empty() {
             return None;
         }
-        Some(EndpointUpdate { index: inputs.agreed.applied_index(), whole: is_whole, entries })
+        Some(EndpointUpdate { index: inputs.agreed.applied_index(), whole: is_full_list, entries })
     }
 
     fn list_inputs(&self) -> ListInputs<'_> {
@@ -144,12 +144,13 @@
         }
     }
 
-    /// Notes that the entries of these endpoints may have changed.
+    /// Records that the list entries of these endpoints may have changed.
     pub(super) fn mark_endpoints_changed(&self, endpoints: impl IntoIterator<Item = String>) {
         self.endpoint_changes.borrow_mut().record(endpoints);
     }
 
-    /// The committed list without what is drained here, for operators; `None` where no inventory is committed.
+    /// The whole committed list with drains known here applied, as shown to operators; `None` if no inventory is
+    /// committed.
     pub fn endpoint_list(&self) -> Option<EndpointUpdate> {
         let agreed = self.agreed();
         agreed.state().inventory.as_ref()?;
--- a/src/fleet/runtime/event_loop.rs
+++ b/src/fleet/runtime/event_loop.rs
@@ -1,4 +1,4 @@
-//! The periodic work of the fleet, done at once after every change as well.
+//! The periodic work of the fleet, also done promptly after each change.
 
 use super::Fleet;
 use crate::engine::log_rollback::LogRollback;
@@ -9,31 +9,31 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A lost range of a group's log is repeated with each heartbeat for this time, for peers that missed it.
+/// A log rollback is sent again with each heartbeat for this long, for peers that missed the first message.
 const LOG_ROLLBACK_REPEAT: TimeDelta = TimeDelta::from_secs(60);
 
-/// After a change the loop waits this long, so that changes in a burst cost one round.
+/// Delay between a change and the next round, so that a burst of changes is handled in one round.
 const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(1);
 
-/// A node that asks to be admitted is forgotten after this many times [`crate::config::Limits::peer_gone_timeout`]. A
-/// leader, which would admit it, forgets it after one.
+/// A candidate is forgotten after this many times [`crate::config::Limits::peer_gone_timeout`] without a message. A
+/// leader, which would admit it, forgets it after one such timeout.
 const CANDIDATE_EXPIRY_FACTOR: u32 = 5;
 
 impl Fleet {
-    /// Does the fleet's periodic work, without end.
+    /// Runs the event loop. Never returns.
     pub async fn run(self: &Rc<Fleet>) {
         let mut next_heartbeat = Instant::now();
         let mut next_gossip_save = Instant::now() + self.limits.gossip_save_interval;
         let changed = self.changes.subscribe();
         loop {
-            self.do_round();
+            self.run_round();
             if Instant::now() >= next_gossip_save {
                 next_gossip_save = Instant::now() + self.limits.gossip_save_interval;
                 self.persist_gossip();
             }
             if Instant::now() >= next_heartbeat {
                 next_heartbeat = Instant::now() + self.limits.heartbeat_interval;
-                self.do_heartbeat();
+                self.run_heartbeat_tasks();
             }
             if sleep_or_wake(self.time_to_next_round(), &changed).await {
                 Timer::after(CHANGE_BATCH_DELAY).await;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// What is done in each round: each step does nothing where nothing is due.
-    fn do_round(self: &Rc<Fleet>) {
+    /// Runs one round of the loop. Each step returns at once if nothing is due.
+    fn run_round(self: &Rc<Fleet>) {
         self.found_fleet_if_due();
         self.participate_if_accepted();
         self.campaign_if_due();
@@ -52,8 +52,8 @@
         self.persist_pending_drains();
     }
 
-    /// What is done at each heartbeat interval.
-    fn do_heartbeat(&self) {
+    /// Runs the tasks that are due once per heartbeat interval.
+    fn run_heartbeat_tasks(&self) {
         self.broadcast(&self.own_heartbeat());
         let now = self.clock.now();
         self.remove_departed_from_gossip(now);
@@ -64,20 +64,20 @@
         self.peers.borrow_mut().expire_candidates(expiry);
     }
 
-    /// Repeats ranges of groups' logs that were lost a short time ago.
+    /// Sends recent log rollbacks again; see [`LOG_ROLLBACK_REPEAT`].
     fn broadcast_recent_log_rollbacks(&self, now: Timestamp) {
-        let mut recent: Vec<LogRollback> = self.breaks.borrow().all();
+        let mut recent: Vec<LogRollback> = self.log_rollbacks.borrow().all();
         recent.retain(|rollback| now - rollback.to.commit_time(Timestamp::ZERO) < LOG_ROLLBACK_REPEAT);
         if !recent.is_empty() {
             self.broadcast(&PeerMessage::LogRollbacks(recent));
         }
     }
 
-    /// How long the loop sleeps if nothing changes.
+    /// The longest time that the loop sleeps if nothing changes.
     fn time_to_next_round(&self) -> Duration {
         let agreed = self.agreed();
         if self.is_recovering() && !agreed.has_leader() && agreed.has_fleet() {
-            // It may be this node's turn to start an election.
+            // An election by this node may become due at any tick.
             return self.limits.raft_tick;
         }
         let has_pending_work = !self.drains().pending().is_empty()
--- a/src/fleet/runtime/first_election.rs
+++ b/src/fleet/runtime/first_election.rs
@@ -1,11 +1,11 @@
-//! Starts an election at once after a start, where this node is the one to do it.
+//! The immediate election after a start, begun by the reachable voter with the newest log.
 
 use super::Fleet;
 use crate::fleet::recovery::first_election::Voter;
 use crate::store::store_thread::StoreCommand;
 
 impl Fleet {
-    /// Starts an election, if it is this node's turn.
+    /// Starts the first election if this node is the one to do so.
     pub(super) fn campaign_if_due(&self) {
         let agreed = self.agreed();
         let status = agreed.status();
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Peers that participate, are heard here and can be sent messages.
+    /// Peers that participate in the consensus, were heard recently and can be sent messages.
     fn reachable_voters(&self) -> Vec<Voter> {
         let peers = self.peers();
         let mut reachable = Vec::new();
--- a/src/fleet/runtime/founding.rs
+++ b/src/fleet/runtime/founding.rs
@@ -1,4 +1,4 @@
-//! How this node comes into a fleet: it founds one, or is admitted, and then participates in the consensus.
+//! How this node founds or joins a fleet, and when it starts to participate in the consensus.
 
 use super::Fleet;
 use crate::fleet::bootstrap::{Bootstrap, BootstrapState, Handshake};
@@ -11,20 +11,21 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What is known while this node belongs to no fleet.
+/// The state of a node that does not belong to a fleet yet.
 pub struct FoundingState {
-    /// The last handshake from each address that has answered.
+    /// The last handshake of each peer that has replied, by the address at which it was reached.
     answers: BTreeMap<SocketAddr, Handshake>,
-    /// Addresses and names of the members of a fleet that this node may join.
+    /// Addresses and names of the members of a fleet that this node may join, as one of them reported.
     known_members: BTreeMap<SocketAddr, String>,
-    /// An operator has ordered to found a fleet with the nodes that have answered.
+    /// Whether an operator has ordered this node to found a fleet with the nodes that have replied.
     is_ordered_by_operator: bool,
+    /// Why there is no agreed configuration; shown to operators.
     status: String,
     status_since: Instant,
 }
 
 impl FoundingState {
-    /// Before any peer has answered.
+    /// Creates the state before any peer has replied.
     pub(super) fn new() -> FoundingState {
         FoundingState {
             answers: BTreeMap::new(),
@@ -35,17 +36,18 @@
         }
     }
 
-    /// Why there is no agreed configuration, for operators.
+    /// Why there is no agreed configuration, as shown to operators. Only meaningful while this node belongs to no
+    /// fleet.
     pub fn status(&self) -> &str {
         &self.status
     }
 
-    /// How long that has been so.
+    /// Time since the status last changed.
     pub fn status_age(&self) -> Duration {
         self.status_since.elapsed()
     }
 
-    /// Notes why there is no agreed configuration.
+    /// Sets the status, and logs it if it has changed.
     fn set_status(&mut self, status: String) {
         if self.status != status {
             log::info!("fleet: {status}");
@@ -59,29 +61,29 @@
         &self.known_members
     }
 
-    /// Replaces these members.
+    /// Replaces the members of a fleet that this node may join.
     pub(super) fn set_known_members(&mut self, members: BTreeMap<SocketAddr, String>) {
         self.known_members = members;
     }
 
-    /// Notes the answer of the peer at an address.
+    /// Records the handshake of the peer that replied at an address.
     pub(super) fn record_answer(&mut self, address: SocketAddr, handshake: Handshake) {
         self.answers.insert(address, handshake);
     }
 
-    /// The connection to an address has ended: its answer is not valid any more.
+    /// Removes the reply from an address, because the connection has ended and the reply may be outdated.
     pub(super) fn forget_answer(&mut self, address: &SocketAddr) {
         self.answers.remove(address);
     }
 
-    /// A node that has answered has connected, with a newer handshake.
+    /// Updates the replies of a node from the newer handshake with which it connected to this node.
     pub(super) fn update_answers(&mut self, handshake: &Handshake) {
         for answer in self.answers.values_mut().filter(|answer| answer.id == handshake.id) {
             *answer = handshake.clone();
         }
     }
 
-    /// This node belongs to a fleet now.
+    /// Removes what is only needed without a fleet, because this node belongs to one now.
     pub(super) fn clear(&mut self) {
         self.answers.clear();
         self.known_members.clear();
@@ -99,21 +101,22 @@
     }
 }
 
-/// A fleet was not founded on an operator's order, and why.
+/// No fleet was founded on an operator's order.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not formed: {status}")]
-pub struct NotFounded {
-    /// What this node waits for, or what it last waited for where it belongs to a fleet already.
+pub struct FoundingError {
+    /// Why not. If this node already belongs to a fleet, what it last waited for before it joined.
     pub status: String,
 }
 
 impl Fleet {
-    /// Founds a fleet with the peers that have answered, on an operator's order.
+    /// Founds a fleet with the peers that have replied, on an operator's order. If founding has to wait, the order
+    /// remains in force.
     ///
     /// # Errors
     ///
-    /// [`NotFounded`] where this node belongs to a fleet already, or must not found one.
-    pub fn found_fleet_on_order(&self) -> Result<(), NotFounded> {
+    /// [`FoundingError`] if this node already belongs to a fleet or must not found one now.
+    pub fn found_fleet_on_order(&self) -> Result<(), FoundingError> {
         if !self.agreed().has_fleet() {
             self.founding.borrow_mut().is_ordered_by_operator = true;
             self.found_fleet_if_due();
@@ -122,22 +125,22 @@
                 return Ok(());
             }
         }
-        Err(NotFounded { status: self.founding().status.clone() })
+        Err(FoundingError { status: self.founding().status.clone() })
     }
 
-    /// Why there is no agreed configuration, for operators.
+    /// Why there is no agreed configuration, for the log; see [`FoundingState::status`].
     pub fn bootstrap_status(&self) -> String {
         self.founding().status.clone()
     }
 
-    /// Founds a fleet where this node is the one to do it.
+    /// Founds a fleet if this node is the one to do so, and updates the status.
     pub(super) fn found_fleet_if_due(&self) {
         let (id, state) = {
             let agreed = self.agreed();
             if agreed.has_fleet() || agreed.is_retired() {
                 return;
             }
-            let (id, peers) = (agreed.local_id(), &self.local.named);
+            let (id, peers) = (agreed.local_id(), &self.local.configured_peers);
             (id, self.founding().bootstrap_state(&self.local.name, id, peers))
         };
         self.founding.borrow_mut().set_status(state.to_string());
@@ -150,14 +153,14 @@
         }
     }
 
-    /// The node that a link reached has this node's id.
+    /// Reports to operators that the node reached by a link has this node's own id.
     pub(super) fn report_duplicate_identity(&self, link: &PeerLink) {
         let status = format!("{} is this daemon itself, or one with a copy of its disk", link.address);
         self.founding.borrow_mut().set_status(status);
     }
 
-    /// Participates in the consensus once a majority of the voters, this node among them, has accepted this node's
-    /// handshake: otherwise storage that was put back to an earlier copy could vote twice.
+    /// Starts to participate in the consensus once a majority of the voters, counting this node, has accepted its
+    /// handshake. A node whose storage was restored from an older copy could otherwise vote twice in one term.
     pub(super) fn participate_if_accepted(&self) {
         let is_accepted = {
             let agreed = self.agreed();
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -1,5 +1,4 @@
-//! Gossip: what endpoints have reported to this node or a peer, exchanged with the peers, kept on disk, and handed to
-//! the engine.
+//! Gossip: exchanges endpoints' reports with the peers, saves them to disk and passes them to the engine.
 
 use super::Fleet;
 use crate::clock::Clock;
@@ -19,47 +18,47 @@
 use async_channel::{Receiver, Sender};
 use std::collections::BTreeMap;
 
-/// Hints at primaries that wait for the engine. A hint that does not fit is dropped: the engine finds primaries by
-/// itself, hints make it faster.
+/// Capacity of the queue of primary hints for the engine. Hints that do not fit are dropped: they only help the engine
+/// to find a primary sooner than it would by itself.
 const HINT_QUEUE: usize = 64;
 
-/// Observations of peers that wait for the engine while this node recovers. One that does not fit is dropped: the
-/// endpoint is polled then.
+/// Capacity of the queue of peers' observations for the engine, used while this node recovers. For an observation that
+/// does not fit, the engine polls the endpoint itself.
 const OBSERVATION_QUEUE: usize = 4096;
 
-/// What of the gossip is on disk.
+/// The version of the gossip that was last queued for writing to disk.
 #[derive(Default, PartialEq)]
 struct PersistedVersion {
     digest: GossipDigest,
     log_rollbacks: Vec<LogRollback>,
 }
 
-/// The gossip, what each peer has of it, and what of it is on disk.
+/// The gossip, together with the versions that each peer has and that are saved on disk.
 pub struct GossipExchange {
     state: GossipState,
-    /// Each peer's last digest, with what was sent to it since.
+    /// Each peer's last digest, updated with the records sent to it since.
     peer_digests: BTreeMap<NodeId, GossipDigest>,
     persisted: PersistedVersion,
 }
 
 impl GossipExchange {
-    /// Gossip of this start, with guesses from the state before it.
+    /// Creates the exchange around the gossip state, which may contain records restored from disk.
     pub(super) fn new(state: GossipState) -> GossipExchange {
         GossipExchange { state, peer_digests: BTreeMap::new(), persisted: PersistedVersion::default() }
     }
 
-    /// What is known of the endpoints.
+    /// What this node and its peers have observed of the endpoints.
     pub fn state(&self) -> &GossipState {
         &self.state
     }
 
-    /// This node has a new identity: it starts without gossip.
+    /// Replaces the gossip state, because a node with a new identity starts without gossip.
     pub(super) fn replace_state(&mut self, state: GossipState) {
         self.state = state;
     }
 }
 
-/// What the fleet hands to the engine.
+/// Queues of hints and observations for the engine.
 pub(super) struct EngineQueues {
     hint_sender: Sender<Vec<u8>>,
     hint_receiver: Receiver<Vec<u8>>,
@@ -68,7 +67,7 @@
 }
 
 impl EngineQueues {
-    /// Empty queues.
+    /// Creates empty queues.
     pub(super) fn new() -> EngineQueues {
         let (hint_sender, hint_receiver) = async_channel::bounded(HINT_QUEUE);
         let (observation_sender, observation_receiver) = async_channel::bounded(OBSERVATION_QUEUE);
@@ -86,13 +85,13 @@
     }
 }
 
-/// The gossip of an empty state of this start.
+/// Creates an empty gossip state. Its versions begin at the current clock, above those of earlier starts.
 pub(super) fn new_gossip_state(local_id: NodeId, clock: &Clock) -> GossipState {
     GossipState::new(local_id, clock.now().as_micros().max(0) as u64)
 }
 
-/// What the storage held: gossip as first guesses, as far as its age is known, and lost ranges of groups' logs. These
-/// count whatever the clock did, as they name positions and not times.
+/// Restores gossip and log rollbacks from the storage. Gossip is used for first guesses, and only if its age can be
+/// determined. Log rollbacks do not depend on the clock, because they name positions and not times.
 pub(super) fn restore_gossip(
     stored: Option<Vec<u8>>,
     clock: &Clock,
@@ -112,14 +111,14 @@
     }
 }
 
-/// The machine's clocks now.
+/// Reads the wall clock and the machine's uptime clock.
 fn read_clocks(clock: &Clock) -> ClockReading {
     let (boot_id, uptime) = Clock::machine();
     ClockReading { wall: clock.now(), boot_id, uptime }
 }
 
 impl Fleet {
-    /// Takes in what endpoints have reported to this node, and tells the peers what is urgent.
+    /// Records what endpoints have reported to this node, and sends urgent changes to the peers at once.
     pub fn record_observations(&self, observations: &[Observation]) {
         let now = self.clock.now();
         let rollbacks = self.detect_log_rollbacks(observations);
@@ -127,7 +126,7 @@
             self.record_log_rollbacks(rollbacks, &self.local.name);
         }
         let urgency = {
-            // While this node recovers its peers recover too, most likely, and wait for what it observes.
+            // If this node is recovering, its peers most likely are as well, and wait for its observations.
             let urgency =
                 if self.is_recovering() { GossipUrgency::Immediate } else { GossipUrgency::Routine };
             let agreed = self.agreed();
@@ -144,7 +143,8 @@
         }
     }
 
-    /// Sends each peer what it lacks of this node's own observations, by its last digest, without being asked.
+    /// Sends each peer those of this node's own observations that are missing from its last digest, without waiting for
+    /// a new digest.
     fn push_own_observations(&self) {
         let now = self.clock.now();
         let local_id = self.agreed().local_id();
@@ -156,24 +156,25 @@
             let records = state.records_missing_from(now, digest, |id| id != local_id, limit);
             let Some(last_version) = records.iter().map(|record| record.version).max() else { continue };
             if link.send(&PeerMessage::GossipRecords(records).encode()) {
-                // Taken as received until the peer's next digest: what was lost on the way is sent again then.
+                // Assumed to be received. The peer's next digest shows what was lost, which is then sent again.
                 digest.retain(|(id, _)| *id != local_id);
                 digest.push((local_id, last_version));
             }
         }
     }
 
-    /// Answers the digest of a peer with what the peer lacks.
+    /// Answers a peer's digest with the records that the peer is missing.
     pub(super) fn receive_gossip_digest(&self, sender: NodeId, digest: GossipDigest) {
         let records = {
             let peers = self.peers();
-            let heard_by_sender = match peers.status(sender) {
+            let reachable_from_sender = match peers.status(sender) {
                 Some(status) => status.heartbeat.reachable_peers.as_slice(),
                 None => &[],
             };
-            let sender_hears = |id| heard_by_sender.contains(&id);
+            let is_reachable_from_sender = |id| reachable_from_sender.contains(&id);
             let limit = self.limits.observations_per_message;
-            self.gossip().state.records_missing_from(self.clock.now(), &digest, sender_hears, limit)
+            let now = self.clock.now();
+            self.gossip().state.records_missing_from(now, &digest, is_reachable_from_sender, limit)
         };
         self.gossip.borrow_mut().peer_digests.insert(sender, digest);
         if !records.is_empty()
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Takes in the records of a peer. The engine gets a hint of each primary that a peer has observed.
+    /// Merges a peer's records. The engine gets a hint for each primary newly observed by another node.
     pub(super) fn receive_gossip_records(&self, records: Vec<GossipRecord>) {
         let now = self.clock.now();
         if self.is_recovering() {
@@ -197,37 +198,37 @@
             state.update_beliefs(now, agreed.state())
         };
         self.detect_restarts(now, endpoints.iter());
-        self.hint_at_new_primaries(new_beliefs);
+        self.queue_primary_hints(new_beliefs);
     }
 
-    fn hint_at_new_primaries(&self, beliefs: BTreeMap<GroupId, PrimaryBelief>) {
+    fn queue_primary_hints(&self, beliefs: BTreeMap<GroupId, PrimaryBelief>) {
         let local_id = self.agreed().local_id();
         for (group, belief) in beliefs.into_iter().filter(|(_, belief)| belief.observer != local_id) {
-            log::info!("fleet: group {group}: a peer has observed that {} is primary", belief.endpoint);
+            log::info!("fleet: group {group}: a peer observed {} as the primary", belief.endpoint);
             let endpoint = id_of(&belief.endpoint);
             self.engine_queues.push_hint(PrimaryHint { endpoint, at: belief.observed_at });
         }
     }
 
-    /// An endpoint has reported to a peer's engine that it is the primary, `age` ago.
+    /// Passes a peer's hint to the engine: `age` ago this endpoint reported that it is the primary.
     pub(super) fn receive_primary_hint(&self, endpoint: EndpointBytes, age: TimeDelta) {
         let hint = PrimaryHint { endpoint: EndpointId::from(endpoint), at: self.clock.now() - age };
         self.engine_queues.push_hint(hint);
     }
 
-    /// Sends the peers a hint of this node's engine. Its time is sent as an age: clocks may differ.
+    /// Sends a hint from this node's engine to the peers. Its time is sent as an age, because clocks may differ.
     pub fn send_primary_hint(&self, hint: &[u8]) {
         let Some(PrimaryHint { endpoint, at }) = PrimaryHint::read(hint) else { return };
         let age = (self.clock.now() - at).or_zero();
         self.broadcast(&PeerMessage::PrimaryHint { endpoint: endpoint.into(), age });
     }
 
-    /// The next hint of a peer for this node's engine.
+    /// Waits for the next primary hint for this node's engine.
     pub async fn next_primary_hint(&self) -> Option<Vec<u8>> {
         self.engine_queues.hint_receiver.recv().await.ok()
     }
 
-    /// Hints for an engine that starts: the believed primaries, and guesses from before this start.
+    /// Hints for an engine that starts: the currently believed primaries, and those restored from before this start.
     pub fn initial_primary_hints(&self) -> Vec<Vec<u8>> {
         let (agreed, gossip) = (self.agreed(), self.gossip());
         let mut hints = Vec::new();
@@ -241,12 +242,13 @@
         hints
     }
 
-    /// Log positions from before this start, for the engine.
+    /// Log positions restored from before this start, for the engine.
     pub fn restored_positions(&self) -> Vec<PeerObservation> {
         self.gossip().state.restored_positions()
     }
 
-    /// The next observations of peers for the engine, while this node recovers.
+    /// Waits for observations of peers for the engine, and returns all that are queued. Filled only while this node
+    /// recovers.
     pub async fn next_peer_observations(&self) -> Option<Vec<PeerObservation>> {
         let queue = &self.engine_queues.observation_receiver;
         let mut observations = vec![queue.recv().await.ok()?];
@@ -256,7 +258,7 @@
         Some(observations)
     }
 
-    /// Sends the digest to all peers, if there is any gossip to compare.
+    /// Sends the gossip digest to all peers, unless it is empty.
     pub(super) fn broadcast_gossip_digest(&self) {
         let digest = self.gossip().state.digest();
         if !digest.is_empty() {
@@ -264,7 +266,7 @@
         }
     }
 
-    /// Forgets endpoints and nodes that are not listed any more.
+    /// Removes endpoints and nodes that are no longer listed in the committed state.
     pub(super) fn remove_departed_from_gossip(&self, now: Timestamp) {
         let agreed = self.agreed();
         let mut gossip = self.gossip.borrow_mut();
@@ -272,10 +274,10 @@
         gossip.peer_digests.retain(|id, _| agreed.is_member(*id));
     }
 
-    /// Has the store's thread write the gossip, if it has changed since it was last written.
+    /// Queues the gossip for writing to disk if it has changed since the last time.
     pub(super) fn persist_gossip(&self) {
         let mut gossip = self.gossip.borrow_mut();
-        let log_rollbacks = self.breaks.borrow().all();
+        let log_rollbacks = self.log_rollbacks.borrow().all();
         let version = PersistedVersion { digest: gossip.state.digest(), log_rollbacks };
         if gossip.state.is_empty() || gossip.persisted == version {
             return;
--- a/src/fleet/runtime/incoming_connection.rs
+++ b/src/fleet/runtime/incoming_connection.rs
@@ -1,10 +1,10 @@
-//! A connection that a peer has opened: its handshake, then its messages until the connection ends.
+//! Connections opened by peers: the handshake, then messages until the connection ends.
 
 use super::Fleet;
 use super::message_dispatch::{MessageRejection, PeerRole};
 use crate::fleet::bootstrap::{self, Handshake, HandshakeVerdict};
 use crate::fleet::message::{DecodedMessage, HandshakeReply, PeerMessage};
-use crate::fleet::peer_link::{PATH, PROTOCOL};
+use crate::fleet::peer_link::{UPGRADE_PATH, UPGRADE_PROTOCOL};
 use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
 use crate::net::connection::ClientConnection;
@@ -15,14 +15,14 @@
 use std::time::Instant;
 
 impl Fleet {
-    /// Whether an HTTP request asks for a connection between nodes.
+    /// Whether an HTTP request asks to be upgraded to a connection between peers.
     pub fn is_peer_connection(request: &Request) -> bool {
-        request.target().0 == PATH && request.head.has("upgrade", PROTOCOL)
+        request.target().0 == UPGRADE_PATH && request.head.has("upgrade", UPGRADE_PROTOCOL)
     }
 
-    /// Serves a connection that a peer has opened, until it ends.
+    /// Serves a connection opened by a peer until it ends. `buffer` has the bytes read after the upgrade request.
     pub async fn serve_peer(&self, mut connection: ClientConnection, mut buffer: Buffer) {
-        let upgrade = server::answer_head(101, &[("Connection", "Upgrade"), ("Upgrade", PROTOCOL)]);
+        let upgrade = server::answer_head(101, &[("Connection", "Upgrade"), ("Upgrade", UPGRADE_PROTOCOL)]);
         if connection.write(&upgrade).await.is_err() {
             return;
         }
@@ -41,15 +41,16 @@
         };
         self.founding.borrow_mut().update_answers(&peer);
         self.changes.notify();
-        let end_of_incoming = self.peers().end_of_incoming();
-        let ended = async {
-            let _ = end_of_incoming.recv().await;
+        let close_signal = self.peers().incoming_close_signal();
+        let closed = async {
+            let _ = close_signal.recv().await;
         };
         let messages = self.serve_messages(&mut connection, &mut buffer, &peer, role);
-        or(or(ended, self.wait_until_silent(peer.id)), messages).await;
+        or(or(closed, self.wait_until_silent(peer.id)), messages).await;
     }
 
-    /// Reads the handshake of a peer; `None` where something else came, or nothing in time.
+    /// Reads a peer's handshake. Returns `None` if another message arrives first or the handshake does not arrive in
+    /// time.
     async fn read_handshake(
         &self,
         connection: &mut ClientConnection,
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Judges the handshake of a peer that has connected, and notes a candidate.
+    /// Judges the handshake of a peer that has connected. Records the peer as a candidate if it asks to be admitted,
+    /// and counts a rejection.
     fn judge_handshake(&self, peer: &Handshake) -> HandshakeVerdict {
         let agreed = self.agreed();
         let known_progress = agreed.status().reported_progress.get(&peer.id);
@@ -73,14 +75,14 @@
             | HandshakeVerdict::OutdatedStorage
             | HandshakeVerdict::SupersededFleet => {
                 self.peers.borrow_mut().count_rejection();
-                log::warn!("fleet: the handshake of {} was rejected: {verdict:?}", peer.name);
+                log::warn!("fleet: rejected the handshake of {}: {verdict:?}", peer.name);
             }
             HandshakeVerdict::Accepted | HandshakeVerdict::RemovedMember => {}
         }
         verdict
     }
 
-    /// Dispatches messages until the connection ends or one is rejected.
+    /// Dispatches messages until the connection ends or a message is rejected.
     async fn serve_messages(
         &self,
         connection: &mut ClientConnection,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Reads the next message; `None` where the connection has ended, or what came is not a message.
+    /// Reads the next message. Returns `None` if the connection has ended or the bytes are not a valid message.
     async fn read_message(
         &self,
         connection: &mut ClientConnection,
@@ -120,7 +122,8 @@
         }
     }
 
-    /// Returns when a peer was silent for the stall timeout: each sends heartbeats. One timer serves many messages.
+    /// Returns once no message has arrived from a peer for the stall timeout; a working peer sends heartbeats more
+    /// often. The timer is restarted after it expires and not with each message, which saves work.
     async fn wait_until_silent(&self, peer: NodeId) {
         let mut last_checked = Instant::now();
         loop {
--- a/src/fleet/runtime/log_rollbacks.rs
+++ b/src/fleet/runtime/log_rollbacks.rs
@@ -1,4 +1,5 @@
-//! Ranges of groups' logs that were lost: noticed here or reported by a peer, and sent on.
+//! Log rollbacks: ranges of log positions that a group has lost, detected here or reported by a peer, and forwarded to
+//! the peers.
 
 use super::Fleet;
 use super::agreed_state::AgreedState;
@@ -9,12 +10,12 @@
 use crate::time::{LogPosition, Timestamp};
 
 impl Fleet {
-    /// Records ranges that were lost, as `reported_by` noticed. Those that are new here are sent on.
+    /// Records log rollbacks reported by the node `reported_by`. Those that are new here are sent to all peers.
     pub(super) fn record_log_rollbacks(&self, rollbacks: Vec<LogRollback>, reported_by: &str) {
         let new = self.record_new_rollbacks(rollbacks);
         for rollback in &new {
             log::warn!(
-                "fleet: group {} has lost its log after {} up to {}, reported by {reported_by}; sessions are told",
+                "fleet: group {} lost its log after position {} up to {}, reported by {reported_by}; its sessions are notified",
                 rollback.group,
                 rollback.from.as_millis(),
                 rollback.to.as_millis()
@@ -25,15 +26,16 @@
         }
     }
 
+    /// Records the rollbacks that are plausible and belong to a listed group; returns those that were not known.
     fn record_new_rollbacks(&self, rollbacks: Vec<LogRollback>) -> Vec<LogRollback> {
-        let (agreed, mut known) = (self.agreed(), self.breaks.borrow_mut());
+        let (agreed, mut known) = (self.agreed(), self.log_rollbacks.borrow_mut());
         let latest_end = self.clock.now() + START_TIME_TOLERANCE;
         let mut new = Vec::new();
         for rollback in rollbacks {
-            // By the clock of a peer that is far ahead, commits of the future would count as lost.
+            // A peer whose clock is far ahead could otherwise declare future commits lost.
             let is_plausible = rollback.from >= LogPosition::UNKNOWN
                 && rollback.to.commit_time(Timestamp::ZERO) <= latest_end;
-            // Most are repeated: the endpoints are searched for the group only where one is new.
+            // Most rollbacks are repeats; only new ones justify the search through all endpoints for the group.
             if is_plausible
                 && !known.is_known(rollback)
                 && agreed.state().hosts.values().any(|host| host.group == rollback.group)
@@ -45,7 +47,7 @@
         new
     }
 
-    /// The ranges of groups' logs that were lost, by what endpoints report now.
+    /// Detects log rollbacks in new observations of endpoints.
     pub(super) fn detect_log_rollbacks(&self, observations: &[Observation]) -> Vec<LogRollback> {
         let (agreed, gossip) = (self.agreed(), self.gossip());
         let detect = |observation| detect_log_rollback(observation, &agreed, gossip.state());
@@ -53,7 +55,7 @@
     }
 }
 
-/// The range that an endpoint's group has lost, if this observation shows one.
+/// The log rollback of an endpoint's group that this observation shows; `None` if it shows none.
 fn detect_log_rollback(
     observation: &Observation,
     agreed: &AgreedState,
@@ -63,7 +65,8 @@
     if !observation.primary {
         return None;
     }
-    // Where another endpoint has been the primary since, this one has just stepped down: its log is not the group's.
+    // Another endpoint was observed as the primary after this one started: this one has just been demoted, and its log
+    // is not the group's.
     if let Some(belief) = gossip.primary_beliefs().get(&group)
         && belief.endpoint != observation.endpoint_name
         && Some(belief.observed_at) > observation.started_at
@@ -72,7 +75,7 @@
     }
     let (from, lost_until) = match observation.regression {
         Some(regression) => (regression.position, regression.requested_at),
-        // A primary whose last commit is older than its start: it has nothing of what was written between.
+        // The last commit of a primary is older than its start, so it has lost everything written in between.
         None => {
             let started_at = observation.started_at?;
             let position = observation.position;
--- a/src/fleet/runtime/membership_requests.rs
+++ b/src/fleet/runtime/membership_requests.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership: what operators request, and the leader's next step.
+//! Membership changes: requests from operators, and the next step that the leader takes.
 
 use super::Fleet;
 use super::proposals::NoMajority;
@@ -15,31 +15,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// What operators request of members, until it is done or the request has expired.
+/// Operators' requests to change members. They expire unless they are repeated.
 pub(super) struct MembershipRequests {
+    /// The open requests, each with the time at which it was last received.
     requested_at: BTreeMap<MemberRequest, Instant>,
     max_requests: usize,
 }
 
 impl MembershipRequests {
-    /// Without requests.
+    /// Creates an empty set of at most `max_requests` requests.
     pub(super) fn new(max_requests: usize) -> MembershipRequests {
         MembershipRequests { requested_at: BTreeMap::new(), max_requests }
     }
 
-    /// Notes a request, unless there are too many.
+    /// Records a request or its repetition, unless the set is full.
     pub(super) fn record(&mut self, request: MemberRequest) {
         if self.requested_at.len() < self.max_requests {
             self.requested_at.insert(request, Instant::now());
         }
     }
 
-    /// Whether there is none.
+    /// Whether there are no open requests.
     pub(super) fn is_empty(&self) -> bool {
         self.requested_at.is_empty()
     }
 
-    /// Forgets requests that were not repeated for `age`.
+    /// Removes requests that were not repeated for `age`.
     fn expire(&mut self, age: Duration) {
         let now = Instant::now();
         self.requested_at.retain(|_, requested_at| now - *requested_at < age);
@@ -50,23 +51,23 @@
     }
 }
 
-/// Why a request of an operator was not carried out.
+/// Why an operator's request was not carried out.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipRequestError {
     /// The fleet has no member of this name.
     #[error("no daemon {0:?} in the fleet")]
     UnknownMember(String),
-    /// It took too long.
+    /// It was not committed in time.
     #[error(transparent)]
     NoMajority(#[from] NoMajority),
 }
 
 impl Fleet {
-    /// Has a member get a vote, or leave. Returns once that is applied here.
+    /// Grants a member a vote or removes it from the fleet. Returns once the change is applied here.
     ///
     /// # Errors
     ///
-    /// [`MembershipRequestError`] where there is no such member, or it took longer than two agreement timeouts.
+    /// [`MembershipRequestError`] if there is no such member or the change takes longer than two agreement timeouts.
     pub async fn change_membership(&self, request: MemberRequest) -> Result<(), MembershipRequestError> {
         if !self.agreed().state().members.values().any(|member| member.name == request.member) {
             return Err(MembershipRequestError::UnknownMember(request.member));
@@ -76,7 +77,7 @@
         Ok(result.ok_or(NoMajority)?)
     }
 
-    /// Repeats a request to the leader until it is carried out.
+    /// Sends a request to the leader repeatedly until it is carried out.
     async fn request_until_carried_out(&self, request: &MemberRequest) {
         let changed = self.changes.subscribe();
         while !self.is_carried_out(request) {
@@ -102,8 +103,8 @@
         }
     }
 
-    /// What a leader does periodically and after each change: proposes the drains that are not committed yet, and
-    /// takes the next step of the membership.
+    /// Does the leader's work, periodically and after each change: proposes drains that are not committed yet, and
+    /// takes the next step of a membership change. Does nothing on other nodes.
     pub(super) fn act_as_leader(&self) {
         if !self.agreed().is_active_leader() {
             return;
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Pending drains that were not proposed within the retry interval. Until all founders vote the fleet commits
-    /// nothing but its membership.
+    /// Proposals for pending drains that were not proposed within the retry interval. Empty until all founders have a
+    /// vote, because until then the fleet commits only membership changes.
     fn due_drain_proposals(&self) -> Vec<Change> {
         if !self.agreed().state().is_complete() {
             return Vec::new();
@@ -138,7 +139,7 @@
         self.drains.borrow_mut().pending_mut().due_proposals(self.clock.now(), retry_interval)
     }
 
-    /// The leader's next step, by what the members report.
+    /// Decides the leader's next membership step from what the members report.
     fn next_membership_action(&self) -> MembershipAction {
         let (agreed, peers, now) = (self.agreed(), self.peers(), Instant::now());
         let mut candidates = BTreeMap::new();
--- a/src/fleet/runtime/message_dispatch.rs
+++ b/src/fleet/runtime/message_dispatch.rs
@@ -1,4 +1,4 @@
-//! What a message of a peer leads to.
+//! Handling of messages from peers.
 
 use super::Fleet;
 use crate::fleet::bootstrap::{self, Handshake};
@@ -8,38 +8,38 @@
 use crate::store::store_thread::StoreCommand;
 use crate::time::TimeDelta;
 
-/// What a peer was by its handshake.
+/// The role of a peer as of its handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerRole {
-    /// A member of this node's fleet, or this node has no fleet.
+    /// The peer is a member of this node's fleet, or this node has no fleet.
     Member,
-    /// It asks to be admitted.
+    /// The peer is not a member yet and asks to be admitted.
     Candidate,
 }
 
 /// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum MessageRejection {
-    /// It could not be read.
+    /// The message could not be decoded.
     #[error(transparent)]
     Undecodable(MessageError),
-    /// The peer's fleet is not this node's any more, or the peer was removed.
-    #[error("it came from a node of another fleet")]
+    /// The peer no longer belongs to this node's fleet, or was removed from it.
+    #[error("the sender does not belong to this fleet")]
     OtherFleet,
-    /// It carries a message of the consensus that names another sender.
-    #[error("it names another node as its sender")]
+    /// A Raft message names a sender other than the peer.
+    #[error("a Raft message names another node as its sender")]
     ForeignSender,
-    /// A message that does not belong here, or not with this content.
-    #[error("it was not expected")]
+    /// Messages of this type or with this content are not accepted from a peer.
+    #[error("unexpected message")]
     Unexpected,
 }
 
 impl Fleet {
-    /// Carries out a message of a peer.
+    /// Handles a message from a peer.
     ///
     /// # Errors
     ///
-    /// [`MessageRejection`] where no further message is to be read from this connection.
+    /// [`MessageRejection`] if the connection must be closed without reading further messages.
     pub(super) fn dispatch(
         &self,
         sender: &Handshake,
@@ -51,7 +51,7 @@
             self.refresh_candidate(sender);
         }
         self.peers.borrow_mut().record_message(sender);
-        // One that was just admitted may not know it yet: until it is a member only its heartbeats count.
+        // A candidate may have been admitted since its handshake. Until it is a member, only its heartbeats count.
         let is_admitted = role == PeerRole::Member || self.agreed().is_member(sender.id);
         if !is_admitted && !matches!(message, PeerMessage::Heartbeat(_)) {
             return Ok(());
@@ -84,7 +84,8 @@
         Ok(())
     }
 
-    /// A connection outlives changes of the membership: its peer may have become a stranger.
+    /// Checks with each message that the sender still belongs to this fleet: the membership may have changed since the
+    /// connection was opened.
     fn check_sender(&self, sender: &Handshake) -> Result<(), MessageRejection> {
         let agreed = self.agreed();
         let state = agreed.state();
@@ -95,7 +96,7 @@
         Ok(())
     }
 
-    /// Notes that a candidate is still there. One that was forgotten is noted again, unless it was admitted.
+    /// Records that a candidate was heard. One that has expired is added again, unless it was admitted meanwhile.
     fn refresh_candidate(&self, sender: &Handshake) {
         let mut peers = self.peers.borrow_mut();
         if !peers.refresh_candidate(sender.id) && !self.agreed().is_member(sender.id) {
@@ -103,19 +104,19 @@
         }
     }
 
-    /// Hands messages of the consensus to the store. Those that name another sender are dropped.
+    /// Passes Raft messages to the store. Those that name another sender are dropped.
     fn receive_raft_messages(&self, sender: NodeId, messages: Vec<RaftMessage>) {
         let is_from_sender = |message: &RaftMessage| message.from == sender;
-        let (own, foreign): (Vec<_>, Vec<_>) = messages.into_iter().partition(is_from_sender);
-        if !foreign.is_empty() {
+        let (accepted, forged): (Vec<_>, Vec<_>) = messages.into_iter().partition(is_from_sender);
+        if !forged.is_empty() {
             self.count_rejected_message(&MessageRejection::ForeignSender);
         }
-        if !own.is_empty() {
-            self.send_to_store(StoreCommand::RaftMessages(own));
+        if !accepted.is_empty() {
+            self.send_to_store(StoreCommand::RaftMessages(accepted));
         }
     }
 
-    /// Notes a heartbeat. A peer that holds other pending drains is sent this node's.
+    /// Records a heartbeat. If the peer's pending drains differ from this node's, it is sent this node's.
     fn receive_heartbeat(&self, sender: NodeId, heartbeat: Heartbeat) {
         let sender_digest = heartbeat.pending_drains_digest;
         self.peers.borrow_mut().record_heartbeat(sender, heartbeat);
@@ -130,11 +131,11 @@
         }
     }
 
-    /// Counts a rejected message. Only every count that is a power of two is logged: a faulty peer sends many.
+    /// Counts a rejected message. Only counts that are powers of two are logged, because a faulty peer may send many.
     pub(super) fn count_rejected_message(&self, rejection: &MessageRejection) {
         let count = self.peers.borrow_mut().count_rejection();
         if count.is_power_of_two() {
-            log::warn!("fleet: {count} messages rejected so far, the last one: {rejection}");
+            log::warn!("fleet: rejected {count} messages so far; the last one: {rejection}");
         }
     }
 }
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -1,33 +1,33 @@
-//! The runtime of the fleet: carries out what the modules beside it decide, over connections, timers and the store's
-//! thread.
+//! The runtime of the fleet: performs the I/O for the decisions of the sibling modules, using connections, timers and
+//! the store's thread.
 //!
-//! Start at [`Fleet`], then [`event_loop`] for what is done periodically, [`store_events`] for what the consensus
-//! reports, and [`message_dispatch`] for what a peer's message leads to. All of it runs on one thread. Each piece of
-//! state has one owner, in a `RefCell` of its own; a borrow never lasts across an `await`.
+//! Start at [`Fleet`]. [`event_loop`] has the periodic work, [`store_events`] handles what the consensus reports, and
+//! [`message_dispatch`] handles messages from peers. Everything runs on one thread. Each piece of state has one owner
+//! and a `RefCell` of its own; no borrow is held across an `await`.
 //!
-//! | file | what it does | state that it owns |
+//! | file | purpose | state that it owns |
 //! | --- | --- | --- |
-//! | `agreed_state` | applies committed entries | [`AgreedState`] |
-//! | `change_notifier` | wakes tasks that wait for a change | `ChangeNotifier` |
+//! | `agreed_state` | applies committed log entries | [`AgreedState`] |
+//! | `change_notifier` | wakes tasks after a change | `ChangeNotifier` |
 //! | `drains` | drains that are not committed yet | [`DrainState`] |
-//! | `endpoint_list` | the list that the engine is given | `EndpointChanges` |
+//! | `endpoint_list` | the endpoint list for the engine | `EndpointChanges` |
 //! | `event_loop` | periodic work | |
-//! | `first_election` | an election at once after a start | `FirstElection` |
-//! | `founding` | how this node comes into a fleet | [`FoundingState`] |
+//! | `first_election` | immediate election after a start | `FirstElection` |
+//! | `founding` | founding or joining a fleet | [`FoundingState`] |
 //! | `gossip` | exchange of observations, hints for the engine | [`GossipExchange`], `EngineQueues` |
-//! | `incoming_connection` | connections that peers open | |
-//! | `log_rollbacks` | lost ranges of groups' logs | `LogRollbacks` |
-//! | `membership_requests` | operators' requests, the leader's next step | `MembershipRequests` |
-//! | `message_dispatch` | what a message leads to | |
+//! | `incoming_connection` | connections opened by peers | |
+//! | `log_rollbacks` | detection and exchange of log rollbacks | `LogRollbacks` |
+//! | `membership_requests` | operators' requests, membership changes by the leader | `MembershipRequests` |
+//! | `message_dispatch` | handling of messages from peers | |
 //! | `operator_recovery` | recovery without a majority | |
-//! | `outgoing_links` | connections that this node opens | |
-//! | `own_files` | the operator's files against the committed state | [`OwnFiles`] |
+//! | `outgoing_links` | connections opened by this node | |
+//! | `own_files` | the operator's files compared with the committed state | [`OwnFiles`] |
 //! | `peer_directory` | links, last heartbeats, candidates | [`PeerDirectory`] |
-//! | `proposals` | changes on their way into the log | `PendingProposals` |
-//! | `recovery` | how service returns after a start | `RecoveryProgress` |
-//! | `store_events` | events of the store's thread | |
-//! | `zone_description` | what operators read about zones | |
-//! | `zones` | evacuation and return of zones | [`ZoneControl`] |
+//! | `proposals` | changes that are proposed but not committed | `PendingProposals` |
+//! | `recovery` | gradual return to service after a start | `RecoveryProgress` |
+//! | `store_events` | events from the store's thread | |
+//! | `zone_description` | zones as shown to operators and in metrics | |
+//! | `zones` | evacuation of zones and their return | [`ZoneControl`] |
 
 use super::bootstrap::Handshake;
 use super::message::{AppliedPosition, Heartbeat, PeerMessage};
@@ -72,11 +72,11 @@
 
 pub use self::agreed_state::AgreedState;
 pub use self::drains::{DrainOutcome, DrainState, UnknownEndpoint};
-pub use self::founding::{FoundingState, NotFounded};
+pub use self::founding::{FoundingError, FoundingState};
 pub use self::gossip::GossipExchange;
 pub use self::membership_requests::MembershipRequestError;
 pub use self::operator_recovery::{RecoveryError, RecoveryPlan};
-pub use self::own_files::{Files, OwnFiles};
+pub use self::own_files::{FileContents, OwnFiles};
 pub use self::peer_directory::{Candidate, PeerDirectory, PeerStatus};
 pub use self::proposals::NoMajority;
 pub use self::recovery::{RecoveryRules, RecoveryStatus};
@@ -90,31 +90,31 @@
 use self::proposals::PendingProposals;
 use self::recovery::RecoveryProgress;
 
-/// A peer counts as reachable while a message of it is younger than this many heartbeat intervals: one heartbeat may be
-/// lost.
+/// A peer counts as reachable for this many heartbeat intervals after its last message, so that one lost heartbeat does
+/// not make it unreachable.
 const REACHABLE_HEARTBEATS: u32 = 3;
 
-/// What this node is to its peers, by its operator's file.
+/// This node's identity and settings from its operator's file.
 #[derive(Clone, Debug)]
 pub struct LocalNode {
-    /// Its name.
+    /// The name that operators and peers use for this node.
     pub name: String,
-    /// Where peers reach it.
+    /// The address that peers connect to.
     pub address: SocketAddr,
-    /// The addresses of peers in its operator's file.
-    pub named: Vec<SocketAddr>,
-    /// How zones are evacuated, and their names.
-    pub leaving: EvacuationPolicy,
+    /// The addresses of peers listed in the operator's file.
+    pub configured_peers: Vec<SocketAddr>,
+    /// The rules for evacuating zones, and the names of zones.
+    pub evacuation_policy: EvacuationPolicy,
 }
 
-/// The fleet as one of its nodes sees it, and this node's part in it.
+/// The fleet as seen by this node, and this node's part in it. Shared by all tasks of the process.
 pub struct Fleet {
     local: LocalNode,
-    /// The program's limits.
+    /// Limits and timeouts of the process.
     pub limits: Rc<Limits>,
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
-    /// The queue of the store's thread. Bounded: see [`Fleet::send_to_store`].
+    /// The bounded command queue of the store's thread; see [`Fleet::send_to_store`] for what happens when it is full.
     store: SyncSender<StoreCommand>,
     changes: ChangeNotifier,
     agreed: RefCell<AgreedState>,
@@ -127,16 +127,16 @@
     first_election: RefCell<FirstElection>,
     gossip: RefCell<GossipExchange>,
     engine_queues: EngineQueues,
-    /// Lost ranges of groups' logs. The SPARQL front reads them.
-    pub breaks: Rc<RefCell<LogRollbacks>>,
+    /// Known log rollbacks of all groups. The SPARQL front reads them to answer sessions that are affected.
+    pub log_rollbacks: Rc<RefCell<LogRollbacks>>,
     recovery: RefCell<RecoveryProgress>,
     zones: RefCell<ZoneControl>,
     endpoint_changes: RefCell<EndpointChanges>,
 }
 
 impl Fleet {
-    /// The fleet by what the store held, before anything is heard from peers. `store` is the queue of the store's
-    /// thread.
+    /// Creates the fleet from what the store held, before any contact with peers. `store` is the command queue of the
+    /// store's thread.
     pub fn new(
         local: LocalNode,
         limits: Rc<Limits>,
@@ -149,7 +149,7 @@
         let mut drains = PendingDrains::new(drains);
         let mut legacy_changes = Vec::new();
         if let Some(legacy) = legacy {
-            // A store of version 0.2.0 holds drains by name alone: they become drains of this node.
+            // A store of version 0.2.0 identifies drains by endpoint name only. They are requested anew by this node.
             for endpoint in &legacy.drains {
                 drains.request_drain(endpoint, identity.id, clock.now());
             }
@@ -171,9 +171,9 @@
             first_election: RefCell::default(),
             gossip: RefCell::new(GossipExchange::new(gossip)),
             engine_queues: EngineQueues::new(),
-            breaks: Rc::new(RefCell::new(log_rollbacks)),
+            log_rollbacks: Rc::new(RefCell::new(log_rollbacks)),
             recovery: RefCell::new(RecoveryProgress::new()),
-            zones: RefCell::new(ZoneControl::new(local.leaving.clone())),
+            zones: RefCell::new(ZoneControl::new(local.evacuation_policy.clone())),
             endpoint_changes: RefCell::new(EndpointChanges::All),
             local,
             limits,
@@ -183,27 +183,27 @@
         })
     }
 
-    /// What this node is to its peers.
+    /// This node's identity and settings from its operator's file.
     pub fn local(&self) -> &LocalNode {
         &self.local
     }
 
-    /// The present, by this node's clock.
+    /// The current time by this node's clock.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// What is committed, and this node's part in the consensus.
+    /// The committed state as applied here, and this node's part in the consensus.
     pub fn agreed(&self) -> Ref<'_, AgreedState> {
         self.agreed.borrow()
     }
 
-    /// The peers.
+    /// Links to peers, their last heartbeats, and candidates.
     pub fn peers(&self) -> Ref<'_, PeerDirectory> {
         self.peers.borrow()
     }
 
-    /// What is known of the endpoints.
+    /// What this node and its peers have observed of the endpoints.
     pub fn gossip(&self) -> Ref<'_, GossipExchange> {
         self.gossip.borrow()
     }
@@ -213,28 +213,29 @@
         self.drains.borrow()
     }
 
-    /// This node's own files.
+    /// This node's own files and how they differ from the committed state.
     pub fn own_files(&self) -> Ref<'_, OwnFiles> {
         self.own_files.borrow()
     }
 
-    /// How this node comes into a fleet.
+    /// The progress of founding or joining a fleet.
     pub fn founding(&self) -> Ref<'_, FoundingState> {
         self.founding.borrow()
     }
 
-    /// The committed settings.
+    /// The text of the committed settings; `None` before any are committed.
     pub fn committed_settings(&self) -> Option<String> {
         self.agreed().state().settings.as_ref().map(|settings| settings.text.clone())
     }
 
-    /// Receives a message after every change of what is known, from now on.
+    /// Returns a channel that receives a message after each later change of the fleet's state. Changes that occur
+    /// before the receiver reads the message are merged into one.
     pub fn subscribe(&self) -> Receiver<()> {
         self.changes.subscribe()
     }
 
-    /// Whether everything is applied here that any node has reported as committed, and the leader itself has confirmed
-    /// its term. Holds also for a node that takes no part any more: nothing new will come.
+    /// Whether this node has applied everything that any node has reported as committed, and the leader itself has
+    /// confirmed its term. Always true for a retired node, which receives no further entries.
     pub fn is_up_to_date(&self) -> bool {
         let agreed = self.agreed();
         if agreed.is_retired() {
@@ -244,21 +245,21 @@
         if !agreed.has_leader() || !status.participating {
             return false;
         }
-        // The leader's own heartbeat: a former leader reports a former term.
+        // Only the leader's own heartbeat confirms its term; a deposed leader reports an older one.
         let peers = self.peers();
         let leader_term = peers.status(status.leader).map(|leader| leader.heartbeat.term);
         let is_confirmed = agreed.is_leader() || leader_term == Some(status.term);
         is_confirmed && self.replication_lag() == 0
     }
 
-    /// Log entries that are not applied here, of those that any node has reported as committed.
+    /// Number of log entries that some node has reported as committed and that are not applied here.
     pub fn replication_lag(&self) -> u64 {
         let agreed = self.agreed();
         let highest = self.peers().highest_commit_index().max(Some(agreed.status().committed));
         highest.unwrap_or(0).saturating_sub(agreed.applied_index())
     }
 
-    /// This node's handshake.
+    /// Builds this node's current handshake.
     fn own_handshake(&self) -> Handshake {
         let agreed = self.agreed();
         Handshake {
@@ -270,7 +271,7 @@
         }
     }
 
-    /// This node's heartbeat.
+    /// Builds a heartbeat with this node's current state.
     fn own_heartbeat(&self) -> PeerMessage {
         let agreed = self.agreed();
         let status = agreed.status();
@@ -287,23 +288,23 @@
         })
     }
 
-    /// Peers from which a message arrived recently.
+    /// Peers from which a message arrived within [`REACHABLE_HEARTBEATS`] heartbeat intervals.
     fn recently_heard_peers(&self) -> Vec<NodeId> {
         let age = self.limits.heartbeat_interval * REACHABLE_HEARTBEATS;
         self.peers().heard_within(age, self.limits.fleet_nodes)
     }
 
-    /// Hands a command to the store's thread; returns whether it was queued. The queue is full where the disk is slow:
-    /// callers repeat what they still need, and messages of the consensus may be lost as on any connection.
+    /// Queues a command for the store's thread; returns whether it was queued. The queue is full when the disk is slow.
+    /// Callers repeat commands that are still needed; Raft messages may be lost here as on any connection.
     fn send_to_store(&self, command: StoreCommand) -> bool {
         let is_queued = self.store.try_send(command).is_ok();
         if !is_queued {
-            log::debug!("store: queue full, command dropped");
+            log::debug!("store: command dropped because the queue is full");
         }
         is_queued
     }
 
-    /// Sends a message to all peers.
+    /// Sends a message on every link that is up.
     fn broadcast(&self, message: &PeerMessage) {
         let bytes = message.encode();
         for link in self.peers().links().filter(|link| link.is_up()) {
@@ -316,7 +317,7 @@
         self.peers().link_to(id)
     }
 
-    /// Has all connections opened again, in both directions: this node's handshake has changed.
+    /// Closes and reopens the connections in both directions, because this node's handshake has changed.
     fn reconnect_all(&self) {
         self.peers.borrow_mut().reconnect_all();
     }
--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -1,7 +1,7 @@
-//! Recovery without a majority: on an operator's order one node goes on alone, as a new fleet.
+//! Recovery after the permanent loss of a majority: on an operator's order, one node continues alone as a new fleet.
 //!
-//! Where most voters are lost for good the program does not decide by itself. The new fleet names the one that it
-//! supersedes; nodes that are still of that one and know no leader give up their identity and join.
+//! The program never decides this by itself, even if most voters are lost for good. The new fleet records the fleet
+//! that it supersedes. Nodes of that fleet that know no leader give up their identity and join the new one.
 
 use super::Fleet;
 use crate::ids::FleetId;
@@ -9,29 +9,33 @@
 use crate::store::store_thread::StoreCommand;
 use std::fmt;
 
-/// What an operator has to know before the order: what would be lost.
+/// What a recovery would lose, for the operator to read before ordering it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryPlan {
-    /// The last log index that this node has applied.
+    /// The index of the last log entry applied by this node.
     applied_index: u64,
+    /// All other members.
     others: Vec<OtherMember>,
 }
 
-/// What another member has that this node may lack.
+/// Another member, and whether it may have changes that this node lacks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct OtherMember {
     name: String,
     data: MemberData,
 }
 
+/// How a member's committed log compares with what this node has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MemberData {
-    /// It has this many committed changes that this node lacks.
+    /// The member has committed log entries that this node lacks.
     Newer {
+        /// How many.
         changes: u64,
     },
+    /// The member has no committed log entry that this node lacks.
     NotNewer,
-    /// It was not heard within [`crate::config::Limits::peer_gone_timeout`].
+    /// The member was not heard within [`crate::config::Limits::peer_gone_timeout`].
     Unknown,
 }
 
@@ -58,13 +62,13 @@
     }
 }
 
-/// Why this node must not go on alone.
+/// Why this node did not continue alone as a new fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecoveryError {
     /// This node has no fleet, was removed from it, or its storage failed.
     #[error("there is nothing here to go on from")]
     NothingToRecover,
-    /// A leader is known.
+    /// This node knows a leader, so a majority exists.
     #[error("a majority is there: nothing has to be recovered")]
     MajorityPresent,
     /// The queue of the store's thread is full.
@@ -73,11 +77,11 @@
 }
 
 impl Fleet {
-    /// What going on alone would mean.
+    /// Returns what a recovery on this node would lose. Changes nothing.
     ///
     /// # Errors
     ///
-    /// [`RecoveryError`] where this node must not do it.
+    /// [`RecoveryError`] if this node must not continue alone.
     pub fn plan_recovery(&self) -> Result<RecoveryPlan, RecoveryError> {
         let agreed = self.agreed();
         if !agreed.has_fleet() || agreed.is_retired() {
@@ -102,11 +106,11 @@
         Ok(RecoveryPlan { applied_index, others })
     }
 
-    /// Goes on alone from what is applied here, as a new fleet, on an operator's order. Returns what that means.
+    /// Continues alone as a new fleet from the state applied here, on an operator's order. Returns what was lost.
     ///
     /// # Errors
     ///
-    /// [`RecoveryError`] where this node must not do it, or could not.
+    /// [`RecoveryError`] if this node must not continue alone or the store cannot take the command.
     pub fn recover_on_order(&self) -> Result<RecoveryPlan, RecoveryError> {
         let plan = self.plan_recovery()?;
         let summary = plan.to_string().replace('\n', "; ");
--- a/src/fleet/runtime/operator_recovery/tests.rs
+++ b/src/fleet/runtime/operator_recovery/tests.rs
@@ -1,10 +1,10 @@
-//! The text that an operator reads before one node goes on alone.
+//! The plan that an operator reads before ordering a recovery.
 
 use super::*;
 
-/// Guards against an operator who is not told what would be lost.
+/// Guards against a plan that does not tell the operator what would be lost.
 #[test]
-fn the_plan_names_every_member_with_what_it_may_have_more() {
+fn the_plan_lists_what_every_other_member_may_have_that_would_be_lost() {
     let other = |name: &str, data| OtherMember { name: name.into(), data };
     let others = vec![
         other("b1", MemberData::Newer { changes: 3 }),
--- a/src/fleet/runtime/outgoing_links.rs
+++ b/src/fleet/runtime/outgoing_links.rs
@@ -1,4 +1,4 @@
-//! The links that this node opens: to which addresses, and what the answers to its handshake mean.
+//! The links opened by this node: which addresses it connects to, and how it reacts to handshake replies.
 
 use super::Fleet;
 use crate::fleet::bootstrap::{self, Handshake, HandshakeVerdict, MemberAddress};
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 impl Fleet {
-    /// Opens the links that are wanted, and closes all others.
+    /// Opens missing links and closes those that are no longer wanted.
     pub(super) fn open_links(self: &Rc<Fleet>) {
         let wanted = self.wanted_links();
         self.peers.borrow_mut().close_links(|address| wanted.contains_key(address));
@@ -30,8 +30,8 @@
         }
     }
 
-    /// The addresses of all peers. Where the operator's file names an address of a node, the address that the fleet
-    /// has of it is left out: the file knows how that node is reached from here.
+    /// The addresses of all peers. For a node that was reached at an address from the operator's file, the address that
+    /// the fleet has of it is left out: the file says how the node is reached from here.
     fn wanted_links(&self) -> BTreeMap<SocketAddr, LinkOrigin> {
         let (agreed, peers, founding) = (self.agreed(), self.peers(), self.founding());
         let mut configured_ids: BTreeSet<NodeId> = BTreeSet::new();
@@ -53,18 +53,20 @@
             }
         }
         wanted.remove(&self.local.address);
-        for address in &self.local.named {
+        for address in &self.local.configured_peers {
             wanted.insert(*address, LinkOrigin::OperatorFile);
         }
         wanted
     }
 
-    /// Gives up this node's identity where a peer's verdict says that it must not be used any more; returns whether
-    /// it did.
+    /// Gives up this node's identity if a peer's verdict shows that it must no longer be used; returns whether it did.
     fn reset_identity_if_invalid(&self, verdict: &HandshakeVerdict, peer: &Handshake) -> bool {
         match verdict {
             HandshakeVerdict::OutdatedStorage if self.agreed().is_member(peer.id) => {
-                log::warn!("fleet: {} knows a later state of this node than its storage holds", peer.name);
+                log::warn!(
+                    "fleet: {} knows a newer state of this node than its storage holds; resetting its identity",
+                    peer.name
+                );
                 self.send_to_store(StoreCommand::ResetIdentity(IdentityResetReason::OutdatedStorage));
                 true
             }
@@ -76,7 +78,7 @@
         }
     }
 
-    /// What follows from any other verdict.
+    /// Handles the verdicts that do not reset this node's identity.
     fn act_on_verdict(&self, verdict: HandshakeVerdict, peer: &Handshake) -> LinkDecision {
         let fleet = self.agreed().state().fleet;
         match verdict {
@@ -94,7 +96,7 @@
             HandshakeVerdict::RemovedMember if peer.fleet == fleet && !self.agreed().is_removed() => {
                 self.agreed.borrow_mut().mark_removed();
                 log::warn!(
-                    "fleet: {} reports that this node was removed; it serves with what it last knew and participates no more",
+                    "fleet: {} reports that this node was removed; it keeps serving with its last state but no longer participates",
                     peer.name
                 );
                 LinkDecision::Close
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Members of a fleet that this node may join, as one of them reports.
+    /// Records the members of a fleet that this node may join, as reported by one of them.
     fn remember_members(&self, members: Vec<MemberAddress>) {
         let others = members.into_iter().filter(|member| member.name != self.local.name);
         let mut known = BTreeMap::new();
@@ -119,10 +121,10 @@
         self.founding.borrow_mut().set_known_members(known);
     }
 
-    /// Gives up this node's identity to join the fleet that supersedes its own. Committed drains of the old fleet become
-    /// pending ones: they stay in force until the new fleet has settled them.
+    /// Gives up this node's identity to join the fleet that supersedes its own. Committed drains of the old fleet
+    /// become pending drains and stay in force until the new fleet has resolved them.
     fn join_superseding_fleet(&self, peer: &Handshake) {
-        log::warn!("fleet: the fleet of {} supersedes this node's; this node joins it", peer.name);
+        log::warn!("fleet: the fleet of {} supersedes this node's fleet; joining it", peer.name);
         let mut committed = Vec::new();
         for (endpoint, drains) in &self.agreed().state().drains {
             for drain in drains {
@@ -148,7 +150,7 @@
         }
         let is_first = self.peers.borrow_mut().record_handshake(&peer);
         if is_first {
-            log::info!("fleet: {} is {} ({verdict:?})", link.address, peer.name);
+            log::info!("fleet: connected to {} at {} ({verdict:?})", peer.name, link.address);
         }
         if !self.agreed().has_fleet() {
             self.founding.borrow_mut().record_answer(link.address, peer.clone());
@@ -161,7 +163,7 @@
         decision
     }
 
-    /// Sends at once what the peer may have missed.
+    /// Sends what the peer may have missed while it was not connected.
     fn on_connected(&self, link: &PeerLink) {
         link.send(&self.own_heartbeat().encode());
         if self.agreed().leading_since().is_some() {
@@ -169,7 +171,7 @@
         }
         let digest = self.gossip().state().digest();
         link.send(&PeerMessage::GossipDigest(digest).encode());
-        let rollbacks = self.breaks.borrow().all();
+        let rollbacks = self.log_rollbacks.borrow().all();
         if !rollbacks.is_empty() {
             link.send(&PeerMessage::LogRollbacks(rollbacks).encode());
         }
--- a/src/fleet/runtime/peer_directory.rs
+++ b/src/fleet/runtime/peer_directory.rs
@@ -1,4 +1,4 @@
-//! The peers: the links to them, what was last heard from each, and nodes that ask to be admitted.
+//! The peers: links to them, their last heartbeats, and candidates, which are nodes that ask to be admitted.
 
 use crate::fleet::bootstrap::Handshake;
 use crate::fleet::message::Heartbeat;
@@ -10,21 +10,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What was last heard from a peer.
+/// What a peer last reported, and when.
 #[derive(Clone, Debug)]
 pub struct PeerStatus {
     /// When its last message arrived.
     pub last_heard: Instant,
-    /// Its name.
+    /// The name from the peer's first handshake.
     pub name: String,
-    /// Its last heartbeat; before the first one what its handshake said.
+    /// The peer's last heartbeat. Before the first one, term and last log entry from its handshake.
     pub heartbeat: Heartbeat,
-    /// Since when it has reported that it knows no leader.
+    /// When the first of an unbroken series of heartbeats without a leader arrived; `None` while the peer knows one.
     pub leaderless_since: Option<Instant>,
 }
 
 impl PeerStatus {
-    /// What a handshake says of its sender.
+    /// Creates the status of a peer from its handshake.
     fn from_handshake(handshake: &Handshake) -> PeerStatus {
         let heartbeat = Heartbeat {
             term: handshake.progress.term,
@@ -36,42 +36,42 @@
     }
 }
 
-/// A node that is no member and asks to be admitted.
+/// A node that is not a member and asks to be admitted.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Its handshake.
+    /// The handshake with which it connected.
     pub handshake: Handshake,
-    /// When it was last heard.
+    /// When its last message arrived.
     pub last_heard: Instant,
 }
 
-/// Ends all incoming connections at once, by closing a channel that each of them waits for.
-struct IncomingConnections {
+/// Closes all incoming connections at once: each waits for the closing of this channel.
+struct CloseSignal {
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
 
-impl IncomingConnections {
-    fn new() -> IncomingConnections {
+impl CloseSignal {
+    fn new() -> CloseSignal {
         let (sender, receiver) = async_channel::bounded(1);
-        IncomingConnections { sender, receiver }
+        CloseSignal { sender, receiver }
     }
 }
 
-/// All that is known of the peers.
+/// Links, statuses and candidates, and which members have accepted this node.
 pub struct PeerDirectory {
     links: BTreeMap<SocketAddr, Rc<PeerLink>>,
     statuses: BTreeMap<NodeId, PeerStatus>,
     candidates: BTreeMap<NodeId, Candidate>,
     max_candidates: usize,
-    /// Members that have accepted this node's handshake: its storage is as new as they know.
+    /// Members that have accepted this node's handshake, which shows that its storage is not older than they know.
     accepted_by: BTreeSet<NodeId>,
     rejected_messages: u64,
-    incoming: IncomingConnections,
+    incoming_close: CloseSignal,
 }
 
 impl PeerDirectory {
-    /// Without peers.
+    /// Creates a directory without peers, for at most `max_candidates` candidates.
     pub(super) fn new(max_candidates: usize) -> PeerDirectory {
         PeerDirectory {
             links: BTreeMap::new(),
@@ -80,7 +80,7 @@
             max_candidates,
             accepted_by: BTreeSet::new(),
             rejected_messages: 0,
-            incoming: IncomingConnections::new(),
+            incoming_close: CloseSignal::new(),
         }
     }
 
@@ -94,7 +94,7 @@
         self.links.values().find(|link| link.is_up() && link.peer_id() == id).cloned()
     }
 
-    /// Closes the links to addresses for which `is_wanted` is false.
+    /// Closes and removes the links to addresses for which `is_wanted` returns false.
     pub(super) fn close_links(&mut self, is_wanted: impl Fn(&SocketAddr) -> bool) {
         self.links.retain(|address, link| {
             let is_wanted = is_wanted(address);
@@ -105,70 +105,70 @@
         });
     }
 
-    /// Whether there is a link to an address.
+    /// Whether there is a link to an address, connected or not.
     pub(super) fn has_link(&self, address: &SocketAddr) -> bool {
         self.links.contains_key(address)
     }
 
-    /// The number of links.
+    /// The number of links, connected or not.
     pub(super) fn link_count(&self) -> usize {
         self.links.len()
     }
 
-    /// Adds a link.
+    /// Adds a link, replacing one to the same address.
     pub(super) fn add_link(&mut self, link: Rc<PeerLink>) {
         self.links.insert(link.address, link);
     }
 
-    /// Has all connections opened again, in both directions: this node's handshake has changed.
+    /// Closes and reopens the connections in both directions, because this node's handshake has changed.
     pub(super) fn reconnect_all(&mut self) {
         for link in self.links.values() {
             link.reconnect();
         }
-        let ended = std::mem::replace(&mut self.incoming, IncomingConnections::new());
-        ended.sender.close();
+        let previous = std::mem::replace(&mut self.incoming_close, CloseSignal::new());
+        previous.sender.close();
     }
 
-    /// A receiver whose channel is closed when all incoming connections of now are to end.
-    pub(super) fn end_of_incoming(&self) -> Receiver<()> {
-        self.incoming.receiver.clone()
+    /// Returns a channel that is closed when the incoming connections that exist now have to end.
+    pub(super) fn incoming_close_signal(&self) -> Receiver<()> {
+        self.incoming_close.receiver.clone()
     }
 
-    /// What was last heard from each peer.
+    /// The status of each peer that was heard since the start.
     pub fn statuses(&self) -> &BTreeMap<NodeId, PeerStatus> {
         &self.statuses
     }
 
-    /// What was last heard from a peer.
+    /// The status of a peer; `None` if it was not heard since the start.
     pub fn status(&self, id: NodeId) -> Option<&PeerStatus> {
         self.statuses.get(&id)
     }
 
-    /// At most `limit` peers that were heard less than `age` ago.
+    /// Up to `limit` peers that were heard less than `age` ago.
     pub(super) fn heard_within(&self, age: Duration, limit: usize) -> Vec<NodeId> {
         let recent = self.statuses.iter().filter(|(_, status)| status.last_heard.elapsed() < age);
         recent.map(|(id, _)| *id).take(limit).collect()
     }
 
-    /// The highest log index that any peer has reported to be committed.
+    /// The highest log index reported as committed by any peer; `None` if no peer was heard.
     pub(super) fn highest_commit_index(&self) -> Option<u64> {
         self.statuses.values().map(|status| status.heartbeat.commit_index).max()
     }
 
-    /// Notes the handshake of a peer; returns whether it is the first of that node.
+    /// Records a peer's handshake; returns whether it is the first one from that node.
     pub(super) fn record_handshake(&mut self, handshake: &Handshake) -> bool {
         let is_first = !self.statuses.contains_key(&handshake.id);
         self.statuses.entry(handshake.id).or_insert_with(|| PeerStatus::from_handshake(handshake));
         is_first
     }
 
-    /// Notes that a message has arrived from a peer.
+    /// Records that a message arrived from a peer.
     pub(super) fn record_message(&mut self, sender: &Handshake) {
         let status = self.statuses.entry(sender.id);
         status.or_insert_with(|| PeerStatus::from_handshake(sender)).last_heard = Instant::now();
     }
 
-    /// Notes a peer's heartbeat.
+    /// Records a peer's heartbeat.
     pub(super) fn record_heartbeat(&mut self, sender: NodeId, heartbeat: Heartbeat) {
         let Some(status) = self.statuses.get_mut(&sender) else { return };
         status.leaderless_since = if heartbeat.leader == NodeId::NOBODY {
@@ -179,12 +179,12 @@
         status.heartbeat = heartbeat;
     }
 
-    /// Nodes that ask to be admitted.
+    /// The candidates by id.
     pub fn candidates(&self) -> &BTreeMap<NodeId, Candidate> {
         &self.candidates
     }
 
-    /// Notes a node that asks to be admitted, unless there are too many.
+    /// Adds a candidate, unless there are too many.
     pub(super) fn add_candidate(&mut self, handshake: &Handshake) {
         if self.candidates.len() < self.max_candidates {
             let candidate = Candidate { handshake: handshake.clone(), last_heard: Instant::now() };
@@ -192,41 +192,41 @@
         }
     }
 
-    /// Notes that a candidate was heard; returns false where the node is not among the candidates.
+    /// Records that a candidate was heard; returns false if the node is not a candidate.
     pub(super) fn refresh_candidate(&mut self, id: NodeId) -> bool {
         let Some(candidate) = self.candidates.get_mut(&id) else { return false };
         candidate.last_heard = Instant::now();
         true
     }
 
-    /// Forgets candidates that were not heard for `age`.
+    /// Removes candidates that were not heard for `age`.
     pub(super) fn expire_candidates(&mut self, age: Duration) {
         let now = Instant::now();
         self.candidates.retain(|_, candidate| now - candidate.last_heard < age);
     }
 
-    /// Notes that a member has accepted this node's handshake.
+    /// Records that a member has accepted this node's handshake.
     pub(super) fn record_acceptance(&mut self, member: NodeId) {
         self.accepted_by.insert(member);
     }
 
-    /// Forgets who accepted this node's handshake: its identity has changed.
+    /// Removes all acceptances of this node's handshake, because its identity has changed.
     pub(super) fn clear_acceptances(&mut self) {
         self.accepted_by.clear();
     }
 
-    /// How many of these nodes have accepted this node's handshake.
+    /// The number of these nodes that have accepted this node's handshake.
     pub(super) fn acceptances_of(&self, nodes: &[NodeId]) -> usize {
         nodes.iter().filter(|id| self.accepted_by.contains(id)).count()
     }
 
-    /// Counts a message or handshake that was rejected; returns the count.
+    /// Counts a rejected message or handshake; returns the new count.
     pub(super) fn count_rejection(&mut self) -> u64 {
         self.rejected_messages += 1;
         self.rejected_messages
     }
 
-    /// Messages and handshakes that were rejected since the start.
+    /// Number of messages and handshakes rejected since the start.
     pub fn rejected_messages(&self) -> u64 {
         self.rejected_messages
     }
--- a/src/fleet/runtime/peer_directory/tests.rs
+++ b/src/fleet/runtime/peer_directory/tests.rs
@@ -1,4 +1,4 @@
-//! What is kept of peers and of candidates.
+//! Candidates, leaderless peers, reconnects and acceptances.
 
 use super::*;
 use crate::ids::FleetId;
@@ -11,7 +11,8 @@
     Handshake { fleet: FleetId::NONE, id: NodeId(id), name: format!("b{id}"), address, progress }
 }
 
-/// Guards against a candidate that fills the memory under many identities, or that is never forgotten.
+/// Guards against a node that exhausts memory by asking for admission under many ids, and against candidates that are
+/// never removed.
 #[test]
 fn candidates_are_bounded_and_expire_unless_they_are_refreshed() {
     let mut peers = PeerDirectory::new(2);
@@ -26,7 +27,7 @@
     assert!(peers.candidates().is_empty());
 }
 
-/// Guards against a leader that seems unknown to a peer for longer, or shorter, than the peer has said.
+/// Guards against a wrong duration of a peer's time without a leader, which the leader's membership decisions use.
 #[test]
 fn a_peer_is_leaderless_from_its_first_heartbeat_that_names_no_leader() {
     let mut peers = PeerDirectory::new(2);
@@ -44,15 +45,15 @@
 
 /// Guards against incoming connections that outlive a change of this node's identity.
 #[test]
-fn a_reconnect_ends_the_incoming_connections_of_before_and_none_of_after() {
+fn a_reconnect_closes_earlier_incoming_connections_but_no_later_ones() {
     let mut peers = PeerDirectory::new(2);
-    let before = peers.end_of_incoming();
+    let before = peers.incoming_close_signal();
     peers.reconnect_all();
-    assert!(before.is_closed() && !peers.end_of_incoming().is_closed());
+    assert!(before.is_closed() && !peers.incoming_close_signal().is_closed());
 }
 
 #[test]
-fn acceptances_count_only_for_the_nodes_asked_about() {
+fn only_acceptances_of_the_given_nodes_are_counted() {
     let mut peers = PeerDirectory::new(2);
     peers.record_acceptance(NodeId(1));
     peers.record_acceptance(NodeId(9));
--- a/src/fleet/runtime/proposals.rs
+++ b/src/fleet/runtime/proposals.rs
@@ -1,4 +1,4 @@
-//! Changes on their way into the log: forwarded to the leader, and repeated until they are committed.
+//! Proposals of changes: forwarded to the leader and repeated until they are committed.
 
 use super::Fleet;
 use crate::fleet::message::PeerMessage;
@@ -9,13 +9,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// No majority committed a change in time. Except for drains a leader puts a change into its log only once a majority
-/// has confirmed that it leads, so what failed does not lie in a log to be committed much later.
+/// No majority committed a change in time. A leader appends a change other than a drain to its log only after a
+/// majority has confirmed its leadership, so a failed change does not remain in a log to be committed much later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no majority agreed in time")]
 pub struct NoMajority;
 
-/// A change that this node's own files ask for, as it was last proposed.
+/// The last proposal of a change from this node's own files.
 struct RecentProposal {
     token: u64,
     proposed_at: Instant,
@@ -24,26 +24,27 @@
 /// Proposals of this node that are not committed yet.
 pub(super) struct PendingProposals {
     last_token: u64,
-    /// Tokens of changes that a caller waits for, with whether they were applied.
+    /// Tokens of the changes that callers wait for, and whether each was applied.
     awaited: BTreeMap<u64, bool>,
-    /// Changes that this node's own files ask for, by a key that names the content.
+    /// Changes from this node's own files, by a key that identifies their content.
     from_files: BTreeMap<String, RecentProposal>,
 }
 
 impl PendingProposals {
-    /// Without proposals. Tokens start at the clock: one of an earlier start must not answer a call of this one.
+    /// Creates an empty set. Tokens start at the current clock, so that a proposal from before a restart cannot
+    /// complete a call made after it.
     pub(super) fn new(now: Timestamp) -> PendingProposals {
         let last_token = now.as_micros().max(0) as u64;
         PendingProposals { last_token, awaited: BTreeMap::new(), from_files: BTreeMap::new() }
     }
 
-    /// A token that names a new proposal of this node.
+    /// Returns a new token to identify a proposal of this node.
     pub(super) fn next_token(&mut self) -> u64 {
         self.last_token += 1;
         self.last_token
     }
 
-    /// A change of this node was applied.
+    /// Records that a change proposed by this node was applied.
     pub(super) fn record_applied(&mut self, token: u64) {
         if let Some(is_applied) = self.awaited.get_mut(&token) {
             *is_applied = true;
@@ -54,18 +55,18 @@
         self.awaited.get(&token).is_some_and(|is_applied| *is_applied)
     }
 
-    /// Whether a change that the own files ask for is not committed yet.
+    /// Whether a change from this node's own files is not committed yet.
     pub(super) fn has_file_proposals(&self) -> bool {
         !self.from_files.is_empty()
     }
 
-    /// Forgets proposals from files that are not asked for any more.
+    /// Removes proposals from files whose keys are not in `wanted`.
     pub(super) fn retain_file_proposals(&mut self, wanted: &BTreeSet<&String>) {
         self.from_files.retain(|key, _| wanted.contains(key));
     }
 
-    /// The token to propose a file's change with now; `None` if it was proposed less than `retry_interval` ago:
-    /// the leader may still have it.
+    /// Returns the token with which to propose a change from a file now. Returns `None` if the change was proposed less
+    /// than `retry_interval` ago, because the leader may still be processing it.
     pub(super) fn file_proposal_token(&mut self, key: &str, retry_interval: Duration) -> Option<u64> {
         let now = Instant::now();
         let token = match self.from_files.get(key) {
@@ -79,12 +80,12 @@
 }
 
 impl Fleet {
-    /// A token that names a new proposal of this node.
+    /// Returns a new token to identify a proposal of this node.
     pub(super) fn next_token(&self) -> u64 {
         self.proposals.borrow_mut().next_token()
     }
 
-    /// Hands a proposal to the leader, if one is known and reached.
+    /// Passes a proposal to the leader. Does nothing if no leader is known or it cannot be reached.
     pub(super) fn forward_to_leader(&self, proposal: Proposal) {
         let (leader, is_leader) = {
             let agreed = self.agreed();
@@ -97,11 +98,11 @@
         }
     }
 
-    /// Proposes a change until it is applied here.
+    /// Proposes a change and waits until it is applied here.
     ///
     /// # Errors
     ///
-    /// [`NoMajority`] where that took longer than the agreement timeout.
+    /// [`NoMajority`] if that takes longer than the agreement timeout.
     pub(super) async fn commit_change(&self, change: Change) -> Result<(), NoMajority> {
         let token = self.next_token();
         let proposal = Proposal { from: self.agreed().local_id(), token, change };
@@ -112,7 +113,7 @@
         result.ok_or(NoMajority)
     }
 
-    /// Repeats a proposal until it is applied here: a message may be lost, and the leader may change.
+    /// Repeats a proposal until it is applied here, because a message may be lost and the leader may change.
     async fn propose_until_applied(&self, proposal: Proposal) {
         let changed = self.changes.subscribe();
         loop {
--- a/src/fleet/runtime/proposals/tests.rs
+++ b/src/fleet/runtime/proposals/tests.rs
@@ -1,4 +1,4 @@
-//! When a file's change is proposed again, and that only an applied change answers its caller.
+//! Repetition of proposals from files, and completion of the calls that wait for a change.
 
 use super::*;
 
@@ -6,9 +6,9 @@
     PendingProposals::new(Timestamp::from_micros(1_000))
 }
 
-/// Guards against a change that is put into the log twice because the leader was slow.
+/// Guards against a change that is appended to the log twice because the leader was slow.
 #[test]
-fn a_files_change_keeps_its_token_and_is_not_repeated_within_the_interval() {
+fn a_change_from_a_file_keeps_its_token_and_is_not_repeated_within_the_retry_interval() {
     let mut proposals = proposals();
     let token = proposals.file_proposal_token("settings 1", Duration::ZERO);
     assert!(token.is_some() && proposals.has_file_proposals());
@@ -19,9 +19,10 @@
     assert!(!proposals.has_file_proposals());
 }
 
-/// Guards against an answer to a caller whose change was not applied, and against tokens of an earlier start.
+/// Guards against a call that completes although its change was not applied, in particular by a token from before a
+/// restart.
 #[test]
-fn only_an_awaited_change_is_noted_as_applied_and_tokens_grow_from_the_clock() {
+fn only_an_awaited_change_is_recorded_as_applied_and_tokens_increase_from_the_clock() {
     let mut proposals = proposals();
     let token = proposals.next_token();
     assert!(token > 1_000 && proposals.next_token() > token);
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -1,5 +1,5 @@
-//! How service returns after a start: which phase this node has reached, by what the fleet knows. Service returns in
-//! the same way to a group whose endpoints have all restarted.
+//! The gradual return to service after a start, in phases that depend on what the fleet knows. The same phases are used
+//! for a group whose endpoints have all restarted.
 
 use super::Fleet;
 use crate::engine::PollParticipants;
@@ -14,78 +14,78 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// How far this node's service has returned.
+/// The progress of this node's return to service.
 #[derive(Clone, Debug)]
 pub struct RecoveryStatus {
-    /// The phase.
+    /// The phase reached.
     pub phase: RecoveryPhase,
-    /// What it waits for; empty for nothing.
-    pub waits_for: String,
-    /// Since when it has been in that phase.
-    pub since: Instant,
-    /// When the recovery started.
+    /// The condition for the next phase, as shown to operators; empty if there is none.
+    pub waiting_for: String,
+    /// When the phase was reached.
+    pub phase_since: Instant,
+    /// When the recovery began.
     pub started_at: Instant,
-    /// When it was complete.
+    /// When the recovery was complete; `None` before.
     pub done_at: Option<Instant>,
 }
 
 impl RecoveryStatus {
-    fn starting(waits_for: &str) -> RecoveryStatus {
+    fn starting(waiting_for: &str) -> RecoveryStatus {
         let now = Instant::now();
         RecoveryStatus {
             phase: RecoveryPhase::List,
-            waits_for: waits_for.into(),
-            since: now,
+            waiting_for: waiting_for.into(),
+            phase_since: now,
             started_at: now,
             done_at: None,
         }
     }
 
-    /// Takes over a decision, and logs a change of the phase.
+    /// Applies a decision, and logs a change of phase.
     fn update(&mut self, decision: &RecoveryDecision) {
-        if self.phase == decision.phase && self.waits_for == decision.waiting_for {
+        if self.phase == decision.phase && self.waiting_for == decision.waiting_for {
             return;
         }
         let now = Instant::now();
         if self.phase != decision.phase {
             self.log_phase_change(decision, now);
-            self.since = now;
+            self.phase_since = now;
         }
         self.phase = decision.phase;
-        self.waits_for = decision.waiting_for.clone();
+        self.waiting_for = decision.waiting_for.clone();
         if decision.phase == RecoveryPhase::Done {
             self.done_at = Some(now);
         }
     }
 
-    /// Logs the new phase, and those that were passed at once because of what peers had observed.
+    /// Logs the new phase, and the phases that were skipped because peers had already observed what they wait for.
     fn log_phase_change(&self, decision: &RecoveryDecision, now: Instant) {
         let elapsed = (now - self.started_at).as_millis();
-        for passed in [RecoveryPhase::Writes, RecoveryPhase::Reads, RecoveryPhase::Remaining] {
-            if self.phase < passed && passed < decision.phase {
-                log::info!("recovery: phase {passed}: {elapsed} ms after the start, waiting for nothing");
+        for skipped in [RecoveryPhase::Writes, RecoveryPhase::Reads, RecoveryPhase::Remaining] {
+            if self.phase < skipped && skipped < decision.phase {
+                log::info!("recovery: phase {skipped}: {elapsed} ms after the start, waiting for nothing");
             }
         }
-        let waits_for = if decision.waiting_for.is_empty() { "nothing" } else { &decision.waiting_for };
+        let waiting_for = if decision.waiting_for.is_empty() { "nothing" } else { &decision.waiting_for };
         log::info!(
-            "recovery: phase {}: {elapsed} ms after the start, waiting for {waits_for}",
+            "recovery: phase {}: {elapsed} ms after the start, waiting for {waiting_for}",
             decision.phase
         );
     }
 }
 
-/// What the engine may do while service returns.
+/// Restrictions on the engine while service returns.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveryRules {
-    /// Which requests are admitted; `None`: all.
+    /// Which requests are admitted; `None` admits all.
     pub admission: Option<AdmissionPolicy>,
-    /// The peers with which this node takes turns in polling; `None`: it polls all endpoints alone.
+    /// The peers with which this node divides the polling of endpoints; `None` if it polls all endpoints itself.
     pub poll_participants: Option<PollParticipants>,
 }
 
-/// This node's recovery.
+/// The state of this node's recovery and its detection of restarted endpoints.
 pub(super) struct RecoveryProgress {
-    /// `None` before the settings are known, and once service has returned.
+    /// `None` before the settings are known and after service has fully returned.
     schedule: Option<RecoverySchedule>,
     status: RecoveryStatus,
     restarts: RestartDetector,
@@ -94,7 +94,7 @@
 }
 
 impl RecoveryProgress {
-    /// The state at the start.
+    /// Creates the state at the start of the process.
     pub(super) fn new() -> RecoveryProgress {
         RecoveryProgress {
             schedule: None,
@@ -104,12 +104,12 @@
         }
     }
 
-    /// How endpoints behave after their start, once the settings are known.
+    /// The capacity of endpoints after their start; `None` before the settings are known.
     pub(super) fn slow_start(&self) -> Option<SlowStartPolicy> {
         self.slow_start
     }
 
-    /// The start of an endpoint that the engine was told of.
+    /// The start time of an endpoint as last reported to the engine; `None` if none was.
     pub(super) fn reported_start(&self, endpoint: &str) -> Option<Timestamp> {
         self.restarts.reported_start(endpoint)
     }
@@ -121,22 +121,23 @@
 }
 
 impl Fleet {
-    /// Whether service has not returned in full yet.
+    /// Whether service has not fully returned yet.
     pub fn is_recovering(&self) -> bool {
         self.recovery.borrow().status.done_at.is_none()
     }
 
-    /// How far service has returned.
+    /// The progress of the return to service.
     pub fn recovery_status(&self) -> RecoveryStatus {
         self.recovery.borrow().status.clone()
     }
 
-    /// The settings are known: service can return by them.
+    /// Begins the return to service. Called once the settings, which have the slow-start policy, are known.
     pub fn start_recovery(&self, slow_start: SlowStartPolicy) {
         self.recovery.borrow_mut().start_schedule(slow_start);
     }
 
-    /// What the engine may do now. `has_list`: the engine has the endpoint list.
+    /// Advances the recovery and returns the current restrictions on the engine. `has_list` says whether the engine has
+    /// the endpoint list.
     pub fn advance_recovery(&self, has_list: bool) -> RecoveryRules {
         if self.recovery.borrow().schedule.is_none() {
             return RecoveryRules::default();
@@ -154,7 +155,7 @@
         RecoveryRules { admission: decision.admission, poll_participants }
     }
 
-    /// Members that recover as well and are heard: endpoints are polled in turn with them.
+    /// This node and the reachable members that are recovering as well. They divide the polling of endpoints.
     fn poll_participants(&self) -> PollParticipants {
         let (agreed, peers) = (self.agreed(), self.peers());
         let mut recovering = self.recently_heard_peers();
@@ -165,12 +166,12 @@
         PollParticipants { local: agreed.local_id(), peers: recovering }
     }
 
-    /// What the phase depends on.
+    /// Collects everything on which the phase depends.
     fn recovery_view(&self, has_list: bool) -> RecoveryView {
         let now = self.clock.now();
         let agreed = self.agreed();
-        let heard = self.recently_heard_peers();
-        let heard_members = heard.iter().filter(|id| agreed.is_member(**id)).count();
+        let reachable = self.recently_heard_peers();
+        let reachable_members = reachable.iter().filter(|id| agreed.is_member(**id)).count();
         let mut endpoints = Vec::new();
         if has_list {
             for (name, record) in &agreed.state().hosts {
@@ -181,12 +182,12 @@
             now,
             list_received: has_list,
             member_count: agreed.state().members.len().max(1),
-            reachable_count: heard_members + 1,
+            reachable_count: reachable_members + 1,
             endpoints,
         }
     }
 
-    /// What is known of an endpoint; `None` where it is drained.
+    /// What is known of an endpoint; `None` if it is drained.
     fn endpoint_view(&self, now: Timestamp, name: &str, record: &HostRecord) -> Option<EndpointView> {
         let is_drained = self.agreed().state().is_drained(name) || self.drains().pending().is_draining(name);
         if record.draining || is_drained {
@@ -206,11 +207,12 @@
         })
     }
 
-    /// Detects which of these endpoints have restarted. The engine is told, and sends them less while they are cold; but
-    /// where no endpoint of a group is warm, service returns to the group by phases, at the rate that they bear.
+    /// Detects which of these endpoints have restarted. The engine is told and sends them less while they are cold. If
+    /// no endpoint of a group is warm, service returns to the group in phases, at the rate that its endpoints can
+    /// sustain.
     pub(super) fn detect_restarts<'a>(&self, now: Timestamp, endpoints: impl Iterator<Item = &'a String>) {
         let Some(slow_start) = self.recovery.borrow().slow_start else { return };
-        let report = self.report_restarts(now, slow_start, endpoints);
+        let report = self.record_cold_endpoints(now, slow_start, endpoints);
         if report.group_is_cold && !self.is_recovering() {
             log::warn!(
                 "recovery: all endpoints of a group have just started; service returns to it by phases"
@@ -226,7 +228,8 @@
         }
     }
 
-    fn report_restarts<'a>(
+    /// Passes the endpoints that are still within their warm-up to the restart detector.
+    fn record_cold_endpoints<'a>(
         &self,
         now: Timestamp,
         slow_start: SlowStartPolicy,
--- a/src/fleet/runtime/store_events.rs
+++ b/src/fleet/runtime/store_events.rs
@@ -1,4 +1,4 @@
-//! Events of the store's thread: messages to send, committed entries to apply, and the state of consensus and
+//! Events from the store's thread: Raft messages to send, committed entries to apply, and the state of consensus and
 //! storage.
 
 use super::Fleet;
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 
 impl Fleet {
-    /// Handles the events of the store's thread until that has ended.
+    /// Handles events from the store's thread until the thread has ended.
     pub async fn handle_store_events(&self, events: &Receiver<StoreEvent>) {
         while let Ok(event) = events.recv().await {
             self.handle_store_event(event);
@@ -31,10 +31,10 @@
                 self.drains.borrow_mut().record_persisted(version);
                 self.changes.notify();
             }
-            StoreEvent::IdentityReset(identity) => self.renew_identity(identity),
+            StoreEvent::IdentityReset(identity) => self.replace_identity(identity),
             StoreEvent::StorageFailed(reason) => {
                 log::error!(
-                    "store: {reason}; this node participates in the consensus no more, and serves with what it has"
+                    "store: {reason}; this node keeps serving with its last state but no longer participates in the consensus"
                 );
                 self.agreed.borrow_mut().record_storage_failure(reason.to_string());
                 self.changes.notify();
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Sends the messages of the consensus. What does not fit is dropped: the consensus repeats what it needs, but has
-    /// to be told what became of a snapshot.
+    /// Sends Raft messages. Messages that do not fit into a link's queue are dropped: Raft repeats what it needs, but
+    /// has to be told whether a snapshot was sent.
     fn send_raft_messages(&self, messages: Vec<RaftMessage>) {
         let mut by_receiver: BTreeMap<NodeId, Vec<RaftMessage>> = BTreeMap::new();
         for message in messages {
@@ -62,8 +62,9 @@
         }
     }
 
-    /// Takes over the state of the consensus. Peers are told at once where leader, term or participation has changed:
-    /// one that starts waits for the leader's own heartbeat, or starts an election once all can be reached.
+    /// Records the status of the consensus. If leader, term or participation has changed, peers get a heartbeat at
+    /// once: a starting peer waits for the leader's own heartbeat, or starts an election once all voters can be
+    /// reached.
     fn update_status(&self, status: StoreStatus) {
         let has_changed = self.agreed.borrow_mut().update_status(status);
         if has_changed {
@@ -72,18 +73,19 @@
         self.changes.notify();
     }
 
-    /// The store has given this node a new identity: it joins the fleet as a new node.
-    fn renew_identity(&self, identity: NodeIdentity) {
+    /// Resets what depends on this node's identity after the store has assigned a new one. The node then joins the
+    /// fleet as a new node.
+    fn replace_identity(&self, identity: NodeIdentity) {
         log::warn!("fleet: this node has a new identity, {:016x}", identity.id);
         self.gossip.borrow_mut().replace_state(new_gossip_state(identity.id, &self.clock));
-        self.agreed.borrow_mut().renew_identity(identity);
+        self.agreed.borrow_mut().replace_identity(identity);
         self.peers.borrow_mut().clear_acceptances();
-        self.drains.borrow_mut().storage_replaced();
+        self.drains.borrow_mut().reset_submitted();
         self.persist_pending_drains();
         self.reconnect_all();
     }
 
-    /// Applies committed entries, and does what follows from the new state.
+    /// Applies committed entries and acts on the resulting state.
     fn apply(&self, entries: Vec<AppliedEntry>) {
         let fleet_before = self.agreed().state().fleet;
         for entry in entries {
@@ -98,7 +100,7 @@
         if self.agreed().is_newly_removed() {
             self.agreed.borrow_mut().mark_removed();
             log::warn!(
-                "fleet: this node was removed; it serves with what it last knew and participates no more"
+                "fleet: this node was removed; it keeps serving with its last state but no longer participates"
             );
         }
         self.remove_settled_drains();
@@ -126,7 +128,8 @@
     }
 }
 
-/// Endpoints whose entry in the list may change by this change.
+/// The endpoints whose list entries a change may affect. Changes of zone weights are handled by
+/// [`Fleet::apply_zone_weights`].
 fn endpoints_of(change: Change) -> Vec<String> {
     match change {
         Change::Drain { host, .. } | Change::Undrain { host, .. } => vec![host],
--- a/src/fleet/runtime/tests.rs
+++ b/src/fleet/runtime/tests.rs
@@ -1,10 +1,10 @@
-//! That drains reach the disk where the store's queue was full.
+//! Writing of pending drains to disk when the store's queue is full.
 
 use super::*;
 use crate::store::{storage::DurableStorage, store_thread};
 use std::sync::mpsc::sync_channel;
 
-/// Guards against a drain that never reaches the disk because the disk was slow when it was requested.
+/// Guards against a drain that is never written to disk because the store's queue was full when it was requested.
 #[test]
 fn drains_that_a_full_store_queue_rejected_are_submitted_again() {
     let limits = Rc::new(Limits::for_sockets(64));
@@ -14,8 +14,8 @@
     let local = LocalNode {
         name: "b1".into(),
         address: ([127, 0, 0, 1], 1).into(),
-        named: Vec::new(),
-        leaving: EvacuationPolicy::default(),
+        configured_peers: Vec::new(),
+        evacuation_policy: EvacuationPolicy::default(),
     };
     let fleet = Fleet::new(local, limits, Clock::start(), Rc::default(), opened, commands);
     let is_queued = || fleet.send_to_store(StoreCommand::StartParticipating);
@@ -26,5 +26,5 @@
     fleet.persist_pending_drains();
     assert!(matches!(queue.try_recv(), Ok(StoreCommand::PersistDrains { drains, .. }) if drains.len() == 1));
     fleet.persist_pending_drains();
-    assert!(queue.try_recv().is_err(), "each version is submitted once");
+    assert!(queue.try_recv().is_err(), "a version is submitted only once");
 }
--- a/src/fleet/runtime/zone_description.rs
+++ b/src/fleet/runtime/zone_description.rs
@@ -1,4 +1,4 @@
-//! What operators read about zones, and the zones' metrics.
+//! The description of zones for operators, and metrics about zones.
 
 use super::Fleet;
 use super::agreed_state::AgreedState;
@@ -6,17 +6,18 @@
 use crate::store::zone_weights::FULL_WEIGHT_PERMILLE;
 use std::fmt::Write;
 
-/// Counts of zones for the metrics.
+/// Metrics about zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneMetrics {
-    /// Zones that do not get all of their reads from this node.
+    /// Number of zones to which this node sends less than their full share of reads.
     pub reduced_zones: u64,
-    /// Moves of traffic that were committed.
+    /// Number of committed changes of zone weights, over all zones.
     pub committed_moves: u64,
 }
 
 impl Fleet {
-    /// All zones with their weight, its reason and the reports of the members, for operators: a line for each fact.
+    /// Describes all zones for operators: one line with weight, reason and health per zone, followed by one line per
+    /// member that has reported outcomes for it.
     pub fn describe_zones(&self) -> String {
         let (agreed, zones, now) = (self.agreed(), self.zones.borrow(), self.clock.now());
         let state = agreed.state();
@@ -55,7 +56,7 @@
         out
     }
 
-    /// Counts of zones for the metrics.
+    /// The current metrics about zones.
     pub fn zone_metrics(&self) -> ZoneMetrics {
         let (agreed, zones) = (self.agreed(), self.zones.borrow());
         let reduced = zones.state().reduced_zones(self.clock.now(), agreed.state());
@@ -64,7 +65,7 @@
     }
 }
 
-/// A zone's health as operators read it.
+/// Describes a zone's health for operators.
 fn describe_health(health: &ZoneHealth, agreed: &AgreedState) -> String {
     match health {
         ZoneHealth::CutOff(nodes) => {
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -1,5 +1,5 @@
-//! The runtime of zones: collects outcomes of attempts, exchanges them with the peers, proposes moves of traffic where
-//! this node leads, and has the endpoint list follow.
+//! The runtime of zones: records the outcomes of attempts, exchanges them with the peers, proposes weight changes if
+//! this node is the leader, and updates the endpoint list.
 
 use super::Fleet;
 use super::agreed_state::AgreedState;
@@ -18,38 +18,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// A move that was proposed is not proposed again before this: committing one takes less.
+/// Time after which a proposed weight change may be proposed again. Committing one normally takes less.
 const MOVE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A move of a zone's traffic that was proposed.
+/// A weight change that this node has proposed for a zone.
 struct ProposedMove {
     version: u64,
     proposed_at: Instant,
 }
 
-/// What is known of zones, and the moves that this node has proposed.
+/// The state of zones, and the weight changes that this node has proposed.
 pub struct ZoneControl {
     state: ZoneState,
     proposed: BTreeMap<ZoneId, ProposedMove>,
 }
 
 impl ZoneControl {
-    /// Nothing is known.
+    /// Creates the state before any outcomes are known.
     pub(super) fn new(policy: EvacuationPolicy) -> ZoneControl {
         ZoneControl { state: ZoneState::new(policy), proposed: BTreeMap::new() }
     }
 
-    /// What is known of zones.
+    /// Outcomes, reports and local evacuations of zones.
     pub(super) fn state(&self) -> &ZoneState {
         &self.state
     }
 
-    /// Forgets moves that may be proposed again.
+    /// Removes proposed weight changes that may be proposed again.
     fn expire_proposed(&mut self) {
         self.proposed.retain(|_, proposed| proposed.proposed_at.elapsed() < MOVE_RETRY_INTERVAL);
     }
 
-    /// Notes that a move is proposed; returns whether it is a new one.
+    /// Records that a weight change is proposed; returns false if the same one was recently proposed.
     fn record_proposed(&mut self, due: &ZoneMove) -> bool {
         let ZoneMove { zone, weight } = *due;
         if self.proposed.get(&zone).is_some_and(|proposed| proposed.version == weight.version) {
@@ -67,21 +67,21 @@
     /// No zone of this name has endpoints.
     #[error("no zone {0:?} with hosts")]
     UnknownZone(String),
-    /// The command is not allowed now.
+    /// The command is not allowed in the current state.
     #[error("not done: {0}")]
     Refused(#[from] ZoneCommandError),
-    /// Another move was committed at the same time.
+    /// Another weight change of the zone was committed at the same time.
     #[error("not done: it moved meanwhile; say it again")]
     Superseded,
-    /// It took too long.
+    /// It was not committed in time.
     #[error(transparent)]
     NoMajority(#[from] NoMajority),
 }
 
 impl Fleet {
-    /// Takes in the recent outcomes of attempts at endpoints: tells the peers, evacuates zones that only this node does
-    /// not reach, and proposes moves where this node leads. Returns endpoints in abandoned zones: overdue answers from
-    /// these are not waited for.
+    /// Records the recent outcomes of attempts by endpoint. Sends them to the peers if they are urgent, evacuates zones
+    /// that only this node cannot reach, and proposes weight changes if this node is the leader. Returns the endpoints
+    /// in abandoned zones, for which overdue responses are no longer awaited.
     pub fn update_zones(&self, outcomes: &BTreeMap<String, OutcomeCounts>) -> BTreeSet<String> {
         let now = self.clock.now();
         self.record_outcomes(outcomes);
@@ -97,19 +97,19 @@
         endpoints.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes in outcomes, and tells the peers at once where something is wrong.
+    /// Records outcomes, and sends them to the peers at once if they show a problem.
     fn record_outcomes(&self, outcomes: &BTreeMap<String, OutcomeCounts>) {
         let urgent = {
             let agreed = self.agreed();
             self.zones.borrow_mut().state.record_outcomes(outcomes, agreed.state())
         };
         if let Some(by_zone) = urgent {
-            log::debug!("zones: outcomes {by_zone:?}");
+            log::debug!("zones: sending urgent outcomes {by_zone:?}");
             self.broadcast(&PeerMessage::ZoneOutcomes(by_zone));
         }
     }
 
-    /// Evacuates zones for this node alone, where only it does not reach them.
+    /// Evacuates zones locally that only this node cannot reach.
     fn evacuate_locally(&self, now: Timestamp) {
         let agreed = self.agreed();
         let mut zones = self.zones.borrow_mut();
@@ -123,14 +123,14 @@
         }
     }
 
-    /// Takes in the outcomes of a member.
+    /// Records the outcomes reported by a peer, if it is a member.
     pub(super) fn receive_zone_outcomes(&self, sender: NodeId, outcomes: ZoneReport) {
         if self.agreed().is_member(sender) {
             self.zones.borrow_mut().state.record_report(self.clock.now(), sender, outcomes);
         }
     }
 
-    /// Sends this node's outcomes to the peers, if there are any.
+    /// Sends this node's own outcomes to the peers, if there are any.
     pub(super) fn broadcast_zone_outcomes(&self) {
         let outcomes = self.zones.borrow().state.own_outcomes().clone();
         if !outcomes.is_empty() {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Proposes the moves of traffic that are due, where this node leads.
+    /// Proposes the weight changes that are due, if this node is the leader.
     fn propose_zone_moves(&self, now: Timestamp) {
         let due = self.due_zone_moves(now);
         let from = self.agreed().local_id();
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The moves of traffic that are due and were not just proposed.
+    /// The weight changes that are due and were not recently proposed. Empty unless this node is the leader.
     fn due_zone_moves(&self, now: Timestamp) -> Vec<ZoneMove> {
         let agreed = self.agreed();
         if !agreed.is_active_leader() || !agreed.state().is_complete() {
@@ -173,7 +173,8 @@
         due
     }
 
-    /// The share of its capacity that a zone has, by the endpoint that started last.
+    /// The share of its full capacity that a zone has now, determined by its most recently started endpoint. 1.0 before
+    /// the settings are known.
     fn zone_capacity_share(&self, agreed: &AgreedState, zone: ZoneId, now: Timestamp) -> f64 {
         let Some(slow_start) = self.recovery.borrow().slow_start() else { return 1.0 };
         let gossip = self.gossip();
@@ -185,12 +186,12 @@
         lowest
     }
 
-    /// Has the endpoint list follow the weights of zones.
+    /// Marks the endpoints whose list entries depend on changed or reduced zone weights.
     pub(super) fn apply_zone_weights(&self, now: Timestamp) {
         let agreed = self.agreed();
         let changed = self.zones.borrow_mut().state.take_changed(now, agreed.state());
         let zones = self.zones.borrow();
-        // A zone with less than its full weight is looked at each time: one of its endpoints may have become a primary.
+        // Zones with reduced weight are included every time, because one of their endpoints may have become a primary.
         let affected = &changed | &zones.state.reduced_zones(now, agreed.state());
         if affected.is_empty() {
             return;
@@ -211,18 +212,18 @@
         self.changes.notify();
     }
 
-    /// Carries out an operator's command for the zone of this name; returns the weight that was committed.
+    /// Carries out an operator's command for the zone named `name`; returns the committed weight.
     ///
     /// # Errors
     ///
-    /// [`ZoneCommandFailure`] where there is no such zone, the command is refused, or it was not committed in time.
+    /// [`ZoneCommandFailure`] if there is no such zone, the command is refused, or it is not committed in time.
     pub async fn command_zone(
         &self,
         name: &str,
         command: ZoneCommand,
     ) -> Result<ZoneWeight, ZoneCommandFailure> {
         let (zone, weight) = self.weight_for_command(name, command)?;
-        log::info!("zones: an operator's command for {name}: {command:?}");
+        log::info!("zones: operator's command for {name}: {command:?}");
         self.commit_change(Change::ZoneWeight { zone, weight }).await?;
         if self.agreed().state().zone_weight(zone) != weight {
             return Err(ZoneCommandFailure::Superseded);
@@ -230,7 +231,7 @@
         Ok(weight)
     }
 
-    /// The zone of this name, and the weight that a command gives it.
+    /// Finds a zone by name, and computes the weight that a command gives it.
     fn weight_for_command(
         &self,
         name: &str,
@@ -245,7 +246,7 @@
     }
 }
 
-/// What the members report of a zone, for the log.
+/// Formats the members' reports about a zone for the log.
 fn describe_reports(reports: &ZoneReports, zone: ZoneId, agreed: &AgreedState) -> String {
     let mut described: Vec<String> = Vec::new();
     for (id, by_zone) in reports {
