--- a/src/engine/admission/paced_rate.rs
+++ b/src/engine/admission/paced_rate.rs
@@ -1,61 +1,65 @@
-//! An adaptive rate limit: a token bucket whose rate follows how the endpoints answer.
+//! An adaptive rate limit: a token bucket whose rate is adapted to the outcomes and latencies of attempts.
 //!
 //! The rate is controlled by additive increase and multiplicative decrease (AIMD; Chiu and Jain, "Analysis of the
 //! Increase and Decrease Algorithms for Congestion Avoidance", 1989), with a faster increase until the capacity is
-//! known, as in TCP's slow start (Jacobson, "Congestion Avoidance and Control", 1988). The increase is per prompt
-//! answer: one process that receives all answers and many that receive few each grow alike. The decrease comes once in
-//! [`CONTROL_INTERVAL`]: by much after rejections and timeouts, by less when answers were delayed by a queue.
+//! known, as in TCP's slow start (Jacobson, "Congestion Avoidance and Control", 1988). The rate increases with each
+//! prompt answer, so that the total grows equally fast whether one process receives all answers or many processes
+//! receive few each. It decreases at most once per [`CONTROL_INTERVAL`]: strongly after rejections and timeouts, less
+//! when a queue delayed the answers.
 //!
-//! A rejected request is given a retry-after hint that is its place in a virtual queue: clients that respect it return
-//! at the rate at which they can be admitted and not all at once.
+//! The retry-after hint of a rejected request is its waiting time in a virtual queue. Clients that respect the hint
+//! return at the rate at which they can be admitted, and not all at once.
 
 use super::AdmissionDecision;
 use super::policy::CapacitySource;
 use crate::routing::{TimeDelta, Timestamp};
 
-/// The rate is decreased at most once in this time.
+/// The shortest time between two adaptations of the rate, and thus between two decreases.
 const CONTROL_INTERVAL: TimeDelta = TimeDelta::from_millis(100);
-/// Increase of the rate, in requests per second, for each prompt answer below the known capacity: the rate doubles in
-/// a third of a second.
+/// Increase of the rate, in requests per second, for each prompt answer while the capacity is unknown or the rate is
+/// below it. The rate doubles in a third of a second.
 const SLOW_START_INCREASE_PER_S: f64 = 2.0;
-/// The same above the reported capacity, or once the rate was too high: endpoints warm up by a fifth of their cold
-/// capacity in a second.
+/// Increase of the rate, in requests per second, for each prompt answer once the rate has reached the known capacity.
+/// The capacity is known if the endpoints reported it or the rate has exceeded it before. Endpoints that warm up gain a
+/// fifth of their cold capacity per second.
 const PROBING_INCREASE_PER_S: f64 = 0.25;
-/// The rate is multiplied by this after too many rejections and timeouts.
+/// The factor by which the rate decreases after too many rejections and timeouts.
 const OVERLOAD_DECREASE: f64 = 0.7;
-/// The rate is multiplied by this after an interval in which most answers were delayed by a queue.
+/// The factor by which the rate decreases after an interval in which more answers waited in a long queue than were
+/// prompt.
 const QUEUEING_DECREASE: f64 = 0.85;
-/// More than this share of failures, and at least [`MIN_FAILURES`], is an overload.
+/// Attempts indicate an overload if more than this percentage of them failed, and at least [`MIN_FAILURES`].
 const MAX_FAILURE_PERCENT: u32 = 5;
-/// A single failure may be chance.
+/// The fewest failures that indicate an overload, since a single failure may be chance.
 const MIN_FAILURES: u32 = 2;
-/// Answers over which the share of failures is measured.
+/// Number of attempts after which the measurement of the percentage of failures starts over.
 const FAILURE_SAMPLE: u32 = 20;
-/// The rate is increased only within this time after a rejection: without one, demand is below the rate.
+/// How long after a rejection the rate may be increased. Without a recent rejection, the demand is below the rate.
 const DEMAND_RETENTION: TimeDelta = TimeDelta::from_secs(1);
-/// The bucket holds the tokens of this time, since requests arrive at random.
+/// The time whose tokens the bucket holds, since requests arrive at random times.
 pub(super) const BURST_LENGTH: TimeDelta = TimeDelta::from_millis(300);
-/// It holds at least this many tokens: each of many processes admits few requests.
+/// The smallest capacity of the bucket, in tokens, for the low rate of each of many processes.
 pub(super) const MIN_BURST_REQUESTS: f64 = 2.0;
-/// Share of the bucket that requests leave to each class of greater priority weight.
+/// Share of the bucket that a request leaves to each higher priority weight.
 const RESERVED_BURST_SHARE: f64 = 0.25;
 /// The shortest retry-after hint.
 pub(super) const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(20);
-/// The rate never falls below this share of the rate at the start.
+/// The rate never falls below this share of the initial rate.
 const MIN_RATE_SHARE: f64 = 0.25;
-/// The lowest rate at the start: a rate of zero would never see an answer.
+/// The lowest initial rate. With a rate of zero, no answer would ever arrive and the rate could not grow.
 const MIN_START_RATE_PER_S: f64 = 0.1;
-/// Earlier than anything that happens; early enough to be far from it, late enough for differences not to overflow.
+/// Stands for an event that has not happened. Half of the lowest value, so that differences do not overflow.
 const NEVER: Timestamp = Timestamp::from_micros(i64::MIN / 2);
 
-/// What an answered attempt says about the load of its endpoint.
+/// What the latency of an answer shows about the load of the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerLatency {
-    /// It waited in no queue.
+    /// The answer was not delayed by a queue.
     Prompt,
-    /// It waited in a queue that is no reason to send less: a short one, or one of before the last decrease.
+    /// A queue delayed the answer, but the rate need not decrease: the queue is short, or the attempt was sent before
+    /// the last decrease.
     Delayed,
-    /// It waited in a queue that is too long.
+    /// A queue that is too long delayed the answer.
     Queued,
 }
 
@@ -67,27 +71,27 @@
     max_per_s: f64,
     capacity_per_s: f64,
     capacity_source: CapacitySource,
-    /// Requests that may be admitted at once.
+    /// Number of requests that may be admitted at once; may be fractional.
     tokens: f64,
     refilled_at: Timestamp,
-    /// The end of the virtual queue of rejected requests.
+    /// When the last request in the virtual queue of rejected requests could be admitted.
     queue_end: Timestamp,
     interval_end: Timestamp,
-    /// Attempts served and failed since the failure sample began.
+    /// Number of attempts that were served and that failed, since the measurement of failures last started over.
     served: u32,
     failed: u32,
-    /// Prompt and queued answers of this interval.
+    /// Number of answers with [`AnswerLatency::Prompt`] and [`AnswerLatency::Queued`] in this interval.
     prompt: u32,
     queued: u32,
-    /// The rate has exceeded the capacity once.
+    /// Whether the rate has exceeded the capacity before.
     exceeded_capacity: bool,
     last_rejected_at: Timestamp,
-    /// Attempts sent before this say nothing about the present rate.
+    /// Attempts that were sent before this time say nothing about the current rate.
     last_decreased_at: Timestamp,
 }
 
 impl PacedRate {
-    /// A rate limit that starts at the capacity. `initial_tokens`: which part of a request it has saved up.
+    /// A rate limit that starts at the capacity. `initial_tokens` is the initial content of the bucket.
     pub(super) fn new(now: Timestamp, capacity_per_s: f64, max_per_s: f64, initial_tokens: f64) -> PacedRate {
         let rate_per_s = capacity_per_s.min(max_per_s).max(MIN_START_RATE_PER_S);
         PacedRate {
@@ -110,24 +114,24 @@
         }
     }
 
-    /// Sets what is known of the capacity now; the rate itself goes on from where it is.
+    /// Sets the known capacity and the upper bound; the rate keeps its current value within the bound.
     pub(super) fn set_bounds(&mut self, capacity_per_s: f64, max_per_s: f64, source: CapacitySource) {
         self.capacity_per_s = capacity_per_s;
         self.max_per_s = max_per_s;
         self.capacity_source = source;
     }
 
-    /// Admits a request if there is a token for it; otherwise it is rejected with a hint of at most `max_retry_after`.
-    /// `classes_above`: how many classes of the same traffic have a greater priority weight.
-    pub(super) fn take(
+    /// Admits a request if there are enough tokens, and otherwise rejects it with a hint of at most `max_retry_after`.
+    /// `higher_priority_levels` is the number of higher priority weights, whose share of the bucket is left unused.
+    pub(super) fn try_admit(
         &mut self,
         now: Timestamp,
-        classes_above: usize,
+        higher_priority_levels: usize,
         max_retry_after: TimeDelta,
     ) -> AdmissionDecision {
         self.advance(now);
         let burst = self.burst();
-        let needed = (1.0 + RESERVED_BURST_SHARE * classes_above as f64 * (burst - 1.0)).min(burst);
+        let needed = (1.0 + RESERVED_BURST_SHARE * higher_priority_levels as f64 * (burst - 1.0)).min(burst);
         if self.tokens >= needed {
             self.tokens -= 1.0;
             return AdmissionDecision::Admitted;
@@ -136,13 +140,13 @@
         AdmissionDecision::Rejected { retry_after: self.enqueue(now, max_retry_after) }
     }
 
-    /// The retry-after hint of the next request in the virtual queue.
+    /// Appends a request to the virtual queue and returns its retry-after hint.
     fn enqueue(&mut self, now: Timestamp, max_retry_after: TimeDelta) -> TimeDelta {
         let spacing = TimeDelta::from_micros_f64(1e6 / self.rate_per_s);
         self.queue_end = self.queue_end.max(now) + spacing;
         let wait = self.queue_end - now;
         if wait > max_retry_after {
-            // The queue is longer than any client waits: what comes now is spread over the later half of it.
+            // The queue is longer than the longest hint. Spread the next requests over the later half of that time.
             self.queue_end = now + max_retry_after / 2;
         }
         wait.clamp(MIN_RETRY_AFTER, max_retry_after.max(MIN_RETRY_AFTER))
@@ -163,12 +167,12 @@
         self.failed += 1;
     }
 
-    /// Whether an attempt was sent at the present rate and not before its last decrease.
-    pub(super) fn is_of_present_rate(&self, sent_at: Timestamp) -> bool {
+    /// Whether an attempt was sent after the last decrease, so that its outcome reflects the current rate.
+    pub(super) fn reflects_current_rate(&self, sent_at: Timestamp) -> bool {
         sent_at >= self.last_decreased_at
     }
 
-    /// Adapts the rate if an interval has ended, and adds the tokens of the time that has passed.
+    /// Adapts the rate if an interval has ended, and adds the tokens for the time since the last call.
     pub(super) fn advance(&mut self, now: Timestamp) {
         if now >= self.interval_end {
             self.adapt(now);
@@ -205,7 +209,7 @@
         self.exceeded_capacity = true;
     }
 
-    /// Increases the rate for the prompt answers of the interval: fast up to the known capacity, slowly beyond it.
+    /// Increases the rate for the prompt answers of the interval: fast up to the known capacity, slowly above it.
     fn increase(&mut self) {
         let prompt = f64::from(self.prompt);
         let capacity_known = self.capacity_source == CapacitySource::Reported || self.exceeded_capacity;
--- a/src/engine/admission/policy.rs
+++ b/src/engine/admission/policy.rs
@@ -1,16 +1,16 @@
-//! What an admission policy consists of.
+//! The admission policy and the types that it consists of.
 
 use crate::routing::{Class, Consistency, GroupId, TimeDelta};
 use std::collections::BTreeMap;
 
-/// Kinds of requests, in the order in which service recovers for them.
+/// Kinds of requests, in the order in which their service recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestKind {
-    /// It needs the primary.
+    /// Requires the primary.
     Write,
-    /// It needs an endpoint whose log position is proven.
+    /// Requires an endpoint whose log position is known to be high enough.
     Read,
-    /// Any endpoint can serve it.
+    /// Can be served by any endpoint.
     EventualRead,
 }
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The traffic that requests of this kind belong to.
+    /// The part of a group's traffic that requests of this kind belong to.
     pub(super) fn traffic(self) -> Traffic {
         match self {
             RequestKind::Write => Traffic::Writes,
@@ -33,10 +33,10 @@
     }
 }
 
-/// The two parts of a group's traffic. Each goes to endpoints of its own and is admitted on its own.
+/// The two parts of a group's traffic. They go to different endpoints and are admitted independently of each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Traffic {
-    /// Requests that need the primary.
+    /// Requests that require the primary.
     Writes,
     /// All other requests.
     Reads,
@@ -45,36 +45,37 @@
 /// How requests of one kind and group are admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionMode {
-    /// None is; they are rejected with at least this retry-after hint.
+    /// All are rejected, with at least this retry-after hint.
     Closed(TimeDelta),
-    /// At a rate that is adapted to how the endpoints answer, while they are warming up.
+    /// They are admitted at a rate that adapts to the endpoints' answers. For endpoints that are warming up.
     Paced {
-        /// This process's share of the endpoints' present capacity, in requests per second. The rate starts there.
+        /// This process's share of the endpoints' current capacity, in requests per second. The rate starts at this
+        /// value.
         capacity_per_s: f64,
         /// Upper bound of the rate, in requests per second.
         max_per_s: f64,
-        /// Where `capacity_per_s` comes from.
+        /// How `capacity_per_s` is known.
         capacity_source: CapacitySource,
     },
-    /// All are.
+    /// All are admitted.
     Open,
 }
 
-/// Where the capacity of a group's endpoints is known from.
+/// How the capacity of a group's endpoints is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacitySource {
-    /// All endpoints reported their utilization: the capacity is what they served, divided by it.
+    /// All endpoints reported their utilization; the capacity is the rate that they served divided by the utilization.
     Reported,
-    /// It is what endpoints were seen to serve; the real capacity may be much greater.
+    /// The capacity is the rate that the endpoints were observed to serve; the real one may be much higher.
     Estimated,
 }
 
 /// How requests of one group are admitted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GroupAdmission {
-    /// Requests that need the primary.
+    /// The mode for requests that require the primary.
     pub writes: AdmissionMode,
-    /// All other requests.
+    /// The mode for all other requests.
     pub reads: AdmissionMode,
 }
 
@@ -87,13 +88,13 @@
     }
 }
 
-/// What a process admits while its service recovers.
+/// What a process admits while service recovers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionPolicy {
-    /// By group; groups that are not in it are closed.
+    /// The modes of each group. Groups that are missing are closed.
     pub groups: BTreeMap<GroupId, GroupAdmission>,
     /// Whether eventual reads, which any endpoint can serve, are admitted at all.
     pub admit_eventual_reads: bool,
-    /// Retry-after hint for groups that are not in the map, and for eventual reads that are not admitted.
+    /// The retry-after hint for groups that are missing from `groups`, and for eventual reads that are not admitted.
     pub retry_after: TimeDelta,
 }
--- a/src/engine/admission/tests.rs
+++ b/src/engine/admission/tests.rs
@@ -8,7 +8,7 @@
 const OTHER_GROUP: GroupId = GroupId(2);
 const WRITE: usize = 0;
 
-/// One instant in each millisecond, from zero on.
+/// The instants at which each millisecond starts, from zero up to `length`.
 fn instants(length: TimeDelta) -> impl Iterator<Item = Timestamp> {
     (0..length / MS).map(|n| Timestamp::ZERO + MS * n)
 }
@@ -48,7 +48,7 @@
     })
 }
 
-fn paced(capacity_per_s: f64, max_per_s: f64, capacity_source: CapacitySource) -> AdmissionMode {
+fn paced_mode(capacity_per_s: f64, max_per_s: f64, capacity_source: CapacitySource) -> AdmissionMode {
     AdmissionMode::Paced { capacity_per_s, max_per_s, capacity_source }
 }
 
@@ -56,7 +56,7 @@
     controller.admit(now, class, group) == AdmissionDecision::Admitted
 }
 
-/// The retry-after hint of a request; `None`: it is admitted.
+/// The retry-after hint of a request; `None` if it is admitted.
 fn retry_after(controller: &mut AdmissionController, class: usize, group: GroupId) -> Option<TimeDelta> {
     match controller.admit(Timestamp::ZERO, class, group) {
         AdmissionDecision::Admitted => None,
@@ -64,13 +64,13 @@
     }
 }
 
-/// Which of the four classes are admitted.
+/// Whether a request of each of the four classes is admitted.
 fn admitted_classes(controller: &mut AdmissionController) -> Vec<bool> {
     (0..4).map(|class| is_admitted(controller, Timestamp::ZERO, class, GROUP)).collect()
 }
 
 #[test]
-fn kinds_open_one_after_the_other_and_unlisted_groups_stay_closed() {
+fn request_kinds_are_admitted_step_by_step_and_unlisted_groups_stay_closed() {
     let (open, closed) = (AdmissionMode::Open, AdmissionMode::Closed(MS * 200));
     let mut controller = controller();
     assert!(
@@ -97,7 +97,8 @@
     assert!(is_admitted(&mut controller, Timestamp::ZERO, WRITE, OTHER_GROUP));
 }
 
-/// Requests at any times with any outcomes: when each was admitted, and when the others were told to return.
+/// Submits requests at random times with random outcomes. Returns when requests were admitted, and when the rejected
+/// ones were told to return.
 fn random_requests(
     seed: u64,
     rng: &mut fastrand::Rng,
@@ -126,62 +127,76 @@
     (admitted, returns)
 }
 
-/// The rate never exceeds its bound, and rejected requests do not return all at once. Seeded.
+/// Guards against a rate above its bound, and against rejected requests that return all at once. Randomized with fixed
+/// seeds.
 #[test]
-fn admitted_requests_stay_below_the_bound_and_rejected_ones_return_one_by_one() {
+fn the_admitted_rate_stays_below_its_bound_and_rejected_requests_return_spread_out() {
     for seed in 0..300 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (capacity, max) = (rng.f64() * 40.0 + 1.0, rng.f64() * 200.0 + 1.0);
-        let mode = paced(capacity, max, CapacitySource::Estimated);
+        let mode = paced_mode(capacity, max, CapacitySource::Estimated);
         let (admitted, mut returns) = random_requests(seed, &mut rng, mode);
         for (n, from) in admitted.iter().enumerate() {
-            let second = admitted[n..].iter().take_while(|at| **at - *from < SECOND).count() as f64;
+            let in_one_second = admitted[n..].iter().take_while(|at| **at - *from < SECOND).count() as f64;
             let burst = (max * BURST_LENGTH.as_micros_f64() / 1e6).max(MIN_BURST_REQUESTS);
-            assert!(second <= max + burst + 2.0, "seed {seed}: {second} in a second, {max} at most");
+            assert!(
+                in_one_second <= max + burst + 2.0,
+                "seed {seed}: {in_one_second} admitted in a second, {max} at most"
+            );
         }
         returns.sort_unstable();
         let crowds = returns.windows(40).filter(|window| window[39] - window[0] < MS).count();
-        assert!(crowds * 20 <= returns.len(), "seed {seed}: {crowds} crowds among {}", returns.len());
+        assert!(
+            crowds * 20 <= returns.len(),
+            "seed {seed}: {crowds} crowds among {} requests",
+            returns.len()
+        );
     }
 }
 
-/// A request at the simulated endpoint.
-struct Sent {
+/// An attempt at the simulated endpoint.
+struct SimulatedAttempt {
+    /// Index of the process that sent it.
     process: usize,
     sent_at: Timestamp,
     done_at: Timestamp,
     outcome: AttemptOutcome,
 }
 
-fn take_done(in_flight: &mut Vec<Sent>, now: Timestamp) -> Vec<Sent> {
-    in_flight.extract_if(.., |sent| sent.done_at <= now).collect()
+fn take_done(in_flight: &mut Vec<SimulatedAttempt>, now: Timestamp) -> Vec<SimulatedAttempt> {
+    in_flight.extract_if(.., |attempt| attempt.done_at <= now).collect()
 }
 
-/// The rate neither stays above the endpoints' capacity nor below it.
+/// Guards against a rate that stays above or below the endpoints' capacity.
 #[test]
 fn the_rate_converges_to_the_capacity() {
     for capacity in [5.0f64, 40.0, 300.0] {
         let mut controller = controller();
-        let mode = paced(10.0, 1_000.0, CapacitySource::Estimated);
+        let mode = paced_mode(10.0, 1_000.0, CapacitySource::Estimated);
         controller.set_policy(Timestamp::ZERO, policy(mode, AdmissionMode::Open, true));
-        // The endpoint serves one request after the other and rejects what its queue does not hold.
-        let mut in_flight: Vec<Sent> = Vec::new();
+        // The endpoint serves one request at a time and rejects those that do not fit in its queue.
+        let mut in_flight: Vec<SimulatedAttempt> = Vec::new();
         let (mut free_at_micros, mut served, mut most_in_flight) = (0.0f64, 0, 0);
         for now in instants(8 * SECOND) {
-            for Sent { sent_at, outcome, .. } in take_done(&mut in_flight, now) {
-                let counts = now > Timestamp::ZERO + 4 * SECOND && outcome == AttemptOutcome::Served;
-                served += u32::from(counts);
+            for SimulatedAttempt { sent_at, outcome, .. } in take_done(&mut in_flight, now) {
+                let is_counted = now > Timestamp::ZERO + 4 * SECOND && outcome == AttemptOutcome::Served;
+                served += u32::from(is_counted);
                 controller.record_attempt(now, WRITE, GROUP, now - sent_at, outcome);
             }
             if is_admitted(&mut controller, now, WRITE, GROUP) {
                 if in_flight.len() as f64 > capacity.max(4.0) {
                     let outcome = AttemptOutcome::Overloaded;
-                    in_flight.push(Sent { process: 0, sent_at: now, done_at: now + MS, outcome });
+                    in_flight.push(SimulatedAttempt { process: 0, sent_at: now, done_at: now + MS, outcome });
                     continue;
                 }
                 free_at_micros = free_at_micros.max(now.as_micros() as f64) + 1e6 / capacity;
                 let done_at = Timestamp::from_micros(free_at_micros as i64);
-                in_flight.push(Sent { process: 0, sent_at: now, done_at, outcome: AttemptOutcome::Served });
+                in_flight.push(SimulatedAttempt {
+                    process: 0,
+                    sent_at: now,
+                    done_at,
+                    outcome: AttemptOutcome::Served,
+                });
             }
             most_in_flight = most_in_flight.max(in_flight.len());
         }
@@ -192,51 +207,58 @@
 }
 
 /// The first burst must not grow with the number of processes, and no long queue may build up at endpoints that
-/// reported their capacity: it makes the router send reads to primaries. Seeded: demand exceeds the capacity.
+/// reported their capacity, since it would make the router send reads to primaries. Randomized with fixed seeds: the
+/// demand exceeds the capacity.
 #[test]
 fn a_reported_capacity_is_used_without_a_queue_by_any_number_of_processes() {
     const CAPACITY_PER_S: f64 = 25.0;
     for (processes, seed) in [1, 3, 12].into_iter().flat_map(|n| (0..12).map(move |seed| (n, seed))) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let share = CAPACITY_PER_S / processes as f64;
-        let mode = paced(share, share * 3.2, CapacitySource::Reported);
+        let mode = paced_mode(share, share * 3.2, CapacitySource::Reported);
         let mut controllers: Vec<AdmissionController> =
             (0..processes).map(|n| AdmissionController::new(&settings(), seed * 100 + n)).collect();
         for controller in &mut controllers {
             controller.set_policy(Timestamp::ZERO, policy(mode, AdmissionMode::Open, true));
         }
-        let mut in_flight: Vec<Sent> = Vec::new();
-        let (mut free_at_micros, mut first, mut served) = (0.0f64, 0, 0);
-        let mut worst = TimeDelta::ZERO;
+        let mut in_flight: Vec<SimulatedAttempt> = Vec::new();
+        let (mut free_at_micros, mut admitted_at_start, mut served) = (0.0f64, 0, 0);
+        let mut worst_latency = TimeDelta::ZERO;
         for now in instants(6 * SECOND) {
-            for Sent { process, sent_at, done_at, outcome } in take_done(&mut in_flight, now) {
+            for SimulatedAttempt { process, sent_at, done_at, outcome } in take_done(&mut in_flight, now) {
                 let took = done_at - sent_at;
                 served += u32::from(now > Timestamp::ZERO + SECOND);
-                worst = worst.max(took);
+                worst_latency = worst_latency.max(took);
                 controllers[process].record_attempt(now, WRITE, GROUP, took, outcome);
             }
             let process = rng.usize(..controllers.len());
             let arrives = rng.f64() < CAPACITY_PER_S * 1.5 / 1_000.0;
             if arrives && is_admitted(&mut controllers[process], now, WRITE, GROUP) {
-                first += u32::from(now < Timestamp::ZERO + SECOND / 5);
+                admitted_at_start += u32::from(now < Timestamp::ZERO + SECOND / 5);
                 free_at_micros = free_at_micros.max(now.as_micros() as f64) + 1e6 / CAPACITY_PER_S;
                 let done_at = Timestamp::from_micros(free_at_micros as i64);
-                in_flight.push(Sent { process, sent_at: now, done_at, outcome: AttemptOutcome::Served });
+                in_flight.push(SimulatedAttempt {
+                    process,
+                    sent_at: now,
+                    done_at,
+                    outcome: AttemptOutcome::Served,
+                });
             }
         }
-        let context =
-            format!("{processes} processes, seed {seed}: {first} at first, {served}, worst {worst:?}");
-        assert!(first <= 8, "{context}");
+        let context = format!(
+            "{processes} processes, seed {seed}: {admitted_at_start} at first, {served} served, worst {worst_latency:?}"
+        );
+        assert!(admitted_at_start <= 8, "{context}");
         assert!(f64::from(served) > CAPACITY_PER_S * 5.0 * 0.8, "{context}");
-        assert!(worst < MS * 700, "{context}");
+        assert!(worst_latency < MS * 700, "{context}");
     }
 }
 
-/// Requests of low priority must not take the place of others.
+/// Guards against requests of low priority weight displacing those of higher weight.
 #[test]
-fn the_class_of_greater_priority_weight_goes_first() {
+fn the_class_with_the_higher_priority_weight_is_admitted_first() {
     let mut controller = controller();
-    let reads = paced(100.0, 100.0, CapacitySource::Estimated);
+    let reads = paced_mode(100.0, 100.0, CapacitySource::Estimated);
     controller.set_policy(Timestamp::ZERO, policy(AdmissionMode::Open, reads, true));
     let mut admitted = [0; 4];
     for now in instants(2 * SECOND).step_by(4) {
@@ -245,7 +267,8 @@
         }
     }
     assert!(admitted[1] > 150 && admitted[2] + admitted[3] < 60, "{admitted:?}");
-    let ranks: Vec<_> = controller.classes.iter().map(|class| (class.classes_above, class.kind)).collect();
+    let ranks: Vec<_> =
+        controller.classes.iter().map(|class| (class.higher_priority_levels, class.kind)).collect();
     assert_eq!(
         ranks,
         [
