--- a/src/engine/observations.rs
+++ b/src/engine/observations.rs
@@ -1,71 +1,72 @@
-//! This process's own observations of endpoints: what they last reported about themselves, for gossip to peers. Fed by
-//! the request engine, read from time to time by the fleet. No I/O.
+//! This process's own observations of endpoints: what they last reported about themselves. The request engine records
+//! them, and the fleet reads them periodically and gossips them to peers. No I/O.
 
 use crate::routing::{EndpointId, LogPosition, ReplicaStatus, TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Endpoints report positions in whole milliseconds: a position may appear this much lower than it is.
+/// Endpoints round positions down to whole milliseconds, so a reported position may be this much too low.
 const POSITION_ROUNDING: TimeDelta = TimeDelta::from_millis(1);
 
-/// Start times of an endpoint that differ by no more are the same start: endpoints report how long they have run, and
-/// the time of the report's arrival varies.
+/// Start times of an endpoint that differ by at most this much belong to the same start. The start time is computed
+/// from the reported uptime and the arrival time of the report, which varies with the network delay.
 pub const START_TIME_TOLERANCE: TimeDelta = TimeDelta::from_secs(2);
 
-/// The utilization that an endpoint reported, summed over several reports.
+/// The sum of the utilization values that an endpoint reported, from which an average can be computed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UtilizationSamples {
-    /// Sum of the reported shares of the endpoint's capacity in use, each from 0 to 1.
+    /// Sum of the reported values, each from 0 to 1.
     pub sum: f64,
-    /// Number of reports in the sum.
+    /// Number of values in the sum.
     pub count: u32,
 }
 
-/// An endpoint's log position went back behind one that it had reported before.
+/// An endpoint's log position went back: it is lower than one that the endpoint reported before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogRegression {
-    /// The position that it reports now.
+    /// The lower position, which the endpoint reports now.
     pub position: LogPosition,
-    /// When the request was sent that was answered with that position.
+    /// When the request that was answered with this position was sent.
     pub requested_at: Timestamp,
 }
 
-/// What an endpoint last reported, and what was counted since observations were last taken.
+/// The last report of an endpoint, and the counts since observations were last taken.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
     /// The endpoint's name.
     pub endpoint_name: String,
-    /// It reported to be the primary.
+    /// Whether the endpoint reported that it is the primary.
     pub primary: bool,
-    /// The log position that it reported; [`LogPosition::UNKNOWN`] where it reported none.
+    /// The log position that the endpoint reported; [`LogPosition::UNKNOWN`] if it reported none.
     pub position: LogPosition,
     /// When the report arrived.
     pub observed_at: Timestamp,
-    /// Attempts that are in flight at the endpoint now.
+    /// Number of attempts that are in flight at the endpoint.
     pub in_flight: u16,
-    /// When the endpoint started: by its own report, by a log regression of a primary, or by the endpoint list.
+    /// When the endpoint last started, according to its own reports, a log regression of a primary, or the endpoint
+    /// list; `None` if unknown.
     pub started_at: Option<Timestamp>,
-    /// Attempts that it served since observations were last taken.
+    /// Number of attempts that the endpoint served since observations were last taken.
     pub served: u32,
-    /// The utilization that it reported since observations were last taken.
+    /// The utilization values that the endpoint reported since observations were last taken.
     pub utilization: UtilizationSamples,
-    /// Its log position went back since observations were last taken.
+    /// The latest log regression since observations were last taken; `None` if there was none.
     pub regression: Option<LogRegression>,
 }
 
-/// An endpoint's report about itself, as it arrives with an answer.
+/// An endpoint's report about itself, which arrives with an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointReport {
-    /// Its role and log position.
+    /// The endpoint's role and log position.
     pub replica_status: ReplicaStatus,
-    /// How long it has run; `None` where it does not say.
+    /// How long the endpoint has been running; `None` if it does not say.
     pub uptime: Option<TimeDelta>,
-    /// When the request was sent that it answered.
+    /// When the answered request was sent.
     pub requested_at: Timestamp,
     /// When the answer arrived.
     pub arrived_at: Timestamp,
 }
 
-/// The highest log position that an endpoint reported.
+/// The highest log position that an endpoint reported, and when that report arrived.
 #[derive(Clone, Copy, Debug)]
 struct HighestPosition {
     position: LogPosition,
@@ -78,13 +79,14 @@
     arrived_at: Timestamp,
 }
 
-/// What is known of one endpoint. The counts and the regression are of the time since observations were last taken.
+/// What is known of one endpoint. `served`, `utilization` and `regression` cover the time since observations were last
+/// taken.
 #[derive(Clone, Copy, Debug, Default)]
 struct EndpointHistory {
     latest: Option<LatestStatus>,
-    /// When it started, by the uptime that it reports.
+    /// When the endpoint last started, computed from the uptime that it reports.
     started_at: Option<Timestamp>,
-    /// When a regression of its log showed that it, a primary, had restarted.
+    /// When a log regression showed that the endpoint, then a primary, had restarted.
     restarted_at: Option<Timestamp>,
     highest: Option<HighestPosition>,
     served: u32,
@@ -93,7 +95,8 @@
 }
 
 impl EndpointHistory {
-    /// Whether a report shows that the endpoint restarted, by its uptime; if so, the new start is recorded.
+    /// Computes the endpoint's start time from the uptime in a report and records a new start; returns whether there
+    /// was one.
     fn record_uptime(&mut self, report: &EndpointReport) -> bool {
         let Some(uptime) = report.uptime.filter(|uptime| *uptime >= TimeDelta::ZERO) else { return false };
         let started_at = report.arrived_at.saturating_sub(uptime);
@@ -104,21 +107,22 @@
         true
     }
 
-    /// Whether a report shows that the endpoint's log went back.
+    /// Records the position in a report; returns whether it shows that the endpoint's log went back.
     fn record_position(&mut self, report: &EndpointReport) -> bool {
         let EndpointReport { replica_status, requested_at, arrived_at, .. } = *report;
         let position = replica_status.position;
         if !position.is_known() {
             return false;
         }
-        // Answers overtake each other: only the answer to a request that was sent after the higher position had
-        // arrived shows that the log went back.
+        // Answers may arrive out of order. Only the answer to a request that was sent after the higher position had
+        // arrived proves that the log went back.
         let went_back = self.highest.is_some_and(|highest| {
             highest.arrived_at < requested_at && position + POSITION_ROUNDING < highest.position
         });
         if went_back {
             self.regression = Some(LogRegression { position, requested_at });
-            // A replica may have been given an older copy while it ran; a primary has lost what it had.
+            // A replica may have been reset to an older copy without a restart, but a primary must have lost its data
+            // in a restart.
             if replica_status.primary {
                 self.restarted_at = Some(arrived_at);
             }
@@ -129,8 +133,9 @@
         went_back
     }
 
-    /// The history as an observation; counts and regression start over.
-    fn take(&mut self) -> Option<NewObservation> {
+    /// Returns the history as an observation and resets its counts and regression; `None` if the endpoint has not
+    /// reported yet.
+    fn take_observation(&mut self) -> Option<NewObservation> {
         let LatestStatus { replica_status, arrived_at } = self.latest?;
         Some(NewObservation {
             replica_status,
@@ -143,14 +148,15 @@
     }
 }
 
-/// What is new of one endpoint since observations were last taken.
+/// An [`Observation`] without the fields that the engine adds: the endpoint's name and its attempts in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NewObservation {
-    /// The last role and position that it reported.
+    /// The role and position that the endpoint last reported.
     pub replica_status: ReplicaStatus,
     /// See [`Observation::observed_at`].
     pub observed_at: Timestamp,
-    /// When the endpoint started, by its own report or a log regression of a primary.
+    /// When the endpoint last started, according to its own reports or a log regression of a primary; `None` if
+    /// unknown.
     pub started_at: Option<Timestamp>,
     /// See [`Observation::served`].
     pub served: u32,
@@ -160,13 +166,13 @@
     pub regression: Option<LogRegression>,
 }
 
-/// The observations of all endpoints. Reports are recorded only once observations have been taken for the first time:
-/// without a fleet nobody reads them.
+/// The observations of all endpoints. Reports are recorded only after observations have been taken for the first time,
+/// since nothing reads them in a pooler without a fleet.
 #[derive(Debug, Default)]
 pub struct Observations {
     recording: bool,
     histories: BTreeMap<EndpointId, EndpointHistory>,
-    /// An endpoint restarted or its log went back since [`Observations::take_urgent`] was last called.
+    /// Whether an endpoint restarted or its log went back since the last call of [`Observations::take_urgent`].
     urgent: bool,
     /// Endpoints that reported since observations were last taken.
     updated: BTreeSet<EndpointId>,
@@ -187,8 +193,8 @@
         self.updated.insert(endpoint);
     }
 
-    /// Whether observations should be taken at once, since an endpoint restarted or its log went back; true once for
-    /// each such event.
+    /// Whether observations should be taken at once, because an endpoint restarted or its log went back since the last
+    /// call.
     pub fn take_urgent(&mut self) -> bool {
         std::mem::take(&mut self.urgent)
     }
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Adds a report of which share of its capacity an endpoint has in use.
+    /// Records the utilization that an endpoint reported, from 0 to 1.
     pub fn record_utilization(&mut self, endpoint: EndpointId, utilization: f64) {
         if !self.recording {
             return;
@@ -214,7 +220,7 @@
         }
     }
 
-    /// Records a position that an endpoint reported to a peer, or to this process before its start.
+    /// Records a position that an endpoint reported to a peer, or to this process before it was restarted.
     pub fn record_external_position(
         &mut self,
         endpoint: EndpointId,
@@ -228,7 +234,7 @@
         }
     }
 
-    /// When an endpoint last reported to this process.
+    /// When the last report of an endpoint to this process arrived; `None` if there was none.
     pub fn last_report_at(&self, endpoint: EndpointId) -> Option<Timestamp> {
         let latest = self.histories.get(&endpoint)?.latest?;
         Some(latest.arrived_at)
@@ -240,12 +246,13 @@
         self.updated.retain(|endpoint| keep(*endpoint));
     }
 
-    /// Takes the observations of all endpoints that reported since the last call. The first call starts recording.
+    /// Returns the observations of all endpoints that reported since the last call, and resets their counts. The first
+    /// call starts the recording and returns nothing.
     pub fn take(&mut self) -> Vec<(EndpointId, NewObservation)> {
         self.recording = true;
         let mut taken = Vec::new();
         for endpoint in std::mem::take(&mut self.updated) {
-            if let Some(new) = self.histories.get_mut(&endpoint).and_then(EndpointHistory::take) {
+            if let Some(new) = self.histories.get_mut(&endpoint).and_then(EndpointHistory::take_observation) {
                 taken.push((endpoint, new));
             }
         }
--- a/src/engine/observations/tests.rs
+++ b/src/engine/observations/tests.rs
@@ -10,7 +10,8 @@
     LogPosition::from_micros(micros)
 }
 
-/// A primary's report of this position, in answer to a request of `requested_at`.
+/// A primary's report of a position, in answer to a request that was sent at `requested_at`. All values are in
+/// microseconds.
 fn report(position_micros: i64, requested_at: i64, arrived_at: i64) -> EndpointReport {
     EndpointReport {
         replica_status: ReplicaStatus { primary: true, position: position(position_micros) },
@@ -20,8 +21,8 @@
     }
 }
 
-/// Answers that overtake each other are no regression, and one is noticed even if the endpoint has caught up since.
-/// Seeded.
+/// Guards against answers that arrive out of order being taken for a regression, and against missing a regression from
+/// which the endpoint has caught up since. Randomized with fixed seeds.
 #[test]
 fn a_regression_is_seen_only_in_answers_to_requests_sent_after_a_higher_position_arrived() {
     for seed in 0..400 {
@@ -36,7 +37,7 @@
             now += rng.i64(1..5_000);
             position += rng.i64(0..4_000);
             if regresses_at == Some(step) {
-                // Nothing from before is still in flight: the connections broke.
+                // The restart broke the connections, so no earlier request is in flight any more.
                 in_flight.clear();
                 position -= 500_000;
             }
--- a/src/engine/outcome_window.rs
+++ b/src/engine/outcome_window.rs
@@ -1,55 +1,55 @@
-//! A sliding window of how the attempts at each endpoint ended, from which the fleet detects failing zones. Fed by the
-//! request engine, read from time to time. No I/O.
+//! A sliding window of attempt outcomes per endpoint, from which the fleet detects failing zones. The request engine
+//! records outcomes, and the fleet reads the window periodically. No I/O.
 //!
-//! An attempt in flight counts as unanswered before its timeout: in a zone that has failed no attempt ends.
+//! An overdue attempt counts as unanswered even before it times out, since in a failed zone no attempt ends.
 
 use crate::routing::{AttemptOutcome, EndpointId, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// The window consists of this many buckets, which expire one by one.
+/// Number of buckets in the window. They expire one by one.
 const BUCKETS: i64 = 6;
 const BUCKET_LENGTH: TimeDelta = TimeDelta::from_millis(100);
-/// How far the window reaches back.
+/// The length of the window, which ends at the time of reading.
 pub const WINDOW_LENGTH: TimeDelta = TimeDelta::from_micros(BUCKETS * BUCKET_LENGTH.as_micros());
-/// An answer is late that took more than this multiple of its class's usual latency, plus [`LATENCY_JITTER`].
-const LATE_FACTOR: f64 = 5.0;
-/// Latency that scheduling and the network add to any answer.
+/// An answer is late if it took longer than this multiple of its class's usual latency plus [`LATENCY_JITTER`].
+const LATE_LATENCY_FACTOR: f64 = 5.0;
+/// Allowance for latency that scheduling and the network may add to any answer.
 const LATENCY_JITTER: TimeDelta = TimeDelta::from_millis(30);
-/// No attempt is overdue before this time: a short pause of an endpoint is no failure. Also the bound of a class whose
-/// usual latency is not known yet.
-const MIN_OVERDUE: TimeDelta = TimeDelta::from_millis(400);
-/// How long failures since an endpoint's last answer are reported. A failed endpoint is tried seldom; its failures
-/// would expire between two attempts. Shorter than a zone stays evacuated.
+/// The shortest time after which an attempt is overdue, since a short pause of an endpoint is not a failure. Also
+/// replaces the multiple of the usual latency for a class whose usual latency is not known yet.
+const MIN_OVERDUE_AFTER: TimeDelta = TimeDelta::from_millis(400);
+/// How long failures since an endpoint's last answer are reported. A failed endpoint gets few attempts, so its failures
+/// would otherwise expire between two of them. Shorter than the time for which a zone stays evacuated.
 const FAILURE_RETENTION: TimeDelta = TimeDelta::from_secs(2);
-/// At most this many failures of each kind are reported beyond the window.
+/// The number of failures of each kind that are reported after they have left the window, at most.
 const MAX_RETAINED_FAILURES: u32 = 4;
-/// How long the time of an endpoint's last answer is kept. No attempt is in flight for longer.
+/// How long the time of an endpoint's last answer is kept. No attempt is in flight for longer than this.
 const LAST_ANSWER_RETENTION: TimeDelta = TimeDelta::from_secs(600);
-/// Weight of a slower answer in the moving average of a class's latency. Small: the average is to stay at the latency
-/// of healthy endpoints while others are slow.
-const BASELINE_RISE: f64 = 0.01;
-/// Weight of a faster answer in that average.
-const BASELINE_FALL: f64 = 0.1;
-/// Weight of a report in the moving average of an endpoint's utilization.
-const UTILIZATION_SMOOTHING: f64 = 0.1;
+/// Weight of an answer slower than the moving average of its class's latency. It is small, so that the average stays at
+/// the latency of healthy endpoints while others are slow.
+const SLOWER_ANSWER_WEIGHT: f64 = 0.01;
+/// Weight of an answer faster than that average.
+const FASTER_ANSWER_WEIGHT: f64 = 0.1;
+/// Weight of a reported value in the moving average of an endpoint's utilization.
+const UTILIZATION_SAMPLE_WEIGHT: f64 = 0.1;
 
-/// How the attempts of one process at one endpoint ended within the window.
+/// How many attempts of one process at one endpoint had which outcome within the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
-    /// Answered within the usual time of their class.
+    /// Attempts that were answered within the usual time of their class.
     pub on_time: u32,
-    /// Answered later than that, or overdue while the endpoint answers others.
+    /// Attempts that were answered later than that, or are overdue while the endpoint has answered others since.
     pub late: u32,
-    /// Not answered: overdue, cancelled when overdue, timed out, or the connection broke.
+    /// Attempts without an answer: overdue, cancelled when overdue, timed out, or cut off by a broken connection.
     pub unanswered: u32,
-    /// No connection was made.
+    /// Attempts for which no connection could be established.
     pub connect_failed: u32,
-    /// Share of its capacity that the endpoint last reported to be in use, per mille; 0 where it reports none.
+    /// Moving average of the utilization that the endpoint reports, per mille and at least 1; 0 if it reports none.
     pub utilization_permille: u16,
 }
 
 impl OutcomeCounts {
-    /// What one ended attempt counts as; `None`: it says nothing about its endpoint.
+    /// How an ended attempt is counted; `None` if it says nothing about its endpoint.
     fn of_attempt(outcome: AttemptOutcome, took: TimeDelta, bounds: LatencyBounds) -> Option<OutcomeCounts> {
         let mut counts = OutcomeCounts::default();
         match outcome {
@@ -60,14 +60,14 @@
             | AttemptOutcome::Error => counts.on_time = 1,
             AttemptOutcome::ConnectFailed => counts.connect_failed = 1,
             AttemptOutcome::TimedOut | AttemptOutcome::Reset => counts.unanswered = 1,
-            // One that was cancelled early might still have been answered on time.
+            // An attempt that was cancelled earlier might still have been answered on time.
             AttemptOutcome::Cancelled if took > bounds.overdue_after => counts.unanswered = 1,
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return None,
         }
         Some(counts)
     }
 
-    /// Whether the endpoint answered.
+    /// Whether the endpoint answered at least one attempt.
     fn is_answered(&self) -> bool {
         self.on_time + self.late > 0
     }
@@ -79,7 +79,7 @@
         self.connect_failed += other.connect_failed;
     }
 
-    /// Number of attempts counted.
+    /// Number of attempts with any of the four outcomes.
     pub fn total(&self) -> u32 {
         self.on_time + self.late + self.unanswered + self.connect_failed
     }
@@ -88,15 +88,15 @@
 /// An attempt that was sent and has not ended.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightAttempt {
-    /// The endpoint to which it was sent.
+    /// The endpoint to which the attempt was sent.
     pub endpoint: EndpointId,
-    /// The number of its request's class.
+    /// The class number of the request.
     pub class: usize,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Timestamp,
 }
 
-/// The latencies that a class's answers are held against.
+/// The latencies from which on attempts of a class are late or overdue.
 #[derive(Clone, Copy, Debug)]
 struct LatencyBounds {
     late_after: TimeDelta,
@@ -105,7 +105,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// The time since the clock's zero, in bucket lengths.
+    /// Number of bucket lengths between the clock's zero and the start of the bucket.
     index: i64,
     counts: OutcomeCounts,
 }
@@ -116,46 +116,49 @@
     }
 }
 
-/// Failures since an endpoint's last answer.
+/// The failures of an endpoint since its last answer.
 #[derive(Clone, Copy, Debug, Default)]
 struct RecentFailures {
     counts: OutcomeCounts,
     last_at: Timestamp,
 }
 
-/// The window of all endpoints. Nothing is recorded until it is read for the first time: without a fleet nobody reads
-/// it.
+/// The windows of all endpoints. Nothing is recorded until the first read, since nothing reads the window in a pooler
+/// without a fleet.
 #[derive(Debug, Default)]
 pub struct OutcomeWindow {
     recording: bool,
     buckets: BTreeMap<EndpointId, Vec<Bucket>>,
-    /// By class number, the moving average of answers' latencies in microseconds.
+    /// The moving average of answer latencies in microseconds, by class number.
     usual_latency_micros: BTreeMap<usize, f64>,
-    /// The moving average of the utilization that endpoints report, from 0 to 1.
+    /// The moving average of the utilization that each endpoint reports, from 0 to 1.
     utilization: BTreeMap<EndpointId, f64>,
-    /// When each endpoint last answered an attempt. Answers to health checks do not count: they take no work.
+    /// When each endpoint last answered an attempt. Answers to health checks do not count, since a health check
+    /// involves no work.
     last_answer_at: BTreeMap<EndpointId, Timestamp>,
     recent_failures: BTreeMap<EndpointId, RecentFailures>,
 }
 
 impl OutcomeWindow {
-    fn bounds(&self, class: usize) -> LatencyBounds {
+    fn latency_bounds(&self, class: usize) -> LatencyBounds {
         let bound = match self.usual_latency_micros.get(&class) {
-            Some(usual) => TimeDelta::from_micros_f64(usual * LATE_FACTOR),
-            None => MIN_OVERDUE,
+            Some(usual) => TimeDelta::from_micros_f64(usual * LATE_LATENCY_FACTOR),
+            None => MIN_OVERDUE_AFTER,
         };
         let late_after = bound + LATENCY_JITTER;
-        LatencyBounds { late_after, overdue_after: late_after.max(MIN_OVERDUE) }
+        LatencyBounds { late_after, overdue_after: late_after.max(MIN_OVERDUE_AFTER) }
     }
 
-    /// Records the end of an attempt.
+    /// Records the outcome of an attempt that ended now.
     pub fn record(&mut self, now: Timestamp, attempt: &InFlightAttempt, outcome: AttemptOutcome) {
         if !self.recording {
             return;
         }
         let InFlightAttempt { endpoint, class, sent_at } = *attempt;
         let took = now - sent_at;
-        let Some(counts) = OutcomeCounts::of_attempt(outcome, took, self.bounds(class)) else { return };
+        let Some(counts) = OutcomeCounts::of_attempt(outcome, took, self.latency_bounds(class)) else {
+            return;
+        };
         if outcome == AttemptOutcome::Served {
             self.record_latency(class, took);
         }
@@ -167,17 +170,17 @@
             failures.counts.add(&counts);
             failures.last_at = now;
         }
-        self.count(now, endpoint, counts);
+        self.add_to_window(now, endpoint, counts);
     }
 
     fn record_latency(&mut self, class: usize, took: TimeDelta) {
         let took = took.as_micros_f64();
         let usual = self.usual_latency_micros.entry(class).or_insert(took);
-        let weight = if took > *usual { BASELINE_RISE } else { BASELINE_FALL };
+        let weight = if took > *usual { SLOWER_ANSWER_WEIGHT } else { FASTER_ANSWER_WEIGHT };
         *usual += (took - *usual) * weight;
     }
 
-    fn count(&mut self, now: Timestamp, endpoint: EndpointId, counts: OutcomeCounts) {
+    fn add_to_window(&mut self, now: Timestamp, endpoint: EndpointId, counts: OutcomeCounts) {
         let index = Bucket::index_at(now);
         let buckets = self.buckets.entry(endpoint).or_default();
         buckets.retain(|bucket| index - bucket.index < BUCKETS);
@@ -187,29 +190,29 @@
         }
     }
 
-    /// Records an endpoint's report of the share of its capacity in use, from 0 to 1.
+    /// Records the utilization that an endpoint reported, from 0 to 1.
     pub fn record_utilization(&mut self, endpoint: EndpointId, utilization: f64) {
         if !self.recording {
             return;
         }
         let average = self.utilization.entry(endpoint).or_insert(utilization);
-        *average += (utilization.clamp(0.0, 1.0) - *average) * UTILIZATION_SMOOTHING;
+        *average += (utilization.clamp(0.0, 1.0) - *average) * UTILIZATION_SAMPLE_WEIGHT;
     }
 
-    /// Whether an attempt has been in flight for longer than a healthy endpoint takes for its class.
+    /// Whether an attempt has been in flight for longer than a healthy endpoint needs for its class.
     pub fn is_overdue(&self, now: Timestamp, attempt: &InFlightAttempt) -> bool {
-        now - attempt.sent_at > self.bounds(attempt.class).overdue_after
+        now - attempt.sent_at > self.latency_bounds(attempt.class).overdue_after
     }
 
-    /// How attempts at each endpoint ended within the window; `in_flight`: all attempts that have not ended. The first
-    /// call starts recording.
+    /// The outcomes of attempts at each endpoint within the window. `in_flight` yields all attempts that have not
+    /// ended. The first call starts the recording.
     pub fn read(
         &mut self,
         now: Timestamp,
         in_flight: impl Iterator<Item = InFlightAttempt>,
     ) -> BTreeMap<EndpointId, OutcomeCounts> {
         self.recording = true;
-        self.expire(now);
+        self.drop_expired(now);
         let mut counts: BTreeMap<EndpointId, OutcomeCounts> = BTreeMap::new();
         for (endpoint, buckets) in &self.buckets {
             let sum = counts.entry(*endpoint).or_default();
@@ -223,7 +226,7 @@
         }
         for attempt in in_flight.filter(|attempt| self.is_overdue(now, attempt)) {
             let sum = counts.entry(attempt.endpoint).or_default();
-            // An endpoint that has answered another attempt since is slow or lost one message: that is no failure.
+            // An endpoint that has answered another attempt since is slow or lost one message, but it has not failed.
             if self.last_answer_at.get(&attempt.endpoint).is_some_and(|at| *at >= attempt.sent_at) {
                 sum.late += 1;
             } else {
@@ -232,14 +235,14 @@
         }
         for (endpoint, sum) in &mut counts {
             if let Some(utilization) = self.utilization.get(endpoint) {
-                // At least 1: 0 stands for an endpoint that reports none.
+                // At least 1, since 0 means that the endpoint reports no utilization.
                 sum.utilization_permille = ((utilization * 1000.0) as u16).max(1);
             }
         }
         counts
     }
 
-    fn expire(&mut self, now: Timestamp) {
+    fn drop_expired(&mut self, now: Timestamp) {
         let index = Bucket::index_at(now);
         for buckets in self.buckets.values_mut() {
             buckets.retain(|bucket| index - bucket.index < BUCKETS);
--- a/src/engine/outcome_window/tests.rs
+++ b/src/engine/outcome_window/tests.rs
@@ -7,14 +7,14 @@
     Timestamp::ZERO + since
 }
 
-/// A window that has been read, so that it records.
+/// A window that records outcomes, since it has been read once.
 fn recording_window() -> OutcomeWindow {
     let mut window = OutcomeWindow::default();
     assert!(window.read(Timestamp::ZERO, std::iter::empty()).is_empty());
     window
 }
 
-/// Records an attempt of class 0 that ended now and took this long.
+/// Records an attempt of class 0 that ended at `now` after `took`.
 fn record(
     window: &mut OutcomeWindow,
     now: Timestamp,
@@ -25,9 +25,9 @@
     window.record(now, &InFlightAttempt { endpoint, class: 0, sent_at: now - took }, outcome);
 }
 
-/// Memory must not grow with endpoints that come and go where nobody ever reads the window.
+/// Guards against memory use that grows with every endpoint that comes and goes while the window is never read.
 #[test]
-fn nothing_is_kept_before_the_first_read_nor_after_it_has_expired() {
+fn no_state_is_kept_before_the_first_read_or_after_expiry() {
     let mut window = OutcomeWindow::default();
     record(&mut window, Timestamp::ZERO, ENDPOINT, MS, AttemptOutcome::Served);
     window.record_utilization(ENDPOINT, 0.5);
@@ -44,7 +44,7 @@
     assert_eq!(kept, (0, 0, 0, 0));
 }
 
-/// A failure must show before requests time out, and not at an endpoint that goes on answering.
+/// A failure must be visible before requests time out, but an endpoint that still answers must not count as failed.
 #[test]
 fn an_overdue_attempt_is_unanswered_unless_its_endpoint_has_answered_since() {
     let mut window = recording_window();
@@ -52,9 +52,10 @@
         record(&mut window, at(n * 10 * MS), ENDPOINT, 5 * MS, AttemptOutcome::Served);
     }
     let sent = |sent_at| [InFlightAttempt { endpoint: ENDPOINT, class: 0, sent_at }].into_iter();
-    // It last answered at 490 ms.
-    let unanswered =
-        |counts: &BTreeMap<EndpointId, OutcomeCounts>| counts.get(&ENDPOINT).map_or(0, |c| c.unanswered);
+    // The endpoint last answered at 490 ms.
+    let unanswered = |counts: &BTreeMap<EndpointId, OutcomeCounts>| {
+        counts.get(&ENDPOINT).map_or(0, |counts| counts.unanswered)
+    };
     assert_eq!(unanswered(&window.read(at(880 * MS), sent(at(500 * MS)))), 0);
     assert_eq!(window.read(at(950 * MS), sent(at(500 * MS)))[&ENDPOINT].unanswered, 1);
     let counts = window.read(at(950 * MS), sent(at(480 * MS)))[&ENDPOINT];
@@ -64,7 +65,7 @@
     assert!(window.read(at(5_000 * MS), std::iter::empty()).is_empty(), "old outcomes have expired");
 }
 
-/// A failed endpoint is tried seldom and must not be forgotten between two attempts.
+/// A failed endpoint gets few attempts. Its failures must not be forgotten between two of them.
 #[test]
 fn failures_are_retained_until_the_endpoint_answers_or_they_expire() {
     let mut window = recording_window();
@@ -80,10 +81,10 @@
     assert!(window.read(at(FAILURE_RETENTION + 700 * MS), none()).is_empty(), "it has answered");
 }
 
-/// The usual latency must not follow a slow zone until nothing there is late any more. Seeded: a third of the answers
-/// takes ten times as long.
+/// Guards against the usual latency adapting to a slow zone until its answers no longer count as late. Randomized with
+/// fixed seeds: a third of the answers takes ten times as long.
 #[test]
-fn a_third_of_slow_answers_stays_late() {
+fn answers_of_a_slow_endpoint_stay_late() {
     for seed in 0..50 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut window, slow_endpoint) = (recording_window(), EndpointId { ip: [0; 4], port: 2 });
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn each_outcome_counts_as_what_it_says_of_the_endpoint() {
+fn each_attempt_outcome_is_counted_by_what_it_shows_about_the_endpoint() {
     let mut window = recording_window();
     let outcomes = [
         AttemptOutcome::Served,
