--- a/src/daemon/operator/engine_feeds.rs
+++ b/src/daemon/operator/engine_feeds.rs
@@ -78,7 +78,7 @@
                 known_settings = newer;
             }
             if let Some(list) = self.fleet.next_endpoint_update(&mut known_list) {
-                self.engine.control(Control::EndpointList { list, cached: false }).await;
+                self.engine.send_control(Control::EndpointList { list, cached: false }).await;
                 self.first_list_sent.set();
             }
             let _ = changed.recv().await;
@@ -105,8 +105,8 @@
     /// Advances recovery as far as the fleet's state allows; true: all groups are served.
     async fn advance_recovery(&self) -> bool {
         let rules = self.fleet.advance_recovery(self.hints_sent.is_set());
-        self.engine.control(Control::SetPollParticipants(rules.poll_participants)).await;
-        self.engine.control(Control::SetAdmission(rules.admission)).await;
+        self.engine.send_control(Control::SetPollParticipants(rules.poll_participants)).await;
+        self.engine.send_control(Control::SetAdmission(rules.admission)).await;
         self.fleet.recovery_status().phase >= RecoveryPhase::Remaining
     }
 
@@ -117,7 +117,7 @@
         while let Some(outcomes) = self.engine.outcome_counts().await {
             let evacuated = self.fleet.update_zones(&outcomes);
             if !evacuated.is_empty() {
-                self.engine.control(Control::CancelOverdueReads(evacuated)).await;
+                self.engine.send_control(Control::CancelOverdueReads(evacuated)).await;
             }
             // Without requests there are no outcomes to detect a failure by.
             let pause = if outcomes.is_empty() {
@@ -132,9 +132,9 @@
     /// Hands the observations of peers to the engine, those from before the start first.
     async fn feed_peer_observations(self: Rc<Self>) {
         self.first_list_sent.wait().await;
-        self.engine.control(Control::PeerObservations(self.fleet.restored_positions())).await;
+        self.engine.send_control(Control::PeerObservations(self.fleet.restored_positions())).await;
         while let Some(observations) = self.fleet.next_peer_observations().await {
-            self.engine.control(Control::PeerObservations(observations)).await;
+            self.engine.send_control(Control::PeerObservations(observations)).await;
         }
     }
 
@@ -143,11 +143,11 @@
     async fn feed_primary_hints(self: Rc<Self>) {
         self.first_list_sent.wait().await;
         for bytes in self.fleet.initial_primary_hints() {
-            self.engine.input(Input::PeerMessage { from: 0, bytes }).await;
+            self.engine.send_input(Input::PeerMessage { from: 0, bytes }).await;
         }
         self.hints_sent.set();
         while let Some(bytes) = self.fleet.next_primary_hint().await {
-            self.engine.input(Input::PeerMessage { from: 0, bytes }).await;
+            self.engine.send_input(Input::PeerMessage { from: 0, bytes }).await;
         }
     }
 }
--- a/src/daemon/platform/endpoint_lists.rs
+++ b/src/daemon/platform/endpoint_lists.rs
@@ -26,7 +26,7 @@
     pub fn new(cached: Option<EndpointUpdate>) -> EndpointLists {
         let mut catalog = EndpointCatalog::default();
         if let Some(cached) = cached {
-            catalog.take(&EndpointUpdate { whole: true, ..cached });
+            catalog.apply(&EndpointUpdate { whole: true, ..cached });
         }
         EndpointLists { catalog: Rc::new(RefCell::new(catalog)), first_list_sent: Latch::default() }
     }
@@ -56,8 +56,8 @@
         let task = async move {
             Timer::after(delay).await;
             if !first_list_sent.is_set() {
-                let list = catalog.borrow().listing();
-                engine.control(Control::EndpointList { list, cached: true }).await;
+                let list = catalog.borrow().whole_list();
+                engine.send_control(Control::EndpointList { list, cached: true }).await;
             }
             Timer::after(ready_after.saturating_sub(delay)).await;
             first_list_sent.set();
@@ -67,9 +67,9 @@
 
     /// Hands a list from discovery to the engine.
     async fn deliver<W, A>(&self, update: &EndpointUpdate, engine: &EngineHandle<W, A>) {
-        self.catalog.borrow_mut().take(update);
-        let list = self.catalog.borrow().listing();
-        engine.control(Control::EndpointList { list, cached: false }).await;
+        self.catalog.borrow_mut().apply(update);
+        let list = self.catalog.borrow().whole_list();
+        engine.send_control(Control::EndpointList { list, cached: false }).await;
         self.first_list_sent.set();
     }
 }
--- a/src/daemon/platform/gossip.rs
+++ b/src/daemon/platform/gossip.rs
@@ -49,5 +49,5 @@
     engine: &EngineHandle<W, A>,
 ) {
     socket.bind_when_free(address, retry_interval).await;
-    socket.receive(|from, bytes| engine.input(Input::PeerMessage { from, bytes })).await;
+    socket.receive(|from, bytes| engine.send_input(Input::PeerMessage { from, bytes })).await;
 }
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -59,7 +59,7 @@
             terminate.received().await;
             let signalled_at = Instant::now();
             lifecycle.terminate();
-            let client_timeout = engine.client_timeout();
+            let client_timeout = engine.longest_client_timeout();
             let drain = match handover {
                 Handover::Nobody => limits.drain_times_without_peers(client_timeout),
                 Handover::Tier | Handover::Successor => limits.drain_times(client_timeout),
@@ -103,7 +103,7 @@
     limiter.close_after_request();
     let final_answers_at = end - limits.final_answer_margin;
     if until(final_answers_at, limiter.wait_until_empty()).await.is_none() {
-        engine.control(Control::FinishAll).await;
+        engine.send_control(Control::FinishAll).await;
         limiter.abort_incomplete();
         until(end, limiter.wait_until_empty()).await;
     }
--- a/src/engine/classes.rs
+++ b/src/engine/classes.rs
@@ -1,20 +1,20 @@
-//! Request classes by name, as the client-facing servers look them up.
+//! Request classes by name, for the client-facing servers.
 
 use crate::routing::{Class, Consistency, Idempotency, Settings, TimeDelta};
 
 /// Whether a request carries an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyKey {
-    /// It does: endpoints drop a repeat of it.
+    /// It carries a key, so that endpoints drop a repeat of it.
     Present,
-    /// It does not: a repeat of it runs again.
+    /// It carries no key, so that a repeat of it runs again.
     Absent,
 }
 
 #[derive(Clone, Debug)]
 struct NamedClass {
     name: String,
-    /// For a keyed class, the number of its variant for requests without a key.
+    /// The class number of the variant for requests without a key; `None` if the class is not keyed.
     keyless_variant: Option<usize>,
     consistency: Option<Consistency>,
     deadline: Option<TimeDelta>,
@@ -25,10 +25,11 @@
 pub struct Classes(Vec<NamedClass>);
 
 impl Classes {
-    /// Names the classes of `settings`, and appends to the settings a keyless variant of each keyed class.
+    /// Assigns `names` to the classes of `settings`, in order, and appends a keyless variant of each keyed class to the
+    /// settings.
     ///
-    /// No endpoint drops the repeat of a request without a key. The variant is therefore not idempotent: a request
-    /// of it is retried only where the earlier attempt certainly never ran.
+    /// No endpoint drops the repeat of a request without a key. The variant is therefore not idempotent: its requests
+    /// are retried only if the earlier attempt is known not to have run.
     pub fn new(names: Vec<String>, settings: &mut Settings) -> Classes {
         settings.classes.truncate(names.len());
         let mut named = Vec::new();
@@ -46,7 +47,7 @@
         Classes(named)
     }
 
-    /// The names of the classes, in the order of their numbers. Keyless variants have none of their own.
+    /// The class names, in the order of the class numbers. Keyless variants have no names of their own.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.0.iter().map(|class| class.name.as_str())
     }
@@ -54,7 +55,7 @@
     /// For every class number, keyless variants included, the index of its name in [`Classes::names`].
     pub fn name_indices(&self) -> Vec<usize> {
         let mut indices: Vec<usize> = (0..self.0.len()).collect();
-        // Variants were appended in the order of their classes.
+        // `Classes::new` appended the variants in the order of their classes.
         for (index, class) in self.0.iter().enumerate() {
             if class.keyless_variant.is_some() {
                 indices.push(index);
@@ -63,7 +64,8 @@
         indices
     }
 
-    /// The number of the class of that name for a request with or without an idempotency key.
+    /// The class number for a request of the class `name`, with or without an idempotency key; `None` if there is no
+    /// such class.
     pub fn find(&self, name: &str, key: IdempotencyKey) -> Option<usize> {
         let number = self.0.iter().position(|class| class.name == name)?;
         match key {
@@ -76,18 +78,20 @@
         self.0.iter().find(|class| class.name == name)
     }
 
-    /// Whether requests of the class write.
+    /// Whether requests of the class are writes; false if there is no such class.
     pub fn writes(&self, name: &str) -> bool {
         self.class(name).and_then(|class| class.consistency) == Some(Consistency::Write)
     }
 
-    /// Whether an answer of the class reflects a log position that its client states.
-    pub fn sees_positions(&self, name: &str) -> bool {
+    /// Whether answers of the class include all commits up to a log position that the client sends; false if there is
+    /// no such class.
+    pub fn honors_client_position(&self, name: &str) -> bool {
         let consistency = self.class(name).and_then(|class| class.consistency);
         matches!(consistency, Some(Consistency::Session | Consistency::Strong | Consistency::Write))
     }
 
-    /// How long a client waits for a request of the class, all attempts included.
+    /// How long a client waits for a request of the class, all attempts included; `None` if there is no such class or
+    /// it has no deadline.
     pub fn deadline(&self, name: &str) -> Option<TimeDelta> {
         self.class(name)?.deadline
     }
--- a/src/engine/classes/tests.rs
+++ b/src/engine/classes/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A write without a key must not run twice.
+/// Guards against a write without a key being retried and run twice.
 #[test]
 fn a_request_without_a_key_uses_the_non_idempotent_variant_of_its_class() {
     let keyed = Class { idempotency: Some(Idempotency::Keyed), ..Class::default() };
--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -1,45 +1,45 @@
-//! The endpoint list: endpoint names to the router's ids, ids to addresses.
+//! The endpoint list: maps endpoint names to the router's endpoint ids, and ids to addresses.
 //!
-//! An endpoint has the same name at every pooler while its address may differ, so the id is derived from the name:
-//! the router's ring of sorted ids is then the same at all poolers and after every restart.
+//! An endpoint has the same name at every pooler, but its address may differ. The id is therefore derived from the
+//! name, so that the router's hash ring of sorted ids is the same at all poolers and after every restart.
 
 use crate::routing::{Availability, EndpointEntry, EndpointId, GroupId, Timestamp, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// One endpoint of a list.
+/// One endpoint of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// The endpoint's name.
+    /// The endpoint's name, which is the same at every pooler.
     pub name: String,
-    /// Where it listens for this pooler.
+    /// The address under which this pooler reaches it.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its group.
+    /// The group whose data it holds.
     pub group: GroupId,
-    /// Whether to use it.
+    /// Whether new requests may be sent to it.
     pub availability: Availability,
-    /// The list names it the primary of its group.
+    /// Whether the list names it as the primary of its group.
     pub primary: bool,
     /// Its capacity relative to other endpoints.
     pub weight: f64,
-    /// When it last started; `None` where the list does not say.
+    /// When it last started; `None` if the list does not say.
     pub started_at: Option<Timestamp>,
 }
 
-/// A list of endpoints, or changes to the last one.
+/// A whole list of endpoints, or changes to the last one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// Its version.
+    /// The version of the list.
     pub index: u64,
-    /// Whether it is the whole list; otherwise only endpoints that changed.
+    /// Whether `entries` is the whole list; otherwise it holds only the endpoints that changed.
     pub whole: bool,
-    /// The endpoints.
+    /// The endpoints; one that was removed from the list has [`Availability::Gone`].
     pub entries: Vec<EndpointRecord>,
 }
 
-/// The whole list as discovery last reported it, assembled from whole lists and changes.
+/// The current endpoint list, assembled from the whole lists and the changes that discovery reports.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointCatalog {
     endpoints: BTreeMap<String, EndpointRecord>,
@@ -48,7 +48,7 @@
 
 impl EndpointCatalog {
     /// Applies an update from discovery.
-    pub fn take(&mut self, update: &EndpointUpdate) {
+    pub fn apply(&mut self, update: &EndpointUpdate) {
         let replaced = update.whole.then(|| std::mem::take(&mut self.endpoints));
         for record in &update.entries {
             if record.availability == Availability::Gone {
@@ -62,45 +62,45 @@
         }
     }
 
-    /// The whole list.
-    pub fn listing(&self) -> EndpointUpdate {
+    /// The current list as an update. Its index is a local version, which increases with every change.
+    pub fn whole_list(&self) -> EndpointUpdate {
         let entries = self.endpoints.values().cloned().collect();
         EndpointUpdate { index: self.version, whole: true, entries }
     }
 }
 
-/// What the backend pool needs to know of an endpoint.
+/// The current state of an endpoint, as the backend pool needs it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointChange {
-    /// Its name.
+    /// The endpoint's name.
     pub name: String,
-    /// Where it listens.
+    /// The address under which this pooler reaches it.
     pub address: SocketAddr,
-    /// New attempts may be sent to it.
+    /// Whether new attempts may be sent to it.
     pub open: bool,
-    /// When it last started; a change means that connections from before are dead.
+    /// When it last started; `None` if unknown. After a change, all earlier connections are dead.
     pub started_at: Option<Timestamp>,
-    /// It is no longer on the list: nothing about it need be kept.
+    /// Whether it has left the list, so that all state about it can be dropped.
     pub gone: bool,
 }
 
-/// What an update changed.
+/// The effects of an update on the registry.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedUpdate {
-    /// The endpoints of the update, as the router takes them.
+    /// The endpoints of the update, in the form that the router expects.
     pub entries: Vec<EndpointEntry>,
-    /// The endpoints that are new or changed, or that a whole list no longer names.
+    /// The endpoints that are new or changed, or that are missing from a whole list.
     pub changed: Vec<EndpointChange>,
 }
 
-/// Bounds the memory of group numbers: beyond this many, groups without an endpoint are forgotten.
+/// Limits the number of groups that are remembered. Beyond it, groups without an endpoint are forgotten.
 const MAX_REMEMBERED_GROUPS: usize = 1024;
 
-/// The endpoints of the list as the engine holds them. An endpoint that has gone is forgotten, since endpoints are
-/// replaced for as long as the process runs.
+/// The engine's state of the endpoint list. An endpoint that has left the list is forgotten: endpoints are replaced all
+/// the time, and memory use would grow without limit.
 #[derive(Default)]
 pub struct EndpointRegistry {
-    /// Every group that a list has named: one without endpoints may get new ones.
+    /// Every group that a list has contained. A group without endpoints is kept, since it may get new ones.
     groups: BTreeSet<GroupId>,
     ids: BTreeMap<String, EndpointId>,
     assigned_ids: BTreeSet<EndpointId>,
@@ -110,16 +110,18 @@
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// A multiplier of the SplitMix64 finalizer (Steele, Lea, Flood: Fast Splittable Pseudorandom Number Generators, 2014).
+/// One of the multipliers of the SplitMix64 finalizer (Steele, Lea, Flood: Fast Splittable Pseudorandom Number
+/// Generators, 2014).
 const SPLITMIX_MULTIPLIER: u64 = 0xbf58_476d_1ce4_e5b9;
 
-/// Hashes a name to an id: 64-bit FNV-1a over the name and, unless it is 0, the salt.
+/// Hashes a name to an id, by 64-bit FNV-1a over the name and, unless it is 0, the salt.
 fn derive_id(name: &str, salt: u8) -> EndpointId {
     let mut hash = FNV_OFFSET_BASIS;
     for byte in name.bytes().chain((salt > 0).then_some(salt)) {
         hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
     }
-    // The last bytes hashed affect only the low bits of FNV-1a: mix before the hash is cut to six bytes.
+    // In FNV-1a, the last bytes of the input affect only the low bits, so the bits are mixed before the hash is cut to
+    // its six highest bytes.
     let bytes = (hash ^ (hash >> 29)).wrapping_mul(SPLITMIX_MULTIPLIER).to_be_bytes();
     EndpointId {
         ip: [bytes[0], bytes[1], bytes[2], bytes[3]],
@@ -127,25 +129,25 @@
     }
 }
 
-/// The id that a name has unless another name with the same id was registered before it.
+/// The id of a name, assuming that no other name with the same hash was registered before it.
 pub fn id_of(name: &str) -> EndpointId {
     derive_id(name, 0)
 }
 
 impl EndpointRegistry {
-    /// The id of a name, which is registered if it is new. A second name that hashes to an id already assigned gets
-    /// another one.
+    /// The id of a name; registers the name if it is new. If another name has the same hash, the new name gets a
+    /// different id.
     pub fn id(&mut self, name: &str) -> EndpointId {
-        self.id_with(name, derive_id)
+        self.id_with_hash(name, derive_id)
     }
 
-    /// The id of a registered name.
+    /// The id of a registered name; `None` if the name is not registered.
     pub fn find(&self, name: &str) -> Option<EndpointId> {
         self.ids.get(name).copied()
     }
 
-    /// As [`EndpointRegistry::id`], with another hash.
-    fn id_with(&mut self, name: &str, derive: impl Fn(&str, u8) -> EndpointId) -> EndpointId {
+    /// Like [`EndpointRegistry::id`], with `derive` as the hash function of name and salt.
+    fn id_with_hash(&mut self, name: &str, derive: impl Fn(&str, u8) -> EndpointId) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
@@ -154,7 +156,7 @@
         let id = free.unwrap_or(preferred);
         if id != preferred {
             log::warn!(
-                "endpoint {name}: its id is assigned to another name; the ring may differ between poolers"
+                "endpoint {name}: id collides with another endpoint; the ring may differ between poolers"
             );
         }
         self.ids.insert(name.to_string(), id);
@@ -162,7 +164,7 @@
         id
     }
 
-    /// Applies an update of the list.
+    /// Applies an update of the list and returns its effects.
     pub fn apply(&mut self, update: &EndpointUpdate) -> AppliedUpdate {
         let mut applied = AppliedUpdate::default();
         for record in &update.entries {
@@ -207,7 +209,7 @@
         applied.entries.push(entry);
     }
 
-    /// Marks every endpoint as gone that a whole list does not name.
+    /// Marks every endpoint that is missing from a whole list as closed and gone.
     fn close_unlisted(&mut self, applied: &mut AppliedUpdate) {
         let listed: BTreeSet<EndpointId> = applied.entries.iter().map(|entry| entry.endpoint).collect();
         for (id, endpoint) in &mut self.endpoints {
@@ -227,17 +229,18 @@
         }
     }
 
-    /// The endpoint with this id.
+    /// The endpoint with this id; `None` if it is not on the list.
     pub fn get(&self, id: EndpointId) -> Option<&EndpointChange> {
         self.endpoints.get(&id)
     }
 
-    /// Whether requests for a group can be served: false only where a list is known and has never named the group.
+    /// Whether any list has contained the group, so that its requests can be served. True for every group before the
+    /// first list.
     pub fn knows_group(&self, group: GroupId) -> bool {
         self.groups.is_empty() || self.groups.contains(&group)
     }
 
-    /// The whole list as the router takes it.
+    /// The whole list, in the form that the router expects.
     pub fn entries(&self) -> Vec<EndpointEntry> {
         self.entries.values().copied().collect()
     }
@@ -245,7 +248,7 @@
 
 #[cfg(test)]
 impl EndpointRecord {
-    /// A replica in service with default values, for tests.
+    /// A replica in service, with default values. For tests.
     pub fn plain(name: &str) -> EndpointRecord {
         EndpointRecord {
             name: name.into(),
--- a/src/engine/endpoints/tests.rs
+++ b/src/engine/endpoints/tests.rs
@@ -4,24 +4,25 @@
     EndpointRecord { availability, ..EndpointRecord::plain(name) }
 }
 
-/// No change gets lost between discovery and the engine, and no endpoint stays that has gone.
+/// Guards against changes that get lost between discovery and the engine, and against endpoints that stay after they
+/// have left the list.
 #[test]
 fn the_catalog_follows_whole_lists_and_changes() {
     let mut catalog = EndpointCatalog::default();
     let x = record("x", Availability::Ready);
     let y = record("y", Availability::Ready);
     let update = |whole, entries| EndpointUpdate { index: 1, whole, entries };
-    catalog.take(&update(true, vec![x.clone(), y.clone()]));
+    catalog.apply(&update(true, vec![x.clone(), y.clone()]));
     let draining = record("x", Availability::Draining);
-    catalog.take(&update(false, vec![draining.clone()]));
-    assert_eq!(catalog.listing().entries, [draining.clone(), y]);
-    catalog.take(&update(false, vec![record("y", Availability::Gone)]));
-    assert_eq!(catalog.listing().entries, [draining]);
-    catalog.take(&update(true, vec![record("z", Availability::Ready), record("x", Availability::Gone)]));
-    assert_eq!(catalog.listing().entries, [record("z", Availability::Ready)]);
+    catalog.apply(&update(false, vec![draining.clone()]));
+    assert_eq!(catalog.whole_list().entries, [draining.clone(), y]);
+    catalog.apply(&update(false, vec![record("y", Availability::Gone)]));
+    assert_eq!(catalog.whole_list().entries, [draining]);
+    catalog.apply(&update(true, vec![record("z", Availability::Ready), record("x", Availability::Gone)]));
+    assert_eq!(catalog.whole_list().entries, [record("z", Availability::Ready)]);
 }
 
-/// Rings must not differ between poolers, whatever the addresses and the order of arrival.
+/// Hash rings must be the same at all poolers, whatever the addresses of endpoints and the order in which they arrive.
 #[test]
 fn an_id_depends_on_the_name_alone() {
     let mut first = EndpointRegistry::default();
@@ -35,13 +36,16 @@
 fn two_names_never_share_an_id() {
     let mut registry = EndpointRegistry::default();
     let collide = |_: &str, salt: u8| EndpointId { ip: [1, 2, 3, salt], port: 4 };
-    let ids =
-        [registry.id_with("a", collide), registry.id_with("b", collide), registry.id_with("a", collide)];
+    let ids = [
+        registry.id_with_hash("a", collide),
+        registry.id_with_hash("b", collide),
+        registry.id_with_hash("a", collide),
+    ];
     assert_eq!(ids[0], ids[2]);
     assert_ne!(ids[0], ids[1]);
 }
 
-/// Memory must not grow with every endpoint that was ever replaced.
+/// Guards against memory use that grows with every endpoint that is replaced.
 #[test]
 fn endpoints_that_have_gone_are_forgotten() {
     let mut registry = EndpointRegistry::default();
@@ -64,7 +68,7 @@
     );
 }
 
-/// Nothing may be sent to an endpoint that a whole list no longer names.
+/// No attempt may be sent to an endpoint that is missing from the last whole list.
 #[test]
 fn an_endpoint_missing_from_a_whole_list_is_closed() {
     let mut registry = EndpointRegistry::default();
--- a/src/engine/handle.rs
+++ b/src/engine/handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which other parts reach the engine's thread.
+//! The handle through which the rest of the process communicates with the engine's thread.
 
 use super::message::{Control, FinalAnswer, Input, Submission};
 use super::metrics::{Gauges, Metrics};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 
-/// A handle to the engine; clones reach the same engine.
+/// A handle to the engine. All clones refer to the same engine.
 pub struct EngineHandle<W, A> {
     inputs: Sender<Input<W, A>>,
     control: Sender<Control>,
@@ -51,40 +51,40 @@
         }
     }
 
-    /// The process's clock.
+    /// The clock that the engine's timestamps are read from.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// The process's counters.
+    /// The counters of the process. Unlike the gauges, they can be read after the engine has ended.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// The values of the gauges. `None`: the engine has ended.
+    /// The current values of the gauges; `None` if the engine has ended.
     pub async fn gauges(&self) -> Option<Gauges> {
-        self.ask(Control::Gauges).await
+        self.query(Control::Gauges).await
     }
 
-    /// The observations of endpoints since the last call. `None`: the engine has ended.
+    /// The observations of endpoints since the last call; `None` if the engine has ended.
     pub async fn observations(&self) -> Option<Vec<Observation>> {
-        self.ask(Control::Observations).await
+        self.query(Control::Observations).await
     }
 
-    /// How attempts at each endpoint ended lately, by the endpoint's name. `None`: the engine has ended.
+    /// The recent attempt outcomes of each endpoint, keyed by endpoint name; `None` if the engine has ended.
     pub async fn outcome_counts(&self) -> Option<BTreeMap<String, OutcomeCounts>> {
-        self.ask(Control::OutcomeCounts).await
+        self.query(Control::OutcomeCounts).await
     }
 
-    /// Sends a control message that carries the sender of its reply, and waits for the reply.
-    async fn ask<T>(&self, question: impl FnOnce(Sender<T>) -> Control) -> Option<T> {
+    /// Builds a control message around the sender of its reply, sends it, and waits for the reply.
+    async fn query<T>(&self, message: impl FnOnce(Sender<T>) -> Control) -> Option<T> {
         let (sender, reply) = async_channel::bounded(1);
-        self.control(question(sender)).await;
+        self.send_control(message(sender)).await;
         reply.recv().await.ok()
     }
 
-    /// Submits a request, whose id is assigned here; waits while the engine's queue is full. The final answer arrives
-    /// at the receiver. `None`: the engine has ended.
+    /// Submits a request and assigns its id; waits while the engine's queue is full. The returned receiver gets the
+    /// final answer. Returns `None` if the engine has ended.
     pub async fn submit(
         &self,
         request: IncomingRequest,
@@ -101,19 +101,21 @@
         Some((id, answer))
     }
 
-    /// The longest time that a client has given a request; `None` before the first request.
-    pub fn client_timeout(&self) -> Option<TimeDelta> {
+    /// The longest timeout that a client has set for a request so far; `None` before the first request.
+    pub fn longest_client_timeout(&self) -> Option<TimeDelta> {
         let longest = TimeDelta::from_micros(self.longest_client_timeout_micros.load(Ordering::Relaxed));
         (longest > TimeDelta::ZERO).then_some(longest)
     }
 
-    /// Sends any other input; waits while the engine's queue is full. An engine that has ended ignores it.
-    pub async fn input(&self, input: Input<W, A>) {
+    /// Sends an input that is not a request; waits while the engine's queue is full. Does nothing if the engine has
+    /// ended.
+    pub async fn send_input(&self, input: Input<W, A>) {
         let _ = self.inputs.send(input).await;
     }
 
-    /// Sends a control message, which is handled before any input that waits. An engine that has ended ignores it.
-    pub async fn control(&self, control: Control) {
+    /// Sends a control message, which the engine handles before any waiting input. Does nothing if the engine has
+    /// ended.
+    pub async fn send_control(&self, control: Control) {
         let _ = self.control.send(control).await;
     }
 }
--- a/src/engine/log_rollback.rs
+++ b/src/engine/log_rollback.rs
@@ -1,48 +1,49 @@
-//! Ranges of a group's log that were lost because its primary went back behind them. No I/O.
+//! Ranges of a group's log that were lost because its primary went back to an earlier position. No I/O.
 //!
-//! An endpoint that lost power may have lost commits that it had not synced. A session that names a lost commit must
-//! be told so: older data would pass for data that contains its write, and newer data without the write would too.
+//! An endpoint that loses power may lose commits that it had not synced to disk. A session that refers to a lost commit
+//! must be told so. Otherwise the session would take data without its write, older or newer, for data that contains it.
 
 use crate::routing::{GroupId, LogPosition};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Bounds the memory of a group's rollbacks, and the messages that carry them to peers: the one with the lowest
-/// position is forgotten first.
+/// Limits the number of rollbacks kept for a group, and thereby the size of the messages that carry them to peers. The
+/// rollback with the lowest position is dropped first.
 const MAX_ROLLBACKS_PER_GROUP: usize = 16;
 
-/// Commits of a group after `from`, up to and including `to`, are lost.
+/// The loss of all commits of a group after `from`, up to and including `to`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogRollback {
-    /// The group.
+    /// The group whose commits were lost.
     pub group: GroupId,
-    /// The position to which its primary went back.
+    /// The position to which the group's primary went back.
     pub from: LogPosition,
-    /// When the request was sent that the primary answered with `from`. As far as the endpoints' clocks are right,
-    /// every commit from before the rollback is earlier than this, and every commit after it is later.
+    /// When the request that the primary answered with `from` was sent. As long as the endpoints' clocks are correct,
+    /// every commit made before the rollback has a lower position than this, and every commit made after it a higher
+    /// one.
     pub to: LogPosition,
 }
 
-/// All known rollbacks, by group and ordered by position.
+/// All known rollbacks, keyed by group and ordered by position.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogRollbacks(BTreeMap<GroupId, Vec<LogRollback>>);
 
 impl LogRollbacks {
-    /// Whether a known rollback covers this one.
+    /// Whether a known rollback already covers this one.
     pub fn is_known(&self, rollback: LogRollback) -> bool {
         let covers = |known: &LogRollback| known.from == rollback.from && known.to >= rollback.to;
         self.0.get(&rollback.group).is_some_and(|known| known.iter().any(covers))
     }
 
-    /// Records a rollback; whether it adds anything to what was known. Rollbacks to the same position are one that
-    /// several processes noticed at different times.
+    /// Records a rollback; returns whether it adds to what was known. Rollbacks to the same position are the same
+    /// rollback, which several processes noticed at different times.
     pub fn record(&mut self, rollback: LogRollback) -> bool {
         if rollback.to <= rollback.from {
             return false;
         }
         let known = self.0.entry(rollback.group).or_default();
         if let Some(same) = known.iter_mut().find(|known| known.from == rollback.from) {
-            // The endpoint still stood at that position at the later time.
+            // The endpoint was still at that position when the later request was sent.
             let extends = rollback.to > same.to;
             same.to = same.to.max(rollback.to);
             return extends;
@@ -55,14 +56,14 @@
         true
     }
 
-    /// Whether the commit at this position was lost: the position to which its group went back.
-    pub fn lost(&self, group: GroupId, commit: LogPosition) -> Option<LogPosition> {
+    /// The position to which the group went back, if the commit at this position was lost; `None` if it was not.
+    pub fn rolled_back_to(&self, group: GroupId, commit: LogPosition) -> Option<LogPosition> {
         let known = self.0.get(&group)?;
         let rollback = known.iter().find(|rollback| rollback.from < commit && commit <= rollback.to)?;
         Some(rollback.from)
     }
 
-    /// All known rollbacks.
+    /// All known rollbacks, ordered by group and position.
     pub fn all(&self) -> Vec<LogRollback> {
         self.0.values().flatten().copied().collect()
     }
--- a/src/engine/log_rollback/tests.rs
+++ b/src/engine/log_rollback/tests.rs
@@ -8,13 +8,13 @@
     LogPosition::from_micros(micros)
 }
 
-/// A log that loses its tail now and then.
+/// A simulated log that loses its most recent commits from time to time.
 struct History {
     now: LogPosition,
-    /// Commits that are still there.
+    /// Commits that have not been lost.
     kept: Vec<LogPosition>,
     lost: Vec<LogPosition>,
-    /// Rollbacks as several processes noticed them.
+    /// The rollbacks as several processes noticed them, possibly several times each.
     noticed: Vec<LogRollback>,
 }
 
@@ -26,9 +26,9 @@
             history.kept.push(history.now);
             continue;
         }
-        let left = history.kept.len().saturating_sub(rng.usize(0..5));
-        let from = if left == 0 { at(0) } else { history.kept[left - 1] };
-        history.lost.extend(history.kept.drain(left..));
+        let remaining = history.kept.len().saturating_sub(rng.usize(0..5));
+        let from = if remaining == 0 { at(0) } else { history.kept[remaining - 1] };
+        history.lost.extend(history.kept.drain(remaining..));
         let first = LogRollback { group: GROUP, from, to: history.now + TimeDelta::from_micros(1) };
         history.now = history.now + TimeDelta::from_micros(10);
         history.noticed.push(first);
@@ -41,8 +41,8 @@
     history
 }
 
-/// No lost commit passes for one that is kept, and no kept one for lost. Seeded: rollbacks noticed by several
-/// processes, recorded in any order.
+/// Guards against a lost commit being reported as kept, and a kept one as lost. Randomized with fixed seeds: several
+/// processes notice the same rollbacks, which are recorded in any order.
 #[test]
 fn lost_commits_are_reported_and_kept_ones_are_not() {
     for seed in 0..500 {
@@ -54,36 +54,43 @@
             rollbacks.record(*rollback);
         }
         for commit in history.lost.iter().filter(|_| rollbacks.all().len() < MAX_ROLLBACKS_PER_GROUP) {
-            assert!(rollbacks.lost(GROUP, *commit).is_some(), "seed {seed}: {commit:?} is lost");
+            assert!(rollbacks.rolled_back_to(GROUP, *commit).is_some(), "seed {seed}: {commit:?} is lost");
         }
         for commit in &history.kept {
-            assert_eq!(rollbacks.lost(GROUP, *commit), None, "seed {seed}: {commit:?} is kept");
+            assert_eq!(rollbacks.rolled_back_to(GROUP, *commit), None, "seed {seed}: {commit:?} is kept");
         }
-        assert_eq!(rollbacks.lost(OTHER_GROUP, history.now), None);
+        assert_eq!(rollbacks.rolled_back_to(OTHER_GROUP, history.now), None);
     }
 }
 
 #[test]
 fn rollbacks_are_bounded_and_recorded_once() {
     let mut rollbacks = LogRollbacks::default();
-    let one = LogRollback { group: GROUP, from: at(5), to: at(9) };
-    assert!(!rollbacks.is_known(one));
+    let rollback = LogRollback { group: GROUP, from: at(5), to: at(9) };
+    assert!(!rollbacks.is_known(rollback));
     assert!(
-        rollbacks.record(one)
-            && rollbacks.is_known(one)
-            && !rollbacks.record(one)
-            && !rollbacks.record(LogRollback { to: at(8), ..one })
+        rollbacks.record(rollback)
+            && rollbacks.is_known(rollback)
+            && !rollbacks.record(rollback)
+            && !rollbacks.record(LogRollback { to: at(8), ..rollback })
     );
     assert!(
-        !rollbacks.record(LogRollback { to: at(5), ..one })
-            && rollbacks.record(LogRollback { to: at(10), ..one })
+        !rollbacks.record(LogRollback { to: at(5), ..rollback })
+            && rollbacks.record(LogRollback { to: at(10), ..rollback })
     );
     assert_eq!(
-        (rollbacks.lost(GROUP, at(5)), rollbacks.lost(GROUP, at(10)), rollbacks.lost(GROUP, at(11))),
+        (
+            rollbacks.rolled_back_to(GROUP, at(5)),
+            rollbacks.rolled_back_to(GROUP, at(10)),
+            rollbacks.rolled_back_to(GROUP, at(11))
+        ),
         (None, Some(at(5)), None)
     );
     for n in 0..100 {
         rollbacks.record(LogRollback { group: GROUP, from: at(n * 10), to: at(n * 10 + 5) });
     }
-    assert_eq!((rollbacks.all().len(), rollbacks.lost(GROUP, at(3))), (MAX_ROLLBACKS_PER_GROUP, None));
+    assert_eq!(
+        (rollbacks.all().len(), rollbacks.rolled_back_to(GROUP, at(3))),
+        (MAX_ROLLBACKS_PER_GROUP, None)
+    );
 }
--- a/src/engine/message.rs
+++ b/src/engine/message.rs
@@ -1,6 +1,6 @@
-//! What goes into the engine and what comes out of it.
+//! The inputs of the engine and its outputs.
 //!
-//! `W` is the work of a request and `A` its answer; both are opaque to the engine.
+//! `W` is the work of a request, which is sent to an endpoint, and `A` is its answer. Both are opaque to the engine.
 
 use super::admission::AdmissionPolicy;
 use super::endpoints::{EndpointChange, EndpointUpdate};
@@ -18,210 +18,212 @@
 /// The one final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer<A> {
-    /// Served, with the endpoint's answer.
+    /// An endpoint served the request; carries the endpoint's answer.
     Served(A),
-    /// Rejected without effect; trying again is harmless.
+    /// Rejected before any endpoint ran it, so a retry is safe.
     Rejected {
-        /// When the client should try again; `None`: at any time.
+        /// How long the client should wait before it tries again; `None` if it may try again at any time.
         retry_after: Option<TimeDelta>,
         /// The request's deadline has passed.
         overdue: bool,
     },
-    /// Failed; it may or may not have had an effect.
+    /// Failed; an endpoint may or may not have run the request.
     Failed {
         /// The request's deadline has passed.
         overdue: bool,
     },
-    /// The endpoint list has never named the request's group.
+    /// No endpoint list so far has contained the request's group.
     UnknownGroup,
 }
 
-/// A client's request as it is submitted to the engine.
+/// A client's request, as a client connection submits it to the engine.
 #[derive(Clone, Debug)]
 pub struct Submission<W, A> {
-    /// The request as the router takes it, with the id that the engine's handle assigned.
+    /// The request in the form that the router expects, with the id that the engine's handle assigned.
     pub request: IncomingRequest,
-    /// When the client stops waiting.
+    /// When the client stops waiting for an answer.
     pub deadline: Timestamp,
-    /// What is sent to an endpoint.
+    /// The work, which is sent to an endpoint.
     pub work: W,
-    /// Receives the final answer.
+    /// Where the engine sends the final answer.
     pub reply: Sender<FinalAnswer<A>>,
 }
 
 /// How an attempt ended, as the backend pool reports it.
 #[derive(Clone, Debug)]
 pub struct AttemptReport<A> {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub id: RequestId,
-    /// The attempt's number among those of the request.
+    /// The attempt's number within the request, from 0.
     pub attempt: u8,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The role and log position that the endpoint reported with its answer.
+    /// The role and log position that the endpoint reported with its answer; `None` if it reported none.
     pub replica_status: Option<ReplicaStatus>,
-    /// The load report that came with the answer; empty where there is none.
+    /// The load report that came with the answer; empty if there was none.
     pub report: LoadReport,
-    /// The answer, if the attempt was served.
+    /// The endpoint's answer; `None` if the attempt was not served, or if the answer was already handed over by
+    /// [`Input::ResponseStarted`].
     pub answer: Option<A>,
 }
 
-/// Inputs from client connections, the backend pool and peers, handled in order of arrival.
+/// Inputs from client connections, the backend pool and peers. The engine handles them in order of arrival.
 #[derive(Clone, Debug)]
 pub enum Input<W, A> {
-    /// A client's request.
+    /// A client submitted a request.
     Request(Submission<W, A>),
     /// The client of a request has disconnected.
     RequestCancelled(RequestId),
-    /// An endpoint has begun to send an answer that is too long to be buffered. The answer is the client's from now
-    /// on; the end of the attempt is still to come.
+    /// An endpoint has started to send an answer that is too long to buffer. The answer is handed to the client now,
+    /// and [`Input::AttemptFinished`] follows when the stream ends.
     ResponseStarted {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number among those of the request.
+        /// The attempt's number within the request, from 0.
         attempt: u8,
-        /// The answer, whose remainder is streamed.
+        /// The answer, the rest of which is streamed.
         answer: A,
     },
     /// An attempt ended.
     AttemptFinished(AttemptReport<A>),
-    /// A probe of an endpoint ended.
+    /// A health check of an endpoint ended.
     ProbeFinished {
-        /// The endpoint.
+        /// The endpoint that was probed.
         endpoint: EndpointId,
-        /// How long it took.
+        /// How long the probe took.
         took: TimeDelta,
-        /// The endpoint's load report; `None`: the probe failed.
+        /// The endpoint's load report; `None` if the probe failed.
         report: Option<LoadReport>,
     },
-    /// A gossip message of a peer's router.
+    /// A gossip message from a peer's router.
     PeerMessage {
-        /// The peer's number.
+        /// The number of the peer that sent it.
         from: u16,
-        /// The message.
+        /// The encoded message, which only the router decodes.
         bytes: Vec<u8>,
     },
 }
 
-/// An observation of an endpoint that a peer made, or this process before its last start.
+/// An observation of an endpoint that was made by a peer, or by this process before it was restarted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerObservation {
-    /// The endpoint's name.
+    /// The name of the observed endpoint.
     pub endpoint_name: String,
-    /// It reported to be the primary.
+    /// Whether the endpoint reported that it is the primary.
     pub primary: bool,
-    /// The log position that it reported; [`LogPosition::UNKNOWN`] where it reported none.
+    /// The log position that the endpoint reported; [`LogPosition::UNKNOWN`] if it reported none.
     pub position: LogPosition,
-    /// When it was observed, by this process's clock.
+    /// When the observation was made, converted to this process's clock.
     pub observed_at: Timestamp,
-    /// Recent enough to stand in for an answer to this process's own poll. Otherwise it proves only how far the
-    /// endpoint's log once reached.
+    /// Whether the observation is recent enough to replace this process's own poll. An older one only proves that the
+    /// endpoint's log once reached `position`.
     pub replaces_poll: bool,
 }
 
 /// The poolers that share the polling of endpoints; see [`super::poll_scheduler`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PollParticipants {
-    /// This process.
+    /// The node id of this process.
     pub local: NodeId,
-    /// The peers that it currently receives messages from.
+    /// The peers from which this process currently receives messages.
     pub peers: Vec<NodeId>,
 }
 
-/// Inputs that are handled before any [`Input`] that waits.
+/// Control messages, which the engine handles before any waiting [`Input`].
 #[derive(Clone, Debug)]
 pub enum Control {
-    /// A new endpoint list or changes to the last one.
+    /// A new endpoint list, or changes to the last one.
     EndpointList {
-        /// The update.
+        /// The whole list or the changes.
         list: EndpointUpdate,
-        /// It is a list from before the start of the process and may be out of date.
+        /// Whether the list was stored before this process started, and so may be out of date.
         cached: bool,
     },
-    /// Asks for the values of the gauges.
+    /// Requests the current values of the gauges.
     Gauges(Sender<Gauges>),
-    /// Asks for the observations of endpoints since the last such request.
+    /// Requests the observations of endpoints since the last such message.
     Observations(Sender<Vec<Observation>>),
-    /// Asks how attempts at each endpoint ended lately, by the endpoint's name.
+    /// Requests the recent attempt outcomes of each endpoint, keyed by endpoint name.
     OutcomeCounts(Sender<BTreeMap<String, OutcomeCounts>>),
-    /// Cancels reads in flight at the named endpoints that are overdue, so that the router retries them elsewhere.
+    /// Cancels overdue reads in flight at the named endpoints, so that the router retries them elsewhere.
     CancelOverdueReads(BTreeSet<String>),
-    /// Observations that peers made, or this process before its last start.
+    /// Observations that were made by peers, or by this process before it was restarted.
     PeerObservations(Vec<PeerObservation>),
-    /// Sets the admission policy; `None`: everything is admitted.
+    /// Sets the admission policy; with `None`, every request is admitted.
     SetAdmission(Option<AdmissionPolicy>),
-    /// Sets with whom the polling of endpoints is shared; `None`: with nobody.
+    /// Sets the poolers that share the polling of endpoints; with `None`, this process polls for itself alone.
     SetPollParticipants(Option<PollParticipants>),
-    /// The process is about to exit: every open request gets its final answer now, and no new one is taken.
+    /// Gives every open request its final answer and rejects all later ones. Sent when the process is about to exit.
     FinishAll,
     /// Ends the engine's thread.
     Stop,
 }
 
-/// How current the data of an answer must be. The router sends an attempt only to endpoints of which it knows that; a
-/// backend protocol that reports the position of each answer checks the answer as well.
+/// How current the data of an answer must be. The router sends an attempt only to endpoints that are known to be
+/// current enough. A backend protocol that reports the log position of each answer checks the answer as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// Data of any age.
     Any,
-    /// No older than this when the attempt is sent.
+    /// The data is at most this old when the attempt is sent.
     MaxAge(TimeDelta),
-    /// Including every commit before this point in time.
+    /// The data includes every commit made before this time.
     CommittedSince(Timestamp),
 }
 
-/// What the engine wants done: by the backend pool, discovery or gossip.
+/// What the engine asks the backend pool, discovery or gossip to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command<W> {
-    /// Send an attempt.
+    /// Send an attempt to an endpoint.
     SendAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number among those of the request.
+        /// The attempt's number within the request, from 0.
         attempt: u8,
-        /// The endpoint's id, to be returned with what it reports about itself.
+        /// The endpoint's id, to be returned with what the endpoint reports about itself.
         endpoint: EndpointId,
-        /// The endpoint's name.
-        host: String,
-        /// The work.
+        /// The endpoint's name, by which the backend pool knows it.
+        endpoint_name: String,
+        /// The work of the request.
         work: W,
         /// When to stop waiting for the answer.
         until: Timestamp,
-        /// The attempt must not be sent after this: an earlier attempt may have run, and its idempotency key is
-        /// forgotten then.
+        /// The attempt must not be sent after this time: an earlier attempt may have run, and endpoints forget its
+        /// idempotency key then. `None` if there is no such limit.
         send_by: Option<Timestamp>,
-        /// How current the data of the answer must be.
+        /// How current the data of the answer has to be.
         freshness: Freshness,
     },
-    /// Ask an endpoint for its load report.
+    /// Request an endpoint's load report.
     Probe {
         /// The endpoint's id, to be returned with the report.
         endpoint: EndpointId,
-        /// The endpoint's name.
-        host: String,
+        /// The endpoint's name, by which the backend pool knows it.
+        endpoint_name: String,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The attempt's number among those of the request.
+        /// The attempt's number within the request, from 0.
         attempt: u8,
     },
-    /// Endpoints that are new, changed or gone.
+    /// Update the backend pool's endpoints: these are new, changed or gone.
     UpdateEndpoints(Vec<EndpointChange>),
-    /// Close idle connections to the endpoint with this name.
+    /// Close the idle connections to the endpoint with this name.
     CloseIdle(String),
-    /// Send a gossip message to peers' routers.
+    /// Send a gossip message to the routers of peers.
     SendToPeers {
-        /// The peer's number; `None`: all peers.
+        /// The number of the peer; `None` for all peers.
         to: Option<u16>,
-        /// The message.
+        /// The message, as the router encoded it.
         bytes: Vec<u8>,
     },
-    /// Fetch the whole endpoint list.
+    /// Fetch the whole endpoint list from discovery.
     FetchList,
-    /// A peer has just observed the endpoint with this name: its connections need no probe before their first use.
+    /// Skip the probe before the first use of connections to the endpoint with this name, since a peer has just
+    /// observed it.
     SkipInitialProbe(String),
-    /// An endpoint has restarted or its log went back: observations should be read at once.
+    /// Read the observations at once, since an endpoint has restarted or its log went back.
     ObservationsPending,
 }
--- a/src/engine/metrics.rs
+++ b/src/engine/metrics.rs
@@ -1,32 +1,32 @@
-//! The process's metrics: counters since its start, gauges, and the text in which operators read both.
+//! The process's metrics: counters since its start, gauges, and their text format for operators.
 
 use super::classes::Classes;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How a request ended, as the metrics count it.
+/// How a request ended, as counted by the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It was served.
+    /// An endpoint served it.
     Success,
-    /// It was rejected without effect.
+    /// It was rejected before any endpoint ran it.
     Overload,
     /// It failed, or its client disconnected.
     Error,
 }
 
-/// Values that hold at the moment of reading.
+/// Metrics that are measured when they are read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests that have been taken in and have not ended.
+    /// Number of requests that were admitted and have not ended.
     pub concurrent: usize,
-    /// Endpoints on the list.
+    /// Number of endpoints on the list.
     pub targets: usize,
-    /// Endpoints on the list to which the router sends nothing new now.
+    /// Number of endpoints on the list to which the router currently sends no new attempts.
     pub disabled: usize,
 }
 
-/// Counters of one class name.
+/// The counters of one class name.
 #[derive(Debug, Default)]
 struct ClassCounters {
     success: AtomicU64,
@@ -44,18 +44,18 @@
     }
 }
 
-/// The process's counters. They only grow.
+/// The counters of the process. They are never reset.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Names of the classes, each with its counters.
+    /// The class names, each with its counters.
     classes: Vec<(String, ClassCounters)>,
-    /// For every class number, the index into `classes`: a class and its keyless variant count as one.
+    /// Maps class numbers to indices into `classes`: a class and its keyless variant share their counters.
     name_indices: Vec<usize>,
     dispatches: AtomicU64,
 }
 
 impl Metrics {
-    /// All counters at zero. Every class is listed from the start, also without a request.
+    /// Metrics with all counters at zero. Every class is listed from the start, even before its first request.
     pub fn new(classes: &Classes) -> Metrics {
         let counters = classes.names().map(|name| (name.to_string(), ClassCounters::default()));
         Metrics {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Counts the end of a request of the class with this number.
+    /// Counts a request that ended, by class number. Unknown class numbers are ignored.
     pub fn record_outcome(&self, class: usize, outcome: RequestOutcome) {
         let index = self.name_indices.get(class);
         if let Some((_, counters)) = index.and_then(|index| self.classes.get(*index)) {
@@ -73,13 +73,14 @@
         }
     }
 
-    /// Counts an attempt that was written in full to an endpoint.
-    pub fn dispatched(&self) {
+    /// Counts an attempt that was written to an endpoint in full.
+    pub fn record_dispatch(&self) {
         self.dispatches.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// All values in the StatsD line format: `name:value|c` for counters and `name:value|g` for gauges.
-    pub fn text(&self, gauges: Gauges) -> String {
+    /// Formats the counters and `gauges` in the StatsD line format: `name:value|c` for a counter, `name:value|g` for a
+    /// gauge.
+    pub fn statsd_text(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let outcomes = [
             ("success", RequestOutcome::Success),
--- a/src/engine/metrics/tests.rs
+++ b/src/engine/metrics/tests.rs
@@ -2,7 +2,8 @@
 use crate::engine::classes::IdempotencyKey;
 use crate::routing::{Class, Idempotency, Settings};
 
-/// A keyed class and its keyless variant are listed as one, and a class is listed before its first request.
+/// Guards against a keyless variant being listed as a class of its own, and against a class being left out until its
+/// first request.
 #[test]
 fn every_class_is_listed_once_and_counts_requests_with_and_without_a_key() {
     let class = |idempotency| Class { idempotency: Some(idempotency), ..Class::default() };
@@ -18,8 +19,8 @@
     let keyless = classes.find("write", IdempotencyKey::Absent).unwrap();
     metrics.record_outcome(keyless, RequestOutcome::Error);
     metrics.record_outcome(99, RequestOutcome::Error);
-    metrics.dispatched();
-    let text = metrics.text(Gauges { concurrent: 3, targets: 5, disabled: 1 });
+    metrics.record_dispatch();
+    let text = metrics.statsd_text(Gauges { concurrent: 3, targets: 5, disabled: 1 });
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(
         lines,
--- a/src/engine/poll_scheduler/tests.rs
+++ b/src/engine/poll_scheduler/tests.rs
@@ -2,14 +2,14 @@
 
 const ENDPOINTS: u8 = 6;
 
-/// A group of poolers that polls the same endpoints, and the gossip between them.
+/// Simulated poolers that poll the same endpoints, and the gossip between them.
 struct Poolers {
     schedulers: Vec<PollScheduler<u8>>,
-    /// How long gossip travels; `None`: none arrives.
+    /// How long gossip takes to arrive; `None` if it never arrives.
     gossip_delay: Option<TimeDelta>,
-    /// Observations on their way: when they arrive, and of which endpoint.
+    /// Gossip in transit: when it arrives, and which endpoint it is about.
     gossip: Vec<(Timestamp, u8)>,
-    /// When each endpoint was polled.
+    /// The times at which each endpoint was polled, by endpoint number.
     polled: Vec<Vec<Timestamp>>,
 }
 
@@ -17,26 +17,27 @@
     fn step(&mut self, now: Timestamp) {
         for (arrives_at, endpoint) in self.gossip.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>() {
             assert!(arrives_at <= now);
-            self.schedulers.iter_mut().for_each(|scheduler| scheduler.observed(now, endpoint));
+            self.schedulers.iter_mut().for_each(|scheduler| scheduler.record_observation(now, endpoint));
         }
         for scheduler in &mut self.schedulers {
             let mut polls = scheduler.take_due(now);
             if now == Timestamp::ZERO {
-                let at_once = |n: &u8| scheduler.request(now, *n, &format!("s-{n}")) == PollDecision::Send;
+                let at_once = |n: &u8| scheduler.decide(now, *n, &format!("s-{n}")) == PollDecision::Send;
                 polls.extend((0..ENDPOINTS).filter(at_once));
             }
             for endpoint in polls {
                 self.polled[usize::from(endpoint)].push(now);
                 match self.gossip_delay {
                     Some(delay) => self.gossip.push((now + delay, endpoint)),
-                    None => scheduler.observed(now, endpoint),
+                    None => scheduler.record_observation(now, endpoint),
                 }
             }
         }
     }
 }
 
-/// An endpoint is neither polled by all poolers at once nor by none, whatever they hear of each other. Seeded.
+/// Guards against an endpoint being polled by all poolers at once, or by none, with and without gossip. Randomized with
+/// fixed seeds.
 #[test]
 fn an_endpoint_is_polled_once_with_gossip_and_at_a_bounded_rate_without() {
     for seed in 0..400 {
@@ -70,28 +71,31 @@
 #[test]
 fn a_recent_observation_replaces_a_poll_and_a_lone_pooler_polls_at_once() {
     let at = |since: TimeDelta| Timestamp::ZERO + since;
-    let mut alone = PollScheduler::new(NodeId(7), Vec::new());
-    assert_eq!(alone.request(Timestamp::ZERO, 1, "a"), PollDecision::Send);
+    let mut lone_scheduler = PollScheduler::new(NodeId(7), Vec::new());
+    assert_eq!(lone_scheduler.decide(Timestamp::ZERO, 1, "a"), PollDecision::Send);
     let soon = TimeDelta::from_micros(10);
-    alone.observed(at(soon), 1);
+    lone_scheduler.record_observation(at(soon), 1);
     assert_eq!(
-        (alone.request(at(OBSERVATION_TTL), 1, "a"), alone.request(at(OBSERVATION_TTL + soon), 1, "a")),
+        (
+            lone_scheduler.decide(at(OBSERVATION_TTL), 1, "a"),
+            lone_scheduler.decide(at(OBSERVATION_TTL + soon), 1, "a")
+        ),
         (PollDecision::AlreadyAnswered, PollDecision::Send)
     );
-    let second = (1..).map(NodeId).find(|id| poll_rank("a", *id, &[NodeId(1_000)]) == 1).unwrap();
-    let mut scheduler = PollScheduler::new(second, vec![NodeId(1_000)]);
+    let second_ranked = (1..).map(NodeId).find(|id| poll_rank("a", *id, &[NodeId(1_000)]) == 1).unwrap();
+    let mut scheduler = PollScheduler::new(second_ranked, vec![NodeId(1_000)]);
     assert_eq!(
-        (scheduler.request(Timestamp::ZERO, 1, "a"), scheduler.next_due()),
+        (scheduler.decide(Timestamp::ZERO, 1, "a"), scheduler.next_due()),
         (PollDecision::Defer, Some(at(POLL_STAGGER)))
     );
     assert_eq!(
-        (scheduler.request(at(POLL_STAGGER / 2), 1, "a"), scheduler.next_due()),
+        (scheduler.decide(at(POLL_STAGGER / 2), 1, "a"), scheduler.next_due()),
         (PollDecision::Defer, Some(at(POLL_STAGGER)))
     );
     let before = at(POLL_STAGGER - TimeDelta::from_micros(1));
     assert_eq!((scheduler.take_due(before), scheduler.take_due(at(POLL_STAGGER))), (vec![], vec![1]));
     assert_eq!(
-        (scheduler.request(at(POLL_STAGGER), 1, "a"), scheduler.into_deferred()),
+        (scheduler.decide(at(POLL_STAGGER), 1, "a"), scheduler.into_deferred()),
         (PollDecision::Defer, vec![1])
     );
 }
@@ -99,6 +103,7 @@
 #[test]
 fn polls_are_divided_evenly_among_poolers() {
     let poolers: Vec<NodeId> = (0..12).map(NodeId).collect();
-    let first = |id: NodeId| (0..600).filter(|n| poll_rank(&format!("s-{n}"), id, &poolers) == 0).count();
-    assert!(poolers.iter().all(|id| (25..80).contains(&first(*id))));
+    let first_ranked_count =
+        |id: NodeId| (0..600).filter(|n| poll_rank(&format!("s-{n}"), id, &poolers) == 0).count();
+    assert!(poolers.iter().all(|id| (25..80).contains(&first_ranked_count(*id))));
 }
--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -1,14 +1,14 @@
-//! The router with everything that belongs to its requests: the request table, attempts in flight, timers. No I/O.
+//! The router and the state of its requests: the request table, attempts in flight and timers. No I/O.
 //!
-//! Invariants, whatever the router and the backend pool do:
+//! Invariants, which hold whatever the router and the backend pool do:
 //!
 //! - Each request gets exactly one final answer.
 //! - At most one attempt of a request is in flight.
-//! - What arrives for a request that has ended is reported to the router and otherwise dropped.
-//! - The attempt of a client that disconnects is cancelled.
+//! - An outcome that arrives after its request has ended is reported to the router and otherwise dropped.
+//! - When a client disconnects, the attempt in flight for its request is cancelled.
 //!
-//! This file has construction and the dispatch of inputs, events and actions. Requests are in `request_table` and
-//! `requests`, attempts in `attempts`, health checks in `polling`, timers in `timers`.
+//! This file contains the constructor and the dispatch of inputs, events and actions. Requests are handled in
+//! `request_table` and `requests`, attempts in `attempts`, health checks in `polling`, and timers in `timers`.
 
 mod attempts;
 mod plausibility;
@@ -34,28 +34,28 @@
 use std::sync::Arc;
 use timers::RouterTimers;
 
-/// Whether the engine's thread goes on after a control message.
+/// Whether the engine's thread continues after a control message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterControl {
-    /// It does.
+    /// The event loop goes on.
     Continue,
-    /// It ends.
+    /// The event loop returns.
     Stop,
 }
 
-/// Whether new requests are taken.
+/// Whether new requests are accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Intake {
     Open,
-    /// The process is about to exit.
-    Finished,
+    /// New requests are rejected, since the process is about to exit.
+    Closed,
 }
 
-/// The router and the state around it. Methods append the commands that they lead to.
+/// The router and the state around it. Methods append the commands that result to their `commands` argument.
 pub struct RequestEngine<W, A> {
     router: Router,
     settings: Settings,
-    /// The seed of the present router.
+    /// The seed of the current router.
     seed: u64,
     endpoints: EndpointRegistry,
     requests: RequestTable<W, A>,
@@ -66,14 +66,15 @@
     observations: Observations,
     outcome_window: OutcomeWindow,
     intake: Intake,
-    /// Events that the router has not handled yet.
+    /// Events that the router has not handled yet, oldest first.
     pending_events: VecDeque<Event>,
-    /// Actions of the event being handled; kept for its allocation.
+    /// Buffer for the actions of one event; kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
 impl<W: Clone, A> RequestEngine<W, A> {
-    /// An engine with a new router and without a list. `seed` is that of the router's random choices.
+    /// An engine with a new router and without an endpoint list. `seed` initializes the router's random number
+    /// generator.
     pub fn new(settings: Settings, seed: u64, limits: &Limits, metrics: Arc<Metrics>) -> Self {
         RequestEngine {
             router: Router::new(settings.clone(), seed),
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Handles a control message. A reply that nobody waits for any more is dropped.
+    /// Handles a control message. A reply whose receiver no longer exists is dropped.
     pub fn handle_control(
         &mut self,
         now: Timestamp,
@@ -131,7 +132,7 @@
     /// Handles an input from a client connection, the backend pool or a peer.
     pub fn handle_input(&mut self, now: Timestamp, input: Input<W, A>, commands: &mut Vec<Command<W>>) {
         match input {
-            Input::Request(submission) => self.accept(now, submission, commands),
+            Input::Request(submission) => self.handle_request(now, submission, commands),
             Input::RequestCancelled(id) => self.cancel_request(now, id, commands),
             Input::ResponseStarted { id, attempt, answer } => {
                 self.start_response(now, id, attempt, answer, commands);
@@ -146,13 +147,13 @@
         }
     }
 
-    /// When [`RequestEngine::run_due`] has something to do next.
+    /// When [`RequestEngine::run_due`] has to be called next; `None` if nothing is scheduled.
     pub fn next_due(&self) -> Option<Timestamp> {
         let due = [self.timers.next_due(), self.requests.next_deadline(), self.polls.next_due()];
         due.into_iter().flatten().min()
     }
 
-    /// Sends deferred polls, fires timers and fails requests whose time has come.
+    /// Sends the deferred polls that are due, fires the timers that are due, and fails overdue requests.
     pub fn run_due(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
         self.send_due_polls(now, commands);
         self.handle_pending_events(now, commands);
@@ -184,15 +185,15 @@
             self.observations.retain(|endpoint| endpoints.get(endpoint).is_some());
             self.polls.retain(|endpoint| endpoints.get(endpoint).is_some());
         }
-        // Before the commands that the router's actions lead to: the backend pool must know an endpoint, or know that
-        // it is closed, when an attempt for it arrives.
+        // This command has to precede those of the router's actions: the backend pool must know the state of an
+        // endpoint before an attempt for it arrives.
         if !applied.changed.is_empty() {
             commands.push(Command::UpdateEndpoints(applied.changed));
         }
         self.dispatch(now, Event::EndpointList { kind, entries: applied.entries }, commands);
     }
 
-    /// Has the router handle an event, after those that are pending.
+    /// Passes an event to the router, after the events that are pending.
     fn dispatch(&mut self, now: Timestamp, event: Event, commands: &mut Vec<Command<W>>) {
         self.pending_events.push_back(event);
         if self.observations.take_urgent() {
@@ -201,7 +202,7 @@
         self.handle_pending_events(now, commands);
     }
 
-    /// Has the router handle all pending events, those included that its own actions lead to.
+    /// Passes all pending events to the router, including those that result from its own actions.
     fn handle_pending_events(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
         while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -211,32 +212,33 @@
                 continue;
             }
             for action in actions.drain(..) {
-                self.perform(now, action, commands);
+                self.execute(now, action, commands);
             }
             self.actions = actions;
         }
     }
 
-    /// Replaces a router that panicked, since its state cannot be trusted: all open requests fail, all attempts in
-    /// flight are cancelled, and a new router starts from the endpoint list, as after a restart of the process.
+    /// Replaces a router that panicked, since its state may be inconsistent. All open requests fail, all attempts in
+    /// flight are cancelled, and a new router starts from the endpoint list, as it would after a restart of the
+    /// process.
     fn replace_router(&mut self, commands: &mut Vec<Command<W>>) {
         log::error!(
-            "engine: the router panicked and is replaced: {} open requests fail",
+            "engine: the router panicked and is being replaced; {} open requests fail",
             self.requests.len()
         );
         self.requests.fail_all();
         commands.extend(self.in_flight.cancel_all());
         self.timers.clear();
         self.pending_events.clear();
-        // Another seed: the same random choices might lead to the same panic.
+        // Use another seed, since the same random choices might cause the same panic.
         self.seed = self.seed.wrapping_add(1);
         self.router = Router::new(self.settings.clone(), self.seed);
         let entries = self.endpoints.entries();
         self.pending_events.push_back(Event::EndpointList { kind: ListKind::Cached, entries });
     }
 
-    /// Carries out an action of the router.
-    fn perform(&mut self, now: Timestamp, action: Action, commands: &mut Vec<Command<W>>) {
+    /// Executes an action of the router.
+    fn execute(&mut self, now: Timestamp, action: Action, commands: &mut Vec<Command<W>>) {
         match action {
             Action::Send { id, endpoint, stop_at } => {
                 self.send_attempt(now, id, endpoint, stop_at, commands);
@@ -250,7 +252,8 @@
             }
             Action::SetTimer { span, timer } => self.timers.set(now + span.or_zero(), timer),
             Action::Probe { endpoint } => self.request_poll(now, endpoint, commands),
-            // Discovery watches the list from the start of the process to its end, whether or not the router asks.
+            // Discovery watches the list for the lifetime of the process, so a subscription needs only the current
+            // list.
             Action::Subscribe { on: _ } | Action::FetchList => commands.push(Command::FetchList),
             Action::CloseIdle { endpoint } => {
                 if let Some(endpoint) = self.endpoints.get(endpoint) {
--- a/src/engine/request_engine/attempts.rs
+++ b/src/engine/request_engine/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: sent, ended, cancelled, and what their outcomes say of endpoints.
+//! Attempts: how they are sent and cancelled, and how their outcomes are handled and recorded.
 
 use super::RequestEngine;
 use super::plausibility::{plausible_report, plausible_status};
@@ -18,7 +18,8 @@
     attempt: u8,
 }
 
-/// The attempts that were sent and have not ended. An attempt stays after its request has ended, until its own end.
+/// The attempts that were sent and have not ended. An attempt whose request has ended stays in the table until the
+/// attempt itself ends.
 #[derive(Debug, Default)]
 pub(super) struct InFlightTable(BTreeMap<AttemptId, InFlightAttempt>);
 
@@ -47,7 +48,7 @@
         counts
     }
 
-    /// Forgets all attempts: the commands that cancel them.
+    /// Removes all attempts and returns the commands that cancel them.
     pub(super) fn cancel_all<W>(&mut self) -> impl Iterator<Item = Command<W>> + use<W> {
         let attempts = std::mem::take(&mut self.0).into_keys();
         attempts.map(|AttemptId { request, attempt }| Command::Cancel { id: request, attempt })
@@ -55,7 +56,7 @@
 }
 
 impl<W: Clone, A> RequestEngine<W, A> {
-    /// Sends an attempt as the router wants it. One that may not be sent is reported back to the router as ended.
+    /// Sends an attempt for the router. If it must not be sent, it is reported back to the router as ended.
     pub(super) fn send_attempt(
         &mut self,
         now: Timestamp,
@@ -65,13 +66,13 @@
         commands: &mut Vec<Command<W>>,
     ) {
         let Some(request) = self.requests.get_mut(id) else {
-            log::error!("engine: request {id}: the router sent an attempt after the final answer");
+            log::error!("engine: request {id}: attempt not sent: requested after the final answer");
             return;
         };
         let attempt = request.attempts;
         request.attempts = request.attempts.saturating_add(1);
         if self.in_flight.has_attempt_of(id) {
-            log::error!("engine: request {id}: attempt {attempt} not sent: another one is in flight");
+            log::error!("engine: request {id}: attempt {attempt} not sent: another attempt is in flight");
             self.report_unsent_attempt(id, attempt, endpoint, AttemptOutcome::NotSent);
             return;
         }
@@ -85,7 +86,7 @@
             id,
             attempt,
             endpoint,
-            host: target.name.clone(),
+            endpoint_name: target.name.clone(),
             work: request.work.clone(),
             until: stop_at.map_or(request.deadline, |stop_at| stop_at.min(request.deadline)),
             send_by: request.first_may_have_run_at.and_then(|first| key_expiry(class, first)),
@@ -114,7 +115,7 @@
         }));
     }
 
-    /// An attempt has ended. The answer of a request that has ended before is dropped.
+    /// Handles the end of an attempt. If its request has already ended, the answer is dropped.
     pub(super) fn finish_attempt(
         &mut self,
         now: Timestamp,
@@ -137,7 +138,7 @@
         if let Some(answer) = answer.filter(|_| served) {
             self.requests.finish(id, FinalAnswer::Served(answer));
         }
-        // A streamed answer is counted only now: one that broke off is no success.
+        // A streamed answer is counted only now, since one that broke off is not a success.
         let stream_outcome = if served { RequestOutcome::Success } else { RequestOutcome::Error };
         self.requests.finish_stream(id, stream_outcome);
         let event = AttemptFinished {
@@ -153,7 +154,7 @@
         self.dispatch(now, Event::AttemptFinished(event), commands);
     }
 
-    /// Records what an attempt's end says of its endpoint.
+    /// Records what the end of an attempt shows about its endpoint.
     fn observe_attempt(
         &mut self,
         now: Timestamp,
@@ -177,8 +178,8 @@
         }
     }
 
-    /// Cancels reads in flight at the named endpoints that are overdue. The router retries them elsewhere, as far as
-    /// their class permits. Requests that may have written are waited for.
+    /// Cancels overdue reads in flight at the named endpoints. The router retries them elsewhere if their class permits
+    /// it. Requests that may have written are not cancelled.
     pub(super) fn cancel_overdue_reads(
         &mut self,
         now: Timestamp,
@@ -199,7 +200,7 @@
         }
     }
 
-    /// How attempts at each endpoint ended lately, by the endpoint's name.
+    /// The recent attempt outcomes of each endpoint, keyed by endpoint name.
     pub(super) fn outcome_counts(&mut self, now: Timestamp) -> BTreeMap<String, OutcomeCounts> {
         let mut named = BTreeMap::new();
         for (endpoint, counts) in self.outcome_window.read(now, self.in_flight.0.values().copied()) {
@@ -211,8 +212,8 @@
     }
 }
 
-/// When the key of a keyed request is forgotten whose first attempt that may have run was sent at `first_sent_at`: a
-/// repeat sent later might run again. `None`: the class has no keys.
+/// When endpoints forget the idempotency key of a request; an attempt sent after that might run a second time.
+/// `first_sent_at` is when the first attempt that may have run was sent. `None` if the class is not keyed.
 fn key_expiry(class: Option<&Class>, first_sent_at: Timestamp) -> Option<Timestamp> {
     let class = class.filter(|class| class.idempotency == Some(Idempotency::Keyed))?;
     Some(first_sent_at + class.key_window.unwrap_or(TimeDelta::ZERO))
--- a/src/engine/request_engine/polling.rs
+++ b/src/engine/request_engine/polling.rs
@@ -1,54 +1,56 @@
-//! Health checks: probes of endpoints, shared with peers, and what endpoints report about themselves.
+//! Health checks: probes of endpoints, which may be shared with peers, and endpoints' reports about themselves.
 //!
-//! The router asks for probes. While several poolers start at once, a poll schedule decides whether one is sent: a
-//! recent observation by a peer may replace it.
+//! The router requests probes. While several poolers start at once, a poll scheduler decides whether a probe is sent,
+//! since a recent observation by a peer may replace it.
 
 use super::RequestEngine;
 use super::plausibility::{is_plausible_position, plausible_report, plausible_status, plausible_uptime};
-use crate::engine::load_report::{self, PRIMARY_THRESHOLD, ReportField, report_of};
+use crate::engine::load_report::{self, PRIMARY_THRESHOLD, ReportField, build_load_report};
 use crate::engine::message::{Command, PeerObservation, PollParticipants};
 use crate::engine::observations::{EndpointReport, Observation};
 use crate::engine::poll_scheduler::{PollDecision, PollScheduler};
 use crate::routing::{EndpointId, Event, LoadReport, LogPosition, ReplicaStatus, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// The engine's polls of endpoints.
+/// The state of the polling of endpoints.
 #[derive(Debug, Default)]
 pub(super) struct EndpointPolls {
-    /// `None`: polls are shared with nobody; each is sent when the router asks for it.
-    schedule: Option<PollScheduler<EndpointId>>,
-    /// While polls are shared, the last load report of each endpoint: it answers polls that need not be sent.
+    /// Defers polls that a peer may make; `None` while polls are not shared and each is sent when the router requests
+    /// it.
+    scheduler: Option<PollScheduler<EndpointId>>,
+    /// The last load report of each endpoint, which answers polls that need not be sent. Empty while polls are not
+    /// shared.
     latest_reports: BTreeMap<EndpointId, LoadReport>,
-    /// When each poll that is in flight was sent.
+    /// When each probe in flight was sent.
     sent_at: BTreeMap<EndpointId, Timestamp>,
 }
 
 impl EndpointPolls {
-    /// When the next deferred poll has its turn.
+    /// When the next deferred poll is due; `None` if no poll is deferred.
     pub(super) fn next_due(&self) -> Option<Timestamp> {
-        self.schedule.as_ref().and_then(PollScheduler::next_due)
+        self.scheduler.as_ref().and_then(PollScheduler::next_due)
     }
 
-    /// Forgets what is known of endpoints for which `keep` is false.
+    /// Drops the state of endpoints for which `keep` is false.
     pub(super) fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
         self.latest_reports.retain(|endpoint, _| keep(*endpoint));
         self.sent_at.retain(|endpoint, _| keep(*endpoint));
     }
 
-    /// An endpoint's report is known, from its own answer or from a peer.
-    fn observed(&mut self, now: Timestamp, endpoint: EndpointId, report: LoadReport) {
+    /// Records an endpoint's load report, which arrived from the endpoint itself or from a peer.
+    fn record_report(&mut self, now: Timestamp, endpoint: EndpointId, report: LoadReport) {
         if report.count == 0 {
             return;
         }
-        if let Some(schedule) = &mut self.schedule {
-            schedule.observed(now, endpoint);
+        if let Some(scheduler) = &mut self.scheduler {
+            scheduler.record_observation(now, endpoint);
             self.latest_reports.insert(endpoint, report);
         }
     }
 }
 
 impl<W: Clone, A> RequestEngine<W, A> {
-    /// Sets with whom polls are shared; `None`: with nobody. Polls that were deferred are sent then.
+    /// Sets the poolers that share the polling. With `None`, the sharing ends and all deferred polls are sent.
     pub(super) fn set_poll_participants(
         &mut self,
         now: Timestamp,
@@ -56,21 +58,21 @@
         commands: &mut Vec<Command<W>>,
     ) {
         if let Some(PollParticipants { local, peers }) = participants {
-            match &mut self.polls.schedule {
-                Some(schedule) => schedule.set_peers(peers),
-                none => *none = Some(PollScheduler::new(local, peers)),
+            match &mut self.polls.scheduler {
+                Some(scheduler) => scheduler.set_peers(peers),
+                unset => *unset = Some(PollScheduler::new(local, peers)),
             }
             return;
         }
-        let schedule = self.polls.schedule.take();
-        for endpoint in schedule.map(PollScheduler::into_deferred).unwrap_or_default() {
+        let scheduler = self.polls.scheduler.take();
+        for endpoint in scheduler.map(PollScheduler::into_deferred).unwrap_or_default() {
             self.send_probe(now, endpoint, commands);
         }
         self.polls.latest_reports.clear();
         self.handle_pending_events(now, commands);
     }
 
-    /// The router asks for a poll of an endpoint.
+    /// Handles the router's request to poll an endpoint.
     pub(super) fn request_poll(
         &mut self,
         now: Timestamp,
@@ -78,8 +80,8 @@
         commands: &mut Vec<Command<W>>,
     ) {
         let name = self.endpoints.get(endpoint).map_or("", |endpoint| endpoint.name.as_str());
-        let decision = match &mut self.polls.schedule {
-            Some(schedule) => schedule.request(now, endpoint, name),
+        let decision = match &mut self.polls.scheduler {
+            Some(scheduler) => scheduler.decide(now, endpoint, name),
             None => PollDecision::Send,
         };
         match decision {
@@ -93,20 +95,20 @@
         }
     }
 
-    /// Sends the deferred polls whose turn has come.
+    /// Sends the deferred polls that are due.
     pub(super) fn send_due_polls(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
-        let Some(schedule) = &mut self.polls.schedule else { return };
-        for endpoint in schedule.take_due(now) {
+        let Some(scheduler) = &mut self.polls.scheduler else { return };
+        for endpoint in scheduler.take_due(now) {
             self.send_probe(now, endpoint, commands);
         }
     }
 
-    /// Sends a probe; it fails at once where the endpoint is not open.
+    /// Sends a probe. If the endpoint is not open, the probe is reported to the router as failed instead.
     fn send_probe(&mut self, now: Timestamp, endpoint: EndpointId, commands: &mut Vec<Command<W>>) {
         match self.endpoints.get(endpoint).filter(|endpoint| endpoint.open) {
             Some(target) => {
                 self.polls.sent_at.insert(endpoint, now);
-                commands.push(Command::Probe { endpoint, host: target.name.clone() });
+                commands.push(Command::Probe { endpoint, endpoint_name: target.name.clone() });
             }
             None => {
                 let (took, report) = (TimeDelta::ZERO, LoadReport::default());
@@ -115,7 +117,7 @@
         }
     }
 
-    /// A probe has ended; `None`: it failed.
+    /// Handles the end of a probe. `report` is `None` if the probe failed.
     pub(super) fn finish_probe(
         &mut self,
         now: Timestamp,
@@ -130,12 +132,12 @@
         if let Some(replica_status) = self.replica_status(&report) {
             let replica_status = plausible_status(now, Some(replica_status));
             self.observe_report(now, endpoint, replica_status, &report, sent_at);
-            self.polls.observed(now, endpoint, report);
+            self.polls.record_report(now, endpoint, report);
         }
         self.dispatch(now, Event::ProbeFinished { endpoint, ok, took, report }, commands);
     }
 
-    /// The role and position in a load report; `None` where it lacks one of them.
+    /// The role and log position in a load report; `None` if either is missing.
     fn replica_status(&self, report: &LoadReport) -> Option<ReplicaStatus> {
         let fields = &self.settings.report_fields;
         let position_seconds = load_report::value(fields, report, ReportField::Position)?;
@@ -144,7 +146,7 @@
         Some(ReplicaStatus { primary: role >= PRIMARY_THRESHOLD, position })
     }
 
-    /// Records an endpoint's report about itself, in answer to a request sent at `requested_at`.
+    /// Records an endpoint's report about itself, which answers a request sent at `requested_at`.
     pub(super) fn observe_report(
         &mut self,
         now: Timestamp,
@@ -159,7 +161,8 @@
         self.observations.record(endpoint, report);
     }
 
-    /// Handles observations by peers, or of before the start of the process. Newer ones by this process prevail.
+    /// Handles observations made by peers, or by this process before it was restarted. They are ignored if this process
+    /// has a newer observation.
     pub(super) fn handle_peer_observations(
         &mut self,
         now: Timestamp,
@@ -180,14 +183,16 @@
         let PeerObservation { endpoint_name, primary, position, observed_at, replaces_poll } = observation;
         let Some(endpoint) = self.endpoints.find(&endpoint_name) else { return };
         let own_report_at = self.observations.last_report_at(endpoint);
-        if own_report_at.is_some_and(|own| own >= observed_at) || !is_plausible_position(now, position) {
+        if own_report_at.is_some_and(|reported_at| reported_at >= observed_at)
+            || !is_plausible_position(now, position)
+        {
             return;
         }
         self.observations.record_external_position(endpoint, position, observed_at);
-        if !replaces_poll || self.polls.schedule.is_none() {
+        if !replaces_poll || self.polls.scheduler.is_none() {
             return;
         }
-        let report = report_of(&self.settings.report_fields, |field| {
+        let report = build_load_report(&self.settings.report_fields, |field| {
             if field == ReportField::Position.name() {
                 Some(position.as_micros() as f64 / 1e6)
             } else if field == ReportField::Role.name() {
@@ -196,13 +201,13 @@
                 None
             }
         });
-        self.polls.observed(now, endpoint, report);
+        self.polls.record_report(now, endpoint, report);
         commands.push(Command::SkipInitialProbe(endpoint_name));
         let event = Event::ProbeFinished { endpoint, ok: true, took: TimeDelta::ZERO, report };
         self.dispatch(now, event, commands);
     }
 
-    /// Takes the observations of endpoints since the last call.
+    /// Returns the observations of endpoints since the last call, with the endpoints' names and attempts in flight.
     pub(super) fn take_observations(&mut self) -> Vec<Observation> {
         let in_flight = self.in_flight.count_by_endpoint();
         let mut observations = Vec::new();
--- a/src/engine/request_engine/request_table.rs
+++ b/src/engine/request_engine/request_table.rs
@@ -1,4 +1,4 @@
-//! The table of requests: deadlines, and one final answer each.
+//! The table of requests: enforces their deadlines and gives each one final answer.
 
 use crate::config::Limits;
 use crate::engine::message::{FinalAnswer, Freshness};
@@ -8,38 +8,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A request without a final answer.
+/// A request that has no final answer yet.
 pub(super) struct OpenRequest<W, A> {
     pub(super) work: W,
     pub(super) reply: Sender<FinalAnswer<A>>,
-    /// When the client stops waiting.
+    /// When the client stops waiting for an answer.
     pub(super) deadline: Timestamp,
     /// Number of attempts so far.
     pub(super) attempts: u8,
-    /// When the first attempt was sent that may have run without being served.
+    /// When the first attempt that may have run, but was not served, was sent.
     pub(super) first_may_have_run_at: Option<Timestamp>,
     pub(super) freshness: Freshness,
-    /// The number of its class.
+    /// The class number.
     pub(super) class: usize,
     pub(super) group: GroupId,
 }
 
-/// When a request without a final answer fails.
+/// When an open request fails unless it has been answered by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Timestamp,
     id: RequestId,
 }
 
-/// All requests that have not ended. Counts how they end.
+/// All requests that have not ended. Counts how they end in the metrics.
 pub(super) struct RequestTable<W, A> {
     open: BTreeMap<RequestId, OpenRequest<W, A>>,
-    /// Class numbers of requests whose answer is being streamed: their final answer is given, but they end with the
-    /// stream or with their client.
+    /// The class numbers of requests whose answer is being streamed. Such a request has its final answer, but it ends
+    /// only when the stream ends or the client disconnects.
     streaming: BTreeMap<RequestId, usize>,
     expiries: BTreeSet<Expiry>,
     max_open: usize,
-    /// A request fails this long after its deadline; until then the router may answer it.
+    /// How long after its deadline a request fails. Until then, the router may still answer it.
     deadline_grace: TimeDelta,
     metrics: Arc<Metrics>,
 }
@@ -61,7 +61,7 @@
         self.open.len()
     }
 
-    /// Number of requests that have not ended, those included whose answer is being streamed.
+    /// Number of requests that have not ended, including those whose answer is being streamed.
     pub(super) fn concurrent(&self) -> usize {
         self.open.len() + self.streaming.len()
     }
@@ -83,33 +83,33 @@
         self.open.insert(id, request);
     }
 
-    /// Answers a request that is not in the table.
-    pub(super) fn refuse(&self, class: usize, reply: &Sender<FinalAnswer<A>>, answer: FinalAnswer<A>) {
+    /// Answers a request that is not in the table, and counts the outcome.
+    pub(super) fn send_answer(&self, class: usize, reply: &Sender<FinalAnswer<A>>, answer: FinalAnswer<A>) {
         self.metrics.record_outcome(class, outcome_of(&answer));
         // The client may have disconnected.
         let _ = reply.try_send(answer);
     }
 
-    /// Ends an open request with its final answer. Without effect on any other.
+    /// Ends an open request with its final answer. Does nothing if the request is not open.
     pub(super) fn finish(&mut self, id: RequestId, answer: FinalAnswer<A>) {
         if let Some(request) = self.remove(id) {
-            self.refuse(request.class, &request.reply, answer);
+            self.send_answer(request.class, &request.reply, answer);
         }
     }
 
-    /// Ends an open request by a rejection.
+    /// Ends an open request by rejecting it.
     pub(super) fn reject(&mut self, now: Timestamp, id: RequestId, retry_after: Option<TimeDelta>) {
         let overdue = self.is_overdue(now, id);
         self.finish(id, FinalAnswer::Rejected { retry_after, overdue });
     }
 
-    /// Ends an open request by a failure.
+    /// Ends an open request as failed.
     pub(super) fn fail(&mut self, now: Timestamp, id: RequestId) {
         let overdue = self.is_overdue(now, id);
         self.finish(id, FinalAnswer::Failed { overdue });
     }
 
-    /// Fails all open requests, and forgets those whose answer is being streamed.
+    /// Fails all open requests, and drops those whose answer is being streamed without counting them.
     pub(super) fn fail_all(&mut self) {
         for id in self.open_ids() {
             self.finish(id, FinalAnswer::Failed { overdue: false });
@@ -121,7 +121,8 @@
         self.open.keys().copied().collect()
     }
 
-    /// Gives an open request its final answer, whose remainder is streamed. It is counted when the stream ends.
+    /// Gives an open request its final answer, the rest of which is streamed. The request is counted when the stream
+    /// ends.
     pub(super) fn start_stream(&mut self, id: RequestId, answer: A) {
         if let Some(request) = self.remove(id) {
             self.streaming.insert(id, request.class);
@@ -130,14 +131,15 @@
         }
     }
 
-    /// Ends a request whose answer was streamed. Without effect on any other.
+    /// Ends a request whose answer was streamed. Does nothing for any other request.
     pub(super) fn finish_stream(&mut self, id: RequestId, outcome: RequestOutcome) {
         if let Some(class) = self.streaming.remove(&id) {
             self.metrics.record_outcome(class, outcome);
         }
     }
 
-    /// Ends a request without an answer, since its client has disconnected; whether there was one.
+    /// Ends a request whose client has disconnected, without an answer. Returns whether the request had not ended
+    /// before.
     pub(super) fn cancel(&mut self, id: RequestId) -> bool {
         let open = self.remove(id).map(|request| request.class);
         let Some(class) = open.or(self.streaming.remove(&id)) else { return false };
@@ -145,12 +147,12 @@
         true
     }
 
-    /// When the next request fails unless it gets an answer before.
+    /// When the next open request fails unless it has been answered by then; `None` if no request is open.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         self.expiries.first().map(|expiry| expiry.at)
     }
 
-    /// Ends the next request whose deadline and grace have passed by a failure, and returns its id.
+    /// Fails the next request whose deadline and grace time have passed, and returns its id; `None` if there is none.
     pub(super) fn fail_next_expired(&mut self, now: Timestamp) -> Option<RequestId> {
         while self.next_deadline().is_some_and(|at| at <= now) {
             let id = self.expiries.pop_first()?.id;
@@ -177,7 +179,7 @@
     }
 }
 
-/// What a final answer counts as.
+/// How a final answer is counted in the metrics.
 fn outcome_of<A>(answer: &FinalAnswer<A>) -> RequestOutcome {
     match answer {
         FinalAnswer::Served(_) => RequestOutcome::Success,
--- a/src/engine/request_engine/requests.rs
+++ b/src/engine/request_engine/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: taken in or rejected, answered, cancelled.
+//! Requests: how they are admitted, rejected, answered and cancelled.
 
 use super::request_table::OpenRequest;
 use super::{Intake, RequestEngine};
@@ -7,8 +7,8 @@
 use crate::routing::{Class, Consistency, Event, IncomingRequest, RequestId, TimeDelta, Timestamp};
 
 impl<W: Clone, A> RequestEngine<W, A> {
-    /// Takes in a request, unless it has to be answered at once.
-    pub(super) fn accept(
+    /// Passes a request to the router, unless it has to be answered at once.
+    pub(super) fn handle_request(
         &mut self,
         now: Timestamp,
         submission: Submission<W, A>,
@@ -16,7 +16,7 @@
     ) {
         let Submission { request, deadline, work, reply } = submission;
         if let Some(answer) = self.immediate_answer(now, &request) {
-            self.requests.refuse(request.class, &reply, answer);
+            self.requests.send_answer(request.class, &reply, answer);
             return;
         }
         let open = OpenRequest {
@@ -34,12 +34,12 @@
         self.dispatch(now, Event::Request(IncomingRequest { client_timeout, ..request }), commands);
     }
 
-    /// The answer to a request that is not taken in.
+    /// The answer to a request that is not passed to the router; `None` if the request is admitted.
     fn immediate_answer(&mut self, now: Timestamp, request: &IncomingRequest) -> Option<FinalAnswer<A>> {
         if !self.endpoints.knows_group(request.group) {
             return Some(FinalAnswer::UnknownGroup);
         }
-        if self.intake == Intake::Finished || self.requests.is_full() {
+        if self.intake == Intake::Closed || self.requests.is_full() {
             return Some(FinalAnswer::Rejected { retry_after: None, overdue: false });
         }
         match self.admission.admit(now, request.class, request.group) {
@@ -50,14 +50,14 @@
         }
     }
 
-    /// The client of a request has disconnected: no answer can reach it any more.
+    /// Ends a request whose client has disconnected, since no answer can reach the client any more.
     pub(super) fn cancel_request(&mut self, now: Timestamp, id: RequestId, commands: &mut Vec<Command<W>>) {
         if self.requests.cancel(id) {
             self.dispatch(now, Event::RequestCancelled { id }, commands);
         }
     }
 
-    /// An endpoint has begun to send an answer that is streamed. The answer of a request that has ended meanwhile is
+    /// Handles the start of an answer that is streamed. If the request has ended in the meantime, the answer is
     /// dropped, which ends the attempt.
     pub(super) fn start_response(
         &mut self,
@@ -75,18 +75,18 @@
         }
     }
 
-    /// Fails the requests that the router has not answered by their deadline and its grace.
+    /// Fails the requests that the router has not answered by the end of the grace time after their deadline.
     pub(super) fn fail_overdue_requests(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
         while let Some(id) = self.requests.fail_next_expired(now) {
-            log::warn!("engine: request {id}: no answer by its deadline");
+            log::warn!("engine: request {id}: failed: no answer from the router before its deadline");
             self.dispatch(now, Event::RequestCancelled { id }, commands);
         }
     }
 
-    /// Answers all open requests, since the process is about to exit and they would go unanswered. A request without
-    /// an attempt is rejected, and so is any that arrives from now on: trying it again is harmless.
+    /// Answers all open requests, which would otherwise go unanswered when the process exits. Requests without an
+    /// attempt are rejected, since a retry of them is safe, and so are all requests that arrive from now on.
     pub(super) fn finish_all(&mut self, now: Timestamp, commands: &mut Vec<Command<W>>) {
-        self.intake = Intake::Finished;
+        self.intake = Intake::Closed;
         for id in self.requests.open_ids() {
             let attempts = self.requests.get_mut(id).map_or(0, |request| request.attempts);
             let answer = match attempts {
@@ -99,7 +99,7 @@
     }
 }
 
-/// How current the data of a request's answer must be.
+/// How current the data of a request's answer must be, according to the consistency of its class.
 fn required_freshness(class: Option<&Class>, request: &IncomingRequest, now: Timestamp) -> Freshness {
     let Some(class) = class else { return Freshness::Any };
     match class.consistency {
--- a/src/engine/request_engine/tests.rs
+++ b/src/engine/request_engine/tests.rs
@@ -20,7 +20,7 @@
     Timestamp::from_micros(micros)
 }
 
-/// An engine with one class of bounded reads, room for three requests, and two endpoints on its list.
+/// An engine with one class of bounded reads, a limit of three open requests, and two endpoints on its list.
 fn engine() -> (RequestEngine<&'static str, &'static str>, Commands) {
     let class = Class {
         latency_objective: Some(TimeDelta::from_millis(500)),
@@ -80,7 +80,7 @@
     })
 }
 
-fn cancel(id: u64) -> Command<&'static str> {
+fn cancel_command(id: u64) -> Command<&'static str> {
     Command::Cancel { id: RequestId(id), attempt: 0 }
 }
 
@@ -101,7 +101,7 @@
     assert_eq!(engine.requests.len(), 0);
 }
 
-/// No work for nobody, and no answer to a client that has disconnected.
+/// Guards against work for a client that has disconnected, and against an answer to it.
 #[test]
 fn the_attempt_of_a_disconnected_client_is_cancelled() {
     let (mut engine, mut commands) = engine();
@@ -109,14 +109,14 @@
     engine.handle_input(at(2_000), input, &mut commands);
     commands.clear();
     engine.handle_input(at(3_000), Input::RequestCancelled(RequestId(1)), &mut commands);
-    assert_eq!(commands, [cancel(1)]);
+    assert_eq!(commands, [cancel_command(1)]);
     engine.handle_input(at(4_000), attempt_finished(1, 0, AttemptOutcome::Served), &mut commands);
     assert!(answer.try_recv().is_err());
 }
 
-/// A streamed answer is not cut off by its deadline, but by the disconnect of its client.
+/// A streamed answer must not be cut off by the request's deadline, only by the client's disconnect.
 #[test]
-fn a_streamed_answer_is_final_and_ends_with_its_client() {
+fn a_streamed_answer_is_final_and_ends_when_its_client_disconnects() {
     let (mut engine, mut commands) = engine();
     let (input, answer) = request(1, None);
     engine.handle_input(at(2_000), input, &mut commands);
@@ -125,9 +125,9 @@
     engine.handle_input(at(3_000), started, &mut commands);
     assert_eq!(answer.try_recv(), Ok(FinalAnswer::Served("started")));
     engine.run_due(at(5_000_000), &mut commands);
-    assert!(!commands.contains(&cancel(1)), "its deadline no longer applies");
+    assert!(!commands.contains(&cancel_command(1)), "its deadline no longer applies");
     engine.handle_input(at(5_000_000), Input::RequestCancelled(RequestId(1)), &mut commands);
-    assert!(commands.contains(&cancel(1)));
+    assert!(commands.contains(&cancel_command(1)));
 }
 
 #[test]
@@ -147,7 +147,7 @@
     assert_eq!(answer.try_recv(), Ok(FinalAnswer::UnknownGroup));
 }
 
-/// No request goes unanswered when the process exits.
+/// Guards against requests that go unanswered when the process exits.
 #[test]
 fn finish_all_answers_every_open_request() {
     let (mut engine, mut commands) = engine();
@@ -161,12 +161,12 @@
     engine.handle_control(at(4_000), Control::FinishAll, &mut commands);
     assert_eq!(sent.try_recv(), Ok(FAILED));
     assert_eq!(queued.try_recv(), Ok(REJECTED));
-    assert_eq!((engine.requests.len(), commands), (0, vec![cancel(1)]));
+    assert_eq!((engine.requests.len(), commands), (0, vec![cancel_command(1)]));
 }
 
-/// A position from the future would make its endpoint appear up to date forever.
+/// A log position in the future would make its endpoint appear up to date forever.
 #[test]
-fn positions_from_the_future_are_not_believed() {
+fn positions_in_the_future_are_rejected_or_capped() {
     let settings = Settings { report_fields: vec!["x0".into()], ..engine().0.settings };
     let report = |x0| LoadReport { values: [x0; 4], count: 1 };
     for (x0, count) in [(4.5, 1), (7.0, 0), (f64::MAX, 0), (-1.0, 0)] {
@@ -182,19 +182,19 @@
     assert_eq!(plausible_status(at(5_000_000), status(i64::MAX)), None);
 }
 
-/// A fault of the router must not end the process with all its requests.
+/// A panic of the router must not end the process and all its requests.
 #[test]
 fn a_router_that_panics_is_replaced_and_continues_from_the_list() {
     let (mut engine, mut commands) = engine();
     let (input, open) = request(1, None);
     engine.handle_input(at(2_000), input, &mut commands);
     commands.clear();
-    // An age that no client connection submits, since arithmetic on it overflows.
-    let (poison, answer) = request(2, Some(TimeDelta::from_micros(i64::MIN)));
-    engine.handle_input(at(3_000), poison, &mut commands);
+    // No client connection submits such an age. The router panics because its arithmetic overflows.
+    let (panicking_request, answer) = request(2, Some(TimeDelta::from_micros(i64::MIN)));
+    engine.handle_input(at(3_000), panicking_request, &mut commands);
     assert_eq!(answer.try_recv(), Ok(FAILED));
     assert_eq!(open.try_recv(), Ok(FAILED));
-    assert_eq!(commands, [cancel(1)]);
+    assert_eq!(commands, [cancel_command(1)]);
     engine.handle_input(at(3_500), attempt_finished(1, 0, AttemptOutcome::Cancelled), &mut commands);
     commands.clear();
     let (input, answer) = request(3, None);
@@ -204,7 +204,7 @@
     assert_eq!(answer.try_recv(), Ok(FinalAnswer::Served("value")));
 }
 
-/// No request is taken that nobody would answer any more.
+/// Guards against accepting a request that the ending process would not answer.
 #[test]
 fn a_request_after_finish_all_is_rejected_at_once() {
     let (mut engine, mut commands) = engine();
@@ -215,8 +215,8 @@
     assert!(commands.is_empty() && engine.requests.len() == 0, "{commands:?}");
 }
 
-/// The backend pool may send a retry whenever its connection is made: it has to know how long the idempotency key of
-/// the first attempt that may have run is remembered.
+/// The backend pool may send a retry late, when its connection is established. It therefore has to know until when
+/// endpoints remember the idempotency key of the first attempt that may have run.
 #[test]
 fn a_retry_of_a_keyed_request_carries_the_expiry_of_its_key() {
     let (mut engine, mut commands) = engine();
--- a/src/engine/request_engine/timers.rs
+++ b/src/engine/request_engine/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the router.
+//! The timers that the router sets.
 
 use crate::routing::Timestamp;
 use std::collections::BTreeSet;
@@ -6,11 +6,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RouterTimer {
     due_at: Timestamp,
-    /// The router's number for it.
+    /// The number by which the router identifies the timer.
     number: u64,
 }
 
-/// The timers that the router has set, by due time. Setting the same timer for the same time twice has no effect.
+/// The router's pending timers, ordered by due time. Setting the same timer for the same time twice has no effect.
 #[derive(Debug, Default)]
 pub(super) struct RouterTimers(BTreeSet<RouterTimer>);
 
--- a/src/engine/thread.rs
+++ b/src/engine/thread.rs
@@ -14,16 +14,16 @@
     pub(super) commands: Sender<Command<W>>,
 }
 
-/// What the event loop waits for.
+/// The event that woke the event loop.
 enum Wakeup<W, A> {
     Control(Control),
     Input(Input<W, A>),
     TimerDue,
-    /// All handles have been dropped.
+    /// All handles to the engine have been dropped.
     Disconnected,
 }
 
-/// Runs an engine until it is stopped, all its handles are gone, or nobody receives its commands any more.
+/// Runs an engine until it is stopped, all its handles are dropped, or the receiver of its commands is dropped.
 pub(super) fn run<W: Clone, A>(mut engine: RequestEngine<W, A>, clock: &Clock, channels: &Channels<W, A>) {
     let mut commands = Vec::new();
     loop {
@@ -45,8 +45,8 @@
     }
 }
 
-/// Blocks until there is something to do. Control messages come first: a new endpoint list must count before any
-/// request that waits.
+/// Blocks until the next event. Control messages take precedence: a new endpoint list must be applied before any
+/// waiting request is handled.
 fn next_wakeup<W: Clone, A>(
     engine: &RequestEngine<W, A>,
     clock: &Clock,
--- a/src/net/admin_server.rs
+++ b/src/net/admin_server.rs
@@ -166,6 +166,6 @@
         // Late metrics are worse than gauges of a moment ago.
         let gauges = gauges.unwrap_or(self.last_gauges.get());
         self.last_gauges.set(gauges);
-        self.engine.metrics().text(gauges) + &(self.other_metrics)()
+        self.engine.metrics().statsd_text(gauges) + &(self.other_metrics)()
     }
 }
--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -75,7 +75,16 @@
         handle: &EngineHandle<P::Request, P::Answer>,
     ) -> Option<Command<P::Request>> {
         match command {
-            Command::SendAttempt { id, attempt, endpoint, host, work, until, send_by, freshness } => {
+            Command::SendAttempt {
+                id,
+                attempt,
+                endpoint,
+                endpoint_name: host,
+                work,
+                until,
+                send_by,
+                freshness,
+            } => {
                 let order = AttemptOrder {
                     key: AttemptKey { request: id, attempt },
                     endpoint,
@@ -87,7 +96,9 @@
                 };
                 self.spawn_attempt(order, executor, handle);
             }
-            Command::Probe { endpoint, host } => self.spawn_probe(endpoint, host, executor, handle),
+            Command::Probe { endpoint, endpoint_name: host } => {
+                self.spawn_probe(endpoint, host, executor, handle)
+            }
             Command::Cancel { id, attempt } => {
                 // The attempt ends, and closes its connection.
                 self.in_flight.borrow_mut().remove(&AttemptKey { request: id, attempt });
@@ -149,7 +160,7 @@
             let deadline = Instant::now() + pool.limits.connect_timeout;
             let report = until(deadline, pool.probe(&name)).await.flatten();
             let took = pool.clock.now() - began;
-            handle.input(Input::ProbeFinished { endpoint, took, report }).await;
+            handle.send_input(Input::ProbeFinished { endpoint, took, report }).await;
         };
         executor.spawn(task).detach();
     }
--- a/src/net/backend_pool/attempt.rs
+++ b/src/net/backend_pool/attempt.rs
@@ -61,7 +61,7 @@
             let ExchangeResult { outcome, replica_status, report, answer, .. } = result;
             log::trace!("request {id}: attempt {attempt} at {}: {outcome:?}", order.endpoint_name);
             let report = AttemptReport { id, attempt, outcome, replica_status, report, answer };
-            handle.input(Input::AttemptFinished(report)).await;
+            handle.send_input(Input::AttemptFinished(report)).await;
         };
         executor.spawn(task).detach();
     }
@@ -153,7 +153,7 @@
         // anything new is written to it.
         let took = self.clock.now() - began;
         let probed = Input::ProbeFinished { endpoint: context.endpoint, took, report };
-        context.handle.input(probed).await;
+        context.handle.send_input(probed).await;
         Ok(connection)
     }
 
--- a/src/net/backend_pool/protocol.rs
+++ b/src/net/backend_pool/protocol.rs
@@ -112,7 +112,7 @@
     /// Records that the last byte of the request was written: from now on it may have been executed.
     pub fn mark_sent(&self) {
         self.sent.set(true);
-        self.handle.metrics().dispatched();
+        self.handle.metrics().record_dispatch();
     }
 
     /// Whether the last byte of the request was written.
@@ -136,7 +136,7 @@
     pub async fn start_response(&self, answer: A) {
         self.response_started.set(true);
         let AttemptKey { request: id, attempt } = self.key;
-        self.handle.input(Input::ResponseStarted { id, attempt, answer }).await;
+        self.handle.send_input(Input::ResponseStarted { id, attempt, answer }).await;
     }
 
     /// Whether the client has the begin of the answer.
--- a/src/net/postgres/front/client.rs
+++ b/src/net/postgres/front/client.rs
@@ -65,7 +65,7 @@
     pub(super) async fn cancel_open_requests(self) {
         for pending in self.pending {
             if let PendingAnswer::Request(request) = pending {
-                self.front.handle.input(Input::RequestCancelled(request.id)).await;
+                self.front.handle.send_input(Input::RequestCancelled(request.id)).await;
             }
         }
     }
--- a/src/net/postgres/response.rs
+++ b/src/net/postgres/response.rs
@@ -5,7 +5,7 @@
 
 use super::codec::{self, Message, ProtocolViolation, backend, decode_message, error_field};
 use super::sqlstate::SqlState;
-use crate::engine::load_report::report_of;
+use crate::engine::load_report::build_load_report;
 use crate::net::backend_pool::load_report_value;
 use crate::routing::{AttemptOutcome, LoadReport, ReplicaStatus};
 use crate::time::LogPosition;
@@ -308,7 +308,7 @@
     /// The host's load report, with the values of `fields`.
     pub fn load_report(&self, fields: &[String]) -> LoadReport {
         let text = self.load_report.as_deref().unwrap_or("");
-        report_of(fields, |name| load_report_value(text, name))
+        build_load_report(fields, |name| load_report_value(text, name))
     }
 }
 
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -161,7 +161,7 @@
         if operation.is_update() && !self.classes.writes(class_name) {
             return Err(OperationError::ClassNotForUpdates(class_name.to_string()));
         }
-        if operation.position.is_some() && !self.classes.sees_positions(class_name) {
+        if operation.position.is_some() && !self.classes.honors_client_position(class_name) {
             return Err(OperationError::ClassIgnoresPositions(class_name.to_string()));
         }
         let group = operation.group.or(self.service.group).ok_or(OperationError::MissingGroup)?;
@@ -195,7 +195,8 @@
     ) -> io::Result<AfterResponse> {
         let PreparedOperation { request, client_timeout, operation } = prepared;
         let session_commit = operation.position.filter(|_| !operation.is_update());
-        let lost = session_commit.and_then(|commit| self.log_rollbacks.borrow().lost(request.group, commit));
+        let lost = session_commit
+            .and_then(|commit| self.log_rollbacks.borrow().rolled_back_to(request.group, commit));
         if let Some(position) = lost {
             return responder.write_answer(lost_commit_answer(position)).await;
         }
@@ -216,7 +217,7 @@
         };
         if !matches!(written, Ok(AfterResponse::KeepOpen | AfterResponse::Close)) {
             // Whatever is still under way for this client ends now.
-            self.handle.input(Input::RequestCancelled(id)).await;
+            self.handle.send_input(Input::RequestCancelled(id)).await;
         }
         written
     }
--- a/src/net/sparql/response_head.rs
+++ b/src/net/sparql/response_head.rs
@@ -2,7 +2,7 @@
 
 use super::headers::{LOAD, POSITION, ROLE};
 use super::host::{HostAnswer, HostAnswerBody};
-use crate::engine::load_report::report_of;
+use crate::engine::load_report::build_load_report;
 use crate::net::backend_pool::load_report_value;
 use crate::net::http::head::Head;
 use crate::net::http::status;
@@ -36,7 +36,7 @@
 /// The load report of a host, with the values of `fields`.
 pub(super) fn load_report(head: &Head, fields: &[String]) -> LoadReport {
     let replica_status = replica_status(head);
-    report_of(fields, |name| match name {
+    build_load_report(fields, |name| match name {
         POSITION_FIELD => replica_status.map(|status| status.position.as_micros() as f64 / 1e6),
         ROLE_FIELD => replica_status.map(|status| f64::from(u8::from(status.primary))),
         name => load_report_value(head.get(LOAD).unwrap_or(""), name),
