--- a/src/engine/admission.rs
+++ b/src/engine/admission.rs
@@ -205,8 +205,8 @@
                 let too_long = took > class.latency_objective / QUEUEING_OBJECTIVE_DIVISOR;
                 rate_limit.record_served(match was_delayed {
                     false => AnswerLatency::Prompt,
-                    true if reflects_current_rate && too_long => AnswerLatency::Queued,
-                    true => AnswerLatency::Delayed,
+                    true if reflects_current_rate && too_long => AnswerLatency::ExcessiveDelay,
+                    true => AnswerLatency::TolerableDelay,
                 });
             }
             AttemptOutcome::Overloaded | AttemptOutcome::TimedOut if reflects_current_rate => {
--- a/src/engine/admission/paced_rate.rs
+++ b/src/engine/admission/paced_rate.rs
@@ -58,9 +58,9 @@
     Prompt,
     /// A queue delayed the answer, but the rate need not decrease: the queue is short, or the attempt was sent before
     /// the last decrease.
-    Delayed,
+    TolerableDelay,
     /// A queue that is too long delayed the answer.
-    Queued,
+    ExcessiveDelay,
 }
 
 /// An adaptive rate limit for one part of a group's traffic.
@@ -78,11 +78,11 @@
     queue_end: Timestamp,
     interval_end: Timestamp,
     /// Number of attempts that were served and that failed, since the measurement of failures last started over.
-    served: u32,
-    failed: u32,
-    /// Number of answers with [`AnswerLatency::Prompt`] and [`AnswerLatency::Queued`] in this interval.
-    prompt: u32,
-    queued: u32,
+    served_count: u32,
+    failed_count: u32,
+    /// Number of answers with [`AnswerLatency::Prompt`] and [`AnswerLatency::ExcessiveDelay`] in this interval.
+    prompt_count: u32,
+    delayed_count: u32,
     /// Whether the rate has exceeded the capacity before.
     exceeded_capacity: bool,
     last_rejected_at: Timestamp,
@@ -104,10 +104,10 @@
             refilled_at: now,
             queue_end: now,
             interval_end: now + CONTROL_INTERVAL,
-            served: 0,
-            failed: 0,
-            prompt: 0,
-            queued: 0,
+            served_count: 0,
+            failed_count: 0,
+            prompt_count: 0,
+            delayed_count: 0,
             exceeded_capacity: false,
             last_rejected_at: NEVER,
             last_decreased_at: NEVER,
@@ -154,17 +154,17 @@
 
     /// Records an attempt that was served.
     pub(super) fn record_served(&mut self, latency: AnswerLatency) {
-        self.served += 1;
+        self.served_count += 1;
         match latency {
-            AnswerLatency::Prompt => self.prompt += 1,
-            AnswerLatency::Queued => self.queued += 1,
-            AnswerLatency::Delayed => {}
+            AnswerLatency::Prompt => self.prompt_count += 1,
+            AnswerLatency::ExcessiveDelay => self.delayed_count += 1,
+            AnswerLatency::TolerableDelay => {}
         }
     }
 
     /// Records an attempt that was rejected or timed out.
     pub(super) fn record_failed(&mut self) {
-        self.failed += 1;
+        self.failed_count += 1;
     }
 
     /// Whether an attempt was sent after the last decrease, so that its outcome reflects the current rate.
@@ -176,8 +176,8 @@
     pub(super) fn advance(&mut self, now: Timestamp) {
         if now >= self.interval_end {
             self.adapt(now);
-            self.prompt = 0;
-            self.queued = 0;
+            self.prompt_count = 0;
+            self.delayed_count = 0;
             self.interval_end = now + CONTROL_INTERVAL;
         }
         self.rate_per_s = self.rate_per_s.clamp(self.min_per_s.min(self.max_per_s), self.max_per_s);
@@ -187,19 +187,19 @@
     }
 
     fn adapt(&mut self, now: Timestamp) {
-        let answers = self.served + self.failed;
-        if self.failed >= MIN_FAILURES && self.failed * 100 > answers * MAX_FAILURE_PERCENT {
+        let attempts = self.served_count + self.failed_count;
+        if self.failed_count >= MIN_FAILURES && self.failed_count * 100 > attempts * MAX_FAILURE_PERCENT {
             self.decrease(now, OVERLOAD_DECREASE);
-            self.served = 0;
-            self.failed = 0;
-        } else if self.queued > self.prompt {
+            self.served_count = 0;
+            self.failed_count = 0;
+        } else if self.delayed_count > self.prompt_count {
             self.decrease(now, QUEUEING_DECREASE);
         } else if now - self.last_rejected_at < DEMAND_RETENTION {
             self.increase();
         }
-        if answers >= FAILURE_SAMPLE {
-            self.served = 0;
-            self.failed = 0;
+        if attempts >= FAILURE_SAMPLE {
+            self.served_count = 0;
+            self.failed_count = 0;
         }
     }
 
@@ -211,15 +211,15 @@
 
     /// Increases the rate for the prompt answers of the interval: fast up to the known capacity, slowly above it.
     fn increase(&mut self) {
-        let prompt = f64::from(self.prompt);
+        let prompt_answers = f64::from(self.prompt_count);
         let capacity_known = self.capacity_source == CapacitySource::Reported || self.exceeded_capacity;
         if !capacity_known {
-            self.rate_per_s += SLOW_START_INCREASE_PER_S * prompt;
+            self.rate_per_s += SLOW_START_INCREASE_PER_S * prompt_answers;
         } else if self.rate_per_s < self.capacity_per_s {
-            let increased = self.rate_per_s + SLOW_START_INCREASE_PER_S * prompt;
+            let increased = self.rate_per_s + SLOW_START_INCREASE_PER_S * prompt_answers;
             self.rate_per_s = increased.min(self.capacity_per_s);
         } else {
-            self.rate_per_s += PROBING_INCREASE_PER_S * prompt;
+            self.rate_per_s += PROBING_INCREASE_PER_S * prompt_answers;
         }
     }
 
--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -71,7 +71,7 @@
 
 /// The current state of an endpoint, as the backend pool needs it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EndpointChange {
+pub struct EndpointState {
     /// The endpoint's name.
     pub name: String,
     /// The address under which this pooler reaches it.
@@ -90,7 +90,7 @@
     /// The endpoints of the update, in the form that the router expects.
     pub entries: Vec<EndpointEntry>,
     /// The endpoints that are new or changed, or that are missing from a whole list.
-    pub changed: Vec<EndpointChange>,
+    pub changed: Vec<EndpointState>,
 }
 
 /// Limits the number of groups that are remembered. Beyond it, groups without an endpoint are forgotten.
@@ -104,7 +104,7 @@
     groups: BTreeSet<GroupId>,
     ids: BTreeMap<String, EndpointId>,
     assigned_ids: BTreeSet<EndpointId>,
-    endpoints: BTreeMap<EndpointId, EndpointChange>,
+    endpoints: BTreeMap<EndpointId, EndpointState>,
     entries: BTreeMap<EndpointId, EndpointEntry>,
 }
 
@@ -135,10 +135,10 @@
 }
 
 impl EndpointRegistry {
-    /// The id of a name; registers the name if it is new. If another name has the same hash, the new name gets a
-    /// different id.
-    pub fn id(&mut self, name: &str) -> EndpointId {
-        self.id_with_hash(name, derive_id)
+    /// Registers a name, unless it is registered already, and returns its id. If another name has the same hash, the new
+    /// name gets a different id.
+    pub fn register(&mut self, name: &str) -> EndpointId {
+        self.register_with_hash(name, derive_id)
     }
 
     /// The id of a registered name; `None` if the name is not registered.
@@ -146,8 +146,8 @@
         self.ids.get(name).copied()
     }
 
-    /// Like [`EndpointRegistry::id`], with `derive` as the hash function of name and salt.
-    fn id_with_hash(&mut self, name: &str, derive: impl Fn(&str, u8) -> EndpointId) -> EndpointId {
+    /// Like [`EndpointRegistry::register`], with `derive` as the hash function of name and salt.
+    fn register_with_hash(&mut self, name: &str, derive: impl Fn(&str, u8) -> EndpointId) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
@@ -183,8 +183,8 @@
     }
 
     fn apply_record(&mut self, record: &EndpointRecord, applied: &mut AppliedUpdate) {
-        let id = self.id(&record.name);
-        let endpoint = EndpointChange {
+        let id = self.register(&record.name);
+        let endpoint = EndpointState {
             name: record.name.clone(),
             address: record.address,
             open: record.availability == Availability::Ready,
@@ -230,7 +230,7 @@
     }
 
     /// The endpoint with this id; `None` if it is not on the list.
-    pub fn get(&self, id: EndpointId) -> Option<&EndpointChange> {
+    pub fn get(&self, id: EndpointId) -> Option<&EndpointState> {
         self.endpoints.get(&id)
     }
 
--- a/src/engine/endpoints/tests.rs
+++ b/src/engine/endpoints/tests.rs
@@ -27,8 +27,8 @@
 fn an_id_depends_on_the_name_alone() {
     let mut first = EndpointRegistry::default();
     let mut second = EndpointRegistry::default();
-    let ids = [first.id("s-1"), first.id("s-2")];
-    assert_eq!([second.id("s-2"), second.id("s-1")], [ids[1], ids[0]]);
+    let ids = [first.register("s-1"), first.register("s-2")];
+    assert_eq!([second.register("s-2"), second.register("s-1")], [ids[1], ids[0]]);
     assert_ne!(ids[0], ids[1]);
 }
 
@@ -37,9 +37,9 @@
     let mut registry = EndpointRegistry::default();
     let collide = |_: &str, salt: u8| EndpointId { ip: [1, 2, 3, salt], port: 4 };
     let ids = [
-        registry.id_with_hash("a", collide),
-        registry.id_with_hash("b", collide),
-        registry.id_with_hash("a", collide),
+        registry.register_with_hash("a", collide),
+        registry.register_with_hash("b", collide),
+        registry.register_with_hash("a", collide),
     ];
     assert_eq!(ids[0], ids[2]);
     assert_ne!(ids[0], ids[1]);
--- a/src/engine/message.rs
+++ b/src/engine/message.rs
@@ -3,7 +3,7 @@
 //! `W` is the work of a request, which is sent to an endpoint, and `A` is its answer. Both are opaque to the engine.
 
 use super::admission::AdmissionPolicy;
-use super::endpoints::{EndpointChange, EndpointUpdate};
+use super::endpoints::{EndpointState, EndpointUpdate};
 use super::metrics::Gauges;
 use super::observations::Observation;
 use super::outcome_window::OutcomeCounts;
@@ -209,7 +209,7 @@
         attempt: u8,
     },
     /// Update the backend pool's endpoints: these are new, changed or gone.
-    UpdateEndpoints(Vec<EndpointChange>),
+    UpdateEndpoints(Vec<EndpointState>),
     /// Close the idle connections to the endpoint with this name.
     CloseIdle(String),
     /// Send a gossip message to the routers of peers.
--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -19,7 +19,7 @@
 use super::until;
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::engine::endpoints::EndpointChange;
+use crate::engine::endpoints::EndpointState;
 use crate::engine::{Command, EngineHandle, Input};
 use crate::routing::{EndpointId, LoadReport};
 use async_executor::LocalExecutor;
@@ -121,7 +121,7 @@
 
     /// Takes in that an endpoint is new, has changed or is gone. Its idle connections are closed: they lead to another
     /// process or place.
-    fn update_endpoint(&self, change: EndpointChange) {
+    fn update_endpoint(&self, change: EndpointState) {
         let mut endpoints = self.endpoints.borrow_mut();
         if change.gone {
             if let Some(endpoint) = endpoints.remove(&change.name) {
--- a/src/net/backend_pool/endpoint.rs
+++ b/src/net/backend_pool/endpoint.rs
@@ -1,7 +1,7 @@
 //! What the pool knows of one endpoint.
 
 use super::connections::PooledConnection;
-use crate::engine::endpoints::EndpointChange;
+use crate::engine::endpoints::EndpointState;
 use crate::net::latch::Latch;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -30,7 +30,7 @@
 
 impl<C> PooledEndpoint<C> {
     /// A new endpoint.
-    pub(super) fn new(change: &EndpointChange, generation: u64) -> PooledEndpoint<C> {
+    pub(super) fn new(change: &EndpointState, generation: u64) -> PooledEndpoint<C> {
         let endpoint = PooledEndpoint {
             address: change.address,
             open: change.open,
@@ -46,7 +46,7 @@
     }
 
     /// Takes in that the endpoint has restarted, moved, opened or closed.
-    pub(super) fn update(&mut self, change: &EndpointChange, generation: u64) {
+    pub(super) fn update(&mut self, change: &EndpointState, generation: u64) {
         self.generation = generation;
         self.address = change.address;
         self.open = change.open;
--- a/src/net/backend_pool/tests.rs
+++ b/src/net/backend_pool/tests.rs
@@ -37,7 +37,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let pool = BackendPool::new(Plain, Rc::new(limits), Clock::start());
     let address = listener.local_addr().unwrap();
-    let new = EndpointChange { name: "a".into(), address, open: true, started_at: None, gone: false };
+    let new = EndpointState { name: "a".into(), address, open: true, started_at: None, gone: false };
     pool.update_endpoint(new);
     (pool, listener)
 }
@@ -50,7 +50,7 @@
     async_io::block_on(async {
         let earlier = pool.acquire("a").await.ok().unwrap();
         let change =
-            |gone: bool| EndpointChange { name: "a".into(), address, open: !gone, started_at: None, gone };
+            |gone: bool| EndpointState { name: "a".into(), address, open: !gone, started_at: None, gone };
         pool.update_endpoint(change(true));
         assert!(pool.endpoints.borrow().is_empty());
         assert!(matches!(pool.acquire("a").await, Err(AttemptOutcome::ConnectFailed)));
--- a/tests/fleet_recovery.rs
+++ b/tests/fleet_recovery.rs
@@ -56,7 +56,7 @@
     let primary = |group: u32| {
         let mut members = brookpass::engine::endpoints::EndpointRegistry::default();
         let mut names: Vec<String> = (0..3).map(|n| format!("s-{group}-{n}")).collect();
-        names.sort_by_key(|name| members.id(name));
+        names.sort_by_key(|name| members.register(name));
         names.pop().unwrap()
     };
     for group in 1..=6 {
--- a/tests/stand_in/network.rs
+++ b/tests/stand_in/network.rs
@@ -26,7 +26,7 @@
 pub fn names_in_ring_order<const N: usize>() -> [String; N] {
     let mut registry = EndpointRegistry::default();
     let mut names = std::array::from_fn(|number| format!("host-{number}"));
-    names.sort_by_key(|name| registry.id(name));
+    names.sort_by_key(|name| registry.register(name));
     names
 }
 
