--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -164,11 +164,11 @@
     }
 
     fn gauges(&self, now: Timestamp) -> Gauges {
-        let endpoints = self.router.avoids(now);
+        let endpoints = self.router.endpoint_counts(now);
         Gauges {
             concurrent: self.requests.concurrent(),
             targets: endpoints.listed,
-            disabled: endpoints.avoided,
+            disabled: endpoints.unavailable,
         }
     }
 
@@ -250,7 +250,7 @@
                     commands.push(Command::Cancel { id, attempt });
                 }
             }
-            Action::SetTimer { span, timer } => self.timers.set(now + span.or_zero(), timer),
+            Action::SetTimer { delay, timer } => self.timers.set(now + delay.or_zero(), timer),
             Action::Probe { endpoint } => self.request_poll(now, endpoint, commands),
             // Discovery watches the list for the lifetime of the process, so a subscription needs only the current
             // list.
