--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -66,7 +66,7 @@
     let engine = RequestEngine::new(settings, seed, limits, metrics.clone());
     let channels = thread::Channels { inputs, control, commands };
     let thread_clock = clock.clone();
-    let builder = std::thread::Builder::new().name("engine".into());
+    let builder = std::thread::Builder::new().name("module".into());
     builder.spawn(move || thread::run(engine, &thread_clock, &channels))?;
     Ok((EngineHandle::new(input_sender, control_sender, metrics, clock), command_receiver))
 }
