--- a/src/store/codec.rs
+++ b/src/store/codec.rs
@@ -1,38 +1,38 @@
-//! The encoding of records in storage and between peers: the CRC-32 of the body, four bytes with the highest first,
-//! then the body in postcard's form.
+//! The encoding of records in storage and between peers: the CRC-32 of the body as four big-endian bytes, followed by
+//! the body in postcard format.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The encoded form of a value.
+/// Encodes a value, with its checksum in front.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Postcard cannot fail on this program's types: none of them is a sequence of unknown length.
+    // Postcard only fails on sequences of unknown length, and no type of this program has one.
     let body = postcard::to_allocvec(value).unwrap_or_default();
     let mut encoded = crc32fast::hash(&body).to_be_bytes().to_vec();
     encoded.extend(body);
     encoded
 }
 
-/// The value of an encoded form; `None`: the bytes were changed or cut short, or are the form of another type.
+/// Decodes a value. Returns `None` if the bytes are corrupted or truncated, or encode a value of another type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     decode_body(checked_body(bytes)?)
 }
 
-/// The value of a form that an earlier version has encoded, before fields were added at the end of the type.
-/// `missing_fields`: the body of these fields, as a value without any content has it.
-pub fn decode_earlier<T: DeserializeOwned>(bytes: &[u8], missing_fields: &[u8]) -> Option<T> {
-    let completed_body = [checked_body(bytes)?, missing_fields].concat();
+/// Decodes a value that an earlier version encoded before fields were added at the end of the type. `default_fields`
+/// is the encoded body of the added fields, with their default values.
+pub fn decode_with_defaults<T: DeserializeOwned>(bytes: &[u8], default_fields: &[u8]) -> Option<T> {
+    let completed_body = [checked_body(bytes)?, default_fields].concat();
     decode_body(&completed_body)
 }
 
-/// The body, if its checksum is right.
+/// Returns the body if it matches its checksum.
 fn checked_body(bytes: &[u8]) -> Option<&[u8]> {
     let (checksum, body) = bytes.split_first_chunk::<4>()?;
     let is_intact = u32::from_be_bytes(*checksum) == crc32fast::hash(body);
     is_intact.then_some(body)
 }
 
-/// The value of a body, if it takes up the whole body.
+/// Decodes a body. Returns `None` if bytes are left over after the value.
 fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     let (value, rest) = postcard::take_from_bytes(body).ok()?;
     rest.is_empty().then_some(value)
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,9 +1,10 @@
-//! The replicated store: the state that the nodes of a fleet agree on by Raft, and what each node keeps on its disk.
+//! The replicated store: the state that the nodes of a fleet replicate with Raft, and the data that each node keeps on
+//! disk.
 //!
-//! Where to start: [`state_machine`] is the replicated state and the changes to it; [`raft_node`] is one node of the
-//! consensus. Both are without I/O. [`storage`] keeps them in a file, and [`store_thread`] is the thread that owns a
-//! node and its storage; the fleet exchanges commands and events with it. [`records`] and [`raft_message`] are the
-//! types that are stored and sent, [`codec`] is their encoding. docs/fleet-design.md gives the reasons.
+//! Start with [`state_machine`], the replicated state and the changes to it, and [`raft_node`], one Raft node. Neither
+//! does any I/O. [`storage`] persists both in a file. [`store_thread`] runs the thread that owns a node and its
+//! storage; the fleet sends it commands and receives its events. [`records`] and [`raft_message`] define the types
+//! that are stored and sent, and [`codec`] encodes them. docs/fleet-design.md explains the design.
 
 pub mod codec;
 pub mod error;
--- a/src/store/raft_message.rs
+++ b/src/store/raft_message.rs
@@ -1,26 +1,26 @@
-//! Messages of the consensus between peers, in a serde form of this program.
+//! Raft messages between peers, as serde types of this program that convert to and from those of the `raft` crate.
 
 use super::records::{LogEntry, SnapshotRecord};
 use crate::ids::NodeId;
 use raft::eraftpb::{self, MessageType};
 use serde::{Deserialize, Serialize};
 
-/// A message of the consensus from one node to another. The order and types of the fields are part of the protocol
-/// between peers. What a field means depends on the kind of message: see `eraftpb.proto` of the `raft` library, whose
-/// names the fields have.
+/// A Raft message from one node to another. The order and types of the fields are part of the protocol between peers.
+/// The meaning of a field depends on the kind of message; the fields have the names that `eraftpb.proto` of the `raft`
+/// crate uses, which describes them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RaftMessage {
-    /// One of [`kind`].
+    /// The kind of message: one of the constants in [`kind`].
     pub(super) kind: u8,
     /// The receiver.
     pub to: NodeId,
     /// The sender.
     pub from: NodeId,
-    /// The sender's term; that of the election it asks about in a pre-vote.
+    /// The sender's term; in a pre-vote, the term of the election that the sender considers starting.
     pub term: u64,
     pub(super) log_term: u64,
-    /// The index of the entry that the message is about: the one before the entries of an append, the last one in the
-    /// answer to it.
+    /// The index of an entry: in an append, of the entry before the appended ones; in the response, of the last entry
+    /// that was appended.
     pub index: u64,
     pub(super) entries: Vec<LogEntry>,
     /// The sender's commit index.
@@ -28,14 +28,14 @@
     pub(super) commit_term: u64,
     pub(super) snapshot: Option<SnapshotRecord>,
     pub(super) request_snapshot: u64,
-    /// The answer is a refusal.
+    /// In a response, whether the request was rejected.
     pub reject: bool,
     pub(super) reject_hint: u64,
     pub(super) context: Vec<u8>,
     pub(super) priority: i64,
 }
 
-/// The kinds of messages between peers: the numbers of `MessageType` in the library's protocol.
+/// The kinds of messages between peers, with the numbers of `MessageType` in `eraftpb.proto`.
 pub(super) mod kind {
     pub const APPEND: u8 = 3;
     pub const APPEND_RESPONSE: u8 = 4;
@@ -52,7 +52,8 @@
     pub const REQUEST_PRE_VOTE_RESPONSE: u8 = 18;
 }
 
-/// Messages that go between peers. All others are a node's messages to itself: from a socket they are malformed.
+/// The kinds of messages that peers exchange. All other kinds are local to a node and are rejected when a peer sends
+/// them.
 const PEER_MESSAGE_TYPES: [(u8, MessageType); 13] = [
     (kind::APPEND, MessageType::MsgAppend),
     (kind::APPEND_RESPONSE, MessageType::MsgAppendResponse),
@@ -70,17 +71,17 @@
 ];
 
 pub(super) fn message_type(kind: u8) -> Option<MessageType> {
-    let known = PEER_MESSAGE_TYPES.iter().find(|(known, _)| *known == kind)?;
-    Some(known.1)
+    let entry = PEER_MESSAGE_TYPES.iter().find(|(known, _)| *known == kind)?;
+    Some(entry.1)
 }
 
 fn message_kind(message_type: MessageType) -> Option<u8> {
-    let known = PEER_MESSAGE_TYPES.iter().find(|(_, known)| *known == message_type)?;
-    Some(known.0)
+    let entry = PEER_MESSAGE_TYPES.iter().find(|(_, known)| *known == message_type)?;
+    Some(entry.0)
 }
 
 impl RaftMessage {
-    /// The form of the library's message; `None`: it does not go to peers.
+    /// Converts a message of the `raft` crate. Returns `None` if it is local to the node.
     pub fn from_raft(mut message: eraftpb::Message) -> Option<RaftMessage> {
         let kind = message_kind(message.msg_type)?;
         let entries = message.take_entries().into_iter().map(LogEntry::from_raft).collect();
@@ -105,8 +106,8 @@
         })
     }
 
-    /// The library's message; `None`: the message is malformed. The library would panic over a snapshot message without
-    /// a snapshot.
+    /// Converts to a message of the `raft` crate. Returns `None` if the message is malformed. This includes a snapshot
+    /// message without a snapshot, which would make the crate panic.
     pub fn into_raft(self) -> Option<eraftpb::Message> {
         let message_type = message_type(self.kind)?;
         let has_snapshot = self.snapshot.as_ref().is_some_and(|snapshot| snapshot.index > 0);
@@ -138,13 +139,13 @@
         Some(message)
     }
 
-    /// Whether it carries the whole replicated state.
+    /// Whether the message carries a snapshot of the replicated state.
     pub fn carries_state(&self) -> bool {
         self.snapshot.is_some()
     }
 
-    /// The term that the sender's storage holds for certain; `None`: the message does not say. A pre-vote names a term
-    /// that no node is in yet.
+    /// The term that the sender must have persisted, or `None` if the message does not tell. A pre-vote does not,
+    /// since it names a term that no node has entered yet.
     pub fn persisted_term(&self) -> Option<u64> {
         let is_persisted = matches!(
             self.kind,
@@ -158,8 +159,8 @@
         is_persisted.then_some(self.term)
     }
 
-    /// The index of the last entry that the sender's storage holds for certain, by an append that it accepted; `None`:
-    /// the message does not say.
+    /// The index of the last entry that the sender has persisted, if the message acknowledges an append; otherwise
+    /// `None`.
     pub fn acknowledged_index(&self) -> Option<u64> {
         let is_accepted_append = self.kind == kind::APPEND_RESPONSE && !self.reject;
         is_accepted_append.then_some(self.index)
--- a/src/store/raft_message/tests.rs
+++ b/src/store/raft_message/tests.rs
@@ -1,20 +1,21 @@
-//! Conversions of messages to the consensus library's type and back.
+//! Conversion of messages to the types of the `raft` crate and back.
 
 use super::*;
 use crate::store::records::Configuration;
 
-/// Guards against a message that a peer may not send: the library would parse a proposal's bytes.
+/// Guards against accepting a local message from a peer: the `raft` crate would parse the bytes of a proposal in it.
 #[test]
-fn only_messages_between_peers_are_converted() {
+fn only_messages_that_peers_exchange_are_converted() {
     for kind in 0..=u8::MAX {
         let message = RaftMessage { kind, to: NodeId(1), from: NodeId(2), ..RaftMessage::default() };
-        let is_known = PEER_MESSAGE_TYPES.iter().any(|(known, _)| *known == kind) && kind != kind::SNAPSHOT;
-        assert_eq!(message.into_raft().is_some(), is_known, "{kind}");
+        let is_convertible =
+            PEER_MESSAGE_TYPES.iter().any(|(known, _)| *known == kind) && kind != kind::SNAPSHOT;
+        assert_eq!(message.into_raft().is_some(), is_convertible, "{kind}");
     }
 }
 
 #[test]
-fn a_converted_message_keeps_all_that_counts() {
+fn a_message_converted_to_raft_and_back_is_unchanged() {
     let entry = LogEntry { index: 6, term: 3, kind: LogEntry::MEMBERSHIP, payload: vec![1, 2] };
     let configuration = Configuration {
         voters: vec![NodeId(1), NodeId(2)],
--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -1,11 +1,11 @@
-//! One node of the consensus, without I/O and without a clock.
+//! One Raft node, without I/O and without a clock.
 //!
-//! The algorithm is that of the `raft` library, with pre-vote and leader check. [`RaftNode`] holds the log in memory
-//! and the replicated state beside it, and keeps the order of writing, sending and applying. Its owner
+//! The algorithm is that of the `raft` crate, with pre-vote and check-quorum enabled. [`RaftNode`] holds the log and
+//! the replicated state in memory, and enforces the order of writing, sending and applying. Its owner
 //!
-//! 1. feeds it ticks, received messages and proposals;
+//! 1. passes in ticks, received messages and proposals;
 //! 2. takes each [`PendingReady`], sends its messages at once, and syncs its write;
-//! 3. hands it back to [`RaftNode::complete_write`], sends the messages that come out, and acts on the applied entries.
+//! 3. passes it to [`RaftNode::complete_write`], sends the returned messages, and acts on the applied entries.
 
 mod applied;
 mod memory_log;
@@ -24,72 +24,74 @@
 use raft::eraftpb::{self, ConfChangeV2, EntryType};
 use raft::{Config, RawNode, Ready, SnapshotStatus, StateRole};
 
-/// A follower starts an election after this many ticks without a message of a leader at the least, and after twice as
-/// many at the most; the library draws the number at random.
+/// The minimum number of ticks without a message from a leader after which a follower starts an election. The `raft`
+/// crate randomizes the timeout between this number and twice as many.
 pub const ELECTION_TICKS: usize = 10;
 
-/// A leader sends heartbeats after this many ticks. One of them may be lost without an election, since
-/// 2 times 4 is less than 10.
+/// The number of ticks between heartbeats of a leader. One lost heartbeat does not cause an election, since two
+/// intervals of 4 ticks are shorter than the election timeout of at least 10.
 pub const HEARTBEAT_TICKS: usize = 4;
 
-/// Entries in one message to a follower: a long log is sent in parts.
+/// Maximum size of the entries in one message to a follower. A longer log is sent in several messages.
 const MAX_APPEND_BYTES: u64 = 256 * 1024;
-/// Messages with entries that a follower has not acknowledged yet; more wait for its answers.
+/// Maximum number of append messages that a follower has not acknowledged. Further ones wait for its responses.
 const MAX_UNACKNOWLEDGED_APPENDS: usize = 64;
-/// Entries that a leader holds uncommitted: one that is cut off rejects proposals rather than grow without a bound.
+/// Maximum size of a leader's uncommitted entries. A leader without a majority rejects proposals beyond it, instead of
+/// growing its log without bound.
 const MAX_UNCOMMITTED_BYTES: u64 = 16 * 1024 * 1024;
 
-/// A step of the consensus whose write has yet to be synced.
+/// A step of the Raft node (a `Ready` of the `raft` crate) whose write is not synced yet.
 pub struct PendingReady {
     ready: Ready,
-    /// Messages that do not depend on the write.
+    /// Messages that may be sent before the write is synced.
     pub messages: Vec<RaftMessage>,
-    /// What has to be synced before [`RaftNode::complete_write`].
+    /// The write that must be synced before [`RaftNode::complete_write`] is called.
     pub write: RaftWrite,
 }
 
-/// What follows from a write that is synced.
+/// The result of [`RaftNode::complete_write`].
 #[derive(Debug, Default)]
 pub struct CompletedWrite {
-    /// Messages that depended on it.
+    /// Messages that had to wait for the write.
     pub messages: Vec<RaftMessage>,
-    /// Entries that were committed, in order.
+    /// Entries that were committed and have been applied, in log order.
     pub applied: Vec<AppliedEntry>,
 }
 
-/// Whether a snapshot was handed to the connection to a peer.
+/// Whether a snapshot was passed to the connection to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotDelivery {
-    /// It was.
+    /// The snapshot is in the connection's send queue.
     Sent,
-    /// It was not: there is no connection, or its queue is full.
+    /// The snapshot was dropped: there is no connection, or its send queue is full.
     Failed,
 }
 
-/// How far a node has replicated the log, as the leader sees it.
+/// How far a node has replicated the log, as known to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProgress {
-    /// The node.
+    /// The node's id. The leader itself has an entry too.
     pub id: NodeId,
-    /// Entries up to this index are in its storage.
+    /// The node's storage holds the entries up to this index.
     pub match_index: u64,
-    /// A message of it arrived within the last election timeout.
+    /// A message from the node arrived within the last election timeout; always true for the leader itself.
     pub recently_active: bool,
 }
 
-/// One node of the consensus.
+/// One Raft node, with its log and the replicated state. See the module documentation for how to drive it.
 pub struct RaftNode {
     id: NodeId,
     node: RawNode<MemoryLog>,
+    /// Numbers of confirmed leadership checks that [`RaftNode::take_confirmed_checks`] has not returned yet.
     confirmed_checks: Vec<u64>,
 }
 
 impl RaftNode {
-    /// The node whose storage holds this.
+    /// Creates a node from its persistent state.
     ///
     /// # Errors
     ///
-    /// What storage holds cannot be used; the error says why.
+    /// The persistent state violates an invariant, or cannot be decoded.
     pub fn new(id: NodeId, persisted: RaftPersistentState) -> Result<RaftNode, InvalidRaftState> {
         let log = MemoryLog::new(persisted)?;
         let config = Config {
@@ -109,7 +111,7 @@
         Ok(RaftNode { id, node, confirmed_checks: Vec::new() })
     }
 
-    /// The node's id.
+    /// The id under which this node votes.
     pub fn id(&self) -> NodeId {
         self.id
     }
@@ -119,7 +121,7 @@
         &self.log().state
     }
 
-    /// The fleet; [`FleetId::NONE`]: the node belongs to none yet.
+    /// The fleet that the node belongs to, or [`FleetId::NONE`] if it belongs to none yet.
     pub fn fleet_id(&self) -> FleetId {
         self.state().fleet
     }
@@ -129,53 +131,54 @@
         self.log().applied.index
     }
 
-    /// The index of the last entry that is known to be committed.
+    /// The index of the last entry that this node knows to be committed.
     pub fn committed(&self) -> u64 {
         self.node.raft.raft_log.committed
     }
 
-    /// The index of the last entry of the log.
+    /// The index of the last entry in the log, committed or not.
     pub fn last_index(&self) -> u64 {
         self.node.raft.raft_log.last_index()
     }
 
-    /// The current term.
+    /// The term that this node is in.
     pub fn term(&self) -> u64 {
         self.node.raft.term
     }
 
-    /// The term of the entry at an index; 0: the log does not hold it.
+    /// The term of the entry at `index`, or 0 if the log does not have that entry.
     pub fn term_at(&self, index: u64) -> u64 {
         self.node.raft.raft_log.term(index).unwrap_or(0)
     }
 
-    /// The vote that storage holds.
-    pub fn written_vote(&self) -> Vote {
-        self.log().hard_state.cast_vote()
+    /// The last vote whose write was completed.
+    pub fn persisted_vote(&self) -> Vote {
+        self.log().hard_state.current_vote()
     }
 
-    /// The leader that this node knows; [`NodeId::NOBODY`]: none.
+    /// The leader of the current term, or [`NodeId::NOBODY`] if this node knows none.
     pub fn leader(&self) -> NodeId {
         NodeId(self.node.raft.leader_id)
     }
 
-    /// Whether this node is the leader.
+    /// Whether this node considers itself the leader. A leader that is cut off does so until check-quorum makes it
+    /// step down.
     pub fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
-    /// The voters and learners.
+    /// The voters and learners after the last applied entry.
     pub fn configuration(&self) -> Configuration {
         self.log().configuration.clone()
     }
 
-    /// The size of the log in memory.
+    /// The size of the entries that are held in memory.
     pub fn log_size(&self) -> LogSize {
         self.log().size()
     }
 
-    /// The proposals in entries that have not been applied. A change that only restricts acts before it is committed.
-    pub fn uncommitted_proposals(&self) -> Vec<Proposal> {
+    /// The proposals in entries that are not applied yet. Their drains are in force before they are committed.
+    pub fn unapplied_proposals(&self) -> Vec<Proposal> {
         let log = self.log();
         let mut proposals = Vec::new();
         for entry in &log.entries {
@@ -186,7 +189,7 @@
         proposals
     }
 
-    /// How far each node has replicated the log; empty where this node is not the leader.
+    /// How far each node has replicated the log; empty if this node is not the leader.
     pub fn peer_progress(&self) -> Vec<PeerProgress> {
         if !self.is_leader() {
             return Vec::new();
@@ -203,15 +206,15 @@
         self.node.store()
     }
 
-    /// One tick of time has passed.
+    /// Advances the election and heartbeat timers by one tick.
     pub fn tick(&mut self) {
         self.node.tick();
     }
 
-    /// Starts an election at once. The only voter need not wait for a leader, nor need a node that knows that there is
-    /// none.
+    /// Starts an election at once, without waiting for the election timeout. Used by the only voter of a fleet, and by
+    /// a node that knows that there is no leader.
     pub fn campaign(&mut self) {
-        // The error says that this node may not be elected: then there is nothing to do.
+        // The only error is that this node must not be elected; then there is nothing to do.
         let _ = self.node.campaign();
     }
 
@@ -220,20 +223,21 @@
         self.node.ping();
     }
 
-    /// Takes in a message. Returns false for one that is malformed, not for this node, or refused by the library.
+    /// Handles a message from a peer. Returns false if the message is malformed, addressed to another node, or
+    /// rejected by the `raft` crate.
     pub fn receive(&mut self, message: RaftMessage) -> bool {
         let is_from_peer = message.from != self.id && message.from != NodeId::NOBODY;
         let is_addressed_here = message.to == self.id;
         let Some(message) = message.into_raft() else { return false };
-        if !is_addressed_here || !is_from_peer || !self.accepts_snapshot_of(&message) {
+        if !is_addressed_here || !is_from_peer || !self.accepts_snapshot_in(&message) {
             return false;
         }
         self.node.step(message).is_ok()
     }
 
-    /// Whether a message carries no snapshot, or one of this node's fleet. One that cannot be decoded, or of another
-    /// fleet, must not replace what is here.
-    fn accepts_snapshot_of(&self, message: &eraftpb::Message) -> bool {
+    /// Whether a message carries no snapshot, or one of this node's fleet. A snapshot that cannot be decoded, or that
+    /// belongs to another fleet, must not replace this node's state.
+    fn accepts_snapshot_in(&self, message: &eraftpb::Message) -> bool {
         if !message.has_snapshot() || message.get_snapshot().get_metadata().index == 0 {
             return true;
         }
@@ -243,13 +247,13 @@
         }
     }
 
-    /// Proposes a change. Returns false where this node is not the leader, or holds too many uncommitted entries.
+    /// Proposes a change. Returns false if this node is not the leader, or has too many uncommitted entries.
     pub fn propose(&mut self, proposal: &Proposal) -> bool {
         self.is_leader() && self.node.propose(Vec::new(), codec::encode(proposal)).is_ok()
     }
 
-    /// Proposes a change of the membership. Returns false where this node is not the leader, or another such change has
-    /// not ended.
+    /// Proposes a membership change. Returns false if this node is not the leader, or if another membership change is
+    /// in progress.
     pub fn propose_membership(&mut self, change: &MembershipChange) -> bool {
         let is_change_pending =
             self.node.raft.has_pending_conf() || !self.log().configuration.voters_outgoing.is_empty();
@@ -259,21 +263,22 @@
         self.node.propose_conf_change(codec::encode(change), raft_conf_change(change)).is_ok()
     }
 
-    /// Asks a majority whether this node is still the leader: Raft's read index. [`RaftNode::take_confirmed_checks`]
-    /// returns the number once a majority has answered. A check is lost where the leader has not committed an entry of
-    /// its term yet, or with its messages.
+    /// Asks a majority whether this node is still the leader, by a Raft read index request.
+    /// [`RaftNode::take_confirmed_checks`] returns `number` once a majority has confirmed it. The check is lost, and
+    /// the caller has to request it again, if the leader has not committed an entry of its term yet or if messages are
+    /// lost.
     pub fn request_leadership_check(&mut self, number: u64) {
         if self.is_leader() {
             self.node.read_index(number.to_be_bytes().to_vec());
         }
     }
 
-    /// Takes the numbers of the leadership checks that a majority has confirmed.
+    /// Returns the numbers of the leadership checks that a majority has confirmed since the last call.
     pub fn take_confirmed_checks(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.confirmed_checks)
     }
 
-    /// What became of a snapshot to a peer. The library sends it nothing else until it knows.
+    /// Reports whether a snapshot was sent to a peer. Until then the `raft` crate sends no entries to that peer.
     pub fn report_snapshot(&mut self, to: NodeId, delivery: SnapshotDelivery) {
         let status = match delivery {
             SnapshotDelivery::Sent => SnapshotStatus::Finish,
@@ -282,19 +287,19 @@
         self.node.report_snapshot(to.0, status);
     }
 
-    /// Hands the leadership to another voter, if this node is the leader.
+    /// Transfers the leadership to another voter, if this node is the leader.
     pub fn transfer_leadership(&mut self, to: NodeId) {
         if self.is_leader() {
             self.node.transfer_leader(to.0);
         }
     }
 
-    /// The connection to a peer is lost.
+    /// Reports that the connection to a peer is lost.
     pub fn report_unreachable(&mut self, id: NodeId) {
         self.node.report_unreachable(id.0);
     }
 
-    /// The next step of the consensus; `None`: there is none.
+    /// Returns the next step of the Raft node, or `None` if there is nothing to do.
     pub fn next_ready(&mut self) -> Option<PendingReady> {
         if !self.node.has_ready() {
             return None;
@@ -306,11 +311,12 @@
             }
         }
         let messages = into_peer_messages(ready.take_messages());
-        let write = write_of(&ready);
+        let write = raft_write(&ready);
         Some(PendingReady { ready, messages, write })
     }
 
-    /// Continues a step whose write is synced.
+    /// Completes a step after its write was synced: applies the committed entries and returns the messages that had to
+    /// wait for the write.
     pub fn complete_write(&mut self, pending: PendingReady) -> CompletedWrite {
         let PendingReady { mut ready, write, .. } = pending;
         let mut applied = Vec::new();
@@ -335,7 +341,7 @@
         CompletedWrite { messages: into_peer_messages(messages), applied }
     }
 
-    /// The whole replicated state as an applied entry.
+    /// The whole replicated state as an applied entry, as if it had been received as a snapshot.
     pub fn state_as_applied_entry(&self) -> AppliedEntry {
         AppliedEntry::snapshot(self.applied(), self.state())
     }
@@ -361,7 +367,8 @@
         AppliedEntry { index: entry.index, digest: log.state.digest, content, result }
     }
 
-    /// Applies a change. One that cannot be decoded, as a newer version may write it, changes nothing on any node.
+    /// Applies a change. A change that cannot be decoded, because a newer version proposed it, is skipped on every
+    /// node.
     fn apply_change(&mut self, entry: &LogEntry) -> (AppliedContent, ApplyResult) {
         let Some(proposal) = codec::decode::<Proposal>(&entry.payload) else {
             return (AppliedContent::Empty, ApplyResult::Done);
@@ -381,8 +388,8 @@
         (AppliedContent::Membership(change), ApplyResult::Done)
     }
 
-    /// Drops the older part of a log that exceeds the limit, and returns what to write for it. Peers that are further
-    /// behind receive a snapshot.
+    /// Drops the oldest applied entries if the log exceeds `limit`, and returns the write that records it. Peers that
+    /// still need dropped entries receive a snapshot.
     pub fn compact(&mut self, limit: LogSize) -> Option<RaftWrite> {
         let log = self.node.mut_store();
         if !log.compact(limit) {
@@ -398,12 +405,12 @@
     }
 }
 
-/// The messages that go to peers; the library addresses some to itself.
+/// Converts the messages for peers, and drops those that are local to the node.
 fn into_peer_messages(messages: Vec<eraftpb::Message>) -> Vec<RaftMessage> {
     messages.into_iter().filter_map(RaftMessage::from_raft).collect()
 }
 
-fn write_of(ready: &Ready) -> RaftWrite {
+fn raft_write(ready: &Ready) -> RaftWrite {
     let hard_state = ready.hs().map(HardState::from_raft);
     let entries = ready.entries().iter().cloned().map(LogEntry::from_raft).collect();
     let has_snapshot = ready.snapshot().get_metadata().index > 0;
--- a/src/store/raft_node/applied.rs
+++ b/src/store/raft_node/applied.rs
@@ -1,35 +1,36 @@
-//! Committed entries, after they were applied to the replicated state.
+//! Entries that were committed and applied to the replicated state.
 
 use crate::store::state_machine::{ApplyResult, ClusterState, MembershipChange, Proposal};
 
-/// What was committed at an index of the log.
+/// The content of an applied entry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AppliedContent {
-    /// A change of the replicated state, with its proposer.
+    /// A change of the replicated state, with the node that proposed it.
     Change(Proposal),
-    /// A change of the membership.
+    /// A membership change.
     Membership(MembershipChange),
-    /// The replicated state as a whole: the entries up to here were received as a snapshot, or read again.
+    /// The whole replicated state: the entries up to this one were received as a snapshot, or the state was reloaded
+    /// from storage.
     Snapshot(Box<ClusterState>),
-    /// No change, as in the entry with which each leader begins.
+    /// No change: the empty entry that each new leader appends, or an entry that cannot be decoded or applied.
     Empty,
 }
 
-/// A committed entry, after it was applied to the replicated state.
+/// An entry that was committed and applied to the replicated state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedEntry {
-    /// The index of the entry.
+    /// The entry's index in the log.
     pub index: u64,
-    /// A checksum over all entries up to it. It is equal on all nodes that have applied the same entries.
+    /// A checksum over all entries up to this one. Nodes that have applied the same entries have equal digests.
     pub digest: u32,
-    /// What was committed.
+    /// What the entry contains.
     pub content: AppliedContent,
-    /// Whether it took effect.
+    /// Whether the entry took effect.
     pub result: ApplyResult,
 }
 
 impl AppliedEntry {
-    /// The replicated state as a whole, up to the entry at `index`.
+    /// The whole replicated state after the entry at `index`.
     pub(super) fn snapshot(index: u64, state: &ClusterState) -> AppliedEntry {
         AppliedEntry {
             index,
--- a/src/store/raft_node/memory_log.rs
+++ b/src/store/raft_node/memory_log.rs
@@ -1,4 +1,4 @@
-//! The log and the replicated state in memory, as the consensus library reads them.
+//! The log and the replicated state in memory, which the `raft` crate reads through its `Storage` trait.
 
 use crate::store::codec;
 use crate::store::raft_node::persistent_state::{InvalidRaftState, RaftPersistentState};
@@ -7,35 +7,39 @@
 use raft::{GetEntriesContext, RaftState, Storage, StorageError, eraftpb};
 use std::collections::VecDeque;
 
-/// What an entry takes in memory besides its payload, roughly.
+/// Approximate memory of an entry besides its payload.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 /// The size of the log in memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogSize {
-    /// The bytes of its entries, with an allowance for each.
+    /// The total size of the entries: their payloads plus a fixed overhead for each.
     pub bytes: usize,
-    /// The number of its entries.
+    /// The number of entries.
     pub entries: usize,
 }
 
-/// The log after its compaction point, and the replicated state up to the last applied entry.
+/// The log after the compaction point, and the replicated state after the last applied entry.
 pub(super) struct MemoryLog {
     pub(super) hard_state: HardState,
     pub(super) configuration: Configuration,
+    /// The last entry that compaction has dropped.
     pub(super) compacted: EntryId,
+    /// The entries after it.
     pub(super) entries: VecDeque<eraftpb::Entry>,
+    /// The total size of `entries`, as in [`LogSize::bytes`].
     bytes: usize,
     pub(super) state: ClusterState,
+    /// The last entry that is applied to `state`.
     pub(super) applied: EntryId,
 }
 
 impl MemoryLog {
-    /// The log that storage holds.
+    /// Loads the log from its persistent state.
     ///
     /// # Errors
     ///
-    /// What storage holds cannot be used.
+    /// The persistent state violates an invariant, or cannot be decoded.
     pub(super) fn new(persisted: RaftPersistentState) -> Result<MemoryLog, InvalidRaftState> {
         let state = if persisted.is_new() {
             ClusterState::default()
@@ -74,7 +78,7 @@
         self.entries.get(position as usize)
     }
 
-    /// Appends entries in place of those from the first one's index on.
+    /// Appends entries. They replace all entries from the index of the first one on.
     pub(super) fn append(&mut self, entries: &[eraftpb::Entry]) {
         if let Some(first) = entries.first() {
             while self.entries.back().is_some_and(|entry| entry.index >= first.index) {
@@ -87,7 +91,7 @@
         }
     }
 
-    /// The replicated state up to the last applied entry.
+    /// A snapshot of the replicated state after the last applied entry.
     pub(super) fn snapshot_record(&self) -> SnapshotRecord {
         SnapshotRecord {
             index: self.applied.index,
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Replaces everything by a leader's snapshot; `state` is its decoded state.
+    /// Replaces the log and the state with a leader's snapshot. `state` is the decoded state of `record`.
     pub(super) fn restore(&mut self, record: &SnapshotRecord, state: ClusterState) {
         self.applied = record.last_entry();
         self.configuration = record.configuration.clone();
@@ -107,13 +111,13 @@
         self.bytes = 0;
     }
 
-    /// Drops applied entries until at most half of the limit is held, if the log exceeds the limit. Half, so that a
-    /// snapshot is not written for every entry that exceeds it. Returns whether any entry was dropped.
+    /// If the log exceeds the limit, drops applied entries until it is within half of the limit. Dropping only down to
+    /// the limit would write a snapshot for each further entry. Returns whether any entry was dropped.
     pub(super) fn compact(&mut self, limit: LogSize) -> bool {
         if self.bytes <= limit.bytes && self.entries.len() <= limit.entries {
             return false;
         }
-        let before = self.compacted;
+        let previously_compacted = self.compacted;
         while self.bytes > limit.bytes / 2 || self.entries.len() > limit.entries / 2 {
             match self.entries.front() {
                 Some(first) if first.index <= self.applied.index => {
@@ -123,7 +127,7 @@
             }
             self.bytes -= self.entries.pop_front().map_or(0, |entry| size_of_entry(&entry));
         }
-        self.compacted != before
+        self.compacted != previously_compacted
     }
 }
 
@@ -157,17 +161,18 @@
         }
         let max_bytes = max_size.into().unwrap_or(u64::MAX) as usize;
         let mut total_bytes = 0;
-        let mut found = Vec::new();
+        let mut entries = Vec::new();
         for index in low..high {
             let Some(entry) = self.entry(index) else { return Err(StorageError::Unavailable.into()) };
             total_bytes += size_of_entry(entry);
-            // At least one entry is returned: a follower would never catch up past one that exceeds the limit.
-            if total_bytes > max_bytes && !found.is_empty() {
+            // At least one entry is returned. Otherwise a follower could never receive an entry that exceeds the
+            // limit.
+            if total_bytes > max_bytes && !entries.is_empty() {
                 break;
             }
-            found.push(entry.clone());
+            entries.push(entry.clone());
         }
-        Ok(found)
+        Ok(entries)
     }
 
     fn term(&self, index: u64) -> raft::Result<u64> {
--- a/src/store/raft_node/persistent_state.rs
+++ b/src/store/raft_node/persistent_state.rs
@@ -1,4 +1,4 @@
-//! The consensus state that storage holds, and writes to it.
+//! The Raft state that storage holds, and the writes that update it.
 
 use crate::ids::NodeId;
 use crate::store::codec;
@@ -6,51 +6,51 @@
 use crate::store::state_machine::ClusterState;
 use thiserror::Error;
 
-/// The persistent state of a node: what it must find again after a crash before it takes part in the consensus.
+/// The persistent state of a node, which it must load after a restart before it participates in the consensus.
 ///
-/// Invariants: the entries follow the compaction point without a gap; the snapshot lies at or after that point, and at
-/// or before the last entry; the commit index lies at or before the last entry.
+/// Invariants: the entries follow the compaction point without a gap; the snapshot is at or after that point, and at
+/// or before the last entry; the commit index is at or before the last entry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RaftPersistentState {
-    /// The term, the vote in it, and the commit index.
+    /// The term, the vote in that term, and the commit index.
     pub hard_state: HardState,
-    /// The replicated state up to an entry. Entries up to there are not applied again.
+    /// The replicated state after some entry. Entries up to that one are not applied again after a restart.
     pub snapshot: SnapshotRecord,
     /// The last entry that compaction has dropped.
     pub compacted: EntryId,
-    /// The entries after it.
+    /// The entries after `compacted`.
     pub entries: Vec<LogEntry>,
 }
 
-/// What has to be synced before a node sends what depends on it.
+/// A write to storage that must be synced before the node sends the messages that depend on it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RaftWrite {
-    /// The term, vote and commit index, where they changed.
+    /// The term, vote and commit index, if any of them changed.
     pub hard_state: Option<HardState>,
-    /// Entries to append. Stored entries from the first one's index on are replaced.
+    /// Entries to append. They replace all stored entries from the index of the first one on.
     pub entries: Vec<LogEntry>,
-    /// The replicated state up to an entry.
+    /// A new snapshot, which replaces the stored one.
     pub snapshot: Option<SnapshotRecord>,
-    /// The last entry that is dropped; entries up to it are removed.
+    /// The new compaction point. Stored entries up to it are removed.
     pub compacted: Option<EntryId>,
 }
 
-/// Why a persistent state cannot be used. The node gives up its identity and continues as a new one.
+/// Why a persistent state cannot be used. The node then discards its identity and starts as a new node.
 #[derive(Debug, Error)]
 pub enum InvalidRaftState {
     /// The replicated state in the snapshot cannot be decoded.
-    #[error("the state is out of form")]
+    #[error("the snapshot cannot be decoded")]
     SnapshotFormat,
-    /// Entries that were committed, or that the snapshot contains, are missing.
-    #[error("the log ends before what was agreed")]
+    /// The log ends before the commit index or before the snapshot's entry.
+    #[error("the log ends before the last committed entry")]
     TooShort,
-    /// Entries are missing between others, or before the first one.
+    /// Entries are missing between others or before the first one.
     #[error("the log has gaps")]
     Gap,
     /// An entry is of an unknown kind.
-    #[error("an entry is out of form")]
+    #[error("a log entry is of an unknown kind")]
     EntryFormat,
-    /// The consensus library refuses the state.
+    /// The `raft` crate rejects the state.
     #[error("{0}")]
     Library(#[from] raft::Error),
 }
@@ -63,14 +63,14 @@
 }
 
 impl RaftPersistentState {
-    /// The state of the only node of a new fleet: a snapshot at entry 1 of term 1, as if that entry had been
-    /// committed.
+    /// The persistent state of the only node of a new fleet: a snapshot at index 1 of term 1, as if an entry had been
+    /// committed there.
     pub fn found_fleet(state: &ClusterState, id: NodeId) -> RaftPersistentState {
         RaftPersistentState::single_voter(state, id, EntryId { term: 1, index: 1 })
     }
 
-    /// The state of the only node of a fleet that continues from a replicated state. The snapshot takes the index and
-    /// the term after `last`, so that nothing of before can be taken for an entry of the new fleet.
+    /// The persistent state of the only node of a fleet that continues from `state`. The snapshot gets the index and
+    /// the term after those of `last`, so that no earlier entry can be mistaken for an entry of the new fleet.
     pub fn force_new_fleet(state: &ClusterState, id: NodeId, last: EntryId) -> RaftPersistentState {
         RaftPersistentState::single_voter(state, id, EntryId { term: last.term + 1, index: last.index + 1 })
     }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The write that puts all of this into storage, in place of what is there.
+    /// The write that replaces the whole consensus state in storage with this one.
     pub fn full_write(&self) -> RaftWrite {
         RaftWrite {
             hard_state: Some(self.hard_state),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Changes this as storage changes with a write.
+    /// Applies a write to this state in the same way as storage does.
     pub fn apply_write(&mut self, write: &RaftWrite) {
         self.hard_state = write.hard_state.unwrap_or(self.hard_state);
         if let Some(snapshot) = &write.snapshot {
@@ -121,7 +121,7 @@
         self.snapshot.index == 0
     }
 
-    /// The last entry, held or dropped.
+    /// The last entry of the log. If all entries were dropped, that is the last dropped one.
     pub fn last_entry(&self) -> EntryId {
         match self.entries.last() {
             Some(entry) if entry.index > self.compacted.index => entry.id(),
@@ -129,11 +129,11 @@
         }
     }
 
-    /// Checks the invariants, except that entries and the replicated state can be decoded.
+    /// Checks the invariants. Does not check whether the entries and the replicated state can be decoded.
     ///
     /// # Errors
     ///
-    /// The log is too short, or has a gap.
+    /// The log ends too early, or has a gap.
     pub(super) fn check_log(&self) -> Result<(), InvalidRaftState> {
         if self.last_entry().index < self.hard_state.commit.max(self.snapshot.index) {
             return Err(InvalidRaftState::TooShort);
--- a/src/store/raft_node/tests.rs
+++ b/src/store/raft_node/tests.rs
@@ -1,4 +1,4 @@
-//! What a cluster agrees on under any schedule, and what a node refuses.
+//! Agreement of a simulated cluster under random schedules, and rejection of malformed messages and states.
 
 mod simulated_cluster;
 
@@ -9,10 +9,10 @@
 use simulated_cluster::{Crash, SimulatedCluster, founded_state};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Under any schedule all nodes apply the same entries, a majority holds each of them, and no drain whose requester has
-/// seen it committed is lost.
+/// Under random schedules with lost messages and crashes, all nodes apply the same entries, a majority has stored each
+/// of them, and no drain is lost that its requester has seen committed.
 #[test]
-fn any_schedule_agrees_on_one_sequence_and_loses_no_drain() {
+fn random_schedules_apply_the_same_entries_everywhere_and_lose_no_drain() {
     let (mut entries, mut compacted_logs) = (0, 0);
     for seed in 0..2000 {
         let mut cluster = SimulatedCluster::new(seed, if seed % 3 == 0 { 5 } else { 3 });
@@ -21,7 +21,7 @@
         }
         cluster.heal(120);
         let leader =
-            cluster.leader().unwrap_or_else(|| panic!("seed {seed}: no leader after all has healed"));
+            cluster.leader().unwrap_or_else(|| panic!("seed {seed}: no leader after the faults have ended"));
         let expected = &cluster.nodes[&leader];
         for node in cluster.nodes.values() {
             assert_eq!(node.state(), expected.state(), "seed {seed}: node {}", node.id());
@@ -33,18 +33,19 @@
             assert!(in_force != cluster.undone_drains.contains(drain), "seed {seed}: {drain:?} of {host}");
         }
         entries += cluster.digests.len();
-        compacted_logs += cluster.storage.values().filter(|held| held.compacted.index > 1).count();
+        compacted_logs += cluster.storage.values().filter(|persisted| persisted.compacted.index > 1).count();
     }
     assert!(
         entries > 20_000 && compacted_logs > 1_000,
-        "{entries} entries, {compacted_logs} compacted logs: too little was tried"
+        "{entries} entries, {compacted_logs} compacted logs: the schedules covered too little"
     );
 }
 
-/// The check of the schedules can fail: two nodes that applied different entries at one index are noticed.
+/// Verifies that the check of the random schedules can fail: it panics when two nodes apply different entries at one
+/// index.
 #[test]
 #[should_panic(expected = "applied another entry")]
-fn a_sequence_that_differs_is_noticed() {
+fn different_entries_at_one_index_are_detected() {
     let mut cluster = SimulatedCluster::new(1, 3);
     cluster.heal(30);
     cluster.digests.insert(cluster.nodes[&NodeId(1)].applied() + 1, 1);
@@ -54,9 +55,9 @@
     cluster.heal(5);
 }
 
-/// Guards against a leader that was cut off and accepts what only a majority may accept.
+/// Guards against a leader that confirms its leadership although it no longer reaches a majority.
 #[test]
-fn a_leader_that_is_cut_off_confirms_nothing() {
+fn an_isolated_leader_confirms_no_leadership_check() {
     let mut cluster = SimulatedCluster::new(3, 3);
     cluster.heal(30);
     let leader = cluster.leader().unwrap();
@@ -75,9 +76,10 @@
     assert!(isolated.take_confirmed_checks().is_empty() && !isolated.is_leader());
 }
 
-/// Nodes join one at a time, first as learners, and leave again while changes are committed.
+/// Nodes join one at a time, first as learners; then one change replaces a voter. Guards against membership changes
+/// that leave the wrong voters, learners or removed members behind.
 #[test]
-fn a_fleet_of_one_grows_to_three_and_one_is_replaced() {
+fn a_fleet_of_one_grows_to_three_voters_and_replaces_one() {
     let mut cluster = SimulatedCluster::new(5, 1);
     cluster.checks_majority = false;
     cluster.node(NodeId(1)).campaign();
@@ -102,7 +104,7 @@
         }
     }
     assert_eq!(cluster.nodes[&NodeId(1)].configuration().voters, [1, 2, 3].map(NodeId));
-    // One change makes the new node a voter and removes the old one.
+    // A single change removes the old voter and promotes the learner.
     cluster.nodes.remove(&NodeId(3));
     let steps = vec![MembershipStep::Remove(NodeId(3)), MembershipStep::AddVoter(NodeId(4))];
     change_membership(&mut cluster, MembershipChange { steps, joining: None });
@@ -116,7 +118,7 @@
     assert_eq!(*removed, BTreeMap::from([(NodeId(3), "b3".to_string())]));
 }
 
-/// Guards against a malformed message that ends the process or changes the node.
+/// Guards against a malformed message that panics or changes the state of the node.
 #[test]
 fn malformed_messages_change_nothing() {
     let mut node = RaftNode::new(NodeId(1), founded_state(&[1, 2, 3].map(NodeId))).unwrap();
@@ -127,19 +129,19 @@
         term: 2,
         ..RaftMessage::default()
     };
-    let foreign = SnapshotRecord {
+    let other_fleet = SnapshotRecord {
         index: 9,
         term: 9,
         state: codec::encode(&ClusterState { fleet: FleetId(8), ..ClusterState::default() }),
         configuration: Configuration::default(),
     };
-    let undecodable = SnapshotRecord { state: vec![1, 2, 3], ..foreign.clone() };
+    let undecodable = SnapshotRecord { state: vec![1, 2, 3], ..other_fleet.clone() };
     for malformed in [
         RaftMessage { kind: 2, ..valid.clone() },
         RaftMessage { to: NodeId(3), ..valid.clone() },
         RaftMessage { from: NodeId(1), ..valid.clone() },
         RaftMessage { kind: kind::SNAPSHOT, ..valid.clone() },
-        RaftMessage { kind: kind::SNAPSHOT, snapshot: Some(foreign), ..valid.clone() },
+        RaftMessage { kind: kind::SNAPSHOT, snapshot: Some(other_fleet), ..valid.clone() },
         RaftMessage { kind: kind::SNAPSHOT, snapshot: Some(undecodable), ..valid.clone() },
     ] {
         assert!(!node.receive(malformed.clone()), "{malformed:?}");
@@ -149,9 +151,9 @@
     assert_eq!((node.last_index(), node.term(), node.leader()), (1, 2, NodeId(2)));
 }
 
-/// Guards against storage that is believed though parts of it are missing.
+/// Guards against starting a node from a persistent state with missing or undecodable parts.
 #[test]
-fn a_persistent_state_with_gaps_is_refused() {
+fn an_invalid_persistent_state_is_rejected() {
     let entry = |index| LogEntry { index, term: 1, kind: LogEntry::CHANGE, payload: Vec::new() };
     let valid = RaftPersistentState { entries: vec![entry(2), entry(3)], ..founded_state(&[NodeId(1)]) };
     assert!(RaftNode::new(NodeId(1), valid.clone()).is_ok());
--- a/src/store/raft_node/tests/simulated_cluster.rs
+++ b/src/store/raft_node/tests/simulated_cluster.rs
@@ -1,12 +1,12 @@
-//! A cluster without sockets, disks or a clock: seeded schedules of messages that are lost, duplicated and reordered,
-//! and of nodes that crash before or after a write.
+//! A simulated cluster without sockets, disks or a clock. Seeded schedules lose, duplicate and reorder messages, and
+//! crash nodes before or after a write.
 
 use super::*;
 
-/// The number of messages in flight that are kept.
+/// Maximum number of messages in flight. Further ones are lost.
 const MAX_IN_FLIGHT: usize = 400;
 
-/// The persistent state of each node of a new cluster.
+/// The initial persistent state of each node of a cluster with these voters.
 pub fn founded_state(voters: &[NodeId]) -> RaftPersistentState {
     let members = voters.iter().map(|id| {
         (*id, Member { name: format!("b{id}"), address: ([127, 0, 0, 1], 1000 + id.0 as u16).into() })
@@ -17,7 +17,7 @@
     persisted
 }
 
-/// Where a node crashes within a step.
+/// When a node crashes within a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
     None,
@@ -27,19 +27,19 @@
 
 pub struct SimulatedCluster {
     rng: fastrand::Rng,
-    /// What the storage of each node holds.
+    /// The simulated storage of each node.
     pub storage: BTreeMap<NodeId, RaftPersistentState>,
     pub nodes: BTreeMap<NodeId, RaftNode>,
     in_flight: Vec<RaftMessage>,
-    /// The digest with which the entry at each index was first applied.
+    /// The digest that the first node to apply the entry at each index has reported.
     pub digests: BTreeMap<u64, u32>,
     /// Drains whose requester has applied them.
     pub committed_drains: BTreeSet<PendingDrain>,
     pub undone_drains: BTreeSet<DrainId>,
     request_count: u64,
-    /// Small, so that snapshots are sent.
+    /// The limit for log compaction; small, so that followers fall behind it and receive snapshots.
     log_limit: LogSize,
-    /// Whether each applied entry must be held by a majority.
+    /// Whether to check that a majority of the voters has stored each applied entry.
     pub checks_majority: bool,
 }
 
@@ -74,26 +74,27 @@
         self.nodes.values().find(|node| node.is_leader()).map(RaftNode::id)
     }
 
-    fn any_node(&mut self) -> NodeId {
+    fn random_node(&mut self) -> NodeId {
         let ids: Vec<NodeId> = self.nodes.keys().copied().collect();
         ids[self.rng.usize(..ids.len())]
     }
 
-    /// Starts a node from its storage.
+    /// Restarts a node from its storage, without the state that it had in memory.
     fn restart(&mut self, id: NodeId) {
         let persisted = self.storage[&id].clone();
         self.nodes.insert(id, RaftNode::new(id, persisted).unwrap());
     }
 
-    /// Whether the storage of a majority of the voters holds an entry.
+    /// Whether a majority of the voters has stored the entry at `index`.
     fn majority_holds(&self, index: u64, voters: &[NodeId]) -> bool {
         let holds = |id: &NodeId| {
-            self.storage.get(id).is_some_and(|held| held.last_entry().index.max(held.snapshot.index) >= index)
+            let persisted = self.storage.get(id);
+            persisted.is_some_and(|state| state.last_entry().index.max(state.snapshot.index) >= index)
         };
         voters.iter().filter(|id| holds(id)).count() > voters.len() / 2
     }
 
-    /// Takes all steps of a node, and checks what it applies. It crashes in the first step, if at all.
+    /// Processes all pending steps of a node, and checks the entries that it applies. `crash` affects the first step.
     pub fn process_ready(&mut self, id: NodeId, mut crash: Crash) {
         while let Some(ready) = self.nodes.get_mut(&id).and_then(RaftNode::next_ready) {
             if crash != Crash::BeforeWrite {
@@ -142,9 +143,9 @@
         }
     }
 
-    /// Proposes a drain or an undrain, mostly to the leader.
-    fn propose_any(&mut self) {
-        let id = self.leader().filter(|_| self.rng.u8(..4) > 0).unwrap_or_else(|| self.any_node());
+    /// Proposes a drain or an undrain, in three of four cases to the leader.
+    fn propose_random_change(&mut self) {
+        let id = self.leader().filter(|_| self.rng.u8(..4) > 0).unwrap_or_else(|| self.random_node());
         self.request_count += 1;
         let sequence = self.request_count;
         let host = format!("s-{}", self.rng.u8(..5));
@@ -159,18 +160,18 @@
         self.process_ready(id, Crash::None);
     }
 
-    /// One random event.
+    /// Simulates one random event.
     pub fn step(&mut self) {
         match self.rng.u8(..100) {
             0..25 => {
-                let id = self.any_node();
+                let id = self.random_node();
                 self.node(id).tick();
                 self.process_ready(id, Crash::None);
             }
-            25..83 if !self.in_flight.is_empty() => self.deliver_any(),
-            83..95 => self.propose_any(),
+            25..83 if !self.in_flight.is_empty() => self.deliver_random_message(),
+            83..95 => self.propose_random_change(),
             95..97 => {
-                let id = self.any_node();
+                let id = self.random_node();
                 self.restart(id);
             }
             97..98 => self.in_flight.clear(),
@@ -179,8 +180,9 @@
         self.in_flight.truncate(MAX_IN_FLIGHT);
     }
 
-    /// Delivers a random message: lost in 8 of 100 cases, duplicated in 5; the receiver crashes in one.
-    fn deliver_any(&mut self) {
+    /// Delivers a random message. 8 % of the messages are lost and 5 % are duplicated; in 1 % of the cases the
+    /// receiver crashes.
+    fn deliver_random_message(&mut self) {
         let message = self.in_flight.swap_remove(self.rng.usize(..self.in_flight.len()));
         let is_lost = self.rng.u8(..100) < 8;
         let is_duplicated = self.rng.u8(..100) < 5;
@@ -199,7 +201,7 @@
         }
     }
 
-    /// From now on all messages arrive, in order, and time passes evenly.
+    /// Runs the cluster without faults: in each round all nodes tick once and all messages arrive in order.
     pub fn heal(&mut self, rounds: usize) {
         for _ in 0..rounds {
             let ids: Vec<NodeId> = self.nodes.keys().copied().collect();
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,8 +1,8 @@
-//! Records that storage holds and peers exchange, in serde forms of this program.
+//! Serde types of the records that storage holds and peers exchange.
 //!
-//! The consensus library has protobuf types of its own. They are built from these records once decoded: bytes from a
-//! socket or a disk never reach the protobuf parser. The order and types of the fields, and the order of the variants,
-//! are part of the stored format and of the protocol between peers.
+//! The `raft` crate has its own protobuf types. They are converted from decoded records, so that bytes from a socket
+//! or a disk never reach the protobuf parser. The order and types of the fields, and the order of the variants, are
+//! part of the stored format and of the protocol between peers.
 
 mod raft_conversion;
 
@@ -16,22 +16,22 @@
 /// A host of the committed inventory.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// The address it listens at.
+    /// The address at which it serves requests.
     pub address: SocketAddr,
-    /// Its group.
+    /// The group that it belongs to.
     pub group: GroupId,
-    /// Its zone.
+    /// The zone in which it runs.
     pub zone: ZoneId,
     /// Its capacity relative to other hosts.
     pub weight: f64,
-    /// The inventory drains it.
+    /// Whether the inventory marks it as draining. Drain requests are kept apart, in `ClusterState::drains`.
     pub draining: bool,
-    /// When its process last started, if that is known.
+    /// When its process last started; `None` if that is unknown.
     pub started_at: Option<Timestamp>,
 }
 
 impl HostRecord {
-    /// The host of an endpoint list's record.
+    /// Converts a record of an endpoint list. Its name and its role are not kept.
     pub fn from_endpoint_record(endpoint: &EndpointRecord) -> HostRecord {
         HostRecord {
             address: endpoint.address,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The host as an endpoint list's record. `is_drained`: a drain request is in force.
+    /// Converts to a record of an endpoint list. `is_drained` tells whether a drain request for the host is in force.
     pub fn endpoint_record(&self, name: &str, is_drained: bool) -> EndpointRecord {
         let is_draining = is_drained || self.draining;
         EndpointRecord {
@@ -62,28 +62,28 @@
 /// A host with the name that the inventory gives it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NamedHost {
-    /// The name.
+    /// The name in the inventory, unique in it.
     pub name: String,
-    /// The host.
+    /// The host with this name.
     pub host: HostRecord,
 }
 
-/// Identifies an entry of the log. Ordered as Raft compares logs: by term, then by index. The default is before every
-/// entry.
+/// Identifies a log entry. Ids are ordered as Raft compares logs: by term, then by index. The default is less than the
+/// id of any entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EntryId {
     /// The term in which a leader appended the entry.
     pub term: u64,
-    /// The position in the log, from 1.
+    /// The index in the log, starting at 1.
     pub index: u64,
 }
 
-/// The last entry that compaction has dropped, as storage holds it. Other than in [`EntryId`] the index comes first.
+/// The stored id of the last entry that compaction has dropped. Unlike in [`EntryId`], the index comes first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompactionRecord {
-    /// The entry's index.
+    /// The index of the dropped entry.
     pub index: u64,
-    /// The entry's term.
+    /// The term of the dropped entry.
     pub term: u64,
 }
 
@@ -99,39 +99,38 @@
     }
 }
 
-/// An entry of the log.
+/// An entry of the Raft log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its position in the log.
+    /// The index in the log, starting at 1.
     pub index: u64,
-    /// The term in which a leader appended it.
+    /// The term in which a leader appended the entry.
     pub term: u64,
     /// [`LogEntry::CHANGE`] or [`LogEntry::MEMBERSHIP`].
     pub kind: u8,
-    /// An encoded proposal, or an encoded change of the membership; empty: no change, as in the entry with which each
-    /// leader begins.
+    /// The encoded proposal or membership change. Empty for an entry without a change, which each new leader appends.
     pub payload: Vec<u8>,
 }
 
 impl LogEntry {
     /// The kind of an entry that changes the replicated state.
     pub const CHANGE: u8 = 0;
-    /// The kind of an entry that changes the membership. 1 is the older form of such changes in the library's protocol,
-    /// which is not used.
+    /// The kind of an entry that changes the membership. The value 1 is the older kind of such entries in
+    /// `eraftpb.proto` and is not used.
     pub const MEMBERSHIP: u8 = 2;
 
-    /// Its id.
+    /// The term and index of the entry.
     pub fn id(&self) -> EntryId {
         EntryId { term: self.term, index: self.index }
     }
 }
 
-/// Raft's hard state: a node must not forget it, or it could vote twice in a term.
+/// The hard state of Raft. A node that lost it could vote twice in a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The current term.
+    /// The term that the node is in.
     pub term: u64,
-    /// The candidate that got this node's vote in the term; [`NodeId::NOBODY`]: none.
+    /// The candidate that received this node's vote in the term, or [`NodeId::NOBODY`] if it has not voted.
     pub vote: NodeId,
     /// The index of the last entry that is known to be committed.
     pub commit: u64,
@@ -139,40 +138,40 @@
 
 impl HardState {
     /// The vote in the current term.
-    pub fn cast_vote(&self) -> Vote {
+    pub fn current_vote(&self) -> Vote {
         Vote { term: self.term, candidate: self.vote }
     }
 }
 
-/// A vote in a term.
+/// The vote of a node in a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Vote {
-    /// The term.
+    /// The term of the election.
     pub term: u64,
-    /// The candidate; [`NodeId::NOBODY`]: no vote was cast.
+    /// The candidate, or [`NodeId::NOBODY`] if the node has not voted.
     pub candidate: NodeId,
 }
 
-/// The nodes of the consensus. While a change of several voters goes on there are two sets of voters, and a majority of
-/// each is needed (joint consensus).
+/// The nodes that participate in the consensus. While a change of several voters is in progress there are two sets of
+/// voters, and a majority of each is required (joint consensus).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// The voters; during a change, the ones after it.
+    /// The voters; during a change, the voters after the change.
     pub voters: Vec<NodeId>,
-    /// The nodes that receive the log without a vote.
+    /// The nodes that receive the log but do not vote.
     pub learners: Vec<NodeId>,
-    /// The voters before the change that goes on; empty: no change goes on.
+    /// The voters before the change in progress; empty if no change is in progress.
     pub voters_outgoing: Vec<NodeId>,
-    /// Outgoing voters that become learners when the change ends.
+    /// Outgoing voters that become learners when the change completes.
     pub learners_next: Vec<NodeId>,
-    /// The leader ends the change by itself.
+    /// Whether the leader completes the change by itself.
     pub auto_leave: bool,
 }
 
-/// The replicated state up to an entry of the log.
+/// A snapshot of the replicated state after a log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotRecord {
-    /// The index of the last entry that is applied in it; 0: the node belongs to no fleet.
+    /// The index of the last entry that is applied in the snapshot; 0 if the node belongs to no fleet.
     pub index: u64,
     /// The term of that entry.
     pub term: u64,
@@ -183,19 +182,19 @@
 }
 
 impl SnapshotRecord {
-    /// The last entry that is applied in it.
+    /// The last entry that is applied in the snapshot.
     pub fn last_entry(&self) -> EntryId {
         EntryId { term: self.term, index: self.index }
     }
 }
 
-/// One step of a change of the membership. All steps of a change take effect together.
+/// One step of a membership change. All steps of a change take effect together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipStep {
     /// The node becomes a voter.
     AddVoter(NodeId),
     /// The node becomes a learner.
     AddLearner(NodeId),
-    /// The node leaves.
+    /// The node is removed.
     Remove(NodeId),
 }
--- a/src/store/records/raft_conversion.rs
+++ b/src/store/records/raft_conversion.rs
@@ -1,12 +1,12 @@
-//! Conversions between records and the consensus library's types.
+//! Conversions between records and the types of the `raft` crate.
 
 use super::{Configuration, HardState, LogEntry, MembershipStep, SnapshotRecord};
 use crate::ids::NodeId;
 use raft::eraftpb::{self, ConfChangeType, EntryType};
 
 impl LogEntry {
-    /// The record of the library's entry. An entry that changes the membership holds this program's form of the change
-    /// in its context.
+    /// Converts an entry of the `raft` crate. The payload of a membership change is this program's encoding of the
+    /// change, which the entry carries as its context.
     pub fn from_raft(entry: eraftpb::Entry) -> LogEntry {
         let is_membership = entry.entry_type != EntryType::EntryNormal;
         LogEntry {
@@ -17,8 +17,8 @@
         }
     }
 
-    /// The library's entry; `None`: the record's kind is unknown. The library's own form of a change of the membership
-    /// is left out: it is only read when the change is proposed.
+    /// Converts to an entry of the `raft` crate. Returns `None` if the kind is unknown. The crate's own encoding of a
+    /// membership change is omitted, since the crate reads it only when the change is proposed.
     pub fn into_raft(self) -> Option<eraftpb::Entry> {
         let mut entry = eraftpb::Entry { index: self.index, term: self.term, ..Default::default() };
         match self.kind {
@@ -34,14 +34,15 @@
 }
 
 impl HardState {
-    /// The record of the library's hard state.
+    /// Converts a hard state of the `raft` crate.
     pub fn from_raft(hard_state: &eraftpb::HardState) -> HardState {
         HardState { term: hard_state.term, vote: NodeId(hard_state.vote), commit: hard_state.commit }
     }
 }
 
 impl Configuration {
-    /// The record of the library's configuration. The library keeps sets: sorted lists are equal on all nodes.
+    /// Converts a configuration of the `raft` crate. The crate keeps sets without an order; the ids are sorted so that
+    /// the records are equal on all nodes.
     pub fn from_raft(configuration: &eraftpb::ConfState) -> Configuration {
         Configuration {
             voters: sorted_ids(&configuration.voters),
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The library's configuration.
+    /// Converts to a configuration of the `raft` crate.
     pub fn to_raft(&self) -> eraftpb::ConfState {
         let mut configuration = eraftpb::ConfState::default();
         configuration.set_voters(raft_ids(&self.voters));
@@ -75,7 +76,7 @@
 }
 
 impl SnapshotRecord {
-    /// The record of the library's snapshot.
+    /// Converts a snapshot of the `raft` crate.
     pub fn from_raft(snapshot: &eraftpb::Snapshot) -> SnapshotRecord {
         let metadata = snapshot.get_metadata();
         SnapshotRecord {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The library's snapshot.
+    /// Converts to a snapshot of the `raft` crate.
     pub fn to_raft(&self) -> eraftpb::Snapshot {
         let mut snapshot = eraftpb::Snapshot { data: self.state.clone().into(), ..Default::default() };
         let metadata = snapshot.mut_metadata();
@@ -98,7 +99,7 @@
 }
 
 impl MembershipStep {
-    /// The library's form of the step.
+    /// Converts to a step of a membership change of the `raft` crate.
     pub fn to_raft(self) -> eraftpb::ConfChangeSingle {
         let (change_type, id) = match self {
             MembershipStep::AddVoter(id) => (ConfChangeType::AddNode, id),
--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -1,7 +1,7 @@
 //! The replicated state: members, settings, inventory, drains, zone weights and regions.
 //!
-//! No I/O and no clock: the same changes in the same order make the same state on every node. A rule of
-//! [`ClusterState::apply`] must therefore be the same in all versions that run in a fleet together.
+//! It does no I/O and reads no clock, so that the same changes in the same order produce the same state on every node.
+//! [`ClusterState::apply`] must therefore follow the same rules in all versions that run together in a fleet.
 
 mod change;
 mod inventory;
@@ -19,91 +19,97 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hosts of an inventory. Bounds the size of the snapshot; part of the replicated rules.
+/// Maximum number of hosts in an inventory. It bounds the size of the snapshot, and must be the same on all nodes.
 pub const MAX_HOSTS: usize = 20_000;
 
-/// Members of a fleet, learners included.
+/// Maximum number of members of a fleet, including learners.
 pub const MAX_MEMBERS: usize = 32;
 
-/// Undone drains, and removed members, that are remembered; part of the replicated rules. A drain that arrives after
-/// more undrains than this would take effect again.
-const MAX_REMEMBERED: usize = 10_000;
+/// Maximum number of undone drains, and of removed members, that are remembered. It must be the same on all nodes. A
+/// drain that is committed after its undrain and this many further ones takes effect again.
+const MAX_TOMBSTONES: usize = 10_000;
 
-/// The body of no regions: the time zero, and an empty map. The first builds with zone weights ended before it.
-const MISSING_REGIONS: [u8; 2] = [0, 0];
-/// The body of no zone weights and no regions. Builds without zone weights ended before it.
-const MISSING_ZONE_WEIGHTS_AND_REGIONS: [u8; 3] = [0, 0, 0];
+/// The encoded default of [`ClusterState::regions`]: time zero and an empty map. The first builds with zone weights
+/// did not have this field.
+const DEFAULT_REGIONS: [u8; 2] = [0, 0];
+/// The encoded defaults of [`ClusterState::zone_weights`] and [`ClusterState::regions`]. Builds before zone weights
+/// had neither field.
+const DEFAULT_ZONE_WEIGHTS_AND_REGIONS: [u8; 3] = [0, 0, 0];
 
-/// Which file settings or an inventory come from.
+/// The file that committed settings or a committed inventory come from.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Provenance {
-    /// The name of the node that read the file.
+    /// The name of the node that read the file and proposed its contents.
     pub read_by: String,
-    /// When the file was last changed.
+    /// When the file was last modified. The most recently modified file wins.
     pub changed_at: Timestamp,
-    /// The index of the entry that committed them.
+    /// The index of the log entry that committed the contents.
     pub version: u64,
 }
 
 /// The committed settings of the service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceSettings {
-    /// Which file they come from.
+    /// The file that the settings come from.
     pub provenance: Provenance,
-    /// `path=value`, a line for each setting.
+    /// One `path=value` line for each setting.
     pub text: String,
 }
 
 /// The committed regions of zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionMap {
-    /// When the file that names them was last changed.
+    /// When the inventory file that defines them was last modified.
     pub changed_at: Timestamp,
     /// The region of each zone that has one.
     pub by_zone: BTreeMap<ZoneId, String>,
 }
 
-/// The state that all nodes of a fleet agree on. The order of the fields is part of the stored format.
+/// The replicated state, equal on all nodes of a fleet after the same entries. The order of the fields is part of the
+/// stored format.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClusterState {
-    /// The fleet; [`FleetId::NONE`]: there is none yet.
+    /// The fleet, or [`FleetId::NONE`] if none was founded yet.
     pub fleet: FleetId,
-    /// The nodes of the fleet.
+    /// The nodes of the fleet, including learners.
     pub members: BTreeMap<NodeId, Member>,
-    /// The names of nodes that were removed.
+    /// The names of removed nodes, at most [`MAX_TOMBSTONES`].
     pub removed: BTreeMap<NodeId, String>,
-    /// The names of nodes that the fleet was founded with and that do not vote yet.
+    /// The names of founding nodes that do not vote yet.
     pub founders: BTreeSet<String>,
-    /// The settings of the service, once they are committed.
+    /// The settings of the service; `None` until some are committed.
     pub settings: Option<ServiceSettings>,
-    /// Which file the inventory comes from, once one is committed.
+    /// The file that the inventory comes from; `None` until an inventory is committed.
     pub inventory: Option<Provenance>,
     /// The hosts of the inventory, by name.
     pub hosts: BTreeMap<String, HostRecord>,
-    /// The drains in force, by host.
+    /// The drains in force, by the name of the host. No set is empty.
     pub drains: BTreeMap<String, BTreeSet<DrainId>>,
-    /// Undone drains, with the index of the entry that has undone each. A drain that is committed after its undrain
-    /// stays undone.
+    /// Undone drains, each with the index of the entry that undid it. They are remembered, at most [`MAX_TOMBSTONES`],
+    /// so that a drain that is committed after its undrain stays undone.
     pub undone_drains: BTreeMap<DrainId, u64>,
-    /// Fleets that an operator has replaced by this one. Nodes that still belong to one of them join this fleet.
+    /// Fleets that an operator has replaced with this one. Nodes that still belong to one of them join this fleet.
     pub previous_fleets: BTreeSet<FleetId>,
-    /// A checksum over all applied entries. Two nodes have the same one only if they have applied the same entries.
+    /// A checksum over all applied entries. Different digests at the same index show that two nodes have applied
+    /// different entries.
     pub digest: u32,
-    /// The weights of zones whose weight was ever changed.
+    /// The traffic weights of zones; a zone whose weight was never changed has no entry.
     pub zone_weights: BTreeMap<ZoneId, ZoneWeight>,
-    /// The regions of zones.
+    /// The regions that zones belong to.
     pub regions: RegionMap,
 }
 
 impl ClusterState {
-    /// Decodes a state. States of versions without regions, or without zone weights either, are read as well.
+    /// Decodes a state, including those of versions without regions, or without regions and zone weights. Returns
+    /// `None` if the bytes are invalid.
     pub fn decode(bytes: &[u8]) -> Option<ClusterState> {
         codec::decode(bytes)
-            .or_else(|| codec::decode_earlier(bytes, &MISSING_REGIONS))
-            .or_else(|| codec::decode_earlier(bytes, &MISSING_ZONE_WEIGHTS_AND_REGIONS))
+            .or_else(|| codec::decode_with_defaults(bytes, &DEFAULT_REGIONS))
+            .or_else(|| codec::decode_with_defaults(bytes, &DEFAULT_ZONE_WEIGHTS_AND_REGIONS))
     }
 
-    /// A new fleet with one member. It commits nothing else until the other founders have become voters.
+    /// The state of a new fleet with one member. It commits only membership changes until the other founders are
+    /// voters.
     pub fn found_fleet(
         fleet: FleetId,
         id: NodeId,
@@ -114,8 +120,8 @@
         ClusterState { fleet, members, founders, ..ClusterState::default() }
     }
 
-    /// A fleet with one member that replaces this one and continues from its state. An operator orders it where the
-    /// majority of this fleet is lost.
+    /// The state of a new fleet with one member that replaces this fleet and continues from its state. An operator
+    /// requests it when the majority of this fleet is lost.
     pub fn force_new_fleet(&self, fleet: FleetId, id: NodeId, member: Member) -> ClusterState {
         let mut state = self.clone();
         state.previous_fleets.insert(self.fleet);
@@ -125,12 +131,12 @@
         state
     }
 
-    /// Whether all founders vote.
+    /// Whether every founder has become a voter or was removed.
     pub fn is_complete(&self) -> bool {
         self.founders.is_empty()
     }
 
-    /// The zones of a zone's region, itself included. A zone without a region is alone.
+    /// The zones in the region of `zone`, including `zone` itself; only `zone` if it has no region.
     pub fn zones_in_region(&self, zone: ZoneId) -> Vec<ZoneId> {
         let regions = &self.regions.by_zone;
         let Some(region) = regions.get(&zone) else { return vec![zone] };
@@ -138,23 +144,23 @@
         regions.iter().filter_map(in_region).collect()
     }
 
-    /// The weight of a zone.
+    /// The weight of a zone; the default is full weight.
     pub fn zone_weight(&self, zone: ZoneId) -> ZoneWeight {
         self.zone_weights.get(&zone).copied().unwrap_or_default()
     }
 
-    /// Whether any drain of the host is in force.
+    /// Whether any committed drain of the host is in force.
     pub fn is_drained(&self, host: &str) -> bool {
         self.drains.contains_key(host)
     }
 
-    /// Whether the log has committed or undone this drain.
+    /// Whether this drain is committed, or was undone.
     pub fn is_resolved(&self, host: &str, drain: DrainId) -> bool {
         let is_committed = self.drains.get(host).is_some_and(|drains| drains.contains(&drain));
         is_committed || self.undone_drains.contains_key(&drain)
     }
 
-    /// Applies the change that is committed at `index`.
+    /// Applies the change that was committed at `index`.
     pub fn apply(&mut self, index: u64, change: &Change) -> ApplyResult {
         match change {
             Change::Drain { host, drain } => self.apply_drain(host, *drain),
@@ -184,7 +190,7 @@
         ApplyResult::Done
     }
 
-    /// Undoes the drains that the requester knew of, also those that are not committed yet. Others stay in force.
+    /// Undoes the drains that the requester knew of, including those that are not committed yet. Others stay in force.
     fn apply_undrain(&mut self, index: u64, host: &str, drains: &[DrainId]) -> ApplyResult {
         let mut in_force = self.drains.remove(host).unwrap_or_default();
         for drain in drains {
@@ -199,7 +205,7 @@
     }
 
     fn discard_oldest_undone_drains(&mut self) {
-        let excess = self.undone_drains.len().saturating_sub(MAX_REMEMBERED);
+        let excess = self.undone_drains.len().saturating_sub(MAX_TOMBSTONES);
         if excess == 0 {
             return;
         }
@@ -253,7 +259,8 @@
         if weight.version != self.zone_weight(zone).version + 1 {
             return ApplyResult::Superseded;
         }
-        // Two evacuations may be proposed at once, each while the other zone was in service: one of them must fail.
+        // Two zones may be evacuated concurrently, each proposal assuming that the other zone stays in service. The
+        // second one must be rejected.
         if weight.permille == 0 && !self.has_other_zone_in_service(zone) {
             return ApplyResult::Rejected;
         }
@@ -274,8 +281,8 @@
         ApplyResult::Done
     }
 
-    /// Applies a change of the membership. It says who the members are; the configuration of the
-    /// consensus says which of them vote.
+    /// Applies a membership change to the members of the fleet. Which of them vote is part of the Raft configuration,
+    /// not of this state.
     pub fn apply_membership(&mut self, change: &MembershipChange) {
         if let Some(joining) = &change.joining {
             self.members.insert(joining.id, joining.member.clone());
@@ -291,7 +298,7 @@
                 MembershipStep::AddLearner(_) => {}
             }
         }
-        while self.removed.len() > MAX_REMEMBERED {
+        while self.removed.len() > MAX_TOMBSTONES {
             self.removed.pop_first();
         }
     }
--- a/src/store/state_machine/change.rs
+++ b/src/store/state_machine/change.rs
@@ -1,5 +1,5 @@
-//! The changes that are proposed to the state machine, and what becomes of them. The order of fields and variants is
-//! part of the stored format and of the protocol between peers.
+//! The changes that are proposed to the state machine, and the results of applying them. The order of fields and
+//! variants is part of the stored format and of the protocol between peers.
 
 use crate::ids::{NodeId, ZoneId};
 use crate::store::records::{MembershipStep, NamedHost};
@@ -9,62 +9,63 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Identifies a drain request. An undrain names the requests that it undoes: one that its requester did not know of
-/// stays in force.
+/// Identifies a drain request. An undrain lists the drain requests that it undoes, so that one that its requester did
+/// not know of stays in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DrainId {
-    /// The node that an operator has sent the request to.
+    /// The node that received the request from an operator.
     pub node: NodeId,
-    /// The node's own number for it; never used twice by a node.
+    /// The node's number for the request; a node never uses a number twice.
     pub sequence: u64,
 }
 
-/// A drain request with its host. It acts wherever it is known, before it is committed.
+/// A drain request that may not be committed yet, with its host. Every node that knows it stops sending new requests
+/// to the host at once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PendingDrain {
     /// The name of the host.
     pub host: String,
-    /// The request.
+    /// The drain request.
     pub drain: DrainId,
 }
 
-/// A node of the fleet, as the other nodes know it.
+/// What the replicated state records about a node of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The name in its operator's file.
+    /// The name in the operator's file of the node.
     pub name: String,
-    /// The address at which its peers reach it, unless their own files name another one.
+    /// The address at which peers reach the node, unless their own operator's files give another one.
     pub address: SocketAddr,
 }
 
 /// A change of the replicated state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// A host gets no new requests.
+    /// A host receives no new requests.
     Drain {
         /// The name of the host.
         host: String,
-        /// The request.
+        /// The drain request.
         drain: DrainId,
     },
     /// Drain requests of a host are undone.
     Undrain {
         /// The name of the host.
         host: String,
-        /// The requests that the requester knew of.
+        /// The drain requests that the requester of the undrain knew of.
         drains: Vec<DrainId>,
     },
-    /// The difference between an inventory file and the committed inventory.
+    /// The difference from the committed inventory to an inventory file.
     Inventory {
         /// The name of the node that read the file.
         read_by: String,
         /// When the file was last changed.
         changed_at: Timestamp,
-        /// The version of the committed inventory that the file was compared with; 0: none was committed.
+        /// The version of the committed inventory that the file was compared with; 0 if none was committed.
         base_version: u64,
         /// New and changed hosts.
         upserts: Vec<NamedHost>,
-        /// The names of hosts that the file lacks.
+        /// The names of hosts that are missing in the file.
         removals: Vec<String>,
     },
     /// The settings of the service.
@@ -73,14 +74,14 @@
         read_by: String,
         /// When the file was last changed.
         changed_at: Timestamp,
-        /// `path=value`, a line for each setting.
+        /// One `path=value` line for each setting.
         text: String,
     },
-    /// The weight of a zone.
+    /// The traffic weight of a zone.
     ZoneWeight {
-        /// The zone.
+        /// The zone that receives the weight.
         zone: ZoneId,
-        /// The weight; its version follows that of the committed weight.
+        /// The new weight. Its version must be one more than that of the committed weight.
         weight: ZoneWeight,
     },
     /// The regions of an inventory file.
@@ -95,51 +96,51 @@
 }
 
 impl Change {
-    /// Whether the change only takes hosts out of service. Such a change acts where it is requested before it is
-    /// committed, and a leader need not confirm its leadership before it appends it.
-    pub fn only_restricts(&self) -> bool {
+    /// Whether the change only takes hosts out of service, as a drain does. Such a change takes effect on the
+    /// requesting node before it is committed, and a leader appends it without confirming its leadership first.
+    pub fn only_removes_hosts_from_service(&self) -> bool {
         matches!(self, Change::Drain { .. })
     }
 }
 
-/// A change with its proposer.
+/// A proposed change, with the node that proposed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The proposer.
+    /// The node that proposed the change.
     pub from: NodeId,
-    /// The proposer's number for it. A leader does not append the same proposal twice within a short time.
+    /// The proposer's number for the proposal. A leader uses it to not append a repeated proposal twice.
     pub token: u64,
-    /// The change.
+    /// The change to commit.
     pub change: Change,
 }
 
 /// A node that becomes a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JoiningMember {
-    /// The node.
+    /// The id of the joining node.
     pub id: NodeId,
-    /// What the other nodes know of it.
+    /// Its name and address.
     pub member: Member,
 }
 
-/// A change of the membership.
+/// A membership change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MembershipChange {
-    /// What the consensus does, all at once.
+    /// The changes of the Raft configuration. They take effect together.
     pub steps: Vec<MembershipStep>,
-    /// The node that becomes a member, if any.
+    /// The node that becomes a member; `None` if no node joins.
     pub joining: Option<JoiningMember>,
 }
 
-/// What became of a committed change. Operators read the names of the variants in log lines.
+/// The result of applying a committed change. Operators read the names of the variants in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// It is in force.
+    /// The change took effect.
     Done,
-    /// It was in force or undone already, or something newer is in force.
+    /// The change was already in force or undone, or a newer one is in force.
     Superseded,
-    /// It is a difference from a version that is not the current one.
+    /// The change is a difference from a version of the inventory that is not the current one.
     StaleBase,
-    /// It violates a limit.
+    /// The change violates a limit, such as [`MAX_HOSTS`](super::MAX_HOSTS).
     Rejected,
 }
--- a/src/store/state_machine/inventory.rs
+++ b/src/store/state_machine/inventory.rs
@@ -1,4 +1,4 @@
-//! The committed inventory as an endpoint list, and how an inventory file differs from it.
+//! Conversion of the committed inventory to an endpoint list, and comparison of inventory files with it.
 
 use super::{Change, ClusterState};
 use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
@@ -6,27 +6,27 @@
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
-/// How the hosts of an inventory file differ from the committed inventory, in numbers of hosts.
+/// The numbers of hosts in which an inventory file differs from the committed inventory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InventoryDifference {
-    /// Hosts that only the file names.
+    /// Hosts that only the file has.
     pub added: usize,
-    /// Hosts that the file describes differently.
+    /// Hosts that the file and the inventory describe differently.
     pub changed: usize,
-    /// Hosts that the file lacks.
+    /// Hosts that only the committed inventory has.
     pub missing: usize,
 }
 
 impl InventoryDifference {
-    /// Whether there is none.
+    /// Whether the file and the committed inventory describe the same hosts.
     pub fn is_empty(&self) -> bool {
         *self == InventoryDifference::default()
     }
 }
 
 impl ClusterState {
-    /// The whole endpoint list at `index`. `has_pending_drain`: whether a drain of this host waits to be committed; it
-    /// acts already.
+    /// The complete endpoint list after the entry at `index`. `has_pending_drain` tells whether a drain of a host is
+    /// not committed yet; the host is listed as draining nonetheless.
     pub fn endpoint_list(&self, index: u64, has_pending_drain: impl Fn(&str) -> bool) -> EndpointUpdate {
         let mut entries = Vec::with_capacity(self.hosts.len());
         for (name, host) in &self.hosts {
@@ -36,11 +36,12 @@
         EndpointUpdate { index, whole: true, entries }
     }
 
-    /// The change that brings the committed inventory to a file's; `None`: the committed one is not older. `changed_at`:
-    /// when the file was last changed.
+    /// The change from the committed inventory to that of a file that was last modified at `changed_at`. Returns
+    /// `None` if the committed inventory comes from a file that is as new or newer.
     ///
-    /// A host without a start time in the file keeps the one that it had. One that is new to an inventory in use, or
-    /// has moved to another address, counts as started `now`: nobody knows yet what load it can take, so it warms up.
+    /// A host without a start time in the file keeps its committed start time. A host that is added to an existing
+    /// inventory, or has moved to another address, is assumed to have started `now`, so that it warms up: the load
+    /// that it can take is not known yet.
     pub fn inventory_change(
         &self,
         read_by: &str,
@@ -54,7 +55,7 @@
         let mut upserts = Vec::new();
         for listed in hosts {
             let current = self.hosts.get(&listed.name);
-            let started_at = listed.started_at.or_else(|| self.assumed_start(listed, now));
+            let started_at = listed.started_at.or_else(|| self.assumed_start_time(listed, now));
             let host = HostRecord { started_at, ..HostRecord::from_endpoint_record(listed) };
             if current != Some(&host) {
                 upserts.push(NamedHost { name: listed.name.clone(), host });
@@ -69,18 +70,18 @@
         })
     }
 
-    /// The start time of a host whose file states none.
-    fn assumed_start(&self, listed: &EndpointRecord, now: Timestamp) -> Option<Timestamp> {
+    /// The start time to assume for a host for which the file has none.
+    fn assumed_start_time(&self, listed: &EndpointRecord, now: Timestamp) -> Option<Timestamp> {
         match self.hosts.get(&listed.name) {
             Some(current) if current.address == listed.address => current.started_at,
-            // The hosts of the first inventory have been running.
+            // The hosts of the first inventory are assumed to be warm already.
             _ if self.inventory.is_none() => None,
             _ => Some(now),
         }
     }
 
-    /// How a file's hosts differ from the committed inventory. A start time that the file does not state is no
-    /// difference.
+    /// Counts the differences between the hosts of a file and the committed inventory. A start time that is missing in
+    /// the file does not count as a difference.
     pub fn inventory_difference(&self, hosts: &[EndpointRecord]) -> InventoryDifference {
         let mut difference = InventoryDifference::default();
         for listed in hosts {
@@ -99,7 +100,7 @@
     }
 
     fn hosts_missing_in(&self, hosts: &[EndpointRecord]) -> Vec<&String> {
-        let named: BTreeSet<&str> = hosts.iter().map(|listed| listed.name.as_str()).collect();
-        self.hosts.keys().filter(|name| !named.contains(name.as_str())).collect()
+        let listed_names: BTreeSet<&str> = hosts.iter().map(|listed| listed.name.as_str()).collect();
+        self.hosts.keys().filter(|name| !listed_names.contains(name.as_str())).collect()
     }
 }
--- a/src/store/state_machine/tests.rs
+++ b/src/store/state_machine/tests.rs
@@ -1,4 +1,4 @@
-//! The rules of the state machine, a file for each part of the state.
+//! Tests of the state machine, one file for each part of the state.
 
 mod drains;
 mod inventory;
@@ -16,7 +16,8 @@
     Timestamp::from_micros(micros)
 }
 
-/// Commits the inventory of a file that was last changed at `changed_at_micros`, read that many seconds after time zero.
+/// Commits the inventory of a file that was last modified `changed_at_micros` microseconds after time zero and read as
+/// many seconds after time zero.
 fn commit_inventory(
     state: &mut ClusterState,
     index: u64,
--- a/src/store/state_machine/tests/inventory.rs
+++ b/src/store/state_machine/tests/inventory.rs
@@ -1,4 +1,4 @@
-//! Inventory files of several nodes, and when their hosts count as started.
+//! Inventory files of several nodes, and the start times that their hosts get.
 
 use super::*;
 
@@ -6,33 +6,33 @@
     state.hosts.values().map(|host| host.started_at).collect()
 }
 
-/// Guards against a new host that gets all of its reads at once, without a cache.
+/// Guards against sending a new host its full share of reads while its cache is still cold.
 #[test]
-fn a_host_new_to_an_inventory_in_use_warms_up() {
+fn a_host_added_to_an_existing_inventory_warms_up() {
     let mut state = ClusterState::default();
     commit_inventory(&mut state, 1, &[endpoint("x", 1)], 1);
-    assert_eq!(start_times(&state), [None], "the hosts of the first inventory have been running");
+    assert_eq!(start_times(&state), [None], "the hosts of the first inventory are assumed to be warm");
     commit_inventory(&mut state, 2, &[endpoint("x", 1), endpoint("y", 2)], 2);
     assert_eq!(start_times(&state), [None, Some(time(2_000_000))]);
     commit_inventory(&mut state, 3, &[endpoint("x", 3), endpoint("y", 2)], 3);
     assert_eq!(
         start_times(&state),
         [Some(time(3_000_000)), Some(time(2_000_000))],
-        "one with another address is another process"
+        "a host at another address is another process"
     );
     commit_inventory(&mut state, 4, &[endpoint("y", 2)], 4);
     commit_inventory(&mut state, 5, &[endpoint("x", 3), endpoint("y", 2)], 5);
     assert_eq!(
         start_times(&state),
         [Some(time(5_000_000)), Some(time(2_000_000))],
-        "one that was removed in between is new"
+        "a host that was removed and added again is new"
     );
 }
 
-/// Guards against a node with an older file that undoes what was edited elsewhere, and against two proposals of which
-/// the second was compared with what the first has changed.
+/// Guards against an older file that overwrites a newer one from another node, and against applying a difference to an
+/// inventory other than the one that it was computed from.
 #[test]
-fn the_newer_file_wins_and_a_difference_counts_against_its_base_only() {
+fn the_newer_file_wins_and_a_difference_applies_only_to_its_base_version() {
     let mut state = ClusterState::default();
     let first = commit_inventory(&mut state, 1, &[endpoint("x", 1), endpoint("y", 2)], 20);
     assert_eq!(first, Some(ApplyResult::Done));
@@ -42,7 +42,7 @@
     assert_eq!(
         state.apply(4, &stale),
         ApplyResult::StaleBase,
-        "it would leave z, which b's file does not name"
+        "it would keep z, which b's file does not have"
     );
     let repeated = state.inventory_change("b", &[endpoint("x", 7)], time(25), time(0)).unwrap();
     assert_eq!(state.apply(5, &repeated), ApplyResult::Done);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_difference_of_a_file_is_counted() {
+fn differences_between_a_file_and_the_inventory_are_counted() {
     let mut state = ClusterState::default();
     commit_inventory(&mut state, 1, &[endpoint("x", 1), endpoint("y", 2)], 1);
     assert_eq!(
--- a/src/store/state_machine/tests/zones.rs
+++ b/src/store/state_machine/tests/zones.rs
@@ -1,34 +1,35 @@
-//! Zone weights, regions, and states of versions that had neither.
+//! Zone weights, regions, and states from versions without them.
 
 use super::*;
 use crate::store::zone_weights::WeightReason;
 
-/// Guards against a change of a zone's weight that was decided before another one and undoes it, and against the
-/// evacuation of all zones.
+/// Guards against a change of a zone's weight that was decided on an outdated weight, and against evacuating all
+/// zones.
 #[test]
-fn a_zone_weight_follows_the_last_one_only_and_one_zone_stays_in_service() {
+fn an_outdated_zone_weight_is_superseded_and_one_zone_stays_in_service() {
     let mut state = ClusterState::default();
     let host_in = |zone| HostRecord::from_endpoint_record(&EndpointRecord { zone, ..endpoint("x", 1) });
     state.hosts = [3, 4].map(|zone| (format!("s-{zone}"), host_in(ZoneId(zone)))).into();
     let first = state.zone_weight(ZoneId(3)).next(0, WeightReason::Lost);
     assert_eq!(state.apply(1, &Change::ZoneWeight { zone: ZoneId(3), weight: first }), ApplyResult::Done);
-    let late = ZoneWeight::default().next(500, WeightReason::Slow);
+    let outdated = ZoneWeight::default().next(500, WeightReason::Slow);
     assert_eq!(
-        state.apply(2, &Change::ZoneWeight { zone: ZoneId(3), weight: late }),
+        state.apply(2, &Change::ZoneWeight { zone: ZoneId(3), weight: outdated }),
         ApplyResult::Superseded
     );
     assert_eq!(state.zone_weight(ZoneId(3)), first);
     let weight = ZoneWeight::default().next(0, WeightReason::Operator);
     let last = Change::ZoneWeight { zone: ZoneId(4), weight };
-    assert_eq!(state.apply(3, &last), ApplyResult::Rejected, "it is the last one in service");
+    assert_eq!(state.apply(3, &last), ApplyResult::Rejected, "it is the last zone in service");
     assert_eq!(ClusterState::decode(&codec::encode(&state)), Some(state));
 }
 
-/// Guards against storage of an earlier version that is taken for damaged.
+/// Guards against treating the state of an earlier version as damaged.
 #[test]
 fn a_state_without_regions_or_zone_weights_is_decoded() {
     let current = codec::encode(&ClusterState::default());
-    // The last bytes are the number of zone weights, the time of the regions, and their number: all zero.
+    // The last three bytes are the number of zone weights, the time of the regions and the number of regions, all
+    // zero.
     for (missing_bytes, expected) in
         [(2, Some(ClusterState::default())), (3, Some(ClusterState::default())), (4, None)]
     {
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn regions_follow_the_file_that_was_changed_last() {
+fn regions_come_from_the_most_recently_modified_file() {
     let regions = |changed_at, region: &str| Change::Regions {
         read_by: "b1".into(),
         changed_at: time(changed_at),
--- a/src/store/store_thread.rs
+++ b/src/store/store_thread.rs
@@ -1,5 +1,5 @@
-//! The thread that owns a node of the consensus and its storage. Commands come in by one queue, events go out by another:
-//! a slow disk holds up nothing but the consensus.
+//! The thread that owns a Raft node and its storage. It receives commands and sends events through queues, so that a
+//! slow disk delays nothing but the consensus.
 
 mod commands;
 mod interface;
@@ -24,35 +24,36 @@
 use std::thread;
 use std::time::Instant;
 
-/// What the thread owns.
+/// The state that the thread owns.
 struct StoreThread {
-    /// `None`: storage has failed.
+    /// `None` after storage has failed.
     storage: Option<DurableStorage>,
     node: RaftNode,
-    /// The node takes part in the consensus: it handles messages and ticks.
+    /// Whether the node participates in the consensus, that is, handles Raft messages and ticks.
     participating: bool,
     boot_count: u64,
     limits: Limits,
     proposals: Proposals,
+    /// The furthest progress that each peer has reported.
     reported_progress: BTreeMap<NodeId, PersistedProgress>,
-    /// The reported progress has changed since it was last written.
+    /// Whether `reported_progress` has changed since it was last written.
     reported_progress_changed: bool,
-    /// A hard state of which only the commit index has changed. It waits for the next write: after a crash the leader
-    /// tells the commit index again.
-    delayed_commit: Option<HardState>,
+    /// A hard state of which only the commit index has changed. It is included in the next write, since the leader
+    /// sends the commit index again after a crash.
+    deferred_hard_state: Option<HardState>,
     dropped_messages: u64,
     raft_restarts: u64,
-    /// The last status that was sent as an event.
+    /// The status that was last sent as an event.
     emitted_status: StoreStatus,
     events: Sender<StoreEvent>,
 }
 
-/// Starts the thread on an opened storage. Where its contents contradict themselves, the file is set aside and the node
-/// starts as a new one.
+/// Starts the thread with an opened storage. If the stored consensus state is invalid, the file is renamed and the
+/// node starts as a new one.
 ///
 /// # Errors
 ///
-/// A new storage cannot be created in place of such contents, or the thread cannot be started.
+/// New storage cannot be created in place of the invalid one, or the thread cannot be started.
 pub fn start(opened: OpenedStorage, limits: &Limits) -> Result<RunningStore, StoreError> {
     let OpenedStorage { storage, contents } = opened;
     let StoreContents { raft, drains, reported_progress, gossip, legacy, .. } = contents;
@@ -60,7 +61,7 @@
     let (event_sender, events) = async_channel::unbounded();
     let StartedNode { storage, node } = start_node(storage, raft)?;
     let identity = storage.identity.clone();
-    // A voter first lets the others compare its storage with what it has reported before.
+    // A voter waits until other voters have compared its storage with its earlier reports.
     let participating = !node.configuration().voters.contains(&identity.id);
     let mut thread = StoreThread {
         storage: Some(storage),
@@ -71,7 +72,7 @@
         proposals: Proposals::default(),
         reported_progress,
         reported_progress_changed: false,
-        delayed_commit: None,
+        deferred_hard_state: None,
         dropped_messages: 0,
         raft_restarts: 0,
         emitted_status: StoreStatus::default(),
@@ -100,7 +101,7 @@
     match RaftNode::new(storage.identity.id, raft) {
         Ok(node) => Ok(StartedNode { storage, node }),
         Err(error) => {
-            log::warn!("store: {error}; set aside: this node starts with a new identity");
+            log::warn!("store: {error}; the file is set aside, and this node starts with a new identity");
             let storage = storage.reset_identity(IdentityResetReason::Damaged)?;
             let node = RaftNode::new(storage.identity.id, RaftPersistentState::default())?;
             Ok(StartedNode { storage, node })
@@ -108,10 +109,11 @@
     }
 }
 
-/// Pending drains, and those in the log: whether or not this node knows that an entry is committed, its drain acts.
+/// The pending drains, and those in log entries that are not applied yet. A drain in the log is in force even while
+/// this node does not know whether its entry is committed.
 fn unresolved_drains(pending: Vec<PendingDrain>, node: &RaftNode) -> Vec<PendingDrain> {
     let mut drains = pending;
-    for proposal in node.uncommitted_proposals() {
+    for proposal in node.unapplied_proposals() {
         if let Change::Drain { host, drain } = proposal.change {
             drains.push(PendingDrain { host, drain });
         }
@@ -134,8 +136,8 @@
             }
             let now = Instant::now();
             if now >= next_tick {
-                // Ticks that were missed are not made up for: a process that was suspended has not waited for a
-                // leader all that time.
+                // Missed ticks are not caught up on: a process that was suspended could not receive messages from a
+                // leader, so that time must not count towards the election timeout.
                 next_tick = now + self.limits.raft_tick;
                 self.tick();
             }
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Handles the commands that wait, so that one write serves them all.
+    /// Handles the commands that are already queued, so that a single write covers them all.
     fn handle_queued(&mut self, queue: &Receiver<StoreCommand>) {
         for _ in 0..self.limits.input_queue {
             let Ok(command) = queue.try_recv() else { return };
@@ -155,7 +157,7 @@
     }
 
     fn emit(&self, event: StoreEvent) {
-        // The queue is unbounded, so only a closed one fails; then the thread ends.
+        // The queue is unbounded, so sending fails only if it is closed, and then the thread ends.
         let _ = self.events.try_send(event);
     }
 
@@ -193,28 +195,28 @@
         }
     }
 
-    /// Works on the node. The consensus library panics over messages that contradict its log: then the node is read
-    /// again from storage, which holds everything that was ever sent to a peer. `None`: it panicked.
-    fn with_node<T>(&mut self, work: impl FnOnce(&mut RaftNode) -> T) -> Option<T> {
-        match catch_unwind(AssertUnwindSafe(|| work(&mut self.node))) {
+    /// Runs an operation on the node. The `raft` crate panics on messages that contradict its log. The node is then
+    /// reloaded from storage, which holds everything that was ever sent to a peer, and `None` is returned.
+    fn with_node<T>(&mut self, operation: impl FnOnce(&mut RaftNode) -> T) -> Option<T> {
+        match catch_unwind(AssertUnwindSafe(|| operation(&mut self.node))) {
             Ok(result) => Some(result),
             Err(_) => {
                 self.raft_restarts += 1;
-                log::error!("raft: the library panicked; its state is read again from storage");
+                log::error!("raft: the raft crate panicked; reloading its state from storage");
                 self.reload_node();
                 None
             }
         }
     }
 
-    /// Reads the node from storage, and sends its whole state to the fleet.
+    /// Reloads the node from storage, and sends its whole replicated state as an event.
     fn reload_node(&mut self) {
         match self.read_node() {
             Ok(node) => {
                 self.node = node;
                 self.emit(StoreEvent::Applied(vec![self.node.state_as_applied_entry()]));
             }
-            Err(error) => self.fail(error),
+            Err(error) => self.handle_storage_failure(error),
         }
     }
 
@@ -223,32 +225,33 @@
         Ok(RaftNode::new(self.node.id(), storage.read_raft_state()?)?)
     }
 
-    /// Storage has failed: without it a node could vote twice, so it takes no further part.
-    fn fail(&mut self, error: StoreError) {
+    /// Handles a storage failure. Without storage the node could vote twice in a term, so it stops participating.
+    fn handle_storage_failure(&mut self, error: StoreError) {
         self.storage = None;
         self.participating = false;
         self.emit(StoreEvent::StorageFailed(error));
     }
 
-    /// Writes this, and what has waited for a write. Returns false where storage has failed.
+    /// Writes `write` and `values`, together with the data that was deferred to the next write. Returns false if
+    /// storage has failed.
     fn write(&mut self, mut write: RaftWrite, values: &[NodeValue<'_>]) -> bool {
         let Some(storage) = &self.storage else { return false };
-        let delayed_commit = self.delayed_commit.take();
-        write.hard_state = write.hard_state.or(delayed_commit);
+        let deferred_hard_state = self.deferred_hard_state.take();
+        write.hard_state = write.hard_state.or(deferred_hard_state);
         let mut values = values.to_vec();
         if self.reported_progress_changed {
             self.reported_progress_changed = false;
             values.push(NodeValue::ReportedProgress(&self.reported_progress));
         }
         if let Err(error) = storage.write(&write, &values) {
-            self.fail(error);
+            self.handle_storage_failure(error);
             return false;
         }
         log_last_entry(&write);
         true
     }
 
-    /// Takes the steps of the consensus until there is none, and sends the status if it has changed.
+    /// Processes the steps of the Raft node until there are none left, and sends the status if it has changed.
     fn process_ready(&mut self) {
         while let Some(Some(ready)) = self.with_node(RaftNode::next_ready) {
             if !self.process_step(ready) {
@@ -262,14 +265,14 @@
         }
     }
 
-    /// Takes one step. Returns false where storage has failed.
+    /// Processes one step of the Raft node. Returns false if storage has failed.
     fn process_step(&mut self, mut ready: PendingReady) -> bool {
         let confirmed_checks = self.node.take_confirmed_checks();
         let independent_messages = std::mem::take(&mut ready.messages);
         if !independent_messages.is_empty() {
             self.emit(StoreEvent::RaftMessages(independent_messages));
         }
-        let write = self.delay_commit(ready.write.clone());
+        let write = self.defer_commit_index(ready.write.clone());
         if !write.is_empty() && !self.write(write, &[]) {
             return false;
         }
@@ -277,7 +280,7 @@
         else {
             return true;
         };
-        // Only now: nothing may be appended within a step.
+        // Proposals may be appended only after the step is completed.
         self.append_confirmed(&confirmed_checks);
         if !messages.is_empty() {
             self.emit(StoreEvent::RaftMessages(messages));
@@ -289,15 +292,16 @@
         true
     }
 
-    /// Takes a commit index out of a write that has nothing else: it is not worth a write of its own.
-    fn delay_commit(&mut self, mut write: RaftWrite) -> RaftWrite {
+    /// Empties a write in which only the commit index has changed, and defers that index to the next write, since it
+    /// is not worth a disk write of its own.
+    fn defer_commit_index(&mut self, mut write: RaftWrite) -> RaftWrite {
         let Some(hard_state) = write.hard_state else { return write };
-        if hard_state.cast_vote() != self.node.written_vote() {
+        if hard_state.current_vote() != self.node.persisted_vote() {
             return write;
         }
         write.hard_state = None;
         if write.is_empty() {
-            self.delayed_commit = Some(hard_state);
+            self.deferred_hard_state = Some(hard_state);
         } else {
             write.hard_state = Some(hard_state);
         }
@@ -320,8 +324,8 @@
     }
 }
 
-/// Logs the last entry that storage holds now. The checks of the test cluster's logs compare these lines with those on
-/// committed entries.
+/// Logs the last entry that storage holds after a write. The test kit compares these lines with those about committed
+/// entries.
 fn log_last_entry(write: &RaftWrite) {
     let last_entry = write.entries.last().map(LogEntry::id);
     let last_entry = last_entry.or_else(|| write.snapshot.as_ref().map(SnapshotRecord::last_entry));
--- a/src/store/store_thread/commands.rs
+++ b/src/store/store_thread/commands.rs
@@ -1,4 +1,4 @@
-//! What the store's thread does on each command.
+//! The handling of commands by the store's thread.
 
 use super::{StoreCommand, StoreEvent, StoreThread};
 use crate::ids::NodeId;
@@ -42,7 +42,7 @@
 
     fn receive(&mut self, messages: Vec<RaftMessage>) {
         for message in messages {
-            self.note_reported_progress(&message);
+            self.record_reported_progress(&message);
             let is_accepted =
                 self.participating && self.with_node(|node| node.receive(message)) == Some(true);
             if !is_accepted {
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Remembers what a message says of its sender's storage. Entries that this node does not hold are left out: their
-    /// term is not known here.
-    fn note_reported_progress(&mut self, message: &RaftMessage) {
+    /// Records the progress that a message implies about its sender's storage. Acknowledged entries that are not in
+    /// this node's log are ignored, since their term is unknown here.
+    fn record_reported_progress(&mut self, message: &RaftMessage) {
         let Some(term) = message.persisted_term() else { return };
         let last_entry = match message.acknowledged_index() {
             Some(index) if index <= self.node.last_index() => {
@@ -63,9 +63,9 @@
         };
         let reported = PersistedProgress { boot_count: 0, term, last_entry };
         let known = self.reported_progress.entry(message.from).or_default();
-        let before = *known;
+        let previous = *known;
         known.advance_to(&reported);
-        if *known != before {
+        if *known != previous {
             self.reported_progress_changed = true;
         }
     }
@@ -74,17 +74,17 @@
         if !self.node.is_leader() || self.proposals.was_appended(&proposal) {
             return;
         }
-        if proposal.change.only_restricts() {
+        if proposal.change.only_removes_hosts_from_service() {
             self.append(&proposal);
-        } else if let Some(check) = self.proposals.await_check(proposal, self.limits.fleet_nodes) {
+        } else if let Some(check) = self.proposals.add_unconfirmed(proposal, self.limits.fleet_nodes) {
             self.with_node(|node| node.request_leadership_check(check));
         }
     }
 
-    /// Appends a proposal to the log.
+    /// Appends a proposal to the log, if this node is still the leader.
     pub(super) fn append(&mut self, proposal: &Proposal) {
         if self.with_node(|node| node.propose(proposal)) == Some(true) {
-            self.proposals.note_appended(proposal);
+            self.proposals.record_appended(proposal);
         }
     }
 
@@ -105,9 +105,9 @@
         self.start_fleet(&RaftPersistentState::force_new_fleet(state, self.node.id(), last));
     }
 
-    /// Starts a fleet that has this node as its only voter.
+    /// Replaces the stored consensus state with that of a fleet whose only voter is this node, and starts an election.
     fn start_fleet(&mut self, persisted: &RaftPersistentState) {
-        self.delayed_commit = None;
+        self.deferred_hard_state = None;
         if self.write(persisted.full_write(), &[]) {
             self.participating = true;
             self.reload_node();
@@ -134,7 +134,7 @@
         let Some(storage) = self.storage.take() else { return };
         match storage.reset_identity(reason) {
             Ok(storage) => self.start_as_new_node(storage),
-            Err(error) => self.fail(error),
+            Err(error) => self.handle_storage_failure(error),
         }
     }
 
@@ -142,7 +142,7 @@
         let identity = storage.identity.clone();
         match RaftNode::new(identity.id, RaftPersistentState::default()) {
             Ok(node) => self.node = node,
-            Err(error) => return self.fail(error.into()),
+            Err(error) => return self.handle_storage_failure(error.into()),
         }
         self.storage = Some(storage);
         self.boot_count = identity.boot_count;
--- a/src/store/store_thread/interface.rs
+++ b/src/store/store_thread/interface.rs
@@ -1,4 +1,4 @@
-//! What the fleet exchanges with the store's thread.
+//! Commands, events and status that the fleet exchanges with the store's thread.
 
 use crate::ids::NodeId;
 use crate::store::error::StoreError;
@@ -15,44 +15,45 @@
 /// A command to the store's thread.
 #[derive(Debug)]
 pub enum StoreCommand {
-    /// Messages from peers.
+    /// Delivers Raft messages from peers.
     RaftMessages(Vec<RaftMessage>),
     /// Proposes a change, if this node is the leader.
     ///
-    /// A change that only restricts is appended at once, any other once a majority has confirmed that this node is
-    /// still the leader: a leader that is cut off would append a change that could be committed long after its
-    /// requester has given it up.
+    /// A change that only removes hosts from service is appended at once. Any other change is appended once a majority
+    /// has confirmed that this node is still the leader. Otherwise an isolated leader would append a change that could
+    /// be committed long after its requester has given up on it.
     Propose(Proposal),
-    /// Proposes a change of the membership, if this node is the leader.
+    /// Proposes a membership change, if this node is the leader.
     ChangeMembership(MembershipChange),
-    /// Writes the pending drains.
+    /// Writes the pending drains in place of the stored ones.
     PersistDrains {
-        /// All of them.
+        /// All drains that are pending.
         drains: Vec<PendingDrain>,
-        /// Their version. [`StoreEvent::DrainsPersisted`] returns it.
+        /// The version of the list, which [`StoreEvent::DrainsPersisted`] reports once it is written.
         version: u64,
     },
-    /// Writes what gossip has spread about endpoints, encoded by the fleet.
+    /// Writes the gossip about endpoints, as bytes that the fleet encodes.
     PersistGossip(Vec<u8>),
     /// Founds a fleet with this state, if this node belongs to none.
     FoundFleet(Box<ClusterState>),
-    /// Starts a fleet that has this node as its only member and continues from this state. An operator orders it.
+    /// Starts a fleet with this node as its only member that continues from this state. An operator requests it.
     ForceNewFleet(Box<ClusterState>),
-    /// Takes part in the consensus: enough voters have compared this node's storage with its earlier reports.
+    /// Starts to participate in the consensus, after enough voters have compared this node's storage with its earlier
+    /// reports.
     StartParticipating,
-    /// Gives up this node's identity.
+    /// Discards this node's identity, and continues as a new node.
     ResetIdentity(IdentityResetReason),
-    /// Hands the leadership to another node, if this node is the leader.
+    /// Transfers the leadership to another node, if this node is the leader.
     TransferLeadership(NodeId),
-    /// Sends heartbeats at once, if this node is the leader: a peer that has just connected waits for one.
+    /// Sends heartbeats at once, if this node is the leader. Used when a peer has just connected and waits for one.
     BroadcastHeartbeat,
     /// Starts an election, if no leader is known.
     Campaign,
-    /// Reports what became of a snapshot in [`StoreEvent::RaftMessages`].
+    /// Reports whether a snapshot from [`StoreEvent::RaftMessages`] was sent.
     SnapshotSent {
-        /// The receiver.
+        /// The receiver of the snapshot.
         to: NodeId,
-        /// Whether it was handed to the connection.
+        /// Whether the snapshot was passed to the connection.
         delivery: SnapshotDelivery,
     },
     /// Reports that the connection to a peer is lost.
@@ -62,75 +63,76 @@
 /// An event of the store's thread.
 #[derive(Debug)]
 pub enum StoreEvent {
-    /// Messages to peers. Each of them may be lost.
+    /// Raft messages to send to peers. Any of them may be dropped.
     RaftMessages(Vec<RaftMessage>),
-    /// Entries that were committed, in order.
+    /// Entries that were committed and applied, in log order.
     Applied(Vec<AppliedEntry>),
-    /// The status has changed.
+    /// The new status, sent when it has changed.
     Status(Box<StoreStatus>),
     /// The pending drains of this version are written.
     DrainsPersisted(u64),
-    /// This node has a new identity, and belongs to no fleet.
+    /// This node has this new identity, and belongs to no fleet.
     IdentityReset(NodeIdentity),
-    /// Storage has failed. This node takes no further part in the consensus.
+    /// Storage has failed. This node no longer participates in the consensus.
     StorageFailed(StoreError),
 }
 
-/// The status of a node's part in the consensus.
+/// The status of a node in the consensus.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreStatus {
-    /// The leader that this node knows; [`NodeId::NOBODY`]: none.
+    /// The leader of the current term, or [`NodeId::NOBODY`] if this node knows none.
     pub leader: NodeId,
-    /// The current term.
+    /// The term that this node is in.
     pub term: u64,
     /// The index of the last entry that is known to be committed.
     pub committed: u64,
     /// The index of the last applied entry.
     pub applied: u64,
-    /// How far this node's storage is, as it reports it to peers.
+    /// The progress of this node's storage, which it reports to peers.
     pub own_progress: PersistedProgress,
-    /// The node takes part in the consensus.
+    /// Whether the node participates in the consensus.
     pub participating: bool,
-    /// The voters and learners.
+    /// The voters and learners after the last applied entry.
     pub configuration: Configuration,
-    /// How far each node has replicated the log; empty where this node is not the leader.
+    /// How far each node has replicated the log; empty if this node is not the leader.
     pub peer_progress: Vec<PeerProgress>,
-    /// The size of the log in memory.
+    /// The size of the log entries in memory.
     pub log_size: LogSize,
-    /// How far each peer has reported its storage to be.
+    /// The furthest progress that each peer has reported for its storage.
     pub reported_progress: BTreeMap<NodeId, PersistedProgress>,
-    /// Messages that were dropped: malformed ones, and all while this node takes no part.
+    /// The number of Raft messages that were dropped, because they were malformed or because this node did not
+    /// participate.
     pub dropped_messages: u64,
-    /// How often the consensus library has panicked, and its state was read again from storage.
+    /// How often the `raft` crate has panicked and its state was reloaded from storage.
     pub raft_restarts: u64,
-    /// Writes to storage since the start, each of them synced.
+    /// The number of synced writes to storage since the start; 0 after storage has failed.
     pub disk_writes: u64,
 }
 
-/// What a store holds at the start, before its thread runs.
+/// The data of a store at the start, before its thread runs.
 pub struct OpenedStore {
-    /// Who this node is.
+    /// The identity of this node.
     pub identity: NodeIdentity,
-    /// The replicated state.
+    /// The replicated state after the last entry that is known to be applied.
     pub state: ClusterState,
-    /// The status.
+    /// The initial status.
     pub status: StoreStatus,
-    /// The drains that are not known to be committed: those that storage kept as pending, and those in uncommitted
-    /// entries.
+    /// The drains that are not known to be committed: the pending ones in storage, and those in log entries that are
+    /// not applied yet.
     pub drains: Vec<PendingDrain>,
-    /// What gossip had spread about endpoints, encoded by the fleet.
+    /// The gossip about endpoints, as bytes that the fleet encodes; `None` if none was stored.
     pub gossip: Option<Vec<u8>>,
-    /// The contents of a store file of version 0.2.0 that this store replaces.
+    /// The contents of a store file of version 0.2.0 that this store has replaced.
     pub legacy: Option<LegacyStore>,
 }
 
 /// A store whose thread runs.
 pub struct RunningStore {
-    /// What it held at the start.
+    /// The data of the store at the start.
     pub opened: OpenedStore,
-    /// Commands to the thread. The queue is bounded. The thread ends when the last sender is dropped.
+    /// Sends commands to the thread. The queue is bounded. The thread ends when the last sender is dropped.
     pub commands: SyncSender<StoreCommand>,
-    /// Events of the thread. The queue is unbounded: the fleet's thread takes them as they come, and drops messages that
-    /// it cannot send.
+    /// Receives events from the thread. The queue is unbounded; the fleet's thread drains it as events arrive, and
+    /// drops messages that it cannot send.
     pub events: Receiver<StoreEvent>,
 }
--- a/src/store/zone_weights.rs
+++ b/src/store/zone_weights.rs
@@ -1,40 +1,42 @@
-//! The committed traffic weights of zones: which part of its usual reads each zone gets, and why. No I/O.
+//! The committed traffic weights of zones: the share of its usual reads that each zone receives, and the reason for
+//! it.
 
 use serde::{Deserialize, Serialize};
 
-/// The weight of a zone that gets all of its usual reads, in thousandths.
+/// The weight, in thousandths, of a zone that receives all of its usual reads.
 pub const FULL_WEIGHT_PERMILLE: u16 = 1000;
 
-/// Why a zone has its weight. Operators read the names of the variants, as `Debug` prints them, in answers and in the
-/// log; their order is part of the stored format.
+/// Why a zone has its weight. Operators see the variant names, as `Debug` prints them, in answers of the store's
+/// server and in the log. The order of the variants is part of the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WeightReason {
     /// The zone is in service, or its weight is being raised step by step.
     Returns,
-    /// No endpoint of the zone was reached.
+    /// No endpoint of the zone could be reached.
     Lost,
-    /// The zone's endpoints answered late.
+    /// The endpoints of the zone answered late.
     Slow,
-    /// An operator has set the weight: only an operator's command changes it.
+    /// An operator has set the weight. Only another command of an operator changes it.
     Operator,
 }
 
-/// The weight of a zone.
+/// The traffic weight of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneWeight {
-    /// The thousandths of its usual reads that the zone gets; at most [`FULL_WEIGHT_PERMILLE`].
+    /// The share of its usual reads that the zone receives, in thousandths; at most [`FULL_WEIGHT_PERMILLE`].
     pub permille: u16,
-    /// Why.
+    /// Why the zone has this weight.
     pub reason: WeightReason,
-    /// The number of changes of this zone's weight. A change is committed only if it follows the last one, so that a
-    /// decision on an older weight cannot undo a newer one.
+    /// The number of changes of this zone's weight. A change takes effect only if its version is the next one, so that
+    /// a decision based on an outdated weight cannot overwrite a newer weight.
     pub version: u64,
-    /// How often in a row the zone was evacuated again soon after its return. Grows the wait before the next return.
+    /// How many times in a row the zone was evacuated again soon after its return. Each time lengthens the wait before
+    /// the next return.
     pub failed_returns: u8,
 }
 
 impl Default for ZoneWeight {
-    /// The weight of a zone that was never changed.
+    /// The weight of a zone whose weight was never changed.
     fn default() -> ZoneWeight {
         ZoneWeight {
             permille: FULL_WEIGHT_PERMILLE,
@@ -46,7 +48,7 @@
 }
 
 impl ZoneWeight {
-    /// The weight after the next change of the zone. More than [`FULL_WEIGHT_PERMILLE`] counts as that.
+    /// The next version of the weight, with a new share and reason. `permille` is capped at [`FULL_WEIGHT_PERMILLE`].
     pub fn next(&self, permille: u16, reason: WeightReason) -> ZoneWeight {
         ZoneWeight {
             permille: permille.min(FULL_WEIGHT_PERMILLE),
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -102,7 +102,7 @@
     assert_eq!(node.configuration(), configuration);
     assert_eq!((node.applied(), node.committed(), node.last_index(), node.term()), (27, 27, 28, 4));
     assert_eq!(
-        (node.written_vote(), node.term_at(18), node.term_at(28)),
+        (node.persisted_vote(), node.term_at(18), node.term_at(28)),
         (Vote { term: 4, candidate: B2 }, 2, 4)
     );
 }
