--- a/src/daemon/operator/fleet_startup.rs
+++ b/src/daemon/operator/fleet_startup.rs
@@ -53,8 +53,8 @@
         None => DurableStorage::in_memory(),
     };
     let storage = opened?;
-    for note in &storage.contents.notes {
-        log::warn!("{note}");
+    for warning in &storage.contents.warnings {
+        log::warn!("{warning}");
     }
     let listener = bind(config.store.listen)?;
     let address = listener.get_ref().local_addr().unwrap_or(config.store.listen);
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -1,60 +1,61 @@
-//! Why a store cannot be opened, read or written, and what can be wrong with what it holds.
+//! Errors of opening, reading and writing a store, and the kinds of damage that a store can have.
 
 use super::raft_node::InvalidRaftState;
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A store cannot be used: the node does not start, or it takes no further part in the consensus and serves with the
-/// state that it has. Operators read the text in the log, and as the reason in the fleet's description.
+/// Why a store cannot be used. At startup it keeps the node from starting; later the node stops participating in the
+/// consensus and serves with the state that it has. Operators read the text in the log, and as the reason in the
+/// fleet's description.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The file cannot be read, renamed or created. An operator checks its path, permissions and file system.
+    /// The file cannot be read, renamed or created. The operator has to check its path, permissions and file system.
     #[error("{}: {source}", path.display())]
     File {
         /// The store's file.
         path: PathBuf,
-        /// The operating system's reason.
+        /// The error that the operating system returned.
         source: io::Error,
     },
-    /// Two processes are configured with the same file. An operator gives each one its own.
-    #[error("{}: another process has it", path.display())]
+    /// Another process has the file open. Two processes are configured with the same file; each needs its own.
+    #[error("{}: it is in use by another process", path.display())]
     InUse {
         /// The store's file.
         path: PathBuf,
     },
-    /// The database in the file cannot be written while it is opened.
+    /// The database could not be written while the store was being opened.
     #[error("{}: {source}", path.display())]
     Initialization {
         /// The store's file.
         path: PathBuf,
-        /// The database's reason.
+        /// The error that the database returned.
         source: Box<redb::Error>,
     },
-    /// The database cannot be read or written. An operator checks the disk.
+    /// The database cannot be read or written. The operator has to check the disk.
     #[error("{0}")]
     Database(#[source] Box<redb::Error>),
-    /// What is stored cannot be used.
+    /// The stored data is damaged or of an unsupported format.
     #[error(transparent)]
     Damaged(#[from] DamagedStore),
-    /// What is stored contradicts itself.
+    /// The stored consensus state violates an invariant.
     #[error(transparent)]
     InvalidRaftState(#[from] InvalidRaftState),
-    /// The store's thread cannot be started.
-    #[error("store: {0}")]
+    /// The operating system refused to start the store's thread.
+    #[error("store: cannot start the thread: {0}")]
     Thread(#[source] io::Error),
-    /// The storage was closed after an earlier failure.
-    #[error("no disk")]
+    /// The storage was closed after an earlier failure, so the consensus state cannot be read from it.
+    #[error("the storage is closed after an earlier failure")]
     StorageClosed,
 }
 
 impl StoreError {
-    /// A failed operation on a store's file.
+    /// The error of an operation on the file at `path`.
     pub(super) fn file(path: &Path, source: io::Error) -> StoreError {
         StoreError::File { path: path.to_path_buf(), source }
     }
 
-    /// A failed write while a store's file is opened.
+    /// The error of a write while the store at `path` is being opened.
     pub(super) fn initialization(path: &Path, source: redb::Error) -> StoreError {
         StoreError::Initialization { path: path.to_path_buf(), source: Box::new(source) }
     }
@@ -66,39 +67,40 @@
     }
 }
 
-/// Why a file is not used as this node's store. It is set aside under another name, and the node starts as a new one.
+/// Why a file cannot be used as this node's store. The file is renamed, and the node starts with a new identity.
 #[derive(Debug, Error)]
 pub enum DamagedStore {
     /// The database cannot be opened or read.
     #[error("{0}")]
     Database(#[source] Box<redb::Error>),
-    /// The database library panicked over the file.
-    #[error("it cannot be read")]
+    /// The database library panicked while it read the file.
+    #[error("the database library panicked while reading it")]
     Unreadable,
-    /// A value is there, but not whole.
+    /// A value fails its checksum or cannot be decoded.
     #[error("{key} is damaged")]
     Value {
-        /// The key in the `meta` table.
+        /// The value's key in the `meta` table.
         key: &'static str,
     },
-    /// An entry of the log is not whole, or lies under the index of another one.
-    #[error("entry {index} is damaged")]
+    /// A log entry fails its checksum, cannot be decoded, or is stored under the index of another entry.
+    #[error("log entry {index} is damaged")]
     Entry {
-        /// The index under which it lies.
+        /// The index under which it is stored.
         index: u64,
     },
-    /// The store is of a format that this version does not know.
-    #[error("a store of form {found}, not {supported}")]
+    /// This version does not support the format of the store.
+    #[error("store format {found} is not supported; this version reads format {supported}")]
     UnknownFormat {
-        /// The version that the file states.
+        /// The format version in the file.
         found: u32,
-        /// The version that this program reads.
+        /// The format version that this program reads.
         supported: u32,
     },
-    /// The store does not say whose it is.
-    #[error("no identity")]
+    /// The store has no node identity.
+    #[error("the node identity is missing")]
     NoIdentity,
-    /// The file lies elsewhere than the one that was written: the original may be in use by another process.
+    /// The device and inode differ from those of the file that was written, so the original may still be in use by
+    /// another process.
     #[error("it is a copy of another file")]
     Copy,
 }
--- a/src/store/legacy.rs
+++ b/src/store/legacy.rs
@@ -1,5 +1,5 @@
-//! The store file of version 0.2.0, a text that one process wrote for itself. It is read once, and its contents are
-//! proposed to the fleet.
+//! The store file of version 0.2.0, a text file that held the state of a single process. It is imported once: its
+//! contents are proposed to the fleet.
 
 use super::records::{HostRecord, NamedHost};
 use super::state_machine::Change;
@@ -7,81 +7,81 @@
 use crate::time::Timestamp;
 use thiserror::Error;
 
-/// The first line of such a file.
+/// The first line of a store file of version 0.2.0.
 pub const HEADER: &str = "brookpass-store 1";
-/// The last line. A file without it was cut short.
+/// The last line. A file without it is truncated.
 const END: &str = "end";
 
-/// The contents of such a file.
+/// The contents of a store file of version 0.2.0.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LegacyStore {
     /// The hosts of the inventory.
     pub hosts: Vec<NamedHost>,
     /// When the inventory was last changed.
-    pub hosts_changed: Timestamp,
+    pub hosts_changed_at: Timestamp,
     /// The names of drained hosts.
     pub drains: Vec<String>,
-    /// The settings of the service.
+    /// The settings of the service; `None` if the file has none.
     pub settings: Option<LegacySettings>,
 }
 
-/// The settings in such a file.
+/// The settings in a store file of version 0.2.0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LegacySettings {
-    /// A line for each path.
+    /// One `path=value` line for each setting.
     pub text: String,
     /// When they were last changed.
     pub changed_at: Timestamp,
 }
 
-/// Why such a file is not used.
+/// Why a store file of version 0.2.0 cannot be imported.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LegacyError {
-    /// The file is not text.
+    /// The file is not UTF-8.
     #[error("{0}")]
     NotUtf8(std::str::Utf8Error),
-    /// A line cannot be read.
-    #[error("line {line}: {fault}")]
+    /// A line is malformed.
+    #[error("line {line}: {error}")]
     Line {
-        /// The number of the line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// What is wrong with it.
-        fault: LineFault,
+        /// Why the line is rejected.
+        error: LegacyLineError,
     },
 }
 
-/// What is wrong with a line of such a file.
+/// Why a line of a store file of version 0.2.0 is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum LineFault {
+pub enum LegacyLineError {
     /// The first line is not [`HEADER`].
-    #[error("not a store of this form")]
+    #[error("not the header of a store file of version 0.2.0")]
     Header,
-    /// A line comes after the last one.
-    #[error("something after the end")]
+    /// A line follows the `end` line.
+    #[error("data after the end line")]
     AfterEnd,
-    /// The last line is missing.
-    #[error("the file is cut short")]
-    CutShort,
-    /// The record has more or fewer fields.
-    #[error("a record has four fields")]
+    /// The `end` line is missing.
+    #[error("the file is truncated")]
+    Truncated,
+    /// The record does not have four tab-separated fields.
+    #[error("a record must have four fields")]
     FieldCount,
-    /// A backslash is not followed by one of its letters.
-    #[error("a broken escape")]
+    /// A backslash is followed by none of `\\`, `t`, `n` and `r`.
+    #[error("invalid escape sequence")]
     Escape,
-    /// The last field starts neither with `+` nor is it `-`.
-    #[error("neither a value nor a removal")]
-    ValueMark,
+    /// The last field neither starts with `+` nor equals `-`.
+    #[error("the last field is neither a value nor a removal")]
+    ValuePrefix,
     /// The value is not a number of microseconds.
-    #[error("no such time")]
+    #[error("invalid time")]
     Time,
-    /// The value does not describe a host.
-    #[error("no such host")]
+    /// The value does not have the six parts of a host.
+    #[error("invalid host")]
     Host,
 }
 
 impl LegacyStore {
-    /// The changes that bring a fleet without any state to these contents. Drains are not among them: the node requests
-    /// them as its own.
+    /// The changes that import these contents into a fleet without any state. `read_by` is the name of the importing
+    /// node. Drains are not included: the node requests them under its own id.
     pub fn changes(&self, read_by: &str) -> Vec<Change> {
         let mut changes = Vec::new();
         if let Some(settings) = &self.settings {
@@ -94,7 +94,7 @@
         if !self.hosts.is_empty() {
             changes.push(Change::Inventory {
                 read_by: read_by.to_string(),
-                changed_at: self.hosts_changed,
+                changed_at: self.hosts_changed_at,
                 base_version: 0,
                 upserts: self.hosts.clone(),
                 removals: Vec::new(),
@@ -104,23 +104,23 @@
     }
 }
 
-/// Reads such a file.
+/// Parses a store file of version 0.2.0.
 ///
 /// # Errors
 ///
-/// A line cannot be read, or the last one is missing. Nothing of such a file is used: a part of its drains would be
-/// worse than none.
+/// A line is malformed, or the `end` line is missing. Then nothing is imported, since importing only some of the
+/// drains would be worse than importing none.
 pub fn parse(text: &str) -> Result<LegacyStore, LegacyError> {
     let mut parser = Parser::default();
     let mut last_line = 0;
     for (position, content) in text.lines().enumerate() {
         let line = position + 1;
         last_line = line;
-        let parsed = if line == 1 { check_header(content) } else { parser.line(content) };
-        parsed.map_err(|fault| LegacyError::Line { line, fault })?;
+        let parsed = if line == 1 { check_header(content) } else { parser.parse_line(content) };
+        parsed.map_err(|error| LegacyError::Line { line, error })?;
     }
     if !parser.has_ended {
-        return Err(LegacyError::Line { line: last_line + 1, fault: LineFault::CutShort });
+        return Err(LegacyError::Line { line: last_line + 1, error: LegacyLineError::Truncated });
     }
     let mut store = parser.store;
     let changed_at = parser.settings_changed_at;
@@ -128,11 +128,11 @@
     Ok(store)
 }
 
-fn check_header(content: &str) -> Result<(), LineFault> {
-    if content == HEADER { Ok(()) } else { Err(LineFault::Header) }
+fn check_header(content: &str) -> Result<(), LegacyLineError> {
+    if content == HEADER { Ok(()) } else { Err(LegacyLineError::Header) }
 }
 
-/// What the lines before have brought.
+/// What has been parsed so far.
 #[derive(Default)]
 struct Parser {
     store: LegacyStore,
@@ -142,28 +142,28 @@
 }
 
 impl Parser {
-    /// Reads a record: a sequence number, the writer's name, a key, and `+value` or `-`.
-    fn line(&mut self, content: &str) -> Result<(), LineFault> {
+    /// Parses a record: a sequence number, the writer's name, a key, and `+value` or `-`, which removes the key.
+    fn parse_line(&mut self, content: &str) -> Result<(), LegacyLineError> {
         if self.has_ended {
-            return Err(LineFault::AfterEnd);
+            return Err(LegacyLineError::AfterEnd);
         }
         if content == END {
             self.has_ended = true;
             return Ok(());
         }
         let fields: Vec<&str> = content.split('\t').collect();
-        let &[_, _, key, marked_value] = &fields[..] else { return Err(LineFault::FieldCount) };
-        let key = unescape(key).ok_or(LineFault::Escape)?;
+        let &[_, _, key, marked_value] = &fields[..] else { return Err(LegacyLineError::FieldCount) };
+        let key = unescape(key).ok_or(LegacyLineError::Escape)?;
         match marked_value.split_at_checked(1) {
-            Some(("+", value)) => self.value(&key, unescape(value).ok_or(LineFault::Escape)?),
+            Some(("+", value)) => self.parse_value(&key, unescape(value).ok_or(LegacyLineError::Escape)?),
             Some(("-", "")) => Ok(()),
-            _ => Err(LineFault::ValueMark),
+            _ => Err(LegacyLineError::ValuePrefix),
         }
     }
 
-    fn value(&mut self, key: &str, value: String) -> Result<(), LineFault> {
+    fn parse_value(&mut self, key: &str, value: String) -> Result<(), LegacyLineError> {
         if let Some(name) = key.strip_prefix("host/") {
-            let host = parse_host(&value).ok_or(LineFault::Host)?;
+            let host = parse_host(&value).ok_or(LegacyLineError::Host)?;
             self.store.hosts.push(NamedHost { name: name.to_string(), host });
             return Ok(());
         }
@@ -172,7 +172,7 @@
             return Ok(());
         }
         match key {
-            "inventory/changed" => self.store.hosts_changed = parse_time(&value)?,
+            "inventory/changed" => self.store.hosts_changed_at = parse_time(&value)?,
             "config/changed" => self.settings_changed_at = parse_time(&value)?,
             "config/settings" => self.settings_text = Some(value),
             _ => {}
@@ -181,23 +181,23 @@
     }
 }
 
-fn parse_time(value: &str) -> Result<Timestamp, LineFault> {
-    value.parse().map(Timestamp::from_micros).map_err(|_| LineFault::Time)
+fn parse_time(value: &str) -> Result<Timestamp, LegacyLineError> {
+    value.parse().map(Timestamp::from_micros).map_err(|_| LegacyLineError::Time)
 }
 
-/// Reads a host: address, group, zone, weight, status, and the milliseconds at which it started, or 0.
+/// Parses a host: its address, group, zone, weight, status, and start time in milliseconds, which is 0 if unknown.
 fn parse_host(value: &str) -> Option<HostRecord> {
     let parts: Vec<&str> = value.split(' ').collect();
     let &[address, group, zone, weight, status, started_at] = &parts[..] else { return None };
     let started_at_ms: i64 = started_at.parse().ok()?;
-    let has_started_at = started_at_ms > 0;
+    let is_start_known = started_at_ms > 0;
     Some(HostRecord {
         address: address.parse().ok()?,
         group: GroupId(group.parse().ok()?),
         zone: ZoneId(zone.parse().ok()?),
         weight: weight.parse().ok()?,
         draining: status != "active",
-        started_at: has_started_at.then(|| Timestamp::from_micros(started_at_ms.saturating_mul(1000))),
+        started_at: is_start_known.then(|| Timestamp::from_micros(started_at_ms.saturating_mul(1000))),
     })
 }
 
--- a/src/store/legacy/tests.rs
+++ b/src/store/legacy/tests.rs
@@ -1,4 +1,4 @@
-//! Store files of version 0.2.0, whole and damaged.
+//! Import of store files of version 0.2.0, intact and damaged.
 
 use super::*;
 
@@ -7,28 +7,28 @@
                     4\ta.1\tinventory/changed\t+9\npending\t\tdrain/s-3\t+1\nend\n";
 
 #[test]
-fn a_whole_file_is_read() {
+fn an_intact_file_is_parsed() {
     let store = parse(FILE).unwrap();
-    assert_eq!(store.drains, ["s-1", "s-3"], "also one that had no sequence number yet");
+    assert_eq!(store.drains, ["s-1", "s-3"], "including one without a sequence number");
     assert_eq!(
         store.settings,
         Some(LegacySettings { text: "x=1\ny=2\n".to_string(), changed_at: Timestamp::from_micros(7) })
     );
-    assert_eq!((store.hosts_changed, store.hosts.len()), (Timestamp::from_micros(9), 1));
+    assert_eq!((store.hosts_changed_at, store.hosts.len()), (Timestamp::from_micros(9), 1));
     let host = &store.hosts[0].host;
     assert_eq!((host.started_at, host.weight), (Some(Timestamp::from_micros(12_000)), 0.5));
     assert_eq!(store.changes("b1").len(), 2);
 }
 
-/// Guards against a file of which only a part is used.
+/// Guards against importing only a part of a damaged file.
 #[test]
-fn a_file_that_is_cut_short_or_changed_is_refused_with_its_line() {
+fn a_truncated_or_malformed_file_is_rejected_with_the_line_number() {
     for (text, expected) in [
-        (FILE.replace("end\n", ""), "line 9: the file is cut short"),
-        (FILE.replace("\t+7", "\t+x"), "line 2: no such time"),
-        (FILE.replace("active 12", "active"), "line 6: no such host"),
-        (FILE.replace("\\n\n", "\\q\n"), "line 3: a broken escape"),
-        (FILE.replace("end\n", "end\nmore\n"), "line 10: something after"),
+        (FILE.replace("end\n", ""), "line 9: the file is truncated"),
+        (FILE.replace("\t+7", "\t+x"), "line 2: invalid time"),
+        (FILE.replace("active 12", "active"), "line 6: invalid host"),
+        (FILE.replace("\\n\n", "\\q\n"), "line 3: invalid escape sequence"),
+        (FILE.replace("end\n", "end\nmore\n"), "line 10: data after the end"),
     ] {
         let error = parse(&text).unwrap_err();
         assert!(error.to_string().starts_with(expected), "{error}");
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -1,9 +1,9 @@
-//! The durable storage of one node: its identity, the consensus state, pending drains, and what peers and endpoints
-//! have reported.
+//! The durable storage of one node: its identity, the consensus state, pending drains, the progress that peers have
+//! reported, and gossip about endpoints.
 //!
-//! A crash-safe embedded database (`redb`) holds two tables. `meta` has one value for each of the keys in `key`, `log` has
-//! the entries by index. Each value has a checksum of its own, besides those of the database: see [`super::codec`].
-//! Every write is synced before it counts.
+//! The storage is a crash-safe embedded database (`redb`) with two tables: `meta` has one value for each key in the
+//! module `key`, and `log` has the log entries by index. Each value has its own checksum in addition to those of the
+//! database; see [`super::codec`]. Every write is synced before it is reported as done.
 
 mod identity;
 mod open;
@@ -27,18 +27,20 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// Values by key. The name is part of the stored format.
+/// The table of single values by key. Its name is part of the stored format.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// Entries of the log by index. The name is part of the stored format.
+/// The table of log entries by index. Its name is part of the stored format.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
-/// The version of the stored format. A store of another version is set aside.
+/// The version of the stored format. A store of another version is renamed and replaced by a new one.
 const FORMAT_VERSION: u32 = 1;
 
-/// The database's page cache. A store is a few megabytes at most, and is read once, at the start.
+/// Size of the database's page cache. It can be small, since a store is at most a few megabytes large and is normally
+/// read only once, at the start.
 const CACHE_BYTES: usize = 1 << 20;
 
-/// The keys of the `meta` table. They are part of the stored format, and older than the names of what they hold.
+/// The keys of the `meta` table. They are part of the stored format and keep their values; the names of the constants
+/// are newer.
 mod key {
     /// [`super::FORMAT_VERSION`].
     pub const FORMAT: &str = "form";
@@ -50,60 +52,60 @@
     pub const SNAPSHOT: &str = "snapshot";
     /// [`super::CompactionRecord`].
     pub const COMPACTED: &str = "dropped";
-    /// The list of pending drains.
+    /// The list of [`super::PendingDrain`].
     pub const PENDING_DRAINS: &str = "marks";
-    /// The furthest progress that each peer has reported.
+    /// The furthest [`super::PersistedProgress`] that each peer has reported, by node.
     pub const REPORTED_PROGRESS: &str = "witnesses";
-    /// What gossip has spread about endpoints, encoded by the fleet.
+    /// The gossip about endpoints, as bytes that the fleet encodes.
     pub const GOSSIP: &str = "learned";
 }
 
-/// What a node's storage held at the start.
+/// The contents of a node's storage at startup.
 #[derive(Clone, Debug, Default)]
 pub struct StoreContents {
-    /// The consensus state.
+    /// The consensus state; the default if the storage is new.
     pub raft: RaftPersistentState,
-    /// Drains that were not committed yet.
+    /// Drain requests that were not known to be committed.
     pub drains: Vec<PendingDrain>,
-    /// The furthest progress that each peer has reported of itself.
+    /// The furthest progress that each peer has reported for itself.
     pub reported_progress: BTreeMap<NodeId, PersistedProgress>,
-    /// What gossip had spread about endpoints, encoded by the fleet. It is only a first guess: a damaged value counts
-    /// as absent.
+    /// The gossip about endpoints, as bytes that the fleet encodes. It is used for first guesses only, so a damaged
+    /// value is treated as absent.
     pub gossip: Option<Vec<u8>>,
-    /// The contents of a store file of version 0.2.0, which this storage replaces.
+    /// The contents of a store file of version 0.2.0 that this storage has replaced.
     pub legacy: Option<LegacyStore>,
-    /// Files that were set aside, for the log.
-    pub notes: Vec<String>,
+    /// A log message for each file that was renamed because it was damaged or of version 0.2.0.
+    pub warnings: Vec<String>,
 }
 
-/// A node's storage and what it held.
+/// A node's storage, and its contents when it was opened.
 pub struct OpenedStorage {
-    /// The storage.
+    /// The open storage.
     pub storage: DurableStorage,
-    /// What it held.
+    /// What the storage contained.
     pub contents: StoreContents,
 }
 
-/// The durable storage of one node.
+/// The durable storage of one node. Only one process can have a store file open.
 pub struct DurableStorage {
     database: Database,
-    /// `None`: the storage lasts as long as the process.
+    /// The store file; `None` if the storage is in memory.
     path: Option<PathBuf>,
-    /// Who the node is.
+    /// The identity of the node.
     pub identity: NodeIdentity,
     write_count: Cell<u64>,
 }
 
-/// A value of the `meta` table that the consensus does not need.
+/// A value of the `meta` table that is not part of the consensus state.
 #[derive(Clone, Copy, Debug)]
 pub enum NodeValue<'a> {
-    /// Who the node is.
+    /// The identity of the node.
     Identity(&'a NodeIdentity),
-    /// All pending drains.
+    /// The complete list of pending drains.
     PendingDrains(&'a [PendingDrain]),
-    /// The furthest progress that each peer has reported of itself.
+    /// The furthest progress that each peer has reported for itself.
     ReportedProgress(&'a BTreeMap<NodeId, PersistedProgress>),
-    /// What gossip has spread about endpoints, encoded by the fleet.
+    /// The gossip about endpoints, as bytes that the fleet encodes.
     Gossip(&'a [u8]),
 }
 
@@ -130,21 +132,21 @@
 impl DurableStorage {
     /// Opens a node's store file, or creates it.
     ///
-    /// A damaged file, or a copy of another one, is set aside under another name, and the node starts as a new one. A
-    /// store file of version 0.2.0 is read, set aside and replaced.
+    /// A damaged file, or a copy of another file, is renamed, and the node starts with a new identity. A store file of
+    /// version 0.2.0 is imported, renamed and replaced.
     ///
     /// # Errors
     ///
-    /// No node can start with this path: another process has the file, or it cannot be accessed.
+    /// The file is in use by another process, or cannot be read, renamed, created or written.
     pub fn open(path: &Path) -> Result<OpenedStorage, StoreError> {
         open::open(path)
     }
 
-    /// Opens storage on any medium, or creates it there.
+    /// Opens storage on any backend of the database, or creates it there.
     ///
     /// # Errors
     ///
-    /// The medium cannot be read or written, or what it holds is damaged.
+    /// The backend cannot be read or written, or the stored data is damaged.
     pub fn on_backend(backend: impl StorageBackend) -> Result<OpenedStorage, StoreError> {
         let mut builder = Database::builder();
         let database = builder.set_cache_size(CACHE_BYTES).create_with_backend(backend);
@@ -159,26 +161,26 @@
         Ok(OpenedStorage { storage, contents: StoreContents::default() })
     }
 
-    /// Creates storage that lasts as long as the process.
+    /// Creates storage in memory. It is lost when the process ends.
     ///
     /// # Errors
     ///
-    /// None in practice: memory can be read and written.
+    /// None in practice, since reads and writes of memory do not fail.
     pub fn in_memory() -> Result<OpenedStorage, StoreError> {
         DurableStorage::on_backend(InMemoryBackend::new())
     }
 
-    /// Writes all of this or nothing, and returns when it is synced.
+    /// Writes `raft` and `values` in one transaction, and returns once it is synced.
     ///
     /// # Errors
     ///
-    /// The medium cannot be written. Whether the write took effect shows at the next start.
+    /// The backend cannot be written. It is unknown until the next start whether the write took effect.
     pub fn write(&self, raft: &RaftWrite, values: &[NodeValue<'_>]) -> Result<(), StoreError> {
         let transaction = begin_synced_write(&self.database)?;
         {
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
             let mut log = transaction.open_table(LOG).map_err(redb::Error::from)?;
-            write_raft(&mut meta, &mut log, raft)?;
+            write_raft_tables(&mut meta, &mut log, raft)?;
             for value in values {
                 insert(&mut meta, value.key(), &value.encode())?;
             }
@@ -188,22 +190,22 @@
         Ok(())
     }
 
-    /// The number of writes since the start, each of them synced.
+    /// The number of synced writes since the storage was opened.
     pub fn write_count(&self) -> u64 {
         self.write_count.get()
     }
 
-    /// Reads the consensus state again, as after a start.
+    /// Reads the consensus state, as at startup.
     ///
     /// # Errors
     ///
-    /// The medium cannot be read, or what it holds is damaged.
+    /// The backend cannot be read, or the stored data is damaged.
     pub fn read_raft_state(&self) -> Result<RaftPersistentState, StoreError> {
         let stored = read_store(&self.database)?;
         Ok(stored.map(|stored| stored.contents.raft).unwrap_or_default())
     }
 
-    /// Gives up this identity: the file is set aside, and the storage returned is that of a new node.
+    /// Discards the node's identity: renames the file, and returns the storage of a new node.
     ///
     /// # Errors
     ///
@@ -217,13 +219,13 @@
     }
 }
 
-/// What a store holds that has been created before.
+/// The data of an existing store.
 struct StoredNode {
     identity: NodeIdentity,
     contents: StoreContents,
 }
 
-/// Reads a store whole; `None`: it has not been created yet.
+/// Reads all data of a store. Returns `None` if the database has no store yet.
 fn read_store(database: &Database) -> Result<Option<StoredNode>, DamagedStore> {
     let transaction = database.begin_read()?;
     let meta = match transaction.open_table(META) {
@@ -256,7 +258,7 @@
     Ok(Some(StoredNode { identity, contents }))
 }
 
-/// Reads one value; `None`: there is none.
+/// Reads a value of the `meta` table. Returns `None` if the key is absent.
 fn read_value<T: DeserializeOwned>(
     table: &impl ReadableTable<&'static str, &'static [u8]>,
     key: &'static str,
@@ -281,7 +283,7 @@
     Ok(entries)
 }
 
-/// Creates the tables, with the identity of a new node.
+/// Creates the tables, and writes the identity of a new node.
 fn create_store(database: &Database) -> Result<NodeIdentity, redb::Error> {
     let identity = NodeIdentity { id: NodeId(fastrand::u64(1..)), boot_count: 1, file: FileId::default() };
     let transaction = begin_synced_write(database)?;
@@ -301,7 +303,7 @@
     Ok(transaction)
 }
 
-fn write_raft(
+fn write_raft_tables(
     meta: &mut Table<'_, &str, &[u8]>,
     log: &mut Table<'_, u64, &[u8]>,
     write: &RaftWrite,
@@ -317,7 +319,7 @@
         log.retain_in(..=compacted.index, |_, _| false)?;
     }
     if let Some(first) = write.entries.first() {
-        // The entries replace what an earlier leader had appended there.
+        // The entries replace uncommitted ones of an earlier leader.
         log.retain_in(first.index.., |_, _| false)?;
     }
     for entry in &write.entries {
--- a/src/store/storage/identity.rs
+++ b/src/store/storage/identity.rs
@@ -1,4 +1,4 @@
-//! Who a node is, which file its identity belongs to, and how far its storage is known to be.
+//! The identity of a node, the file that it is bound to, and the persisted progress that nodes report.
 
 use crate::ids::NodeId;
 use crate::store::records::EntryId;
@@ -8,17 +8,17 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-/// A file on this machine. A copy of a file has another id, a renamed file keeps its own.
+/// Identifies a file on this machine. A copy of a file has a different id; renaming keeps the id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileId {
-    /// The number of the device.
+    /// The number of the device, `st_dev`.
     pub device: u64,
-    /// The number of the file on the device.
+    /// The inode number on the device, `st_ino`.
     pub inode: u64,
 }
 
 impl FileId {
-    /// The id of the file at this path.
+    /// Reads the id of the file at `path`.
     ///
     /// # Errors
     ///
@@ -29,30 +29,30 @@
     }
 }
 
-/// A node's identity, as its storage keeps it.
+/// The identity of a node, which its storage keeps.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeIdentity {
     /// The node's id, drawn at random when the storage was created.
     pub id: NodeId,
-    /// The number of starts with this storage, this one included.
+    /// The number of starts with this storage, including the current one.
     pub boot_count: u64,
-    /// The file that the identity was written to. A copy of it must not vote under the same id.
+    /// The file that the identity was written to. A node that starts with a copy must not vote under the same id.
     pub file: FileId,
 }
 
-/// Why a node gives up its identity and continues as a new node.
+/// Why a node discards its identity and continues as a new node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdentityResetReason {
-    /// Peers remember more of this node than its storage holds: the storage was put back to an earlier copy.
+    /// Peers have seen more progress of this node than its storage holds: the storage was restored from an older copy.
     OutdatedStorage,
-    /// An operator founded a fleet that supersedes this node's.
+    /// An operator started a new fleet that replaces the fleet of this node.
     SupersededFleet,
-    /// What the storage holds contradicts itself.
+    /// The stored consensus state is invalid.
     Damaged,
 }
 
 impl IdentityResetReason {
-    /// What is appended to the name of the file that is set aside.
+    /// The suffix that the renamed store file gets.
     pub fn file_suffix(self) -> &'static str {
         match self {
             IdentityResetReason::OutdatedStorage => "older",
@@ -62,27 +62,28 @@
     }
 }
 
-/// How far a node has reported its storage to be. Peers keep the furthest report: storage that later holds less was put
-/// back to an earlier copy, and must not vote again in a term in which it has voted.
+/// The progress of a node's storage, as the node reports it to peers. Peers remember the furthest report. If the node
+/// later reports less, its storage was restored from an older copy, and it must not vote again in a term in which it
+/// has already voted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedProgress {
-    /// The number of starts.
+    /// The number of starts with this storage.
     pub boot_count: u64,
-    /// The term.
+    /// The term that the node has persisted.
     pub term: u64,
-    /// The last entry that the node has acknowledged.
+    /// The last entry that the node has persisted.
     pub last_entry: EntryId,
 }
 
 impl PersistedProgress {
-    /// Whether `reported` falls behind this in any respect.
+    /// Whether any field of `reported` is less than that of this progress.
     pub fn is_ahead_of(&self, reported: &PersistedProgress) -> bool {
         reported.boot_count < self.boot_count
             || reported.term < self.term
             || reported.last_entry < self.last_entry
     }
 
-    /// Takes the furthest of this and `reported`, in each respect.
+    /// Raises each field to that of `reported`, if that is greater.
     pub fn advance_to(&mut self, reported: &PersistedProgress) {
         self.boot_count = self.boot_count.max(reported.boot_count);
         self.term = self.term.max(reported.term);
--- a/src/store/storage/open.rs
+++ b/src/store/storage/open.rs
@@ -1,4 +1,4 @@
-//! Opening a store file: what to do about one that is damaged, copied, in use, or of version 0.2.0.
+//! Opens a store file, and handles files that are damaged, copied, in use, or of version 0.2.0.
 
 use super::{
     CACHE_BYTES, DurableStorage, FileId, NodeIdentity, NodeValue, OpenedStorage, StoreContents, StoredNode,
@@ -14,9 +14,9 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 
-/// The suffix of a file that is set aside because it cannot be used.
+/// The suffix of a file that was renamed because it cannot be used.
 const DAMAGED_SUFFIX: &str = "damaged";
-/// The suffix of a store file of version 0.2.0 after it was read.
+/// The suffix of a store file of version 0.2.0 that was imported.
 const LEGACY_SUFFIX: &str = "old";
 
 /// Opens a node's store file, or creates it. See [`DurableStorage::open`].
@@ -24,8 +24,8 @@
     let legacy = read_legacy(path)?;
     let damage = match open_database(path) {
         Ok(OpenDatabase { database, stored: Some(stored) }) => {
-            if FileId::of(path).map_err(|e| StoreError::file(path, e))? == stored.identity.file {
-                return resume(path, database, stored, legacy.notes);
+            if FileId::of(path).map_err(|error| StoreError::file(path, error))? == stored.identity.file {
+                return open_existing(path, database, stored, legacy.warnings);
             }
             DamagedStore::Copy
         }
@@ -35,33 +35,34 @@
     };
     let set_aside_as = set_aside(path, DAMAGED_SUFFIX)?;
     let mut opened = open(path)?;
-    let mut notes = legacy.notes;
-    notes.push(format!("{}: {damage}; set aside as {}", path.display(), set_aside_as.display()));
-    opened.contents.notes = notes;
+    let mut warnings = legacy.warnings;
+    warnings.push(format!("{}: {damage}; set aside as {}", path.display(), set_aside_as.display()));
+    opened.contents.warnings = warnings;
     Ok(opened)
 }
 
-/// The store was this node's already: it counts one more start.
-fn resume(
+/// Opens a store that this node has used before, and counts the start.
+fn open_existing(
     path: &Path,
     database: Database,
     stored: StoredNode,
-    notes: Vec<String>,
+    warnings: Vec<String>,
 ) -> Result<OpenedStorage, StoreError> {
     let mut identity = stored.identity;
     identity.boot_count += 1;
     let storage = storage_at(path, database, identity, 0);
     write_identity(path, &storage)?;
-    Ok(OpenedStorage { storage, contents: StoreContents { notes, ..stored.contents } })
+    Ok(OpenedStorage { storage, contents: StoreContents { warnings, ..stored.contents } })
 }
 
-/// The store is a new one.
+/// Creates a store with a new identity, bound to the file.
 fn create(path: &Path, database: Database, legacy: LegacyImport) -> Result<OpenedStorage, StoreError> {
-    let mut identity = create_store(&database).map_err(|e| StoreError::initialization(path, e))?;
-    identity.file = FileId::of(path).map_err(|e| StoreError::file(path, e))?;
+    let mut identity = create_store(&database).map_err(|error| StoreError::initialization(path, error))?;
+    identity.file = FileId::of(path).map_err(|error| StoreError::file(path, error))?;
     let storage = storage_at(path, database, identity, 1);
     write_identity(path, &storage)?;
-    let contents = StoreContents { legacy: legacy.store, notes: legacy.notes, ..StoreContents::default() };
+    let contents =
+        StoreContents { legacy: legacy.store, warnings: legacy.warnings, ..StoreContents::default() };
     Ok(OpenedStorage { storage, contents })
 }
 
@@ -77,22 +78,22 @@
     })
 }
 
-/// A database whose file could be opened.
+/// A database that was opened and read.
 struct OpenDatabase {
     database: Database,
-    /// What it holds; `None`: no store was created in it yet.
+    /// The data of the store; `None` if the database is new.
     stored: Option<StoredNode>,
 }
 
 /// Why a database cannot be opened.
 enum OpenFailure {
-    /// No node can start with this path.
+    /// The node cannot start with this file.
     Fatal(StoreError),
-    /// The file can be set aside and replaced.
+    /// The file can be renamed and replaced.
     Damaged(DamagedStore),
 }
 
-/// Opens and reads a database. The library panics over some damaged files: that is damage as well.
+/// Opens and reads a database. The database library panics on some damaged files; a panic is treated as damage.
 fn open_database(path: &Path) -> Result<OpenDatabase, OpenFailure> {
     match catch_unwind(AssertUnwindSafe(|| open_and_read(path))) {
         Ok(opened) => opened,
@@ -119,24 +120,26 @@
     }
 }
 
-/// Whether the file's contents, rather than access to it, are the reason.
+/// Whether the error is caused by the contents of the file rather than by access to it.
 fn is_damage(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof)
 }
 
-/// What a store file of version 0.2.0 held, if there was one.
+/// The result of looking for a store file of version 0.2.0.
 #[derive(Default)]
 struct LegacyImport {
+    /// Its contents; `None` if there was no intact one.
     store: Option<LegacyStore>,
-    notes: Vec<String>,
+    /// A log message, if the file was renamed.
+    warnings: Vec<String>,
 }
 
-/// Reads a store file of version 0.2.0 and sets it aside, also if it is damaged. Any other file is left alone.
+/// Reads and renames a store file of version 0.2.0, even if it is damaged. Any other file is left as it is.
 fn read_legacy(path: &Path) -> Result<LegacyImport, StoreError> {
     if !path.exists() {
         return Ok(LegacyImport::default());
     }
-    let bytes = fs::read(path).map_err(|e| StoreError::file(path, e))?;
+    let bytes = fs::read(path).map_err(|error| StoreError::file(path, error))?;
     if !bytes.starts_with(legacy::HEADER.as_bytes()) {
         return Ok(LegacyImport::default());
     }
@@ -148,37 +151,40 @@
     match parsed {
         Ok(store) => {
             let set_aside_as = set_aside(path, LEGACY_SUFFIX)?;
-            let note = format!("{file}: a store of the old form, taken over; now {}", set_aside_as.display());
-            Ok(LegacyImport { store: Some(store), notes: vec![note] })
+            let warning = format!(
+                "{file}: imported a store file of version 0.2.0; renamed to {}",
+                set_aside_as.display()
+            );
+            Ok(LegacyImport { store: Some(store), warnings: vec![warning] })
         }
         Err(error) => {
             let set_aside_as = set_aside(path, DAMAGED_SUFFIX)?;
-            let note = format!("{file}: {error}; set aside as {}", set_aside_as.display());
-            Ok(LegacyImport { store: None, notes: vec![note] })
+            let warning = format!("{file}: {error}; set aside as {}", set_aside_as.display());
+            Ok(LegacyImport { store: None, warnings: vec![warning] })
         }
     }
 }
 
-/// Renames a file, to a name beside it that no file has. Returns the new path.
+/// Renames a file by appending `.suffix`, and a number if that path exists. Returns the new path.
 pub fn set_aside(path: &Path, suffix: &str) -> Result<PathBuf, StoreError> {
-    let set_aside_as = free_path(path, suffix);
-    fs::rename(path, &set_aside_as).map_err(|e| StoreError::file(path, e))?;
+    let set_aside_as = unused_path(path, suffix);
+    fs::rename(path, &set_aside_as).map_err(|error| StoreError::file(path, error))?;
     Ok(set_aside_as)
 }
 
-/// The first of `path.suffix`, `path.suffix-1`, `path.suffix-2` and so on that no file has.
-fn free_path(path: &Path, suffix: &str) -> PathBuf {
-    let mut attempt = 0;
+/// The first path among `path.suffix`, `path.suffix-1`, `path.suffix-2` and so on that does not exist.
+fn unused_path(path: &Path, suffix: &str) -> PathBuf {
+    let mut number = 0;
     loop {
         let mut name = path.as_os_str().to_owned();
         name.push(format!(".{suffix}"));
-        if attempt > 0 {
-            name.push(format!("-{attempt}"));
+        if number > 0 {
+            name.push(format!("-{number}"));
         }
         let candidate = PathBuf::from(name);
         if !candidate.exists() {
             return candidate;
         }
-        attempt += 1;
+        number += 1;
     }
 }
--- a/src/store/storage/tests.rs
+++ b/src/store/storage/tests.rs
@@ -1,4 +1,4 @@
-//! Storage under power failures, and store files that are damaged, copied or of version 0.2.0.
+//! Storage after power failures, and store files that are damaged, copied or of version 0.2.0.
 
 mod faulty_disk;
 
@@ -18,7 +18,7 @@
     RaftPersistentState::found_fleet(&state, NodeId(1))
 }
 
-/// A write of a random kind, as the consensus makes them.
+/// A random write of one of the kinds that the Raft node produces.
 fn random_write(rng: &mut fastrand::Rng, current: &RaftPersistentState) -> RaftWrite {
     let (last_index, term) = (current.last_entry().index, current.hard_state.term);
     match rng.u8(..10) {
@@ -31,9 +31,9 @@
             let snapshot = SnapshotRecord { index: compacted.index + 1, ..current.snapshot.clone() };
             RaftWrite { snapshot: Some(snapshot), compacted: Some(compacted), ..RaftWrite::default() }
         }
-        n => {
-            // Now and then an entry that was never committed is replaced.
-            let replaced = if n == 2 && last_index > current.compacted.index + 2 { 1 } else { 0 };
+        kind => {
+            // Sometimes an uncommitted entry is replaced.
+            let replaced = if kind == 2 && last_index > current.compacted.index + 2 { 1 } else { 0 };
             let from = last_index + 1 - replaced;
             let entries = (from..from + rng.u64(1..4)).map(|index| entry(index, term, rng.usize(..3000)));
             RaftWrite { entries: entries.collect(), ..RaftWrite::default() }
@@ -41,15 +41,17 @@
     }
 }
 
-/// The power fails at every point of many writes: what was synced is there, whole. `POWER_SEEDS=N` plays more.
+/// Simulates a power failure at each disk write of random sequences of store writes. Guards against losing synced data
+/// and against keeping only part of a store write. The environment variable `POWER_SEEDS` sets the number of
+/// sequences.
 #[test]
-fn a_power_failure_at_any_write_loses_nothing_that_was_synced() {
-    let (mut points, mut kept_more) = (0, 0);
-    let seeds = std::env::var("POWER_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(4);
+fn a_power_failure_at_any_write_loses_no_synced_data() {
+    let (mut failure_points, mut kept_failed_writes) = (0, 0);
+    let seeds = std::env::var("POWER_SEEDS").ok().and_then(|count| count.parse().ok()).unwrap_or(4);
     for seed in 0..seeds {
         let mut writes_until_failure = 0;
         loop {
-            // The same writes again, each time with power for one more of the database's writes.
+            // Repeats the same store writes; each time, one more disk write succeeds before the power failure.
             let mut rng = fastrand::Rng::with_seed(seed);
             let disk = FaultyDisk::default();
             let storage = DurableStorage::on_backend(disk.clone()).unwrap().storage;
@@ -65,7 +67,7 @@
                 }
                 synced.apply_write(&write);
             }
-            let was_last_point = failed_write.is_none();
+            let all_writes_succeeded = failed_write.is_none();
             drop(storage);
             let disk = disk.after_power_failure(&mut rng);
             let OpenedStorage { storage, contents } = DurableStorage::on_backend(disk).unwrap();
@@ -75,36 +77,41 @@
                 contents.raft == synced || contents.raft == with_failed_write,
                 "seed {seed}, after {writes_until_failure} writes"
             );
-            kept_more += usize::from(contents.raft != synced);
+            kept_failed_writes += usize::from(contents.raft != synced);
             assert_eq!(storage.read_raft_state().unwrap(), contents.raft);
-            points += 1;
+            failure_points += 1;
             writes_until_failure += 1;
-            if was_last_point {
+            if all_writes_succeeded {
                 break;
             }
         }
     }
-    println!("{points} points");
-    assert!(points > 150, "{points} points, {kept_more} of them kept a write that had failed");
+    println!("{failure_points} failure points");
+    assert!(
+        failure_points > 150,
+        "{failure_points} failure points, {kept_failed_writes} of them kept a write that had failed"
+    );
 }
 
-fn folder(name: &str) -> PathBuf {
+/// Creates an empty folder for the store files of a test.
+fn new_temp_folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("brookpass-disk-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&path);
     fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// Guards against an identity that votes twice: a file that was copied, or restored from an older copy.
+/// Guards against voting twice under one identity, with a copied store file or with one that was restored from an older
+/// copy.
 #[test]
-fn a_copy_is_a_new_node_and_the_same_file_is_the_same_node() {
-    let folder = folder("copy");
+fn a_copied_file_starts_a_new_node_and_the_original_file_keeps_its_identity() {
+    let folder = new_temp_folder("copy");
     let path = folder.join("b1.store");
     let id = {
         let storage = DurableStorage::open(&path).unwrap().storage;
         storage.write(&founded_state().full_write(), &[]).unwrap();
         let error = DurableStorage::open(&path).err().unwrap();
-        assert!(error.to_string().contains("another process has it"));
+        assert!(error.to_string().contains("in use by another process"));
         storage.identity.id
     };
     let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
@@ -114,17 +121,17 @@
     fs::copy(&path, &copy).unwrap();
     let OpenedStorage { storage, contents } = DurableStorage::open(&copy).unwrap();
     assert_ne!(storage.identity.id, id);
-    assert!(contents.raft.is_new() && contents.notes[0].contains("a copy"), "{:?}", contents.notes);
-    assert!(folder.join("copy.store.damaged").exists(), "nothing is deleted");
+    assert!(contents.raft.is_new() && contents.warnings[0].contains("a copy"), "{:?}", contents.warnings);
+    assert!(folder.join("copy.store.damaged").exists(), "the copy is renamed, not deleted");
     let storage = storage.reset_identity(IdentityResetReason::OutdatedStorage).unwrap();
     assert!(folder.join("copy.store.older").exists() && storage.read_raft_state().unwrap().is_new());
     let _ = fs::remove_dir_all(folder);
 }
 
-/// Guards against a file that was cut short or changed, and is believed or keeps the node from starting.
+/// Guards against a truncated or corrupted file whose contents are used, or that keeps the node from starting.
 #[test]
-fn a_damaged_file_is_set_aside_and_the_node_starts() {
-    let folder = folder("damage");
+fn a_damaged_file_is_renamed_and_the_node_starts() {
+    let folder = new_temp_folder("damage");
     let path = folder.join("b1.store");
     let create = || {
         let _ = fs::remove_file(&path);
@@ -136,7 +143,7 @@
     let expected = create();
     let length = fs::metadata(&path).unwrap().len();
     let mut rng = fastrand::Rng::with_seed(3);
-    let (mut noticed, mut harmless) = (0, 0);
+    let (mut detected, mut harmless) = (0, 0);
     for round in 0..60 {
         if round > 0 {
             create();
@@ -148,27 +155,27 @@
             let used: Vec<usize> = (0..bytes.len()).filter(|position| bytes[*position] != 0).collect();
             bytes[used[rng.usize(..used.len())]] ^= 1 << rng.u8(..8);
         }
-        // Written over, not replaced: it stays the same file.
+        // Overwriting keeps the inode, so the file does not count as a copy.
         fs::write(&path, &bytes).unwrap();
         let contents =
             DurableStorage::open(&path).unwrap_or_else(|error| panic!("round {round}: {error}")).contents;
-        if contents.notes.is_empty() {
-            // The byte is not in use, or belongs to an older copy of a page.
-            assert_eq!(contents.raft, expected, "round {round}: damage was believed");
+        if contents.warnings.is_empty() {
+            // The byte is unused, or belongs to an outdated copy of a page.
+            assert_eq!(contents.raft, expected, "round {round}: damaged data was used");
             harmless += 1;
         } else {
-            let note = &contents.notes[0];
-            assert!(contents.raft.is_new() && note.contains("set aside"), "{:?}", contents.notes);
-            noticed += 1;
+            let warning = &contents.warnings[0];
+            assert!(contents.raft.is_new() && warning.contains("set aside"), "{:?}", contents.warnings);
+            detected += 1;
         }
     }
-    assert!(noticed > 25, "{noticed} noticed, {harmless} harmless");
+    assert!(detected > 25, "{detected} detected, {harmless} harmless");
     let _ = fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_store_file_of_version_0_2_0_is_read_once() {
-    let folder = folder("old");
+fn a_store_file_of_version_0_2_0_is_imported_once() {
+    let folder = new_temp_folder("old");
     let path = folder.join("b1.store");
     fs::write(&path, "brookpass-store 1\n5\ta.1\tdrain/s-1\t+1\nend\n").unwrap();
     let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
@@ -179,6 +186,6 @@
     fs::remove_file(&path).unwrap();
     fs::write(&path, "brookpass-store 1\n5\ta.1\tdrain/s-1\t+1\n").unwrap();
     let contents = DurableStorage::open(&path).unwrap().contents;
-    assert!(contents.legacy.is_none() && contents.notes[0].contains("line 3"), "{:?}", contents.notes);
+    assert!(contents.legacy.is_none() && contents.warnings[0].contains("line 3"), "{:?}", contents.warnings);
     let _ = fs::remove_dir_all(folder);
 }
--- a/src/store/storage/tests/faulty_disk.rs
+++ b/src/store/storage/tests/faulty_disk.rs
@@ -1,26 +1,26 @@
-//! A disk in memory that loses its power: it forgets, or keeps in part, what was not synced.
+//! A simulated disk in memory with power failures, in which unsynced writes are lost in whole or in part.
 
 use redb::StorageBackend;
 use std::io;
 use std::ops::Bound;
 use std::sync::{Arc, Mutex};
 
-/// A disk writes sectors of this size whole or not at all.
+/// Size of a sector. A disk writes each sector completely or not at all.
 const SECTOR_BYTES: usize = 512;
 
 #[derive(Debug, Default)]
 struct DiskState {
-    /// The bytes as of the last sync.
+    /// The contents as of the last sync.
     synced: Vec<u8>,
-    /// The writes since then, with their offsets.
+    /// The offsets and data of the writes since the last sync.
     unsynced_writes: Vec<(u64, Vec<u8>)>,
-    /// The bytes as a reader sees them.
+    /// The contents that reads return.
     current: Vec<u8>,
-    /// The writes until the power fails; `None`: it does not.
+    /// The number of writes until the power fails; `None` if it does not fail.
     writes_until_failure: Option<usize>,
 }
 
-/// The disk. Clones share it.
+/// A handle to the disk. Clones refer to the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct FaultyDisk(Arc<Mutex<DiskState>>);
 
@@ -29,12 +29,12 @@
 }
 
 impl FaultyDisk {
-    /// Lets this many writes through; then the power fails.
+    /// Makes the power fail after `writes` further writes.
     pub fn fail_after(&self, writes: usize) {
         self.0.lock().unwrap().writes_until_failure = Some(writes);
     }
 
-    /// The disk after the power has failed: what was synced, and of each later write all, a part or nothing.
+    /// The disk after the power failure: the synced contents, with all, a part or none of each later write.
     pub fn after_power_failure(&self, rng: &mut fastrand::Rng) -> FaultyDisk {
         let disk = self.0.lock().unwrap();
         let mut remaining = disk.synced.clone();
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// The length of a file is part of its metadata: a change takes effect at once.
+    /// The length is file metadata. In this model a change of it is durable at once.
     fn set_len(&self, len: u64) -> Result<(), io::Error> {
         let mut disk = self.0.lock().unwrap();
         if disk.writes_until_failure == Some(0) {
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -37,7 +37,7 @@
         contents.gossip.as_deref().and_then(codec::decode::<PersistedGossip>),
         Some(persisted_gossip())
     );
-    assert_eq!((&contents.legacy, &contents.notes), (&None, &Vec::new()));
+    assert_eq!((&contents.legacy, &contents.warnings), (&None, &Vec::new()));
 }
 
 /// The fixture's committed entries after the snapshot, as they are applied: index, digest, content and result.
@@ -77,7 +77,7 @@
     let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
     assert_ne!(storage.identity.id, B1);
     assert!(contents.raft.is_new() && contents.drains.is_empty() && contents.gossip.is_none());
-    assert!(contents.notes[0].contains("a copy of another file"), "{:?}", contents.notes);
+    assert!(contents.warnings[0].contains("a copy of another file"), "{:?}", contents.warnings);
     drop(storage);
     assert_eq!(dump(&folder.join("b1.store.damaged")), dump(&copy(&folder, "again.store", false)));
     fs::remove_dir_all(folder).unwrap();
@@ -254,7 +254,7 @@
             ),
             named("s-2", host("[fd00::8]:7002", 2, 1, 2.0)),
         ],
-        hosts_changed: Timestamp::from_micros(1_780_000_000_333_444),
+        hosts_changed_at: Timestamp::from_micros(1_780_000_000_333_444),
         drains: vec!["s-1".into(), "odd\tname\\x".into(), "s-4".into()],
         settings: Some(LegacySettings {
             text: "limits.probes=true\nnote=tab\there, backslash \\, return\r, literal \\n\n".into(),
@@ -291,9 +291,9 @@
     let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
     assert_eq!(contents.legacy, Some(legacy_store()));
     assert!(
-        contents.raft.is_new() && contents.drains.is_empty() && contents.notes.len() == 1,
+        contents.raft.is_new() && contents.drains.is_empty() && contents.warnings.len() == 1,
         "{:?}",
-        contents.notes
+        contents.warnings
     );
     drop(storage);
     assert_eq!(fs::read_to_string(folder.join("b1.store.old")).unwrap(), legacy_text());
