--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -19,7 +19,7 @@
 use super::until;
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::engine::endpoints::EndpointChange;
+use crate::engine::endpoints::EndpointState;
 use crate::engine::{Command, EngineHandle, Input};
 use crate::routing::{EndpointId, LoadReport};
 use async_executor::LocalExecutor;
@@ -75,7 +75,16 @@
         handle: &EngineHandle<P::Request, P::Answer>,
     ) -> Option<Command<P::Request>> {
         match command {
-            Command::SendAttempt { id, attempt, endpoint, host, work, until, send_by, freshness } => {
+            Command::SendAttempt {
+                id,
+                attempt,
+                endpoint,
+                endpoint_name: host,
+                work,
+                until,
+                send_by,
+                freshness,
+            } => {
                 let order = AttemptOrder {
                     key: AttemptKey { request: id, attempt },
                     endpoint,
@@ -87,7 +96,9 @@
                 };
                 self.spawn_attempt(order, executor, handle);
             }
-            Command::Probe { endpoint, host } => self.spawn_probe(endpoint, host, executor, handle),
+            Command::Probe { endpoint, endpoint_name: host } => {
+                self.spawn_probe(endpoint, host, executor, handle)
+            }
             Command::Cancel { id, attempt } => {
                 // The attempt ends, and closes its connection.
                 self.in_flight.borrow_mut().remove(&AttemptKey { request: id, attempt });
@@ -110,7 +121,7 @@
 
     /// Takes in that an endpoint is new, has changed or is gone. Its idle connections are closed: they lead to another
     /// process or place.
-    fn update_endpoint(&self, change: EndpointChange) {
+    fn update_endpoint(&self, change: EndpointState) {
         let mut endpoints = self.endpoints.borrow_mut();
         if change.gone {
             if let Some(endpoint) = endpoints.remove(&change.name) {
@@ -149,7 +160,7 @@
             let deadline = Instant::now() + pool.limits.connect_timeout;
             let report = until(deadline, pool.probe(&name)).await.flatten();
             let took = pool.clock.now() - began;
-            handle.input(Input::ProbeFinished { endpoint, took, report }).await;
+            handle.send_input(Input::ProbeFinished { endpoint, took, report }).await;
         };
         executor.spawn(task).detach();
     }
