--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -1,5 +1,5 @@
-//! Checks of recorded histories: each returns the count of what it has checked, or the first violation. Every check is
-//! itself tested with histories that violate its property.
+//! Checks of recorded histories. Each check returns the first violation that it finds. Its own tests feed it histories
+//! that violate its property.
 
 mod arrivals;
 mod error;
@@ -19,8 +19,7 @@
 
 use std::time::Duration;
 
-/// Tolerance of comparisons of timestamps that different threads took: a thread may run this much later than it was
-/// woken.
+/// Tolerance for comparing timestamps that different threads took: a thread may run this long after it was woken.
 const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(30);
 
 #[cfg(test)]
--- a/lab/src/check/arrivals.rs
+++ b/lab/src/check/arrivals.rs
@@ -1,4 +1,4 @@
-//! Checks of what reached the endpoints.
+//! Checks of the operations that reached endpoints.
 
 use super::{CheckError, SCHEDULING_TOLERANCE};
 use crate::Timestamp;
@@ -6,40 +6,40 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The window in which requests of a cold endpoint are counted.
+/// The sliding window over which the requests to a cold endpoint are counted.
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
-/// How much load a cold endpoint bears.
+/// How much load a cold endpoint can take.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStartBound {
     /// When the endpoint started.
     pub started_at: Timestamp,
-    /// Operations per second that the endpoint bears when it is warm.
+    /// Operations per second that the endpoint can execute when it is warm.
     pub warm_capacity_per_second: f64,
-    /// The endpoint fails above this multiple of its present capacity, over a second.
+    /// The endpoint fails if its load over one second exceeds this multiple of its current capacity.
     pub overload_multiple: f64,
 }
 
 impl ColdStartBound {
-    /// The share of the warm capacity at a time.
+    /// The share of the warm capacity that the endpoint has at a time.
     fn share_at(&self, time: Timestamp) -> f64 {
         warm_up_share(time.duration_since(self.started_at))
     }
 
-    /// Requests that the endpoint may get in the second from this time on. The platform allows for chance: three
-    /// standard deviations of a Poisson distribution, and 3.
+    /// Number of requests that the endpoint may get in the second from `time` on. The platform allows for random
+    /// variation: three standard deviations of a Poisson distribution, and 3 requests more.
     fn limit_from(&self, time: Timestamp) -> f64 {
         let mean = self.warm_capacity_per_second * self.share_at(time) * self.overload_multiple;
         mean + 3.0 * mean.sqrt() + 3.0
     }
 }
 
-/// A cold endpoint did not get more requests within any second than it bears, summed over all nodes. Returns the load of
-/// the worst second, as a share of the bound in it.
+/// Checks that, until it is warm, an endpoint got no more requests from all nodes together within any second than its
+/// bound. Returns the load of the worst second as a share of the bound.
 ///
 /// # Errors
 ///
-/// [`CheckError::ColdEndpointOverloaded`].
+/// Returns [`CheckError::ColdEndpointOverloaded`] for the first second over the bound.
 pub fn cold_endpoint_not_overloaded(
     arrivals: &[Arrival],
     endpoint: &str,
@@ -67,12 +67,12 @@
     Ok(worst_share)
 }
 
-/// No two attempts of a request were at endpoints at the same time, and no write, which here has no idempotency key,
-/// was executed twice. Returns the count of requests.
+/// Checks that no two attempts of a request were at endpoints at the same time, and that no write was executed twice:
+/// the test kit's writes have no idempotency key. Returns the number of requests.
 ///
 /// # Errors
 ///
-/// [`CheckError::OverlappingAttempts`] or [`CheckError::DuplicateWrite`].
+/// Returns [`CheckError::OverlappingAttempts`] or [`CheckError::DuplicateWrite`].
 pub fn no_overlapping_attempts(arrivals: &[Arrival]) -> Result<usize, CheckError> {
     let mut by_request: BTreeMap<u64, Vec<&Arrival>> = BTreeMap::new();
     for arrival in arrivals.iter().filter(|arrival| arrival.request_id > 0) {
@@ -87,7 +87,7 @@
                 return Err(CheckError::OverlappingAttempts { request_id, first, second });
             }
         }
-        // An attempt that was rejected without effect finished when it arrived.
+        // A rejected attempt has no effect; its times of arrival and of finish are equal.
         let was_executed = |attempt: &&&Arrival| attempt.is_write && attempt.finished_at > attempt.arrived_at;
         let executions = attempts.iter().filter(was_executed).count();
         if executions > 1 {
@@ -97,29 +97,29 @@
     Ok(by_request.len())
 }
 
-/// A time in which an endpoint is drained.
+/// A period in which an endpoint is drained.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainPeriod {
     /// The endpoint's name.
     pub endpoint: String,
-    /// When all nodes had to know of the drain.
+    /// The time from which on all nodes must respect the drain.
     pub effective_from: Timestamp,
-    /// When the drain was ended; [`Timestamp::MAX`]: it was not.
+    /// When the drain ended; [`Timestamp::MAX`] if it did not.
     pub until: Timestamp,
 }
 
 impl DrainPeriod {
-    /// A drain that is not ended.
+    /// A drain that does not end.
     pub fn since(endpoint: &str, effective_from: Timestamp) -> DrainPeriod {
         DrainPeriod { endpoint: endpoint.into(), effective_from, until: Timestamp::MAX }
     }
 }
 
-/// No new request reached an endpoint while it was drained.
+/// Checks that no request reached an endpoint while it was drained.
 ///
 /// # Errors
 ///
-/// [`CheckError::ArrivalWhileDrained`].
+/// Returns [`CheckError::ArrivalWhileDrained`] for the first such request.
 pub fn no_arrivals_while_drained(arrivals: &[Arrival], drains: &[DrainPeriod]) -> Result<(), CheckError> {
     for drain in drains {
         let earliest = drain.effective_from + SCHEDULING_TOLERANCE;
--- a/lab/src/check/error.rs
+++ b/lab/src/check/error.rs
@@ -1,18 +1,18 @@
-//! Violations that the checks find.
+//! The violations that checks report.
 
 use crate::{LogPosition, Timestamp};
 use std::time::Duration;
 use thiserror::Error;
 
-/// A property that a history violates, and where.
+/// A violation of a checked property, with its place in the history.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum CheckError {
-    /// A log line does not have the form that its text promises.
+    /// A log line that contains the text of an applied entry cannot be parsed.
     #[error("the log of node {node} has a malformed line: {line}")]
     MalformedLogLine {
         /// The node's index.
         node: usize,
-        /// The line.
+        /// The whole line.
         line: String,
     },
     /// A node applied entries out of order.
@@ -20,23 +20,23 @@
     OutOfOrder {
         /// The node's index.
         node: usize,
-        /// The entry that came late, or twice.
+        /// The index of the entry that was applied late or twice.
         index: u64,
-        /// The entry applied before it.
+        /// The index of the entry applied before it.
         previous: u64,
     },
-    /// Two nodes applied different entries at one index.
+    /// Two nodes applied different entries at the same index.
     #[error("at index {index} node {first_node} applied {first:?} and node {second_node} {second:?}")]
     Diverged {
-        /// The index.
+        /// The index of the entries.
         index: u64,
-        /// A node.
+        /// The index of one of the nodes.
         first_node: usize,
-        /// What it applied.
+        /// The entry that it applied.
         first: String,
-        /// Another node.
+        /// The index of the other node.
         second_node: usize,
-        /// What that one applied.
+        /// The entry that the other node applied.
         second: String,
     },
     /// A node applied an entry before a majority had it on disk.
@@ -44,35 +44,35 @@
     NoMajority {
         /// The node's index.
         node: usize,
-        /// The entry.
+        /// The index of the entry.
         index: u64,
         /// When it was applied.
         applied_at: Timestamp,
     },
-    /// A read was served with data that is too old.
+    /// A read was served with data older than the position that it required.
     #[error("the read {request_id} required {required:?} and was served with {observed:?}")]
     StaleRead {
-        /// The request.
+        /// The request's id.
         request_id: u64,
         /// The position that the data had to contain.
         required: LogPosition,
         /// The position of the data.
         observed: LogPosition,
     },
-    /// A read of a write that is lost was served.
+    /// A read that required a lost write was served.
     #[error(
         "the read {request_id} of the session's write {required:?} was served, although that write is lost"
     )]
     LostWriteServed {
-        /// The request.
+        /// The request's id.
         request_id: u64,
         /// The position of the lost write.
         required: LogPosition,
     },
-    /// A session was told that its write is lost, which it is not.
-    #[error("the read {request_id} was told that the write {required:?} is lost, which it is not")]
+    /// A session was told that its write is lost although it is not.
+    #[error("the read {request_id} was told that the write {required:?} is lost although it is not")]
     FalseLossReported {
-        /// The request.
+        /// The request's id.
         request_id: u64,
         /// The position of the write.
         required: LogPosition,
@@ -80,25 +80,25 @@
     /// A request got no response.
     #[error("the request {request_id} to node {node} has no response")]
     NoResponse {
-        /// The request.
+        /// The request's id.
         request_id: u64,
         /// The node's index.
         node: usize,
     },
-    /// A response came too late.
+    /// A response took longer than the timeout.
     #[error("the response to request {request_id} of node {node} took {latency:?}")]
     LateResponse {
-        /// The request.
+        /// The request's id.
         request_id: u64,
         /// The node's index.
         node: usize,
-        /// From sending to response.
+        /// From sending the request to its response.
         latency: Duration,
     },
     /// Two attempts of a request were at endpoints at the same time.
     #[error("attempts of request {request_id} were at {first} and {second} at the same time")]
     OverlappingAttempts {
-        /// The request.
+        /// The request's id.
         request_id: u64,
         /// The endpoint of the earlier attempt.
         first: String,
@@ -108,33 +108,33 @@
     /// A write without an idempotency key was executed more than once.
     #[error("the write {request_id} was executed {executions} times")]
     DuplicateWrite {
-        /// The request.
+        /// The request's id.
         request_id: u64,
-        /// How often.
+        /// Number of times that the write was executed.
         executions: usize,
     },
-    /// A drained endpoint was sent a request.
+    /// A request reached an endpoint after its drain had taken effect.
     #[error("{endpoint} was sent request {request_id} {lateness:?} after its drain had taken effect")]
     ArrivalWhileDrained {
         /// The endpoint's name.
         endpoint: String,
-        /// The request.
+        /// The request's id.
         request_id: u64,
-        /// Since the drain took effect.
+        /// Time since the drain took effect.
         lateness: Duration,
     },
-    /// A cold endpoint got more requests than it bears.
+    /// A cold endpoint got more requests within one second than its bound.
     #[error(
-        "{endpoint} got {requests} requests in the second from {since_start:?} after its start, and bears {limit:.0}"
+        "{endpoint} got {requests} requests in the second from {since_start:?} after its start; its bound is {limit:.0}"
     )]
     ColdEndpointOverloaded {
         /// The endpoint's name.
         endpoint: String,
-        /// Requests in that second.
+        /// Number of requests in that second.
         requests: usize,
-        /// The beginning of that second, from the endpoint's start.
+        /// The start of that second, relative to the endpoint's start.
         since_start: Duration,
-        /// The bound in it.
+        /// The bound for that second.
         limit: f64,
     },
 }
--- a/lab/src/check/replication.rs
+++ b/lab/src/check/replication.rs
@@ -1,42 +1,43 @@
-//! The check of the replicated log, from the logs of the processes.
+//! Checks the replicated log of the fleet, by what the nodes' log lines report.
 
 use super::CheckError;
 use crate::{Timestamp, log_lines};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The log lines of a node, in order, of one process after the other.
+/// The log lines of a node in order, those of all its processes one after the other.
 pub type NodeLog = Vec<String>;
 
-/// Log lines have whole milliseconds: an event of another process may seem to be this much later than one that it
-/// caused.
+/// Tolerance for comparing times of log lines. They are in whole milliseconds, so an event may seem to be this much
+/// later than an event of another process that it caused.
 const LOG_TIME_TOLERANCE: Duration = Duration::from_millis(2);
 
-/// An entry that a node applied, as its log has it.
+/// An entry that a node applied, as its log line reports it.
 struct AppliedEntry<'a> {
     index: u64,
-    /// Digest, content and effect.
+    /// The digest, content and effect of the entry.
     content: &'a str,
 }
 
-/// The entries up to an index were on a node's disk.
+/// A report that the entries up to an index are on a node's disk.
 struct OnDisk {
     at: Timestamp,
     last_index: u64,
 }
 
-/// An entry that a node was the first of all to apply.
+/// An entry as applied by the first node in whose log it was found.
 struct FirstApplied<'a> {
     node: usize,
     content: &'a str,
 }
 
-/// All nodes applied the same entries in the same order, and none before a majority of `voters` had it on disk;
-/// `None`: the voters change, and no majority is checked. Returns the count of entries.
+/// Checks that all nodes applied the same entries in the same order, and none before a majority of `voters` had it on
+/// disk. Majorities are not checked if `voters` is `None`, for clusters whose voters change. Returns the number of
+/// entries.
 ///
 /// # Errors
 ///
-/// [`CheckError::MalformedLogLine`], [`CheckError::OutOfOrder`], [`CheckError::Diverged`] or
+/// Returns [`CheckError::MalformedLogLine`], [`CheckError::OutOfOrder`], [`CheckError::Diverged`] or
 /// [`CheckError::NoMajority`].
 pub fn same_committed_sequence(logs: &[NodeLog], voters: Option<usize>) -> Result<usize, CheckError> {
     let mut first_applied: BTreeMap<u64, FirstApplied> = BTreeMap::new();
@@ -49,7 +50,7 @@
     Ok(first_applied.len())
 }
 
-/// One node applied its entries in order, and the same ones as the nodes before it.
+/// Checks that a node applied its entries in order, and the same ones as the nodes checked before it.
 fn check_order<'a>(
     node: usize,
     log: &'a NodeLog,
@@ -58,7 +59,7 @@
     let mut previous = 0;
     for line in log {
         if line.contains(log_lines::PROCESS_STARTED) {
-            // A new process applies its log from the last snapshot on.
+            // A new process applies the log again from its last snapshot on.
             previous = 0;
         }
         let Some(entry) = applied_entry(node, line)? else { continue };
@@ -81,7 +82,7 @@
     Ok(())
 }
 
-/// No node applied an entry before a majority had it on disk.
+/// Checks that no node applied an entry before a majority had it on disk.
 fn check_majorities(logs: &[NodeLog], voters: usize) -> Result<(), CheckError> {
     let on_disk: Vec<Vec<OnDisk>> = logs.iter().map(entries_on_disk).collect();
     for (node, log) in logs.iter().enumerate() {
@@ -108,7 +109,7 @@
     log.iter().filter_map(parse).collect()
 }
 
-/// The entry that a line says was applied; `None`: the line says something else.
+/// Parses the log line of an applied entry; `None` for other lines.
 fn applied_entry(node: usize, line: &str) -> Result<Option<AppliedEntry<'_>>, CheckError> {
     let Some(entry) = line.split(log_lines::ENTRY_APPLIED).nth(1) else { return Ok(None) };
     let Some((index, content)) = entry.split_once(' ') else { return Ok(None) };
@@ -118,7 +119,7 @@
     }
 }
 
-/// The time at the beginning of a line: seconds and milliseconds.
+/// Parses the time at the start of a log line, in seconds and milliseconds since the Unix epoch.
 fn line_time(line: &str) -> Option<Timestamp> {
     let (seconds, millis) = line.split(' ').next()?.split_once('.')?;
     let seconds: i64 = seconds.parse().ok()?;
@@ -126,7 +127,7 @@
     Some(Timestamp::from_millis(seconds * 1_000 + millis))
 }
 
-/// The number right after a text.
+/// The number that directly follows a text in a line.
 fn number_after(line: &str, text: &str) -> Option<u64> {
     line.split(text).nth(1)?.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
 }
--- a/lab/src/check/requests.rs
+++ b/lab/src/check/requests.rs
@@ -1,4 +1,4 @@
-//! Checks of what clients sent and got.
+//! Checks of the requests of clients and their responses.
 
 use super::{CheckError, SCHEDULING_TOLERANCE};
 use crate::client::RequestRecord;
@@ -9,19 +9,19 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// A time in which a node did not run.
+/// A period in which a node was killed or paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Downtime {
     /// The node's index.
     pub node: usize,
-    /// When the node was killed or stopped.
+    /// When the node was killed or paused.
     pub from: Timestamp,
-    /// When the node served again; [`Timestamp::MAX`]: it does not yet.
+    /// When the node served again; [`Timestamp::MAX`] if it does not yet.
     pub until: Timestamp,
 }
 
 impl Downtime {
-    /// Whether a request may have had no response, or a late one, for this downtime.
+    /// Whether this downtime explains a missing or late response to an attempt.
     fn excuses(&self, record: &RequestRecord) -> bool {
         self.node == record.node
             && record.sent_at < self.until + SCHEDULING_TOLERANCE
@@ -29,11 +29,11 @@
     }
 }
 
-/// No read was served with data that is older than it had to be. Returns the count of reads.
+/// Checks that no read was served with data older than the position that it required. Returns the number of reads.
 ///
 /// # Errors
 ///
-/// [`CheckError::StaleRead`].
+/// Returns [`CheckError::StaleRead`] for the first such read.
 pub fn no_stale_reads(records: &[RequestRecord]) -> Result<usize, CheckError> {
     let mut reads = 0;
     for record in records.iter().filter(|record| !record.is_write && record.is_served()) {
@@ -56,24 +56,24 @@
     records.iter().filter(move |record| record.earlier_attempts == 0 && window.contains(&record.due_at))
 }
 
-/// Requests due within a window that were not served at any attempt.
+/// Number of requests due within a window of which no attempt was served.
 pub fn unserved_requests(records: &[RequestRecord], window: Range<Timestamp>) -> usize {
     let served = records.iter().filter(|record| record.is_served());
     let served: BTreeSet<u64> = served.map(|record| record.request_id).collect();
     requests_due(records, window).filter(|record| !served.contains(&record.request_id)).count()
 }
 
-/// No session whose last write is lost was served as if it were there, and none was told of a loss that is none.
-/// `lost`: lost commits by group. Returns how many requests were told of a loss.
+/// Checks that no read was served that required a lost write, and that no session was told of the loss of a write that
+/// is not lost. `lost` contains the lost commits by group. Returns the number of requests that were told of a loss.
 ///
 /// # Errors
 ///
-/// [`CheckError::LostWriteServed`] or [`CheckError::FalseLossReported`].
+/// Returns [`CheckError::LostWriteServed`] or [`CheckError::FalseLossReported`].
 pub fn sessions_told_of_lost_writes(
     records: &[RequestRecord],
     lost: &BTreeMap<u32, Vec<LostCommits>>,
 ) -> Result<usize, CheckError> {
-    let mut told = 0;
+    let mut reported_losses = 0;
     for record in records.iter().filter(|record| record.reads_own_write && !record.is_write) {
         let (Some(required), Some(lost)) = (record.required_position, lost.get(&record.group)) else {
             continue;
@@ -87,21 +87,21 @@
             return Err(CheckError::FalseLossReported { request_id, required });
         }
         if record.status == 412 {
-            told += 1;
+            reported_losses += 1;
         }
     }
-    Ok(told)
+    Ok(reported_losses)
 }
 
 fn was_lost_when_sent(record: &RequestRecord, required: LogPosition, lost: &[LostCommits]) -> bool {
     lost.iter().any(|commits| commits.contains(required) && record.sent_at > commits.lost_at)
 }
 
-/// Every attempt had a response within `timeout`, unless its node was down. Returns the count of attempts.
+/// Checks that every attempt had a response within `timeout`, unless its node was down. Returns the number of attempts.
 ///
 /// # Errors
 ///
-/// [`CheckError::NoResponse`] or [`CheckError::LateResponse`].
+/// Returns [`CheckError::NoResponse`] or [`CheckError::LateResponse`].
 pub fn every_request_answered(
     records: &[RequestRecord],
     downtimes: &[Downtime],
--- a/lab/src/check/tests.rs
+++ b/lab/src/check/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_lost_write_that_is_served_and_a_kept_one_that_is_told_as_lost_are_found() {
+fn a_served_read_of_a_lost_write_and_a_falsely_reported_loss_are_detected() {
     let lost_commits = LostCommits {
         after: LogPosition::from_millis(10),
         up_to: LogPosition::from_millis(20),
@@ -44,18 +44,18 @@
     assert!(matches!(served, Err(CheckError::LostWriteServed { .. })));
     let false_loss = sessions_told_of_lost_writes(&[own(412, 10)], &lost);
     assert!(matches!(false_loss, Err(CheckError::FalseLossReported { .. })));
-    let of_others = sessions_told_of_lost_writes(&[record(200, false, 15, 99)], &lost);
-    assert_eq!(of_others, Ok(0), "its session wrote nothing");
+    let without_own_write = sessions_told_of_lost_writes(&[record(200, false, 15, 99)], &lost);
+    assert_eq!(without_own_write, Ok(0), "the session has no write of its own");
 }
 
 #[test]
-fn a_cold_endpoint_that_gets_too_much_is_found() {
+fn an_overloaded_cold_endpoint_is_detected() {
     let bound = ColdStartBound { started_at: at(0), warm_capacity_per_second: 20.0, overload_multiple: 4.0 };
     let arrivals = |count: u64, gap_micros: i64| -> Vec<Arrival> {
         (0..count).map(|n| arrival("a", n + 1, n as i64 * gap_micros, n as i64 * gap_micros)).collect()
     };
     let check = |arrivals: &[Arrival], endpoint| cold_endpoint_not_overloaded(arrivals, endpoint, bound);
-    // 20 and the allowance for chance: 36 in the first second.
+    // A quarter of 20 operations, times 4, is 20; with the allowance for random variation the bound is 36.
     assert!(check(&arrivals(36, 1_000), "a").is_ok_and(|worst| worst > 0.9));
     let overloaded = check(&arrivals(38, 1_000), "a");
     assert!(matches!(overloaded, Err(CheckError::ColdEndpointOverloaded { .. })));
@@ -75,14 +75,14 @@
 }
 
 #[test]
-fn a_stale_read_is_found() {
+fn a_stale_read_is_detected() {
     let valid = [record(200, false, 10, 10), record(503, false, 10, 3), record(200, true, 10, 3)];
     assert!(no_stale_reads(&valid).is_ok());
     assert!(matches!(no_stale_reads(&[record(200, false, 10, 9)]), Err(CheckError::StaleRead { .. })));
 }
 
 #[test]
-fn a_missing_or_late_response_is_found_unless_the_node_was_down() {
+fn a_missing_or_late_response_is_detected_unless_the_node_was_down() {
     let check =
         |record: RequestRecord, downtimes: &[Downtime]| every_request_answered(&[record], downtimes, TIMEOUT);
     let down = |node| [Downtime { node, from: at(-50_000), until: at(1) }];
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn overlapping_attempts_and_a_write_that_was_executed_twice_are_found() {
+fn overlapping_attempts_and_a_write_that_was_executed_twice_are_detected() {
     let valid = [arrival("a", 1, 0, 100_000), arrival("b", 2, 0, 100_000)];
     assert_eq!(no_overlapping_attempts(&valid), Ok(2));
     let overlapping = [arrival("a", 1, 0, 100_000), arrival("b", 1, 20_000, 30_000)];
@@ -106,13 +106,13 @@
     let twice = [arrival("a", 1, 0, 100_000), arrival("b", 1, 200_000, 300_000)];
     let found = no_overlapping_attempts(&twice);
     assert!(matches!(found, Err(CheckError::DuplicateWrite { .. })));
-    // The first endpoint was no primary.
+    // The first endpoint rejected the write because it was not the primary.
     let rejected_first = [arrival("a", 1, 0, 0), arrival("b", 1, 200_000, 300_000)];
     assert!(no_overlapping_attempts(&rejected_first).is_ok());
 }
 
 #[test]
-fn an_arrival_at_a_drained_endpoint_is_found() {
+fn an_arrival_at_a_drained_endpoint_is_detected() {
     let arrivals = [arrival("a", 1, 300_000, 300_000), arrival("b", 2, 900_000, 900_000)];
     let check = |drain: DrainPeriod| no_arrivals_while_drained(&arrivals, &[drain]);
     assert!(check(DrainPeriod::since("a", at(290_000))).is_ok());
@@ -122,18 +122,18 @@
     assert!(check(ended).is_ok());
 }
 
-/// A log line of a node that has entries up to index 5 on its disk.
+/// The log line that reports the entries up to index 5 on disk.
 fn on_disk(time: &str) -> String {
     format!("{time} DEBUG {}5 of term 2", log_lines::ENTRIES_ON_DISK)
 }
 
-/// A log line of a node that has applied the entry with index 5.
+/// The log line that reports the entry with index 5 as applied.
 fn applied(time: &str, content: &str) -> String {
     format!("{time} DEBUG {}5 {content}: {}", log_lines::ENTRY_APPLIED, log_lines::ENTRY_SUCCEEDED)
 }
 
 #[test]
-fn sequences_that_differ_go_back_or_lack_a_majority_are_found() {
+fn entries_that_differ_repeat_or_lack_a_majority_are_detected() {
     let first = vec![on_disk("1.000"), applied("1.002", "ab: drain x")];
     let second = vec![on_disk("1.001"), applied("1.003", "ab: drain x")];
     let check = |logs: &[NodeLog], voters| same_committed_sequence(logs, voters);
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients with an open-loop load: each request is sent when it is due, whatever became of those before it, so that a
-//! slow cluster does not slow the load down.
+//! Clients that send an open-loop load: each request is sent when it is due, whether or not earlier ones have been
+//! answered, so that a slow cluster does not reduce the load.
 
 mod request;
 mod session;
@@ -13,13 +13,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// How long a client waits for a request, all its attempts together.
+/// How long a client spends on a request, all its attempts together, from when it was due.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One attempt of a request and its response.
+/// One attempt of a request, with its response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestRecord {
-    /// The request's id; attempts of one request share it.
+    /// The request's id, which all its attempts share.
     pub request_id: u64,
     /// The index of the node that the attempt was sent to.
     pub node: usize,
@@ -27,54 +27,55 @@
     pub due_at: Timestamp,
     /// When the attempt was sent.
     pub sent_at: Timestamp,
-    /// When its response had been read, or its connection had failed.
+    /// When the response had been read or the connection had failed.
     pub finished_at: Timestamp,
-    /// The status of the response; [`crate::http::NO_RESPONSE`]: none came on the connection.
+    /// The status of the response; [`crate::http::NO_RESPONSE`] if the connection failed.
     pub status: u16,
-    /// The request is a write.
+    /// Whether the request is a write.
     pub is_write: bool,
     /// The group that the request is for.
     pub group: u32,
     /// The position that the data of the response had to contain; `None` for writes.
     pub required_position: Option<LogPosition>,
-    /// The required position is that of the last write of the client's own session.
+    /// Whether the required position is that of the last write of the client's own session.
     pub reads_own_write: bool,
-    /// Attempts of the request before this one.
+    /// Number of attempts of the request before this one.
     pub earlier_attempts: u32,
-    /// The `Retry-After` of a rejection.
+    /// The delay that a rejection asks for in `Brookpass-Retry-After-Ms`.
     pub retry_after: Option<Duration>,
-    /// The position of the data in the response.
+    /// The position of the data in the response; `None` if the request was not served.
     pub observed_position: Option<LogPosition>,
 }
 
 impl RequestRecord {
-    /// Whether the response was a success.
+    /// Whether the attempt was answered with status 200.
     pub fn is_served(&self) -> bool {
         self.status == 200
     }
 
-    /// From the sending of the attempt to its end.
+    /// The time from when the attempt was sent until it finished.
     pub fn latency(&self) -> Duration {
         self.finished_at.duration_since(self.sent_at)
     }
 }
 
-/// What clients send.
+/// The load that clients send.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadProfile {
     /// Requests per second of all clients together.
     pub requests_per_second: f64,
-    /// Count of clients; each has a session of its own, and a connection for each request in flight.
+    /// Number of clients; each has its own session, and a connection for each request in flight.
     pub clients: usize,
-    /// The requests are for the groups 1 to this one.
+    /// The requests are spread over the groups from 1 to this number.
     pub groups: u32,
-    /// Writes, of ten requests. Half of the reads of a group that the session has written to read its own write.
-    pub writes_of_ten: u8,
-    /// How old the data of the other reads may be.
+    /// The share of writes, in tenths. Half of the reads of a group that the session has written to read its own write.
+    pub writes_per_ten: u8,
+    /// The maximum staleness of the other reads.
     pub max_staleness: Duration,
     /// Seed of the clients' random choices.
     pub seed: u64,
-    /// Rejected requests are sent again after the rejection's `Retry-After` while [`REQUEST_TIMEOUT`] lasts.
+    /// Whether rejected requests are retried after the delay that the rejection asks for, and failed reads after a
+    /// pause, within [`REQUEST_TIMEOUT`].
     pub retries_rejections: bool,
 }
 
@@ -84,7 +85,7 @@
             requests_per_second: 200.0,
             clients: 10,
             groups: 2,
-            writes_of_ten: 3,
+            writes_per_ten: 3,
             max_staleness: Duration::from_millis(800),
             seed: 1,
             retries_rejections: false,
@@ -95,7 +96,7 @@
 /// The records of all clients of a load.
 type Records = Arc<Mutex<Vec<RequestRecord>>>;
 
-/// A load that runs.
+/// A running load. The clients stop only at [`Load::finish`].
 pub struct Load {
     stop: Arc<AtomicBool>,
     records: Records,
@@ -103,7 +104,7 @@
 }
 
 impl Load {
-    /// Starts the clients; the client with index `n` sends to address `n` of these, in turn.
+    /// Starts the clients, which are assigned to the addresses in round-robin order.
     pub fn start(addresses: &[SocketAddr], profile: LoadProfile) -> Load {
         let mut load = Load { stop: Arc::default(), records: Arc::default(), clients: Vec::new() };
         for index in 0..profile.clients {
@@ -115,33 +116,33 @@
         load
     }
 
-    /// Stops the load, waits for the responses in flight and returns all attempts by the time of their sending.
+    /// Stops the load, waits for the requests in flight and returns all attempts in the order in which they were sent.
     ///
     /// # Panics
     ///
-    /// When a client has panicked.
+    /// Panics if a client has panicked.
     pub fn finish(self) -> Vec<RequestRecord> {
         self.stop.store(true, Ordering::SeqCst);
         for client in self.clients {
-            client.join().expect("a client");
+            client.join().expect("a client's thread ends");
         }
         let mut records = std::mem::take(&mut *self.records.lock().expect("lock of the records"));
         records.sort_by_key(|record| record.sent_at);
         records
     }
 
-    /// Requests that were served within a window.
+    /// Number of requests whose response came within a window and was a success.
     pub fn served_within(&self, window: Range<Timestamp>) -> usize {
         let records = self.records();
         records.iter().filter(|record| record.is_served() && window.contains(&record.finished_at)).count()
     }
 
-    /// Whether an attempt that has finished matches.
+    /// Whether any finished attempt matches.
     pub fn any(&self, matches: impl Fn(&RequestRecord) -> bool) -> bool {
         self.records().iter().any(matches)
     }
 
-    /// Attempts that have finished.
+    /// Number of attempts that have finished so far.
     pub fn finished_count(&self) -> usize {
         self.records().len()
     }
--- a/lab/src/client/request.rs
+++ b/lab/src/client/request.rs
@@ -1,24 +1,24 @@
-//! The requests of clients, as text.
+//! The requests of clients and their HTTP text.
 
 use super::LoadProfile;
 use crate::{LogPosition, Timestamp};
 use std::time::Instant;
 
-/// A request of a client, over all its attempts.
+/// A client's request: what all its attempts have in common.
 #[derive(Clone, Copy)]
 pub(super) struct Request {
     pub(super) id: u64,
     pub(super) group: u32,
     pub(super) is_write: bool,
-    /// The session's last write, where the request reads it.
+    /// The position of the session's last write, if the request reads it.
     pub(super) own_write: Option<LogPosition>,
     pub(super) due_at: Timestamp,
-    /// No attempt begins later.
+    /// The end of the request's time, which every attempt announces.
     pub(super) deadline: Instant,
     pub(super) earlier_attempts: u32,
 }
 
-/// A request as it is sent once.
+/// One attempt of a request, as it is sent.
 pub(super) struct Attempt {
     pub(super) request: Request,
     pub(super) sent_at: Timestamp,
@@ -27,7 +27,7 @@
 }
 
 impl Attempt {
-    /// The next attempt of a request of the client with this index.
+    /// Creates the next attempt of a request; `client` is the client's index.
     pub(super) fn new(client: usize, profile: &LoadProfile, request: Request, now: Instant) -> Attempt {
         let text = request_text(client, &request, now);
         let sent_at = Timestamp::now();
--- a/lab/src/client/session.rs
+++ b/lab/src/client/session.rs
@@ -1,4 +1,4 @@
-//! One client: its schedule, its session's writes, its retries and its connections.
+//! One client: its schedule, the positions of its session's writes, its retries and its connections.
 
 use super::request::{Attempt, Request};
 use super::{LoadProfile, REQUEST_TIMEOUT, Records, RequestRecord};
@@ -12,46 +12,47 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Requests that one client has in flight at most, each on a connection of its own: a relay has four threads for each
-/// of these.
+/// Limit of the requests that one client has in flight, each on its own connection: each connection costs four threads
+/// in a relay.
 const MAX_IN_FLIGHT: usize = 4;
-/// How long a client waits at a time, so that it sees the end of the load.
+/// Longest single wait of a client, after which it checks whether the load has ended.
 const WAIT_SLICE: Duration = Duration::from_millis(50);
-/// A retry is made only where this much of the request's time is left after the pause.
+/// A retry is made only if this much of the request's time is left after the pause.
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(50);
 /// Pause before the retry of a read whose connection failed.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// Bound of each read of a connection: beyond every deadline that the program knows.
+/// Timeout of each read on a connection, longer than every deadline in the nodes' settings.
 const READ_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Ids of requests, unique in the test's process, so that arrivals at endpoints tell whose they are.
+/// The next request id. Ids are unique in the test's process, so that each arrival at an endpoint identifies its
+/// request.
 static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A response to an attempt.
+/// The result of an attempt.
 struct Response {
     attempt: Attempt,
-    /// `None`: the connection failed.
+    /// The response; `None` if the connection failed.
     message: Option<Message>,
     finished_at: Timestamp,
 }
 
-/// A request that was rejected and is sent again.
+/// A request that waits for its next attempt.
 struct Retry {
     not_before: Instant,
     request: Request,
 }
 
-/// A client with its session.
+/// A client with one session, driven by its own thread.
 pub(super) struct Session {
     index: usize,
     node: usize,
     profile: LoadProfile,
-    /// Between two requests.
+    /// Time between two new requests.
     interval: Duration,
     rng: fastrand::Rng,
     /// When the next new request is due.
     next_due: Instant,
-    /// The session's last write to each group, by the group's number.
+    /// The position of the session's last write to each group, by the group's number.
     own_writes: Vec<Option<LogPosition>>,
     retries: Vec<Retry>,
     connections: ConnectionPool,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Sends requests until the load ends and all responses have come.
+    /// Sends requests until the load ends, then waits for the requests in flight.
     pub(super) fn run(mut self) {
         loop {
             let stopping = self.stop.load(Ordering::SeqCst);
@@ -110,7 +111,7 @@
         self.connections.close();
     }
 
-    /// When the next new request or retry is to be sent.
+    /// When the next request is to be sent, either a new one or a retry.
     fn next_send(&self) -> Instant {
         let first_retry = self.retries.iter().map(|retry| retry.not_before).min();
         first_retry.map_or(self.next_due, |retry| retry.min(self.next_due))
@@ -124,13 +125,14 @@
         self.connections.send(Attempt::new(self.index, &self.profile, request, now));
     }
 
-    /// The request that is due, by random choice. It counts as due when the schedule has it, however late it is sent.
+    /// Creates the request that is due, with random properties. Its due time is that of the schedule, however late it
+    /// is sent.
     fn new_request(&mut self) -> Request {
         let lateness = self.next_due.elapsed();
         let deadline = self.next_due + REQUEST_TIMEOUT;
         self.next_due += self.interval;
         let group = self.rng.u32(1..=self.profile.groups);
-        let is_write = self.rng.u8(..10) < self.profile.writes_of_ten;
+        let is_write = self.rng.u8(..10) < self.profile.writes_per_ten;
         let last_write = self.own_writes[group as usize];
         let own_write = last_write.filter(|_| !is_write && self.rng.bool());
         let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
@@ -166,19 +168,19 @@
         });
     }
 
-    /// Keeps the session's last write to the group up to date.
+    /// Updates the position of the session's last write to the group.
     fn update_own_write(&mut self, request: &Request, status: u16, committed: Option<LogPosition>) {
         let last_write = &mut self.own_writes[request.group as usize];
         if request.is_write && committed.is_some() {
             *last_write = (*last_write).max(committed);
         }
-        // The session has been told that its write is lost.
+        // Status 412 tells the session that its write is lost.
         if status == 412 && *last_write == request.own_write {
             *last_write = None;
         }
     }
 
-    /// Schedules another attempt after a rejection, or where a read got no response since nobody listens yet.
+    /// Schedules a retry after a rejection, or after a read whose connection failed because nothing listens yet.
     fn schedule_retry(&mut self, request: &Request, status: u16, retry_after: Option<Duration>) {
         if !self.profile.retries_rejections {
             return;
@@ -196,7 +198,8 @@
     }
 }
 
-/// The connections of a client, each served by a thread. One is added only when all others have a request in flight.
+/// The connections of a client, each with its own thread. A connection is added only when all others have a request in
+/// flight.
 struct ConnectionPool {
     address: SocketAddr,
     workers: Vec<Worker>,
@@ -233,7 +236,7 @@
     fn send(&mut self, attempt: Attempt) {
         let worker = self.idle.pop().unwrap_or_else(|| self.add_worker());
         self.busy.insert(attempt.request.id, worker);
-        self.workers[worker].attempts.send(attempt).expect("a connection's thread");
+        self.workers[worker].attempts.send(attempt).expect("the connection's thread runs");
     }
 
     fn add_worker(&mut self) -> usize {
@@ -254,20 +257,20 @@
     fn close(self) {
         for worker in self.workers {
             drop(worker.attempts);
-            worker.thread.join().expect("a connection's thread");
+            worker.thread.join().expect("the connection's thread ends");
         }
     }
 }
 
-/// Sends one attempt after the other on one connection, which is opened again where it has ended.
+/// Sends one attempt at a time on one connection, which is reopened if it has been closed.
 fn serve_connection(address: SocketAddr, attempts: &Receiver<Attempt>, responses: &Sender<Response>) {
-    let mut kept: Option<Connection> = None;
+    let mut kept_connection: Option<Connection> = None;
     while let Ok(attempt) = attempts.recv() {
-        let usable = kept.take().filter(Connection::is_idle);
+        let usable = kept_connection.take().filter(Connection::is_idle);
         let mut connection = usable.or_else(|| Connection::open(address, READ_TIMEOUT));
         let message = connection.as_mut().and_then(|connection| connection.call(&attempt.text));
         if message.as_ref().is_some_and(|message| message.header("connection") != Some("close")) {
-            kept = connection;
+            kept_connection = connection;
         }
         let response = Response { attempt, message, finished_at: Timestamp::now() };
         if responses.send(response).is_err() {
--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of real processes of the program with a relay on every link, and their stand-in endpoints.
+//! A cluster of real processes of the program with their stand-in endpoints and a relay on every link.
 
 mod files;
 mod lifecycle;
@@ -26,30 +26,30 @@
 /// The zones of every cluster.
 const ZONES: [&str; 3] = ["z-0", "z-1", "z-2"];
 
-/// The discard port, where nobody listens: the target of relays whose process does not run yet.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
+/// The target of a relay whose process is not running yet: the discard port, on which nothing listens.
+const UNREACHABLE_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 9);
 
-/// Count of the clusters of this process, for the names of their folders.
+/// The number of the next cluster in this process, which makes the name of its folder unique.
 static NEXT_CLUSTER: AtomicUsize = AtomicUsize::new(0);
 
-/// What a cluster consists of.
+/// The configuration of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Count of nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Count of groups of endpoints.
+    /// Number of groups of endpoints.
     pub groups: u32,
     /// Endpoints of each group.
     pub endpoints_per_group: usize,
-    /// Nodes keep their store in a file.
+    /// Nodes persist their store in a file.
     pub has_store_files: bool,
-    /// The clock offset of each node by its index; [`ClockOffset::NONE`] for those beyond the end.
+    /// The clock offset of each node by its index; nodes beyond the end have [`ClockOffset::NONE`].
     pub clock_offsets: Vec<ClockOffset>,
-    /// The program is of version 0.2.0 or before: it has no fleet, and its links carry no frames.
+    /// The program has version 0.2.0 or older: it has no fleet, and its links carry no frames.
     pub is_legacy: bool,
-    /// Endpoints in the inventory beside those that run: nobody listens at their address.
+    /// Number of additional endpoints in the inventory at whose address nothing listens.
     pub unreachable_endpoints: usize,
-    /// The region of each zone by the zone's number; none by default.
+    /// The region of each zone by the zone's index; zones beyond the end have no region.
     pub regions: Vec<String>,
 }
 
@@ -68,16 +68,16 @@
     }
 }
 
-/// One node of a cluster. Its process may be killed and started again.
+/// One node of a cluster, whose process may be killed and restarted.
 pub struct ClusterNode {
-    /// Its name: `b` and its index.
+    /// The node's name: `b` followed by its index.
     pub name: String,
-    /// Where the present process's store listens, behind all relays.
+    /// The listen address of the store of the current process, which bypasses the relays.
     pub store_address: SocketAddr,
-    /// Its folder, with the files that it reads and writes.
+    /// The folder with the files that the node reads and writes.
     pub folder: PathBuf,
     process: Option<Process>,
-    /// The log of its processes that have ended.
+    /// The log of the node's earlier processes.
     earlier_log: NodeLog,
     is_paused: bool,
 }
@@ -86,7 +86,7 @@
     fn new(index: usize, folder: PathBuf) -> ClusterNode {
         ClusterNode {
             name: format!("b{index}"),
-            store_address: NO_ADDRESS,
+            store_address: UNREACHABLE_ADDRESS,
             folder,
             process: None,
             earlier_log: Vec::new(),
@@ -94,57 +94,58 @@
         }
     }
 
-    /// The node's process.
+    /// The node's running process.
     ///
     /// # Panics
     ///
-    /// When it does not run.
+    /// Panics if the node is not running.
     pub fn process(&self) -> &Process {
-        self.process.as_ref().expect("the node runs")
+        self.process.as_ref().expect("the node is running")
     }
 
-    /// The path of the node's store.
+    /// The path of the node's store file, which exists only if the configuration has store files.
     pub fn store_file(&self) -> PathBuf {
         self.folder.join(files::STORE_FILE)
     }
 }
 
-/// The link that a node opens to another one.
+/// The link whose connections one node opens to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PeerLink {
     from: usize,
     to: usize,
 }
 
-/// A cluster. Nodes are named by their index. All processes are killed when it is dropped, and its files are removed,
-/// unless the test has failed or the variable `LAB_KEEP` is set: then each node's log is written beside its files.
+/// A cluster, whose nodes are addressed by index. Dropping it kills all processes and removes the files. If the test
+/// has failed or the environment variable `LAB_KEEP` is set, the files stay and each node's log is written next to
+/// them.
 pub struct TestCluster {
-    /// The nodes.
+    /// The nodes by their index.
     pub nodes: Vec<ClusterNode>,
     /// The endpoints behind the nodes.
     pub endpoints: StandInEndpoints,
-    /// When nodes did not run.
+    /// The periods in which nodes were killed or paused.
     pub downtimes: Vec<Downtime>,
     program: PathBuf,
     config: ClusterConfig,
     /// The relay on each link between nodes.
     peer_links: BTreeMap<PeerLink, Relay>,
-    /// The relay before each node's SPARQL server.
+    /// The relay in front of each node's SPARQL server.
     sparql_relays: Vec<Relay>,
-    /// The relay before each node's store at the address that it advertises, for nodes whose files do not name it.
+    /// The relay at the store address that each node advertises, used by nodes whose files do not name that node.
     advertised_relays: Vec<Relay>,
-    /// The relay before each endpoint, by the endpoint's name.
+    /// The relay in front of each endpoint, by the endpoint's name.
     endpoint_relays: BTreeMap<String, Relay>,
     _permit: ProcessPermit,
 }
 
 impl TestCluster {
-    /// Creates a cluster of this program, whose processes do not run yet, with its files below `parent_folder`. Waits
-    /// until the machine has room for its nodes.
+    /// Creates a cluster of `program` with its files below `parent_folder`, without starting any process. Waits until
+    /// enough cores are free for its nodes.
     ///
     /// # Panics
     ///
-    /// When files cannot be written or no port is free.
+    /// Panics if a file cannot be written or no port is free.
     pub fn new(program: &Path, parent_folder: &Path, config: ClusterConfig) -> TestCluster {
         let permit = ProcessPermit::acquire(config.nodes);
         let number = NEXT_CLUSTER.fetch_add(1, Ordering::Relaxed);
@@ -177,11 +178,12 @@
         cluster
     }
 
-    /// Adds a node, which does not run yet, whose file names these peers; theirs do not name it. Returns its index.
+    /// Adds a node whose file names `peers`, without starting it; the files of the other nodes do not name it. Returns
+    /// its index.
     ///
     /// # Panics
     ///
-    /// As [`TestCluster::new`].
+    /// Panics under the same conditions as [`TestCluster::new`].
     pub fn add_node(&mut self, peers: &[usize]) -> usize {
         let index = self.nodes.len();
         let folder = self.nodes[0].folder.with_file_name(format!("b{index}"));
@@ -190,50 +192,50 @@
         index
     }
 
-    /// Adds a node with its relays.
+    /// Adds a node and its relays without starting its process or writing its files.
     fn add_stopped_node(&mut self, folder: PathBuf) {
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the node's folder is created");
         let index = self.nodes.len();
         self.nodes.push(ClusterNode::new(index, folder));
-        self.sparql_relays.push(Relay::start(NO_ADDRESS, RelayProtocol::Bytes));
-        self.advertised_relays.push(Relay::start(NO_ADDRESS, RelayProtocol::FleetFrames));
+        self.sparql_relays.push(Relay::start(UNREACHABLE_ADDRESS, RelayProtocol::Bytes));
+        self.advertised_relays.push(Relay::start(UNREACHABLE_ADDRESS, RelayProtocol::FleetFrames));
         let protocol = if self.config.is_legacy { RelayProtocol::Bytes } else { RelayProtocol::FleetFrames };
         for other in 0..index {
             let to_other = Relay::start(self.nodes[other].store_address, protocol);
             self.peer_links.insert(PeerLink { from: index, to: other }, to_other);
-            let from_other = Relay::start(NO_ADDRESS, protocol);
+            let from_other = Relay::start(UNREACHABLE_ADDRESS, protocol);
             self.peer_links.insert(PeerLink { from: other, to: index }, from_other);
         }
     }
 
-    /// Where clients reach a node's SPARQL server; it stays when the node starts again.
+    /// The address at which clients reach a node's SPARQL server, the same across restarts of the node.
     pub fn sparql_address(&self, node: usize) -> SocketAddr {
         self.sparql_relays[node].address
     }
 
-    /// Starts a load on all nodes.
+    /// Starts clients that spread a load over all nodes.
     pub fn start_load(&self, profile: LoadProfile) -> Load {
         let addresses: Vec<SocketAddr> = self.sparql_relays.iter().map(|relay| relay.address).collect();
         Load::start(&addresses, profile)
     }
 
-    /// The log of a node's present process.
+    /// The log of a node's current process.
     ///
     /// # Panics
     ///
-    /// When the node does not run.
+    /// Panics if the node is not running.
     pub fn log(&self, node: usize) -> NodeLog {
         self.nodes[node].process().log()
     }
 
-    /// The logs of all nodes, with those of processes that have ended.
+    /// The logs of all nodes, including those of their earlier processes.
     pub fn logs(&self) -> Vec<NodeLog> {
-        let whole_log = |node: &ClusterNode| {
+        let complete_log = |node: &ClusterNode| {
             let mut lines = node.earlier_log.clone();
             lines.extend(node.process.as_ref().map(Process::log).unwrap_or_default());
             lines
         };
-        self.nodes.iter().map(whole_log).collect()
+        self.nodes.iter().map(complete_log).collect()
     }
 }
 
--- a/lab/src/cluster/files.rs
+++ b/lab/src/cluster/files.rs
@@ -1,4 +1,4 @@
-//! The files that nodes read: the operator's file and the inventory.
+//! Writes the files that nodes read: the operator's file and the inventory.
 
 use super::{TestCluster, ZONES};
 
@@ -8,23 +8,23 @@
 pub(super) const OPERATOR_FILE: &str = "operator.yaml";
 /// The name of the inventory in a node's folder.
 const INVENTORY_FILE: &str = "hosts.csv";
-/// Groups of unreachable endpoints are numbered from this one on.
+/// The number of the first group of unreachable endpoints.
 const FIRST_UNREACHABLE_GROUP: usize = 1000;
 
 impl TestCluster {
-    /// Replaces a node's own inventory in one step, as an operator would.
+    /// Replaces a node's own inventory atomically, by renaming a new file, as an operator would.
     ///
     /// # Panics
     ///
-    /// When the file cannot be written.
+    /// Panics if the file cannot be written.
     pub fn write_inventory(&self, node: usize, csv: &str) {
         let path = self.nodes[node].folder.join(INVENTORY_FILE);
         let temporary = path.with_extension("new");
-        std::fs::write(&temporary, csv).expect("a file");
-        std::fs::rename(&temporary, &path).expect("a file");
+        std::fs::write(&temporary, csv).expect("the inventory is written");
+        std::fs::rename(&temporary, &path).expect("the inventory is renamed");
     }
 
-    /// The inventory with all endpoints, as CSV.
+    /// The inventory as CSV, with the running and the unreachable endpoints.
     pub fn inventory_csv(&self) -> String {
         let address_of =
             |endpoint: &crate::endpoint::StandInEndpoint| self.endpoint_relays[&endpoint.name].address;
@@ -37,17 +37,18 @@
         csv
     }
 
-    /// The region of a zone; empty: none.
+    /// The region of a zone; empty if it has none.
     fn region_of(&self, zone: &str) -> String {
         let number = ZONES.iter().position(|name| *name == zone);
         let region = number.and_then(|number| self.config.regions.get(number));
         region.cloned().unwrap_or_default()
     }
 
-    /// Writes a node's files; `peers`: the nodes that its file names, itself left out.
+    /// Writes a node's files. The operator's file names `peers`, except for the node itself.
     pub(super) fn write_files(&self, node: usize, peers: &[usize]) {
         let text = self.operator_file(node, peers);
-        std::fs::write(self.nodes[node].folder.join(OPERATOR_FILE), text).expect("a file");
+        std::fs::write(self.nodes[node].folder.join(OPERATOR_FILE), text)
+            .expect("the operator's file is written");
         self.write_inventory(node, &self.inventory_csv());
     }
 
@@ -76,8 +77,8 @@
     }
 }
 
-/// The settings of all nodes, as they stand under `settings` in an operator's file. [`crate::oracle::request_value`] knows the values of `worth`, and
-/// [`crate::endpoint::warm_up_share`] those of `cold-share` and `warm-up`.
+/// The settings of all nodes, as in the section `settings` of an operator's file. The values of `worth` are repeated in
+/// [`crate::oracle::request_value`], those of `cold-share` and `warm-up` in [`crate::endpoint::warm_up_share`].
 pub const SERVICE_SETTINGS: &str = "  services:
     - {name: catalog-read, consistency: lag_bound, max-age: 0.8, target: 1.0, deadline: 2.5, worth: 3, late-worth: 0.2, repeat: repeatable}
     - {name: own-edit-read, consistency: causal, target: 0.8, deadline: 2.0, worth: 1, late-worth: 0, repeat: repeatable}
--- a/lab/src/cluster/lifecycle.rs
+++ b/lab/src/cluster/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts, stops and kills nodes, and records when they did not run.
+//! Starts, pauses and kills nodes, and records their downtimes.
 
 use super::files::OPERATOR_FILE;
 use super::{ClusterNode, TestCluster};
@@ -7,7 +7,8 @@
 use crate::{Timestamp, eventually, http, log_lines};
 use std::time::Duration;
 
-/// A downtime that ended with a start within this time before the node was ready lasts until it was ready.
+/// The start-up time that counts as downtime: a downtime that ended with the start of a process is extended until the
+/// node is ready if that takes less than this.
 const MAX_START_UP: Duration = Duration::from_secs(30);
 
 impl TestCluster {
@@ -15,20 +16,20 @@
     ///
     /// # Panics
     ///
-    /// When it does not within [`crate::DEFAULT_TIMEOUT`].
+    /// Panics if the store does not listen within [`crate::DEFAULT_TIMEOUT`].
     pub fn start(&mut self, node: usize) {
         self.start_nodes(&[node]);
     }
 
-    /// Starts nodes at the same moment and waits until their stores listen.
+    /// Starts nodes concurrently and waits until their stores listen.
     ///
     /// # Panics
     ///
-    /// When one does not within [`crate::DEFAULT_TIMEOUT`].
+    /// Panics if one of the stores does not listen within [`crate::DEFAULT_TIMEOUT`].
     pub fn start_nodes(&mut self, nodes: &[usize]) {
         let processes: Vec<Process> = nodes.iter().map(|node| self.start_process(*node)).collect();
         for (node, process) in nodes.iter().zip(processes) {
-            self.attach(*node, process);
+            self.connect_relays(*node, process);
         }
     }
 
@@ -38,8 +39,8 @@
         Process::start(&self.program, &["--operator", &file.to_string_lossy()], offset)
     }
 
-    /// Waits until a process's store listens, and points the relays to it.
-    fn attach(&mut self, node: usize, process: Process) {
+    /// Waits until the store of a process listens, and sets it as the target of the node's relays.
+    fn connect_relays(&mut self, node: usize, process: Process) {
         let store_address = process.wait_for_address(log_lines::STORE_LISTENING);
         for (link, relay) in &self.peer_links {
             if link.to == node {
@@ -52,7 +53,7 @@
         self.end_downtime(node);
     }
 
-    /// Ends a node's downtime that has not ended.
+    /// Ends a node's current downtime.
     fn end_downtime(&mut self, node: usize) {
         let now = Timestamp::now();
         for downtime in &mut self.downtimes {
@@ -62,20 +63,20 @@
         }
     }
 
-    /// Sets a node's clock offset from its next start on.
+    /// Sets the clock offset that a node has from its next start on.
     pub fn set_clock_offset(&mut self, node: usize, offset: ClockOffset) {
         let offsets = &mut self.config.clock_offsets;
         offsets.resize(offsets.len().max(node + 1), ClockOffset::NONE);
         offsets[node] = offset;
     }
 
-    /// Waits until a node that was started is ready to serve.
+    /// Waits until a node that has been started is ready to serve, and lets clients reach it.
     ///
     /// # Panics
     ///
-    /// When it is not within [`crate::DEFAULT_TIMEOUT`].
+    /// Panics if the node is not ready within [`crate::DEFAULT_TIMEOUT`].
     pub fn wait_until_ready(&mut self, node: usize) {
-        // The SPARQL server listens at another address after each start.
+        // The SPARQL server listens on a new port after each start.
         let sparql_address = self.nodes[node].process().wait_for_address(log_lines::SPARQL_LISTENING);
         self.sparql_relays[node].set_target(sparql_address);
         eventually("a node is ready", || {
@@ -90,11 +91,11 @@
         }
     }
 
-    /// Starts all nodes and waits until all are ready, all vote, and all have applied the same.
+    /// Starts all nodes and waits until all are ready, are voters, and have applied the same entries.
     ///
     /// # Panics
     ///
-    /// When that takes longer than [`crate::DEFAULT_TIMEOUT`] at any step.
+    /// Panics if one of these waits takes longer than [`crate::DEFAULT_TIMEOUT`].
     pub fn start_all(&mut self) {
         let all: Vec<usize> = (0..self.nodes.len()).collect();
         all.iter().for_each(|node| self.start(*node));
@@ -102,11 +103,11 @@
         if self.config.is_legacy {
             return;
         }
-        eventually("all nodes vote", || all.iter().all(|node| self.voter_count(*node) == all.len()));
+        eventually("all nodes are voters", || all.iter().all(|node| self.voter_count(*node) == all.len()));
         self.wait_until_caught_up();
     }
 
-    /// Kills a node, as a loss of power does.
+    /// Kills a node's process with SIGKILL, as a loss of power would.
     pub fn kill(&mut self, node: usize) {
         if let Some(mut process) = self.nodes[node].process.take() {
             self.begin_downtime(node);
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Stops a node (SIGSTOP).
+    /// Pauses a node (SIGSTOP).
     pub fn pause(&mut self, node: usize) {
         if self.nodes[node].process.is_some() {
             self.begin_downtime(node);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Lets a node that was stopped continue (SIGCONT).
+    /// Resumes a paused node (SIGCONT).
     pub fn resume(&mut self, node: usize) {
         if self.nodes[node].process.is_some() {
             self.nodes[node].process().signal("-CONT");
@@ -138,12 +139,12 @@
         self.downtimes.push(Downtime { node, from: Timestamp::now(), until: Timestamp::MAX });
     }
 
-    /// Deletes the store of a node that does not run.
+    /// Deletes the store file of a node that is not running, if there is one.
     pub fn delete_store(&self, node: usize) {
         let _ = std::fs::remove_file(self.nodes[node].store_file());
     }
 
-    /// The nodes that run and are not stopped.
+    /// The nodes that run and are not paused.
     pub fn running_nodes(&self) -> Vec<usize> {
         let runs = |node: &ClusterNode| node.process.is_some() && !node.is_paused;
         (0..self.nodes.len()).filter(|node| runs(&self.nodes[*node])).collect()
--- a/lab/src/cluster/links.rs
+++ b/lab/src/cluster/links.rs
@@ -1,4 +1,4 @@
-//! Faults of the links between nodes, and of the endpoints by zone.
+//! Injects faults into the links between nodes and into the endpoints of a zone.
 
 use super::{PeerLink, TestCluster};
 use crate::endpoint::DEFAULT_SERVICE_TIME;
@@ -15,7 +15,8 @@
         }
     }
 
-    /// Sets the faults of all links of a node to others that it names or that name it, in both directions.
+    /// Sets the faults of all links from and to a node, in both directions. The relays at advertised addresses keep
+    /// theirs.
     pub fn set_node_faults(&self, node: usize, faults: LinkFaults) {
         for (link, relay) in &self.peer_links {
             if link.from == node || link.to == node {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// Cuts all links but those between nodes of the same part.
+    /// Cuts all links between nodes of different parts and heals those within a part.
     pub fn partition(&self, parts: &[Vec<usize>]) {
         let part_of = |node: usize| parts.iter().position(|part| part.contains(&node));
         for (link, relay) in &self.peer_links {
@@ -32,14 +33,14 @@
             let faults = if is_cut { LinkFaults::CUT } else { LinkFaults::NONE };
             relay.set_faults(faults, faults);
         }
-        // All nodes reach a node at its advertised address: one that is not reached at the address in a file would be
-        // reached there.
+        // The relay at an advertised address is shared by all nodes. It is cut too, or nodes would reach a peer of
+        // another part there.
         for relay in &self.advertised_relays {
             relay.set_faults(LinkFaults::CUT, LinkFaults::NONE);
         }
     }
 
-    /// What one node sends does not reach another one, whichever of them opened the connection.
+    /// Discards what one node sends to another, on the connections that either of them opened.
     pub fn cut_one_way(&self, from: usize, to: usize) {
         if let Some(relay) = self.peer_links.get(&PeerLink { from, to }) {
             relay.set_faults(LinkFaults::CUT, LinkFaults::NONE);
@@ -49,21 +50,21 @@
         }
     }
 
-    /// Resets the connections that one node has opened to another one.
+    /// Resets the connections that one node has opened to another.
     pub fn reset_link(&self, from: usize, to: usize) {
         if let Some(relay) = self.peer_links.get(&PeerLink { from, to }) {
             relay.reset_connections();
         }
     }
 
-    /// Ends all faults of links between nodes.
+    /// Removes all faults from the links between nodes.
     pub fn heal_links(&self) {
         for relay in self.relays_between_nodes() {
             relay.set_faults(LinkFaults::NONE, LinkFaults::NONE);
         }
     }
 
-    /// Bytes that nodes have sent one another up to now.
+    /// Bytes that nodes have sent to each other so far.
     pub fn peer_traffic_bytes(&self) -> u64 {
         self.relays_between_nodes().map(|relay| relay.traffic().total_bytes()).sum()
     }
@@ -72,7 +73,7 @@
         self.peer_links.values().chain(&self.advertised_relays)
     }
 
-    /// Sets the fault of all endpoints of a zone; it replaces the one before.
+    /// Sets the fault of all endpoints of a zone, in place of their previous fault.
     pub fn set_zone_fault(&self, zone: &str, fault: EndpointFault) {
         for endpoint in self.endpoints.in_zone(zone) {
             if fault == EndpointFault::PowerOff {
@@ -96,14 +97,14 @@
         }
     }
 
-    /// Loses all requests of a node to the endpoints of a zone.
+    /// Drops all requests that a node sends to the endpoints of a zone.
     pub fn cut_zone(&self, node: usize, zone: &str) {
         for endpoint in self.endpoints.in_zone(zone) {
             endpoint.cut_from(&self.nodes[node].name);
         }
     }
 
-    /// Ends [`TestCluster::cut_zone`].
+    /// Reverts [`TestCluster::cut_zone`].
     pub fn reconnect_zone(&self, node: usize, zone: &str) {
         for endpoint in self.endpoints.in_zone(zone) {
             endpoint.reconnect_to(&self.nodes[node].name);
--- a/lab/src/cluster/schedule.rs
+++ b/lab/src/cluster/schedule.rs
@@ -1,4 +1,4 @@
-//! Runs fault schedules.
+//! Runs fault schedules against a cluster.
 
 use super::TestCluster;
 use crate::faults::{FaultAction, FaultSchedule};
@@ -7,24 +7,24 @@
 use std::thread::{self, JoinHandle};
 use std::time::Instant;
 
-/// An operator's call of a schedule, with its response.
+/// A call that a schedule made as the operator, with its response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorCall {
     /// [`FaultAction::Drain`] or [`FaultAction::Undrain`].
     pub action: FaultAction,
     /// When the call was made.
     pub called_at: Timestamp,
-    /// The status of its response; [`http::NO_RESPONSE`]: none.
+    /// The status of the response; [`http::NO_RESPONSE`] if there was none.
     pub status: u16,
 }
 
 impl TestCluster {
-    /// Injects all faults of a schedule at their times. Operators' calls run beside it; they are returned in the order of
-    /// the schedule once all have a response.
+    /// Injects all faults of a schedule at their times. Operators' calls run concurrently with it; they are returned in
+    /// the order of the schedule, once all have ended.
     ///
     /// # Panics
     ///
-    /// When a node does not start.
+    /// Panics if a node does not start within [`crate::DEFAULT_TIMEOUT`].
     pub fn run_schedule(&mut self, schedule: &FaultSchedule) -> Vec<OperatorCall> {
         let started = Instant::now();
         let mut calls = Vec::new();
@@ -32,10 +32,10 @@
             thread::sleep((started + scheduled.after).saturating_duration_since(Instant::now()));
             calls.extend(self.inject(&scheduled.action));
         }
-        calls.into_iter().map(|call| call.join().expect("an operator's call")).collect()
+        calls.into_iter().map(|call| call.join().expect("the thread of an operator's call ends")).collect()
     }
 
-    /// Injects one fault; an operator's call is left running.
+    /// Injects one fault. Returns the thread of an operator's call, which is not waited for.
     fn inject(&mut self, action: &FaultAction) -> Option<JoinHandle<OperatorCall>> {
         match action {
             FaultAction::Kill { node } => self.kill(*node),
@@ -54,16 +54,21 @@
             FaultAction::CutZone { node, zone } => self.cut_zone(*node, zone),
             FaultAction::ReconnectZone { node, zone } => self.reconnect_zone(*node, zone),
             FaultAction::Drain { node, endpoint } => {
-                return Some(self.call_beside(*node, format!("/drain/{endpoint}"), action.clone()));
+                return Some(self.spawn_operator_call(*node, format!("/drain/{endpoint}"), action.clone()));
             }
             FaultAction::Undrain { node, endpoint } => {
-                return Some(self.call_beside(*node, format!("/undrain/{endpoint}"), action.clone()));
+                return Some(self.spawn_operator_call(*node, format!("/undrain/{endpoint}"), action.clone()));
             }
         }
         None
     }
 
-    fn call_beside(&self, node: usize, path: String, action: FaultAction) -> JoinHandle<OperatorCall> {
+    fn spawn_operator_call(
+        &self,
+        node: usize,
+        path: String,
+        action: FaultAction,
+    ) -> JoinHandle<OperatorCall> {
         let address = self.nodes[node].store_address;
         thread::spawn(move || {
             let called_at = Timestamp::now();
--- a/lab/src/cluster/status.rs
+++ b/lab/src/cluster/status.rs
@@ -1,30 +1,30 @@
-//! What nodes say about the fleet, zones and endpoints, and calls to them.
+//! Reads what nodes report about the fleet, zones and endpoints, and sends calls to them.
 
 use super::TestCluster;
 use crate::{eventually, http};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bound of each read of a write's response.
+/// Timeout of each read of the response to a write.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The weight of a zone at a node, per mille of its usual reads.
+/// The weight of a zone at a node, in per mille of the zone's usual reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneWeight {
-    /// What the node gives the zone.
+    /// The weight that the node applies.
     pub applied_permille: u16,
-    /// What the fleet has agreed on.
+    /// The weight in the last committed state of the fleet.
     pub agreed_permille: u16,
 }
 
 impl ZoneWeight {
-    /// The node does as the fleet has agreed.
+    /// A weight that the fleet has committed and the node applies.
     pub const fn agreed(permille: u16) -> ZoneWeight {
         ZoneWeight { applied_permille: permille, agreed_permille: permille }
     }
 }
 
-/// How far a node has come in the replicated log.
+/// How far a node has applied the replicated log.
 #[derive(Clone, Default, PartialEq)]
 struct Progress {
     applied_index: String,
@@ -33,12 +33,13 @@
 }
 
 impl TestCluster {
-    /// A node's status page of the fleet; empty where it does not respond.
+    /// A node's status page of the fleet; empty if the node does not respond.
     pub fn fleet_status(&self, node: usize) -> String {
         http::get_text(self.nodes[node].store_address, "/fleet")
     }
 
-    /// The value after a name in a node's status page of the fleet, up to the next space; empty where there is none.
+    /// The value after a name in a node's status page of the fleet, up to the next space; empty if the
+    /// name is not there.
     pub fn fleet_field(&self, node: usize, name: &str) -> String {
         let status = self.fleet_status(node);
         let mut fields = status.split_whitespace();
@@ -46,12 +47,12 @@
         fields.next().unwrap_or("").to_string()
     }
 
-    /// The voters that a node's status page of the fleet lists.
+    /// The number of voters on a node's status page of the fleet.
     pub fn voter_count(&self, node: usize) -> usize {
         self.fleet_status(node).lines().filter(|line| line.contains(" voter ")).count()
     }
 
-    /// The leader that a majority of the running nodes names, if it agrees itself.
+    /// The leader that a majority of the running nodes report, provided that it runs and reports itself as leader too.
     pub fn leader(&self) -> Option<usize> {
         let running = self.running_nodes();
         let mut votes: BTreeMap<String, usize> = BTreeMap::new();
@@ -64,11 +65,11 @@
         (has_majority && self.fleet_field(leader, "leader") == name).then_some(leader)
     }
 
-    /// Waits until there is a leader and returns it.
+    /// Waits for [`TestCluster::leader`] to find a leader and returns it.
     ///
     /// # Panics
     ///
-    /// When there is none within [`crate::DEFAULT_TIMEOUT`].
+    /// Panics if there is no leader within [`crate::DEFAULT_TIMEOUT`].
     pub fn wait_for_leader(&self) -> usize {
         let mut leader = None;
         eventually("there is a leader", || {
@@ -78,13 +79,13 @@
         leader.expect("a leader was found")
     }
 
-    /// Waits until all running nodes have applied the same entries and no drain waits for its commit.
+    /// Waits until all running nodes have applied the same entries and no drain is waiting to be committed.
     ///
     /// # Panics
     ///
-    /// When they have not within [`crate::DEFAULT_TIMEOUT`].
+    /// Panics if they have not within [`crate::DEFAULT_TIMEOUT`].
     pub fn wait_until_caught_up(&self) {
-        eventually("all running nodes have applied the same", || {
+        eventually("all running nodes have applied the same entries", || {
             let progress: Vec<Progress> =
                 self.running_nodes().iter().map(|node| self.progress(*node)).collect();
             let first = progress.first().cloned().unwrap_or_default();
@@ -101,18 +102,20 @@
         }
     }
 
-    /// An operator's call to a node's store: the status of the response, [`http::NO_RESPONSE`] where there is none.
+    /// Sends a POST to a node's store, as an operator would. Returns the status of the response, or
+    /// [`http::NO_RESPONSE`] if there is none.
     pub fn post(&self, node: usize, path: &str) -> u16 {
         http::post_status(self.nodes[node].store_address, path)
     }
 
-    /// A client's write to a node: the status of the response, [`http::NO_RESPONSE`] where there is none.
+    /// Sends a client's write to a node. Returns the status of the response, or [`http::NO_RESPONSE`] if there is none.
     pub fn write(&self, node: usize, group: u32, request_id: u64) -> u16 {
         let response = self.write_response(node, group, request_id);
         response.map_or(http::NO_RESPONSE, |response| response.status())
     }
 
-    /// A client's write to a node: its response, if any. The arrivals at endpoints have this id.
+    /// Sends a client's write to a node and returns the response, if there is one. The arrivals at endpoints carry
+    /// `request_id`.
     pub fn write_response(&self, node: usize, group: u32, request_id: u64) -> Option<http::Message> {
         let body = format!("INSERT r#{request_id}");
         let request = format!(
@@ -123,14 +126,14 @@
         http::Connection::open(self.sparql_address(node), WRITE_TIMEOUT)?.call(&request)
     }
 
-    /// The names of the endpoints that a request reached, in order.
+    /// The names of the endpoints that a request reached, in the order in which they finished it.
     pub fn endpoints_reached(&self, request_id: u64) -> Vec<String> {
         let arrivals = self.endpoints.arrivals().into_iter();
         let own = arrivals.filter(|arrival| arrival.request_id == request_id);
         own.map(|arrival| arrival.endpoint).collect()
     }
 
-    /// The weight of a zone at a node; `None`: it does not respond, or knows no such zone.
+    /// The weight of a zone at a node; `None` if the node does not respond or does not know the zone.
     pub fn zone_weight(&self, node: usize, zone: &str) -> Option<ZoneWeight> {
         let zones = http::get_text(self.nodes[node].store_address, "/zones");
         let line = zones.lines().find(|line| line.starts_with(&format!("zone {zone} gets ")))?;
@@ -140,11 +143,12 @@
         Some(ZoneWeight { applied_permille, agreed_permille })
     }
 
-    /// Waits until the fleet has agreed on this weight of a zone and all running nodes apply it; how long that took.
+    /// Waits until the fleet has committed this weight of a zone and all running nodes apply it. Returns how long that
+    /// took.
     ///
     /// # Panics
     ///
-    /// When they do not within [`crate::DEFAULT_TIMEOUT`].
+    /// Panics if that does not happen within [`crate::DEFAULT_TIMEOUT`].
     pub fn wait_for_zone_weight(&self, zone: &str, permille: u16) -> Duration {
         let wanted = Some(ZoneWeight::agreed(permille));
         eventually(&format!("{zone} has the weight {permille}"), || {
@@ -152,29 +156,29 @@
         })
     }
 
-    /// Whether a node drains an endpoint; `None`: it does not respond, or knows no such endpoint.
+    /// Whether a node drains an endpoint; `None` if the node does not respond or does not know the endpoint.
     pub fn is_draining(&self, node: usize, endpoint: &str) -> Option<bool> {
         let endpoints = http::get_text(self.nodes[node].store_address, "/hosts");
         let line = endpoints.lines().find(|line| line.starts_with(&format!("{endpoint} ")))?;
         Some(line.contains(" leaving "))
     }
 
-    /// Waits until all these nodes drain an endpoint; how long that took.
+    /// Waits until all these nodes drain an endpoint. Returns how long that took.
     ///
     /// # Panics
     ///
-    /// When they do not within [`crate::DEFAULT_TIMEOUT`].
+    /// Panics if that does not happen within [`crate::DEFAULT_TIMEOUT`].
     pub fn wait_until_draining(&self, nodes: &[usize], endpoint: &str) -> Duration {
         eventually(&format!("{endpoint} is draining"), || {
             nodes.iter().all(|node| self.is_draining(*node, endpoint) == Some(true))
         })
     }
 
-    /// Waits until all these nodes know an endpoint and do not drain it; how long that took.
+    /// Waits until all these nodes know an endpoint and do not drain it. Returns how long that took.
     ///
     /// # Panics
     ///
-    /// When they do not within [`crate::DEFAULT_TIMEOUT`].
+    /// Panics if that does not happen within [`crate::DEFAULT_TIMEOUT`].
     pub fn wait_until_active(&self, nodes: &[usize], endpoint: &str) -> Duration {
         eventually(&format!("{endpoint} is active"), || {
             nodes.iter().all(|node| self.is_draining(*node, endpoint) == Some(false))
--- a/lab/src/endpoint.rs
+++ b/lab/src/endpoint.rs
@@ -1,5 +1,6 @@
-//! Stand-in endpoints: groups of one primary and replicas that apply its log late, each with a limit of concurrency, a
-//! queue, a slow start and faults. They speak SPARQL over HTTP and record every operation that reached them.
+//! Stand-in endpoints: groups of one primary and replicas that apply its log with a lag. Each endpoint has a
+//! concurrency limit, a queue, a slow start and faults. They speak SPARQL over HTTP and record every operation that
+//! reaches them.
 
 mod group_log;
 mod serving;
@@ -17,23 +18,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long an operation runs at an endpoint without faults.
+/// How long an operation runs at an endpoint by default.
 pub const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(2);
-/// How far replicas apply the log behind their primary.
+/// How far the applied log of a replica is behind its primary by default.
 const DEFAULT_REPLICATION_LAG: Duration = Duration::from_millis(20);
-/// Operations that run at once at an endpoint that is warm.
+/// Number of operations that a warm endpoint runs at once by default.
 const DEFAULT_SLOTS: usize = 8;
-/// Operations that wait for a slot.
+/// Number of operations that may wait for a slot by default.
 const DEFAULT_QUEUE_LIMIT: usize = 64;
 
-/// The share of its slots that an endpoint has at a cold start; the platform's settings name the same (`cold-share`).
+/// The share of its slots that an endpoint has at a cold start; equal to `cold-share` in the nodes' settings.
 const COLD_START_SHARE: f64 = 0.25;
-/// How long after a cold start an endpoint has all its slots; the platform's settings name the same (`warm-up`).
+/// Time after a cold start until an endpoint has all its slots; equal to `warm-up` in the nodes' settings.
 const WARM_UP: Duration = Duration::from_secs(16);
 
-/// The share of its capacity that an endpoint has this long after a cold start: it rises linearly up to 1.
+/// The share of its capacity that an endpoint has at a time after a cold start. It rises linearly up to 1.
 pub fn warm_up_share(since_start: Duration) -> f64 {
-    // One division rounds once: the same instants give the same share to the last bit, whatever they were computed from.
+    // Dividing the exact nanoseconds rounds once, so that equal durations give exactly the same share.
     let seconds = since_start.as_nanos() as f64 / 1e9;
     let gained = (1.0 - COLD_START_SHARE) * seconds / WARM_UP.as_secs_f64();
     (COLD_START_SHARE + gained).min(1.0)
@@ -44,41 +45,42 @@
 pub struct Arrival {
     /// The endpoint's name.
     pub endpoint: String,
-    /// The request's id, as its client chose it; 0: none.
+    /// The id that the client gave the request; 0 if it has none.
     pub request_id: u64,
     /// When the operation arrived.
     pub arrived_at: Timestamp,
-    /// When the endpoint had finished it, or saw that its connection was closed; the arrival where it was rejected.
+    /// When the endpoint had finished the operation or saw that the connection was closed. Equal to `arrived_at` if the
+    /// operation was rejected.
     pub finished_at: Timestamp,
-    /// The operation is a write.
+    /// Whether the operation is a write.
     pub is_write: bool,
-    /// The operation was answered with status 200.
+    /// Whether the operation ran to its end while the client was still connected.
     pub served: bool,
 }
 
 /// Capacity and faults of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointBehavior {
-    /// The endpoint has power: it serves connections.
+    /// Whether the endpoint has power and serves connections.
     pub is_up: bool,
-    /// The endpoint accepts operations and answers none.
+    /// Whether the endpoint accepts operations and answers none.
     pub is_silent: bool,
-    /// Requests that are lost on their way, of a hundred.
+    /// Percentage of the requests that are lost on their way, at random.
     pub loss_percent: u8,
-    /// How far a replica applies the log behind its primary.
+    /// How far the applied log of a replica is behind its primary.
     pub replication_lag: Duration,
     /// How long an operation runs.
     pub service_time: Duration,
-    /// Operations that run at once when the endpoint is warm.
+    /// Number of operations that run at once when the endpoint is warm.
     pub slots: usize,
-    /// Operations that wait for a slot; those beyond it are rejected.
+    /// Number of operations that may wait for a slot; further ones are rejected.
     pub queue_limit: usize,
-    /// The last cold start; `None`: the endpoint is warm.
+    /// The last cold start; `None` if there was none, so that the endpoint is warm.
     pub cold_since: Option<Instant>,
 }
 
 impl EndpointBehavior {
-    /// Operations that may run at once now.
+    /// Number of operations that may run at once now.
     fn available_slots(&self) -> usize {
         let share = self.cold_since.map_or(1.0, |start| warm_up_share(start.elapsed()));
         ((self.slots as f64 * share) as usize).max(1)
@@ -102,28 +104,29 @@
 
 struct State {
     behavior: EndpointBehavior,
-    /// Count of losses of power: operations and connections of an earlier incarnation have no effect.
+    /// Number of losses of power. Operations and connections of an earlier incarnation get no response.
     incarnation: u64,
     is_primary: bool,
-    /// Names of the nodes whose requests are lost.
+    /// Names of the nodes whose requests are all lost.
     cut_from: BTreeSet<String>,
     rng: fastrand::Rng,
     running: usize,
     waiting: usize,
-    /// The most operations that ran or waited at once since the last query.
+    /// The highest number of operations that ran or waited at once since [`StandInEndpoint::take_peak_concurrency`] was
+    /// last called.
     peak: usize,
 }
 
-/// A stand-in endpoint. Clones share one state; it listens until the process ends.
+/// A stand-in endpoint, which listens until the process exits. Clones share its state.
 #[derive(Clone)]
 pub struct StandInEndpoint {
-    /// Its name.
+    /// The endpoint's name: `s-`, the group's number, `-` and its index in the group.
     pub name: String,
     /// The number of its group.
     pub group: u32,
     /// The name of its zone.
     pub zone: String,
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     log: Arc<Mutex<GroupLog>>,
@@ -132,10 +135,10 @@
     polls: Arc<Mutex<Vec<Timestamp>>>,
 }
 
-/// An endpoint's place in the set.
+/// An endpoint's place in the cluster.
 struct Placement {
     group: u32,
-    /// Its number in the group; 0 is the primary at first.
+    /// The endpoint's index in the group; the one with index 0 is the primary at first.
     index: usize,
     zone: String,
 }
@@ -162,7 +165,7 @@
             name: format!("s-{group}-{index}"),
             group,
             zone,
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("the listener has an address"),
             state: Arc::new(Mutex::new(state)),
             log,
             streams: Arc::default(),
@@ -187,22 +190,22 @@
         self.log.lock().expect("lock of a group's log")
     }
 
-    /// Changes the endpoint's capacity or faults.
+    /// Changes the endpoint's capacity or faults. Operations that have arrived keep their service time.
     pub fn configure(&self, change: impl FnOnce(&mut EndpointBehavior)) {
         change(&mut self.state().behavior);
     }
 
-    /// Loses all requests of a node from now on, as a cut link does.
+    /// Drops all requests of a node from now on, as a cut link would.
     pub fn cut_from(&self, node: &str) {
         self.state().cut_from.insert(node.into());
     }
 
-    /// Ends [`StandInEndpoint::cut_from`].
+    /// Reverts [`StandInEndpoint::cut_from`].
     pub fn reconnect_to(&self, node: &str) {
         self.state().cut_from.remove(node);
     }
 
-    /// Whether a request is lost on its way: the link from its node is cut, or by chance.
+    /// Whether a request is lost on its way, because the link from its node is cut or at random.
     fn loses(&self, request: &Message) -> bool {
         let node = request.header("via").and_then(|via| via.split(' ').nth(1)).unwrap_or("");
         let mut state = self.state();
@@ -210,7 +213,7 @@
         state.cut_from.contains(node) || loss_percent > 0 && state.rng.u8(..100) < loss_percent
     }
 
-    /// Loses power: all operations and connections end without an answer, and new connections are closed.
+    /// Loses power: all connections end without a response to their operations, and new ones are closed.
     pub fn power_off(&self) {
         let mut state = self.state();
         state.behavior.is_up = false;
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Starts again, cold, with all its data.
+    /// Gets power back: the endpoint starts cold, with all its data.
     pub fn power_on(&self) {
         self.configure(|behavior| {
             behavior.is_up = true;
@@ -234,7 +237,7 @@
         self.state().behavior.is_up
     }
 
-    /// When the endpoint was polled for its role and position, which is `ASK {}`.
+    /// The times at which the endpoint was polled for its role and position by the query `ASK {}`.
     pub fn polls(&self) -> Vec<Timestamp> {
         self.polls.lock().expect("lock of the polls").clone()
     }
@@ -244,7 +247,7 @@
         self.state().is_primary
     }
 
-    /// The most operations that ran or waited at once since the last call.
+    /// The highest number of operations that ran or waited at once since the last call.
     pub fn take_peak_concurrency(&self) -> usize {
         std::mem::take(&mut self.state().peak)
     }
--- a/lab/src/endpoint/group_log.rs
+++ b/lab/src/endpoint/group_log.rs
@@ -1,16 +1,16 @@
-//! The replicated log of a group, as far as positions tell of it.
+//! The replicated log of a group, reduced to the positions of its commits.
 
 use crate::{LogPosition, Timestamp};
 use std::time::Duration;
 
-/// Commits that a group lost together with its power, since they were not on its disks.
+/// A range of commits that a group lost in a loss of power because they were not on its disks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostCommits {
-    /// The last commit that is still there.
+    /// The position of the last commit that was kept; exclusive.
     pub after: LogPosition,
-    /// The last commit that is lost.
+    /// The position of the last commit that was lost; inclusive.
     pub up_to: LogPosition,
-    /// When they were lost.
+    /// When the commits were lost.
     pub lost_at: Timestamp,
 }
 
@@ -26,13 +26,13 @@
 pub(super) struct GroupLog {
     /// Positions of the commits, ascending.
     commits: Vec<LogPosition>,
-    /// After a loss of commits the log stands here until the next commit.
+    /// The position of the log from a loss of commits until the next commit.
     rolled_back_to: Option<LogPosition>,
     lost: Vec<LostCommits>,
 }
 
 impl GroupLog {
-    /// Appends a commit and returns its position, which is the present unless an earlier commit has it.
+    /// Appends a commit and returns its position: `present`, or the one after the last commit if that is not earlier.
     pub(super) fn commit(&mut self, present: LogPosition) -> LogPosition {
         let position = self.commits.last().map_or(present, |last| present.max(last.next()));
         self.commits.push(position);
@@ -40,20 +40,20 @@
         position
     }
 
-    /// Up to where a primary's data is complete.
+    /// The position up to which a primary's data is complete.
     pub(super) fn primary_position(&self, present: LogPosition) -> LogPosition {
         let last = self.commits.last().copied().unwrap_or(present);
         self.rolled_back_to.unwrap_or(present.max(last))
     }
 
-    /// Up to where a replica's data is complete.
+    /// The position up to which a replica's data is complete.
     pub(super) fn replica_position(&self, present: LogPosition, replication_lag: Duration) -> LogPosition {
         let applied = present - replication_lag;
         self.rolled_back_to.map_or(applied, |end| end.min(applied))
     }
 
-    /// Loses the commits of the last `unsynced` before the last one.
-    pub(super) fn lose_tail(&mut self, unsynced: Duration) {
+    /// Discards the commits made within `unsynced` before the last one, which is discarded too.
+    pub(super) fn lose_unsynced_commits(&mut self, unsynced: Duration) {
         let Some(last) = self.commits.last().copied() else { return };
         if unsynced.is_zero() {
             return;
@@ -65,7 +65,7 @@
         self.rolled_back_to = Some(after);
     }
 
-    /// All commits that were lost.
+    /// The commits lost so far, one range for each loss.
     pub(super) fn lost(&self) -> &[LostCommits] {
         &self.lost
     }
--- a/lab/src/endpoint/serving.rs
+++ b/lab/src/endpoint/serving.rs
@@ -1,4 +1,4 @@
-//! How an endpoint serves a connection: polls, operations, admission to its slots, responses.
+//! Serves the connections of an endpoint: polls, operations, admission to its slots, responses.
 
 use super::{Arrival, EndpointBehavior, StandInEndpoint};
 use crate::http::{self, Message};
@@ -8,21 +8,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The query of a poll, as it stands in a request line.
+/// The query of a poll, as encoded in a request line.
 const POLL_QUERY: &str = "ASK%20%7B%7D ";
-/// What stands before the request's id in a query, and in a body.
-const ENCODED_ID_MARK: &str = "r%23";
-const ID_MARK: &str = "r#";
-/// Pause between two looks at a slot by an operation that waits for one.
+/// The prefix of the request's id in a percent-encoded query.
+const ENCODED_ID_PREFIX: &str = "r%23";
+/// The prefix of the request's id in a body.
+const ID_PREFIX: &str = "r#";
+/// Interval at which a queued operation checks for a free slot.
 const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(1);
-/// Pause between two looks at the power by a request that is lost.
-const LOST_REQUEST_INTERVAL: Duration = Duration::from_millis(20);
-/// The shortest read timeout that is set: zero would mean none.
+/// Interval at which a lost request checks whether the endpoint still has power.
+const POWER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The shortest read timeout that is set, since a timeout of zero is invalid.
 const MIN_READ_TIMEOUT: Duration = Duration::from_micros(100);
-/// The uptime that an endpoint reports which never had a cold start: one day.
+/// The uptime that an endpoint without a cold start reports: one day.
 const WARM_UPTIME_SECONDS: f64 = 86_400.0;
 
-/// How an operation ended, for its response.
+/// How an operation ended, as its response reports it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Outcome {
     Read,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Whether an operation got a slot.
+/// The result of waiting for a slot.
 enum Admission {
     Admitted,
     QueueFull,
@@ -49,7 +50,7 @@
 }
 
 impl StandInEndpoint {
-    /// The present incarnation; `None`: the endpoint has no power.
+    /// The current incarnation; `None` if the endpoint has no power.
     fn incarnation(&self) -> Option<u64> {
         let state = self.state();
         state.behavior.is_up.then_some(state.incarnation)
@@ -65,15 +66,16 @@
         let Ok(mut writer) = stream.try_clone() else { return };
         let mut reader = BufReader::new(stream);
         while let Some(request) = http::read(&mut reader) {
-            // A request for another path is meant for a process that had this port before, in a cluster of another
-            // test: it is no operation.
+            // A request for another path is not an operation: it is meant for a process in another test's cluster that
+            // used this port before.
             if !self.is_up() || !request.first_line.contains(" /sparql") {
                 return;
             }
             if self.loses(&request) {
-                // Nothing is recorded; the client's wait alone shows that it was sent.
+                // A lost request is not recorded and gets no response: the connection stays open until the client
+                // closes it or the endpoint loses power.
                 while self.incarnation() == Some(incarnation)
-                    && !closes_within(reader.get_ref(), LOST_REQUEST_INTERVAL)
+                    && !closes_within(reader.get_ref(), POWER_CHECK_INTERVAL)
                 {}
                 return;
             }
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Handles a request; `None`: there is no response, and the connection ends.
+    /// Handles a request; `None` if there is no response and the connection is to be closed.
     fn handle(&self, request: &Message, stream: &TcpStream) -> Option<String> {
         if request.first_line.contains(POLL_QUERY) {
             self.polls.lock().expect("lock of the polls").push(Timestamp::now());
@@ -93,7 +95,7 @@
         self.execute(request, stream)
     }
 
-    /// Executes an operation; `None`: its client closed the connection, or the endpoint lost power.
+    /// Executes an operation; `None` if the client closed the connection or the endpoint lost power.
     fn execute(&self, request: &Message, stream: &TcpStream) -> Option<String> {
         let is_write = request.header("content-type") == Some("application/sparql-update");
         let arrived_at = Timestamp::now();
@@ -134,7 +136,7 @@
         if self.incarnation() != Some(incarnation) {
             return None;
         }
-        // A write takes effect also when its client no longer waits for the response.
+        // A write takes effect even if its client has closed the connection.
         let response = self.response(if is_write { Outcome::Committed } else { Outcome::Read });
         (!client_closed).then_some(response)
     }
@@ -170,7 +172,8 @@
         }
     }
 
-    /// The response to an operation, with the endpoint's role, position and load; commits where the outcome says so.
+    /// The response to an operation, with the endpoint's role, position and load. [`Outcome::Committed`] appends a
+    /// commit to the log.
     fn response(&self, outcome: Outcome) -> String {
         let state = self.state();
         let behavior = state.behavior;
@@ -190,8 +193,8 @@
         drop(log);
         let role = if is_primary { "primary" } else { "replica" };
         let uptime = behavior.cold_since.map_or(WARM_UPTIME_SECONDS, |start| start.elapsed().as_secs_f64());
-        // The body is the instant of the data that the response was made from: a primary's data is of the present,
-        // wherever its log stands.
+        // The body is the time up to which the data of the response is current. A primary's data is always current,
+        // even if its log has been rolled back.
         let data_as_of = if is_primary { position.max(present) } else { position };
         let body = data_as_of.as_millis().to_string();
         format!(
@@ -205,17 +208,17 @@
     }
 }
 
-/// The id that the client put into a request; 0: none.
+/// The id that the client put into a request; 0 if there is none.
 fn request_id(request: &Message, is_write: bool) -> u64 {
     let text = if is_write { request.text() } else { request.first_line.clone() };
-    let id = text.split(ENCODED_ID_MARK).nth(1).or(text.split(ID_MARK).nth(1)).unwrap_or("");
+    let id = text.split(ENCODED_ID_PREFIX).nth(1).or(text.split(ID_PREFIX).nth(1)).unwrap_or("");
     let digits: String = id.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().unwrap_or(0)
 }
 
-/// Waits for this long; true as soon as the peer has closed the connection.
-fn closes_within(stream: &TcpStream, length: Duration) -> bool {
-    let end = Instant::now() + length;
+/// Waits for `duration`. Returns true early if the client closes the connection.
+fn closes_within(stream: &TcpStream, duration: Duration) -> bool {
+    let end = Instant::now() + duration;
     loop {
         let left = end.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -226,7 +229,7 @@
         let _ = stream.set_read_timeout(None);
         match peeked {
             Ok(0) => return true,
-            // A pipelined request: it is read after this response.
+            // A pipelined request, which is read after this response.
             Ok(_) => {
                 thread::sleep(left);
                 return false;
--- a/lab/src/endpoint/set.rs
+++ b/lab/src/endpoint/set.rs
@@ -1,11 +1,11 @@
-//! All endpoints of a cluster.
+//! The set of all endpoints of a cluster.
 
 use super::{Arrival, GroupLog, LostCommits, Placement, StandInEndpoint};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// All endpoints of a cluster, with one record of what reached them.
+/// All endpoints of a cluster, with a common record of the operations that reached them.
 #[derive(Clone, Default)]
 pub struct StandInEndpoints {
     all: Vec<StandInEndpoint>,
@@ -13,8 +13,8 @@
 }
 
 impl StandInEndpoints {
-    /// Starts `per_group` endpoints in each of the groups 1 to `groups`; the first of each is the primary. The endpoint
-    /// with index `n` of a group is in zone `n` of the zones, in turn.
+    /// Starts `per_group` endpoints in each of the groups 1 to `groups`; the first one of each group is its primary.
+    /// The endpoints of a group are assigned to the zones in round-robin order.
     pub fn start(groups: u32, per_group: usize, zones: &[String]) -> StandInEndpoints {
         let mut endpoints = StandInEndpoints::default();
         for group in 1..=groups {
@@ -39,7 +39,7 @@
         self.all.iter().map(|endpoint| endpoint.name.clone()).collect()
     }
 
-    /// What has reached all endpoints up to now, in the order in which it was finished.
+    /// The operations that have reached the endpoints so far, in the order in which they finished.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.lock().expect("lock of the arrivals").clone()
     }
@@ -48,9 +48,9 @@
     ///
     /// # Panics
     ///
-    /// When there is none.
+    /// Panics if there is no such endpoint.
     pub fn get(&self, name: &str) -> &StandInEndpoint {
-        self.all.iter().find(|endpoint| endpoint.name == name).expect("an endpoint of this name")
+        self.all.iter().find(|endpoint| endpoint.name == name).expect("an endpoint has this name")
     }
 
     /// The endpoints of a zone.
@@ -63,31 +63,33 @@
         self.all.iter().filter(move |endpoint| endpoint.group == group)
     }
 
-    /// All endpoints lose power.
+    /// Powers off all endpoints.
     pub fn power_off(&self) {
         self.all.iter().for_each(StandInEndpoint::power_off);
     }
 
-    /// All endpoints start again, cold; each group has lost its commits of the last `unsynced` before its last one.
+    /// Starts all endpoints again, cold. Each group has lost its last commit and those made within `unsynced` before
+    /// it; none if `unsynced` is zero.
     pub fn power_on(&self, unsynced: Duration) {
         let mut groups: Vec<u32> = self.all.iter().map(|endpoint| endpoint.group).collect();
         groups.dedup();
         for group in groups {
-            self.first_of_group(group).log().lose_tail(unsynced);
+            self.first_of_group(group).log().lose_unsynced_commits(unsynced);
         }
         self.all.iter().for_each(StandInEndpoint::power_on);
     }
 
-    /// The commits that a group has lost.
+    /// The commits that a group has lost so far.
     pub fn lost_commits(&self, group: u32) -> Vec<LostCommits> {
         self.first_of_group(group).log().lost().to_vec()
     }
 
     fn first_of_group(&self, group: u32) -> &StandInEndpoint {
-        self.in_group(group).next().expect("an endpoint of the group")
+        self.in_group(group).next().expect("the group has an endpoint")
     }
 
-    /// The inventory as CSV, with each endpoint's address and the region of each zone as these functions give them.
+    /// The inventory as CSV. The functions return an endpoint's address and a zone's region, which is empty if there is
+    /// none.
     pub fn inventory_csv(
         &self,
         address_of: impl Fn(&StandInEndpoint) -> SocketAddr,
--- a/lab/src/faults.rs
+++ b/lab/src/faults.rs
@@ -1,8 +1,9 @@
-//! Fault schedules: what is injected into a cluster when. A schedule is derived from a seed, or written by hand.
+//! Fault schedules: which faults are injected into a cluster, and when. A schedule is derived from a seed or written by
+//! hand.
 
 use std::time::Duration;
 
-/// One fault, or the end of one.
+/// The injection of one fault, or its end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
     /// A node is killed.
@@ -10,27 +11,27 @@
         /// The node's index.
         node: usize,
     },
-    /// A node that was killed starts again.
+    /// A node that was killed is started again.
     Start {
         /// The node's index.
         node: usize,
     },
-    /// A node is stopped (SIGSTOP).
+    /// A node is paused (SIGSTOP).
     Pause {
         /// The node's index.
         node: usize,
     },
-    /// A node that was stopped continues.
+    /// A paused node is resumed (SIGCONT).
     Resume {
         /// The node's index.
         node: usize,
     },
-    /// Only nodes of the same part reach one another.
+    /// Only nodes of the same part reach each other.
     Partition {
         /// The indices of the nodes of each part.
         parts: Vec<Vec<usize>>,
     },
-    /// What one node sends does not reach another one.
+    /// What one node sends does not reach another.
     CutOneWay {
         /// The node that sends.
         from: usize,
@@ -45,33 +46,33 @@
         second: usize,
         /// Delay of every byte.
         delay: Duration,
-        /// Frames that are lost, of a hundred.
+        /// Percentage of the frames that are dropped at random.
         loss_percent: u8,
     },
-    /// All connections that one node has opened to another one are reset.
+    /// All connections that one node has opened to another are reset.
     ResetLink {
         /// The node that opened them.
         from: usize,
         /// The other node.
         to: usize,
     },
-    /// All links between nodes are sound again.
+    /// All links between nodes are without faults again.
     HealLinks,
-    /// An operator drains an endpoint at a node.
+    /// An operator drains an endpoint by a call to a node.
     Drain {
         /// The node that the operator calls.
         node: usize,
         /// The endpoint's name.
         endpoint: String,
     },
-    /// An operator ends a drain at a node.
+    /// An operator ends a drain by a call to a node.
     Undrain {
         /// The node that the operator calls.
         node: usize,
         /// The endpoint's name.
         endpoint: String,
     },
-    /// All endpoints of a zone have this fault instead of the one before.
+    /// All endpoints of a zone get this fault in place of their previous one.
     SetZoneFault {
         /// The zone's name.
         zone: String,
@@ -97,87 +98,99 @@
 /// A fault of the endpoints of a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointFault {
-    /// None; endpoints that had no power start cold.
+    /// No fault; endpoints that were without power start cold.
     None,
-    /// They accept operations and answer none.
+    /// The endpoints accept operations and answer none.
     Silent,
-    /// They have no power and accept no connections.
+    /// The endpoints have no power: they serve no connections.
     PowerOff,
-    /// Operations take this many times as long.
+    /// Operations take this many times as long as usual.
     Slow(u32),
-    /// Of a hundred requests this many are lost.
+    /// This percentage of the requests is lost at random.
     Lossy(u8),
 }
 
-/// A fault with its time.
+/// A fault with the time of its injection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// When it is injected, from the start of the schedule.
+    /// The time of the injection, from the start of the schedule.
     pub after: Duration,
-    /// The fault.
+    /// What is done then.
     pub action: FaultAction,
 }
 
-/// Faults by their time, ascending.
+/// A sequence of faults to inject.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FaultSchedule {
-    /// The faults.
+    /// The faults in ascending order of their times.
     pub faults: Vec<ScheduledFault>,
 }
 
 impl FaultSchedule {
-    /// Faults of nodes and links over `length`, derived from a seed; at the end all are healed. A majority of the nodes
-    /// always runs, but links are cut without regard to one.
-    pub fn of_nodes(seed: u64, nodes: usize, endpoints: &[String], length: Duration) -> FaultSchedule {
-        let mut generator = NodeFaults { rng: fastrand::Rng::with_seed(seed), nodes, down: Vec::new() };
+    /// Random faults of nodes and links over `duration`, derived from a seed; all of them end with the schedule. A
+    /// majority of the nodes always runs, but cut links may leave no majority connected.
+    pub fn random_node_faults(
+        seed: u64,
+        nodes: usize,
+        endpoints: &[String],
+        duration: Duration,
+    ) -> FaultSchedule {
+        let mut generator =
+            NodeFaultGenerator { rng: fastrand::Rng::with_seed(seed), nodes, down: Vec::new() };
         let mut schedule = FaultSchedule::default();
-        let length_ms = length.as_millis() as u64;
+        let duration_ms = duration.as_millis() as u64;
         let mut elapsed_ms = 0;
-        while elapsed_ms < length_ms {
+        while elapsed_ms < duration_ms {
             elapsed_ms += generator.rng.u64(30..250);
             if let Some(action) = generator.next_action(endpoints) {
                 schedule.push(elapsed_ms, action);
             }
         }
-        schedule.push(length_ms, FaultAction::HealLinks);
+        schedule.push(duration_ms, FaultAction::HealLinks);
         for down in generator.down {
-            schedule.push(length_ms, down.recovery());
+            schedule.push(duration_ms, down.recovery());
         }
         schedule
     }
 
-    /// Faults of zones over `length`, derived from a seed: any fault of any zone at any time, nodes that do not reach
-    /// a zone, and at most one node that is killed. One zone has no fault, and at the end none has.
-    pub fn of_zones(seed: u64, nodes: usize, zones: &[String], length: Duration) -> FaultSchedule {
+    /// Random faults of zones over `duration`, derived from a seed: faults of all endpoints of a zone, nodes that do
+    /// not reach a zone, and at most one killed node at a time. One zone never has a fault; all faults end with the
+    /// schedule.
+    pub fn random_zone_faults(
+        seed: u64,
+        nodes: usize,
+        zones: &[String],
+        duration: Duration,
+    ) -> FaultSchedule {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let spared = rng.usize(..zones.len());
+        let fault_free_zone = rng.usize(..zones.len());
         let mut schedule = FaultSchedule::default();
-        let length_ms = length.as_millis() as u64;
+        let duration_ms = duration.as_millis() as u64;
         let mut elapsed_ms = 0;
         let mut killed = None;
-        while elapsed_ms < length_ms {
+        while elapsed_ms < duration_ms {
             elapsed_ms += rng.u64(200..1_200);
-            let zone = zones[(spared + rng.usize(1..zones.len())) % zones.len()].clone();
+            let zone = zones[(fault_free_zone + rng.usize(1..zones.len())) % zones.len()].clone();
             let node = rng.usize(..nodes);
             if let Some(action) = next_zone_action(&mut rng, node, zone, &mut killed) {
                 schedule.push(elapsed_ms, action);
             }
         }
         if let Some(node) = killed {
-            schedule.push(length_ms, FaultAction::Start { node });
+            schedule.push(duration_ms, FaultAction::Start { node });
         }
         for zone in zones {
             let fault = EndpointFault::None;
-            schedule.push(length_ms, FaultAction::SetZoneFault { zone: zone.clone(), fault });
+            schedule.push(duration_ms, FaultAction::SetZoneFault { zone: zone.clone(), fault });
             for node in 0..nodes {
-                schedule.push(length_ms, FaultAction::ReconnectZone { node, zone: zone.clone() });
+                schedule.push(duration_ms, FaultAction::ReconnectZone { node, zone: zone.clone() });
             }
         }
         schedule
     }
 
-    /// Whether a fault of the endpoints of this zone is ever injected.
-    pub fn touches_zone(&self, name: &str) -> bool {
+    /// Whether the schedule injects a fault into the endpoints of this zone.
+    pub fn has_fault_in_zone(&self, name: &str) -> bool {
         self.faults.iter().any(|scheduled| match &scheduled.action {
             FaultAction::SetZoneFault { zone, fault } => zone == name && *fault != EndpointFault::None,
             _ => false,
@@ -189,11 +202,11 @@
     }
 }
 
-/// A node that does not run.
+/// A node that is killed or paused.
 #[derive(Clone, Copy)]
 struct DownNode {
     node: usize,
-    /// Killed, else stopped.
+    /// Whether the node was killed; otherwise it was paused.
     killed: bool,
 }
 
@@ -204,28 +217,28 @@
     }
 }
 
-/// Draws faults of nodes and links.
-struct NodeFaults {
+/// Generates random faults of nodes and links.
+struct NodeFaultGenerator {
     rng: fastrand::Rng,
     nodes: usize,
     down: Vec<DownNode>,
 }
 
-impl NodeFaults {
-    /// The next fault; `None` where the one that was drawn is not possible now.
+impl NodeFaultGenerator {
+    /// The next fault; `None` if the one that was chosen is not possible now.
     fn next_action(&mut self, endpoints: &[String]) -> Option<FaultAction> {
         let first = self.rng.usize(..self.nodes);
         let second = self.rng.usize(..self.nodes);
         let endpoint = endpoints[self.rng.usize(..endpoints.len())].clone();
         let is_down = self.down.iter().any(|down| down.node == first);
-        let may_stop = self.down.len() < (self.nodes - 1) / 2 && !is_down;
-        let are_two = first != second;
+        let may_take_down = self.down.len() < (self.nodes - 1) / 2 && !is_down;
+        let are_distinct = first != second;
         let action = match self.rng.u8(..20) {
-            0 | 1 if may_stop => {
+            0 | 1 if may_take_down => {
                 self.down.push(DownNode { node: first, killed: true });
                 FaultAction::Kill { node: first }
             }
-            2 if may_stop => {
+            2 if may_take_down => {
                 self.down.push(DownNode { node: first, killed: false });
                 FaultAction::Pause { node: first }
             }
@@ -234,14 +247,14 @@
                 self.down.swap_remove(index).recovery()
             }
             6 => self.partition(),
-            7 if are_two => FaultAction::CutOneWay { from: first, to: second },
-            8 if are_two => FaultAction::DegradeLink {
+            7 if are_distinct => FaultAction::CutOneWay { from: first, to: second },
+            8 if are_distinct => FaultAction::DegradeLink {
                 first,
                 second,
                 delay: Duration::from_millis(self.rng.u64(..200)),
                 loss_percent: self.rng.u8(..30),
             },
-            9 if are_two => FaultAction::ResetLink { from: first, to: second },
+            9 if are_distinct => FaultAction::ResetLink { from: first, to: second },
             10 | 11 => FaultAction::HealLinks,
             12..=15 if !is_down => FaultAction::Drain { node: first, endpoint },
             16 | 17 if !is_down => FaultAction::Undrain { node: first, endpoint },
@@ -250,7 +263,7 @@
         Some(action)
     }
 
-    /// A partition into two parts.
+    /// A random partition into two parts.
     fn partition(&mut self) -> FaultAction {
         let mut nodes: Vec<usize> = (0..self.nodes).collect();
         self.rng.shuffle(&mut nodes);
@@ -259,7 +272,7 @@
     }
 }
 
-/// Draws a fault of a zone; `None` where the one that was drawn is not possible now.
+/// Generates a random fault of a zone; `None` if the one that was chosen is not possible now.
 fn next_zone_action(
     rng: &mut fastrand::Rng,
     node: usize,
--- a/lab/src/faults/tests.rs
+++ b/lab/src/faults/tests.rs
@@ -1,15 +1,16 @@
 use super::*;
 use std::collections::HashSet;
 
-/// Guards against schedules that prove nothing: each leaves a majority of nodes running and ends with all of them.
+/// Guards against random schedules that stop a majority, in which case no progress could be expected, or that leave
+/// nodes down at the end. The kinds of actions are counted so that the generator does not lose any of them unnoticed.
 #[test]
-fn schedules_of_a_seed_are_equal_keep_a_majority_running_and_end_with_all_nodes() {
+fn schedules_are_deterministic_keep_a_majority_running_and_end_with_all_nodes_running() {
     let endpoints = ["x".to_string(), "y".to_string()];
-    let length = Duration::from_millis(4_000);
+    let duration = Duration::from_millis(4_000);
     let mut kinds = HashSet::new();
     for seed in 0..300 {
-        let schedule = FaultSchedule::of_nodes(seed, 5, &endpoints, length);
-        assert_eq!(schedule, FaultSchedule::of_nodes(seed, 5, &endpoints, length));
+        let schedule = FaultSchedule::random_node_faults(seed, 5, &endpoints, duration);
+        assert_eq!(schedule, FaultSchedule::random_node_faults(seed, 5, &endpoints, duration));
         let mut down = Vec::new();
         for scheduled in &schedule.faults {
             match &scheduled.action {
--- a/lab/src/http.rs
+++ b/lab/src/http.rs
@@ -1,18 +1,18 @@
-//! A minimal HTTP/1.1 codec and client, as much as clients, stand-in endpoints and tests need.
+//! A minimal HTTP/1.1 parser and client for the load clients, the stand-in endpoints and tests.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The status of a call that got no response.
+/// Stands for the status of a call that got no response.
 pub const NO_RESPONSE: u16 = 0;
 
-/// The longest body that is read; longer stated lengths are cut to it.
+/// The maximum length of a body; larger values of `Content-Length` are reduced to it.
 const MAX_BODY_BYTES: i64 = 64 << 20;
-/// Bound of a connection's set-up.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bound of each read of a call that has a connection of its own.
+/// Timeout of each read of a call that has its own connection.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A request or a response.
@@ -20,11 +20,11 @@
 pub struct Message {
     /// The request line or the status line.
     pub first_line: String,
-    /// The headers, their names in lower case.
+    /// The headers by their names in lower case.
     pub headers: BTreeMap<String, String>,
     /// The body, as far as it was received.
     pub body: Vec<u8>,
-    /// The body was received up to its stated end.
+    /// Whether the whole body was received.
     pub is_complete: bool,
 }
 
@@ -34,29 +34,29 @@
         self.headers.get(&name.to_ascii_lowercase()).map(String::as_str)
     }
 
-    /// The value of a header that is a number.
+    /// The value of a header as a number; `None` if it is missing or not a number.
     pub fn number(&self, name: &str) -> Option<i64> {
         self.header(name)?.parse().ok()
     }
 
-    /// The status of a response; [`NO_RESPONSE`] where the first line has none.
+    /// The status of a response; [`NO_RESPONSE`] if the first line has none.
     pub fn status(&self) -> u16 {
         let status = self.first_line.split(' ').nth(1);
         status.and_then(|text| text.parse().ok()).unwrap_or(NO_RESPONSE)
     }
 
-    /// The body as text.
+    /// The body as text, with invalid UTF-8 replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Reads one complete message; `None` at the end of the stream, or where the message is malformed or broken off.
+/// Reads one complete message; `None` at the end of the stream, or if the message is malformed or truncated.
 pub fn read(reader: &mut impl BufRead) -> Option<Message> {
     read_partial(reader).filter(|message| message.is_complete)
 }
 
-/// Reads one message with as much of its body as was received; `None` where its head is malformed or broken off.
+/// Reads one message with as much of its body as was received; `None` if its head is malformed or truncated.
 pub fn read_partial(reader: &mut impl BufRead) -> Option<Message> {
     let mut message = Message { first_line: read_line(reader)?, ..Message::default() };
     loop {
@@ -77,14 +77,14 @@
     Some(message)
 }
 
-/// Reads a line without its end; `None` at the end of the stream.
+/// Reads a line and removes its line break; `None` at the end of the stream.
 fn read_line(reader: &mut impl BufRead) -> Option<String> {
     let mut line = String::new();
     let length = reader.read_line(&mut line).ok()?;
     (length > 0).then(|| line.trim_end().to_string())
 }
 
-/// Reads a chunked body up to its last chunk; `None` where it is broken off.
+/// Reads a chunked body up to its last chunk; `None` if it is malformed or truncated.
 fn read_chunks(reader: &mut impl BufRead, body: &mut Vec<u8>) -> Option<()> {
     loop {
         let mut size = String::new();
@@ -105,7 +105,7 @@
 }
 
 impl Connection {
-    /// Opens a connection whose reads are each bounded by `read_timeout`; `None` where that fails.
+    /// Opens a connection on which each read times out after `read_timeout`; `None` if it cannot be opened.
     pub fn open(address: SocketAddr, read_timeout: Duration) -> Option<Connection> {
         let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok()?;
         stream.set_nodelay(true).ok()?;
@@ -113,7 +113,7 @@
         Some(Connection { reader: BufReader::new(stream) })
     }
 
-    /// Whether the server has neither closed the connection nor sent anything without a request.
+    /// Whether the connection can be used for a request: the server has neither closed it nor sent unread bytes.
     pub fn is_idle(&self) -> bool {
         self.reader.buffer().is_empty() && self.peek_would_block().unwrap_or(false)
     }
@@ -126,29 +126,29 @@
         Some(peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock))
     }
 
-    /// Sends a request and reads its response; `None` where either fails.
+    /// Sends a request and reads its response; `None` if either fails.
     pub fn call(&mut self, request: &str) -> Option<Message> {
         self.reader.get_mut().write_all(request.as_bytes()).ok()?;
         read(&mut self.reader)
     }
 }
 
-/// One request without a body, as text.
+/// The text of a request with an empty body.
 pub fn empty_request(method: &str, path: &str) -> String {
     format!("{method} {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// One call on a connection of its own; `None`: no response.
+/// Makes one call on a new connection; `None` if there is no response.
 pub fn call(address: SocketAddr, method: &str, path: &str) -> Option<Message> {
     Connection::open(address, CALL_TIMEOUT)?.call(&empty_request(method, path))
 }
 
-/// The body of the response to a GET, as text; empty where there is no response.
+/// The body of the response to a GET, as text; empty if there is no response.
 pub fn get_text(address: SocketAddr, path: &str) -> String {
     call(address, "GET", path).map_or(String::new(), |response| response.text())
 }
 
-/// The status of the response to a POST; [`NO_RESPONSE`] where there is none.
+/// The status of the response to a POST with an empty body; [`NO_RESPONSE`] if there is none.
 pub fn post_status(address: SocketAddr, path: &str) -> u16 {
     call(address, "POST", path).map_or(NO_RESPONSE, |response| response.status())
 }
--- a/lab/src/oracle.rs
+++ b/lab/src/oracle.rs
@@ -1,4 +1,5 @@
-//! What a pooler with full knowledge of all endpoints would have served: the limit against which recovery is measured.
+//! Computes what a pooler with full knowledge of all endpoints would have served, the upper limit against which
+//! recovery is measured.
 
 use crate::check::requests_due;
 use crate::client::RequestRecord;
@@ -7,31 +8,32 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The step in which the oracle serves.
+/// The time step of the simulation.
 const STEP: Duration = Duration::from_millis(20);
 
-/// The capacity of each group, as the oracle knows it.
+/// The capacity of each group.
 #[derive(Clone, Copy, Debug)]
 pub struct CapacityModel {
-    /// Replicas beside the primary.
+    /// Number of replicas, in addition to the primary.
     pub replicas: usize,
-    /// Operations that run at once at a warm endpoint.
+    /// Number of operations that a warm endpoint runs at once.
     pub slots: usize,
     /// How long an operation runs.
     pub service_time: Duration,
-    /// When the endpoints had their cold start; `None`: they are warm.
+    /// When the endpoints started cold; `None` if they are warm.
     pub cold_since: Option<Timestamp>,
 }
 
 impl CapacityModel {
-    /// Operations per second that one endpoint bears at a time.
+    /// Operations per second that one endpoint can execute at the given time.
     pub fn operations_per_second(&self, time: Timestamp) -> f64 {
         let share = self.cold_since.map_or(1.0, |start| warm_up_share(time.duration_since(start)));
         ((self.slots as f64 * share) as usize).max(1) as f64 / self.service_time.as_secs_f64()
     }
 }
 
-/// The value of serving a request: the priority weight (`worth`) of its service class in the settings of the nodes.
+/// The value of serving a request: the priority weight (`worth`) of its service class in
+/// [`crate::cluster::SERVICE_SETTINGS`].
 pub fn request_value(record: &RequestRecord) -> f64 {
     match (record.is_write, record.reads_own_write) {
         (true, _) => 6.0,
@@ -40,38 +42,38 @@
     }
 }
 
-/// The value that is served in one step.
+/// The total value served in one step of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServedValue {
-    /// The beginning of the step.
+    /// The start of the step.
     pub at: Timestamp,
-    /// The sum of the values of the requests.
+    /// The sum of the values of the requests served in the step.
     pub value: f64,
 }
 
-/// A request that waits at the oracle.
-struct Waiting {
-    gives_up_at: Timestamp,
+/// A request that waits to be served.
+struct QueuedRequest {
+    expires_at: Timestamp,
     value: f64,
 }
 
-/// The requests of one group for its primary, or for its replicas.
+/// The waiting requests of one group, either for its primary or for its replicas.
 #[derive(Default)]
 struct Queue {
-    waiting: Vec<Waiting>,
-    /// Operations that were not used in earlier steps; a fraction of one carries over.
+    waiting: Vec<QueuedRequest>,
+    /// Operations left over from earlier steps, including the fraction of one.
     spare_operations: f64,
 }
 
 impl Queue {
-    /// Serves the most valuable requests for one step with this many operations and returns their value.
+    /// Serves the most valuable requests with the operations of one step and returns their total value.
     fn serve(&mut self, now: Timestamp, operations: f64) -> f64 {
-        self.waiting.retain(|request| request.gives_up_at > now);
-        self.waiting.sort_by(|a, b| b.value.total_cmp(&a.value).then(a.gives_up_at.cmp(&b.gives_up_at)));
+        self.waiting.retain(|request| request.expires_at > now);
+        self.waiting.sort_by(|a, b| b.value.total_cmp(&a.value).then(a.expires_at.cmp(&b.expires_at)));
         self.spare_operations += operations;
         let count = (self.spare_operations as usize).min(self.waiting.len());
         let served = self.waiting.drain(..count).map(|request| request.value).sum();
-        // An endpoint without work does not save its capacity for later.
+        // Idle endpoints cannot save capacity for later.
         self.spare_operations = if self.waiting.is_empty() {
             self.spare_operations.fract()
         } else {
@@ -81,15 +83,16 @@
     }
 }
 
-/// The queues of one group.
+/// The queues of one group: writes are for its primary, reads for its replicas.
 #[derive(Default)]
 struct GroupQueues {
     writes: Queue,
     reads: Queue,
 }
 
-/// The value that can be served at best in each step of a window: of the requests due in it, each waits for `timeout` at
-/// most, and the most valuable are served first. Writes are for the primary and reads for the replicas of a group.
+/// The maximum value that can be served in each step of a window. Only requests due in the window count; each waits for
+/// at most `timeout`, and the most valuable ones are served first. Writes are served by the primary of a group, reads
+/// by its replicas.
 pub fn best_served_value(
     records: &[RequestRecord],
     groups: u32,
@@ -106,14 +109,14 @@
         while let Some(record) = due.next_if(|record| record.due_at < at + STEP) {
             let queues = &mut queues[record.group as usize];
             let queue = if record.is_write { &mut queues.writes } else { &mut queues.reads };
-            let gives_up_at = record.due_at + timeout;
-            queue.waiting.push(Waiting { gives_up_at, value: request_value(record) });
+            let expires_at = record.due_at + timeout;
+            queue.waiting.push(QueuedRequest { expires_at, value: request_value(record) });
         }
-        let per_endpoint = model.operations_per_second(at);
+        let endpoint_rate = model.operations_per_second(at);
         let mut value = 0.0;
         for group in &mut queues {
-            value += group.writes.serve(at, operations_in_step(per_endpoint, 1));
-            value += group.reads.serve(at, operations_in_step(per_endpoint, model.replicas));
+            value += group.writes.serve(at, operations_in_step(endpoint_rate, 1));
+            value += group.reads.serve(at, operations_in_step(endpoint_rate, model.replicas));
         }
         served.push(ServedValue { at, value });
     }
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -1,7 +1,7 @@
-//! A TCP relay on one link, which injects faults into the traffic in each direction.
+//! A TCP relay on one link, which injects faults into the traffic of each direction.
 //!
-//! Links between nodes of a fleet carry length-prefixed frames: there whole frames are lost, as in a network that loses
-//! messages. On other links bytes are only delayed, discarded or slowed down, and connections reset.
+//! Links between nodes of a fleet carry length-prefixed frames. There the relay drops whole frames, as a network that
+//! loses messages would. On other links it only delays, throttles or discards bytes, or resets connections.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,46 +10,46 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Bound of the connection to the target.
+/// Timeout for connecting to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bound of one read, after which a quiet connection looks for a reset.
+/// Timeout of one read, after which an idle connection checks whether it has been reset.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
-/// Bytes that one read takes at most.
+/// Size of the buffer of one read.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Bytes of the length before each frame.
+/// Size of the length that precedes each frame.
 const FRAME_LENGTH_BYTES: usize = 4;
 
-/// Faults of a link in one direction. The default is a sound link.
+/// Faults of a link in one direction; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFaults {
     /// Delay of every byte.
     pub delay: Duration,
-    /// Frames that are lost, of a hundred; on links without frames nothing is lost by chance.
+    /// Percentage of the frames that are dropped at random; without effect on links without frames.
     pub loss_percent: u8,
-    /// Everything is discarded.
+    /// Whether everything is discarded.
     pub cut: bool,
-    /// Limit of the throughput; 0: none.
+    /// Limit of the throughput; 0 if there is none.
     pub bytes_per_second: u32,
 }
 
 impl LinkFaults {
-    /// A sound link.
+    /// No faults.
     pub const NONE: LinkFaults =
         LinkFaults { delay: Duration::ZERO, loss_percent: 0, cut: false, bytes_per_second: 0 };
     /// A link that discards everything.
     pub const CUT: LinkFaults = LinkFaults { cut: true, ..LinkFaults::NONE };
 }
 
-/// What a relay knows of the bytes that it carries.
+/// What a relay knows about the bytes that it forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayProtocol {
-    /// Nothing: a stream of bytes.
+    /// An opaque stream of bytes.
     Bytes,
-    /// After an HTTP upgrade the connections carry the frames of a fleet's peers.
+    /// HTTP, and after an upgrade the frames that peers of a fleet exchange.
     FleetFrames,
 }
 
-/// Bytes that a relay has passed on.
+/// Bytes that a relay has forwarded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RelayTraffic {
     /// Towards the target.
@@ -76,12 +76,12 @@
     target: SocketAddr,
     forward: LinkFaults,
     backward: LinkFaults,
-    /// Count of resets: a connection ends when it differs from that at its start.
+    /// Number of resets. A connection ends once this differs from the number at its start.
     resets: u64,
     traffic: RelayTraffic,
 }
 
-/// A relay. Clones share one state; it listens until the process ends.
+/// A relay, which listens until the process exits. Clones share its state.
 #[derive(Clone)]
 pub struct Relay {
     /// Where the relay listens.
@@ -91,14 +91,14 @@
 }
 
 impl Relay {
-    /// Starts a relay to `target` on a free port.
+    /// Starts a relay without faults to `target`, on a free port of the loopback interface.
     ///
     /// # Panics
     ///
-    /// When no port is free.
+    /// Panics if no port is free.
     pub fn start(target: SocketAddr, protocol: RelayProtocol) -> Relay {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the listener has an address");
         let state = State {
             target,
             forward: LinkFaults::NONE,
@@ -117,24 +117,24 @@
         relay
     }
 
-    /// Connects new connections to another target from now on.
+    /// Sets the target of new connections; open ones keep theirs.
     pub fn set_target(&self, target: SocketAddr) {
         self.state().target = target;
     }
 
-    /// Sets the faults towards the target and from it, also for connections that are open.
+    /// Sets the faults towards the target (`forward`) and from it (`backward`), also for open connections.
     pub fn set_faults(&self, forward: LinkFaults, backward: LinkFaults) {
         let mut state = self.state();
         state.forward = forward;
         state.backward = backward;
     }
 
-    /// Resets all connections that are open.
+    /// Resets all open connections.
     pub fn reset_connections(&self) {
         self.state().resets += 1;
     }
 
-    /// What has been passed on up to now.
+    /// The bytes forwarded so far.
     pub fn traffic(&self) -> RelayTraffic {
         self.state().traffic
     }
@@ -143,7 +143,7 @@
         self.state.lock().expect("lock of a relay")
     }
 
-    /// Serves one connection until both directions have ended.
+    /// Forwards one connection until both directions have ended.
     fn serve(&self, client: TcpStream) {
         let target = self.state().target;
         let Ok(server) = TcpStream::connect_timeout(&target, CONNECT_TIMEOUT) else { return };
@@ -152,30 +152,32 @@
             let _ = stream.set_nodelay(true);
         }
         let (Ok(client_copy), Ok(server_copy)) = (client.try_clone(), server.try_clone()) else { return };
-        let backward = Pump { relay: self.clone(), direction: Direction::Backward, resets_at_start };
-        let forward = Pump { relay: self.clone(), direction: Direction::Forward, resets_at_start };
+        let backward =
+            DirectionForwarder { relay: self.clone(), direction: Direction::Backward, resets_at_start };
+        let forward =
+            DirectionForwarder { relay: self.clone(), direction: Direction::Forward, resets_at_start };
         let backward = thread::spawn(move || backward.run(server_copy, client_copy));
         forward.run(client, server);
         let _ = backward.join();
     }
 }
 
-/// Carries one direction of one connection.
+/// Forwards one direction of one connection.
 #[derive(Clone)]
-struct Pump {
+struct DirectionForwarder {
     relay: Relay,
     direction: Direction,
     resets_at_start: u64,
 }
 
-/// Bytes that leave the relay at a time.
+/// Bytes with the time at which the relay forwards them.
 struct Delayed {
     due_at: Instant,
     bytes: Vec<u8>,
 }
 
-impl Pump {
-    /// The faults of this direction now; `None`: the connection has been reset.
+impl DirectionForwarder {
+    /// The current faults of this direction; `None` if the connection has been reset.
     fn faults(&self) -> Option<LinkFaults> {
         let state = self.relay.state();
         let faults = match self.direction {
@@ -185,8 +187,8 @@
         (state.resets == self.resets_at_start).then_some(faults)
     }
 
-    /// Carries bytes until the connection ends. Reading and writing are two threads: what is delayed does not hold up
-    /// what is read after it.
+    /// Forwards bytes until the connection ends. Reading and writing run in separate threads, so that delayed bytes do
+    /// not hold up the reading of those after them.
     fn run(&self, mut from: TcpStream, to: TcpStream) {
         let (sender, delayed) = channel();
         let writer = self.start_writer(to, delayed);
@@ -212,10 +214,10 @@
     }
 
     fn start_writer(&self, mut to: TcpStream, delayed: Receiver<Delayed>) -> JoinHandle<()> {
-        let pump = self.clone();
+        let forwarder = self.clone();
         thread::spawn(move || {
             while let Ok(next) = delayed.recv() {
-                if !pump.write(&mut to, &next) {
+                if !forwarder.write(&mut to, &next) {
                     break;
                 }
             }
@@ -223,7 +225,7 @@
         })
     }
 
-    /// Writes bytes when they are due; false: the connection has ended.
+    /// Writes bytes when they are due; false if the connection has ended.
     fn write(&self, to: &mut TcpStream, next: &Delayed) -> bool {
         thread::sleep(next.due_at.saturating_duration_since(Instant::now()));
         let Some(faults) = self.faults() else { return false };
@@ -244,7 +246,7 @@
     }
 }
 
-/// Reads what there is, 0 bytes where nothing came within the read timeout; `None`: the connection has ended.
+/// Reads the available bytes: 0 if none came within the read timeout, `None` if the connection has ended.
 fn read_some(from: &mut TcpStream, buffer: &mut [u8]) -> Option<usize> {
     match from.read(buffer) {
         Ok(0) => None,
@@ -254,12 +256,12 @@
     }
 }
 
-/// Splits the bytes of one direction into frames and loses some of them.
+/// Splits the bytes of one direction into frames and drops some of them at random.
 struct FrameSplitter {
     protocol: RelayProtocol,
     rng: fastrand::Rng,
     pending: Vec<u8>,
-    /// The HTTP upgrade has passed: frames follow.
+    /// Whether the HTTP upgrade has been forwarded, so that frames follow.
     upgraded: bool,
 }
 
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Takes bytes in and returns what is passed on.
+    /// Adds received bytes and returns those that are to be forwarded.
     fn push(&mut self, bytes: &[u8], loss_percent: u8) -> Vec<u8> {
         self.pending.extend_from_slice(bytes);
         if self.protocol == RelayProtocol::Bytes {
@@ -291,7 +293,8 @@
         passed
     }
 
-    /// Takes a head that is complete. Only an upgrade has frames after it: all else passes with its body.
+    /// Removes a complete HTTP head from the pending bytes. Frames follow only an upgrade; any other message is
+    /// forwarded with its body.
     fn take_http_head(&mut self) -> Vec<u8> {
         let Some(end) = self.pending.windows(4).position(|bytes| bytes == b"\r\n\r\n") else {
             return Vec::new();
@@ -302,7 +305,7 @@
         self.pending.drain(..length).collect()
     }
 
-    /// Takes a frame that is complete, its length included.
+    /// Removes a complete frame from the pending bytes, including its length.
     fn take_frame(&mut self) -> Option<Vec<u8>> {
         if !self.upgraded {
             return None;
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -222,7 +222,7 @@
     let config_path = test_directory("door").join("config.json");
     std::fs::write(&config_path, config(discovery.address, "")).unwrap();
     let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-    daemon.wait_for_log(log_lines::LONG_MESSAGES_LIMITED);
+    daemon.wait_for_log(log_lines::STARTUP_LIMITS);
     discovery.wait_for_watch();
     daemon.signal("-TERM");
     assert!(daemon.wait_for_exit().success());
@@ -324,7 +324,7 @@
     let mut client = PostgresClient::connect(client_address);
     group.send_write(&mut client, "1", 11);
     let mut new = start_on_inherited_socket(&socket, &config_path);
-    new.wait_for_log(log_lines::ADMIN_ADDRESS_BUSY);
+    new.wait_for_log(log_lines::GOSSIP_ADDRESS_BUSY);
     let new_admin = AdminServer { address: new.wait_for_address(log_lines::ADMIN_LISTENING) };
     eventually("the new one says yes", || new_admin.is_ready());
     old.signal("-TERM");
--- a/tests/fleet_replication.rs
+++ b/tests/fleet_replication.rs
@@ -564,7 +564,7 @@
     let cluster = &mut five();
     let endpoints = cluster.endpoints.names();
     let load = cluster.start_load(plan(250.0, seed));
-    let schedule = FaultSchedule::of_nodes(seed, 5, &endpoints, Duration::from_secs(5));
+    let schedule = FaultSchedule::random_node_faults(seed, 5, &endpoints, Duration::from_secs(5));
     let calls = cluster.run_schedule(&schedule);
     let running = cluster.running_nodes();
     assert_eq!(running.len(), 5, "seed {seed}");
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -371,7 +371,7 @@
 fn faults(seed: u64) {
     let (mut cluster, load) = served(3, seed);
     let zones = ["z-0", "z-1", "z-2"].map(String::from);
-    let schedule = FaultSchedule::of_zones(seed, 3, &zones, Duration::from_secs(6));
+    let schedule = FaultSchedule::random_zone_faults(seed, 3, &zones, Duration::from_secs(6));
     cluster.run_schedule(&schedule);
     (0..3).for_each(|n| cluster.wait_until_ready(n));
     cluster.wait_for_leader();
@@ -386,7 +386,7 @@
     eventually("all is served again", || load.served_within(calm..Timestamp::now()) > 100);
     let asked = load.finish();
     rules(&cluster, &asked);
-    let spared = zones.iter().filter(|zone| !schedule.touches_zone(zone));
+    let spared = zones.iter().filter(|zone| !schedule.has_fault_in_zone(zone));
     for (n, zone) in spared.flat_map(|zone| (0..3).map(move |n| (n, zone))) {
         assert!(moves(&cluster, n, zone).iter().all(|part| *part > 0), "seed {seed}: {zone} was left");
     }
--- a/tests/shutdown_orders.rs
+++ b/tests/shutdown_orders.rs
@@ -218,7 +218,7 @@
     std::fs::write(&config_path, config(&address.to_string(), discovery.address, SETTINGS)).unwrap();
     let start_waiting_daemon = || {
         let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-        daemon.wait_for_log(log_lines::DISCOVERY_AWAITED);
+        daemon.wait_for_log(log_lines::LISTEN_ADDRESS_BUSY);
         daemon
     };
     let mut stopped = start_waiting_daemon();
