--- a/lab/src/bin/fleet-bench/calm.rs
+++ b/lab/src/bin/fleet-bench/calm.rs
@@ -1,5 +1,5 @@
-//! Zones that get another weight although none of them failed: any endpoint may be dead, slow or restarted, but never more
-//! than a quarter of a zone.
+//! Changes of zone weights although no zone failed: in each zone at most one of the four endpoints falls silent, gets
+//! slow or loses power.
 
 use crate::Bench;
 use brookpass_testkit::client::LoadProfile;
@@ -10,30 +10,30 @@
 
 const GROUPS: u32 = 4;
 const ZONES: usize = 3;
-/// The service time of an endpoint that is slow.
+/// The service time of a slow endpoint.
 const SLOW_SERVICE_TIME: Duration = Duration::from_millis(60);
-/// How long the load runs before the first endpoint fails.
-const LEAD_TIME: Duration = Duration::from_millis(500);
-/// How long the load runs after the last one has failed.
-const OBSERVED_TIME: Duration = Duration::from_secs(3);
+/// Duration of the load before the first endpoint may fail.
+const LOAD_BEFORE_FAULTS: Duration = Duration::from_millis(500);
+/// Duration of the load after the last fault.
+const LOAD_AFTER_FAULTS: Duration = Duration::from_secs(3);
 
 impl Bench {
-    pub fn calm(&self, seeds: u64) {
+    pub fn spurious_zone_changes(&self, seeds: u64) {
         let mut seeds_with_changes = 0;
         let mut changes = 0;
         for seed in 0..seeds {
-            let of_seed = self.weight_changes_of_seed(seed);
-            changes += of_seed;
-            seeds_with_changes += usize::from(of_seed > 0);
+            let changes_of_seed = self.weight_changes_of_seed(seed);
+            changes += changes_of_seed;
+            seeds_with_changes += usize::from(changes_of_seed > 0);
         }
         self.rows("calm", "3 and 5").print(
-            format!("seeds of {seeds} in which a zone was left without a fault; moves"),
+            format!("of {seeds} seeds, those with a change of a zone's weight; such changes"),
             seeds_with_changes,
             changes,
         );
     }
 
-    /// Runs one seed and counts the changes of weights in the logs of all nodes.
+    /// Runs one seed and counts the changes of zone weights in the logs of all nodes.
     fn weight_changes_of_seed(&self, seed: u64) -> usize {
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = [3, 3, 5][rng.usize(..3)];
@@ -50,7 +50,7 @@
             retries_rejections: true,
             ..LoadProfile::default()
         });
-        thread::sleep(LEAD_TIME);
+        thread::sleep(LOAD_BEFORE_FAULTS);
         for zone in 0..ZONES {
             let name = format!("s-{}-{zone}", rng.u32(1..=GROUPS));
             let endpoint = cluster.endpoints.get(&name);
@@ -62,7 +62,7 @@
             }
             thread::sleep(Duration::from_millis(rng.u64(..800)));
         }
-        thread::sleep(OBSERVED_TIME);
+        thread::sleep(LOAD_AFTER_FAULTS);
         load.finish();
         let logs = cluster.logs();
         logs.iter().flatten().filter(|line| line.contains(log_lines::ZONE_WEIGHT_CHANGED)).count()
--- a/lab/src/bin/fleet-bench/catch_up.rs
+++ b/lab/src/bin/fleet-bench/catch_up.rs
@@ -1,4 +1,4 @@
-//! The start of a node that missed many changes.
+//! Start of a node that missed many changes.
 
 use crate::Bench;
 use crate::table::millis;
@@ -9,13 +9,13 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 3;
-/// The node that misses the changes.
-const ABSENT: usize = 2;
-/// Connections that make the changes.
+/// The index of the node that misses the changes.
+const LATE_NODE: usize = 2;
+/// Number of concurrent connections that make the changes.
 const CALLERS: usize = 8;
-/// Endpoints that each of them drains and undrains: 10,000 changes in all.
+/// Number of endpoints that each connection drains and undrains: 10,000 changes in total.
 const ENDPOINTS_PER_CALLER: usize = 625;
-/// Bound of each call.
+/// Timeout of each call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Bench {
@@ -27,21 +27,21 @@
             ..ClusterConfig::default()
         });
         cluster.start_all();
-        cluster.kill(ABSENT);
+        cluster.kill(LATE_NODE);
         cluster.wait_for_leader();
         let started = Instant::now();
         make_changes(&cluster);
-        let changes = format!("{:.0}", millis(started.elapsed()));
-        self.rows("changes", "3, one dead").print_value("10,000 agreed, ms", changes);
+        let changes_ms = format!("{:.0}", millis(started.elapsed()));
+        self.rows("changes", "3, one down").print_value("10,000 committed, ms", changes_ms);
         let started = Instant::now();
-        cluster.start(ABSENT);
-        cluster.wait_until_ready(ABSENT);
-        let start = format!("{:.0}", millis(started.elapsed()));
+        cluster.start(LATE_NODE);
+        cluster.wait_until_ready(LATE_NODE);
+        let start_up_ms = format!("{:.0}", millis(started.elapsed()));
         let rows = self.rows("catch-up", "3");
-        rows.print_value("missed 10,000 changes: until it serves, ms", start);
+        rows.print_value("until a node that missed 10,000 changes is ready, ms", start_up_ms);
         cluster.wait_until_caught_up();
         let memory = cluster.nodes.iter().map(|node| node.process().resource_usage().memory_kib);
-        rows.print_value("memory of the largest, MB", memory.max().unwrap_or(0) / 1024);
+        rows.print_value("memory of the largest node, MiB", memory.max().unwrap_or(0) / 1024);
     }
 }
 
@@ -55,9 +55,10 @@
     });
 }
 
-/// Drains and undrains endpoints from this index on.
+/// Drains and undrains [`ENDPOINTS_PER_CALLER`] endpoints from the one with index `first` on.
 fn drain_and_undrain(address: SocketAddr, first: usize) {
-    let mut connection = http::Connection::open(address, CALL_TIMEOUT).expect("a connection");
+    let mut connection =
+        http::Connection::open(address, CALL_TIMEOUT).expect("the store accepts a connection");
     for index in first..first + ENDPOINTS_PER_CALLER {
         for action in ["drain", "undrain"] {
             let path = format!("/{action}/x-{index}");
--- a/lab/src/bin/fleet-bench/drain.rs
+++ b/lab/src/bin/fleet-bench/drain.rs
@@ -1,35 +1,35 @@
-//! From an operator's drain until all nodes act on it.
+//! Time from an operator's drain until all nodes apply it.
 
 use crate::Bench;
 use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The endpoint that is drained.
+/// The name of the endpoint that is drained.
 const ENDPOINT: &str = "s-1-1";
 
-/// How long one drain took.
+/// The times that one drain took.
 struct DrainTimes {
-    /// Until all nodes acted on it.
+    /// Time until all nodes applied the drain.
     effective: Duration,
-    /// Until the operator's call was answered.
+    /// Time until the operator's call was answered.
     answered: Duration,
 }
 
 impl Bench {
     pub fn drain_propagation(&self) {
         for nodes in [3, 5, 9] {
-            for one_is_dead in [false, true] {
-                self.drain_propagation_among(nodes, one_is_dead);
+            for one_is_down in [false, true] {
+                self.measure_drain_propagation(nodes, one_is_down);
             }
         }
     }
 
-    fn drain_propagation_among(&self, node_count: usize, one_is_dead: bool) {
+    fn measure_drain_propagation(&self, node_count: usize, one_is_down: bool) {
         let mut cluster = self.cluster(ClusterConfig { nodes: node_count, ..ClusterConfig::default() });
         cluster.start_all();
         let mut nodes: Vec<usize> = (0..node_count).collect();
-        if one_is_dead {
+        if one_is_down {
             let last = node_count - 1;
             cluster.kill(last);
             nodes.retain(|node| *node != last);
@@ -46,17 +46,17 @@
             answered.push(times.answered);
             let _ = cluster.post(node, &format!("/undrain/{ENDPOINT}"));
             cluster.wait_until_active(&nodes, ENDPOINT);
-            // Drains must not keep step with the nodes' timers.
+            // Varies the time between drains, so that they are not in phase with the nodes' timers.
             thread::sleep(Duration::from_millis(37 * (repetition as u64 % 5)));
         }
-        let state = if one_is_dead { "one dead" } else { "all there" };
+        let state = if one_is_down { "one down" } else { "all up" };
         let rows = self.rows("drain", format!("{node_count}, {state}"));
-        rows.print_median("acts at all, ms", effective);
-        rows.print_median("answered, ms", answered);
+        rows.print_median("until all nodes apply it, ms", effective);
+        rows.print_median("until the call is answered, ms", answered);
     }
 }
 
-/// Drains the endpoint at a node and waits until all nodes act on it.
+/// Drains the endpoint by a call to `node`, and waits until all of `nodes` apply the drain.
 fn drain(cluster: &TestCluster, node: usize, nodes: &[usize]) -> DrainTimes {
     let started = Instant::now();
     thread::scope(|scope| {
@@ -67,6 +67,6 @@
         });
         cluster.wait_until_draining(nodes, ENDPOINT);
         let effective = started.elapsed();
-        DrainTimes { effective, answered: call.join().expect("a call") }
+        DrainTimes { effective, answered: call.join().expect("the thread of the call ends") }
     })
 }
--- a/lab/src/bin/fleet-bench/front.rs
+++ b/lab/src/bin/fleet-bench/front.rs
@@ -7,16 +7,16 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long nodes have after their start.
+/// Pause between the start of the nodes and the load.
 const SETTLING_TIME: Duration = Duration::from_millis(500);
-/// How long each load lasts.
+/// Duration of each load.
 const LOAD_TIME: Duration = Duration::from_secs(8);
-/// Seed of the first round.
+/// Seed of the first round; each further round adds one.
 const FIRST_SEED: u64 = 7;
-/// Significant decimal digits of the latencies.
+/// Number of significant decimal digits of the recorded latencies.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// What the clients saw.
+/// The figures of one load, as the clients recorded them.
 struct FrontFigures {
     served_per_second: f64,
     median_ms: f64,
@@ -39,9 +39,9 @@
             });
             thread::sleep(LOAD_TIME);
             let records = load.finish();
-            // The first quarter warms connections up.
+            // The first quarter is left out because clients still open connections in it.
             let figures = figures(&records[records.len() / 4..]);
-            self.rows("front", format!("3, {requests_per_second:.0}/s asked, round {round}")).print(
+            self.rows("front", format!("3, {requests_per_second:.0}/s offered, round {round}")).print(
                 "served/s; p50, p99 ms",
                 format!("{:.0}", figures.served_per_second),
                 format!("{:.2}, {:.2}", figures.median_ms, figures.p99_ms),
@@ -51,20 +51,21 @@
 }
 
 fn figures(records: &[RequestRecord]) -> FrontFigures {
-    let mut latencies: Histogram<u64> = Histogram::new(HISTOGRAM_DIGITS).expect("a histogram");
+    let mut latencies: Histogram<u64> =
+        Histogram::new(HISTOGRAM_DIGITS).expect("the number of digits is valid");
     let mut served: u64 = 0;
     for record in records.iter().filter(|record| record.is_served()) {
         served += 1;
         let micros = record.latency().as_micros().max(1) as u64;
         latencies.record(micros).unwrap_or(());
     }
-    let length = match (records.first(), records.last()) {
+    let duration = match (records.first(), records.last()) {
         (Some(first), Some(last)) => last.finished_at.duration_since(first.sent_at),
         _ => Duration::ZERO,
     };
     let quantile_ms = |quantile: f64| latencies.value_at_quantile(quantile) as f64 / 1000.0;
     FrontFigures {
-        served_per_second: served as f64 / length.as_secs_f64(),
+        served_per_second: served as f64 / duration.as_secs_f64(),
         median_ms: quantile_ms(0.5),
         p99_ms: quantile_ms(0.99),
     }
--- a/lab/src/bin/fleet-bench/idle.rs
+++ b/lab/src/bin/fleet-bench/idle.rs
@@ -1,4 +1,4 @@
-//! Traffic, CPU time and memory at rest with many endpoints, and the start with very many.
+//! Traffic, CPU time and memory of an idle fleet with many endpoints, and the time to start with very many.
 
 use crate::Bench;
 use crate::table::millis;
@@ -9,20 +9,20 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 3;
-/// How long nodes have to come to rest.
+/// Pause after the start until the nodes count as idle.
 const SETTLING_TIME: Duration = Duration::from_secs(3);
-/// How long they are measured at rest.
+/// Duration of the measurement.
 const MEASURED_TIME: Duration = Duration::from_secs(20);
-/// Endpoints of the fleet that starts.
+/// Number of endpoints in the measurement of the start.
 const MANY_ENDPOINTS: usize = 10_000;
 
 impl Bench {
     pub fn idle(&self) {
-        self.at_rest();
+        self.idle_usage();
         self.start_with_many_endpoints();
     }
 
-    fn at_rest(&self) {
+    fn idle_usage(&self) {
         let config = ClusterConfig { nodes: NODES, unreachable_endpoints: 2_000, ..ClusterConfig::default() };
         let mut cluster = self.cluster(config);
         cluster.start_all();
@@ -39,13 +39,13 @@
             .map(|(before, after)| (after.cpu_seconds - before.cpu_seconds) / seconds * 100.0)
             .fold(0.0, f64::max);
         let memory_mib = usage_after.iter().map(|usage| usage.memory_kib).max().unwrap_or(0) / 1024;
-        let rows = self.rows("idle", "3, 2,000 hosts");
+        let rows = self.rows("idle", "3, 2,000 endpoints");
         rows.print(
-            "kB/s all links, CPU % of the busiest",
+            "kB/s of all links; CPU % of the busiest node",
             format!("{kilobytes_per_second:.1}"),
             format!("{cpu_percent:.2}"),
         );
-        rows.print_value("memory of the largest, MB", memory_mib);
+        rows.print_value("memory of the largest node, MiB", memory_mib);
     }
 
     fn start_with_many_endpoints(&self) {
@@ -59,8 +59,9 @@
         eventually("all nodes know all endpoints", || {
             (0..NODES).all(|node| known_endpoints(node) >= MANY_ENDPOINTS)
         });
-        let length = format!("{:.0}", millis(started.elapsed()));
-        self.rows("start", "3, 10,000 hosts").print_value("until all have all, ms", length);
+        let start_up_ms = format!("{:.0}", millis(started.elapsed()));
+        self.rows("start", "3, 10,000 endpoints")
+            .print_value("until all nodes know all endpoints, ms", start_up_ms);
     }
 }
 
--- a/lab/src/bin/fleet-bench/main.rs
+++ b/lab/src/bin/fleet-bench/main.rs
@@ -1,5 +1,5 @@
-//! Measures how the nodes of a fleet behave together, one version of the program beside another, and prints the figures
-//! as rows of one table.
+//! Measures the behavior of a fleet, optionally comparing versions of the program, and prints the figures as rows of
+//! one Markdown table.
 
 mod calm;
 mod catch_up;
@@ -20,19 +20,19 @@
 use std::path::PathBuf;
 use table::Rows;
 
-/// Rounds of the measurement of the front, each with another seed.
+/// Number of rounds of the SPARQL front's measurement, each with a different seed.
 const FRONT_ROUNDS: usize = 3;
 
-/// One version of the program, which is measured.
+/// Runs measurements of one version of the program.
 struct Bench {
     program: PathBuf,
-    /// Where clusters keep their files.
+    /// The parent folder of the clusters' files.
     folder: PathBuf,
-    /// How often a measurement that takes a median is repeated.
+    /// Number of repetitions of a measurement whose median is reported.
     repetitions: usize,
-    /// The program is of version 0.2.0 or before.
+    /// Whether the program has version 0.2.0 or older.
     is_legacy: bool,
-    /// The version in the table.
+    /// The name of the version in the table.
     label: &'static str,
 }
 
@@ -42,13 +42,13 @@
         TestCluster::new(&self.program, &self.folder, config)
     }
 
-    /// The rows of a measurement of clusters that `setting` describes.
+    /// The table rows of a measurement; `setting` describes the clusters.
     fn rows(&self, measurement: &'static str, setting: impl Into<String>) -> Rows {
         Rows { measurement, version: self.label, setting: setting.into() }
     }
 }
 
-/// All versions that are measured.
+/// The versions of the program that are measured.
 struct Versions {
     current: Bench,
     legacy: Option<Bench>,
@@ -98,7 +98,9 @@
                     self.with_earlier().for_each(|bench| bench.zone_failure(*nodes, options.seed));
                 }
             }
-            Measurement::Calm => self.current.calm(options.repetitions as u64),
+            Measurement::SpuriousZoneChanges => {
+                self.current.spurious_zone_changes(options.repetitions as u64);
+            }
             Measurement::Disk => self.current.disk(),
             Measurement::Idle => self.with_legacy().for_each(Bench::idle),
             Measurement::CatchUp => self.current.catch_up(),
@@ -106,11 +108,11 @@
     }
 }
 
-/// The losses of power that are measured: with warm endpoints and with cold ones, for each size of the fleet.
+/// The measured losses of power: with warm and with cold endpoints, each for every size of the fleet.
 fn power_losses(options: &Options) -> Vec<PowerLoss> {
     let mut losses = Vec::new();
     for endpoints_too in [false, true] {
-        if options.cold.is_some_and(|only| only != endpoints_too) {
+        if options.cold.is_some_and(|endpoints_are_cold| endpoints_are_cold != endpoints_too) {
             continue;
         }
         for &nodes in &options.nodes {
--- a/lab/src/bin/fleet-bench/options.rs
+++ b/lab/src/bin/fleet-bench/options.rs
@@ -4,71 +4,73 @@
 use std::path::PathBuf;
 
 #[derive(Parser)]
-#[command(about = "Measures how the nodes of a fleet behave together, and prints tables")]
+#[command(about = "Measures the behavior of a fleet and prints the figures as a Markdown table")]
 pub struct Options {
-    /// The program.
+    /// The program to measure.
     pub program: PathBuf,
-    /// A program of version 0.2.0 or before, measured in turn with it.
+    /// A program of version 0.2.0 or older to compare with.
     #[arg(long = "before", value_name = "PROGRAM")]
     pub legacy_program: Option<PathBuf>,
-    /// An earlier program with the same configuration, measured in turn with it after losses of power and of zones.
+    /// An earlier program with the same configuration, to compare with after losses of power and of zones.
     #[arg(long = "earlier", value_name = "PROGRAM")]
     pub earlier_program: Option<PathBuf>,
-    /// Seed of the clients' choices in the measurements of losses of power and of zones.
+    /// Seed of the clients' random choices in the measurements of losses of power and of zones.
     #[arg(long, default_value_t = 11)]
     pub seed: u64,
-    /// Sizes of the fleet in the measurements of losses of power and of zones.
+    /// Numbers of nodes in the measurements of losses of power and of zones.
     #[arg(long = "daemons", value_name = "NODES", value_delimiter = ',', default_value = "3,5,12")]
     pub nodes: Vec<usize>,
-    /// Print figures for each half second after a loss of power.
+    /// Also print the figures of each half second after a loss of power.
     #[arg(long)]
     pub trace: bool,
-    /// Measure losses of power only with endpoints that lose it too and start cold, or only without.
+    /// Measure losses of power only with endpoints that lose power too and start cold (true), or only with endpoints
+    /// that stay up (false).
     #[arg(long)]
     pub cold: Option<bool>,
-    /// The measurements; all but `calm` if none is named.
+    /// The measurements to make; all except `calm` by default.
     #[arg(long = "what", value_name = "MEASUREMENT", value_enum)]
     pub measurements: Vec<Measurement>,
-    /// How often a measurement that takes a median is repeated; the count of seeds of `calm`.
+    /// Number of repetitions of a measurement whose median is reported; the number of seeds of `calm`.
     #[arg(long = "times", value_name = "COUNT", default_value_t = 20)]
     pub repetitions: usize,
-    /// Where nodes keep their files.
+    /// The folder for the nodes' files.
     #[arg(long, default_value = "target/tmp")]
     pub folder: PathBuf,
 }
 
 impl Options {
-    /// Whether a measurement is wanted. That of calm fleets takes long, and is made only when it is named.
+    /// Whether a measurement is to be made. The one of spurious zone changes takes long and must be requested by name.
     pub fn selects(&self, measurement: Measurement) -> bool {
-        let by_default = self.measurements.is_empty() && measurement != Measurement::Calm;
+        let by_default = self.measurements.is_empty() && measurement != Measurement::SpuriousZoneChanges;
         by_default || self.measurements.contains(&measurement)
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Measurement {
-    /// From an operator's drain until all nodes act on it.
+    /// Time from an operator's drain until all nodes apply it.
     #[value(name = "drain")]
     DrainPropagation,
-    /// From the kill of a leader until there is another one.
+    /// Time from the kill of a leader until there is a new one.
     #[value(name = "leader")]
     LeaderElection,
-    /// Traffic, CPU time and memory at rest with many endpoints, and the start with very many.
+    /// Traffic, CPU time and memory of an idle fleet with 2,000 endpoints, and the start with 10,000.
     Idle,
-    /// The start of a node that missed many changes.
+    /// Start of a node that missed 10,000 changes.
     CatchUp,
     /// Latency and throughput of the SPARQL front.
     Front,
-    /// What is written to the disk in service and at rest.
+    /// Disk writes under load and idle.
     Disk,
-    /// A loss of power of all nodes, until they serve as before.
+    /// Recovery of service after a loss of power of all nodes.
     #[value(name = "power")]
     PowerLoss,
-    /// A zone that falls silent and comes back cold.
+    /// A zone whose endpoints stop answering and later restart cold.
     #[value(name = "zone")]
     ZoneFailure,
-    /// Zones that are evacuated although none of them failed, by seed.
-    Calm,
+    /// Changes of zone weights although no zone failed, by seed.
+    #[value(name = "calm")]
+    SpuriousZoneChanges,
 }
 
 impl Measurement {
@@ -79,7 +81,7 @@
         Measurement::LeaderElection,
         Measurement::PowerLoss,
         Measurement::ZoneFailure,
-        Measurement::Calm,
+        Measurement::SpuriousZoneChanges,
         Measurement::Disk,
         Measurement::Idle,
         Measurement::CatchUp,
--- a/lab/src/bin/fleet-bench/power.rs
+++ b/lab/src/bin/fleet-bench/power.rs
@@ -1,4 +1,4 @@
-//! A loss of power of all nodes under load, with their endpoints or without, until they serve as before.
+//! Recovery of service after a loss of power of all nodes under load, either with or without their endpoints.
 
 mod figures;
 mod trace;
@@ -15,27 +15,27 @@
 use std::time::Duration;
 
 const GROUPS: u32 = 8;
-/// Replicas of each group, beside its primary.
+/// Number of replicas in each group, in addition to its primary.
 const REPLICAS: usize = 2;
-/// How long the load runs before the loss of power.
-const LEAD_TIME: Duration = Duration::from_secs(14);
-/// How long there is no power.
-const DARK_TIME: Duration = Duration::from_secs(1);
-/// How long the load runs after all nodes are ready.
-const RETURN_TIME: Duration = Duration::from_secs(9);
-/// At the end of the load, requests whose time had not passed.
-const UNFINISHED_TIME: Duration = Duration::from_millis(1_500);
+/// Duration of the load before the loss of power.
+const LOAD_BEFORE_LOSS: Duration = Duration::from_secs(14);
+/// Duration of the loss of power.
+const OUTAGE_TIME: Duration = Duration::from_secs(1);
+/// Duration of the load after all nodes are ready.
+const LOAD_AFTER_READY: Duration = Duration::from_secs(9);
+/// Requests due within this time before the end of the load are not evaluated, since they may be unfinished.
+const UNEVALUATED_TAIL: Duration = Duration::from_millis(1_500);
 /// The window over which the served value is summed.
 const WINDOW: Duration = Duration::from_millis(500);
 
-/// A loss of power that is measured.
+/// The parameters of a measured loss of power.
 #[derive(Clone, Copy)]
 pub struct PowerLoss {
     pub nodes: usize,
-    /// The endpoints lose power too and start cold.
+    /// Whether the endpoints lose power too and start cold.
     pub endpoints_too: bool,
     pub seed: u64,
-    /// Print figures for each window.
+    /// Whether the figures of each window are printed.
     pub trace: bool,
 }
 
@@ -44,7 +44,7 @@
         if self.endpoints_too { 600.0 } else { 400.0 }
     }
 
-    /// Operations that run at once at an endpoint.
+    /// Number of operations that a warm endpoint runs at once.
     fn slots(&self) -> usize {
         if self.endpoints_too { 4 } else { 8 }
     }
@@ -54,7 +54,7 @@
     }
 }
 
-/// What happened when, with what clients and endpoints recorded.
+/// The times of one loss of power, with the records of the clients and endpoints.
 struct PowerRun {
     loss: PowerLoss,
     off_at: Timestamp,
@@ -62,7 +62,7 @@
     end: Timestamp,
     records: Vec<RequestRecord>,
     arrivals: Vec<Arrival>,
-    /// What the oracle serves from the return of the power on.
+    /// The value that the oracle serves in each step from the return of the power on.
     best: Vec<ServedValue>,
     cluster: TestCluster,
 }
@@ -72,7 +72,7 @@
         let PowerLoss { nodes, seed, .. } = loss;
         let config = ClusterConfig { nodes, groups: GROUPS, ..ClusterConfig::default() };
         let run = PowerRun::new(self.cluster(config), loss);
-        let endpoints = if loss.endpoints_too { "cold hosts" } else { "warm hosts" };
+        let endpoints = if loss.endpoints_too { "cold endpoints" } else { "warm endpoints" };
         let rows = self.rows("power", format!("{nodes}, {endpoints}, seed {seed}"));
         run.print(&rows);
     }
@@ -87,7 +87,7 @@
             });
         }
         cluster.start_all();
-        // No primary is the first endpoint of its group in the list.
+        // Moves the primaries, so that not every primary is the first endpoint of its group in the list.
         for group in 1..=GROUPS {
             cluster.endpoints.promote(group, &format!("s-{group}-{}", group % 3));
         }
@@ -99,11 +99,11 @@
             retries_rejections: true,
             ..LoadProfile::default()
         });
-        thread::sleep(LEAD_TIME);
+        thread::sleep(LOAD_BEFORE_LOSS);
         let off_at = Timestamp::now();
         let on_at = cycle_power(&mut cluster, loss.endpoints_too);
-        thread::sleep(RETURN_TIME);
-        let end = Timestamp::now() - UNFINISHED_TIME;
+        thread::sleep(LOAD_AFTER_READY);
+        let end = Timestamp::now() - UNEVALUATED_TAIL;
         let records = load.finish();
         let arrivals = cluster.endpoints.arrivals();
         let model = CapacityModel {
@@ -128,28 +128,29 @@
     }
 
     fn print(&self, rows: &Rows) {
-        self.print_return_of_service(rows);
+        self.print_recovery_times(rows);
         if self.loss.trace {
             self.print_trace(rows);
         }
         self.print_share_and_polls(rows);
         if self.loss.endpoints_too {
             rows.print_value(
-                "worst second of a cold host, share of its bound (9.99: over)",
+                "worst second of a cold endpoint, share of its bound (9.99: over)",
                 format!("{:.2}", self.worst_second()),
             );
         }
     }
 }
 
-/// Takes the power away and gives it back; when it came back. Returns when all nodes are ready.
+/// Turns the power off and on again, and waits until all nodes are ready. Returns the time at which the power came
+/// back.
 fn cycle_power(cluster: &mut TestCluster, endpoints_too: bool) -> Timestamp {
     let nodes: Vec<usize> = (0..cluster.nodes.len()).collect();
     nodes.iter().for_each(|node| cluster.kill(*node));
     if endpoints_too {
         cluster.endpoints.power_off();
     }
-    thread::sleep(DARK_TIME);
+    thread::sleep(OUTAGE_TIME);
     if endpoints_too {
         cluster.endpoints.power_on(Duration::ZERO);
     }
--- a/lab/src/bin/fleet-bench/power/figures.rs
+++ b/lab/src/bin/fleet-bench/power/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a loss of power.
+//! The summary figures of a loss of power.
 
 use super::{PowerRun, WINDOW};
 use crate::table::{Rows, millis};
@@ -7,24 +7,24 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The time before the loss whose served value is the usual one.
+/// Time before the loss over which the usual served value is measured.
 const USUAL_TIME: Duration = Duration::from_secs(4);
-/// Service is back at this share of the usual value.
+/// Service has recovered when the served value reaches this share of the usual one.
 const RECOVERED_SHARE: f64 = 0.95;
-/// Step in which a window that has recovered is searched for.
+/// Step of the search for the first window with recovered service.
 const SEARCH_STEP: Duration = Duration::from_millis(50);
-/// An endpoint fails above this multiple of its capacity; the nodes' settings name the same (`fall-multiple`).
+/// An endpoint fails above this multiple of its capacity; equal to `fall-multiple` in the nodes' settings.
 const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// What is printed as the worst second of an endpoint that was over its bound.
+/// The value printed for the worst second of an endpoint that exceeded its bound.
 const OVER_BOUND: f64 = 9.99;
-/// How long before the loss the usual polls are counted.
+/// The usual polls are counted in the second that begins this long before the loss.
 const USUAL_POLLS_BEFORE: Duration = Duration::from_secs(3);
-/// The first second begins this long before the first operation that reached an endpoint.
+/// The counts of the first second begin this long before the first operation that reached an endpoint.
 const FIRST_SECOND_MARGIN: Duration = Duration::from_millis(100);
 
-/// What reached one endpoint.
+/// Numbers of operations and polls that reached one endpoint.
 struct EndpointTraffic {
-    /// Operations in the first second after the return.
+    /// Operations in the first second after the return of the power.
     operations: usize,
     /// Polls in the same second.
     polls: usize,
@@ -33,32 +33,32 @@
 }
 
 impl PowerRun {
-    pub(super) fn print_return_of_service(&self, rows: &Rows) {
+    pub(super) fn print_recovery_times(&self, rows: &Rows) {
         rows.print(
             "first served write; read, ms",
             format!("{:.0}", millis(self.first_served(true))),
             format!("{:.0}", millis(self.first_served(false))),
         );
         rows.print(
-            "95% of the worth of before after, ms; the oracle",
+            "until 95% of the value served before, ms; the same of the oracle",
             self.recovery_time(|window| self.served_value(window)),
             self.recovery_time(|window| self.best_value(window)),
         );
     }
 
-    /// From the return of the power until the first write, or read, sent after it was served.
+    /// Time from the return of the power until the first write (or read) sent after it was served.
     fn first_served(&self, is_write: bool) -> Duration {
         let served = self.records.iter().filter(|record| record.is_served() && record.is_write == is_write);
         let after_return = served.filter(|record| record.sent_at >= self.on_at);
-        let lengths = after_return.map(|record| record.finished_at.duration_since(self.on_at));
-        lengths.min().unwrap_or_default()
+        let durations = after_return.map(|record| record.finished_at.duration_since(self.on_at));
+        durations.min().unwrap_or_default()
     }
 
-    /// From the return of the power to the end of the first window with the usual value, in milliseconds.
+    /// Time from the return of the power to the end of the first window with recovered service, in milliseconds.
     fn recovery_time(&self, value_in: impl Fn(&Range<Timestamp>) -> f64) -> String {
         let before = self.off_at - USUAL_TIME..self.off_at;
-        let per_micro = self.served_value(&before) / USUAL_TIME.as_micros() as f64;
-        let usual = per_micro * WINDOW.as_micros() as f64;
+        let usual_per_micro = self.served_value(&before) / USUAL_TIME.as_micros() as f64;
+        let usual = usual_per_micro * WINDOW.as_micros() as f64;
         let mut starts = time::steps(self.on_at..self.end - WINDOW, SEARCH_STEP);
         match starts.find(|start| value_in(&(*start..*start + WINDOW)) >= usual * RECOVERED_SHARE) {
             Some(start) => format!("{:.0}", millis((start + WINDOW).duration_since(self.on_at))),
@@ -68,23 +68,23 @@
 
     pub(super) fn print_share_and_polls(&self, rows: &Rows) {
         rows.print_value(
-            "worth of what was due since, % of the oracle's",
+            "value of the served requests due since, % of the oracle's",
             format!("{:.1}", self.percent_of_best()),
         );
         let traffic = self.traffic();
         let polls: usize = traffic.iter().map(|endpoint| endpoint.polls).sum();
         let most_polls = traffic.iter().map(|endpoint| endpoint.polls).max().unwrap_or(0);
-        rows.print("first second: questions to all hosts; to one host at most", polls, most_polls);
+        rows.print("first second: polls of all endpoints; most polls of one endpoint", polls, most_polls);
         let usual_polls: usize = traffic.iter().map(|endpoint| endpoint.usual_polls).sum();
         let requests = traffic.iter().map(|endpoint| endpoint.operations + endpoint.polls);
         rows.print(
-            "questions in a second of before; all requests to one host in the first second",
+            "polls in a second before the loss; most requests to one endpoint in the first second",
             usual_polls,
             requests.max().unwrap_or(0),
         );
     }
 
-    /// The served value of the requests due since the power came back, at whichever attempt, in percent of the
+    /// The value of the requests due since the power came back that were served at any attempt, in percent of the
     /// oracle's.
     fn percent_of_best(&self) -> f64 {
         let since = self.on_at..self.end;
@@ -93,7 +93,7 @@
         served.map(oracle::request_value).sum::<f64>() / self.best_value(&since) * 100.0
     }
 
-    /// What reached each endpoint in the first second in which any was reached.
+    /// The traffic of each endpoint in the first second in which an operation reached any of them.
     fn traffic(&self) -> Vec<EndpointTraffic> {
         let times = self.arrivals.iter().map(|arrival| arrival.arrived_at);
         let first_arrival = times.filter(|time| *time >= self.on_at).min().unwrap_or(self.on_at);
--- a/lab/src/bin/fleet-bench/power/trace.rs
+++ b/lab/src/bin/fleet-bench/power/trace.rs
@@ -1,4 +1,4 @@
-//! The figures of each window after a loss of power.
+//! The figures of each window after the return of the power.
 
 use super::{PowerRun, WINDOW};
 use crate::table::Rows;
@@ -11,8 +11,8 @@
 
 impl PowerRun {
     pub(super) fn print_trace(&self, rows: &Rows) {
-        let own = self.records.iter().filter(|record| record.reads_own_write);
-        let own_reads: BTreeSet<u64> = own.map(|record| record.request_id).collect();
+        let reading_own_writes = self.records.iter().filter(|record| record.reads_own_write);
+        let own_reads: BTreeSet<u64> = reading_own_writes.map(|record| record.request_id).collect();
         for start in time::steps(self.on_at..self.end - WINDOW, WINDOW) {
             let window = start..start + WINDOW;
             let since_return_ms = start.duration_since(self.on_at).as_millis();
@@ -31,13 +31,13 @@
     fn print_values(&self, rows: &Rows, since_return_ms: u128, window: &Range<Timestamp>) {
         let rejected = self.finished_in(window).filter(|record| record.status == 503).count();
         rows.print(
-            format!("{since_return_ms} ms: worth served, of the oracle; refused"),
+            format!("{since_return_ms} ms: value served, that of the oracle; rejected"),
             format!("{:.0}, {:.0}", self.served_value(window), self.best_value(window)),
             rejected,
         );
     }
 
-    /// The reads that reached endpoints, and those of them that reached primaries.
+    /// Prints the reads that reached endpoints, those that reached primaries, and how many of these read an own write.
     fn print_reads(
         &self,
         rows: &Rows,
@@ -51,13 +51,13 @@
         let at_primaries: Vec<&&Arrival> = reads.iter().filter(|arrival| is_primary(arrival)).collect();
         let own = at_primaries.iter().filter(|arrival| own_reads.contains(&arrival.request_id)).count();
         rows.print(
-            format!("{since_return_ms} ms: reads that reached hosts; primaries among these, own"),
+            format!("{since_return_ms} ms: reads at endpoints; at primaries, of an own write"),
             reads.len(),
             format!("{}, {own}", at_primaries.len()),
         );
     }
 
-    /// How long served requests took for clients, and at endpoints.
+    /// Prints the mean latency of served requests as clients and as endpoints measured it.
     fn print_latencies(&self, rows: &Rows, since_return_ms: u128, window: &Range<Timestamp>, is_write: bool) {
         let served = self.finished_in(window).filter(|record| record.is_served());
         let for_clients: Vec<Duration> =
@@ -70,15 +70,15 @@
             counted.map(|arrival| arrival.finished_at.duration_since(arrival.arrived_at)).collect();
         let kind = if is_write { "writes" } else { "reads" };
         rows.print(
-            format!("{since_return_ms} ms, {kind}: served; ms at clients; ms at hosts"),
+            format!("{since_return_ms} ms, {kind}: served; mean ms at clients; mean ms at endpoints"),
             for_clients.len(),
             format!("{:.0}; {:.0}", mean_millis(&for_clients), mean_millis(&at_endpoints)),
         );
     }
 }
 
-/// The mean in milliseconds; 0 of none.
-fn mean_millis(lengths: &[Duration]) -> f64 {
-    let total: Duration = lengths.iter().sum();
-    total.as_micros() as f64 / lengths.len().max(1) as f64 / 1000.0
+/// The mean in milliseconds; 0 if there are no durations.
+fn mean_millis(durations: &[Duration]) -> f64 {
+    let total: Duration = durations.iter().sum();
+    total.as_micros() as f64 / durations.len().max(1) as f64 / 1000.0
 }
--- a/lab/src/bin/fleet-bench/table.rs
+++ b/lab/src/bin/fleet-bench/table.rs
@@ -1,30 +1,30 @@
-//! The table of the figures, in Markdown.
+//! Prints the figures as a Markdown table.
 
 use std::fmt::Display;
 use std::time::Duration;
 
-/// Prints the head of the table.
+/// Prints the header of the table.
 pub fn print_header() {
     println!(
-        "| what | version | daemons | figure | median or value | worst |\n| --- | --- | --- | --- | --- | --- |"
+        "| measurement | version | nodes | figure | median or value | worst |\n| --- | --- | --- | --- | --- | --- |"
     );
 }
 
-/// A length of time in milliseconds.
-pub fn millis(length: Duration) -> f64 {
-    length.as_nanos() as f64 / 1e6
+/// A duration in milliseconds.
+pub fn millis(duration: Duration) -> f64 {
+    duration.as_nanos() as f64 / 1e6
 }
 
-/// The rows of one measurement of one version.
+/// Prints the rows of one measurement of one version.
 pub struct Rows {
     pub measurement: &'static str,
     pub version: &'static str,
-    /// Size and other properties of the cluster.
+    /// The number of nodes and other properties of the cluster.
     pub setting: String,
 }
 
 impl Rows {
-    /// Prints a figure with two values.
+    /// Prints a figure with two values, the second one in the column `worst`.
     pub fn print(&self, figure: impl Display, value: impl Display, worst: impl Display) {
         let Rows { measurement, version, setting } = self;
         println!("| {measurement} | {version} | {setting} | {figure} | {value} | {worst} |");
@@ -36,11 +36,11 @@
         println!("| {measurement} | {version} | {setting} | {figure} | {value} | |");
     }
 
-    /// Prints the median and the worst of lengths of time, in milliseconds.
-    pub fn print_median(&self, figure: impl Display, mut lengths: Vec<Duration>) {
-        lengths.sort();
-        let median = lengths.get(lengths.len() / 2).copied().unwrap_or_default();
-        let worst = lengths.last().copied().unwrap_or_default();
+    /// Prints the median and the maximum of durations, in milliseconds.
+    pub fn print_median(&self, figure: impl Display, mut durations: Vec<Duration>) {
+        durations.sort();
+        let median = durations.get(durations.len() / 2).copied().unwrap_or_default();
+        let worst = durations.last().copied().unwrap_or_default();
         self.print(figure, format!("{:.1}", millis(median)), format!("{:.1}", millis(worst)));
     }
 }
--- a/lab/src/bin/fleet-bench/zone.rs
+++ b/lab/src/bin/fleet-bench/zone.rs
@@ -1,4 +1,4 @@
-//! A zone that falls silent for six seconds and comes back cold, under load.
+//! A zone whose endpoints answer nothing for six seconds and then restart cold, under load.
 
 use crate::Bench;
 use crate::table::{Rows, millis};
@@ -14,29 +14,30 @@
 const GROUPS: u32 = 8;
 /// The zone that fails.
 const ZONE: &str = "z-1";
-/// Four operations at once of 20 ms each: 200 per second.
+/// Number of operations that a warm endpoint runs at once.
 const SLOTS: usize = 4;
 const SERVICE_TIME: Duration = Duration::from_millis(20);
+/// The capacity of a warm endpoint: [`SLOTS`] operations at once of [`SERVICE_TIME`] each.
 const WARM_CAPACITY_PER_SECOND: f64 = 200.0;
-/// An endpoint fails above this multiple of its capacity; the nodes' settings name the same (`fall-multiple`).
+/// An endpoint fails above this multiple of its capacity; equal to `fall-multiple` in the nodes' settings.
 const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// What is printed as the worst second of an endpoint that was over its bound.
+/// The value printed for the worst second of an endpoint that exceeded its bound.
 const OVER_BOUND: f64 = 9.99;
 
-/// How long the load runs before the zone fails.
-const LEAD_TIME: Duration = Duration::from_secs(6);
-/// How long the zone is silent.
+/// Duration of the load before the zone fails.
+const LOAD_BEFORE_FAILURE: Duration = Duration::from_secs(6);
+/// How long the zone answers nothing.
 const SILENT_TIME: Duration = Duration::from_secs(6);
-/// How long the evacuation by all nodes is waited for.
+/// Timeout of the wait until all nodes have evacuated the zone.
 const MAX_EVACUATION_TIME: Duration = Duration::from_secs(3);
-/// How long the load runs after the zone is back.
-const RETURN_TIME: Duration = Duration::from_secs(25);
-/// At the end of the load, requests whose time had not passed.
-const UNFINISHED_TIME: Duration = Duration::from_secs(2);
-/// A served request counts as late after this time.
-const LATE: Duration = Duration::from_secs(1);
+/// Duration of the load after the restart of the zone.
+const LOAD_AFTER_RESTART: Duration = Duration::from_secs(25);
+/// Requests due within this time before the end of the load are not evaluated, since they may be unfinished.
+const UNEVALUATED_TAIL: Duration = Duration::from_secs(2);
+/// A request that is served later than this after it was due counts as late.
+const LATE_AFTER: Duration = Duration::from_secs(1);
 
-/// What happened when, with what clients and endpoints recorded.
+/// The times of the failure, with the records of the clients and endpoints.
 struct ZoneFailure {
     silent_at: Timestamp,
     restarted_at: Timestamp,
@@ -73,7 +74,7 @@
 impl ZoneFailure {
     fn run(cluster: TestCluster, profile: LoadProfile) -> ZoneFailure {
         let load = cluster.start_load(profile);
-        thread::sleep(LEAD_TIME);
+        thread::sleep(LOAD_BEFORE_FAILURE);
         let silent_at = Timestamp::now();
         for endpoint in cluster.endpoints.in_zone(ZONE) {
             endpoint.configure(|behavior| behavior.is_silent = true);
@@ -86,8 +87,8 @@
         thread::sleep(SILENT_TIME.saturating_sub(started.elapsed()));
         let restarted_at = Timestamp::now();
         restart_zone(&cluster);
-        thread::sleep(RETURN_TIME);
-        let end = Timestamp::now() - UNFINISHED_TIME;
+        thread::sleep(LOAD_AFTER_RESTART);
+        let end = Timestamp::now() - UNEVALUATED_TAIL;
         let records = load.finish();
         ZoneFailure { silent_at, restarted_at, end, evacuation_time, records, cluster }
     }
@@ -95,44 +96,48 @@
     fn print(&self, rows: &Rows) {
         let silent = self.silent_at..self.restarted_at;
         let due_while_silent = check::requests_due(&self.records, silent.clone()).count();
-        let lost_while_silent = check::unserved_requests(&self.records, silent);
+        let unserved_while_silent = check::unserved_requests(&self.records, silent);
         let late = self.late_while_silent();
-        rows.print(format!("lost while it was silent, of {due_while_silent}; late"), lost_while_silent, late);
-        let lost_on_return = check::unserved_requests(&self.records, self.restarted_at..self.end);
+        rows.print(
+            format!("unserved while it was silent, of {due_while_silent}; late"),
+            unserved_while_silent,
+            late,
+        );
+        let unserved_after_restart = check::unserved_requests(&self.records, self.restarted_at..self.end);
         let arrivals = self.cluster.endpoints.arrivals();
         rows.print(
-            "lost on its way back; until it has 90% of its share, s",
-            lost_on_return,
+            "unserved after its restart; until it gets 90% of its usual share, s",
+            unserved_after_restart,
             self.seconds_to_full_share(&arrivals),
         );
         rows.print_value(
-            "until all have left, ms (3000: not)",
+            "until all nodes have evacuated it, ms (3000: not all)",
             format!("{:.0}", millis(self.evacuation_time)),
         );
         let peaks = self.cluster.endpoints.in_zone(ZONE).map(|endpoint| endpoint.take_peak_concurrency());
         let peak = peaks.max().unwrap_or(0);
         rows.print(
-            "most at once at a returning host that runs 1 to 4; worst second, share of its bound",
+            "peak concurrency at a restarted endpoint with 1 to 4 slots; worst second, share of its bound",
             peak,
             format!("{:.2}", self.worst_second(&arrivals)),
         );
     }
 
-    /// Requests due while the zone was silent that were served late.
+    /// Number of requests due while the zone was silent that were served late.
     fn late_while_silent(&self) -> usize {
         let silent = self.silent_at..self.restarted_at;
         let served =
             self.records.iter().filter(|record| record.is_served() && silent.contains(&record.due_at));
-        served.filter(|record| record.finished_at.duration_since(record.due_at) > LATE).count()
+        served.filter(|record| record.finished_at.duration_since(record.due_at) > LATE_AFTER).count()
     }
 
-    /// Operations that reached the zone within a window.
+    /// Number of operations that reached the zone within a window.
     fn arrivals_in_zone(&self, arrivals: &[Arrival], window: Range<Timestamp>) -> usize {
         let in_window = arrivals.iter().filter(|arrival| window.contains(&arrival.arrived_at));
         in_window.filter(|arrival| self.cluster.endpoints.get(&arrival.endpoint).zone == ZONE).count()
     }
 
-    /// From the zone's restart until it gets 90% of its usual operations over a second.
+    /// Time from the zone's restart to the end of the first second in which it gets 90% of its usual operations.
     fn seconds_to_full_share(&self, arrivals: &[Arrival]) -> String {
         let second = Duration::from_secs(1);
         let before_failure = self.silent_at - 3 * second..self.silent_at;
@@ -143,8 +148,8 @@
         };
         match starts.find(is_full) {
             Some(start) => {
-                let length = (start + second).duration_since(self.restarted_at);
-                format!("{:.1}", length.as_micros() as f64 / 1e6)
+                let duration = (start + second).duration_since(self.restarted_at);
+                format!("{:.1}", duration.as_micros() as f64 / 1e6)
             }
             None => "never".into(),
         }
@@ -164,13 +169,13 @@
     }
 }
 
-/// Whether all nodes give the zone no reads.
+/// Whether all nodes give the zone the weight 0.
 fn is_evacuated(cluster: &TestCluster) -> bool {
     let weight = |node: usize| cluster.zone_weight(node, ZONE);
     (0..cluster.nodes.len()).all(|node| weight(node).is_some_and(|weight| weight.applied_permille == 0))
 }
 
-/// Restarts the zone's endpoints, which are cold then and answer again.
+/// Restarts the zone's endpoints, which then are cold and answer again, and resets their peaks.
 fn restart_zone(cluster: &TestCluster) {
     cluster.endpoints.in_zone(ZONE).for_each(|endpoint| endpoint.power_off());
     cluster.endpoints.in_zone(ZONE).for_each(|endpoint| endpoint.power_on());
--- a/lab/src/check/requests.rs
+++ b/lab/src/check/requests.rs
@@ -22,7 +22,7 @@
 
 impl Downtime {
     /// Whether this downtime explains a missing or late response to an attempt.
-    fn excuses(&self, record: &RequestRecord) -> bool {
+    fn explains(&self, record: &RequestRecord) -> bool {
         self.node == record.node
             && record.sent_at < self.until + SCHEDULING_TOLERANCE
             && record.finished_at > self.from - SCHEDULING_TOLERANCE
@@ -108,7 +108,7 @@
     timeout: Duration,
 ) -> Result<usize, CheckError> {
     for record in records {
-        if downtimes.iter().any(|downtime| downtime.excuses(record)) {
+        if downtimes.iter().any(|downtime| downtime.explains(record)) {
             continue;
         }
         let RequestRecord { request_id, node, .. } = *record;
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -138,7 +138,7 @@
     }
 
     /// Whether any finished attempt matches.
-    pub fn any(&self, matches: impl Fn(&RequestRecord) -> bool) -> bool {
+    pub fn has_attempt(&self, matches: impl Fn(&RequestRecord) -> bool) -> bool {
         self.records().iter().any(matches)
     }
 
--- a/lab/src/endpoint.rs
+++ b/lab/src/endpoint.rs
@@ -150,7 +150,7 @@
         arrivals: Arc<Mutex<Vec<Arrival>>>,
     ) -> StandInEndpoint {
         let Placement { group, index, zone } = placement;
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let state = State {
             behavior: EndpointBehavior::default(),
             incarnation: 0,
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -97,7 +97,7 @@
     ///
     /// Panics if no port is free.
     pub fn start(target: SocketAddr, protocol: RelayProtocol) -> Relay {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let address = listener.local_addr().expect("the listener has an address");
         let state = State {
             target,
--- a/tests/fleet_recovery_power.rs
+++ b/tests/fleet_recovery_power.rs
@@ -109,7 +109,7 @@
         let end = Timestamp::now();
         load.served_within(end - Duration::from_secs(1)..end) * 2 > before
     });
-    eventually("sessions had writes that were lost", || load.any(|a| a.status == 412));
+    eventually("sessions had writes that were lost", || load.has_attempt(|a| a.status == 412));
     let asked = load.finish();
     assert!(rules(cluster, &asked) > 0);
     let worst = spared(cluster, on);
