--- a/lab/src/bin/fleet-bench/power/figures.rs
+++ b/lab/src/bin/fleet-bench/power/figures.rs
@@ -105,8 +105,8 @@
             polls.iter().filter(|time| window.contains(time)).count()
         };
         let operations = |name: &str| {
-            let own = self.arrivals.iter().filter(|arrival| arrival.endpoint == name);
-            own.filter(|arrival| first_second.contains(&arrival.arrived_at)).count()
+            let at_endpoint = self.arrivals.iter().filter(|arrival| arrival.endpoint == name);
+            at_endpoint.filter(|arrival| first_second.contains(&arrival.arrived_at)).count()
         };
         let of_endpoint = |name: &str| EndpointTraffic {
             operations: operations(name),
--- a/lab/src/bin/fleet-bench/power/trace.rs
+++ b/lab/src/bin/fleet-bench/power/trace.rs
@@ -49,11 +49,12 @@
         let reads: Vec<&Arrival> = self.arrivals.iter().filter(is_read).collect();
         let is_primary = |arrival: &Arrival| self.cluster.endpoints.get(&arrival.endpoint).is_primary();
         let at_primaries: Vec<&&Arrival> = reads.iter().filter(|arrival| is_primary(arrival)).collect();
-        let own = at_primaries.iter().filter(|arrival| own_reads.contains(&arrival.request_id)).count();
+        let own_reads_at_primaries =
+            at_primaries.iter().filter(|arrival| own_reads.contains(&arrival.request_id)).count();
         rows.print(
             format!("{since_return_ms} ms: reads at endpoints; at primaries, of an own write"),
             reads.len(),
-            format!("{}, {own}", at_primaries.len()),
+            format!("{}, {own_reads_at_primaries}", at_primaries.len()),
         );
     }
 
--- a/lab/src/check/arrivals.rs
+++ b/lab/src/check/arrivals.rs
@@ -45,8 +45,8 @@
     endpoint: &str,
     bound: ColdStartBound,
 ) -> Result<f64, CheckError> {
-    let own = arrivals.iter().filter(|arrival| arrival.endpoint == endpoint);
-    let mut times: Vec<Timestamp> = own.map(|arrival| arrival.arrived_at).collect();
+    let at_endpoint = arrivals.iter().filter(|arrival| arrival.endpoint == endpoint);
+    let mut times: Vec<Timestamp> = at_endpoint.map(|arrival| arrival.arrived_at).collect();
     times.retain(|time| *time >= bound.started_at && bound.share_at(*time) < 1.0);
     times.sort_unstable();
     let mut worst_share: f64 = 0.0;
--- a/lab/src/check/tests.rs
+++ b/lab/src/check/tests.rs
@@ -36,13 +36,14 @@
         lost_at: at(-1),
     };
     let lost = BTreeMap::from([(1, vec![lost_commits])]);
-    let own =
+    let read_own_write =
         |status, required| RequestRecord { reads_own_write: true, ..record(status, false, required, 99) };
-    let valid = [own(412, 15), own(200, 10), own(200, 21), own(503, 15)];
+    let valid =
+        [read_own_write(412, 15), read_own_write(200, 10), read_own_write(200, 21), read_own_write(503, 15)];
     assert_eq!(sessions_told_of_lost_writes(&valid, &lost), Ok(1));
-    let served = sessions_told_of_lost_writes(&[own(200, 15)], &lost);
+    let served = sessions_told_of_lost_writes(&[read_own_write(200, 15)], &lost);
     assert!(matches!(served, Err(CheckError::LostWriteServed { .. })));
-    let false_loss = sessions_told_of_lost_writes(&[own(412, 10)], &lost);
+    let false_loss = sessions_told_of_lost_writes(&[read_own_write(412, 10)], &lost);
     assert!(matches!(false_loss, Err(CheckError::FalseLossReported { .. })));
     let without_own_write = sessions_told_of_lost_writes(&[record(200, false, 15, 99)], &lost);
     assert_eq!(without_own_write, Ok(0), "the session has no write of its own");
--- a/lab/src/cluster/status.rs
+++ b/lab/src/cluster/status.rs
@@ -129,8 +129,8 @@
     /// The names of the endpoints that a request reached, in the order in which they finished it.
     pub fn endpoints_reached(&self, request_id: u64) -> Vec<String> {
         let arrivals = self.endpoints.arrivals().into_iter();
-        let own = arrivals.filter(|arrival| arrival.request_id == request_id);
-        own.map(|arrival| arrival.endpoint).collect()
+        let matching = arrivals.filter(|arrival| arrival.request_id == request_id);
+        matching.map(|arrival| arrival.endpoint).collect()
     }
 
     /// The weight of a zone at a node; `None` if the node does not respond or does not know the zone.
--- a/lab/src/endpoint.rs
+++ b/lab/src/endpoint.rs
@@ -190,7 +190,8 @@
         self.log.lock().expect("lock of a group's log")
     }
 
-    /// Changes the endpoint's capacity or faults. Operations that have arrived keep their service time.
+    /// Changes the endpoint's capacity or faults. Operations that have already arrived keep the
+    /// former service time, slots, queue limit and silence.
     pub fn configure(&self, change: impl FnOnce(&mut EndpointBehavior)) {
         change(&mut self.state().behavior);
     }
@@ -206,7 +207,7 @@
     }
 
     /// Whether a request is lost on its way, because the link from its node is cut or at random.
-    fn loses(&self, request: &Message) -> bool {
+    fn should_drop(&self, request: &Message) -> bool {
         let node = request.header("via").and_then(|via| via.split(' ').nth(1)).unwrap_or("");
         let mut state = self.state();
         let loss_percent = state.behavior.loss_percent;
--- a/lab/src/endpoint/serving.rs
+++ b/lab/src/endpoint/serving.rs
@@ -71,7 +71,7 @@
             if !self.is_up() || !request.first_line.contains(" /sparql") {
                 return;
             }
-            if self.loses(&request) {
+            if self.should_drop(&request) {
                 // A lost request is not recorded and gets no response: the connection stays open until the client
                 // closes it or the endpoint loses power.
                 while self.incarnation() == Some(incarnation)
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -44,7 +44,7 @@
 pub fn seed_range(default_seeds: &str) -> Range<u64> {
     let seeds = std::env::var("LAB_SEEDS").unwrap_or_else(|_| default_seeds.into());
     let (from, to) = seeds.split_once("..").expect("LAB_SEEDS has the form FROM..TO");
-    from.parse().expect("the first seed is a number")..to.parse().expect("the last seed is a number")
+    from.parse().expect("FROM in LAB_SEEDS is a number")..to.parse().expect("TO in LAB_SEEDS is a number")
 }
 
 /// Polls `condition`, which depends on other threads or processes, until it holds. Returns how long that took.
