--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -1,11 +1,13 @@
-//! Connections to backends, and the attempts that run on them, for every protocol.
+//! Connection pool to endpoints, and the attempts that run on its connections, independent of the protocol.
 //!
-//! The engine sends [`Command`]s; [`BackendPool::execute`] carries out those that concern backends, each attempt and probe
-//! in a task of its own, and reports how they ended. A protocol implements [`BackendProtocol`]; start there.
+//! [`BackendPool::execute`] carries out those [`Command`]s of the engine that concern endpoints. Each attempt and probe
+//! runs in its own task, which reports the outcome to the engine. Protocols implement [`BackendProtocol`].
 //!
-//! - `attempt`: one attempt from its command to its outcome.
-//! - `connections`: reuse, establishment and budget of connections.
-//! - `endpoint`: what the pool knows of one endpoint.
+//! - `attempt`: runs one attempt, from its command to its outcome.
+//! - `connections`: reuses and establishes connections within a limit.
+//! - `endpoint`: the pool's state of one endpoint.
+//! - `load_report`: parses the text form of a load report.
+//! - `protocol`: the trait of a protocol, and the context of an attempt.
 
 mod attempt;
 mod connections;
@@ -23,33 +25,33 @@
 use crate::engine::{Command, EngineHandle, Input};
 use crate::routing::{EndpointId, LoadReport};
 use async_executor::LocalExecutor;
-use attempt::{AttemptKey, AttemptOrder, CancelOnDrop};
+use attempt::{AttemptKey, AttemptSpec, CancelOnDrop};
 use endpoint::PooledEndpoint;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The executor of the thread that serves all sockets.
+/// Executor of the single thread that serves all sockets.
 type Executor = Rc<LocalExecutor<'static>>;
 
-/// All endpoints with their connections, and the attempts in flight.
+/// All endpoints with their connections, and the running attempts.
 pub struct BackendPool<P: BackendProtocol> {
     protocol: P,
     limits: Rc<Limits>,
     clock: Clock,
-    /// By the endpoint's name.
+    /// Keyed by the endpoint's name.
     endpoints: RefCell<BTreeMap<String, PooledEndpoint<P::Connection>>>,
-    /// Connections held now, idle ones included; at most `Limits::backend_connections`.
+    /// Number of open connections, including idle ones; at most `Limits::backend_connections`.
     open_connections: Rc<Cell<usize>>,
-    /// Attempts in flight; removing one cancels it.
+    /// Running attempts; removing an entry cancels its attempt.
     in_flight: RefCell<BTreeMap<AttemptKey, CancelOnDrop>>,
-    /// Counts changes of all endpoints, see [`PooledEndpoint::generation`].
+    /// The generation assigned last, see [`PooledEndpoint::generation`].
     last_generation: Cell<u64>,
 }
 
 impl<P: BackendProtocol> BackendPool<P> {
-    /// A pool without endpoints.
+    /// Creates a pool without endpoints; [`Command::UpdateEndpoints`] adds them.
     pub fn new(protocol: P, limits: Rc<Limits>, clock: Clock) -> Rc<BackendPool<P>> {
         Rc::new(BackendPool {
             protocol,
@@ -62,12 +64,12 @@
         })
     }
 
-    /// Connections held now, idle ones included.
+    /// Number of open connections, including idle ones and those being established.
     pub fn connection_count(&self) -> usize {
         self.open_connections.get()
     }
 
-    /// Carries out a command that concerns backends; any other one is handed back.
+    /// Carries out a command that concerns endpoints, and returns any other command to the caller.
     pub async fn execute(
         self: &Rc<Self>,
         command: Command<P::Request>,
@@ -76,7 +78,7 @@
     ) -> Option<Command<P::Request>> {
         match command {
             Command::SendAttempt { id, attempt, endpoint, host, work, until, send_by, freshness } => {
-                let order = AttemptOrder {
+                let spec = AttemptSpec {
                     key: AttemptKey { request: id, attempt },
                     endpoint,
                     endpoint_name: host,
@@ -85,11 +87,11 @@
                     send_by,
                     freshness,
                 };
-                self.spawn_attempt(order, executor, handle);
+                self.spawn_attempt(spec, executor, handle);
             }
             Command::Probe { endpoint, host } => self.spawn_probe(endpoint, host, executor, handle),
             Command::Cancel { id, attempt } => {
-                // The attempt ends, and closes its connection.
+                // Dropping the entry ends the attempt, which closes its connection.
                 self.in_flight.borrow_mut().remove(&AttemptKey { request: id, attempt });
             }
             Command::UpdateEndpoints(changes) => {
@@ -108,13 +110,13 @@
         None
     }
 
-    /// Takes in that an endpoint is new, has changed or is gone. Its idle connections are closed: they lead to another
-    /// process or place.
+    /// Adds, updates or removes an endpoint. Its idle connections are closed, because they lead to an earlier process
+    /// or address.
     fn update_endpoint(&self, change: EndpointChange) {
         let mut endpoints = self.endpoints.borrow_mut();
         if change.gone {
             if let Some(endpoint) = endpoints.remove(&change.name) {
-                // Tasks that are connecting to it give up.
+                // Cancels connection attempts to it.
                 endpoint.closed.set();
             }
             return;
@@ -145,10 +147,10 @@
     ) {
         let (pool, handle) = (self.clone(), handle.clone());
         let task = async move {
-            let began = pool.clock.now();
+            let started = pool.clock.now();
             let deadline = Instant::now() + pool.limits.connect_timeout;
             let report = until(deadline, pool.probe(&name)).await.flatten();
-            let took = pool.clock.now() - began;
+            let took = pool.clock.now() - started;
             handle.input(Input::ProbeFinished { endpoint, took, report }).await;
         };
         executor.spawn(task).detach();
--- a/src/net/backend_pool/attempt.rs
+++ b/src/net/backend_pool/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt, from the engine's command to its outcome.
+//! Runs one attempt, from the engine's command to its outcome.
 
 use super::connections::PooledConnection;
 use super::{AttemptContext, BackendPool, BackendProtocol, ExchangeResult, Executor};
@@ -11,29 +11,30 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct AttemptKey {
     pub(super) request: RequestId,
-    /// Its number among the request's attempts.
+    /// Number of the attempt within its request.
     pub(super) attempt: u8,
 }
 
-/// An attempt as the engine orders it.
-pub(super) struct AttemptOrder<R> {
+/// Parameters of an attempt, taken from the engine's command.
+pub(super) struct AttemptSpec<R> {
     pub(super) key: AttemptKey,
-    /// Handed back with what the endpoint tells of itself.
+    /// Identifies the endpoint in reports to the engine.
     pub(super) endpoint: EndpointId,
     pub(super) endpoint_name: String,
     pub(super) request: R,
-    /// When to abandon it.
+    /// When the attempt is abandoned, unless the answer is being streamed.
     pub(super) deadline: Timestamp,
-    /// After this it may not be sent any more, though its deadline has not passed.
+    /// From this time on the request must not be sent, even if `deadline` has not passed; `None` if only `deadline`
+    /// applies.
     pub(super) send_by: Option<Timestamp>,
     pub(super) freshness: Freshness,
 }
 
-/// Cancels an attempt when it is dropped.
+/// Cancels an attempt when dropped.
 pub(super) struct CancelOnDrop(Latch);
 
 impl Drop for CancelOnDrop {
@@ -43,38 +44,38 @@
 }
 
 impl<P: BackendProtocol> BackendPool<P> {
-    /// Runs an attempt in a task of its own and reports its outcome.
+    /// Runs an attempt in its own task and reports its outcome to the engine.
     pub(super) fn spawn_attempt(
         self: &Rc<Self>,
-        order: AttemptOrder<P::Request>,
+        spec: AttemptSpec<P::Request>,
         executor: &Executor,
         handle: &EngineHandle<P::Request, P::Answer>,
     ) {
         let cancelled = Latch::default();
-        self.in_flight.borrow_mut().insert(order.key, CancelOnDrop(cancelled.clone()));
+        self.in_flight.borrow_mut().insert(spec.key, CancelOnDrop(cancelled.clone()));
         let (pool, handle) = (self.clone(), handle.clone());
         let task = async move {
-            let context = AttemptContext::new(&order, &handle);
-            let result = pool.run_attempt(&order, &context, &cancelled).await;
-            pool.in_flight.borrow_mut().remove(&order.key);
-            let AttemptKey { request: id, attempt } = order.key;
+            let context = AttemptContext::new(&spec, &handle);
+            let result = pool.run_attempt(&spec, &context, &cancelled).await;
+            pool.in_flight.borrow_mut().remove(&spec.key);
+            let AttemptKey { request: id, attempt } = spec.key;
             let ExchangeResult { outcome, replica_status, report, answer, .. } = result;
-            log::trace!("request {id}: attempt {attempt} at {}: {outcome:?}", order.endpoint_name);
+            log::trace!("request {id}: attempt {attempt} at {}: {outcome:?}", spec.endpoint_name);
             let report = AttemptReport { id, attempt, outcome, replica_status, report, answer };
             handle.input(Input::AttemptFinished(report)).await;
         };
         executor.spawn(task).detach();
     }
 
-    /// Runs one attempt until its outcome, its cancellation or its deadline.
+    /// Runs one attempt until it ends, is cancelled or reaches its deadline.
     async fn run_attempt(
         &self,
-        order: &AttemptOrder<P::Request>,
+        spec: &AttemptSpec<P::Request>,
         context: &AttemptContext<'_, P::Request, P::Answer>,
         cancelled: &Latch,
     ) -> ExchangeResult<P::Answer> {
         let exchange = async {
-            let result = self.try_exchange(order, context, cancelled).await;
+            let result = self.try_exchange(spec, context, cancelled).await;
             result.unwrap_or_else(ExchangeResult::outcome_only)
         };
         let cancellation = async {
@@ -84,33 +85,35 @@
         let timeout = async {
             Timer::at(self.clock.instant(context.deadline)).await;
             if context.response_started() {
-                // A streamed answer is not bound by the deadline.
+                // The deadline does not apply to a streamed answer.
                 future::pending::<()>().await;
             }
             let outcome = if context.was_sent() { AttemptOutcome::TimedOut } else { AttemptOutcome::NotSent };
             ExchangeResult::outcome_only(outcome)
         };
-        // An outcome that has come counts before the request to stop waiting for it.
+        // If the outcome and the cancellation or deadline are available at the same time, the outcome takes precedence.
         future::or(exchange, future::or(cancellation, timeout)).await
     }
 
-    /// Sends the request on a connection and receives its answer. An error is the outcome of an attempt that was not
-    /// sent.
+    /// Sends the request on a connection and receives its answer.
+    ///
+    /// # Errors
+    /// The outcome of an attempt whose request was not sent.
     async fn try_exchange(
         &self,
-        order: &AttemptOrder<P::Request>,
+        spec: &AttemptSpec<P::Request>,
         context: &AttemptContext<'_, P::Request, P::Answer>,
         cancelled: &Latch,
     ) -> Result<ExchangeResult<P::Answer>, AttemptOutcome> {
         if cancelled.is_set() {
             return Err(AttemptOutcome::Cancelled);
         }
-        let name = order.endpoint_name.as_str();
+        let name = spec.endpoint_name.as_str();
         let connection = self.acquire(name).await?;
         let mut connection = self.probe_before_use(name, connection, context).await?;
-        // While the connection was established the endpoint may have begun to drain, or restarted: nothing new goes
-        // there, and how much a cold one can bear is for the router to decide.
-        if !self.may_use(name, &connection) {
+        // The endpoint may have been drained or restarted while the connection was established. The request is not sent
+        // then: the router has to decide anew, also about the load that a restarted endpoint receives.
+        if !self.is_usable(name, &connection) {
             return Err(AttemptOutcome::ConnectFailed);
         }
         if cancelled.is_set() {
@@ -121,7 +124,7 @@
             self.release(name, connection);
             return Err(AttemptOutcome::NotSent);
         }
-        let result = self.protocol.exchange(&mut connection.connection, &order.request, context).await;
+        let result = self.protocol.exchange(&mut connection.connection, &spec.request, context).await;
         if matches!(result.outcome, AttemptOutcome::Reset | AttemptOutcome::ConnectFailed) {
             self.set_needs_probe(name, true);
         }
@@ -131,8 +134,8 @@
         Ok(result)
     }
 
-    /// Probes an endpoint that is new or to which a connection failed, where its protocol wants that. Returns the
-    /// connection for the request.
+    /// Probes an endpoint that is new or to which a connection failed, if the protocol requires a probe. Returns the
+    /// connection on which to send the request.
     async fn probe_before_use(
         &self,
         name: &str,
@@ -142,16 +145,17 @@
         if !self.protocol.probes_before_first_use() || !self.needs_probe(name) {
             return Ok(connection);
         }
-        let began = self.clock.now();
+        let started = self.clock.now();
         let report = self.probe_within_timeout(&mut connection).await;
         self.set_needs_probe(name, false);
         if report.is_none() {
-            // The endpoint does not know the probe, which is sent once: its answer may still come on this connection.
+            // The endpoint does not support probes, so none is sent again. Its answer may still arrive on this
+            // connection, which is therefore closed.
             return self.acquire(name).await;
         }
-        // Reported ahead of this attempt's outcome: that the endpoint lost a part of its log must be known before
-        // anything new is written to it.
-        let took = self.clock.now() - began;
+        // Reported before this attempt's outcome: the engine must know that the endpoint lost a part of its log before
+        // anything else is written to it.
+        let took = self.clock.now() - started;
         let probed = Input::ProbeFinished { endpoint: context.endpoint, took, report };
         context.handle.input(probed).await;
         Ok(connection)
@@ -169,8 +173,8 @@
         self.endpoints.borrow().get(name).is_some_and(|endpoint| endpoint.needs_probe)
     }
 
-    /// Whether a connection still leads to the endpoint as it is, and the endpoint takes new requests.
-    fn may_use(&self, name: &str, connection: &PooledConnection<P::Connection>) -> bool {
+    /// Whether the endpoint accepts new requests and has not changed since the connection was opened.
+    fn is_usable(&self, name: &str, connection: &PooledConnection<P::Connection>) -> bool {
         let endpoints = self.endpoints.borrow();
         endpoints.get(name).is_some_and(|endpoint| endpoint.accepts(connection.generation))
     }
--- a/src/net/backend_pool/connections.rs
+++ b/src/net/backend_pool/connections.rs
@@ -1,4 +1,4 @@
-//! Reuse, establishment and budget of connections.
+//! Reuses and establishes connections within the limit of open connections.
 
 use super::endpoint::IdleConnection;
 use super::{BackendPool, BackendProtocol};
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A connection's share of `Limits::backend_connections`, given back when dropped.
+/// Permit for one of `Limits::backend_connections`, returned when dropped.
 pub(super) struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl Drop for ConnectionPermit {
@@ -21,26 +21,27 @@
     }
 }
 
-/// A connection with its permit and the generation of the endpoint to which it was opened.
+/// A connection with its permit, and the endpoint's generation when it was opened.
 pub(super) struct PooledConnection<C> {
     pub(super) connection: C,
     _permit: ConnectionPermit,
     pub(super) generation: u64,
 }
 
-/// Where a new connection leads.
+/// The endpoint of a new connection, as it is when the connection attempt starts.
 struct ConnectTarget {
     address: SocketAddr,
     generation: u64,
-    /// Set when the endpoint closes meanwhile.
+    /// Set when the endpoint stops accepting requests while the connection is being established.
     closed: Latch,
 }
 
 impl<P: BackendProtocol> BackendPool<P> {
-    /// A connection that is ready for a request: an idle one, or a new one.
+    /// Returns an idle connection, or establishes one.
     ///
-    /// The error is the outcome of an attempt that was never sent: `ConnectFailed`, `Overloaded` where no permit is
-    /// left, or what the handshake says.
+    /// # Errors
+    /// The outcome of an attempt that was never sent: `ConnectFailed`, `Overloaded` if no permit is left, or the error
+    /// of the handshake.
     pub(super) async fn acquire(
         &self,
         name: &str,
@@ -57,7 +58,7 @@
         Ok(PooledConnection { connection: connection?, _permit: permit, generation: target.generation })
     }
 
-    /// Keeps a connection for the next request, unless its endpoint has closed or changed.
+    /// Keeps a connection for reuse, or closes it if its endpoint accepts no requests or has changed.
     pub(super) fn release(&self, name: &str, connection: PooledConnection<P::Connection>) {
         let mut endpoints = self.endpoints.borrow_mut();
         if let Some(endpoint) = endpoints.get_mut(name)
@@ -67,18 +68,19 @@
         }
     }
 
-    /// The idle connection that was used last, so that those that are not needed reach their idle timeout. Unusable
-    /// ones that are met on the way are closed.
+    /// Takes the most recently used idle connection, so that surplus connections reach their idle timeout. Unusable
+    /// ones found during the search are closed.
     fn take_idle(&self, name: &str) -> Option<PooledConnection<P::Connection>> {
         let mut endpoints = self.endpoints.borrow_mut();
         let endpoint = endpoints.get_mut(name).filter(|endpoint| endpoint.open)?;
         for index in (0..endpoint.idle.len()).rev() {
-            // Bytes that belong to no answer may still arrive, and must not pass for the next answer.
+            // Excess bytes after the last answer may still arrive, and must not be taken for the next answer.
             if endpoint.idle[index].since.elapsed() < self.limits.connection_settle_time {
                 continue;
             }
             let IdleConnection { connection, since } = endpoint.idle.remove(index);
-            // The backend closes idle connections: a request that crosses its close may have been executed.
+            // Endpoints close idle connections. If a request is sent at that moment, it is unknown whether it was
+            // executed.
             if since.elapsed() < self.limits.backend_idle_timeout
                 && self.protocol.is_silent(&connection.connection)
             {
@@ -88,7 +90,7 @@
         None
     }
 
-    /// Where a new connection to an endpoint leads; `None` where the endpoint is closed or gone.
+    /// The target of a new connection; `None` if the endpoint accepts no requests or was removed.
     fn connect_target(&self, name: &str) -> Option<ConnectTarget> {
         let endpoints = self.endpoints.borrow();
         let endpoint = endpoints.get(name).filter(|endpoint| endpoint.open)?;
@@ -99,7 +101,8 @@
         })
     }
 
-    /// A permit for a new connection. Where none is left, the connection that has been idle for the longest is closed.
+    /// Returns a permit for a new connection. If the limit is reached, the connection that has been idle for the
+    /// longest time is closed; `None` if no connection is idle.
     fn take_permit(&self) -> Option<ConnectionPermit> {
         if self.open_connections.get() >= self.limits.backend_connections {
             let mut endpoints = self.endpoints.borrow_mut();
@@ -113,7 +116,8 @@
         Some(ConnectionPermit(self.open_connections.clone()))
     }
 
-    /// Establishes a connection within `Limits::connect_timeout`, unless the endpoint closes meanwhile.
+    /// Establishes a connection within `Limits::connect_timeout`, and gives up if the endpoint stops accepting
+    /// requests.
     async fn connect(&self, target: &ConnectTarget) -> Result<P::Connection, AttemptOutcome> {
         let connect = async {
             let stream = Async::<TcpStream>::connect(target.address)
@@ -131,7 +135,7 @@
         connected.unwrap_or(Err(AttemptOutcome::ConnectFailed))
     }
 
-    /// Closes connections that reached their idle timeout, every `Limits::pool_sweep_interval`; never returns.
+    /// Closes connections whose idle timeout has passed, once per `Limits::pool_sweep_interval`; never returns.
     pub async fn sweep_idle(&self) {
         loop {
             Timer::after(self.limits.pool_sweep_interval).await;
--- a/src/net/backend_pool/endpoint.rs
+++ b/src/net/backend_pool/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the pool knows of one endpoint.
+//! The pool's state of one endpoint.
 
 use super::connections::PooledConnection;
 use crate::engine::endpoints::EndpointChange;
@@ -6,30 +6,31 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// A connection that waits for its next request.
+/// An idle connection, and since when it is idle.
 pub(super) struct IdleConnection<C> {
     pub(super) connection: PooledConnection<C>,
     pub(super) since: Instant,
 }
 
-/// One endpoint with its idle connections.
+/// An endpoint with its idle connections.
 pub(super) struct PooledEndpoint<C> {
     pub(super) address: SocketAddr,
-    /// Whether new requests may be sent to it.
+    /// Whether new requests may be sent to the endpoint.
     pub(super) open: bool,
-    /// Set when nothing new may be sent; a new latch takes its place when the endpoint opens again.
+    /// Set while new requests must not be sent; replaced by a new latch when `open` becomes true again.
     pub(super) closed: Latch,
-    /// The least recently used one first.
+    /// Ordered by last use, the least recently used one first.
     pub(super) idle: Vec<IdleConnection<C>>,
-    /// It is new, or a connection to it failed, and it has not answered since.
+    /// Whether the endpoint must be probed before its next request, if the protocol requires probes: it is new or a
+    /// connection to it failed, and no probe has followed.
     pub(super) needs_probe: bool,
     /// Increases with every change of this endpoint, and is unique in the pool. A connection of an earlier generation
-    /// leads to an earlier process or address, and is not reused.
+    /// is not reused, because it leads to an earlier process or address.
     pub(super) generation: u64,
 }
 
 impl<C> PooledEndpoint<C> {
-    /// A new endpoint.
+    /// An endpoint that was added to the list, without connections.
     pub(super) fn new(change: &EndpointChange, generation: u64) -> PooledEndpoint<C> {
         let endpoint = PooledEndpoint {
             address: change.address,
@@ -45,7 +46,7 @@
         endpoint
     }
 
-    /// Takes in that the endpoint has restarted, moved, opened or closed.
+    /// Applies a restart, a new address or a new value of `open`, and closes the idle connections.
     pub(super) fn update(&mut self, change: &EndpointChange, generation: u64) {
         self.generation = generation;
         self.address = change.address;
@@ -58,7 +59,7 @@
         self.idle.clear();
     }
 
-    /// Whether a connection of this generation may carry a new request.
+    /// Whether a new request may be sent on a connection of this generation.
     pub(super) fn accepts(&self, generation: u64) -> bool {
         self.open && self.generation == generation
     }
--- a/src/net/backend_pool/load_report.rs
+++ b/src/net/backend_pool/load_report.rs
@@ -1,7 +1,7 @@
-//! The text form of a load report.
+//! Parser of the text form of a load report.
 
-/// The value of one field of a load report such as `inflight=7,util=0.61`; `None` where it is missing, no number or not
-/// finite.
+/// Returns the value of one field of a load report such as `inflight=7,util=0.61`; `None` if it is missing or not a
+/// finite number.
 pub fn load_report_value(text: &str, name: &str) -> Option<f64> {
     for pair in text.split(',') {
         if let Some((key, value)) = pair.trim().split_once('=')
--- a/src/net/backend_pool/protocol.rs
+++ b/src/net/backend_pool/protocol.rs
@@ -1,29 +1,29 @@
-//! What a protocol implements towards backends, and what it is given for each attempt.
+//! The trait of a protocol between the pooler and endpoints, and the context that it receives for each attempt.
 
-use super::attempt::{AttemptKey, AttemptOrder};
+use super::attempt::{AttemptKey, AttemptSpec};
 use crate::engine::{EngineHandle, Freshness, Input};
 use crate::routing::{AttemptOutcome, EndpointId, LoadReport, ReplicaStatus, TimeDelta, Timestamp};
 use async_io::Async;
 use std::cell::Cell;
 use std::net::TcpStream;
 
-/// What came of one exchange with a backend.
+/// Result of one exchange with an endpoint.
 #[derive(Clone, Debug)]
 pub struct ExchangeResult<A> {
-    /// The outcome of the attempt.
+    /// Outcome of the attempt, as the router counts it.
     pub outcome: AttemptOutcome,
-    /// Role and log position that the backend stated with its answer.
+    /// Role and log position that the endpoint reported with its answer; `None` if it reported no role.
     pub replica_status: Option<ReplicaStatus>,
-    /// The backend's load report.
+    /// Load report that came with the answer; empty if there was none.
     pub report: LoadReport,
-    /// The answer, where the attempt was served and the answer is not streamed.
+    /// The answer, if the attempt was served. The engine ignores it for a streamed answer.
     pub answer: Option<A>,
-    /// Whether the connection can carry another request.
+    /// Whether the connection can be used for another request.
     pub reusable: bool,
 }
 
 impl<A> ExchangeResult<A> {
-    /// A result of which nothing but the outcome is known. Its connection is closed.
+    /// A result with an outcome and nothing else. The connection is closed.
     pub fn outcome_only(outcome: AttemptOutcome) -> ExchangeResult<A> {
         ExchangeResult {
             outcome,
@@ -35,37 +35,37 @@
     }
 }
 
-/// A protocol that backends speak.
-#[allow(async_fn_in_trait)] // Every implementation runs on the one thread of the sockets: no `Send` bound is needed.
+/// A protocol between the pooler and endpoints.
+#[allow(async_fn_in_trait)] // Implementations run on the single thread that serves sockets: no `Send` bound is needed.
 pub trait BackendProtocol: 'static {
-    /// What is sent.
+    /// A request; cloned for each attempt.
     type Request: Clone + Send + 'static;
-    /// What comes back.
+    /// An answer, buffered or as a stream of chunks.
     type Answer: Send + 'static;
-    /// A connection that is ready for a request.
+    /// A connection after its handshake.
     type Connection: 'static;
 
-    /// Makes a new stream ready for requests.
+    /// Performs the startup handshake on a new TCP connection.
     ///
     /// # Errors
-    /// The outcome of the attempt for which it was opened, which was never sent.
+    /// The outcome of the attempt for which the connection was opened; its request was not sent.
     async fn handshake(&self, stream: Async<TcpStream>) -> Result<Self::Connection, AttemptOutcome>;
 
-    /// Whether a connection is open and nothing was received on it since its last answer.
+    /// Whether an idle connection is open and has received no bytes since its last answer. Any other one is not reused.
     fn is_silent(&self, connection: &Self::Connection) -> bool;
 
-    /// Whether an endpoint is probed before its first request where it is new or a connection to it has failed: it may
-    /// have restarted and lost a part of its log.
+    /// Whether an endpoint is probed before the next request if it is new or a connection to it failed: it may have
+    /// restarted and lost a part of its log.
     fn probes_before_first_use(&self) -> bool {
         false
     }
 
-    /// Asks an endpoint for its load report; `None` where the protocol has no such request, or no answer came.
+    /// Requests an endpoint's load report; `None` if the protocol has no such request or no answer arrived.
     async fn probe(&self, _connection: &mut Self::Connection) -> Option<LoadReport> {
         None
     }
 
-    /// Sends one request and receives its answer.
+    /// Sends one request and receives its answer. Calls [`AttemptContext::mark_sent`] once the request is written.
     async fn exchange(
         &self,
         connection: &mut Self::Connection,
@@ -74,29 +74,29 @@
     ) -> ExchangeResult<Self::Answer>;
 }
 
-/// An attempt in flight, as its protocol sees it.
+/// A running attempt, as passed to the protocol.
 pub struct AttemptContext<'a, R, A> {
     key: AttemptKey,
     pub(super) endpoint: EndpointId,
     pub(super) handle: &'a EngineHandle<R, A>,
     pub(super) deadline: Timestamp,
     send_by: Option<Timestamp>,
-    /// How current the answer must be.
+    /// How current the data of the answer must be.
     pub freshness: Freshness,
     sent: Cell<bool>,
     response_started: Cell<bool>,
 }
 
 impl<'a, R, A> AttemptContext<'a, R, A> {
-    /// The context of an attempt that was not sent yet.
-    pub(super) fn new(order: &AttemptOrder<R>, handle: &'a EngineHandle<R, A>) -> AttemptContext<'a, R, A> {
+    /// The context of an attempt whose request was not sent yet.
+    pub(super) fn new(spec: &AttemptSpec<R>, handle: &'a EngineHandle<R, A>) -> AttemptContext<'a, R, A> {
         AttemptContext {
-            key: order.key,
-            endpoint: order.endpoint,
+            key: spec.key,
+            endpoint: spec.endpoint,
             handle,
-            deadline: order.deadline,
-            send_by: order.send_by,
-            freshness: order.freshness,
+            deadline: spec.deadline,
+            send_by: spec.send_by,
+            freshness: spec.freshness,
             sent: Cell::new(false),
             response_started: Cell::new(false),
         }
@@ -104,12 +104,12 @@
 }
 
 impl<R, A> AttemptContext<'_, R, A> {
-    /// The present.
+    /// Current time of the engine's clock.
     pub fn now(&self) -> Timestamp {
         self.handle.clock().now()
     }
 
-    /// Records that the last byte of the request was written: from now on it may have been executed.
+    /// Records that the last byte of the request was written. From now on it may have been executed.
     pub fn mark_sent(&self) {
         self.sent.set(true);
         self.handle.metrics().dispatched();
@@ -120,18 +120,19 @@
         self.sent.get()
     }
 
-    /// Time until the attempt is abandoned; never negative.
+    /// Time until the deadline of the attempt; never negative.
     pub fn time_left(&self) -> TimeDelta {
         (self.deadline - self.now()).or_zero()
     }
 
-    /// Whether the request may not be sent any more, because a deadline passed while a connection was established.
+    /// Whether the request must not be sent, because `deadline` or `send_by` passed while the connection was
+    /// established.
     pub(super) fn is_expired(&self) -> bool {
         let now = self.now();
         now >= self.deadline || self.send_by.is_some_and(|send_by| now >= send_by)
     }
 
-    /// Hands the client an answer that is streamed. From now on the deadline no longer binds, and the attempt cannot be
+    /// Passes a streamed answer to the client. From now on the deadline does not apply, and the request cannot be
     /// retried.
     pub async fn start_response(&self, answer: A) {
         self.response_started.set(true);
@@ -139,12 +140,13 @@
         self.handle.input(Input::ResponseStarted { id, attempt, answer }).await;
     }
 
-    /// Whether the client has the begin of the answer.
+    /// Whether a streamed answer was passed to the client.
     pub(super) fn response_started(&self) -> bool {
         self.response_started.get()
     }
 
-    /// The outcome where the connection was lost: before the last byte was written the request was not executed.
+    /// The outcome of an attempt whose connection was lost. Before the last byte was written, the request was certainly
+    /// not executed.
     pub fn connection_lost(&self) -> AttemptOutcome {
         if self.was_sent() { AttemptOutcome::Reset } else { AttemptOutcome::ConnectFailed }
     }
--- a/src/net/backend_pool/tests.rs
+++ b/src/net/backend_pool/tests.rs
@@ -1,4 +1,4 @@
-//! Pooled connections to backends.
+//! Reuse of pooled connections, probes of endpoints, and the limit of open connections.
 
 use super::*;
 use crate::routing::AttemptOutcome;
@@ -6,10 +6,10 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A protocol in which every connection is ready and silent.
-struct Plain;
+/// A protocol without handshake, in which every idle connection is reusable.
+struct StubProtocol;
 
-impl BackendProtocol for Plain {
+impl BackendProtocol for StubProtocol {
     type Request = ();
     type Answer = ();
     type Connection = Async<TcpStream>;
@@ -32,20 +32,22 @@
     }
 }
 
-/// A pool with the one endpoint `a`, and the endpoint's listener.
-fn pool(limits: Limits) -> (Rc<BackendPool<Plain>>, TcpListener) {
+/// A pool with a single endpoint, `a`, and the listener of that endpoint.
+fn pool_with_endpoint(limits: Limits) -> (Rc<BackendPool<StubProtocol>>, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let pool = BackendPool::new(Plain, Rc::new(limits), Clock::start());
+    let pool = BackendPool::new(StubProtocol, Rc::new(limits), Clock::start());
     let address = listener.local_addr().unwrap();
-    let new = EndpointChange { name: "a".into(), address, open: true, started_at: None, gone: false };
-    pool.update_endpoint(new);
+    let added = EndpointChange { name: "a".into(), address, open: true, started_at: None, gone: false };
+    pool.update_endpoint(added);
     (pool, listener)
 }
 
-/// Guards against state that is kept of endpoints that are gone, and against a connection of one that comes back.
+/// Guards against state that is kept after an endpoint was removed, and against the reuse of a connection that was
+/// opened before an endpoint was removed and added again.
 #[test]
-fn an_endpoint_that_is_gone_leaves_nothing_behind() {
-    let (pool, listener) = pool(Limits { connection_settle_time: Duration::ZERO, ..Limits::for_sockets(64) });
+fn a_removed_endpoint_leaves_no_state_and_no_reusable_connection() {
+    let (pool, listener) =
+        pool_with_endpoint(Limits { connection_settle_time: Duration::ZERO, ..Limits::for_sockets(64) });
     let address = listener.local_addr().unwrap();
     async_io::block_on(async {
         let earlier = pool.acquire("a").await.ok().unwrap();
@@ -56,18 +58,18 @@
         assert!(matches!(pool.acquire("a").await, Err(AttemptOutcome::ConnectFailed)));
         pool.update_endpoint(change(false));
         pool.release("a", earlier);
-        assert_eq!(pool.connection_count(), 0, "a connection of an earlier generation is not kept");
+        assert_eq!(pool.connection_count(), 0, "a connection of an earlier generation is closed");
     });
 }
 
-/// Guards against an endpoint that went away, lost a part of its log, and is trusted again because descriptors were
-/// short.
+/// Guards against an endpoint that restarted, lost a part of its log and receives requests without a probe, because no
+/// connection permit was left in the meantime.
 #[test]
-fn an_endpoint_needs_a_probe_once_a_connection_failed_and_still_does_without_a_permit() {
-    let (pool, listener) = pool(Limits { backend_connections: 1, ..Limits::for_sockets(64) });
+fn a_failed_connection_requires_a_probe_even_if_no_permit_is_left_afterwards() {
+    let (pool, listener) = pool_with_endpoint(Limits { backend_connections: 1, ..Limits::for_sockets(64) });
     let needs_probe = || pool.endpoints.borrow()["a"].needs_probe;
     async_io::block_on(async {
-        assert!(needs_probe(), "it is new");
+        assert!(needs_probe(), "a new endpoint needs a probe");
         pool.set_needs_probe("a", false);
         let held = pool.acquire("a").await.ok().unwrap();
         assert!(!needs_probe());
@@ -78,17 +80,17 @@
     });
 }
 
-/// Guards against a second copy of an answer that comes right behind it and passes for the next one.
+/// Guards against taking a duplicate of an answer, which arrives right after it, for the answer to the next request.
 #[test]
-fn a_connection_rests_before_it_is_used_again() {
-    for (settle_time, held) in [(Duration::from_secs(3600), 2), (Duration::ZERO, 1)] {
+fn a_connection_is_reused_only_after_the_settle_time() {
+    for (settle_time, expected_connections) in [(Duration::from_secs(3600), 2), (Duration::ZERO, 1)] {
         let (pool, _listener) =
-            pool(Limits { connection_settle_time: settle_time, ..Limits::for_sockets(64) });
+            pool_with_endpoint(Limits { connection_settle_time: settle_time, ..Limits::for_sockets(64) });
         async_io::block_on(async {
             let first = pool.acquire("a").await.ok().unwrap();
             pool.release("a", first);
             let second = pool.acquire("a").await.ok().unwrap();
-            assert_eq!(pool.connection_count(), held);
+            assert_eq!(pool.connection_count(), expected_connections);
             drop(second);
         });
     }
