--- a/src/net/postgres/client_error.rs
+++ b/src/net/postgres/client_error.rs
@@ -1,4 +1,4 @@
-//! Errors that a client of the PostgreSQL front receives as an ErrorResponse.
+//! Errors that the PostgreSQL front sends to clients as an ErrorResponse.
 
 use super::codec::{self, ProtocolViolation, Severity};
 use super::sqlstate::SqlState;
@@ -6,71 +6,71 @@
 use crate::time::TimeDelta;
 use thiserror::Error;
 
-/// The retry-after hint of a rejection is never shorter than this: a hint of 0 would ask for an immediate retry.
+/// Lower bound of the retry-after hint: a hint of 0 ms would make the client retry immediately.
 const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(1);
 
-/// An error as the client sees it: [`Display`](std::fmt::Display) gives the message of the ErrorResponse,
-/// [`ClientError::sqlstate`] its code. Clients decide by the code alone whether they may retry.
+/// An error as the client sees it: [`Display`](std::fmt::Display) yields the message field of the ErrorResponse,
+/// [`ClientError::sqlstate`] its code. Clients decide from the code alone whether they may retry.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ClientError {
-    /// Bytes that are no message of the protocol. Fatal: the start of the next message is unknown.
+    /// The received bytes are not a valid message. Fatal, because the start of the next message is unknown.
     #[error(transparent)]
     ProtocolViolation(#[from] ProtocolViolation),
-    /// A message of the extended query protocol.
+    /// The client sent a message of the extended query protocol, or a FunctionCall.
     #[error("only simple queries are spoken here")]
     ExtendedQueryUnsupported,
-    /// The statement's comment cannot be read.
+    /// The routing comment of the statement is missing or invalid.
     #[error(transparent)]
     InvalidStatement(#[from] StatementError),
-    /// The comment names a class that the settings do not have.
+    /// The routing comment names a class that is not configured.
     #[error("unknown class")]
     UnknownClass,
     /// Another open request has the same id.
     #[error("a request with this id is open")]
     DuplicateRequestId,
-    /// No endpoint list names the group.
+    /// No endpoint list contains the group.
     #[error("no list names this group")]
     UnknownGroup,
-    /// Rejected by admission control or without a usable endpoint; nothing was executed.
+    /// Rejected by admission control, or because no endpoint is usable; nothing was executed.
     #[error("no score host can take this now")]
     Rejected {
-        /// When to retry, where the decision gave a time.
+        /// Delay after which to retry; `None` if the router gave none.
         retry_after: Option<TimeDelta>,
     },
-    /// The process terminates; nothing was executed.
+    /// The pooler is shutting down; nothing was executed.
     #[error("the pooler is ending")]
     Terminating {
-        /// When to retry, with another process.
+        /// Delay after which to retry on another node.
         retry_after: TimeDelta,
     },
-    /// The client's deadline has passed.
+    /// The client's deadline passed before an answer arrived.
     #[error("no answer came in time")]
     DeadlineExceeded,
-    /// Failed; the statement may have had an effect.
+    /// The request failed; the statement may have had an effect.
     #[error("the request failed")]
     Failed,
-    /// The answer to the readiness query while the process is drained.
+    /// Answer to the readiness query while the pooler is drained.
     #[error("drained: clients are to go elsewhere")]
     Drained,
-    /// The connection limit is reached. Fatal.
+    /// The limit of client connections is reached. Fatal.
     #[error("too many connections")]
     TooManyConnections {
-        /// When to connect again.
+        /// Delay after which to connect again.
         retry_after: TimeDelta,
     },
-    /// The descriptor of a connection with an incomplete request is needed for others. Fatal.
+    /// A connection with an incomplete request was closed to free its file descriptor for another one. Fatal.
     #[error("no room for a request that is not whole")]
     Evicted,
-    /// No complete request arrived in time. Fatal.
+    /// The client did not complete a request within its timeout. Fatal.
     #[error("no whole request came in time")]
     RequestTimeout,
-    /// The memory budget for long messages is used up. Fatal.
+    /// The memory budget for long messages is exhausted. Fatal.
     #[error("no room for a message of this length")]
     MessageBudgetExhausted,
 }
 
 impl ClientError {
-    /// The code of the error.
+    /// The SQLSTATE that clients receive for this error.
     pub fn sqlstate(&self) -> SqlState {
         match self {
             ClientError::ProtocolViolation(_) => SqlState::PROTOCOL_VIOLATION,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether the connection survives the error.
+    /// `Fatal` if the connection is closed after the error.
     fn severity(&self) -> Severity {
         match self {
             ClientError::ProtocolViolation(_)
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The retry-after hint, which clients find in the field for details, in milliseconds.
+    /// The retry-after hint, at least [`MIN_RETRY_AFTER`]; `None` for errors without one.
     fn retry_after(&self) -> Option<TimeDelta> {
         let retry_after = match self {
             ClientError::Rejected { retry_after } => *retry_after,
@@ -114,19 +114,19 @@
         retry_after.map(|hint| hint.max(MIN_RETRY_AFTER))
     }
 
-    /// Appends the ErrorResponse.
+    /// Appends the ErrorResponse to `out`, without ReadyForQuery.
     pub fn encode(&self, out: &mut Vec<u8>) {
         codec::put_error_response(out, self.severity(), self.sqlstate(), self, self.retry_after());
     }
 
-    /// The ErrorResponse alone.
+    /// Encodes the ErrorResponse without ReadyForQuery: for fatal errors, and for messages up to the next Sync.
     pub fn to_error_response(&self) -> Vec<u8> {
         let mut out = Vec::new();
         self.encode(&mut out);
         out
     }
 
-    /// The complete answer to a query: the ErrorResponse and ReadyForQuery.
+    /// Encodes the complete answer to a failed query: ErrorResponse, then ReadyForQuery.
     pub fn to_query_answer(&self) -> Vec<u8> {
         let mut out = self.to_error_response();
         codec::put_ready_for_query(&mut out);
--- a/src/net/postgres/codec.rs
+++ b/src/net/postgres/codec.rs
@@ -8,23 +8,23 @@
 use std::fmt::{self, Write};
 use thiserror::Error;
 
-/// Bytes of a length field.
+/// Size of a length field.
 const LENGTH_BYTES: usize = 4;
-/// Bytes before the body of a message: type byte and length.
+/// Size of a message's header: type byte and length.
 const HEADER_BYTES: usize = 1 + LENGTH_BYTES;
-/// Bytes of a startup packet before its body: length and version or request code.
+/// Size of a startup packet's header: length, then version or request code.
 const STARTUP_HEADER_BYTES: usize = 2 * LENGTH_BYTES;
 
-/// Version 3.0: the major version in the upper two bytes.
+/// Protocol version 3.0, with the major version in the upper two bytes.
 const PROTOCOL_VERSION_3_0: u32 = 3 << 16;
-/// The request code of a CancelRequest in place of a version.
+/// Request code of a CancelRequest, sent in place of a version.
 const CANCEL_REQUEST_CODE: u32 = 80_877_102;
-/// The request code of an SSLRequest.
+/// Request code of an SSLRequest, sent in place of a version.
 const SSL_REQUEST_CODE: u32 = 80_877_103;
-/// The request code of a GSSENCRequest.
+/// Request code of a GSSENCRequest, sent in place of a version.
 const GSSENC_REQUEST_CODE: u32 = 80_877_104;
 
-/// ParameterStatus messages that follow AuthenticationOk, as clients of PostgreSQL 15 expect them.
+/// Parameters that are reported to clients after AuthenticationOk, as clients of PostgreSQL 15 expect them.
 const STARTUP_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "15.0"),
     ("server_encoding", "UTF8"),
@@ -34,39 +34,40 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// Types of backend messages: those that a server sends.
+/// Type bytes of backend messages, which a server sends.
 pub mod backend {
-    /// Authentication requests; all zeros in its body: AuthenticationOk.
+    /// Authentication request; AuthenticationOk if the body is all zeros.
     pub const AUTHENTICATION: u8 = b'R';
-    /// BackendKeyData.
+    /// BackendKeyData: the secret for a CancelRequest.
     pub const BACKEND_KEY_DATA: u8 = b'K';
-    /// CommandComplete.
+    /// CommandComplete: ends the rows of a query, with a command tag.
     pub const COMMAND_COMPLETE: u8 = b'C';
-    /// DataRow.
+    /// DataRow: the column values of one row.
     pub const DATA_ROW: u8 = b'D';
-    /// EmptyQueryResponse.
+    /// EmptyQueryResponse: sent in place of CommandComplete for an empty query.
     pub const EMPTY_QUERY_RESPONSE: u8 = b'I';
-    /// ErrorResponse.
+    /// ErrorResponse: the fields in its body are those of [`error_field`](super::error_field).
     pub const ERROR_RESPONSE: u8 = b'E';
-    /// NoticeResponse.
+    /// NoticeResponse: a warning, which may arrive at any time.
     pub const NOTICE_RESPONSE: u8 = b'N';
-    /// ParameterStatus.
+    /// ParameterStatus: name and value of a parameter, which may arrive at any time.
     pub const PARAMETER_STATUS: u8 = b'S';
-    /// ReadyForQuery.
+    /// ReadyForQuery: ends an answer, with the transaction status.
     pub const READY_FOR_QUERY: u8 = b'Z';
-    /// RowDescription.
+    /// RowDescription: names and types of the columns.
     pub const ROW_DESCRIPTION: u8 = b'T';
 }
 
-/// Types of frontend messages: those that a client sends.
+/// Type bytes of frontend messages, which a client sends.
 pub mod frontend {
     /// Query: a simple query.
     pub const QUERY: u8 = b'Q';
-    /// Sync: ends a series of the extended query protocol.
+    /// Sync: ends a sequence of messages of the extended query protocol.
     pub const SYNC: u8 = b'S';
-    /// Terminate.
+    /// Terminate: the client closes the connection.
     pub const TERMINATE: u8 = b'X';
-    /// FunctionCall; answered with ReadyForQuery at once, unlike the extended query protocol.
+    /// FunctionCall: unlike the messages of the extended query protocol, it is answered with ReadyForQuery without a
+    /// Sync.
     pub const FUNCTION_CALL: u8 = b'F';
     /// Parse, of the extended query protocol.
     pub const PARSE: u8 = b'P';
@@ -82,58 +83,58 @@
     pub const FLUSH: u8 = b'H';
 }
 
-/// Fields of an ErrorResponse or NoticeResponse.
+/// Type bytes of the fields of an ErrorResponse or NoticeResponse.
 pub mod error_field {
-    /// Severity, which a server may translate.
+    /// Severity, possibly translated by the server.
     pub const SEVERITY: u8 = b'S';
     /// Severity, never translated.
     pub const SEVERITY_NONLOCALIZED: u8 = b'V';
-    /// The SQLSTATE.
+    /// SQLSTATE, see [`SqlState`](super::SqlState).
     pub const CODE: u8 = b'C';
-    /// The message.
+    /// Message text for the user.
     pub const MESSAGE: u8 = b'M';
-    /// The detail: here the retry-after hint in milliseconds.
+    /// Detail; the pooler sends its retry-after hint here, in milliseconds.
     pub const DETAIL: u8 = b'D';
 }
 
-/// Bytes that are no message of the protocol. The texts reach clients.
+/// Reasons why received bytes are not a valid message. Clients receive the messages of these errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolViolation {
-    /// The length of the startup packet is below its header or above the limit.
+    /// The length of the startup packet is smaller than its header or above the limit.
     #[error("the startup message has an impossible length")]
     StartupLength,
-    /// The startup message lacks the zero byte at its end.
+    /// The StartupMessage lacks its terminating zero byte.
     #[error("the startup message does not end")]
     StartupNotTerminated,
-    /// The startup packet names another major version.
+    /// The startup packet requests another major version than 3.
     #[error("only version 3 of the protocol is spoken")]
     UnsupportedVersion,
-    /// The length of a message does not even count itself.
+    /// The length field of a message is smaller than its own size.
     #[error("a message has an impossible length")]
     MessageLength,
-    /// A message is longer than its limit.
+    /// A message exceeds its maximum length.
     #[error("a message is too long")]
     MessageTooLong,
-    /// A query lacks the zero byte at its end.
+    /// A query lacks its terminating zero byte.
     #[error("a query does not end")]
     QueryNotTerminated,
-    /// A query holds a zero byte before its end.
+    /// A query contains a zero byte before the terminating one.
     #[error("a query has a zero byte inside")]
     QueryContainsZeroByte,
-    /// A query is not UTF-8.
+    /// The text of a query is not valid UTF-8.
     #[error("a query is not UTF-8")]
     QueryNotUtf8,
-    /// A client sent a message of a type that clients do not send.
+    /// A client sent a message whose type is not a known frontend message.
     #[error("a message of an unknown kind")]
     UnknownMessageType,
 }
 
-/// How severe an ErrorResponse is.
+/// Severity of an ErrorResponse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The query failed; the connection goes on.
+    /// The query failed; the connection stays open.
     Error,
-    /// The connection ends.
+    /// The sender closes the connection.
     Fatal,
 }
 
@@ -146,34 +147,34 @@
     }
 }
 
-/// What the first packet of a connection is.
+/// Kind of the first packet of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupKind {
-    /// A StartupMessage of version 3.
+    /// A StartupMessage of protocol version 3.
     Startup,
-    /// An SSLRequest or GSSENCRequest: the client asks for encryption.
+    /// An SSLRequest or GSSENCRequest: the client asks for an encrypted connection.
     Encryption,
-    /// A CancelRequest for a query of another connection.
+    /// A CancelRequest, which refers to a query on another connection.
     Cancel,
 }
 
-/// The first packet of a connection.
+/// The first packet of a connection, received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartupPacket {
-    /// What it is.
+    /// Kind of the packet; its parameters are ignored.
     pub kind: StartupKind,
-    /// Its bytes, header included.
+    /// Size in bytes, including the header.
     pub length: usize,
 }
 
-/// A complete message.
+/// A message that was received completely, borrowed from the input buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// Its type byte, see [`backend`] and [`frontend`].
+    /// Type byte, see [`backend`] and [`frontend`].
     pub message_type: u8,
-    /// Its body.
+    /// Bytes after the header.
     pub body: &'a [u8],
-    /// Its bytes, header included.
+    /// Size in bytes, including the header.
     pub length: usize,
 }
 
@@ -182,10 +183,11 @@
     field.try_into().ok().map(u32::from_be_bytes)
 }
 
-/// Decodes the first packet of a connection; `None` while it is incomplete.
+/// Decodes the first packet of a connection; returns `None` while it is incomplete.
 ///
 /// # Errors
-/// A length above `max_bytes`, another version than 3, or a StartupMessage without its end.
+/// The length is below 8 or above `max_bytes`, the major version is not 3, or a StartupMessage lacks its terminating
+/// zero byte.
 pub fn decode_startup(bytes: &[u8], max_bytes: usize) -> Result<Option<StartupPacket>, ProtocolViolation> {
     let Some(length) = read_u32(bytes, 0) else { return Ok(None) };
     let length = length as usize;
@@ -206,10 +208,10 @@
     Ok(Some(StartupPacket { kind, length }))
 }
 
-/// Decodes a message; `None` while it is incomplete.
+/// Decodes a message; returns `None` while it is incomplete.
 ///
 /// # Errors
-/// A length field below 4 or above `max_length`, seen before the rest of the message has arrived.
+/// The length field is below 4 or above `max_length`. This is detected as soon as the header has arrived.
 pub fn decode_message(bytes: &[u8], max_length: usize) -> Result<Option<Message<'_>>, ProtocolViolation> {
     let Some(&message_type) = bytes.first() else { return Ok(None) };
     let Some(length) = read_u32(bytes, 1) else { return Ok(None) };
@@ -224,7 +226,7 @@
     Ok(body.map(|body| Message { message_type, body, length: length + 1 }))
 }
 
-/// Appends a message whose body consists of `parts`.
+/// Appends a message whose body is the concatenation of `parts`.
 pub fn put_message(out: &mut Vec<u8>, message_type: u8, parts: &[&[u8]]) {
     let body_bytes: usize = parts.iter().map(|part| part.len()).sum();
     out.push(message_type);
@@ -234,12 +236,12 @@
     }
 }
 
-/// Appends ReadyForQuery, outside of a transaction.
+/// Appends ReadyForQuery with the status "idle": not in a transaction.
 pub fn put_ready_for_query(out: &mut Vec<u8>) {
     put_message(out, backend::READY_FOR_QUERY, &[b"I"]);
 }
 
-/// Appends the answer to a StartupMessage: AuthenticationOk, the parameters and ReadyForQuery.
+/// Appends the answer to a StartupMessage: AuthenticationOk, the ParameterStatus messages and ReadyForQuery.
 pub fn put_startup_answer(out: &mut Vec<u8>) {
     put_message(out, backend::AUTHENTICATION, &[&[0; 4]]);
     for (name, value) in STARTUP_PARAMETERS {
@@ -248,10 +250,10 @@
     put_ready_for_query(out);
 }
 
-/// Writes text without its zero bytes: one would end the string early.
-struct ZeroFreeText<'a>(&'a mut Vec<u8>);
+/// Writes text without its zero bytes, because a zero byte would terminate the protocol's string early.
+struct NulStrippingWriter<'a>(&'a mut Vec<u8>);
 
-impl Write for ZeroFreeText<'_> {
+impl Write for NulStrippingWriter<'_> {
     fn write_str(&mut self, text: &str) -> fmt::Result {
         self.0.extend(text.bytes().filter(|byte| *byte != 0));
         Ok(())
@@ -260,12 +262,12 @@
 
 fn put_error_field(body: &mut Vec<u8>, field: u8, value: fmt::Arguments<'_>) {
     body.push(field);
-    // Writing to memory does not fail, and the Display of errors does not either.
-    let _ = ZeroFreeText(body).write_fmt(value);
+    // Neither writing to memory nor the Display implementations of errors can fail.
+    let _ = NulStrippingWriter(body).write_fmt(value);
     body.push(0);
 }
 
-/// Appends ErrorResponse. The retry-after hint stands in the field for details, in milliseconds.
+/// Appends an ErrorResponse. The retry-after hint is sent in the detail field, in milliseconds.
 pub fn put_error_response(
     out: &mut Vec<u8>,
     severity: Severity,
@@ -284,14 +286,14 @@
     put_message(out, backend::ERROR_RESPONSE, &[&body, b"\0"]);
 }
 
-/// The value of a field of an ErrorResponse; `None` where it is missing or not UTF-8.
+/// Returns the value of a field in the body of an ErrorResponse; `None` if it is missing or not UTF-8.
 pub fn error_response_field(body: &[u8], field: u8) -> Option<&str> {
     let mut fields = body.split(|byte| *byte == 0);
-    let found = fields.find(|candidate| candidate.first() == Some(&field))?;
-    std::str::from_utf8(&found[1..]).ok()
+    let entry = fields.find(|entry| entry.first() == Some(&field))?;
+    std::str::from_utf8(&entry[1..]).ok()
 }
 
-/// Name and value of a ParameterStatus; `None` where one is missing or not UTF-8.
+/// Returns name and value in the body of a ParameterStatus; `None` if one of them is missing or not UTF-8.
 pub fn decode_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
     let mut strings = body.split(|byte| *byte == 0);
     let name = std::str::from_utf8(strings.next()?).ok()?;
@@ -299,10 +301,10 @@
     Some((name, value))
 }
 
-/// A StartupMessage.
+/// Encodes a StartupMessage of version 3.0 with these two parameters.
 pub fn encode_startup_message(user: &str, database: &str) -> Vec<u8> {
     let mut body = PROTOCOL_VERSION_3_0.to_be_bytes().to_vec();
-    // Names and values in turn, an empty name at the end.
+    // Alternating names and values; an empty name ends the list.
     for string in ["user", user, "database", database, ""] {
         body.extend_from_slice(string.as_bytes());
         body.push(0);
@@ -312,17 +314,17 @@
     out
 }
 
-/// A Query message.
+/// Encodes a Query message. `text` must not contain a zero byte.
 pub fn encode_query(text: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(HEADER_BYTES + text.len() + 1);
     put_message(&mut out, frontend::QUERY, &[text.as_bytes(), b"\0"]);
     out
 }
 
-/// The text of a Query message's body.
+/// Returns the text in the body of a Query message.
 ///
 /// # Errors
-/// No zero byte at its end, one before its end, or bytes that are not UTF-8.
+/// The terminating zero byte is missing, another zero byte precedes it, or the text is not UTF-8.
 pub fn decode_query(body: &[u8]) -> Result<&str, ProtocolViolation> {
     let Some((0, text)) = body.split_last() else { return Err(ProtocolViolation::QueryNotTerminated) };
     if text.contains(&0) {
--- a/src/net/postgres/endpoint.rs
+++ b/src/net/postgres/endpoint.rs
@@ -1,4 +1,5 @@
-//! The host side of PostgreSQL's protocol: a startup, then one simple query at a time on a pooled connection.
+//! The endpoint side of PostgreSQL's protocol: a startup handshake, then one simple query at a time on a pooled
+//! connection.
 
 use super::codec;
 use super::response::{BackendResponse, RowLimits};
@@ -20,60 +21,61 @@
 use std::time::Instant;
 use thiserror::Error;
 
-/// The user of the StartupMessage, as the platform names it.
+/// User name in the StartupMessage; the platform prescribes it.
 const USER: &str = "web";
-/// The database of the StartupMessage, as the platform names it.
+/// Database name in the StartupMessage; the platform prescribes it.
 const DATABASE: &str = "orders";
 
-/// What a host answered to a query: RowDescription, DataRow and CommandComplete.
+/// An endpoint's answer to a query: the encoded RowDescription, DataRow and CommandComplete messages.
 #[derive(Clone, Debug)]
 pub enum QueryAnswer {
     /// The complete answer.
     Buffered(Vec<u8>),
-    /// An answer with a long row, as it comes.
+    /// An answer with a long row, forwarded in chunks as they arrive.
     Streamed(Receiver<StreamChunk>),
 }
 
-/// PostgreSQL's protocol towards hosts.
+/// PostgreSQL's protocol on connections to endpoints.
 pub struct PostgresBackend {
     limits: Rc<Limits>,
     report_fields: Vec<String>,
 }
 
-/// A connection to a host that is past its startup.
+/// A connection to an endpoint; the pool holds it only after its startup handshake.
 pub struct BackendConnection {
     stream: Async<TcpStream>,
     buffer: Buffer,
 }
 
-/// An answer that was read to its end.
+/// An answer that was received completely.
 struct ReceivedResponse {
     response: BackendResponse,
-    /// Where its long row was streamed to.
+    /// The channel to which its long row was streamed; `None` if the answer was buffered.
     stream: Option<Sender<StreamChunk>>,
 }
 
-/// Why an answer could not be read.
+/// Reasons why an answer could not be received.
 #[derive(Debug, Error)]
 enum ReceiveError {
-    /// The connection broke or ended.
+    /// The connection failed or was closed.
     #[error("the connection was lost")]
     ConnectionLost,
-    /// What came is no answer, or stopped in the middle. The connection is of no further use.
+    /// The received bytes are not a valid answer, or the answer stalled halfway. The connection must not be reused.
     #[error("the answer is malformed or incomplete")]
     Malformed,
-    /// Nobody takes the streamed row any more.
-    #[error("the client has left")]
-    ClientLeft,
+    /// The receiver of the streamed row was dropped.
+    #[error("the client disconnected")]
+    ClientDisconnected,
 }
 
 impl PostgresBackend {
-    /// Load reports are read with these fields.
+    /// `report_fields` names the fields that are read from an endpoint's load report.
     pub fn new(limits: Rc<Limits>, report_fields: Vec<String>) -> PostgresBackend {
         PostgresBackend { limits, report_fields }
     }
 
-    /// Reads an answer to its end. A long row is sent on as it comes, to the channel that `open_stream` gives.
+    /// Receives a complete answer. A long row is forwarded as it arrives, to the channel that `open_stream` returns;
+    /// `open_stream` is called at most once.
     async fn receive(
         &self,
         connection: &mut BackendConnection,
@@ -82,18 +84,18 @@
     ) -> Result<ReceivedResponse, ReceiveError> {
         let mut stream: Option<Sender<StreamChunk>> = None;
         loop {
-            let used = response.feed(connection.buffer.unread()).map_err(|error| {
-                log::debug!("host: {error}");
+            let consumed = response.feed(connection.buffer.unread()).map_err(|error| {
+                log::debug!("endpoint: invalid answer: {error}");
                 ReceiveError::Malformed
             })?;
-            connection.buffer.consume(used);
+            connection.buffer.consume(consumed);
             if response.is_streamed() {
-                let rows = response.take_rows();
-                if !rows.is_empty() {
+                let bytes = response.take_result_bytes();
+                if !bytes.is_empty() {
                     if stream.is_none() {
                         stream = Some(open_stream().await);
                     }
-                    send_chunk(stream.as_ref(), rows).await?;
+                    send_chunk(stream.as_ref(), bytes).await?;
                 }
             }
             if response.is_complete() {
@@ -101,24 +103,24 @@
             }
             match self.read_more(connection, &response, stream.is_some()).await? {
                 Ok(count) if count > 0 => {}
-                // The end of the stream in place of ReadyForQuery, after a fatal error.
-                _ if response.may_end_with_stream() => return Ok(ReceivedResponse { response, stream }),
+                // After a fatal error the server closes the connection without sending ReadyForQuery.
+                _ if response.allows_end_of_stream() => return Ok(ReceivedResponse { response, stream }),
                 _ => return Err(ReceiveError::ConnectionLost),
             }
         }
     }
 
-    /// Reads once. An answer that has begun must go on within the stall timeout; before that the deadline of the
-    /// attempt is the only bound.
+    /// Reads once from the socket. After the first bytes of an answer each read is bounded by a stall timeout; before
+    /// them only the attempt's deadline applies.
     async fn read_more(
         &self,
         connection: &mut BackendConnection,
         response: &BackendResponse,
         is_streaming: bool,
     ) -> Result<io::Result<usize>, ReceiveError> {
-        let has_begun = response.has_begun() || !connection.buffer.unread().is_empty();
+        let has_started = response.has_started() || !connection.buffer.unread().is_empty();
         let read = connection.buffer.fill(&connection.stream);
-        if !has_begun {
+        if !has_started {
             return Ok(read.await);
         }
         let stall_timeout = if is_streaming {
@@ -130,9 +132,9 @@
     }
 }
 
-async fn send_chunk(stream: Option<&Sender<StreamChunk>>, rows: Vec<u8>) -> Result<(), ReceiveError> {
+async fn send_chunk(stream: Option<&Sender<StreamChunk>>, bytes: Vec<u8>) -> Result<(), ReceiveError> {
     let Some(stream) = stream else { return Ok(()) };
-    stream.send(StreamChunk::Data(rows)).await.map_err(|_| ReceiveError::ClientLeft)
+    stream.send(StreamChunk::Data(bytes)).await.map_err(|_| ReceiveError::ClientDisconnected)
 }
 
 impl BackendProtocol for PostgresBackend {
@@ -145,9 +147,9 @@
         let startup = codec::encode_startup_message(USER, DATABASE);
         let written = connection.stream.write_all(&startup).await;
         written.map_err(|_| AttemptOutcome::ConnectFailed)?;
-        // An answer to a startup has no row: nothing is ever sent there.
+        // The answer to a StartupMessage contains no row, so this channel is never used.
         let no_stream = async || async_channel::bounded(1).0;
-        let received = self.receive(&mut connection, BackendResponse::to_startup(), no_stream).await;
+        let received = self.receive(&mut connection, BackendResponse::for_startup(), no_stream).await;
         let response = received.map_err(|_| AttemptOutcome::ConnectFailed)?.response;
         match response.error() {
             None if response.is_idle() => Ok(connection),
@@ -173,7 +175,7 @@
             return ExchangeResult::outcome_only(attempt.connection_lost());
         }
         attempt.mark_sent();
-        // From its first bytes on a long row is the client's, and the request cannot be retried any more.
+        // Once the first bytes of a long row are forwarded to the client, the request cannot be retried.
         let open_stream = async || {
             let (stream, chunks) = async_channel::bounded(self.limits.answer_chunks);
             attempt.start_response(QueryAnswer::Streamed(chunks)).await;
@@ -183,21 +185,23 @@
             max_bytes: self.limits.postgres_row_bytes,
             stream_above_bytes: Some(self.limits.postgres_row_buffer_bytes),
         };
-        let response = BackendResponse::to_query(row_limits);
+        let response = BackendResponse::for_query(row_limits);
         let received = match self.receive(connection, response, open_stream).await {
             Ok(received) => received,
-            Err(ReceiveError::ClientLeft) => return ExchangeResult::outcome_only(AttemptOutcome::Cancelled),
+            Err(ReceiveError::ClientDisconnected) => {
+                return ExchangeResult::outcome_only(AttemptOutcome::Cancelled);
+            }
             Err(ReceiveError::ConnectionLost) => {
                 return ExchangeResult::outcome_only(attempt.connection_lost());
             }
-            // It has run, or may have: as with an error of the host. Nothing that it said is used.
+            // The statement may have been executed, as after an ErrorResponse. Nothing from the answer is used.
             Err(ReceiveError::Malformed) => return ExchangeResult::outcome_only(AttemptOutcome::Error),
         };
         let ReceivedResponse { mut response, stream } = received;
         let outcome = response.outcome();
         let is_served = outcome == AttemptOutcome::Served;
         if let Some(stream) = stream.filter(|_| is_served) {
-            // Only a complete answer gets its end; the client may have left meanwhile.
+            // Marks only a complete answer as such. A send error means that the client has disconnected.
             let _ = stream.send(StreamChunk::End).await;
         }
         ExchangeResult {
@@ -205,7 +209,7 @@
             replica_status: response.replica_status(),
             report: response.load_report(&self.report_fields),
             reusable: response.is_idle() && connection.buffer.unread().is_empty(),
-            answer: is_served.then(|| QueryAnswer::Buffered(response.take_rows())),
+            answer: is_served.then(|| QueryAnswer::Buffered(response.take_result_bytes())),
         }
     }
 }
--- a/src/net/postgres/front.rs
+++ b/src/net/postgres/front.rs
@@ -1,14 +1,14 @@
-//! The front for PostgreSQL clients: what its connections share, and how one connection is served.
+//! The front for PostgreSQL clients: the state that its connections share, and the handling of one connection.
 //!
-//! - `client`: the loop of one connection, which writes answers in the order of the commands
-//! - `submission`: commands that have arrived, handed to the engine
-//! - `open_requests`: the ids of requests that have no answer yet
+//! - `client`: main loop of a connection, which writes answers in the order of the commands
+//! - `submission`: decodes received commands and submits them to the engine
+//! - `open_requests`: ids of the requests that have no answer yet
 
 mod client;
 mod open_requests;
 mod submission;
 
-use super::host::QueryAnswer;
+use super::endpoint::QueryAnswer;
 use super::statement::Statement;
 use crate::config::Limits;
 use crate::engine::EngineHandle;
@@ -27,31 +27,31 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What all connections of the front share.
+/// State shared by all client connections of the front.
 pub struct Front {
-    /// Limits of connections, messages and times.
+    /// Limits on connections, message lengths and waiting times.
     pub limits: Rc<Limits>,
     /// Submits requests to the engine.
     pub handle: EngineHandle<Arc<Statement>, QueryAnswer>,
-    /// The classes by name.
+    /// The configured classes, which routing comments refer to by name.
     pub classes: Classes,
     /// Set once the first endpoint list has arrived.
     pub ready: Latch,
-    /// Whether the process serves, is drained or terminates.
+    /// Whether the pooler serves clients, is drained or is shutting down.
     pub lifecycle: Rc<Lifecycle>,
     /// Ids of the requests that have no answer yet.
     pub open_requests: OpenRequestIds,
 }
 
 impl Front {
-    /// Serves one connection to its end.
+    /// Serves one connection until it is closed. With [`AcceptDecision::Reject`] the client only receives an error.
     pub async fn serve(&self, stream: Async<TcpStream>, slot: ConnectionSlot, decision: AcceptDecision) {
         let clock = self.handle.clock().clone();
         let connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
         let mut client = ClientHandler::new(self, connection);
         let served = match decision {
             AcceptDecision::Serve => client.run().await,
-            AcceptDecision::Reject => client.reject().await,
+            AcceptDecision::Reject => client.reject_connection().await,
         };
         if let Err(error) = served {
             log::debug!("client: connection ended: {error}");
@@ -59,14 +59,14 @@
         client.cancel_open_requests().await;
     }
 
-    /// What the engine has to know of a statement; `None` where its class is unknown.
+    /// Converts a statement to a request for the engine; `None` if its class is unknown.
     fn incoming_request(&self, statement: &Statement) -> Option<IncomingRequest> {
         let key =
             if statement.has_idempotency_key { IdempotencyKey::Present } else { IdempotencyKey::Absent };
         let class = self.classes.find(&statement.class, key)?;
         let now = self.handle.clock().now();
-        // The decision module wants the age of the session's last commit; a client's clock that is a little ahead
-        // makes it zero, not negative.
+        // The router expects the age of the session's last commit. It is zero rather than negative if the client's
+        // clock is slightly ahead.
         let last_commit_age = statement
             .required_position
             .map(|position| (now - position.commit_time(Timestamp::ZERO)).or_zero());
--- a/src/net/postgres/front/client.rs
+++ b/src/net/postgres/front/client.rs
@@ -1,8 +1,8 @@
-//! The loop of one client's connection.
+//! Main loop of a client connection.
 //!
-//! A client may send further commands before the first has its answer. They are submitted as they arrive, because
-//! each has its own deadline and must not lose time while an earlier one waits; their answers are written in the
-//! order of the commands, because the protocol has no other way to tell which answer is whose.
+//! Clients may pipeline commands. Requests are submitted as they arrive, because each has its own deadline and must not
+//! lose time while an earlier one is pending. Answers are written in the order of the commands, because the protocol
+//! matches answers to commands by order alone.
 
 use super::Front;
 use super::submission::OpenRequest;
@@ -12,7 +12,7 @@
 use crate::net::lifecycle::ServingState;
 use crate::net::postgres::client_error::ClientError;
 use crate::net::postgres::codec;
-use crate::net::postgres::host::QueryAnswer;
+use crate::net::postgres::endpoint::QueryAnswer;
 use crate::net::postgres::session::{Session, SessionAction, SessionState};
 use crate::net::until;
 use crate::time::TimeDelta;
@@ -23,35 +23,35 @@
 use std::ops::ControlFlow;
 use std::time::Instant;
 
-/// A client's connection while it is served.
+/// A client connection with its protocol state and pending answers.
 pub(super) struct ClientHandler<'a> {
     pub(super) front: &'a Front,
     pub(super) connection: ClientConnection,
     pub(super) session: Session,
-    /// Answers that are owed, in the order of the commands.
+    /// Answers that were not written yet, in the order of the commands.
     pub(super) pending: VecDeque<PendingAnswer>,
 }
 
-/// An answer that is owed.
+/// An answer that was not written yet.
 pub(super) enum PendingAnswer {
-    /// These bytes.
+    /// Encoded messages that are already known.
     Bytes(Vec<u8>),
-    /// The answer to the readiness query.
+    /// The answer to an empty query, which serves as the readiness check.
     EmptyQuery,
-    /// The final answer to a request, once it is there.
+    /// The final answer to a request, which the engine sends.
     Request(OpenRequest),
-    /// These bytes, then the end of the connection.
+    /// Encoded messages after which the connection is closed.
     Close(Vec<u8>),
 }
 
 impl<'a> ClientHandler<'a> {
-    /// Takes a connection over.
+    /// The handler of a connection that was just accepted.
     pub(super) fn new(front: &'a Front, connection: ClientConnection) -> ClientHandler<'a> {
         let session = Session::new(&front.limits);
         ClientHandler { front, connection, session, pending: VecDeque::new() }
     }
 
-    /// Serves the connection to its end.
+    /// Serves the connection until the client or the pooler closes it.
     pub(super) async fn run(&mut self) -> io::Result<()> {
         loop {
             self.accept_commands().await?;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Tells the engine of a connection that has ended that nobody waits for its open requests any more.
+    /// Cancels the open requests of a closed connection, since no client waits for their answers.
     pub(super) async fn cancel_open_requests(self) {
         for pending in self.pending {
             if let PendingAnswer::Request(request) = pending {
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Writes the oldest answer that is owed, as far as it is there; waits for a command where none is owed.
+    /// Writes the oldest pending answer once it is available, or waits for a command if no answer is pending. Returns
+    /// early if the client sends more.
     async fn answer_next(&mut self) -> io::Result<ControlFlow<()>> {
         match self.pending.front() {
             None => return self.wait_for_command().await,
@@ -117,7 +118,7 @@
         Ok(ControlFlow::Break(()))
     }
 
-    /// Answers the readiness query once the process is ready, or when the limit of that wait is over.
+    /// Answers an empty query once the pooler is ready, or after `Limits::readiness_timeout`.
     async fn answer_empty_query(&mut self) -> io::Result<ControlFlow<()>> {
         let ready = async {
             self.front.ready.wait().await;
@@ -125,15 +126,15 @@
         };
         let connection = &mut self.connection;
         let input = self.session.input_buffer();
-        let client_left = async {
+        let client_disconnected = async {
             connection.wait_for_departure(input).await;
             ControlFlow::Break(())
         };
         let deadline = Instant::now() + self.front.limits.readiness_timeout;
-        if until(deadline, future::or(ready, client_left)).await == Some(ControlFlow::Break(())) {
+        if until(deadline, future::or(ready, client_disconnected)).await == Some(ControlFlow::Break(())) {
             return Ok(ControlFlow::Break(()));
         }
-        // The platform's front layer must bring no new clients to a process that is drained.
+        // The error tells the platform's front layer to send no new clients to a drained pooler.
         let bytes = match self.front.lifecycle.state() {
             ServingState::Drained => ClientError::Drained.to_query_answer(),
             ServingState::Serving | ServingState::Terminating => Session::empty_query_answer(),
@@ -157,8 +158,8 @@
         self.write_answer(&error.to_query_answer()).await
     }
 
-    /// Writes the answer to the oldest query as it comes. Where the host breaks off the connection ends without
-    /// ReadyForQuery, so that the client can tell.
+    /// Writes a streamed answer to the oldest pending query. If the endpoint breaks off, the connection is closed
+    /// without ReadyForQuery, so that the client can tell that the answer is incomplete.
     async fn write_stream(&mut self, chunks: Receiver<StreamChunk>) -> io::Result<()> {
         loop {
             match next_event(&chunks, &mut self.connection, self.session.input_buffer()).await {
@@ -169,11 +170,11 @@
                     return self.write_answer(&end).await;
                 }
                 AnswerEvent::ChannelClosed => {
-                    let reason = "the host ended in the middle of an answer";
+                    let reason = "the endpoint closed the connection in the middle of an answer";
                     return Err(io::Error::new(io::ErrorKind::UnexpectedEof, reason));
                 }
                 AnswerEvent::ClientSentMore => {}
-                // A host that stalls must not hold an attempt for a client that has left.
+                // A stalled endpoint must not keep the attempt running for a client that has disconnected.
                 AnswerEvent::ClientLeft => return Err(io::ErrorKind::ConnectionAborted.into()),
             }
         }
@@ -187,16 +188,16 @@
         Ok(())
     }
 
-    /// Writes a fatal error and ends the connection.
+    /// Writes a fatal error and closes the connection.
     async fn close_with(&mut self, error: ClientError) -> io::Result<()> {
         log::debug!("client: connection closed: {error}");
         self.connection.write(&error.to_error_response()).await?;
         self.connection.linger().await
     }
 
-    /// Tells a client that there are too many connections: after its StartupMessage, since clients read no error
-    /// before they have sent it.
-    pub(super) async fn reject(&mut self) -> io::Result<()> {
+    /// Sends the error "too many connections" and closes the connection. The error follows the client's StartupMessage,
+    /// because clients do not read an error before they have sent that.
+    pub(super) async fn reject_connection(&mut self) -> io::Result<()> {
         let deadline = Instant::now() + self.front.limits.close_linger.timeout;
         while self.session.state() == SessionState::Startup {
             match self.session.next_action() {
--- a/src/net/postgres/front/submission.rs
+++ b/src/net/postgres/front/submission.rs
@@ -1,11 +1,11 @@
-//! Commands of a client that have arrived: decoded, checked and submitted to the engine.
+//! Decodes and checks the commands of a client, and submits its requests to the engine.
 
 use super::client::{ClientHandler, PendingAnswer};
 use super::open_requests::ReservedId;
 use crate::engine::FinalAnswer;
 use crate::ids::RequestId;
 use crate::net::postgres::client_error::ClientError;
-use crate::net::postgres::host::QueryAnswer;
+use crate::net::postgres::endpoint::QueryAnswer;
 use crate::net::postgres::session::SessionAction;
 use crate::net::postgres::statement::Statement;
 use crate::time::{TimeDelta, Timestamp};
@@ -13,24 +13,24 @@
 use std::io;
 use std::sync::Arc;
 
-/// Owed answers for each pipelined request that a connection may have open: answers to invalid commands are short but
-/// may be many, and each command that is read costs one.
+/// Bounds the pending answers of a connection, as a multiple of `Limits::pipelined_requests`. Answers to invalid
+/// commands do not count as pipelined requests, and each of them is short, but without a bound they could be many.
 const MAX_PENDING_PER_PIPELINED_REQUEST: usize = 2;
 
 /// A request that has no final answer yet.
 pub(super) struct OpenRequest {
     pub(super) id: RequestId,
     pub(super) reply: Receiver<FinalAnswer<QueryAnswer>>,
-    /// Bytes of its statement.
+    /// Length of its statement, counted against `Limits::read_ahead_bytes`.
     statement_bytes: usize,
     _reserved_id: ReservedId,
 }
 
 impl ClientHandler<'_> {
-    /// Accepts all commands that have arrived completely, within the limits of a connection.
+    /// Accepts the commands that have arrived completely, until a limit of the connection is reached.
     ///
     /// # Errors
-    /// The client has left.
+    /// The client has disconnected.
     pub(super) async fn accept_commands(&mut self) -> io::Result<()> {
         while !self.is_backlogged() {
             let answer = match self.session.next_action() {
@@ -48,7 +48,8 @@
         Ok(())
     }
 
-    /// Whether so much is owed that no further command is accepted.
+    /// Whether the pending answers or the statements of open requests have reached a limit, so that no further command
+    /// is accepted.
     fn is_backlogged(&self) -> bool {
         let limits = &self.front.limits;
         let mut statement_bytes = 0;
@@ -71,14 +72,15 @@
         match self.submit(text, arrived).await {
             Ok(request) => Ok(PendingAnswer::Request(request)),
             Err(error) => {
-                // Its answer is known: it does not count as open while earlier answers are awaited.
+                // The answer is already known, so the query does not count as pending while earlier answers are
+                // awaited.
                 self.session.query_answered();
                 Ok(PendingAnswer::Bytes(error.to_query_answer()))
             }
         }
     }
 
-    /// Submits a statement that arrived at `arrived`.
+    /// Submits a statement whose last byte arrived at `arrived`, from which its deadline is counted.
     async fn submit(&self, text: &str, arrived: Timestamp) -> Result<OpenRequest, ClientError> {
         let statement: Statement = text.parse().map_err(|error| {
             log::warn!("client: invalid statement: {error}");
@@ -93,7 +95,7 @@
             return Err(ClientError::DuplicateRequestId);
         };
         let limits = &self.front.limits;
-        // The answer has to reach the client before it stops waiting.
+        // Leaves time for the answer to reach the client before its timeout.
         let margin = TimeDelta::from(limits.answer_margin);
         let deadline = arrived + (statement.client_timeout - margin).or_zero();
         let submitted = self.front.handle.submit(request, deadline, Arc::new(statement)).await;
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -1,15 +1,15 @@
-//! PostgreSQL's frontend/backend protocol, version 3, with simple queries only: the front that the platform's clients
-//! connect to, and the host side.
+//! PostgreSQL's frontend/backend protocol, version 3, limited to the simple query protocol: the front that clients
+//! connect to, and the connections to endpoints.
 //!
-//! - [`codec`]: messages from and to bytes; [`sqlstate`]: error codes
-//! - clients: [`front`] (connections and requests), [`session`] (state machine without I/O), [`statement`] (a
-//!   statement's comment), [`client_error`] (what a client receives in place of rows)
-//! - hosts: [`host`] (connections and exchanges), [`response`] (parser of what a host answers)
+//! - Both sides: [`codec`] (encoding and decoding of messages), [`sqlstate`] (error codes)
+//! - Client side: [`front`] (connections and requests), [`session`] (protocol state machine without I/O), [`statement`]
+//!   (routing comment of a statement), [`client_error`] (error responses to clients)
+//! - Endpoint side: [`endpoint`] (connections and exchanges), [`response`] (incremental parser of an endpoint's answer)
 
 pub mod client_error;
 pub mod codec;
+pub mod endpoint;
 pub mod front;
-pub mod host;
 pub mod response;
 pub mod session;
 pub mod sqlstate;
--- a/src/net/postgres/response/tests.rs
+++ b/src/net/postgres/response/tests.rs
@@ -1,4 +1,4 @@
-//! Hosts' answers in pieces of any size, corrupted and endless.
+//! Answers of endpoints that arrive in chunks of any size, are corrupted or never end.
 
 use super::*;
 use crate::net::postgres::codec::put_message;
@@ -18,62 +18,62 @@
     out
 }
 
-/// Parses bytes that arrive in pieces: the answer, and how many bytes it used.
-fn parse(bytes: &[u8], piece: usize) -> (BackendResponse, Result<usize, ResponseError>) {
-    let mut response = BackendResponse::to_query(ROW_LIMITS);
-    let mut used = 0;
+/// Parses bytes that arrive in chunks of `chunk_size`; returns the answer and the number of consumed bytes.
+fn parse(bytes: &[u8], chunk_size: usize) -> (BackendResponse, Result<usize, ResponseError>) {
+    let mut response = BackendResponse::for_query(ROW_LIMITS);
+    let mut consumed = 0;
     let mut end = 0;
     while end < bytes.len() {
-        end = (end + piece).min(bytes.len());
-        match response.feed(&bytes[used..end]) {
-            Ok(count) => used += count,
+        end = (end + chunk_size).min(bytes.len());
+        match response.feed(&bytes[consumed..end]) {
+            Ok(count) => consumed += count,
             Err(error) => return (response, Err(error)),
         }
     }
-    (response, Ok(used))
+    (response, Ok(consumed))
 }
 
-/// Guards against a corrupted answer that is passed on, or whose missing bytes are waited for.
+/// Guards against forwarding a corrupted answer, and against waiting for the bytes that a corrupted length announces.
 #[test]
-fn corrupted_answers_are_rejected_at_their_first_wrong_bytes() {
+fn corrupted_answers_are_rejected_at_the_first_invalid_field() {
     let valid = valid_answer(b"value");
-    let row = valid.iter().position(|b| *b == b'D').unwrap();
-    let change = |at: usize, to: &[u8]| {
+    let row = valid.iter().position(|byte| *byte == b'D').unwrap();
+    let overwrite = |offset: usize, replacement: &[u8]| {
         let mut bytes = valid.clone();
-        bytes[at..at + to.len()].copy_from_slice(to);
+        bytes[offset..offset + replacement.len()].copy_from_slice(replacement);
         bytes
     };
     for (bytes, rejected_after) in [
-        (change(row + 1, &[0, 0, 0, 2]), row + 5),
-        (change(row + 1, &[0xb2, 0xd0, 0x5e, 0x0a]), row + 5),
-        (change(row + 1, &[0, 0, 0, 99]), row + 11),
-        (change(row + 7, &[0, 0, 0, 4]), row + 11),
-        (change(row + 5, &[0, 2]), row + 11),
-        (change(row, b"x"), row + 1),
+        (overwrite(row + 1, &[0, 0, 0, 2]), row + 5),
+        (overwrite(row + 1, &[0xb2, 0xd0, 0x5e, 0x0a]), row + 5),
+        (overwrite(row + 1, &[0, 0, 0, 99]), row + 11),
+        (overwrite(row + 7, &[0, 0, 0, 4]), row + 11),
+        (overwrite(row + 5, &[0, 2]), row + 11),
+        (overwrite(row, b"x"), row + 1),
         (vec![b'x'; 400], 1),
         ([&valid[..row], &valid[row + 11..]].concat(), row + 5),
         ([&valid[..row], &valid[row..row + 16], &valid[row..]].concat(), row + 17),
     ] {
         assert!(parse(&bytes[..rejected_after], 1).1.is_err(), "{:?}", &bytes[row..row + 12]);
     }
-    let mut tag = valid_answer(b"v");
-    let at = tag.windows(8).position(|w| w == b"SELECT 1").unwrap();
-    tag[at + 8] = b'!';
-    assert!(parse(&tag, 7).1.is_err(), "a command tag without its end");
+    let mut unterminated_tag = valid_answer(b"v");
+    let tag = unterminated_tag.windows(8).position(|window| window == b"SELECT 1").unwrap();
+    unterminated_tag[tag + 8] = b'!';
+    assert!(parse(&unterminated_tag, 7).1.is_err(), "a command tag without terminating zero byte");
 }
 
-/// Any value is parsed completely in pieces of any size, bytes behind the answer are not used, an unreadable load
-/// report spoils nothing, and any one changed byte gives a value of the same length, an error, or a wait for more:
-/// never a value of another length.
+/// An answer with any value is parsed completely from chunks of any size, bytes after it are not consumed, and an
+/// invalid load report does not invalidate it. After a change of any single byte the answer has the same length, is
+/// rejected or stays incomplete. Random bytes alone are never a served answer.
 #[test]
-fn random_bytes_are_never_taken_for_an_answer() {
+fn corrupted_or_random_bytes_never_yield_an_answer_of_another_length() {
     let parts = (prop::collection::vec(any::<u8>(), 0..60), 1usize..50, any::<u16>(), any::<u8>());
     let config = Config { cases: 600, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[9; 32]);
-    let check = |(value, piece, at, byte): (Vec<u8>, usize, u16, u8)| {
+    let check = |(value, chunk_size, offset, byte): (Vec<u8>, usize, u16, u8)| {
         let valid = valid_answer(&value);
-        let (response, used) = parse(&[&valid[..], b"T\0\0"].concat(), piece);
-        prop_assert_eq!(used, Ok(valid.len()));
+        let (response, consumed) = parse(&[&valid[..], b"T\0\0"].concat(), chunk_size);
+        prop_assert_eq!(consumed, Ok(valid.len()));
         prop_assert!(
             response.is_complete() && response.is_idle() && response.outcome() == AttemptOutcome::Served
         );
@@ -82,32 +82,33 @@
             Some(ReplicaStatus { primary: false, position: LogPosition::UNKNOWN })
         );
         prop_assert_eq!(response.load_report(&["x0".to_string()]).count, 0);
-        let (first, served) = (33, response.rows.clone());
-        prop_assert_eq!(&served[first + 11..first + 11 + value.len()], &value[..]);
+        // RowDescription takes 33 bytes, the header of the DataRow 11.
+        let (row_start, served) = (33, response.result_bytes.clone());
+        prop_assert_eq!(&served[row_start + 11..row_start + 11 + value.len()], &value[..]);
         let mut corrupted = valid.clone();
-        let n = usize::from(at) % valid.len();
-        corrupted[n] = byte;
-        let (response, used) = parse(&corrupted, piece);
-        if used.is_ok() && response.is_complete() && response.outcome() == AttemptOutcome::Served {
-            prop_assert_eq!(response.rows.len(), served.len());
+        let corrupted_offset = usize::from(offset) % valid.len();
+        corrupted[corrupted_offset] = byte;
+        let (response, consumed) = parse(&corrupted, chunk_size);
+        if consumed.is_ok() && response.is_complete() && response.outcome() == AttemptOutcome::Served {
+            prop_assert_eq!(response.result_bytes.len(), served.len());
         }
-        // Noise alone is rejected at once or has no row in it.
-        let (noise, _) = parse(&value, piece);
-        prop_assert!(noise.outcome() != AttemptOutcome::Served);
+        // Random bytes are rejected or contain no row.
+        let (response, _) = parse(&value, chunk_size);
+        prop_assert!(response.outcome() != AttemptOutcome::Served);
         Ok(())
     };
     TestRunner::new_with_rng(config, rng).run(&parts, check).unwrap();
 }
 
-/// Guards against an answer that goes on forever with messages that have no place of their own.
+/// Guards against an answer that never ends because it keeps sending messages that are accepted in every state.
 #[test]
-fn endless_notices_are_no_answer() {
-    let mut response = BackendResponse::to_query(ROW_LIMITS);
+fn an_answer_with_too_many_notices_is_rejected() {
+    let mut response = BackendResponse::for_query(ROW_LIMITS);
     let mut notice = Vec::new();
     put_message(&mut notice, backend::NOTICE_RESPONSE, &[b"Mone more\0\0"]);
-    let accepted = (0..MAX_UNORDERED_BYTES).take_while(|_| response.feed(&notice).is_ok()).count();
+    let accepted = (0..MAX_ASYNC_MESSAGE_BYTES).take_while(|_| response.feed(&notice).is_ok()).count();
     assert!(
-        (100..=MAX_UNORDERED_BYTES / notice.len()).contains(&accepted),
+        (100..=MAX_ASYNC_MESSAGE_BYTES / notice.len()).contains(&accepted),
         "{accepted} notices were accepted"
     );
 }
--- a/src/net/postgres/session.rs
+++ b/src/net/postgres/session.rs
@@ -1,8 +1,8 @@
-//! The state machine of a client's connection, without I/O.
+//! The protocol state machine of a client connection, without I/O.
 //!
-//! Bytes go into [`Session::input_buffer`], [`Session::next_action`] says what to do about them:
+//! The owner appends received bytes to [`Session::input_buffer`] and carries out what [`Session::next_action`] returns:
 //!
-//! | state | on | to |
+//! | state | message | next state |
 //! | --- | --- | --- |
 //! | `Startup` | SSLRequest, GSSENCRequest | `Startup` |
 //! | `Startup` | StartupMessage | `Ready` |
@@ -10,60 +10,60 @@
 //! | `Ready` | Query, Sync, FunctionCall | `Ready` |
 //! | `Ready` | a message of the extended query protocol | `SkippingUntilSync` |
 //! | `SkippingUntilSync` | Sync | `Ready` |
-//! | `SkippingUntilSync` | any other message but Terminate | `SkippingUntilSync` |
+//! | `SkippingUntilSync` | any other message except Terminate | `SkippingUntilSync` |
 //! | `Ready`, `SkippingUntilSync` | Terminate | `Closed` |
-//! | any | a violation of the protocol | `Closed` |
+//! | any | protocol violation | `Closed` |
 
 use super::client_error::ClientError;
 use super::codec::{self, Message, ProtocolViolation, StartupKind, backend, frontend};
 use crate::config::Limits;
 use crate::net::buffer::Buffer;
 
-/// The one-byte answer to a request for encryption: not supported, the client may go on without.
+/// One-byte answer to an encryption request: not supported; the client may continue without encryption.
 const ENCRYPTION_REFUSED: &[u8] = b"N";
 
-/// State of a client's connection.
+/// State of a client connection, see the table of this module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionState {
-    /// Before the StartupMessage.
+    /// The StartupMessage has not arrived yet.
     Startup,
-    /// Accepts queries.
+    /// Queries are accepted.
     Ready,
-    /// After an error in the extended query protocol: messages are discarded until Sync.
+    /// A message of the extended query protocol was answered with an error: messages are discarded until Sync.
     SkippingUntilSync,
-    /// Closed; nothing is read any more.
+    /// The connection is to be closed; further input is ignored.
     Closed,
 }
 
-/// What the owner of a session has to do next.
+/// Next step for the owner of a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionAction {
-    /// Read more bytes, or answer a pending query first where the limit of pending queries is reached.
+    /// Read more bytes, or answer a pending query first if the limit of pending queries is reached.
     Wait,
     /// Write these bytes.
     Write(Vec<u8>),
-    /// An empty query, which clients use as a readiness check: when its turn comes and the process is ready, answer
-    /// with [`Session::empty_query_answer`], then call [`Session::query_answered`].
+    /// An empty query, which clients use as a readiness check. Once the pooler is ready, answer it in the order of the
+    /// commands with [`Session::empty_query_answer`], then call [`Session::query_answered`].
     EmptyQuery,
-    /// A query: answer it when its turn comes, then call [`Session::query_answered`].
+    /// The text of a query. Answer it in the order of the commands, then call [`Session::query_answered`].
     Query(String),
     /// Write these bytes, then close the connection.
     Close(Vec<u8>),
 }
 
-/// A client's connection.
+/// Protocol state of one client connection.
 pub struct Session {
     state: SessionState,
     buffer: Buffer,
     max_message_bytes: usize,
     max_startup_bytes: usize,
-    /// Queries that have no answer yet.
+    /// Number of queries that have no answer yet, empty ones included.
     pending_queries: usize,
     max_pending_queries: usize,
 }
 
 impl Session {
-    /// A connection that has just been accepted.
+    /// The state of a connection that was just accepted.
     pub fn new(limits: &Limits) -> Session {
         Session {
             state: SessionState::Startup,
@@ -75,22 +75,22 @@
         }
     }
 
-    /// The state.
+    /// Current state; only [`Self::next_action`] changes it.
     pub fn state(&self) -> SessionState {
         self.state
     }
 
-    /// The buffer that received bytes go into.
+    /// The buffer to which the owner appends received bytes.
     pub fn input_buffer(&mut self) -> &mut Buffer {
         &mut self.buffer
     }
 
-    /// Notes that the oldest pending query has its answer.
+    /// Records that the oldest pending query was answered.
     pub fn query_answered(&mut self) {
         self.pending_queries = self.pending_queries.saturating_sub(1);
     }
 
-    /// The answer to an empty query: EmptyQueryResponse and ReadyForQuery.
+    /// Encodes the answer to an empty query: EmptyQueryResponse, then ReadyForQuery.
     pub fn empty_query_answer() -> Vec<u8> {
         let mut out = Vec::new();
         codec::put_message(&mut out, backend::EMPTY_QUERY_RESPONSE, &[]);
@@ -98,7 +98,7 @@
         out
     }
 
-    /// Decodes what has arrived, up to the next thing to do.
+    /// Decodes buffered input up to the next message that requires an action.
     pub fn next_action(&mut self) -> SessionAction {
         let action = match self.state {
             SessionState::Startup => self.decode_startup(),
@@ -139,7 +139,7 @@
             let Some(Message { message_type, body, length }) = message else {
                 return Ok(SessionAction::Wait);
             };
-            // The text is copied before its bytes leave the buffer.
+            // Copies the text, because `consume` below removes its bytes from the buffer.
             let query = match message_type {
                 frontend::QUERY if self.state == SessionState::Ready => {
                     Some(codec::decode_query(body)?.to_string())
@@ -162,7 +162,7 @@
         if text.trim().is_empty() { SessionAction::EmptyQuery } else { SessionAction::Query(text) }
     }
 
-    /// Handles any message but a query; `None` where it is discarded.
+    /// Handles a message other than an accepted query; returns `None` if it is discarded.
     fn handle_message(&mut self, message_type: u8) -> Result<Option<SessionAction>, ProtocolViolation> {
         match message_type {
             frontend::TERMINATE => Ok(Some(self.close(Vec::new()))),
--- a/src/net/postgres/statement.rs
+++ b/src/net/postgres/statement.rs
@@ -1,18 +1,19 @@
-//! A client's statement and the comment in front of it, which says how the request is to be routed.
+//! A client's statement and the routing comment in front of it, which says how the request is to be routed.
 //!
-//! The comment holds pairs, as in `/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT …`:
+//! The comment is a list of `key=value` pairs, as in
+//! `/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT …`:
 //!
 //! | key | value |
 //! | --- | --- |
-//! | `id` | the request's id, at most 64 bytes |
+//! | `id` | id of the request, 1 to 64 bytes |
 //! | `c` | name of the class |
 //! | `d` | how long the client waits, in milliseconds |
 //! | `cluster` | number of the group |
-//! | `after` | position that a read has to include, in Unix milliseconds; optional |
-//! | `r` | `1`: the client itself repeats a request; optional |
-//! | `k` | not empty: the write carries an idempotency key; optional |
+//! | `after` | log position that a read must include, in Unix milliseconds; optional |
+//! | `r` | `1`: the client retries an earlier request; optional |
+//! | `k` | not empty: the write has an idempotency key; optional |
 //!
-//! Other keys pass through to the host unread.
+//! Other keys are ignored and reach the endpoint unchanged.
 
 use crate::ids::GroupId;
 use crate::time::{LogPosition, TimeDelta};
@@ -20,76 +21,77 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// The longest timeout that a client may state: a day. A bound keeps sums of times from overflowing.
+/// Upper bound of `d`: one day. It prevents overflow when the timeout is added to a timestamp.
 const MAX_CLIENT_TIMEOUT_MILLIS: i64 = 86_400_000;
 
-/// The longest id: ids are kept while their requests are open.
+/// Upper bound of the length of an id, because ids are stored while their requests are open.
 const MAX_ID_BYTES: usize = 64;
 
-/// Why a statement cannot be routed. The texts reach clients.
+/// Reasons why a statement cannot be routed. Clients receive the messages.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StatementError {
     /// The statement does not begin with a comment.
     #[error("the statement has no comment in front")]
     MissingComment,
-    /// The comment has no end.
+    /// The comment lacks its `*/`.
     #[error("the comment does not end")]
     UnterminatedComment,
-    /// A part of the comment is no `key=value`.
+    /// A part of the comment is not a `key=value` pair.
     #[error("{0:?} in the comment has no value")]
     MissingValue(String),
-    /// The value of a key is out of form or out of range.
+    /// The value of a key is malformed or out of range.
     #[error("{key}={value:?} in the comment is no such value")]
     InvalidValue {
-        /// The key.
+        /// The key as it is written in the comment.
         key: &'static str,
-        /// The value as it was sent.
+        /// The value as the client sent it.
         value: String,
     },
-    /// No id, or one that is empty or too long.
+    /// `id` is missing, empty or too long.
     #[error("the comment has no id")]
     MissingId,
-    /// No `d`.
+    /// `d` is missing.
     #[error("the comment does not say how long the client waits")]
     MissingClientTimeout,
-    /// Nothing follows the comment.
+    /// Only whitespace follows the comment.
     #[error("there is no statement after the comment")]
     MissingStatement,
-    /// No `c`.
+    /// `c` is missing.
     #[error("the comment names no class")]
     MissingClass,
-    /// No `cluster`.
+    /// `cluster` is missing.
     #[error("the comment names no group")]
     MissingGroup,
 }
 
-/// A statement with what its comment says. Parsed from the text that a client sent.
+/// A statement and the values of its routing comment, parsed from the text that a client sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     text: String,
-    /// Where the digits of `d` are in `text`.
+    /// Byte range of the digits of `d` in `text`.
     timeout_digits: Range<usize>,
-    /// The request's id.
+    /// Id of the request, chosen by the client; 1 to 64 bytes.
     pub id: String,
-    /// Name of the class.
+    /// Name of the request's class; it may be unknown.
     pub class: String,
-    /// How long the client waits.
+    /// How long the client waits for the answer; at most one day.
     pub client_timeout: TimeDelta,
-    /// The group.
+    /// The group that stores the data of the statement; it may be unknown.
     pub group: GroupId,
-    /// The position that a read has to include, in Unix time.
+    /// The log position, in Unix time, that a read must include; `None` if the client requires none.
     pub required_position: Option<LogPosition>,
-    /// The client itself repeats an earlier request.
+    /// Whether the client retries an earlier request.
     pub is_client_retry: bool,
-    /// It carries an idempotency key.
+    /// Whether the client sent an idempotency key.
     pub has_idempotency_key: bool,
-    /// The first quoted string, which identifies the session in classes that have sessions; empty without one.
+    /// The first single-quoted string of the statement, which identifies the session in classes that have sessions;
+    /// empty if the statement contains none.
     pub session_key: String,
 }
 
-/// What a comment says, before it is known to be complete.
+/// The values of a routing comment, before it is checked that the required ones are present.
 #[derive(Default)]
-struct Comment<'a> {
+struct RoutingComment<'a> {
     id: Option<&'a str>,
     class: Option<&'a str>,
     client_timeout: Option<TimeDelta>,
@@ -100,10 +102,10 @@
     has_idempotency_key: bool,
 }
 
-impl<'a> Comment<'a> {
-    /// Reads the comment that is at `offset` of its statement.
-    fn parse(comment: &'a str, offset: usize) -> Result<Comment<'a>, StatementError> {
-        let mut parsed = Comment::default();
+impl<'a> RoutingComment<'a> {
+    /// Parses the text between `/*` and `*/`, which starts at byte `offset` of the statement.
+    fn parse(comment: &'a str, offset: usize) -> Result<RoutingComment<'a>, StatementError> {
+        let mut parsed = RoutingComment::default();
         let mut part_offset = offset;
         for part in comment.split(',') {
             let pair = part.trim();
@@ -124,32 +126,32 @@
             "c" => self.class = Some(value),
             "d" => {
                 let millis = parse_digits(value).filter(|millis| *millis <= MAX_CLIENT_TIMEOUT_MILLIS);
-                let millis = millis.ok_or_else(|| invalid("d", value))?;
+                let millis = millis.ok_or_else(|| invalid_value("d", value))?;
                 self.client_timeout = Some(TimeDelta::from_millis(millis));
                 self.timeout_digits = value_offset..value_offset + value.len();
             }
             "cluster" => {
-                let number = parse_digits(value).ok_or_else(|| invalid("cluster", value))?;
+                let number = parse_digits(value).ok_or_else(|| invalid_value("cluster", value))?;
                 self.group = Some(GroupId(number));
             }
             "after" => {
                 let position = parse_digits(value).and_then(LogPosition::try_from_millis);
-                self.required_position = Some(position.ok_or_else(|| invalid("after", value))?);
+                self.required_position = Some(position.ok_or_else(|| invalid_value("after", value))?);
             }
             "r" => self.is_client_retry = value == "1",
             "k" => self.has_idempotency_key = !value.is_empty(),
-            // Other keys are for the host, which gets the comment as it is.
+            // Other keys are meant for the endpoint, which receives the comment with them.
             _ => {}
         }
         Ok(())
     }
 }
 
-fn invalid(key: &'static str, value: &str) -> StatementError {
+fn invalid_value(key: &'static str, value: &str) -> StatementError {
     StatementError::InvalidValue { key, value: value.to_string() }
 }
 
-/// A number of digits alone: no sign, no spaces.
+/// Parses a number of ASCII digits, without sign or whitespace; `None` for anything else.
 fn parse_digits<T: FromStr>(text: &str) -> Option<T> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
@@ -166,7 +168,7 @@
         let comment_length = text[comment_start..].find("*/").ok_or(StatementError::UnterminatedComment)?;
         let comment_end = comment_start + comment_length;
         let body = &text[comment_end + 2..];
-        let comment = Comment::parse(&text[comment_start..comment_end], comment_start)?;
+        let comment = RoutingComment::parse(&text[comment_start..comment_end], comment_start)?;
         let id = comment.id.ok_or(StatementError::MissingId)?;
         let client_timeout = comment.client_timeout.ok_or(StatementError::MissingClientTimeout)?;
         if body.trim().is_empty() {
@@ -190,7 +192,8 @@
 }
 
 impl Statement {
-    /// The statement as a host gets it: unchanged but for `d`, which becomes the time that is left, at least 1 ms.
+    /// The statement as it is sent to an endpoint: unchanged except for `d`, which becomes the remaining time, at least
+    /// 1 ms.
     pub fn with_timeout(&self, time_left: TimeDelta) -> String {
         let millis = time_left.as_millis().max(1);
         let before = &self.text[..self.timeout_digits.start];
--- a/src/net/postgres/statement/tests.rs
+++ b/src/net/postgres/statement/tests.rs
@@ -1,4 +1,4 @@
-//! Statements that are forwarded, and comments that are rejected.
+//! Forwarding of valid statements, and rejection of invalid routing comments.
 
 use super::*;
 
