--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -21,7 +21,7 @@
 use super::until;
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::engine::endpoints::EndpointChange;
+use crate::engine::endpoints::EndpointState;
 use crate::engine::{Command, EngineHandle, Input};
 use crate::routing::{EndpointId, LoadReport};
 use async_executor::LocalExecutor;
@@ -77,11 +77,20 @@
         handle: &EngineHandle<P::Request, P::Answer>,
     ) -> Option<Command<P::Request>> {
         match command {
-            Command::SendAttempt { id, attempt, endpoint, host, work, until, send_by, freshness } => {
+            Command::SendAttempt {
+                id,
+                attempt,
+                endpoint,
+                endpoint_name,
+                work,
+                until,
+                send_by,
+                freshness,
+            } => {
                 let spec = AttemptSpec {
                     key: AttemptKey { request: id, attempt },
                     endpoint,
-                    endpoint_name: host,
+                    endpoint_name,
                     request: work,
                     deadline: until,
                     send_by,
@@ -89,14 +98,16 @@
                 };
                 self.spawn_attempt(spec, executor, handle);
             }
-            Command::Probe { endpoint, host } => self.spawn_probe(endpoint, host, executor, handle),
+            Command::Probe { endpoint, endpoint_name } => {
+                self.spawn_probe(endpoint, endpoint_name, executor, handle)
+            }
             Command::Cancel { id, attempt } => {
                 // Dropping the entry ends the attempt, which closes its connection.
                 self.in_flight.borrow_mut().remove(&AttemptKey { request: id, attempt });
             }
-            Command::UpdateEndpoints(changes) => {
-                for change in changes {
-                    self.update_endpoint(change);
+            Command::UpdateEndpoints(changed) => {
+                for state in changed {
+                    self.update_endpoint(state);
                 }
             }
             Command::SkipInitialProbe(name) => self.set_needs_probe(&name, false),
@@ -112,10 +123,10 @@
 
     /// Adds, updates or removes an endpoint. Its idle connections are closed, because they lead to an earlier process
     /// or address.
-    fn update_endpoint(&self, change: EndpointChange) {
+    fn update_endpoint(&self, state: EndpointState) {
         let mut endpoints = self.endpoints.borrow_mut();
-        if change.gone {
-            if let Some(endpoint) = endpoints.remove(&change.name) {
+        if state.gone {
+            if let Some(endpoint) = endpoints.remove(&state.name) {
                 // Cancels connection attempts to it.
                 endpoint.closed.set();
             }
@@ -123,11 +134,11 @@
         }
         let generation = self.last_generation.get() + 1;
         self.last_generation.set(generation);
-        match endpoints.get_mut(&change.name) {
-            Some(endpoint) => endpoint.update(&change, generation),
+        match endpoints.get_mut(&state.name) {
+            Some(endpoint) => endpoint.update(&state, generation),
             None => {
-                let endpoint = PooledEndpoint::new(&change, generation);
-                endpoints.insert(change.name, endpoint);
+                let endpoint = PooledEndpoint::new(&state, generation);
+                endpoints.insert(state.name, endpoint);
             }
         }
     }
@@ -151,7 +162,7 @@
             let deadline = Instant::now() + pool.limits.connect_timeout;
             let report = until(deadline, pool.probe(&name)).await.flatten();
             let took = pool.clock.now() - started;
-            handle.input(Input::ProbeFinished { endpoint, took, report }).await;
+            handle.send_input(Input::ProbeFinished { endpoint, took, report }).await;
         };
         executor.spawn(task).detach();
     }
--- a/src/net/backend_pool/endpoint.rs
+++ b/src/net/backend_pool/endpoint.rs
@@ -1,7 +1,7 @@
 //! The pool's state of one endpoint.
 
 use super::connections::PooledConnection;
-use crate::engine::endpoints::EndpointChange;
+use crate::engine::endpoints::EndpointState;
 use crate::net::latch::Latch;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -31,27 +31,27 @@
 
 impl<C> PooledEndpoint<C> {
     /// An endpoint that was added to the list, without connections.
-    pub(super) fn new(change: &EndpointChange, generation: u64) -> PooledEndpoint<C> {
+    pub(super) fn new(state: &EndpointState, generation: u64) -> PooledEndpoint<C> {
         let endpoint = PooledEndpoint {
-            address: change.address,
-            open: change.open,
+            address: state.address,
+            open: state.open,
             closed: Latch::default(),
             idle: Vec::new(),
             needs_probe: true,
             generation,
         };
-        if !change.open {
+        if !state.open {
             endpoint.closed.set();
         }
         endpoint
     }
 
     /// Applies a restart, a new address or a new value of `open`, and closes the idle connections.
-    pub(super) fn update(&mut self, change: &EndpointChange, generation: u64) {
+    pub(super) fn update(&mut self, state: &EndpointState, generation: u64) {
         self.generation = generation;
-        self.address = change.address;
-        self.open = change.open;
-        if !change.open {
+        self.address = state.address;
+        self.open = state.open;
+        if !state.open {
             self.closed.set();
         } else if self.closed.is_set() {
             self.closed = Latch::default();
--- a/src/net/backend_pool/tests.rs
+++ b/src/net/backend_pool/tests.rs
@@ -37,7 +37,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let pool = BackendPool::new(StubProtocol, Rc::new(limits), Clock::start());
     let address = listener.local_addr().unwrap();
-    let added = EndpointChange { name: "a".into(), address, open: true, started_at: None, gone: false };
+    let added = EndpointState { name: "a".into(), address, open: true, started_at: None, gone: false };
     pool.update_endpoint(added);
     (pool, listener)
 }
@@ -51,12 +51,12 @@
     let address = listener.local_addr().unwrap();
     async_io::block_on(async {
         let earlier = pool.acquire("a").await.ok().unwrap();
-        let change =
-            |gone: bool| EndpointChange { name: "a".into(), address, open: !gone, started_at: None, gone };
-        pool.update_endpoint(change(true));
+        let state =
+            |gone: bool| EndpointState { name: "a".into(), address, open: !gone, started_at: None, gone };
+        pool.update_endpoint(state(true));
         assert!(pool.endpoints.borrow().is_empty());
         assert!(matches!(pool.acquire("a").await, Err(AttemptOutcome::ConnectFailed)));
-        pool.update_endpoint(change(false));
+        pool.update_endpoint(state(false));
         pool.release("a", earlier);
         assert_eq!(pool.connection_count(), 0, "a connection of an earlier generation is closed");
     });
