--- a/src/daemon/listeners.rs
+++ b/src/daemon/listeners.rs
@@ -47,12 +47,12 @@
     }
 
     /// Accepts nothing more; connections in the kernel's queue are left to another process on the same socket.
-    pub async fn abandon(self) {
+    pub async fn stop_now(self) {
         self.task.cancel().await;
     }
 
     /// Accepts the connections that are in the kernel's queue now, then nothing more.
-    pub async fn finish(self) {
+    pub async fn stop_after_backlog(self) {
         let _ = self.stop.try_send(());
         self.task.await;
     }
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -64,7 +64,7 @@
     let lifecycle = Rc::new(Lifecycle::default());
     let client_front = ClientFront::start(&config, client_listener, &limits, &lifecycle, &clock, &executor);
 
-    let settings_text = agreed_settings::wait(&fleet, &limits).await;
+    let settings_text = agreed_settings::wait_until_agreed(&fleet, &limits).await;
     agreed_settings::wait_until_current(&fleet, &limits).await;
     let agreed = AgreedSettings::parse(settings_text, &config)?;
     fleet.start_recovery(agreed.cold_start_policy());
@@ -112,7 +112,7 @@
         });
         let terminate = SignalStream::subscribe(Signal::Terminate)?;
         let ClientFront { limiter, acceptor, .. } = client_front;
-        let handover = Handover::Tier;
+        let handover = Handover::Peers;
         let OperatorDaemon { limits, lifecycle, .. } = self;
         let daemon = RunningDaemon { limits, limiter, lifecycle, engine, handover, acceptor, command_task };
         daemon.run(terminate).await
@@ -125,8 +125,9 @@
         report_fields: Vec<String>,
         observations_pending: Sender<()>,
     ) -> Task<()> {
-        let host_path = self.config.host_path.clone();
-        let protocol = SparqlBackend::new(self.limits.clone(), host_path, &self.config.name, report_fields);
+        let endpoint_path = self.config.endpoint_path.clone();
+        let protocol =
+            SparqlBackend::new(self.limits.clone(), endpoint_path, &self.config.name, report_fields);
         let backends = BackendPool::new(protocol, self.limits.clone(), self.clock.clone());
         let fleet = self.fleet.clone();
         let execute_other = async move |command| match command {
--- a/src/daemon/operator/agreed_settings.rs
+++ b/src/daemon/operator/agreed_settings.rs
@@ -76,7 +76,7 @@
 }
 
 /// The settings to run with, once some are agreed.
-pub async fn wait(fleet: &Fleet, limits: &Limits) -> String {
+pub async fn wait_until_agreed(fleet: &Fleet, limits: &Limits) -> String {
     let changed = fleet.subscribe();
     let started_at = Instant::now();
     let mut has_warned = false;
--- a/src/daemon/operator/fleet_startup.rs
+++ b/src/daemon/operator/fleet_startup.rs
@@ -36,7 +36,7 @@
 pub fn read_local_files(config: &OperatorConfig, limits: &Limits) -> Result<FileContents, DaemonError> {
     let settings = config.settings.clone().map(|text| (text, config.modified_at));
     let mut files = FileContents { settings, inventory: None };
-    if let Some(path) = &config.inventory {
+    if let Some(path) = &config.inventory_path {
         let read = operator_config::load_inventory(path, &config.zones, limits)?;
         files.inventory = Some((read.inventory, read.modified_at));
     }
@@ -48,7 +48,7 @@
 /// # Errors
 /// [`DaemonError::Store`] and [`DaemonError::Listen`].
 pub fn open_store(config: &OperatorConfig) -> Result<OpenedStore, DaemonError> {
-    let opened = match &config.store.snapshot {
+    let opened = match &config.store.file {
         Some(path) => DurableStorage::open(path),
         None => DurableStorage::in_memory(),
     };
@@ -80,7 +80,7 @@
         name: config.name.clone(),
         address: config.store.advertise.unwrap_or(address),
         configured_peers: config.store.peers.clone(),
-        evacuation_policy: config.leaving.clone(),
+        evacuation_policy: config.evacuation_policy.clone(),
     };
     let limits = Rc::new(store_limits(limits));
     let fleet = Fleet::new(local, limits.clone(), clock.clone(), executor.clone(), opened, commands);
--- a/src/daemon/operator/inventory_reload.rs
+++ b/src/daemon/operator/inventory_reload.rs
@@ -45,7 +45,7 @@
     loop {
         let next_check = Instant::now() + limits.file_check_interval;
         let is_requested = until(next_check, hangup.received()).await.is_some();
-        let Some(path) = &config.inventory else { continue };
+        let Some(path) = &config.inventory_path else { continue };
         let version = FileVersion::of(path);
         if version == known_version && !is_requested {
             continue;
--- a/src/daemon/operator_config.rs
+++ b/src/daemon/operator_config.rs
@@ -33,17 +33,17 @@
     /// Where the administration server listens, if there is one.
     pub admin: Option<SocketAddr>,
     /// Path at which backends answer operations.
-    pub host_path: String,
+    pub endpoint_path: String,
     /// The SPARQL front.
     pub service: Service,
     /// The store.
     pub store: StoreConfig,
     /// The inventory, if this daemon reads one.
-    pub inventory: Option<PathBuf>,
+    pub inventory_path: Option<PathBuf>,
     /// Names of the zones, by number.
     pub zones: Vec<String>,
     /// How zones are evacuated.
-    pub leaving: EvacuationPolicy,
+    pub evacuation_policy: EvacuationPolicy,
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// Settings of the service as `path=value` lines, to be proposed to the fleet; `None`: those that the fleet has.
@@ -62,7 +62,7 @@
     /// The address at which peers reach this store, if it is not `listen`.
     pub advertise: Option<SocketAddr>,
     /// The file on the disk; `None`: a store that ends with the process.
-    pub snapshot: Option<PathBuf>,
+    pub file: Option<PathBuf>,
 }
 
 /// An inventory with the age of its file, by which the fleet tells the newer one of two.
--- a/src/daemon/operator_config/reader.rs
+++ b/src/daemon/operator_config/reader.rs
@@ -15,7 +15,7 @@
     ["name", "number", "sparql", "admin", "store", "inventory", "zones", "leaving", "sockets", "settings"];
 const FRONT_KEYS: [&str; 7] = ["listen", "path", "host_path", "query", "session", "update", "group"];
 const STORE_KEYS: [&str; 4] = ["listen", "advertise", "peers", "snapshot"];
-const LEAVING_KEYS: [&str; 3] = ["automatic", "dwell", "longest"];
+const EVACUATION_KEYS: [&str; 3] = ["automatic", "dwell", "longest"];
 
 const DEFAULT_URL_PATH: &str = "/sparql";
 /// Bounds of the dwell times that a file may state.
@@ -48,11 +48,11 @@
         number: file.optional("number", |node| Ok(node.parsed("number")?))?.unwrap_or(0),
         listen: loopback(front.required("listen")?, "listen")?,
         admin: file.optional("admin", |node| loopback(node, "admin"))?,
-        host_path: url_path(&front, "host_path")?,
+        endpoint_path: url_path(&front, "host_path")?,
         service: service(&front)?,
         store: store_config(&store, peers, folder)?,
-        inventory: file.optional("inventory", |node| file_path(node, folder))?,
-        leaving: leaving(&file, &zones)?,
+        inventory_path: file.optional("inventory", |node| file_path(node, folder))?,
+        evacuation_policy: evacuation_policy(&file, &zones)?,
         zones,
         sockets: file.optional("sockets", |node| Ok(node.parsed("sockets")?))?.unwrap_or(DEFAULT_SOCKETS),
         settings,
@@ -154,25 +154,25 @@
         listen: loopback(store.required("listen")?, "listen")?,
         advertise: store.optional("advertise", |node| loopback(node, "advertise"))?,
         peers,
-        snapshot: store.optional("snapshot", |node| file_path(node, folder))?,
+        file: store.optional("snapshot", |node| file_path(node, folder))?,
     })
 }
 
 /// How zones are evacuated, with times in seconds.
-fn leaving(file: &Section<'_>, zones: &[String]) -> Result<EvacuationPolicy, OperatorConfigError> {
-    let mut leaving = EvacuationPolicy { zone_names: zones.to_vec(), ..EvacuationPolicy::default() };
-    let Some(node) = file.node.get("leaving") else { return Ok(leaving) };
-    let section = Section::new(node, &LEAVING_KEYS, "leaving")?;
+fn evacuation_policy(file: &Section<'_>, zones: &[String]) -> Result<EvacuationPolicy, OperatorConfigError> {
+    let mut policy = EvacuationPolicy { zone_names: zones.to_vec(), ..EvacuationPolicy::default() };
+    let Some(node) = file.node.get("leaving") else { return Ok(policy) };
+    let section = Section::new(node, &EVACUATION_KEYS, "leaving")?;
     let automatic = section.optional("automatic", |node| Ok(node.parsed("true or false")?))?;
-    leaving.automatic = automatic.unwrap_or(true);
-    let least = section.optional("dwell", dwell_time)?.unwrap_or(leaving.backoff.initial);
-    let default_longest = leaving.backoff.maximum.max(least);
-    let longest = section.optional("longest", dwell_time)?.unwrap_or(default_longest);
-    if longest < least {
+    policy.automatic = automatic.unwrap_or(true);
+    let initial = section.optional("dwell", dwell_time)?.unwrap_or(policy.backoff.initial);
+    let default_maximum = policy.backoff.maximum.max(initial);
+    let maximum = section.optional("longest", dwell_time)?.unwrap_or(default_maximum);
+    if maximum < initial {
         return Err(node.error(OperatorConfigProblem::DwellContradiction));
     }
-    leaving.backoff = EvacuationBackoff { initial: least, maximum: longest };
-    Ok(leaving)
+    policy.backoff = EvacuationBackoff { initial, maximum };
+    Ok(policy)
 }
 
 fn dwell_time(node: &Node) -> Result<TimeDelta, OperatorConfigError> {
--- a/src/daemon/operator_config/settings.rs
+++ b/src/daemon/operator_config/settings.rs
@@ -68,7 +68,7 @@
 const REPORT_FIELDS: &str = "x0,x1,up,util";
 
 /// What the daemon itself decides, whatever is agreed.
-const OWN_SETTINGS: &[(&str, &str)] = &[
+const FIXED_SETTINGS: &[(&str, &str)] = &[
     ("discovery", "automatic"),
     ("limits.may-cancel", "true"),
     ("limits.second-copies", "false"),
@@ -100,7 +100,7 @@
         let (path, value) = line.split_once('=').ok_or_else(|| SettingsError::NotAPair(line.to_string()))?;
         pairs.insert(path.to_string(), value.to_string());
     }
-    for (path, value) in OWN_SETTINGS {
+    for (path, value) in FIXED_SETTINGS {
         pairs.insert(path.to_string(), value.to_string());
     }
     pairs.insert("me".to_string(), daemon_number.to_string());
@@ -130,8 +130,8 @@
         return Err(section.error(OperatorConfigProblem::NoClasses));
     }
     check_classes(section, &pairs, class_count)?;
-    move_class_guarantees(&mut pairs, class_count);
-    add_defaults(&mut pairs);
+    collect_class_consistency(&mut pairs, class_count);
+    add_polling_defaults(&mut pairs);
     let mut text = String::new();
     for (path, value) in &pairs {
         text.push_str(&format!("{path}={value}\n"));
@@ -208,7 +208,7 @@
 }
 
 /// The file states consistency and age with each class; the decision module reads them as one list of all classes.
-fn move_class_guarantees(pairs: &mut BTreeMap<String, String>, class_count: usize) {
+fn collect_class_consistency(pairs: &mut BTreeMap<String, String>, class_count: usize) {
     let mut consistencies = Vec::new();
     let mut max_ages = Vec::new();
     for class in 0..class_count {
@@ -220,7 +220,7 @@
 }
 
 /// Backends that serve whatever state they have are polled for their log position; others reject reads by themselves.
-fn add_defaults(pairs: &mut BTreeMap<String, String>) {
+fn add_polling_defaults(pairs: &mut BTreeMap<String, String>) {
     let rejects_stale_reads = pairs.get("family-info.behind").is_some_and(|policy| policy != "none");
     pairs.entry("family-info.behind".to_string()).or_insert_with(|| "none".to_string());
     pairs.entry("limits.probes".to_string()).or_insert_with(|| (!rejects_stale_reads).to_string());
--- a/src/daemon/operator_config/tests.rs
+++ b/src/daemon/operator_config/tests.rs
@@ -10,7 +10,7 @@
     let config =
         parse(Path::new("deploy/operator.yaml"), FILE, Timestamp::from_micros(7), &Limits::for_sockets(0))
             .unwrap();
-    assert_eq!(config.inventory, Some(PathBuf::from("deploy/inventory.yaml")));
+    assert_eq!(config.inventory_path, Some(PathBuf::from("deploy/inventory.yaml")));
     let ParsedSettings { settings, class_names, .. } =
         parse_settings(config.settings.as_deref().unwrap(), 1).unwrap();
     assert_eq!(class_names, ["catalog-read", "own-edit-read", "score-write"]);
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -74,7 +74,7 @@
     // Before anything else: without handlers these signals would end the process with accepted requests unanswered.
     let hangup = SignalStream::subscribe(Signal::Hangup)?;
     let terminate = SignalStream::subscribe(Signal::Terminate)?;
-    let limits = Rc::new(limits(&config));
+    let limits = Rc::new(daemon_limits(&config));
     let clock = Clock::start();
     let mut settings = config.settings.clone();
     let classes = Classes::new(config.classes.clone(), &mut settings);
@@ -156,7 +156,7 @@
     fn start_lists(&self, hangup: SignalStream) {
         self.discovery.follow_configuration(&self.executor, self.path.clone(), hangup);
         if self.config.cached_list.is_some() {
-            self.lists.serve_cached_if_discovery_is_silent(&self.executor, &self.engine, &self.limits);
+            self.lists.serve_cached_list_on_discovery_timeout(&self.executor, &self.engine, &self.limits);
         }
     }
 
@@ -197,7 +197,7 @@
     })
 }
 
-fn limits(config: &PlatformConfig) -> Limits {
+fn daemon_limits(config: &PlatformConfig) -> Limits {
     let machine = Machine::platform(config.sockets, config.memory_mb);
     let machine = if config.inherited_socket.is_some() { machine.half() } else { machine };
     let machine = if config.admin.is_some() { machine.with_admin_server() } else { machine };
@@ -217,9 +217,9 @@
     if config.inherited_socket.is_some() {
         Handover::Successor
     } else if config.settings.pooler_count == Some(1) {
-        Handover::Nobody
+        Handover::NoPeers
     } else {
-        Handover::Tier
+        Handover::Peers
     }
 }
 
--- a/src/daemon/platform/endpoint_lists.rs
+++ b/src/daemon/platform/endpoint_lists.rs
@@ -39,7 +39,7 @@
     /// Hands the cached list to the engine if discovery does not answer within `cached_list_delay`; until then requests
     /// are queued. Discovery's own list takes precedence from the first moment, since it tells of drains: the cached
     /// one serves only where waiting for a newer one would serve nobody.
-    pub fn serve_cached_if_discovery_is_silent<W, A>(
+    pub fn serve_cached_list_on_discovery_timeout<W, A>(
         &self,
         executor: &Executor,
         engine: &EngineHandle<W, A>,
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Handover {
     /// The other poolers of its tier: it accepts connections until its routing is updated, then ends.
-    Tier,
+    Peers,
     /// Nobody: it serves the clients that it has for as long as their deadlines allow.
-    Nobody,
+    NoPeers,
     /// A successor process that listens on the same socket: it accepts nothing more.
     Successor,
 }
@@ -61,8 +61,8 @@
             lifecycle.terminate();
             let client_timeout = engine.longest_client_timeout();
             let drain = match handover {
-                Handover::Nobody => limits.drain_times_without_peers(client_timeout),
-                Handover::Tier | Handover::Successor => limits.drain_times(client_timeout),
+                Handover::NoPeers => limits.drain_times_without_peers(client_timeout),
+                Handover::Peers | Handover::Successor => limits.drain_times(client_timeout),
             };
             stop_accepting(handover, acceptor, signalled_at, drain.accept_period).await;
             let end = signalled_at + drain.total;
@@ -83,13 +83,13 @@
     if handover == Handover::Successor {
         // New connections belong to the successor, which listens on the same socket.
         log::info!("SIGTERM: draining");
-        acceptor.abandon().await;
+        acceptor.stop_now().await;
     } else {
         // The load balancer in front assigns connections a little longer, and clients use the connections that they
         // have as long as these stay open: all requests that arrive in this period are accepted and answered.
         log::info!("SIGTERM: draining, serving for {accept_period:?} more");
         Timer::at(signalled_at + accept_period).await;
-        acceptor.finish().await;
+        acceptor.stop_after_backlog().await;
     }
 }
 
@@ -104,7 +104,7 @@
     let final_answers_at = end - limits.final_answer_margin;
     if until(final_answers_at, limiter.wait_until_empty()).await.is_none() {
         engine.send_control(Control::FinishAll).await;
-        limiter.abort_incomplete();
+        limiter.evict_incomplete();
         until(end, limiter.wait_until_empty()).await;
     }
 }
--- a/src/fleet/admin_api/mod.rs
+++ b/src/fleet/admin_api/mod.rs
@@ -57,7 +57,7 @@
             Next::Request(request) => request,
         };
         let Answer { status, text } = answer(&fleet, &request).await;
-        let stays_open = request.keeps_open() && !connection.ends();
+        let stays_open = request.keeps_open() && !connection.must_close();
         let is_written = connection.write(&server::answer(status, &[], &text)).await.is_ok();
         if !is_written || !stays_open {
             break;
--- a/src/main.rs
+++ b/src/main.rs
@@ -131,7 +131,7 @@
 fn check(file: &str) -> Result<(), ProgramError> {
     let config = operator_config::load(Path::new(file))?;
     let limits = Limits::for_sockets(config.sockets);
-    let endpoint_count = match &config.inventory {
+    let endpoint_count = match &config.inventory_path {
         Some(path) => operator_config::load_inventory(path, &config.zones, &limits)?.inventory.hosts.len(),
         None => 0,
     };
--- a/src/net/answer_stream.rs
+++ b/src/net/answer_stream.rs
@@ -24,9 +24,9 @@
     /// The sender was dropped before the end of the answer.
     ChannelClosed,
     /// The client has sent more, which was appended to its buffer.
-    ClientSentMore,
+    ClientData,
     /// The client has left.
-    ClientLeft,
+    ClientDisconnected,
 }
 
 /// Waits for a message for a client, and reads what the client sends meanwhile.
@@ -43,8 +43,8 @@
     };
     let read = async {
         match connection.read_ahead(input).await {
-            ReadAhead::Received => AnswerEvent::ClientSentMore,
-            ReadAhead::Departed => AnswerEvent::ClientLeft,
+            ReadAhead::Received => AnswerEvent::ClientData,
+            ReadAhead::Disconnected => AnswerEvent::ClientDisconnected,
         }
     };
     // The first one wins where both are there: an answer is written before more is read.
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -67,7 +67,7 @@
     /// Bytes were read.
     Received,
     /// The client has closed the connection, or it broke.
-    Departed,
+    Disconnected,
 }
 
 /// A client's connection.
@@ -104,7 +104,7 @@
     }
 
     /// Whether the connection is to be closed once no request is open.
-    pub fn ends(&self) -> bool {
+    pub fn must_close(&self) -> bool {
         self.slot.must_close()
     }
 
@@ -116,11 +116,11 @@
 
     /// When the last byte of the request arrived that was just taken, where `unread` bytes are buffered behind it.
     pub fn arrival_time(&mut self, unread: usize) -> Timestamp {
-        self.arrival_times.of_last_consumed(unread).unwrap_or_else(|| self.clock.now())
+        self.arrival_times.last_consumed_at(unread).unwrap_or_else(|| self.clock.now())
     }
 
     /// Whether the client has closed its connection, though bytes of it may be unread.
-    pub fn has_departed(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         let mut polled = [PollFd::new(&self.stream, PollFlags::RDHUP)];
         let without_waiting = Timespec { tv_sec: 0, tv_nsec: 0 };
         let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
@@ -132,10 +132,10 @@
     ///
     /// Costs a system call, and so is looked for only where the request may have waited to be read: at a connection's
     /// first request, and after `Limits::departure_check_interval` in the buffer.
-    pub fn has_departed_since(&self, arrived_at: Timestamp) -> bool {
+    pub fn has_disconnected_since(&self, arrived_at: Timestamp) -> bool {
         let check_interval = TimeDelta::from(self.limits.departure_check_interval);
         let waited = self.clock.now() - arrived_at >= check_interval;
-        (waited || !self.slot.has_received_request()) && self.has_departed()
+        (waited || !self.slot.has_received_request()) && self.has_disconnected()
     }
 
     /// Reads once; 0 at the end of the stream.
@@ -202,20 +202,20 @@
     pub async fn read_ahead(&mut self, into: &mut Buffer) -> ReadAhead {
         if into.unread().len() > self.limits.read_ahead_bytes {
             self.arrival_times.pause(self.clock.now());
-            while !self.has_departed() {
+            while !self.has_disconnected() {
                 Timer::after(self.limits.departure_check_interval).await;
             }
-            return ReadAhead::Departed;
+            return ReadAhead::Disconnected;
         }
         match self.read(into).await {
             Ok(count) if count > 0 => ReadAhead::Received,
-            _ => ReadAhead::Departed,
+            _ => ReadAhead::Disconnected,
         }
     }
 
     /// Waits until the client closes the connection. Input that comes meanwhile is buffered, up to
     /// `Limits::read_ahead_bytes`.
-    pub async fn wait_for_departure(&mut self, into: &mut Buffer) {
+    pub async fn wait_for_disconnect(&mut self, into: &mut Buffer) {
         while self.read_ahead(into).await == ReadAhead::Received {}
     }
 
--- a/src/net/connection/arrival_times.rs
+++ b/src/net/connection/arrival_times.rs
@@ -76,7 +76,7 @@
 
     /// When the last consumed byte arrived, where the buffer holds `unread` bytes behind it; `None` before the first
     /// read.
-    pub(super) fn of_last_consumed(&mut self, unread: usize) -> Option<Timestamp> {
+    pub(super) fn last_consumed_at(&mut self, unread: usize) -> Option<Timestamp> {
         let consumed = self.total_bytes.saturating_sub(unread as u64);
         while self.reads.len() > 1 && self.reads.front().is_some_and(|read| read.end < consumed) {
             self.reads.pop_front();
--- a/src/net/connection/arrival_times/tests.rs
+++ b/src/net/connection/arrival_times/tests.rs
@@ -11,16 +11,16 @@
 #[test]
 fn a_request_arrived_when_its_last_byte_was_read() {
     let mut arrivals = ArrivalTimes::default();
-    assert_eq!(arrivals.of_last_consumed(0), None);
+    assert_eq!(arrivals.last_consumed_at(0), None);
     arrivals.record_read(0, 100, at(1_000));
     arrivals.record_read(100, 50, at(2_000));
     arrivals.record_read(150, 10, at(3_000));
-    assert_eq!(arrivals.of_last_consumed(100), Some(at(1_000)), "60 of the first 100 are consumed");
-    assert_eq!(arrivals.of_last_consumed(60), Some(at(1_000)), "all of the first 100");
-    assert_eq!(arrivals.of_last_consumed(59), Some(at(2_000)), "one more");
-    assert_eq!(arrivals.of_last_consumed(0), Some(at(3_000)));
+    assert_eq!(arrivals.last_consumed_at(100), Some(at(1_000)), "60 of the first 100 are consumed");
+    assert_eq!(arrivals.last_consumed_at(60), Some(at(1_000)), "all of the first 100");
+    assert_eq!(arrivals.last_consumed_at(59), Some(at(2_000)), "one more");
+    assert_eq!(arrivals.last_consumed_at(0), Some(at(3_000)));
     arrivals.record_read(0, 1, at(9_000));
-    assert_eq!(arrivals.of_last_consumed(0), Some(at(9_000)));
+    assert_eq!(arrivals.last_consumed_at(0), Some(at(9_000)));
     assert_eq!(arrivals.reads.len(), 1, "consumed reads are dropped");
 }
 
@@ -33,10 +33,10 @@
     arrivals.pause(at(2_500));
     arrivals.record_read(READ_CHUNK_BYTES, READ_CHUNK_BYTES, at(8_000));
     arrivals.record_read(2 * READ_CHUNK_BYTES, 7, at(8_500));
-    assert_eq!(arrivals.of_last_consumed(7), Some(at(2_000)));
-    assert_eq!(arrivals.of_last_consumed(0), Some(at(2_000)), "the kernel held more than one chunk");
+    assert_eq!(arrivals.last_consumed_at(7), Some(at(2_000)));
+    assert_eq!(arrivals.last_consumed_at(0), Some(at(2_000)), "the kernel held more than one chunk");
     arrivals.record_read(0, 5, at(9_000));
-    assert_eq!(arrivals.of_last_consumed(0), Some(at(9_000)), "by then its buffer was empty");
+    assert_eq!(arrivals.last_consumed_at(0), Some(at(9_000)), "by then its buffer was empty");
 }
 
 /// Guards against memory that grows with every read, and against a request that is given the time of one that was
@@ -47,10 +47,10 @@
     for n in 0..10_000 {
         arrivals.record_read(0, 10, at(n));
     }
-    assert_eq!((arrivals.reads.len(), arrivals.of_last_consumed(0)), (1, Some(at(9_999))));
+    assert_eq!((arrivals.reads.len(), arrivals.last_consumed_at(0)), (1, Some(at(9_999))));
     for n in 1..=10_000 {
         arrivals.record_read(n, 1, at(20_000 + n as i64));
         assert!(arrivals.reads.len() <= MAX_TRACKED_READS);
     }
-    assert_eq!(arrivals.of_last_consumed(0), Some(at(30_000)), "the last byte has its own time");
+    assert_eq!(arrivals.last_consumed_at(0), Some(at(30_000)), "the last byte has its own time");
 }
--- a/src/net/connection_limiter.rs
+++ b/src/net/connection_limiter.rs
@@ -82,7 +82,7 @@
     }
 
     /// Evicts every connection whose request is not complete, so that it closes at once.
-    pub fn abort_incomplete(&self) {
+    pub fn evict_incomplete(&self) {
         for connection in self.active.borrow().values() {
             if connection.state() == SlotState::AwaitingRequest {
                 connection.evict();
--- a/src/net/connection_limiter/eviction.rs
+++ b/src/net/connection_limiter/eviction.rs
@@ -1,11 +1,11 @@
 //! Which connections close: for a new one, after a long idle time, and while the process is drained.
 
-use super::slot::{Connections, SlotState, TrackedConnection};
+use super::slot::{ConnectionRecord, Connections, SlotState};
 use crate::config::Limits;
 use std::rc::Rc;
 
 /// The connection that has been closing for the longest and is not evicted yet.
-pub(super) fn longest_closing(connections: &Connections) -> Option<&Rc<TrackedConnection>> {
+pub(super) fn longest_closing(connections: &Connections) -> Option<&Rc<ConnectionRecord>> {
     connections
         .values()
         .filter(|connection| connection.state() == SlotState::Closing && !connection.is_evicted())
@@ -40,7 +40,7 @@
 
 /// The connection to close for a new one: first one that has sent no complete request within
 /// `Limits::silent_client_grace`, then one that is idle, then one that has sent nothing for a shorter time.
-fn select_victim<'a>(active: &'a Connections, limits: &Limits) -> Option<&'a Rc<TrackedConnection>> {
+fn select_victim<'a>(active: &'a Connections, limits: &Limits) -> Option<&'a Rc<ConnectionRecord>> {
     let silent = longest_in_state(active, SlotState::AwaitingRequest);
     let past_grace = silent.filter(|connection| connection.time_in_state() >= limits.silent_client_grace);
     past_grace.or_else(|| longest_in_state(active, SlotState::Idle)).or(silent)
@@ -48,7 +48,7 @@
 
 /// The connection that has been in a state for the longest. Those with one request at the most come first: some clients
 /// send one and keep their connection for good.
-fn longest_in_state(active: &Connections, state: SlotState) -> Option<&Rc<TrackedConnection>> {
+fn longest_in_state(active: &Connections, state: SlotState) -> Option<&Rc<ConnectionRecord>> {
     active
         .values()
         .filter(|connection| connection.state() == state && !connection.must_close())
@@ -62,7 +62,7 @@
 /// sending requests.
 pub(super) fn close_idle(active: &Connections, limits: &Limits) {
     let mut served: usize = 0;
-    let mut used_once: Vec<&Rc<TrackedConnection>> = Vec::new();
+    let mut used_once: Vec<&Rc<ConnectionRecord>> = Vec::new();
     for connection in active.values() {
         if connection.must_close() || connection.state() == SlotState::AwaitingRequest {
             continue;
--- a/src/net/connection_limiter/slot.rs
+++ b/src/net/connection_limiter/slot.rs
@@ -21,10 +21,10 @@
 }
 
 /// Connections by the number of their slot.
-pub(super) type Connections = BTreeMap<u64, Rc<TrackedConnection>>;
+pub(super) type Connections = BTreeMap<u64, Rc<ConnectionRecord>>;
 
 /// What the limiter knows of one connection, shared with its slot.
-pub(super) struct TrackedConnection {
+pub(super) struct ConnectionRecord {
     state: Cell<SlotState>,
     state_since: Cell<Instant>,
     requests_received: Cell<u32>,
@@ -34,9 +34,9 @@
     eviction: Latch,
 }
 
-impl TrackedConnection {
-    fn new() -> TrackedConnection {
-        TrackedConnection {
+impl ConnectionRecord {
+    fn new() -> ConnectionRecord {
+        ConnectionRecord {
             state: Cell::new(SlotState::AwaitingRequest),
             state_since: Cell::new(Instant::now()),
             requests_received: Cell::new(0),
@@ -83,7 +83,7 @@
 pub struct ConnectionSlot {
     limiter: Rc<ConnectionLimiter>,
     id: u64,
-    connection: Rc<TrackedConnection>,
+    connection: Rc<ConnectionRecord>,
     decision: AcceptDecision,
     /// Bytes of `Limits::message_budget_bytes` that this connection has reserved.
     reserved_message_bytes: usize,
@@ -94,7 +94,7 @@
     pub(super) fn new(limiter: &Rc<ConnectionLimiter>, decision: AcceptDecision) -> ConnectionSlot {
         let id = limiter.next_id.get();
         limiter.next_id.set(id + 1);
-        let connection = Rc::new(TrackedConnection::new());
+        let connection = Rc::new(ConnectionRecord::new());
         limiter.connections(decision).borrow_mut().insert(id, connection.clone());
         ConnectionSlot { limiter: limiter.clone(), id, connection, decision, reserved_message_bytes: 0 }
     }
--- a/src/net/connection_limiter/tests.rs
+++ b/src/net/connection_limiter/tests.rs
@@ -176,6 +176,6 @@
     let partial = limiter.admit().unwrap();
     limiter.close_after_request();
     assert!(partial.must_close() && !partial.is_evicted());
-    limiter.abort_incomplete();
+    limiter.evict_incomplete();
     assert!(partial.is_evicted());
 }
--- a/src/net/gossip_socket.rs
+++ b/src/net/gossip_socket.rs
@@ -30,7 +30,7 @@
 enum DropReason {
     TooLong,
     UnknownSender,
-    Unreadable,
+    Malformed,
 }
 
 impl fmt::Display for DropReason {
@@ -38,7 +38,7 @@
         f.write_str(match self {
             DropReason::TooLong => "too long",
             DropReason::UnknownSender => "from an unknown sender",
-            DropReason::Unreadable => "unreadable",
+            DropReason::Malformed => "unreadable",
         })
     }
 }
@@ -115,7 +115,7 @@
         let position = self.peers.iter().position(|peer| *peer == sender);
         let number = position.ok_or(DropReason::UnknownSender)?;
         if PrimaryHint::read(bytes).is_none() {
-            return Err(DropReason::Unreadable);
+            return Err(DropReason::Malformed);
         }
         Ok(number as u16)
     }
--- a/src/net/inherited_socket.rs
+++ b/src/net/inherited_socket.rs
@@ -8,34 +8,34 @@
 use std::os::fd::{OwnedFd, RawFd};
 use thiserror::Error;
 
-/// Why the clients' socket cannot be inherited. `stated` is the value of the environment variable.
+/// Why the clients' socket cannot be inherited. `value` is the value of the environment variable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InheritedSocketError {
     /// The value is no number of a descriptor.
-    #[error("GW_PASSED_SOCKET={stated}: not the number of a descriptor")]
+    #[error("GW_PASSED_SOCKET={value}: not the number of a descriptor")]
     InvalidNumber {
         /// The value.
-        stated: String,
+        value: String,
     },
     /// The process cannot copy a descriptor of this number.
-    #[error("GW_PASSED_SOCKET={stated}: {source}")]
+    #[error("GW_PASSED_SOCKET={value}: {source}")]
     Unavailable {
         /// The value.
-        stated: String,
+        value: String,
         /// The error of the system.
         source: Errno,
     },
     /// The descriptor is something else than a socket.
-    #[error("GW_PASSED_SOCKET={stated}: no socket")]
+    #[error("GW_PASSED_SOCKET={value}: no socket")]
     NotASocket {
         /// The value.
-        stated: String,
+        value: String,
     },
     /// The socket is connected, or carries datagrams.
-    #[error("GW_PASSED_SOCKET={stated}: a socket that does not listen")]
+    #[error("GW_PASSED_SOCKET={value}: a socket that does not listen")]
     NotListening {
         /// The value.
-        stated: String,
+        value: String,
     },
 }
 
@@ -47,15 +47,15 @@
 /// # Errors
 /// [`InheritedSocketError`] where the number leads to no listening stream socket.
 pub fn from_descriptor(number: &str) -> Result<TcpListener, InheritedSocketError> {
-    let stated = || number.to_string();
+    let value = || number.to_string();
     let parsed = number.trim().parse().ok().filter(|descriptor: &RawFd| *descriptor >= 0);
-    let descriptor = parsed.ok_or_else(|| InheritedSocketError::InvalidNumber { stated: stated() })?;
+    let descriptor = parsed.ok_or_else(|| InheritedSocketError::InvalidNumber { value: value() })?;
     let socket = copy_descriptor(descriptor)
-        .map_err(|source| InheritedSocketError::Unavailable { stated: stated(), source })?;
+        .map_err(|source| InheritedSocketError::Unavailable { value: value(), source })?;
     let listens =
-        socket_acceptconn(&socket).map_err(|_| InheritedSocketError::NotASocket { stated: stated() })?;
+        socket_acceptconn(&socket).map_err(|_| InheritedSocketError::NotASocket { value: value() })?;
     if !listens || socket_type(&socket) != Ok(SocketType::STREAM) {
-        return Err(InheritedSocketError::NotListening { stated: stated() });
+        return Err(InheritedSocketError::NotListening { value: value() });
     }
     Ok(TcpListener::from(socket))
 }
--- a/src/net/postgres/front/client.rs
+++ b/src/net/postgres/front/client.rs
@@ -86,8 +86,8 @@
                     AnswerEvent::ChannelClosed => {
                         self.write_final_answer(FinalAnswer::Failed { overdue: false }).await?;
                     }
-                    AnswerEvent::ClientSentMore => {}
-                    AnswerEvent::ClientLeft => return Ok(ControlFlow::Break(())),
+                    AnswerEvent::ClientData => {}
+                    AnswerEvent::ClientDisconnected => return Ok(ControlFlow::Break(())),
                 }
             }
             Some(PendingAnswer::Close(bytes)) => {
@@ -126,7 +126,7 @@
         let connection = &mut self.connection;
         let input = self.session.input_buffer();
         let client_left = async {
-            connection.wait_for_departure(input).await;
+            connection.wait_for_disconnect(input).await;
             ControlFlow::Break(())
         };
         let deadline = Instant::now() + self.front.limits.readiness_timeout;
@@ -172,9 +172,9 @@
                     let reason = "the host ended in the middle of an answer";
                     return Err(io::Error::new(io::ErrorKind::UnexpectedEof, reason));
                 }
-                AnswerEvent::ClientSentMore => {}
+                AnswerEvent::ClientData => {}
                 // A host that stalls must not hold an attempt for a client that has left.
-                AnswerEvent::ClientLeft => return Err(io::ErrorKind::ConnectionAborted.into()),
+                AnswerEvent::ClientDisconnected => return Err(io::ErrorKind::ConnectionAborted.into()),
             }
         }
     }
--- a/src/net/postgres/front/submission.rs
+++ b/src/net/postgres/front/submission.rs
@@ -64,7 +64,7 @@
     async fn accept_query(&mut self, text: &str) -> io::Result<PendingAnswer> {
         let unread = self.session.input_buffer().unread().len();
         let arrived = self.connection.arrival_time(unread);
-        if self.connection.has_departed_since(arrived) {
+        if self.connection.has_disconnected_since(arrived) {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         self.connection.request_received();
--- a/src/net/postgres/host.rs
+++ b/src/net/postgres/host.rs
@@ -64,7 +64,7 @@
     Malformed,
     /// Nobody takes the streamed row any more.
     #[error("the client has left")]
-    ClientLeft,
+    ClientDisconnected,
 }
 
 impl PostgresBackend {
@@ -132,7 +132,7 @@
 
 async fn send_chunk(stream: Option<&Sender<StreamChunk>>, rows: Vec<u8>) -> Result<(), ReceiveError> {
     let Some(stream) = stream else { return Ok(()) };
-    stream.send(StreamChunk::Data(rows)).await.map_err(|_| ReceiveError::ClientLeft)
+    stream.send(StreamChunk::Data(rows)).await.map_err(|_| ReceiveError::ClientDisconnected)
 }
 
 impl BackendProtocol for PostgresBackend {
@@ -186,7 +186,9 @@
         let response = BackendResponse::to_query(row_limits);
         let received = match self.receive(connection, response, open_stream).await {
             Ok(received) => received,
-            Err(ReceiveError::ClientLeft) => return ExchangeResult::outcome_only(AttemptOutcome::Cancelled),
+            Err(ReceiveError::ClientDisconnected) => {
+                return ExchangeResult::outcome_only(AttemptOutcome::Cancelled);
+            }
             Err(ReceiveError::ConnectionLost) => {
                 return ExchangeResult::outcome_only(attempt.connection_lost());
             }
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -94,7 +94,7 @@
         let mut buffer = Buffer::default();
         loop {
             match self.serve_request(&mut connection, &mut buffer).await {
-                Ok(AfterResponse::KeepOpen) if !(connection.ends() && buffer.unread().is_empty()) => {}
+                Ok(AfterResponse::KeepOpen) if !(connection.must_close() && buffer.unread().is_empty()) => {}
                 Ok(AfterResponse::KeepOpen | AfterResponse::Close) => break,
                 // No proper end of the connection: the client must see that what it has is not complete.
                 Ok(AfterResponse::Abort) | Err(_) => return,
@@ -201,7 +201,7 @@
             return responder.write_answer(lost_commit_answer(position)).await;
         }
         let arrived = responder.connection.arrival_time(responder.buffer.unread().len());
-        if responder.connection.has_departed() {
+        if responder.connection.has_disconnected() {
             return Ok(AfterResponse::Abort);
         }
         // The answer has to reach the client before it stops waiting.
@@ -230,7 +230,7 @@
     ) -> Option<FinalAnswer<HostAnswer>> {
         let answered = async { Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { overdue: false })) };
         let client_left = async {
-            responder.connection.wait_for_departure(responder.buffer).await;
+            responder.connection.wait_for_disconnect(responder.buffer).await;
             None
         };
         // An answer that has come is written even if the client has just left.
--- a/src/net/sparql/front/responder.rs
+++ b/src/net/sparql/front/responder.rs
@@ -35,7 +35,7 @@
 impl Responder<'_> {
     /// Writes a complete response.
     pub(super) async fn write(&mut self, response: Vec<u8>) -> io::Result<AfterResponse> {
-        if !self.request.keeps_open() || self.connection.ends() {
+        if !self.request.keeps_open() || self.connection.must_close() {
             return self.write_and_close(response).await;
         }
         self.connection.write(&response).await?;
@@ -92,9 +92,9 @@
                     log::warn!("host: the connection ended in the middle of an answer");
                     return Ok(AfterResponse::Abort);
                 }
-                AnswerEvent::ClientSentMore => {}
+                AnswerEvent::ClientData => {}
                 // A host that stalls must not hold an attempt for a client that has left.
-                AnswerEvent::ClientLeft => return Ok(AfterResponse::Abort),
+                AnswerEvent::ClientDisconnected => return Ok(AfterResponse::Abort),
             }
         }
     }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -210,12 +210,12 @@
         number,
         listen,
         admin,
-        host_path,
+        endpoint_path,
         service,
         store,
-        inventory,
+        inventory_path,
         zones,
-        leaving,
+        evacuation_policy,
         sockets,
         settings,
         modified_at,
@@ -223,15 +223,15 @@
     assert_eq!((own, name.as_str(), number, sockets), (path, "b7", 3, 2048));
     assert_eq!((listen, admin), (address("127.0.0.1:9001"), Some(address("127.0.0.1:9006"))));
     let Service { path, query, session, update, group } = service;
-    assert_eq!((path.as_str(), host_path.as_str()), ("/query", "/host/sparql"));
+    assert_eq!((path.as_str(), endpoint_path.as_str()), ("/query", "/host/sparql"));
     assert_eq!((query.as_str(), session.as_deref()), ("catalog-read", Some("own-edit-read")));
     assert_eq!((update.as_str(), group), ("score-write", Some(GroupId(12))));
-    let StoreConfig { listen, peers, advertise, snapshot } = store;
+    let StoreConfig { listen, peers, advertise, file } = store;
     assert_eq!((listen, advertise), (address("127.0.0.1:9002"), Some(address("127.0.0.1:9003"))));
     assert_eq!(peers, [address("127.0.0.1:9004"), address("[::1]:9005")]);
-    assert_eq!((snapshot, inventory), (Some(fixture("kept/b7.store")), Some(fixture("hosts.csv"))));
+    assert_eq!((file, inventory_path), (Some(fixture("kept/b7.store")), Some(fixture("hosts.csv"))));
     assert_eq!(zones, ["north-1", "south-2"]);
-    let EvacuationPolicy { zone_names, automatic, backoff } = leaving;
+    let EvacuationPolicy { zone_names, automatic, backoff } = evacuation_policy;
     assert_eq!(
         (zone_names, automatic, backoff),
         (
@@ -282,13 +282,13 @@
     let config = operator_config::load(&path).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!((config.number, config.admin, config.sockets), (0, None, 1024));
-    assert_eq!((config.host_path.as_str(), config.service.path.as_str()), ("/sparql", "/sparql"));
+    assert_eq!((config.endpoint_path.as_str(), config.service.path.as_str()), ("/sparql", "/sparql"));
     assert_eq!((config.service.session, config.service.group), (None, None));
-    assert_eq!((config.store.advertise, config.store.peers, config.store.snapshot), (None, Vec::new(), None));
-    assert_eq!((config.inventory, config.zones, config.settings), (None, Vec::new(), None));
-    assert_eq!((config.leaving.zone_names, config.leaving.automatic), (Vec::new(), true));
+    assert_eq!((config.store.advertise, config.store.peers, config.store.file), (None, Vec::new(), None));
+    assert_eq!((config.inventory_path, config.zones, config.settings), (None, Vec::new(), None));
+    assert_eq!((config.evacuation_policy.zone_names, config.evacuation_policy.automatic), (Vec::new(), true));
     assert_eq!(
-        config.leaving.backoff,
+        config.evacuation_policy.backoff,
         EvacuationBackoff {
             initial: TimeDelta::from_micros(3_000_000),
             maximum: TimeDelta::from_micros(60_000_000)
