--- a/src/daemon/commands.rs
+++ b/src/daemon/commands.rs
@@ -7,7 +7,8 @@
 use async_executor::Task;
 use std::rc::Rc;
 
-/// Executes commands until the engine's thread ends. Those that are not for backends go to `execute_other`.
+/// Spawns a task that executes commands until the engine thread ends, and one that closes idle backend connections.
+/// Commands that do not concern backends are passed to `execute_other`.
 pub fn execute_commands<P: BackendProtocol>(
     executor: &Executor,
     backends: &Rc<BackendPool<P>>,
@@ -23,8 +24,8 @@
     let attempt_executor = executor.clone();
     executor.spawn(async move {
         while let Ok(command) = commands.recv().await {
-            let remaining = backends.execute(command, &attempt_executor, &engine).await;
-            if let Some(command) = remaining {
+            let unhandled = backends.execute(command, &attempt_executor, &engine).await;
+            if let Some(command) = unhandled {
                 execute_other(command).await;
             }
         }
--- a/src/daemon/error.rs
+++ b/src/daemon/error.rs
@@ -1,4 +1,4 @@
-//! Why a daemon could not start or had to end.
+//! Errors that prevent a daemon from starting or make it exit.
 
 use super::operator_config::{OperatorConfigError, SettingsError};
 use crate::address::AddressError;
@@ -11,102 +11,102 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A file of the operator or the platform that cannot be used. Printed with the file's path and, where the content
-/// is at fault, the line.
+/// A configuration source that cannot be used. The message starts with the path of the file and names the line if the
+/// content is invalid.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file is longer than [`crate::config::Limits::file_bytes`].
-    #[error("{}: the file is too long", path.display())]
-    TooLong {
-        /// The file.
+    /// The file is larger than [`crate::config::Limits::file_bytes`].
+    #[error("{}: the file is too large", path.display())]
+    TooLarge {
+        /// Path of the file.
         path: PathBuf,
     },
-    /// The content of an operator's file.
+    /// The content of an operator's file is invalid.
     #[error("{}: {source}", path.display())]
     Operator {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Line and problem.
+        /// The problem and its line.
         source: Box<OperatorConfigError>,
     },
-    /// The content of an inventory.
+    /// The content of an inventory is invalid.
     #[error("{}: {source}", path.display())]
     Inventory {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Line and problem.
+        /// The problem and its line.
         source: Box<InventoryError>,
     },
-    /// The content of the platform's configuration.
+    /// The content of the platform's configuration is invalid.
     #[error("{}: {source}", path.display())]
     Platform {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Line and problem.
+        /// The problem and its line.
         source: Box<PlatformConfigError>,
     },
-    /// An environment variable that should hold an address.
+    /// An environment variable does not hold a valid address.
     #[error(transparent)]
     Address(#[from] AddressError),
 }
 
-/// Why a daemon could not start or had to end.
+/// An error that prevents a daemon from starting or makes it exit.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// A configuration file.
+    /// The configuration cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The settings that the fleet has agreed on.
+    /// The settings that the fleet has agreed on do not parse.
     #[error(transparent)]
     AgreedSettings(#[from] SettingsError),
-    /// The operator's file names a class that the agreed settings lack.
+    /// The operator's file names a class that the agreed settings do not define.
     #[error("{}: the settings name no service {class:?}", path.display())]
     UnknownClass {
-        /// The operator's file.
+        /// Path of the operator's file.
         path: PathBuf,
-        /// The class.
+        /// Name of the missing class.
         class: String,
     },
-    /// Signals cannot be received.
-    #[error("signals: {0}")]
+    /// A signal handler cannot be installed.
+    #[error("cannot install a signal handler: {0}")]
     Signals(#[source] io::Error),
     /// An address for clients or peers cannot be bound.
-    #[error("{address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The administration server's address cannot be bound.
-    #[error("the operators' address {address}: {source}")]
+    /// The admin server's address cannot be bound.
+    #[error("cannot listen on the admin address {address}: {source}")]
     ListenAdmin {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The listening socket that the platform passes on cannot be used.
+    /// The inherited listening socket cannot be used.
     #[error(transparent)]
     InheritedSocket(#[from] InheritedSocketError),
-    /// The listening socket that the platform passes on cannot be waited for.
+    /// The inherited listening socket cannot be registered with the event loop.
     #[error("GW_PASSED_SOCKET: {0}")]
     InheritedSocketIo(#[source] io::Error),
-    /// The store cannot be opened or started; the text names the file.
+    /// The store cannot be opened or started; the message names the file.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The engine's thread cannot be started.
-    #[error("module: {0}")]
+    /// The engine thread cannot be started.
+    #[error("cannot start the engine thread: {0}")]
     EngineStart(#[source] io::Error),
-    /// The engine's thread has ended while the daemon ran.
-    #[error("the module's thread has ended")]
+    /// The engine thread ended while the daemon was running.
+    #[error("the engine thread has ended")]
     EngineEnded,
 }
--- a/src/daemon/listeners.rs
+++ b/src/daemon/listeners.rs
@@ -1,4 +1,4 @@
-//! Listening sockets at work: those of a front, and the administration server's.
+//! Accepts connections for the fronts and the admin server.
 
 use super::{DaemonError, Executor};
 use crate::config::Limits;
@@ -12,14 +12,15 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// A task that accepts connections.
+/// Handle of a task that accepts connections.
 pub struct Acceptor {
     task: Task<()>,
     stop: Sender<()>,
 }
 
 impl Acceptor {
-    /// Accepts connections from `listener` within `limiter`, and serves each in a task of its own.
+    /// Spawns a task that accepts connections from `listener` within the limits of `limiter` and serves each connection
+    /// in a task of its own, and a task that closes idle connections.
     pub fn start<F: Future<Output = ()> + 'static>(
         executor: &Executor,
         listener: Async<TcpListener>,
@@ -41,28 +42,28 @@
         Acceptor { task, stop }
     }
 
-    /// Accepts until the process ends.
+    /// Keeps accepting until the process exits.
     pub fn detach(self) {
         self.task.detach();
     }
 
-    /// Accepts nothing more; connections in the kernel's queue are left to another process on the same socket.
+    /// Stops accepting. Connections in the listen backlog are left to another process that shares the socket.
     pub async fn stop_now(self) {
         self.task.cancel().await;
     }
 
-    /// Accepts the connections that are in the kernel's queue now, then nothing more.
+    /// Accepts the connections that are in the listen backlog, then stops.
     pub async fn stop_after_backlog(self) {
         let _ = self.stop.try_send(());
         self.task.await;
     }
 }
 
-/// Serves `server` at `address`. While a predecessor process still has the address, this one waits for it in the
-/// background: clients are served meanwhile.
+/// Serves `server` at `address`. If the address is still in use, typically by the process that this one replaces, the
+/// bind is retried in the background while clients are already served.
 ///
 /// # Errors
-/// [`DaemonError::ListenAdmin`] where the address cannot be bound for another reason.
+/// [`DaemonError::ListenAdmin`] if the address cannot be bound for any other reason.
 pub fn serve_admin<W: Send + 'static, A: Send + 'static>(
     executor: &Executor,
     address: SocketAddr,
@@ -84,7 +85,7 @@
                 match listener::bind_when_free(address, &limits).await {
                     Ok(listener) => start(listener),
                     Err(error) => {
-                        log::error!("admin: {address}: {error}; there is no administration server");
+                        log::error!("admin: {address}: {error}; running without an admin server");
                     }
                 }
             };
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,9 +1,9 @@
-//! The two kinds of daemon, and how their parts are put together.
+//! The two daemons and how each is assembled from its components.
 //!
 //! [`platform`] runs the PostgreSQL front with the platform's configuration and discovery; [`operator`] runs the SPARQL
 //! front with an operator's file ([`operator_config`]), a store and a fleet. Both start the engine, a pool of backend
-//! connections ([`commands`]), listeners ([`listeners`]) and, where it is configured, the administration server, then
-//! serve until SIGTERM ([`shutdown`]). All sockets are served by one thread; the engine and the store have one each.
+//! connections ([`commands`]), listeners ([`listeners`]) and, if configured, the admin server, and then serve until
+//! SIGTERM ([`shutdown`]). One thread serves all sockets; the engine and the store run on a thread each.
 
 pub mod commands;
 mod error;
@@ -19,13 +19,13 @@
 use async_executor::LocalExecutor;
 use std::rc::Rc;
 
-/// Where the tasks of a daemon run: one thread serves all sockets.
+/// Single-threaded executor that runs all tasks of a daemon, and so serves all of its sockets.
 pub type Executor = Rc<LocalExecutor<'static>>;
 
-/// Runs a daemon on this thread until it ends.
+/// Runs the future that `daemon` returns on the calling thread until it completes.
 ///
 /// # Errors
-/// What `daemon` returns.
+/// Any error of that future.
 pub fn run<F>(daemon: impl FnOnce(Executor) -> F) -> Result<(), DaemonError>
 where
     F: Future<Output = Result<(), DaemonError>>,
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -1,9 +1,9 @@
-//! The daemon of an operator's file: the SPARQL front, with a store and a fleet that keep configuration and state.
+//! The daemon configured by an operator's file: the SPARQL front, with a store and a fleet that replicate
+//! configuration and state.
 //!
-//! The start has a fixed order, see [`serve`]. `fleet_startup` opens the store and joins the fleet, `client_front`
-//! accepts clients from the first moment on, `agreed_settings` waits for the settings that the fleet has agreed on,
-//! `engine_feeds` carries what the fleet knows to the engine and back, and `inventory_reload` follows the
-//! inventory's file.
+//! [`serve`] documents the startup order. `fleet_startup` opens the store and joins the fleet, `client_front` accepts
+//! clients before requests can be served, `agreed_settings` waits for the settings that the fleet has agreed on,
+//! `engine_feeds` exchanges state between the fleet and the engine, and `inventory_reload` watches the inventory file.
 
 mod agreed_settings;
 mod client_front;
@@ -38,21 +38,22 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// The engine of SPARQL operations.
+/// Handle of an engine for SPARQL operations.
 type Engine =
     EngineHandle<<SparqlBackend as BackendProtocol>::Request, <SparqlBackend as BackendProtocol>::Answer>;
 type EngineCommand = Command<<SparqlBackend as BackendProtocol>::Request>;
 
 /// Serves until SIGTERM.
 ///
-/// The order of the start matters: the store's listener and the fleet come first, since a drain that other daemons
-/// know of must be known here before the first request is sent; clients are accepted next and told to retry; the
+/// The startup order matters. The store's listener and the fleet start first, because this daemon must learn of the
+/// drains that other daemons know before it sends the first request. Clients are accepted next and told to retry. The
 /// engine starts once settings are agreed and this daemon has caught up with the fleet's log.
 ///
 /// # Errors
-/// [`DaemonError`] where a file, an address, the store or the settings cannot be used, or the engine ends.
+/// [`DaemonError`] if a file, an address, the store or the settings cannot be used, or if the engine thread ends.
 pub async fn serve(config: OperatorConfig, executor: Executor) -> Result<(), DaemonError> {
-    // Before anything else: without a handler this signal would end the process, which may wait for a peer below.
+    // First of all, since the startup below may wait for peers for a long time and an unhandled SIGHUP would terminate
+    // the process.
     let hangup = SignalStream::subscribe(Signal::Hangup)?;
     let clock = Clock::start();
     let mut limits = daemon_limits(&config);
@@ -73,7 +74,7 @@
     daemon.run(agreed, client_front, hangup).await
 }
 
-/// A daemon that takes part in its fleet and has settings to serve with.
+/// A daemon that has joined its fleet and has agreed settings.
 struct OperatorDaemon {
     config: Rc<OperatorConfig>,
     fleet: Rc<Fleet>,
@@ -132,7 +133,7 @@
         let fleet = self.fleet.clone();
         let execute_other = async move |command| match command {
             Command::SendToPeers { bytes, .. } => fleet.send_primary_hint(&bytes),
-            // A full channel already holds a notification that has not been read.
+            // If the channel is full, an unread notification is already queued.
             Command::ObservationsPending => drop(observations_pending.try_send(())),
             _ => {}
         };
--- a/src/daemon/operator/agreed_settings.rs
+++ b/src/daemon/operator/agreed_settings.rs
@@ -1,4 +1,4 @@
-//! The settings that the fleet has agreed on: waiting for them, and what they change in this daemon.
+//! Waits for the settings that the fleet has agreed on and applies them to this daemon.
 
 use crate::config::Limits;
 use crate::daemon::DaemonError;
@@ -12,26 +12,27 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Connect timeouts from this on are taken for a mistake in the settings, and the default holds.
+/// A connect timeout of this length or more is treated as a configuration error, and the default is used.
 const MAX_CONNECT_TIMEOUT_SECS: f64 = 3_600.0;
 
-/// The settings that this daemon runs with until its next start.
+/// The settings that this daemon uses until it is restarted.
 pub struct AgreedSettings {
-    /// As the store keeps them, to notice when others are agreed.
+    /// The text as the store keeps it; compared with later versions to detect a change.
     pub text: String,
-    /// For the engine.
+    /// Settings of the engine.
     pub settings: Settings,
-    /// The classes by name.
+    /// Request classes, looked up by name.
     pub classes: Classes,
+    /// All settings as text, by path.
     pairs: BTreeMap<String, String>,
 }
 
 impl AgreedSettings {
-    /// Reads the text that the store keeps.
+    /// Parses the text that the store keeps.
     ///
     /// # Errors
-    /// [`DaemonError::AgreedSettings`] where it does not parse; [`DaemonError::UnknownClass`] where this daemon's front
-    /// needs a class that it does not define.
+    /// [`DaemonError::AgreedSettings`] if it does not parse; [`DaemonError::UnknownClass`] if this daemon's front uses
+    /// a class that it does not define.
     pub fn parse(text: String, config: &OperatorConfig) -> Result<AgreedSettings, DaemonError> {
         let parsed = operator_config::parse_settings(&text, config.number)?;
         let ParsedSettings { mut settings, class_names, pairs } = parsed;
@@ -41,7 +42,8 @@
         Ok(AgreedSettings { text, settings, classes, pairs })
     }
 
-    /// How endpoints behave after a cold start. What the settings leave out means that they are warm at once.
+    /// Slow start of endpoints after a cold start. The defaults for missing settings give an endpoint its full share at
+    /// once.
     pub fn cold_start_policy(&self) -> SlowStartPolicy {
         SlowStartPolicy {
             share: self.settings.cold_capacity.unwrap_or(1.0),
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Applies the settings that bound backend connections.
+    /// Applies the connect and idle timeouts of backend connections.
     pub fn adjust(&self, limits: &mut Limits) {
         limits.set_backend_idle_timeout(self.seconds("limits.conn-idle"));
         let is_plausible = |seconds: &f64| *seconds > 0.0 && *seconds < MAX_CONNECT_TIMEOUT_SECS;
@@ -75,7 +77,7 @@
     Ok(())
 }
 
-/// The settings to run with, once some are agreed.
+/// Waits until the fleet has agreed on settings and returns their text. Logs one warning if that takes long.
 pub async fn wait_until_agreed(fleet: &Fleet, limits: &Limits) -> String {
     let changed = fleet.subscribe();
     let started_at = Instant::now();
@@ -92,9 +94,9 @@
     }
 }
 
-/// Waits until this daemon has applied what the others have agreed on: nothing must be sent to an endpoint that was
-/// drained while it was down. Gives up after the time by which an endpoint list may be late, to serve without a
-/// majority.
+/// Waits until this daemon has applied everything that the fleet has agreed on, so that no request is sent to an
+/// endpoint that was drained while this daemon was down. Returns after twice `Limits::discovery_timeout` at the latest,
+/// so that a daemon without a majority serves too.
 pub async fn wait_until_current(fleet: &Fleet, limits: &Limits) {
     let changed = fleet.subscribe();
     let current = async {
--- a/src/daemon/operator/client_front.rs
+++ b/src/daemon/operator/client_front.rs
@@ -1,4 +1,4 @@
-//! The SPARQL front's listener. It accepts clients before anything can be served: they are told when to retry.
+//! The listener of the SPARQL front. It accepts clients before requests can be served, and tells them when to retry.
 
 use crate::clock::Clock;
 use crate::config::Limits;
@@ -14,20 +14,21 @@
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// The front, or `None` until it can serve.
+/// The front, or `None` until requests can be served.
 type FrontSlot = Rc<RefCell<Option<Rc<Front>>>>;
 
 /// The front's listener and its connections.
 pub struct ClientFront {
-    /// The clients' connections.
+    /// Tracks the open client connections.
     pub limiter: Rc<ConnectionLimiter>,
-    /// Accepts them.
+    /// Accepts client connections.
     pub acceptor: Acceptor,
     front: FrontSlot,
 }
 
 impl ClientFront {
-    /// Accepts clients; each connection is rejected with a time to retry until [`ClientFront::begin_serving`].
+    /// Starts accepting clients. Until [`ClientFront::begin_serving`] is called, each connection is rejected with a
+    /// retry delay.
     pub fn start(
         config: &OperatorConfig,
         listener: Async<TcpListener>,
@@ -57,16 +58,16 @@
         ClientFront { limiter, acceptor, front }
     }
 
-    /// Has `front` serve the connections that are accepted from now on.
+    /// Lets `front` serve all connections that are accepted from now on.
     pub fn begin_serving(&self, front: Front) {
         *self.front.borrow_mut() = Some(Rc::new(front));
     }
 }
 
-/// Tells a client to retry after one to two times the usual delay: clients that retried together would overload a
-/// daemon that has just started.
+/// Tells a client to retry after a random delay of one to two times `Limits::front_retry_after`: clients that retry at
+/// the same time would overload a daemon that has just started.
 async fn reject(stream: Async<TcpStream>, slot: ConnectionSlot, limits: Rc<Limits>, clock: Clock) {
-    let shortest = TimeDelta::from(limits.front_retry_after).as_micros();
-    let retry_after = || TimeDelta::from_micros(fastrand::i64(shortest..2 * shortest));
+    let min_micros = TimeDelta::from(limits.front_retry_after).as_micros();
+    let retry_after = || TimeDelta::from_micros(fastrand::i64(min_micros..2 * min_micros));
     front::serve_early(stream, slot, limits, clock, retry_after).await;
 }
--- a/src/daemon/operator/engine_feeds.rs
+++ b/src/daemon/operator/engine_feeds.rs
@@ -1,4 +1,5 @@
-//! Tasks between the fleet and the engine: endpoint lists, recovery, zone evacuation, and what peers have observed.
+//! Tasks that exchange state between the fleet and the engine: endpoint lists, recovery, zone evacuation, and the
+//! observations and primary hints of peers.
 
 use crate::config::Limits;
 use crate::daemon::Executor;
@@ -13,16 +14,17 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// What other parts of the daemon use of the tasks.
+/// The interface of the tasks to the rest of the daemon.
 pub struct EngineFeeds {
-    /// Set once recovery is complete and all groups are served; groups that recover earlier are served earlier.
+    /// Set once recovery has advanced so far that all groups are served; a group that recovers earlier is served
+    /// earlier.
     pub all_groups_served: Latch,
-    /// Takes a message when the engine has observations for the fleet.
+    /// Receives a message when the engine has observations for the fleet.
     pub observations_pending: Sender<()>,
 }
 
 impl EngineFeeds {
-    /// Closes the engine's admission, as nothing is known of any endpoint yet, and starts all feeds.
+    /// Closes the engine's admission, since no endpoint is known yet, and starts all tasks.
     /// `running_settings` is the text of the settings that the engine was started with.
     pub async fn start<W, A>(
         executor: &Executor,
@@ -54,27 +56,27 @@
     }
 }
 
-/// Both sides that the tasks connect, and how far the start has come.
+/// The fleet and the engine that the tasks connect, and the progress of the startup.
 struct Feed<W, A> {
     fleet: Rc<Fleet>,
     engine: EngineHandle<W, A>,
     limits: Rc<Limits>,
     /// Set once the engine has an endpoint list.
     first_list_sent: Latch,
-    /// Set once the engine has what the fleet knows of primaries: nothing is admitted before.
+    /// Set once the engine has the primary hints that the fleet had at startup; no request is admitted before.
     hints_sent: Latch,
     all_groups_served: Latch,
 }
 
 impl<W, A> Feed<W, A> {
-    /// Hands each agreed endpoint list to the engine, with this daemon's own drains. Warns when other settings are
-    /// agreed than those in use: an engine keeps the settings that it was started with.
+    /// Sends each agreed endpoint list to the engine, with this daemon's own drains. Warns when the agreed settings
+    /// change, since the engine keeps the settings that it was started with.
     async fn feed_lists(self: Rc<Self>, mut known_settings: String) {
         let mut known_list = BTreeMap::new();
         let changed = self.fleet.subscribe();
         loop {
             if let Some(newer) = self.fleet.committed_settings().filter(|text| *text != known_settings) {
-                log::warn!("other settings are agreed now; they take effect at the next start");
+                log::warn!("the fleet has agreed on other settings; they take effect at the next start");
                 known_settings = newer;
             }
             if let Some(list) = self.fleet.next_endpoint_update(&mut known_list) {
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Carries the engine's observations to the fleet and, until recovery is complete, the fleet's admission policy to
-    /// the engine.
+    /// Records the engine's observations in the fleet and, until recovery is complete, sends the fleet's admission
+    /// policy to the engine.
     async fn feed_recovery(self: Rc<Self>, observations_pending: Receiver<()>) {
         while let Some(observations) = self.engine.observations().await {
             self.fleet.record_observations(&observations);
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Advances recovery as far as the fleet's state allows; true: all groups are served.
+    /// Advances recovery as far as the fleet's state allows. Returns whether all groups are served.
     async fn advance_recovery(&self) -> bool {
         let rules = self.fleet.advance_recovery(self.hints_sent.is_set());
         self.engine.send_control(Control::SetPollParticipants(rules.poll_participants)).await;
@@ -110,8 +112,8 @@
         self.fleet.recovery_status().phase >= RecoveryPhase::Remaining
     }
 
-    /// Feeds outcomes per endpoint to the zones' failure detector, and cancels overdue reads in zones that are
-    /// evacuated.
+    /// Passes outcome counts per endpoint to the zone failure detector, and cancels overdue reads in zones that are
+    /// being evacuated.
     async fn feed_zones(self: Rc<Self>) {
         self.first_list_sent.wait().await;
         while let Some(outcomes) = self.engine.outcome_counts().await {
@@ -119,7 +121,7 @@
             if !evacuated.is_empty() {
                 self.engine.send_control(Control::CancelOverdueReads(evacuated)).await;
             }
-            // Without requests there are no outcomes to detect a failure by.
+            // Without requests there are no outcomes from which a failure could be detected.
             let pause = if outcomes.is_empty() {
                 self.limits.file_check_interval
             } else {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Hands the observations of peers to the engine, those from before the start first.
+    /// Sends the observations of peers to the engine, starting with those restored from before the start.
     async fn feed_peer_observations(self: Rc<Self>) {
         self.first_list_sent.wait().await;
         self.engine.send_control(Control::PeerObservations(self.fleet.restored_positions())).await;
@@ -138,8 +140,8 @@
         }
     }
 
-    /// Hands the primary hints of peers to the engine. It discards hints on endpoints that its list lacks, so that none
-    /// is handed over before the first list.
+    /// Sends the primary hints of peers to the engine, after the first endpoint list: the engine discards hints about
+    /// endpoints that are not in its list.
     async fn feed_primary_hints(self: Rc<Self>) {
         self.first_list_sent.wait().await;
         for bytes in self.fleet.initial_primary_hints() {
--- a/src/daemon/operator/fleet_startup.rs
+++ b/src/daemon/operator/fleet_startup.rs
@@ -1,4 +1,4 @@
-//! Opens the store and starts this daemon's part of the fleet.
+//! Opens the store and starts this daemon's node of the fleet.
 
 use super::bind;
 use crate::clock::Clock;
@@ -16,23 +16,23 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// Connections of operators' commands to the store, beside one of each node.
+/// Connections to the store for operators' commands, in addition to one for each node.
 const OPERATOR_CONNECTIONS: usize = 16;
-/// Connections to the store beyond that, which are only told that there are too many.
+/// Connections beyond these limits that are accepted only to be closed.
 const REJECTED_CONNECTIONS: usize = 4;
 
-/// The store's file and its listener, before the store runs.
+/// The opened storage and the bound listener of a store whose thread is not started yet.
 pub struct OpenedStore {
     storage: OpenedStorage,
     listener: Async<TcpListener>,
-    /// The listener's address, with the port that the system chose if the file says 0.
+    /// The listener's address, with the port that the kernel chose if the configured port is 0.
     address: SocketAddr,
 }
 
-/// What this daemon's own files say: settings and inventory, to be proposed to the fleet.
+/// Reads the settings and the inventory that this daemon proposes to the fleet.
 ///
 /// # Errors
-/// [`DaemonError::Config`] where the inventory cannot be used.
+/// [`DaemonError::Config`] if the inventory cannot be used.
 pub fn read_local_files(config: &OperatorConfig, limits: &Limits) -> Result<FileContents, DaemonError> {
     let settings = config.settings.clone().map(|text| (text, config.modified_at));
     let mut files = FileContents { settings, inventory: None };
@@ -43,10 +43,10 @@
     Ok(files)
 }
 
-/// Opens the store's file, or a store in memory where the configuration names none, and its listener.
+/// Opens the store's file, or a store in memory if none is configured, and binds the store's listener.
 ///
 /// # Errors
-/// [`DaemonError::Store`] and [`DaemonError::Listen`].
+/// [`DaemonError::Store`] if the file cannot be opened, [`DaemonError::Listen`] if the address cannot be bound.
 pub fn open_store(config: &OperatorConfig) -> Result<OpenedStore, DaemonError> {
     let opened = match &config.store.file {
         Some(path) => DurableStorage::open(path),
@@ -62,10 +62,10 @@
     Ok(OpenedStore { storage, listener, address })
 }
 
-/// Starts the store's thread, the fleet's tasks, and the listener for peers and operators' commands.
+/// Starts the store thread and the fleet's tasks, and accepts connections of peers and of operators' commands.
 ///
 /// # Errors
-/// [`DaemonError::Store`] where the store does not start.
+/// [`DaemonError::Store`] if the store does not start.
 pub fn start(
     config: &OperatorConfig,
     store: OpenedStore,
@@ -94,7 +94,7 @@
     Ok(fleet)
 }
 
-/// A connection for each node, and some for operators' commands.
+/// Limits that allow one connection for each node and [`OPERATOR_CONNECTIONS`] more.
 fn store_limits(limits: &Limits) -> Limits {
     Limits {
         client_connections: limits.fleet_nodes + OPERATOR_CONNECTIONS,
--- a/src/daemon/operator/inventory_reload.rs
+++ b/src/daemon/operator/inventory_reload.rs
@@ -1,4 +1,4 @@
-//! Reads the inventory again when its file changes, and on SIGHUP.
+//! Reloads the inventory when its file changes and on SIGHUP.
 
 use crate::config::Limits;
 use crate::daemon::Executor;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Instant, SystemTime};
 
-/// What tells versions of a file apart without reading it.
+/// File metadata that changes with the content, to detect a new version without reading the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileVersion {
     modified_at: SystemTime,
@@ -18,14 +18,15 @@
 }
 
 impl FileVersion {
+    /// `None` if the metadata cannot be read.
     fn of(path: &Path) -> Option<FileVersion> {
         let metadata = std::fs::metadata(path).ok()?;
         Some(FileVersion { modified_at: metadata.modified().ok()?, length_bytes: metadata.len() })
     }
 }
 
-/// Follows the inventory until the process ends. A file that does not parse changes nothing: the last good inventory
-/// stays.
+/// Spawns a task that reloads the inventory until the process exits. If the file does not parse, the last good
+/// inventory stays in use.
 pub fn spawn(
     executor: &Executor,
     hangup: SignalStream,
@@ -40,14 +41,14 @@
 }
 
 async fn follow_file(mut hangup: SignalStream, config: &OperatorConfig, fleet: &Fleet, limits: &Limits) {
-    // Unknown at first: the file may have changed since it was read at the start, so that it is read once more.
+    // Initially unknown, so that the first check reads the file: it may have changed since startup read it.
     let mut known_version = None;
     loop {
         let next_check = Instant::now() + limits.file_check_interval;
-        let is_requested = until(next_check, hangup.received()).await.is_some();
+        let reload_requested = until(next_check, hangup.received()).await.is_some();
         let Some(path) = &config.inventory_path else { continue };
         let version = FileVersion::of(path);
-        if version == known_version && !is_requested {
+        if version == known_version && !reload_requested {
             continue;
         }
         known_version = version;
--- a/src/daemon/operator_config.rs
+++ b/src/daemon/operator_config.rs
@@ -1,6 +1,7 @@
-//! The operator's file: YAML, read and checked completely before anything starts.
+//! The operator's file: YAML that is read and validated completely before the daemon starts.
 //!
-//! `reader` reads its sections, `settings` the service's settings in it, which the fleet agrees on and keeps as text.
+//! `reader` reads the sections of the file. `settings` handles its `settings` section, which the fleet agrees on and
+//! stores as text.
 
 mod error;
 mod reader;
@@ -19,56 +20,57 @@
 use std::path::{Path, PathBuf};
 use std::time::UNIX_EPOCH;
 
-/// What an operator's file states.
+/// The content of an operator's file, with defaults for missing keys.
 #[derive(Clone, Debug)]
 pub struct OperatorConfig {
-    /// The file itself.
+    /// Path of the file, as given on the command line.
     pub path: PathBuf,
-    /// The daemon's name, unique in its fleet.
+    /// Name of the daemon, unique in its fleet.
     pub name: String,
-    /// The daemon's number among its peers, for the engine.
+    /// Number of the daemon among its peers, which the engine uses; 0 by default.
     pub number: u16,
-    /// Where HTTP clients connect.
+    /// Address at which the SPARQL front accepts clients.
     pub listen: SocketAddr,
-    /// Where the administration server listens, if there is one.
+    /// Address of the admin server; `None` disables it.
     pub admin: Option<SocketAddr>,
-    /// Path at which backends answer operations.
+    /// URL path at which endpoints serve SPARQL operations (key `host_path`).
     pub endpoint_path: String,
-    /// The SPARQL front.
+    /// URL path, classes and default group of the SPARQL front.
     pub service: Service,
-    /// The store.
+    /// Addresses and file of the store.
     pub store: StoreConfig,
-    /// The inventory, if this daemon reads one.
+    /// Path of the inventory; `None` if this daemon proposes no inventory to the fleet.
     pub inventory_path: Option<PathBuf>,
-    /// Names of the zones, by number.
+    /// Names of the zones, indexed by zone number.
     pub zones: Vec<String>,
-    /// How zones are evacuated.
+    /// When and for how long zones are evacuated (key `leaving`).
     pub evacuation_policy: EvacuationPolicy,
-    /// Descriptors that the process may hold.
+    /// Maximum number of file descriptors that the process uses.
     pub sockets: usize,
-    /// Settings of the service as `path=value` lines, to be proposed to the fleet; `None`: those that the fleet has.
+    /// Service settings as `path=value` lines, to be proposed to the fleet; `None` if this daemon proposes none and uses
+    /// those of the fleet.
     pub settings: Option<String>,
     /// When the file was last modified.
     pub modified_at: Timestamp,
 }
 
-/// The store as the file sets it up.
+/// The `store` section of an operator's file.
 #[derive(Clone, Debug)]
 pub struct StoreConfig {
-    /// Where peers and operators' commands connect.
+    /// Address at which the store accepts peers and operators' commands.
     pub listen: SocketAddr,
-    /// The stores of other daemons.
+    /// Addresses of the stores of other daemons.
     pub peers: Vec<SocketAddr>,
-    /// The address at which peers reach this store, if it is not `listen`.
+    /// Address at which peers reach this store, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The file on the disk; `None`: a store that ends with the process.
+    /// Path of the store's file (key `snapshot`); `None` keeps the store in memory.
     pub file: Option<PathBuf>,
 }
 
-/// An inventory with the age of its file, by which the fleet tells the newer one of two.
+/// An inventory with the modification time of its file: the fleet prefers the newer of two inventories.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InventoryFile {
-    /// Its content.
+    /// The parsed content of the file.
     pub inventory: Inventory,
     /// When the file was last modified.
     pub modified_at: Timestamp,
@@ -77,19 +79,19 @@
 /// Reads an operator's file.
 ///
 /// # Errors
-/// [`ConfigError`] with the file, and the line where its content is at fault.
+/// [`ConfigError`] with the path of the file, and the line if its content is invalid.
 pub fn load(path: &Path) -> Result<OperatorConfig, ConfigError> {
-    // The file itself states the number of descriptors: until it is read, the smallest limits do.
+    // The number of descriptors is only known once the file is read; the smallest limits suffice for reading it.
     let limits = Limits::for_sockets(0);
     let file = TextFile::read(path, limits.file_bytes)?;
     reader::parse(path, &file.text, file.modified_at, &limits)
         .map_err(|error| ConfigError::Operator { path: path.to_path_buf(), source: Box::new(error) })
 }
 
-/// Reads an inventory. `zones` are the names of the zones by number.
+/// Reads an inventory. `zones` are the names of the zones, indexed by zone number.
 ///
 /// # Errors
-/// [`ConfigError`] with the file, and the line where its content is at fault.
+/// [`ConfigError`] with the path of the file, and the line if its content is invalid.
 pub fn load_inventory(path: &Path, zones: &[String], limits: &Limits) -> Result<InventoryFile, ConfigError> {
     let file = TextFile::read(path, limits.file_bytes)?;
     let inventory = inventory::parse(path, &file.text, zones, limits)
@@ -107,7 +109,7 @@
         let read_error = |source| ConfigError::Read { path: path.to_path_buf(), source };
         let metadata = std::fs::metadata(path).map_err(read_error)?;
         if metadata.len() > max_bytes {
-            return Err(ConfigError::TooLong { path: path.to_path_buf() });
+            return Err(ConfigError::TooLarge { path: path.to_path_buf() });
         }
         let modified_at = metadata.modified().map_err(read_error)?;
         let since_epoch = modified_at.duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/src/daemon/operator_config/error.rs
+++ b/src/daemon/operator_config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with an operator's file and the settings in it.
+//! Errors in an operator's file and in the settings that it contains.
 
 use crate::inventory::yaml::YamlProblem;
 use crate::line_error::LineError;
@@ -8,79 +8,80 @@
 /// A problem in an operator's file, with its line.
 pub type OperatorConfigError = LineError<OperatorConfigProblem>;
 
-/// What is wrong with an operator's file.
+/// A problem in an operator's file, without its line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OperatorConfigProblem {
-    /// YAML that does not parse or has another structure.
+    /// The YAML does not parse or has an unexpected structure.
     #[error(transparent)]
     Yaml(#[from] YamlProblem),
-    /// A key that the section does not have.
+    /// The section contains a key that it does not support.
     #[error("{key:?} is unknown in {section}")]
     UnknownKey {
-        /// The key.
+        /// The key as written in the file.
         key: String,
-        /// The section.
+        /// Name of the section that contains it.
         section: &'static str,
     },
-    /// A key that the section must have.
+    /// The section lacks a required key.
     #[error("{section} has no {key}")]
     MissingKey {
-        /// The section.
+        /// Name of the section.
         section: &'static str,
-        /// The key.
+        /// The missing key.
         key: &'static str,
     },
-    /// An address of another machine; nothing is encrypted or authenticated, so that traffic must not leave this one.
+    /// An address that is not on the loopback interface. Traffic is neither encrypted nor authenticated, so it must not
+    /// leave this machine.
     #[error("{what}: {address} is not loopback")]
     NotLoopback {
-        /// What the address is for.
+        /// The key, or the purpose of the address.
         what: &'static str,
-        /// The address.
+        /// The address as parsed.
         address: SocketAddr,
     },
-    /// A text that is no path of a URL.
+    /// A value that is not a URL path.
     #[error("{key}: {path:?} is no path")]
     NotUrlPath {
-        /// The key.
+        /// The key of the value.
         key: &'static str,
-        /// The text.
+        /// The value as written in the file.
         path: String,
     },
-    /// A length of time for the evacuation of zones that is out of its range.
+    /// A dwell time of zone evacuation is out of range.
     #[error("from 3 to 86400 seconds")]
     DwellOutOfRange,
-    /// The bounds of an evacuated zone's dwell time contradict each other.
+    /// The maximum dwell time of an evacuated zone is shorter than the initial one.
     #[error("longest is shorter than dwell")]
     DwellContradiction,
-    /// The front names a class that the settings do not define.
+    /// The `sparql` section names a class that the settings do not define.
     #[error("{key}: the settings name no service {class:?}")]
     UnknownClass {
-        /// The key of the front.
+        /// The key that names the class.
         key: &'static str,
-        /// The class.
+        /// Name of the undefined class.
         class: String,
     },
-    /// A path in the settings without a value.
+    /// The setting at this path has no value.
     #[error("{0} has no value")]
     EmptySetting(String),
-    /// A path that is no setting.
+    /// There is no setting with this path.
     #[error("{0} is no setting")]
     UnknownSetting(String),
-    /// A value that the setting cannot have.
+    /// A value that is invalid for its setting.
     #[error("{path}: {value:?} is no such value")]
     SettingValue {
-        /// The setting's path.
+        /// Path of the setting.
         path: String,
-        /// The value.
+        /// The value as written in the file.
         value: String,
     },
     /// The settings define no class.
-    #[error("settings name no services")]
+    #[error("the settings define no services")]
     NoClasses,
-    /// A class without a setting that it must have.
-    #[error("a service without {0}")]
+    /// A class lacks this required setting.
+    #[error("a service has no {0}")]
     IncompleteClass(&'static str),
-    /// The settings as a whole cannot be used.
+    /// The individual settings are valid, but the settings as a whole do not parse.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
@@ -91,13 +92,13 @@
     }
 }
 
-/// Settings in the form of the store, `path=value` lines, that cannot be used.
+/// An error in settings in the store's text form of `path=value` lines.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// A line that is no pair.
+    /// A line that is not a `path=value` pair.
     #[error("settings: {0:?} has no '='")]
     NotAPair(String),
-    /// A value that the decision module's parser rejects; the text names path and value.
+    /// A value that the routing settings parser rejects; the message names path and value.
     #[error("{0}")]
     Value(String),
 }
--- a/src/daemon/operator_config/reader.rs
+++ b/src/daemon/operator_config/reader.rs
@@ -18,11 +18,11 @@
 const EVACUATION_KEYS: [&str; 3] = ["automatic", "dwell", "longest"];
 
 const DEFAULT_URL_PATH: &str = "/sparql";
-/// Bounds of the dwell times that a file may state.
+/// Range of the dwell times that a file may specify.
 const MIN_DWELL_SECS: f64 = 3.0;
 const MAX_DWELL_SECS: f64 = 86_400.0;
 
-/// Reads the text of an operator's file. Other files that it names are found from the folder of `path`.
+/// Parses the text of an operator's file. Relative paths in it are resolved against the directory of `path`.
 ///
 /// # Errors
 /// [`OperatorConfigError`] with the line of the first problem.
@@ -64,7 +64,7 @@
     Ok(config)
 }
 
-/// A mapping with known keys only.
+/// A mapping that contains only supported keys.
 struct Section<'a> {
     node: &'a Node,
     name: &'static str,
@@ -82,8 +82,8 @@
     }
 
     fn required(&self, key: &'static str) -> Result<&'a Node, OperatorConfigError> {
-        let missing = || OperatorConfigProblem::MissingKey { section: self.name, key };
-        self.node.get(key).ok_or_else(|| self.node.error(missing()))
+        let missing_key = || OperatorConfigProblem::MissingKey { section: self.name, key };
+        self.node.get(key).ok_or_else(|| self.node.error(missing_key()))
     }
 
     fn optional<T>(
@@ -94,7 +94,7 @@
         self.node.get(key).map(read).transpose()
     }
 
-    /// The items of a list; none where the key is missing.
+    /// The items of a list; empty if the key is missing.
     fn list<T>(
         &self,
         key: &str,
@@ -115,7 +115,7 @@
     Ok(folder.join(node.scalar("a file")?))
 }
 
-/// An address on this machine: nothing is encrypted, and no caller is authenticated.
+/// A loopback address. Others are rejected, since traffic is not encrypted and callers are not authenticated.
 fn loopback(node: &Node, what: &'static str) -> Result<SocketAddr, OperatorConfigError> {
     let address: SocketAddr = node.parsed(what)?;
     if !address.ip().is_loopback() {
@@ -124,7 +124,7 @@
     Ok(address)
 }
 
-/// The path of a URL, without query and fragment.
+/// A URL path without query and fragment; [`DEFAULT_URL_PATH`] if the key is missing.
 fn url_path(section: &Section<'_>, key: &'static str) -> Result<String, OperatorConfigError> {
     let Some(node) = section.node.get(key) else { return Ok(DEFAULT_URL_PATH.to_string()) };
     let path = text_of(node)?;
@@ -158,7 +158,7 @@
     })
 }
 
-/// How zones are evacuated, with times in seconds.
+/// Reads the `leaving` section, whose times are in seconds.
 fn evacuation_policy(file: &Section<'_>, zones: &[String]) -> Result<EvacuationPolicy, OperatorConfigError> {
     let mut policy = EvacuationPolicy { zone_names: zones.to_vec(), ..EvacuationPolicy::default() };
     let Some(node) = file.node.get("leaving") else { return Ok(policy) };
@@ -183,7 +183,7 @@
     Ok(TimeDelta::from_micros_f64(seconds * 1e6))
 }
 
-/// The front's classes must be defined by the settings of the same file, which must parse.
+/// Checks that the settings of the file parse and define the classes that its `sparql` section names.
 fn check_front_classes(
     tree: &Node,
     front: &Section<'_>,
--- a/src/daemon/operator_config/settings.rs
+++ b/src/daemon/operator_config/settings.rs
@@ -1,73 +1,73 @@
-//! The service's settings in an operator's file, and the text in which the fleet's store keeps them.
+//! The `settings` section of an operator's file, and the text form in which the fleet's store keeps it.
 //!
-//! The text has a `path=value` line for each setting. Besides what the file states it has the derived pairs that the
-//! decision module's parser expects; [`parse_settings`] adds what each daemon decides by itself.
+//! The text has a `path=value` line for each setting. In addition to the settings in the file, it contains the derived
+//! pairs that the routing settings parser expects. [`parse_settings`] adds the settings that each daemon fixes itself.
 
 use super::{OperatorConfigError, OperatorConfigProblem, SettingsError};
 use crate::inventory::yaml::{Node, NodeKind};
 use crate::routing::{Settings, settings_parser};
 use std::collections::BTreeMap;
 
-/// Values that a setting may have.
-enum ValueForm {
-    /// A text of one line without commas, which separate the values of a list.
+/// Type of a setting's value.
+enum ValueType {
+    /// A non-empty string of one line without commas, which separate the values of a list.
     Text,
-    /// A finite number that is not negative.
+    /// A finite, non-negative number.
     Number,
-    /// A whole number from 1 to 65,535.
+    /// An integer from 1 to 65,535.
     Count,
     /// `true` or `false`.
     Flag,
-    /// One of these words.
-    Word(&'static [&'static str]),
+    /// One of these keywords.
+    Keyword(&'static [&'static str]),
 }
 
-impl ValueForm {
+impl ValueType {
     fn allows(&self, text: &str) -> bool {
         match self {
-            ValueForm::Text => !text.is_empty() && !text.contains(['\n', ',']),
-            ValueForm::Number => text.parse::<f64>().is_ok_and(|number| number.is_finite() && number >= 0.0),
-            ValueForm::Count => text.parse::<u16>().is_ok_and(|count| count > 0),
-            ValueForm::Flag => matches!(text, "true" | "false"),
-            ValueForm::Word(words) => words.contains(&text),
+            ValueType::Text => !text.is_empty() && !text.contains(['\n', ',']),
+            ValueType::Number => text.parse::<f64>().is_ok_and(|number| number.is_finite() && number >= 0.0),
+            ValueType::Count => text.parse::<u16>().is_ok_and(|count| count > 0),
+            ValueType::Flag => matches!(text, "true" | "false"),
+            ValueType::Keyword(keywords) => keywords.contains(&text),
         }
     }
 }
 
-/// Every setting that an operator may state; `*` stands for a class's number.
-const SETTINGS: &[(&str, ValueForm)] = &[
-    ("balancers", ValueForm::Count),
-    ("services.*.name", ValueForm::Text),
-    ("services.*.consistency", ValueForm::Word(&["mutate", "strong", "causal", "lag_bound", "eventual"])),
-    ("services.*.max-age", ValueForm::Number),
-    ("services.*.target", ValueForm::Number),
-    ("services.*.deadline", ValueForm::Number),
-    ("services.*.worth", ValueForm::Number),
-    ("services.*.late-worth", ValueForm::Number),
-    ("services.*.repeat", ValueForm::Word(&["repeatable", "by_key", "once"])),
-    ("services.*.group", ValueForm::Word(&["all", "cell", "zone"])),
-    ("services.*.dedup-window", ValueForm::Number),
-    ("limits.conn-idle", ValueForm::Number),
-    ("limits.connect-timeout", ValueForm::Number),
-    ("limits.max-attempts", ValueForm::Count),
-    ("limits.max-retry-after", ValueForm::Number),
-    ("limits.probes", ValueForm::Flag),
-    ("guarantees.cold-share", ValueForm::Number),
-    ("guarantees.warm-up", ValueForm::Number),
-    ("guarantees.fall-multiple", ValueForm::Number),
-    ("guarantees.tip-after", ValueForm::Number),
-    ("guarantees.stop-sending-within", ValueForm::Number),
-    ("family-info.behind", ValueForm::Word(&["none", "bounce", "await"])),
-    ("family-info.holds-for", ValueForm::Number),
+/// All settings that an operator's file may contain; `*` matches the number of a class.
+const SETTINGS: &[(&str, ValueType)] = &[
+    ("balancers", ValueType::Count),
+    ("services.*.name", ValueType::Text),
+    ("services.*.consistency", ValueType::Keyword(&["mutate", "strong", "causal", "lag_bound", "eventual"])),
+    ("services.*.max-age", ValueType::Number),
+    ("services.*.target", ValueType::Number),
+    ("services.*.deadline", ValueType::Number),
+    ("services.*.worth", ValueType::Number),
+    ("services.*.late-worth", ValueType::Number),
+    ("services.*.repeat", ValueType::Keyword(&["repeatable", "by_key", "once"])),
+    ("services.*.group", ValueType::Keyword(&["all", "cell", "zone"])),
+    ("services.*.dedup-window", ValueType::Number),
+    ("limits.conn-idle", ValueType::Number),
+    ("limits.connect-timeout", ValueType::Number),
+    ("limits.max-attempts", ValueType::Count),
+    ("limits.max-retry-after", ValueType::Number),
+    ("limits.probes", ValueType::Flag),
+    ("guarantees.cold-share", ValueType::Number),
+    ("guarantees.warm-up", ValueType::Number),
+    ("guarantees.fall-multiple", ValueType::Number),
+    ("guarantees.tip-after", ValueType::Number),
+    ("guarantees.stop-sending-within", ValueType::Number),
+    ("family-info.behind", ValueType::Keyword(&["none", "bounce", "await"])),
+    ("family-info.holds-for", ValueType::Number),
 ];
 
-/// What every class must state.
+/// Settings that every class must have.
 const REQUIRED_IN_CLASS: [&str; 3] = ["name", "consistency", "deadline"];
 
-/// Fields of a backend's load report that this program sends and reads.
+/// Fields of an endpoint's load report that this version requests and parses.
 const REPORT_FIELDS: &str = "x0,x1,up,util";
 
-/// What the daemon itself decides, whatever is agreed.
+/// Settings that the daemon fixes itself; they override agreed ones.
 const FIXED_SETTINGS: &[(&str, &str)] = &[
     ("discovery", "automatic"),
     ("limits.may-cancel", "true"),
@@ -79,21 +79,21 @@
     ("report.fields", REPORT_FIELDS),
 ];
 
-/// Settings for the engine, with what this program reads by itself.
+/// Settings of the engine, and the text values from which they were parsed.
 #[derive(Clone, Debug)]
 pub struct ParsedSettings {
-    /// The decision module's settings.
+    /// Routing settings for the engine.
     pub settings: Settings,
-    /// Names of the classes, by number.
+    /// Names of the classes, indexed by class number.
     pub class_names: Vec<String>,
-    /// All pairs by path.
+    /// All setting values by path, including those that the daemon fixes itself.
     pub pairs: BTreeMap<String, String>,
 }
 
-/// Reads the text that the store keeps, for the daemon of this number.
+/// Parses the text that the store keeps, for the daemon with the given number.
 ///
 /// # Errors
-/// [`SettingsError`] with the line or the pair at fault.
+/// [`SettingsError`] with the invalid line or pair.
 pub fn parse_settings(text: &str, daemon_number: u16) -> Result<ParsedSettings, SettingsError> {
     let mut pairs = BTreeMap::new();
     for line in text.lines() {
@@ -106,22 +106,22 @@
     pairs.insert("me".to_string(), daemon_number.to_string());
     let class_names =
         (0..).map_while(|class| pairs.get(&format!("services.{class}.name")).cloned()).collect();
-    let borrowed = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
-    let settings =
-        settings_parser::from_pairs(borrowed).map_err(|error| SettingsError::Value(error.to_string()))?;
+    let borrowed_pairs = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
+    let settings = settings_parser::from_pairs(borrowed_pairs)
+        .map_err(|error| SettingsError::Value(error.to_string()))?;
     Ok(ParsedSettings { settings, class_names, pairs })
 }
 
-/// Sets the fields of the load report to this program's own: settings that were agreed under an older version lack the
-/// newer ones.
+/// Replaces the load report fields by those of this version: settings that were agreed under an older version lack the
+/// newer fields.
 pub fn set_report_fields(settings: &mut Settings) {
     settings.report_fields = REPORT_FIELDS.split(',').map(str::to_string).collect();
 }
 
-/// The text that the store keeps of the file's `settings` section.
+/// Converts the `settings` section of a file to the text form that the store keeps.
 ///
 /// # Errors
-/// [`OperatorConfigError`] with the line of the setting at fault.
+/// [`OperatorConfigError`] with the line of the invalid setting.
 pub fn stored_text(section: &Node) -> Result<String, OperatorConfigError> {
     let mut pairs = BTreeMap::new();
     flatten("", section, &mut pairs)?;
@@ -139,7 +139,7 @@
     Ok(text)
 }
 
-/// Nested settings as pairs; a list becomes a `count` and its elements by number.
+/// Converts nested settings to pairs. A list becomes a `count` and a path with an index for each element.
 fn flatten(path: &str, node: &Node, pairs: &mut BTreeMap<String, String>) -> Result<(), OperatorConfigError> {
     match &node.kind {
         NodeKind::Map(children) => {
@@ -167,16 +167,16 @@
 }
 
 fn check_value(path: &str, value: &str) -> Result<(), OperatorConfigProblem> {
-    let Some((_, form)) = SETTINGS.iter().find(|(pattern, _)| matches_pattern(pattern, path)) else {
+    let Some((_, value_type)) = SETTINGS.iter().find(|(pattern, _)| matches_pattern(pattern, path)) else {
         return Err(OperatorConfigProblem::UnknownSetting(path.to_string()));
     };
-    if !form.allows(value) {
+    if !value_type.allows(value) {
         return Err(OperatorConfigProblem::SettingValue { path: path.to_string(), value: value.to_string() });
     }
     Ok(())
 }
 
-/// Whether a path has the pattern's parts, where `*` stands for a number.
+/// Whether a dotted path matches a pattern in which `*` matches a number.
 fn matches_pattern(pattern: &str, path: &str) -> bool {
     let mut expected_parts = pattern.split('.');
     let mut parts = path.split('.');
@@ -207,7 +207,8 @@
     Ok(())
 }
 
-/// The file states consistency and age with each class; the decision module reads them as one list of all classes.
+/// Replaces the consistency and maximum age of each class by comma-separated lists over all classes, which the routing
+/// settings parser expects.
 fn collect_class_consistency(pairs: &mut BTreeMap<String, String>, class_count: usize) {
     let mut consistencies = Vec::new();
     let mut max_ages = Vec::new();
@@ -219,9 +220,10 @@
     pairs.insert("family-info.max-age".to_string(), max_ages.join(","));
 }
 
-/// Backends that serve whatever state they have are polled for their log position; others reject reads by themselves.
+/// Enables polling for log positions by default if endpoints serve reads from a stale state. Endpoints that reject or
+/// delay such reads need no polling.
 fn add_polling_defaults(pairs: &mut BTreeMap<String, String>) {
-    let rejects_stale_reads = pairs.get("family-info.behind").is_some_and(|policy| policy != "none");
+    let handles_stale_reads = pairs.get("family-info.behind").is_some_and(|policy| policy != "none");
     pairs.entry("family-info.behind".to_string()).or_insert_with(|| "none".to_string());
-    pairs.entry("limits.probes".to_string()).or_insert_with(|| (!rejects_stale_reads).to_string());
+    pairs.entry("limits.probes".to_string()).or_insert_with(|| (!handles_stale_reads).to_string());
 }
--- a/src/daemon/operator_config/tests.rs
+++ b/src/daemon/operator_config/tests.rs
@@ -1,4 +1,4 @@
-//! The example files of the deployment are read, and errors name their lines.
+//! Tests that the example files in `deploy/` parse and that errors carry the right line.
 
 use super::reader::parse;
 use super::*;
@@ -6,7 +6,7 @@
 const FILE: &str = include_str!("../../../deploy/operator.yaml");
 
 #[test]
-fn the_example_file_is_read() {
+fn the_example_file_parses() {
     let config =
         parse(Path::new("deploy/operator.yaml"), FILE, Timestamp::from_micros(7), &Limits::for_sockets(0))
             .unwrap();
@@ -19,17 +19,17 @@
 }
 
 #[test]
-fn the_example_inventories_are_read_and_alike() {
-    let read = |name: &str, text| {
+fn the_example_inventories_parse_to_the_same_hosts() {
+    let parse_hosts = |name: &str, text| {
         inventory::parse(Path::new(name), text, &["zona-10".into()], &Limits::for_sockets(0)).unwrap().hosts
     };
-    let yaml = read("i.yaml", include_str!("../../../deploy/inventory.yaml"));
-    assert_eq!(yaml, read("i.csv", include_str!("../../../deploy/inventory.csv")));
+    let yaml = parse_hosts("i.yaml", include_str!("../../../deploy/inventory.yaml"));
+    assert_eq!(yaml, parse_hosts("i.csv", include_str!("../../../deploy/inventory.csv")));
 }
 
 #[test]
-fn an_error_names_its_line() {
-    for (from, to, why) in [
+fn an_error_has_the_line_of_the_invalid_value() {
+    for (original, replacement, message) in [
         ("name: b1", "nome: b1", "unknown"),
         ("127.0.0.1:8890", "0.0.0.0:8890", "not loopback"),
         ("update: score-write", "update: score-rite", "no service"),
@@ -41,11 +41,10 @@
         ("automatic: true", "automatic: perhaps", "true or false"),
         ("dwell: 3", "dwel: 3", "unknown in leaving"),
     ] {
-        let line = FILE.lines().position(|l| l.contains(from)).map(|n| n + 1).expect(from);
-        let error =
-            parse(Path::new("f"), &FILE.replacen(from, to, 1), Timestamp::ZERO, &Limits::for_sockets(0))
-                .unwrap_err();
-        assert!(error.problem.to_string().contains(why), "{to}: {error}");
-        assert_eq!(error.line, line, "{to}: {error}");
+        let index = FILE.lines().position(|line| line.contains(original)).expect(original);
+        let text = FILE.replacen(original, replacement, 1);
+        let error = parse(Path::new("f"), &text, Timestamp::ZERO, &Limits::for_sockets(0)).unwrap_err();
+        assert!(error.problem.to_string().contains(message), "{replacement}: {error}");
+        assert_eq!(error.line, index + 1, "{replacement}: {error}");
     }
 }
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -1,8 +1,8 @@
-//! The daemon of the platform: the PostgreSQL front, with the configuration that `GW_CONFIG` names.
+//! The daemon configured by the platform: the PostgreSQL front, with the configuration file named by `GW_CONFIG`.
 //!
-//! There is no store and no fleet here: the endpoint list comes from discovery (`endpoint_lists`) and is kept in
-//! memory, and peers exchange primary hints in datagrams (`gossip`). A new process may take over the listening socket
-//! of the one that it replaces (`client_socket`).
+//! It has no store and no fleet: the endpoint list comes from discovery (`endpoint_lists`) and is kept in memory, and
+//! peers exchange primary hints in UDP datagrams (`gossip`). A new process may inherit the listening socket of the
+//! process that it replaces (`client_socket`).
 
 mod client_socket;
 mod endpoint_lists;
@@ -36,20 +36,20 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Names the administration server's address where the configuration's file states none.
+/// Environment variable with the admin server's address; used if the configuration file does not specify one.
 const ADMIN_VARIABLE: &str = "GW_ADMIN_ADDR";
-/// Names the descriptor of the clients' listening socket where the platform passes one on.
+/// Environment variable with the descriptor number of an inherited listening socket for clients.
 const INHERITED_SOCKET_VARIABLE: &str = "GW_PASSED_SOCKET";
 
-/// The engine of PostgreSQL statements.
+/// Handle of an engine for PostgreSQL statements.
 type Engine =
     EngineHandle<<PostgresBackend as BackendProtocol>::Request, <PostgresBackend as BackendProtocol>::Answer>;
 type EngineCommand = Command<<PostgresBackend as BackendProtocol>::Request>;
 
-/// Reads the configuration from its file and the environment.
+/// Reads the configuration from the file at `path` and the environment.
 ///
 /// # Errors
-/// [`ConfigError`] with the file, and the line where its content is at fault.
+/// [`ConfigError`] with the path of the file, and the line if its content is invalid.
 pub fn load(path: &str) -> Result<PlatformConfig, ConfigError> {
     let file = PathBuf::from(path);
     let text =
@@ -66,12 +66,12 @@
     Ok(config)
 }
 
-/// Serves until SIGTERM; `path` is the file that `config` was read from, and is read again on SIGHUP.
+/// Serves until SIGTERM. `path` is the file that `config` was read from; it is reloaded on SIGHUP.
 ///
 /// # Errors
-/// [`DaemonError`] where an address or the inherited socket cannot be used, or the engine ends.
+/// [`DaemonError`] if an address or the inherited socket cannot be used, or if the engine thread ends.
 pub async fn serve(path: String, config: PlatformConfig, executor: Executor) -> Result<(), DaemonError> {
-    // Before anything else: without handlers these signals would end the process with accepted requests unanswered.
+    // First of all, since an unhandled signal would terminate the process with accepted requests unanswered.
     let hangup = SignalStream::subscribe(Signal::Hangup)?;
     let terminate = SignalStream::subscribe(Signal::Terminate)?;
     let limits = Rc::new(daemon_limits(&config));
@@ -98,9 +98,9 @@
     daemon.run(commands, hangup, terminate).await
 }
 
-/// A daemon whose engine runs and that has no sockets yet.
+/// A daemon whose engine is running and whose sockets are not open yet.
 struct PlatformDaemon {
-    /// The file that `config` was read from.
+    /// Path of the file that `config` was read from.
     path: String,
     config: PlatformConfig,
     limits: Rc<Limits>,
@@ -132,7 +132,7 @@
 
         let handover = handover(&self.config);
         if handover == Handover::Successor {
-            // Until this process can serve, all clients on the shared socket are its predecessor's.
+            // Until this process can serve, its predecessor accepts all connections of the shared socket.
             if terminate.unless_received(first_list_sent.wait()).await.is_none() {
                 return terminated_early();
             }
@@ -152,7 +152,8 @@
         daemon.run(terminate).await
     }
 
-    /// Follows the configuration's file, and starts with the cached list if discovery is silent.
+    /// Starts reloading the configuration on SIGHUP, and falls back to the cached endpoint list if discovery does not
+    /// answer.
     fn start_lists(&self, hangup: SignalStream) {
         self.discovery.follow_configuration(&self.executor, self.path.clone(), hangup);
         if self.config.cached_list.is_some() {
@@ -176,7 +177,7 @@
         let fetch_requests = self.discovery.fetch_requests();
         let execute_other = async move |command| match command {
             Command::SendToPeers { to, bytes } => peers.send(to, &bytes).await,
-            // A full channel already holds a request that has not been read.
+            // If the channel is full, an unread request is already queued.
             Command::FetchList => drop(fetch_requests.try_send(())),
             _ => {}
         };
@@ -212,7 +213,7 @@
     limits
 }
 
-/// A process on an inherited socket is followed by another one on it.
+/// A process with an inherited socket is replaced by another process that inherits the same socket.
 fn handover(config: &PlatformConfig) -> Handover {
     if config.inherited_socket.is_some() {
         Handover::Successor
@@ -234,8 +235,8 @@
     );
 }
 
-/// SIGTERM came before any connection was accepted.
+/// Result of a daemon that receives SIGTERM before it accepts connections.
 fn terminated_early() -> Result<(), DaemonError> {
-    log::info!("SIGTERM before the first connection");
+    log::info!("SIGTERM before accepting connections");
     Ok(())
 }
--- a/src/daemon/platform/client_socket.rs
+++ b/src/daemon/platform/client_socket.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket: opened here, or inherited from the platform.
+//! The listening socket for clients: bound by this process, or inherited from the platform.
 
 use crate::config::Limits;
 use crate::daemon::DaemonError;
@@ -8,10 +8,12 @@
 use async_io::Async;
 use std::net::TcpListener;
 
-/// The socket that the platform passes on, or a new one, once its address is free. `None`: SIGTERM came first.
+/// Returns the inherited socket if there is one. Otherwise binds a new one, waiting for the address to become free;
+/// `None` if SIGTERM is delivered first.
 ///
 /// # Errors
-/// [`DaemonError::InheritedSocket`], [`DaemonError::InheritedSocketIo`] or [`DaemonError::Listen`].
+/// [`DaemonError::InheritedSocket`] or [`DaemonError::InheritedSocketIo`] if the inherited socket cannot be used,
+/// [`DaemonError::Listen`] if the address cannot be bound.
 pub async fn open(
     config: &PlatformConfig,
     limits: &Limits,
--- a/src/daemon/platform/endpoint_lists.rs
+++ b/src/daemon/platform/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists from discovery to the engine, and the list that a process starts with.
+//! Passes endpoint lists from discovery to the engine, and starts with a cached list if discovery does not answer.
 
 use crate::config::Limits;
 use crate::daemon::Executor;
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The current list. There is no store on the platform: it is kept in memory. Clones share it.
+/// The current endpoint list, kept in memory since the platform daemon has no store. Clones share it.
 #[derive(Clone)]
 pub struct EndpointLists {
     catalog: Rc<RefCell<EndpointCatalog>>,
@@ -22,7 +22,7 @@
 }
 
 impl EndpointLists {
-    /// Starts from the list that the configuration states, if any.
+    /// Starts with the cached list of the configuration, if there is one.
     pub fn new(cached: Option<EndpointUpdate>) -> EndpointLists {
         let mut catalog = EndpointCatalog::default();
         if let Some(cached) = cached {
@@ -31,14 +31,14 @@
         EndpointLists { catalog: Rc::new(RefCell::new(catalog)), first_list_sent: Latch::default() }
     }
 
-    /// Set once the process can serve: the engine has a list.
+    /// Set once the engine has a list, so that the process can serve.
     pub fn first_list_sent(&self) -> Latch {
         self.first_list_sent.clone()
     }
 
-    /// Hands the cached list to the engine if discovery does not answer within `cached_list_delay`; until then requests
-    /// are queued. Discovery's own list takes precedence from the first moment, since it tells of drains: the cached
-    /// one serves only where waiting for a newer one would serve nobody.
+    /// Sends the cached list to the engine if discovery does not answer within `Limits::cached_list_delay`; until then
+    /// requests are queued. The list of discovery always takes precedence, since it contains current drains: the cached
+    /// list is used only while no request could be served without it.
     pub fn serve_cached_list_on_discovery_timeout<W, A>(
         &self,
         executor: &Executor,
@@ -52,20 +52,20 @@
         let first_list_sent = self.first_list_sent.clone();
         let engine = engine.clone();
         let delay = limits.cached_list_delay;
-        let ready_after = limits.readiness_timeout;
+        let readiness_timeout = limits.readiness_timeout;
         let task = async move {
             Timer::after(delay).await;
             if !first_list_sent.is_set() {
                 let list = catalog.borrow().whole_list();
                 engine.send_control(Control::EndpointList { list, cached: true }).await;
             }
-            Timer::after(ready_after.saturating_sub(delay)).await;
+            Timer::after(readiness_timeout.saturating_sub(delay)).await;
             first_list_sent.set();
         };
         executor.spawn(task).detach();
     }
 
-    /// Hands a list from discovery to the engine.
+    /// Applies an update from discovery and sends the resulting list to the engine.
     async fn deliver<W, A>(&self, update: &EndpointUpdate, engine: &EngineHandle<W, A>) {
         self.catalog.borrow_mut().apply(update);
         let list = self.catalog.borrow().whole_list();
@@ -74,7 +74,7 @@
     }
 }
 
-/// The address of discovery, which a reload may change, and requests for the whole list.
+/// The address of discovery, which a reload may change, and the channel for requests to fetch the whole list.
 pub struct Discovery {
     address: Rc<Cell<SocketAddr>>,
     fetch_sender: Sender<()>,
@@ -82,20 +82,19 @@
 }
 
 impl Discovery {
-    /// Discovery at `address`.
+    /// Creates a discovery that initially uses `address`; nothing is fetched before [`Discovery::watch`].
     pub fn new(address: SocketAddr) -> Discovery {
         let (fetch_sender, fetch_receiver) = async_channel::bounded(1);
         Discovery { address: Rc::new(Cell::new(address)), fetch_sender, fetch_receiver }
     }
 
-    /// Takes a message to have the whole list fetched.
+    /// A message on this channel makes [`Discovery::watch`] fetch the whole list.
     pub fn fetch_requests(&self) -> Sender<()> {
         self.fetch_sender.clone()
     }
 
-    /// Reads the configuration at `path` again at each SIGHUP. Discovery moves to the address that it names, at once
-    /// and without touching open requests; other changes take effect at the next start. A file that does not parse
-    /// changes nothing.
+    /// Reloads the configuration at `path` on each SIGHUP. A new discovery address takes effect at once and does not
+    /// affect open requests; other changes take effect at the next start. A file that does not parse is ignored.
     pub fn follow_configuration(&self, executor: &Executor, path: String, mut hangup: SignalStream) {
         let address = self.address.clone();
         let fetch_sender = self.fetch_sender.clone();
@@ -106,7 +105,7 @@
                     Ok(config) => {
                         log::info!("SIGHUP: discovery at {} (before: {})", config.discovery, address.get());
                         address.set(config.discovery);
-                        // A full channel holds a request that is still to be read; the address is read after it.
+                        // If the channel is full, a fetch is already requested; it will use the new address.
                         let _ = fetch_sender.try_send(());
                     }
                     Err(error) => log::error!("SIGHUP: {error}; the last good configuration stays"),
@@ -116,7 +115,7 @@
         executor.spawn(task).detach();
     }
 
-    /// Watches discovery until the process ends.
+    /// Spawns a task that watches discovery until the process exits, and delivers each update to `lists` and `engine`.
     pub fn watch<W, A>(
         &self,
         executor: &Executor,
--- a/src/daemon/platform/gossip.rs
+++ b/src/daemon/platform/gossip.rs
@@ -1,4 +1,4 @@
-//! Starts the exchange of primary hints with the other poolers of the tier.
+//! Exchanges primary hints with the other poolers of the tier.
 
 use crate::config::Limits;
 use crate::daemon::{DaemonError, Executor};
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Opens the datagram socket, if the configuration names an address, and hands what arrives to the engine. Where the
-/// process that this one replaces still has the address, it is opened once it is free.
+/// Binds the UDP socket, if the configuration specifies an address, and passes received messages to the engine. If the
+/// address is still in use, typically by the process that this one replaces, the bind is retried until it is free.
 ///
 /// # Errors
-/// [`DaemonError::Listen`] where the address cannot be bound for another reason.
+/// [`DaemonError::Listen`] if the address cannot be bound for any other reason.
 pub fn start<W, A>(
     config: &PlatformConfig,
     engine: &EngineHandle<W, A>,
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of a daemon: SIGTERM starts a drain that is bounded in time.
+//! Graceful shutdown: SIGTERM starts a drain of bounded duration.
 
 use super::DaemonError;
 use super::listeners::Acceptor;
@@ -14,41 +14,41 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Who serves the clients of a daemon that ends.
+/// Who serves the clients of a daemon that shuts down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Handover {
-    /// The other poolers of its tier: it accepts connections until its routing is updated, then ends.
+    /// The other poolers of the tier. This one accepts connections until the load balancer no longer sends any.
     Peers,
-    /// Nobody: it serves the clients that it has for as long as their deadlines allow.
+    /// No other pooler. This one serves its clients for as long as their deadlines allow.
     NoPeers,
-    /// A successor process that listens on the same socket: it accepts nothing more.
+    /// A successor process that listens on the same socket. This one stops accepting at once.
     Successor,
 }
 
-/// What a running daemon needs for its end.
+/// The components of a running daemon that take part in its shutdown.
 pub struct RunningDaemon<W, A> {
-    /// Bounds of the drain.
+    /// Contains the time limits of the drain.
     pub limits: Rc<Limits>,
-    /// The clients' connections.
+    /// Tracks the open client connections.
     pub limiter: Rc<ConnectionLimiter>,
-    /// State that the fronts and the administration server look at.
+    /// Serving state that the fronts and the admin server read.
     pub lifecycle: Rc<Lifecycle>,
-    /// The engine.
+    /// Engine that answers the open requests.
     pub engine: EngineHandle<W, A>,
-    /// Who serves the clients afterwards.
+    /// Who serves the clients after the shutdown.
     pub handover: Handover,
-    /// Accepts the clients' connections.
+    /// Accepts client connections until the drain stops it.
     pub acceptor: Acceptor,
-    /// Executes the engine's commands; ends only when the engine's thread does.
+    /// Executes the engine's commands; completes only if the engine thread ends.
     pub command_task: Task<()>,
 }
 
 impl<W, A> RunningDaemon<W, A> {
-    /// Serves until `terminate` delivers SIGTERM, then until all accepted requests are answered or the drain's time
-    /// is over.
+    /// Serves until `terminate` delivers SIGTERM, then drains: returns once all accepted requests are answered, or when
+    /// the time limit of the drain expires.
     ///
     /// # Errors
-    /// [`DaemonError::EngineEnded`] if the engine's thread ends before.
+    /// [`DaemonError::EngineEnded`] if the engine thread ends first.
     pub async fn run(self, mut terminate: SignalStream) -> Result<(), DaemonError> {
         let RunningDaemon { limits, limiter, lifecycle, engine, handover, acceptor, command_task } = self;
         let engine_ended = async {
@@ -81,19 +81,20 @@
     accept_period: Duration,
 ) {
     if handover == Handover::Successor {
-        // New connections belong to the successor, which listens on the same socket.
+        // The successor, which listens on the same socket, accepts new connections.
         log::info!("SIGTERM: draining");
         acceptor.stop_now().await;
     } else {
-        // The load balancer in front assigns connections a little longer, and clients use the connections that they
-        // have as long as these stay open: all requests that arrive in this period are accepted and answered.
+        // The load balancer takes some time to stop assigning connections, and clients use their connections for as
+        // long as these stay open: all requests that arrive in this period are accepted and answered.
         log::info!("SIGTERM: draining, serving for {accept_period:?} more");
         Timer::at(signalled_at + accept_period).await;
         acceptor.stop_after_backlog().await;
     }
 }
 
-/// Closes each connection behind its last answer. What is open shortly before `end` gets its final answer then.
+/// Closes each connection after its last answer. Requests that are still open `Limits::final_answer_margin` before
+/// `end` get their final answer then.
 async fn close_connections<W, A>(
     limits: &Limits,
     limiter: &ConnectionLimiter,
--- a/src/daemon/signals.rs
+++ b/src/daemon/signals.rs
@@ -10,9 +10,9 @@
 /// A signal that the daemon handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Hangup,
-    /// SIGTERM: drain and end.
+    /// SIGTERM: drain and exit.
     Terminate,
 }
 
@@ -25,21 +25,22 @@
     }
 }
 
-/// Deliveries of one signal since [`SignalStream::subscribe`], one byte in a pipe for each.
+/// The deliveries of one signal since [`SignalStream::subscribe`]. The signal handler writes one byte per delivery to a
+/// socket pair.
 pub struct SignalStream {
     pipe: Async<UnixStream>,
 }
 
 impl SignalStream {
-    /// Replaces the signal's default action, which would end the process, by a delivery to this stream.
+    /// Replaces the signal's default action, which would terminate the process, with a delivery to this stream.
     ///
     /// # Errors
-    /// [`DaemonError::Signals`] where the pipe cannot be opened or the handler not be installed.
+    /// [`DaemonError::Signals`] if the socket pair cannot be opened or the handler cannot be installed.
     pub fn subscribe(signal: Signal) -> Result<SignalStream, DaemonError> {
         open_pipe(signal.number()).map(|pipe| SignalStream { pipe }).map_err(DaemonError::Signals)
     }
 
-    /// Completes at the next delivery, at once if one is pending.
+    /// Completes at the next delivery, or immediately if one is pending.
     pub async fn received(&mut self) {
         let mut byte = [0];
         while let Err(error) = self.pipe.read(&mut byte).await {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Runs `work` to its end; `None` if the signal came first.
+    /// Runs `work` to completion; `None` if the signal is delivered first.
     pub async fn unless_received<T>(&mut self, work: impl Future<Output = T>) -> Option<T> {
         let completed = async { Some(work.await) };
         let interrupted = async {
