--- a/src/net/admin_server.rs
+++ b/src/net/admin_server.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTP/1.1 server, on an address of its own: readiness, metrics, drain and activate. One call a
-//! connection.
+//! HTTP/1.1 server for operators on a separate address: readiness, metrics, drain and activate. Each connection serves
+//! one call.
 
 use super::buffer::Buffer;
 use super::connection::ClientConnection;
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// What operators can call.
+/// The calls that operators can make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
     Ready,
@@ -26,7 +26,7 @@
     Activate,
 }
 
-/// Where a call is found.
+/// Path and method of a call.
 struct Route {
     path: &'static str,
     method: &'static str,
@@ -40,7 +40,7 @@
     Route { path: "/v1/pooler/activate", method: "PUT", call: Call::Activate },
 ];
 
-/// A request that is no call.
+/// A request that matches no route.
 enum RouteError {
     NotFound,
     MethodNotAllowed { allowed: &'static str },
@@ -66,21 +66,22 @@
     Ok(route.call)
 }
 
-/// What all calls share.
+/// State shared by all connections of the admin server.
 pub struct AdminServer<W, A> {
     limits: Rc<Limits>,
     engine: EngineHandle<W, A>,
     lifecycle: Rc<Lifecycle>,
     /// Set once the process can serve clients.
     ready: Latch,
-    /// The gauges of the last call that the engine answered in time.
+    /// The latest gauges from the engine.
     last_gauges: Cell<Gauges>,
-    /// Metrics of other parts, a line each.
+    /// Returns metrics of other components, one per line.
     other_metrics: Box<dyn Fn() -> String>,
 }
 
 impl<W, A> AdminServer<W, A> {
-    /// A server with limits of its own: calls are few and short. `other_metrics` are appended to the engine's.
+    /// Creates a server with separate, small limits, since calls are few and short. The result of `other_metrics` is
+    /// appended to the engine's metrics.
     pub fn new(
         limits: &Limits,
         engine: EngineHandle<W, A>,
@@ -98,12 +99,12 @@
         }
     }
 
-    /// The limits of its connections.
+    /// Limits of the server's own connections.
     pub fn limits(&self) -> &Rc<Limits> {
         &self.limits
     }
 
-    /// Serves one connection to its end.
+    /// Serves one connection until it is closed.
     pub async fn serve(&self, stream: Async<TcpStream>, slot: ConnectionSlot, decision: AcceptDecision) {
         let clock = self.engine.clock().clone();
         let mut connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Reads one request and answers it; `None` where the client has gone.
+    /// Reads one request and returns the response; `None` if the client has disconnected.
     async fn read_and_answer(&self, connection: &mut ClientConnection) -> Option<Vec<u8>> {
         let mut buffer = Buffer::default();
         match server::next(connection, &mut buffer, &self.limits).await {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Whether the process can serve clients: a drained one can, and so is ready.
+    /// Reports whether the process can serve clients. A drained process is ready too.
     fn readiness(&self) -> Vec<u8> {
         match self.lifecycle.state() {
             ServingState::Terminating => server::answer(503, &[], "ending"),
@@ -163,7 +164,7 @@
     async fn metrics(&self) -> String {
         let deadline = Instant::now() + self.limits.readiness_timeout;
         let gauges = until(deadline, self.engine.gauges()).await.flatten();
-        // Late metrics are worse than gauges of a moment ago.
+        // Slightly outdated gauges are better than metrics that arrive late.
         let gauges = gauges.unwrap_or(self.last_gauges.get());
         self.last_gauges.set(gauges);
         self.engine.metrics().statsd_text(gauges) + &(self.other_metrics)()
--- a/src/net/answer_stream.rs
+++ b/src/net/answer_stream.rs
@@ -1,35 +1,35 @@
-//! What the fronts of all protocols share about answers that take time: chunks of answers that are too long to be
-//! buffered, and waiting for the engine or a host while the client may leave.
+//! Streamed answers, for the fronts of all protocols: the chunks of answers that are too long to be buffered, and
+//! waiting for the engine or an endpoint while watching for the client's disconnect.
 
 use super::buffer::Buffer;
 use super::connection::{ClientConnection, ReadAhead};
 use async_channel::Receiver;
 use futures_lite::future;
 
-/// A part of a streamed answer. A channel that closes before [`StreamChunk::End`] means that the host broke off, and
-/// the client must be able to tell: its connection ends without a proper end of the answer.
+/// A part of a streamed answer. If the channel closes before [`StreamChunk::End`], the endpoint broke off its answer;
+/// the front must close the client's connection without terminating the answer, so that the client notices.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamChunk {
-    /// More bytes.
+    /// The next bytes of the answer.
     Data(Vec<u8>),
     /// The answer is complete.
     End,
 }
 
-/// What came first while a client waits.
+/// The first event while a client waits for an answer.
 #[derive(Debug)]
 pub enum AnswerEvent<T> {
-    /// A message from the engine or the host side.
+    /// A message from the engine or from the attempt at an endpoint.
     Received(T),
-    /// The sender was dropped before the end of the answer.
+    /// The sender was dropped before the answer was complete.
     ChannelClosed,
-    /// The client has sent more, which was appended to its buffer.
+    /// The client has sent more data, which was appended to its input buffer.
     ClientData,
-    /// The client has left.
+    /// The client has closed its connection, or the connection broke.
     ClientDisconnected,
 }
 
-/// Waits for a message for a client, and reads what the client sends meanwhile.
+/// Waits for a message for the client, or for one read from the client into `input`.
 pub async fn next_event<T>(
     messages: &Receiver<T>,
     connection: &mut ClientConnection,
@@ -47,6 +47,6 @@
             ReadAhead::Disconnected => AnswerEvent::ClientDisconnected,
         }
     };
-    // The first one wins where both are there: an answer is written before more is read.
+    // `or` prefers its first argument if both are ready: an answer is written before more input is read.
     future::or(received, read).await
 }
--- a/src/net/bind_retry.rs
+++ b/src/net/bind_retry.rs
@@ -1,13 +1,13 @@
-//! Waiting for an address that another process still has.
+//! Retries a bind while the address is in use by another process.
 
 use async_io::Timer;
 use std::io;
 use std::time::Duration;
 
-/// Binds an address, and tries again after `interval` for as long as `is_retryable` holds for the error.
+/// Calls `bind` and retries it every `interval` as long as `is_retryable` returns true for the error.
 ///
 /// # Errors
-/// The first error for which `is_retryable` does not hold.
+/// The first error for which `is_retryable` returns false.
 pub(super) async fn bind_with_retry<S>(
     interval: Duration,
     bind: impl Fn() -> io::Result<S>,
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection as every front uses it: reads with arrival times, writes within a time limit, waits between
+//! A client's connection, as used by all fronts: reads that record arrival times, writes with a timeout, waits between
 //! requests, and a close that does not lose the last answer.
 
 mod arrival_times;
@@ -21,17 +21,17 @@
 /// How much of the next request is buffered while a connection waits for input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestProgress {
-    /// Nothing of it has come.
+    /// No byte has been received.
     NotStarted,
-    /// A part of it has come.
+    /// Some bytes, but not all, have been received.
     Partial {
-        /// Bytes of it that are buffered; they count against the budget of all connections.
+        /// Number of buffered bytes; they count against `Limits::message_budget_bytes`.
         bytes: usize,
     },
 }
 
 impl RequestProgress {
-    /// Progress of a request of which `bytes` are buffered; none: it has not started.
+    /// Progress of an incomplete request of which `bytes` bytes are buffered.
     pub fn of_buffered(bytes: usize) -> RequestProgress {
         if bytes > 0 { RequestProgress::Partial { bytes } } else { RequestProgress::NotStarted }
     }
@@ -44,29 +44,29 @@
     }
 }
 
-/// What ended a wait for input.
+/// The event that ended a wait for input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEvent {
     /// Bytes were read.
     Data,
     /// The client closed the connection.
     Closed,
-    /// The client sent nothing, and the connection is to be closed.
+    /// The limiter asked the connection to close, and no request has started.
     CloseRequested,
-    /// A part of a request has come, and the connection's descriptor is needed at once.
+    /// The limiter evicted the connection while a request was incomplete.
     Evicted,
-    /// The client did not send a whole request in time.
+    /// The client did not send a complete request in time.
     TimedOut,
-    /// The message budget of all connections has no room for this request.
+    /// The request does not fit into the message budget that all connections share.
     OverBudget,
 }
 
-/// What came of reading behind open requests.
+/// Result of reading ahead while requests are open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadAhead {
     /// Bytes were read.
     Received,
-    /// The client has closed the connection, or it broke.
+    /// The client has closed the connection, or the connection broke.
     Disconnected,
 }
 
@@ -78,13 +78,13 @@
     clock: Clock,
     connected_at: Instant,
     arrival_times: ArrivalTimes,
-    /// Since when a request is awaited: the first one since the connection was accepted, others since their first
-    /// byte; `None` between requests.
+    /// Start of the timeout for the next complete request: for the first request the time of the accept, for others
+    /// that of their first byte; `None` between requests.
     request_awaited_since: Option<Instant>,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// Wraps a connection that was just accepted; the timeout for its first request starts now.
     pub fn new(
         stream: Async<TcpStream>,
         slot: ConnectionSlot,
@@ -103,45 +103,46 @@
         }
     }
 
-    /// Whether the connection is to be closed once no request is open.
+    /// Whether the front must close the connection once no request is open.
     pub fn must_close(&self) -> bool {
         self.slot.must_close()
     }
 
-    /// Records that a whole request was taken out of the buffer.
+    /// Records that a complete request was taken out of the buffer.
     pub fn request_received(&mut self) {
         self.request_awaited_since = None;
         self.slot.request_received();
     }
 
-    /// When the last byte of the request arrived that was just taken, where `unread` bytes are buffered behind it.
+    /// Arrival time of the last byte of the request that was just taken out of the buffer, which still holds `unread`
+    /// bytes after it.
     pub fn arrival_time(&mut self, unread: usize) -> Timestamp {
         self.arrival_times.last_consumed_at(unread).unwrap_or_else(|| self.clock.now())
     }
 
-    /// Whether the client has closed its connection, though bytes of it may be unread.
+    /// Whether the client has closed its connection, even if received bytes are still unread.
     pub fn has_disconnected(&self) -> bool {
         let mut polled = [PollFd::new(&self.stream, PollFlags::RDHUP)];
         let without_waiting = Timespec { tv_sec: 0, tv_nsec: 0 };
         let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         poll(&mut polled, Some(&without_waiting))
-            .is_ok_and(|n| n > 0 && polled[0].revents().intersects(closed))
+            .is_ok_and(|ready_count| ready_count > 0 && polled[0].revents().intersects(closed))
     }
 
-    /// Whether the client of a request that arrived at `arrived_at` has closed its connection meanwhile.
+    /// Whether the client of a request that arrived at `arrived_at` has closed its connection since.
     ///
-    /// Costs a system call, and so is looked for only where the request may have waited to be read: at a connection's
+    /// The check costs a system call, so it is made only if the request may have waited to be read: for a connection's
     /// first request, and after `Limits::departure_check_interval` in the buffer.
     pub fn has_disconnected_since(&self, arrived_at: Timestamp) -> bool {
         let check_interval = TimeDelta::from(self.limits.departure_check_interval);
-        let waited = self.clock.now() - arrived_at >= check_interval;
-        (waited || !self.slot.has_received_request()) && self.has_disconnected()
+        let has_waited = self.clock.now() - arrived_at >= check_interval;
+        (has_waited || !self.slot.has_received_request()) && self.has_disconnected()
     }
 
-    /// Reads once; 0 at the end of the stream.
+    /// Reads once and returns the number of bytes, 0 at the end of the stream.
     ///
     /// # Errors
-    /// The error of the read: the connection is broken.
+    /// The I/O error of the read; the connection is broken.
     pub async fn read(&mut self, into: &mut Buffer) -> io::Result<usize> {
         self.arrival_times.fill(&self.stream, into, &self.clock).await
     }
@@ -149,7 +150,7 @@
     /// Writes all bytes.
     ///
     /// # Errors
-    /// The error of the write, or `TimedOut` where the client does not take them within
+    /// The I/O error of the write, or `TimedOut` if the client does not accept all bytes within
     /// `Limits::client_write_timeout`.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         let deadline = Instant::now() + self.limits.client_write_timeout;
@@ -159,12 +160,12 @@
 
     /// Waits for input while no request is open.
     ///
-    /// The first whole request, and the rest of any that has started, must come within
-    /// `Limits::first_request_timeout`. A connection that is to be closed may complete a request that has started,
-    /// and one that was just accepted keeps `Limits::silent_client_grace` to send its first, unless it is evicted.
+    /// The complete first request must arrive within `Limits::first_request_timeout` of the accept, any other request
+    /// within the same time of its first byte. A connection that was asked to close may still complete a request that
+    /// has started, and a new one has `Limits::silent_client_grace` to send its first request, unless it is evicted.
     ///
     /// # Errors
-    /// The error of the read: the connection is broken.
+    /// The I/O error of the read; the connection is broken.
     pub async fn wait_for_input(
         &mut self,
         progress: RequestProgress,
@@ -193,11 +194,11 @@
             let count = self.arrival_times.fill(&self.stream, into, &self.clock).await?;
             Ok(if count > 0 { ReadEvent::Data } else { ReadEvent::Closed })
         };
-        // Input that has come is read before a request to close is looked at.
+        // `or` prefers its first argument: input that has arrived is read before a request to close takes effect.
         future::or(read, future::or(closed, timed_out)).await
     }
 
-    /// Reads once behind open requests. Once more than `Limits::read_ahead_bytes` bytes are buffered it reads nothing, and
+    /// Reads once while requests are open. If more than `Limits::read_ahead_bytes` bytes are buffered, reads nothing and
     /// only waits until the client closes the connection.
     pub async fn read_ahead(&mut self, into: &mut Buffer) -> ReadAhead {
         if into.unread().len() > self.limits.read_ahead_bytes {
@@ -213,18 +214,18 @@
         }
     }
 
-    /// Waits until the client closes the connection. Input that comes meanwhile is buffered, up to
-    /// `Limits::read_ahead_bytes`.
+    /// Waits until the client closes the connection. Input that arrives in the meantime is buffered, until more than
+    /// `Limits::read_ahead_bytes` are.
     pub async fn wait_for_disconnect(&mut self, into: &mut Buffer) {
         while self.read_ahead(into).await == ReadAhead::Received {}
     }
 
-    /// Closes the connection so that what was written arrives: a close with unread input would reset the connection
-    /// (RFC 1122, 4.2.2.13), and the client could lose the last answer. Input is read and dropped until the client
-    /// closes, up to the time and the bytes of `Limits::close_linger`.
+    /// Closes the connection without losing written data: closing with unread input would reset the connection
+    /// (RFC 1122, 4.2.2.13), and the client could lose the last answer. Shuts down the write side, then reads and
+    /// discards input until the client closes, within the time and the bytes of `Limits::close_linger`.
     ///
     /// # Errors
-    /// The error of the shutdown: the connection is already broken.
+    /// The I/O error of the shutdown; the connection is already broken.
     pub async fn linger(&mut self) -> io::Result<()> {
         let CloseLinger { timeout, bytes: mut bytes_left } = self.limits.close_linger;
         self.slot.release_message_bytes();
@@ -244,8 +245,8 @@
     }
 }
 
-/// Waits until the connection has to give way: one with a partial request only to eviction, any other to a request to
-/// close. A new one keeps until `grace_end` to send its first request.
+/// Waits until the limiter closes the connection. A partial request ends only on eviction; without one, a request to
+/// close suffices, but a new connection may use the time until `grace_end` to send its first request.
 async fn wait_for_close(
     slot: &ConnectionSlot,
     progress: RequestProgress,
@@ -262,7 +263,7 @@
     ReadEvent::CloseRequested
 }
 
-/// Waits until `deadline`; without one, for ever.
+/// Waits until `deadline`, or forever if there is none.
 async fn wait_for_timeout(deadline: Option<Instant>) -> ReadEvent {
     match deadline {
         Some(deadline) => drop(Timer::at(deadline).await),
--- a/src/net/connection/arrival_times.rs
+++ b/src/net/connection/arrival_times.rs
@@ -1,7 +1,7 @@
-//! When the bytes of a connection were read.
+//! Tracks when the bytes of a connection were read.
 //!
-//! A client may send requests ahead of their answers. Each of them has a deadline of its own that counts from the
-//! arrival of its last byte, not from the time at which it is taken out of the buffer.
+//! Clients may pipeline requests. The deadline of each request counts from the arrival of its last byte, not from the
+//! time at which it is taken out of the buffer.
 
 use crate::clock::Clock;
 use crate::net::buffer::{Buffer, READ_CHUNK_BYTES};
@@ -11,29 +11,30 @@
 use std::io;
 use std::net::TcpStream;
 
-/// Most reads whose times are kept for one connection: bounds the memory of a client that sends byte by byte.
+/// Maximum number of tracked reads per connection; bounds the memory for a client that sends byte by byte.
 const MAX_TRACKED_READS: usize = 64;
 
 /// One read from the stream.
 struct Read {
-    /// Position in the stream of the byte after the last one of this read.
+    /// Offset in the stream of the end of this read (exclusive).
     end: u64,
-    /// When it was read, or the earliest time at which it may have arrived.
+    /// When the bytes were read or, after a pause, the earliest time at which they may have arrived.
     arrived_at: Timestamp,
 }
 
-/// The reads of a connection whose bytes are not all consumed yet.
+/// The reads of a connection that contain unconsumed bytes.
 #[derive(Default)]
 pub(super) struct ArrivalTimes {
     /// Bytes read from the stream so far.
     total_bytes: u64,
     reads: VecDeque<Read>,
-    /// Since when reading has been paused, though bytes may have arrived in the kernel's buffer.
+    /// Start of the current pause, during which bytes may have arrived in the kernel's receive buffer.
     paused_since: Option<Timestamp>,
 }
 
 impl ArrivalTimes {
-    /// Reads once from the stream into a buffer and records the time; 0 at the end of the stream.
+    /// Reads once from the stream into a buffer and records the time. Returns the number of bytes, 0 at the end of the
+    /// stream.
     pub(super) async fn fill(
         &mut self,
         stream: &Async<TcpStream>,
@@ -46,15 +47,15 @@
         Ok(count)
     }
 
-    /// Records that reading is paused; a pause that lasts already keeps its begin.
+    /// Records that reading is paused. Repeated calls keep the start of the pause.
     pub(super) fn pause(&mut self, now: Timestamp) {
         self.paused_since.get_or_insert(now);
     }
 
-    /// Records a read of `count` bytes behind `unread` bytes of the buffer.
+    /// Records a read of `count` bytes that was appended to `unread` bytes in the buffer.
     ///
-    /// Bytes that are read after a pause may have arrived as early as its begin, up to the first read that is shorter
-    /// than a chunk: by then the kernel's buffer was empty.
+    /// Bytes that are read after a pause may have arrived as early as its start. This holds up to and including the
+    /// first read that does not fill a chunk, since that one emptied the kernel's receive buffer.
     fn record_read(&mut self, unread: usize, count: usize, now: Timestamp) {
         let consumed = self.total_bytes.saturating_sub(unread as u64);
         while self.reads.front().is_some_and(|read| read.end <= consumed) {
@@ -63,7 +64,7 @@
         if self.reads.len() >= MAX_TRACKED_READS
             && let Some(second) = self.reads.remove(1)
         {
-            // Bytes that come in many pieces count as arrived earlier rather than later.
+            // Merges the two oldest reads: bytes may be given an earlier arrival time, never a later one.
             self.reads[0].end = second.end;
         }
         self.total_bytes += count as u64;
@@ -74,8 +75,7 @@
         }
     }
 
-    /// When the last consumed byte arrived, where the buffer holds `unread` bytes behind it; `None` before the first
-    /// read.
+    /// Arrival time of the last consumed byte if the buffer holds `unread` bytes after it; `None` before the first read.
     pub(super) fn last_consumed_at(&mut self, unread: usize) -> Option<Timestamp> {
         let consumed = self.total_bytes.saturating_sub(unread as u64);
         while self.reads.len() > 1 && self.reads.front().is_some_and(|read| read.end < consumed) {
--- a/src/net/connection_limiter.rs
+++ b/src/net/connection_limiter.rs
@@ -1,7 +1,8 @@
-//! Bounds the connections of one front: which new ones are served, and which ones are closed to make room.
+//! Limits the number of connections of one front: decides which new connections are served and which existing ones are
+//! closed to make room.
 //!
-//! A connection holds a [`ConnectionSlot`] for as long as it is open. `eviction` decides which connection has to close;
-//! the slot tells its connection.
+//! Each connection holds a [`ConnectionSlot`] while it is open. `eviction` selects the connections to close, which are
+//! notified through their slots.
 
 mod eviction;
 mod slot;
@@ -16,12 +17,12 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// What happens to a new connection.
+/// How a new connection is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptDecision {
-    /// Its requests are served.
+    /// The front serves its requests.
     Serve,
-    /// It is only told that there are too many connections.
+    /// The front only answers that there are too many connections, and closes it.
     Reject,
 }
 
@@ -30,19 +31,19 @@
     limits: Rc<Limits>,
     lifecycle: Rc<Lifecycle>,
     next_id: Cell<u64>,
-    /// Connections that are served.
+    /// Connections accepted with [`AcceptDecision::Serve`].
     active: RefCell<Connections>,
-    /// Connections that are told that there are too many.
+    /// Connections accepted with [`AcceptDecision::Reject`].
     rejected: RefCell<Connections>,
-    /// Bytes that long messages of all clients have reserved of `Limits::message_budget_bytes`.
+    /// Part of `Limits::message_budget_bytes` that the long messages of all clients have reserved.
     reserved_message_bytes: Cell<usize>,
-    /// Carries a message once a slot was released.
+    /// Sends a message when a slot is released.
     released_sender: Sender<()>,
     released: Receiver<()>,
 }
 
 impl ConnectionLimiter {
-    /// A limiter without connections. While `lifecycle` says that the process is drained, idle connections are closed.
+    /// Creates a limiter without connections. While `lifecycle` is in the drained state, idle connections are closed.
     pub fn new(limits: Rc<Limits>, lifecycle: Rc<Lifecycle>) -> Rc<ConnectionLimiter> {
         let (released_sender, released) = async_channel::bounded(1);
         Rc::new(ConnectionLimiter {
@@ -67,21 +68,23 @@
         self.active_connections() + self.rejected.borrow().len()
     }
 
-    /// Waits until no connection is open. Rejected ones count: each is owed the answer that there are too many.
+    /// Waits until no connection is open. Rejected connections count, since their clients must still receive the answer
+    /// that there are too many connections.
     pub async fn wait_until_empty(&self) {
         while self.open_connections() > 0 {
             let _ = self.released.recv().await;
         }
     }
 
-    /// Asks every connection to close once no request is open. One that has sent a part of a request may complete it.
+    /// Asks all connections to close once no request is open. A client that has sent a part of a request may complete
+    /// it.
     pub fn close_after_request(&self) {
         for connection in self.active.borrow().values() {
             connection.request_close();
         }
     }
 
-    /// Evicts every connection whose request is not complete, so that it closes at once.
+    /// Evicts all connections whose request is incomplete, so that they close at once.
     pub fn evict_incomplete(&self) {
         for connection in self.active.borrow().values() {
             if connection.state() == SlotState::AwaitingRequest {
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Takes a slot for a new connection; `None` where there is no room even to reject it.
+    /// Allocates a slot for a new connection; `None` if there is no descriptor left even to reject it.
     pub(super) fn admit(self: &Rc<ConnectionLimiter>) -> Option<ConnectionSlot> {
         let open = self.open_connections();
         let has_room = self.active_connections() < self.limits.client_connections
@@ -109,7 +112,8 @@
         if has_room {
             return Some(ConnectionSlot::new(self, AcceptDecision::Serve));
         }
-        // A connection that was served in place of one that has not closed yet uses a share of the rejected ones'.
+        // A new connection that replaces one that has not closed yet uses a descriptor from the share of the rejected
+        // connections, so that the bound applies to the sum.
         if open >= self.limits.client_connections + self.limits.rejected_connections {
             if let Some(connection) = eviction::longest_closing(&self.rejected.borrow()) {
                 connection.evict();
@@ -119,7 +123,7 @@
         Some(ConnectionSlot::new(self, AcceptDecision::Reject))
     }
 
-    /// The limits of the connections.
+    /// The limits that the limiter enforces.
     pub(super) fn limits(&self) -> &Limits {
         &self.limits
     }
--- a/src/net/connection_limiter/eviction.rs
+++ b/src/net/connection_limiter/eviction.rs
@@ -1,10 +1,11 @@
-//! Which connections close: for a new one, after a long idle time, and while the process is drained.
+//! Selects the connections to close: to make room for a new one, after a long idle time, and while the process is
+//! drained.
 
 use super::slot::{ConnectionRecord, Connections, SlotState};
 use crate::config::Limits;
 use std::rc::Rc;
 
-/// The connection that has been closing for the longest and is not evicted yet.
+/// The connection that has been in the closing state for the longest time and is not evicted yet.
 pub(super) fn longest_closing(connections: &Connections) -> Option<&Rc<ConnectionRecord>> {
     connections
         .values()
@@ -12,11 +13,12 @@
         .min_by_key(|connection| connection.state_since())
 }
 
-/// Makes one connection close for a new one; false where none can, or where all descriptors are in use.
+/// Closes one connection to make room for a new one. Returns false if none can be closed or all descriptors are in use.
 ///
-/// Clients keep connections that they do not use, and some connect and send nothing. A connection that is closing
-/// already comes first, else [`select_victim`] chooses. Until it has closed both use descriptors, out of the share of
-/// the rejected connections; once half of that share is in use, the victim has no time for an orderly close.
+/// Clients keep connections that they do not use, and some connect without ever sending a request. A connection that is
+/// already closing is evicted first; otherwise [`select_victim`] selects one. Until the victim has closed, the additional
+/// descriptor is taken from the share of the rejected connections. Once half of that share is in use, the victim is
+/// evicted without an orderly close.
 pub(super) fn make_room(active: &Connections, open_connections: usize, limits: &Limits) -> bool {
     let closing = longest_closing(active);
     if let Some(connection) = closing {
@@ -29,8 +31,8 @@
         return true;
     }
     let Some(victim) = select_victim(active, limits) else { return false };
-    let few_descriptors = open_connections >= limits.client_connections + limits.rejected_connections / 2;
-    if few_descriptors || victim.state() == SlotState::AwaitingRequest {
+    let descriptors_scarce = open_connections >= limits.client_connections + limits.rejected_connections / 2;
+    if descriptors_scarce || victim.state() == SlotState::AwaitingRequest {
         victim.evict();
     } else {
         victim.request_close();
@@ -38,16 +40,16 @@
     true
 }
 
-/// The connection to close for a new one: first one that has sent no complete request within
-/// `Limits::silent_client_grace`, then one that is idle, then one that has sent nothing for a shorter time.
+/// The connection to close for a new one. In order of preference: one that has awaited a complete request for longer than
+/// `Limits::silent_client_grace`, an idle one, one that has awaited a request for a shorter time.
 fn select_victim<'a>(active: &'a Connections, limits: &Limits) -> Option<&'a Rc<ConnectionRecord>> {
     let silent = longest_in_state(active, SlotState::AwaitingRequest);
     let past_grace = silent.filter(|connection| connection.time_in_state() >= limits.silent_client_grace);
     past_grace.or_else(|| longest_in_state(active, SlotState::Idle)).or(silent)
 }
 
-/// The connection that has been in a state for the longest. Those with one request at the most come first: some clients
-/// send one and keep their connection for good.
+/// The connection that has been in a state for the longest time. Connections with at most one request come first, since
+/// some clients send a single request and then keep their connection open without using it.
 fn longest_in_state(active: &Connections, state: SlotState) -> Option<&Rc<ConnectionRecord>> {
     active
         .values()
@@ -55,14 +57,14 @@
         .min_by_key(|connection| (connection.requests_received() > 1, connection.state_since()))
 }
 
-/// Closes connections that were idle for `Limits::client_idle_timeout`.
+/// Closes connections that have been idle for `Limits::client_idle_timeout`.
 ///
-/// While more than `Limits::crowded_clients` have sent requests, those that sent one only close after
-/// `Limits::silent_client_grace`: clients can open only so many, and these would leave none to clients that go on
-/// sending requests.
+/// While more than `Limits::crowded_clients` connections have sent requests, the excess is closed among those that sent
+/// only one request and have been idle for `Limits::silent_client_grace`, longest idle first. Otherwise they would use
+/// up the limited number of connections and lock out clients that keep sending requests.
 pub(super) fn close_idle(active: &Connections, limits: &Limits) {
     let mut served: usize = 0;
-    let mut used_once: Vec<&Rc<ConnectionRecord>> = Vec::new();
+    let mut single_request: Vec<&Rc<ConnectionRecord>> = Vec::new();
     for connection in active.values() {
         if connection.must_close() || connection.state() == SlotState::AwaitingRequest {
             continue;
@@ -75,18 +77,19 @@
         }
         served += 1;
         if is_idle && connection.requests_received() <= 1 && idle_time >= limits.silent_client_grace {
-            used_once.push(connection);
+            single_request.push(connection);
         }
     }
-    used_once.sort_by_key(|connection| connection.state_since());
+    single_request.sort_by_key(|connection| connection.state_since());
     let excess = served.saturating_sub(limits.crowded_clients);
-    for connection in used_once.iter().take(excess) {
+    for connection in single_request.iter().take(excess) {
         connection.request_close();
     }
 }
 
-/// Closes connections while the process is drained, once the load balancer has stopped sending new ones: each closes
-/// after its request, and one that sends no request is evicted in time, so that it does not send one late.
+/// Closes connections while the process is drained and the load balancer has stopped sending new ones. Each closes after
+/// its open request. One that awaits a request is evicted at half of `Limits::first_request_timeout`, so that no request
+/// arrives just before the timeout.
 pub(super) fn close_drained(active: &Connections, limits: &Limits) {
     let request_timeout = limits.first_request_timeout / 2;
     for connection in active.values() {
--- a/src/net/connection_limiter/slot.rs
+++ b/src/net/connection_limiter/slot.rs
@@ -1,4 +1,4 @@
-//! The slot that a connection holds while it is open, and what the limiter knows of it.
+//! The slot that a connection holds while it is open, and the limiter's record of the connection.
 
 use super::{AcceptDecision, ConnectionLimiter};
 use crate::net::latch::Latch;
@@ -7,30 +7,31 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a connection is doing.
+/// Activity of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotState {
-    /// No complete request has come yet, or a part of the next one, or the client is being told why it came to nothing.
+    /// The first request has not arrived completely, or a later one has arrived in part, or an error response to an
+    /// incomplete request is being written.
     AwaitingRequest,
-    /// Between two requests.
+    /// No request is open, and the next one has not started.
     Idle,
-    /// A request is open.
+    /// At least one request is open.
     Busy,
-    /// Nothing more is written; input is read and dropped until the client closes.
+    /// The write side is shut down; input is read and discarded until the client closes.
     Closing,
 }
 
-/// Connections by the number of their slot.
+/// Connections by slot ID.
 pub(super) type Connections = BTreeMap<u64, Rc<ConnectionRecord>>;
 
-/// What the limiter knows of one connection, shared with its slot.
+/// The limiter's record of one connection, shared with its slot.
 pub(super) struct ConnectionRecord {
     state: Cell<SlotState>,
     state_since: Cell<Instant>,
     requests_received: Cell<u32>,
-    /// Set: the connection has to close once no request is open.
+    /// Once set, the connection must close as soon as no request is open.
     close: Latch,
-    /// Set: its descriptor is needed at once, and a partial request is dropped.
+    /// Once set, the connection must close at once, even if a request is incomplete.
     eviction: Latch,
 }
 
@@ -79,13 +80,13 @@
     }
 }
 
-/// A connection's slot; released when dropped, with the message bytes that it has reserved.
+/// A connection's slot. Dropping it releases the slot and the reserved message bytes.
 pub struct ConnectionSlot {
     limiter: Rc<ConnectionLimiter>,
     id: u64,
     connection: Rc<ConnectionRecord>,
     decision: AcceptDecision,
-    /// Bytes of `Limits::message_budget_bytes` that this connection has reserved.
+    /// Part of `Limits::message_budget_bytes` that this connection has reserved.
     reserved_message_bytes: usize,
 }
 
@@ -99,65 +100,65 @@
         ConnectionSlot { limiter: limiter.clone(), id, connection, decision, reserved_message_bytes: 0 }
     }
 
-    /// What happens to the connection.
+    /// How the connection is handled, as decided when it was accepted.
     pub fn decision(&self) -> AcceptDecision {
         self.decision
     }
 
-    /// Records what the connection is doing, and since when.
+    /// Sets the state of the connection and the time at which it was entered.
     pub fn set_state(&self, state: SlotState, since: Instant) {
         self.connection.state.set(state);
         self.connection.state_since.set(since);
     }
 
-    /// Records that a complete request has come: the connection is busy.
+    /// Records that a complete request has arrived, which makes the connection busy.
     pub fn request_received(&self) {
         let count = self.connection.requests_received.get();
         self.connection.requests_received.set(count.saturating_add(1));
         self.set_state(SlotState::Busy, Instant::now());
     }
 
-    /// Whether a complete request has come.
+    /// Whether any complete request has arrived on the connection.
     pub fn has_received_request(&self) -> bool {
         self.connection.requests_received.get() > 0
     }
 
-    /// Reserves the bytes of the message that the connection has buffered, in place of those it had reserved before.
-    /// False, and no change, where `Limits::message_budget_bytes` has no room for them. Messages of up to
+    /// Reserves `bytes` for a buffered message, replacing the connection's earlier reservation. Returns false and changes
+    /// nothing if they do not fit into `Limits::message_budget_bytes`. Messages of up to
     /// `Limits::unbudgeted_message_bytes` bytes reserve nothing.
     pub fn try_reserve_message_bytes(&mut self, bytes: usize) -> bool {
         let limits = &self.limiter.limits;
-        let wanted = if bytes > limits.unbudgeted_message_bytes { bytes } else { 0 };
-        let of_others = self.limiter.reserved_message_bytes.get() - self.reserved_message_bytes;
-        if wanted > 0 && of_others + wanted > limits.message_budget_bytes {
+        let budgeted = if bytes > limits.unbudgeted_message_bytes { bytes } else { 0 };
+        let reserved_by_others = self.limiter.reserved_message_bytes.get() - self.reserved_message_bytes;
+        if budgeted > 0 && reserved_by_others + budgeted > limits.message_budget_bytes {
             return false;
         }
-        self.limiter.reserved_message_bytes.set(of_others + wanted);
-        self.reserved_message_bytes = wanted;
+        self.limiter.reserved_message_bytes.set(reserved_by_others + budgeted);
+        self.reserved_message_bytes = budgeted;
         true
     }
 
-    /// Gives back the bytes that the connection has reserved.
+    /// Releases the message bytes that the connection has reserved.
     pub fn release_message_bytes(&mut self) {
         self.try_reserve_message_bytes(0);
     }
 
-    /// Whether the connection has to close once no request is open.
+    /// Whether the connection must close as soon as no request is open.
     pub fn must_close(&self) -> bool {
         self.connection.must_close()
     }
 
-    /// Completes when the connection has to close once no request is open.
+    /// Completes once the connection must close as soon as no request is open.
     pub async fn close_requested(&self) {
         self.connection.close.wait().await;
     }
 
-    /// Completes when the connection's descriptor is needed at once.
+    /// Completes once the connection must close at once.
     pub async fn evicted(&self) {
         self.connection.eviction.wait().await;
     }
 
-    /// Whether the connection's descriptor is needed at once.
+    /// Whether the connection must close at once.
     #[cfg(test)]
     pub(super) fn is_evicted(&self) -> bool {
         self.connection.is_evicted()
@@ -168,7 +169,7 @@
     fn drop(&mut self) {
         self.release_message_bytes();
         self.limiter.connections(self.decision).borrow_mut().remove(&self.id);
-        // The channel holds one message: a full one wakes the waiting task just as well.
+        // If the channel is full, the message in it already wakes the waiting task.
         let _ = self.limiter.released_sender.try_send(());
     }
 }
--- a/src/net/connection_limiter/tests.rs
+++ b/src/net/connection_limiter/tests.rs
@@ -1,4 +1,4 @@
-//! Slots of connections, and which connection closes for another one.
+//! Tests of connection slots and of the selection of connections to close.
 
 use super::*;
 use crate::config::Machine;
@@ -16,9 +16,9 @@
     eviction::close_idle(&limiter.active.borrow(), &limiter.limits);
 }
 
-/// Guards against a front that runs out of descriptors, and against clients that are locked out by idle connections.
+/// Guards against a front that runs out of descriptors, and against idle connections that lock out new clients.
 #[test]
-fn the_longest_idle_connection_makes_room_and_further_ones_are_rejected() {
+fn an_idle_connection_is_closed_for_a_new_one_and_further_ones_are_rejected() {
     let limits = Limits { client_connections: 2, rejected_connections: 1, ..Limits::for_sockets(64) };
     let limiter = limiter(limits);
     let is_served = |slot: &ConnectionSlot| slot.decision() == AcceptDecision::Serve;
@@ -27,21 +27,21 @@
     [&first, &second].into_iter().for_each(set_busy);
     assert!(is_served(&first) && is_served(&second));
     let rejected = limiter.admit().unwrap();
-    assert!(!is_served(&rejected), "none is idle");
-    assert!(limiter.admit().is_none(), "nor is there room to reject it");
+    assert!(!is_served(&rejected), "no connection is idle");
+    assert!(limiter.admit().is_none(), "there is no room to reject another one");
     drop(rejected);
     second.set_state(SlotState::Idle, Instant::now());
     let third = limiter.admit().unwrap();
     set_busy(&third);
     assert!(is_served(&third) && second.must_close() && !first.must_close());
-    assert!(limiter.admit().is_none(), "the idle one has not closed yet");
+    assert!(limiter.admit().is_none(), "the idle connection has not closed yet");
     drop(second);
     assert_eq!(limiter.active_connections(), 2);
 }
 
-/// Guards against hundreds of connections that send nothing and lock out those that send requests.
+/// Guards against hundreds of connections that never send a request and lock out clients that do.
 #[test]
-fn silent_connections_make_room_before_idle_ones() {
+fn connections_without_a_request_are_closed_before_idle_ones() {
     let limits = Limits { client_connections: 3, rejected_connections: 1, ..Limits::for_sockets(64) };
     let grace = limits.silent_client_grace;
     let limiter = limiter(limits);
@@ -55,17 +55,20 @@
     drop(silent);
     new.set_state(SlotState::AwaitingRequest, Instant::now());
     let newer = admit();
-    assert!(idle.must_close() && !new.must_close(), "one that was just accepted may still send a request");
+    assert!(
+        idle.must_close() && !new.must_close(),
+        "a connection that was just accepted may still send a request"
+    );
     drop(idle);
     newer.set_state(SlotState::Busy, Instant::now());
     let _newest = admit();
     assert!(new.must_close() && !busy.must_close() && !newer.must_close());
 }
 
-/// Guards against clients that send one request and stay connected: connections are limited, and clients that go on
-/// sending requests would find none.
+/// Guards against clients that send a single request and stay connected: since connections are limited, they would lock
+/// out clients that keep sending requests.
 #[test]
-fn idle_connections_close_and_in_a_crowd_those_used_once_close_first() {
+fn above_crowded_clients_idle_connections_with_one_request_are_closed_first() {
     let limits = Limits { client_connections: 9, crowded_clients: 3, ..Limits::for_sockets(64) };
     let (grace, max_idle) = (limits.silent_client_grace, limits.client_idle_timeout);
     let limiter = limiter(limits);
@@ -78,40 +81,44 @@
     let closing = |slots: &[ConnectionSlot]| slots.iter().map(ConnectionSlot::must_close).collect::<Vec<_>>();
     let mut slots = vec![admit(5, grace * 3), admit(1, grace * 2), admit(1, grace * 4)];
     close_idle(&limiter);
-    assert_eq!(closing(&slots), [false, false, false], "three are not too many");
+    assert_eq!(closing(&slots), [false, false, false], "three connections are within the limit");
     slots.extend([admit(1, grace / 9), admit(2, grace * 5)]);
     close_idle(&limiter);
-    assert_eq!(closing(&slots), [false, true, true, false, false], "all that were used once, past the grace");
+    assert_eq!(
+        closing(&slots),
+        [false, true, true, false, false],
+        "those with one request, past the grace time"
+    );
     slots.push(admit(7, max_idle));
     close_idle(&limiter);
     assert!(slots[5].must_close() && !slots[0].must_close() && !slots[4].must_close());
     let silent = limiter.admit().unwrap();
     silent.set_state(SlotState::AwaitingRequest, ago(max_idle));
     close_idle(&limiter);
-    assert!(!silent.must_close(), "its time to send a request is bounded elsewhere");
+    assert!(!silent.must_close(), "another timeout applies to connections without a request");
 }
 
-/// Guards against clients whose long messages together use more memory than there is.
+/// Guards against clients whose long messages together exceed the available memory.
 #[test]
 fn long_messages_share_one_budget() {
     let limits =
         Limits { unbudgeted_message_bytes: 10, message_budget_bytes: 100, ..Limits::for_sockets(64) };
     let limiter = limiter(limits);
-    let (mut one, mut two) = (limiter.admit().unwrap(), limiter.admit().unwrap());
-    assert!(one.try_reserve_message_bytes(60));
-    assert!(two.try_reserve_message_bytes(10));
-    assert!(two.try_reserve_message_bytes(40));
-    assert!(one.try_reserve_message_bytes(50));
-    assert!(!two.try_reserve_message_bytes(51), "there is room for 50");
-    drop(one);
-    assert!(two.try_reserve_message_bytes(100));
-    assert!(two.try_reserve_message_bytes(0));
+    let (mut first, mut second) = (limiter.admit().unwrap(), limiter.admit().unwrap());
+    assert!(first.try_reserve_message_bytes(60));
+    assert!(second.try_reserve_message_bytes(10));
+    assert!(second.try_reserve_message_bytes(40));
+    assert!(first.try_reserve_message_bytes(50));
+    assert!(!second.try_reserve_message_bytes(51), "only 50 are left");
+    drop(first);
+    assert!(second.try_reserve_message_bytes(100));
+    assert!(second.try_reserve_message_bytes(0));
     assert_eq!(limiter.reserved_message_bytes.get(), 0);
 }
 
-/// Guards against limits that add up to more descriptors or memory than the process may use.
+/// Guards against limits whose sum exceeds the descriptors or the memory that the process may use.
 #[test]
-fn the_limits_add_up_to_what_the_process_may_use() {
+fn the_sum_of_the_limits_is_within_what_the_process_may_use() {
     for sockets in [64, 256, 384, 1024, 20_000] {
         let platform = Machine::platform(Some(sockets), Some(32.0));
         let half = platform.half().with_admin_server();
@@ -129,7 +136,7 @@
                 platform.reserved + admin.client_connections + admin.rejected_connections < machine.reserved
                     || !machine.has_admin_server
             );
-            // Clients use at most a third for requests, and each of these may have an attempt in flight.
+            // A third of the descriptors is for clients, and each client's request may have an attempt in flight.
             let third = sockets.saturating_sub(machine.reserved) / 3;
             assert!(clients >= third && backends >= third, "{machine:?}");
             assert!(
@@ -140,10 +147,10 @@
     }
 }
 
-/// Guards against orderly closes that leave no room for new connections, and against a shutdown that does not wait for
-/// rejected connections.
+/// Guards against orderly closes that leave no descriptors for new connections, and against a shutdown that does not
+/// wait for rejected connections.
 #[test]
-fn closing_connections_make_room_first() {
+fn closing_connections_are_evicted_first() {
     let limits = Limits { client_connections: 2, rejected_connections: 2, ..Limits::for_sockets(64) };
     let limiter = limiter(limits);
     let admit = || limiter.admit().unwrap();
@@ -157,21 +164,21 @@
     idle.set_state(SlotState::Busy, Instant::now());
     let rejected = admit();
     assert_eq!((rejected.decision(), limiter.open_connections()), (AcceptDecision::Reject, 4));
-    assert!(!rejected.must_close() && !rejected.is_evicted(), "it has time to read why");
+    assert!(!rejected.must_close() && !rejected.is_evicted(), "it has time to read the rejection");
     rejected.set_state(SlotState::Closing, Instant::now());
-    assert!(limiter.admit().is_none() && rejected.is_evicted(), "and makes room for the next");
+    assert!(limiter.admit().is_none() && rejected.is_evicted(), "it makes room for the next one");
     drop((idle, closing, new));
     assert_eq!(
         (limiter.active_connections(), limiter.open_connections()),
         (0, 1),
-        "a rejected one is waited for at shutdown"
+        "shutdown waits for a rejected connection"
     );
 }
 
-/// Guards against a partial request that is dropped though no room is needed, and against one that outlasts the
+/// Guards against dropping a partial request although no descriptor is needed, and against one that outlasts the
 /// shutdown.
 #[test]
-fn a_partial_request_is_dropped_only_for_room_or_at_the_end_of_the_shutdown() {
+fn a_partial_request_is_dropped_only_to_make_room_or_at_the_end_of_the_shutdown() {
     let limiter = limiter(Limits::for_sockets(64));
     let partial = limiter.admit().unwrap();
     limiter.close_after_request();
--- a/src/net/gossip_socket.rs
+++ b/src/net/gossip_socket.rs
@@ -1,5 +1,5 @@
-//! The datagram socket for gossip between the poolers of a tier. A datagram has at most `Limits::datagram_bytes` bytes
-//! and is one [`PrimaryHint`]; it may be late or lost.
+//! UDP socket for gossip between the poolers of a tier. Each datagram is one [`PrimaryHint`] of at most
+//! `Limits::datagram_bytes` bytes, and may be delayed or lost.
 
 use super::bind_retry::bind_with_retry;
 use crate::config::Limits;
@@ -14,14 +14,14 @@
 
 /// The socket and the addresses of the tier.
 pub struct GossipSocket {
-    /// Not set where this process has no address for gossip, or another process still has it.
+    /// Unset if no gossip address is configured, or while another process uses the address.
     socket: OnceCell<Async<UdpSocket>>,
-    /// By the peer's number.
+    /// Addresses indexed by peer number.
     peers: Vec<SocketAddr>,
-    /// Reaches all peers.
+    /// Address that reaches all peers.
     broadcast: Option<SocketAddr>,
     max_datagram_bytes: usize,
-    /// Received datagrams that were dropped.
+    /// Number of received datagrams that were dropped.
     dropped: Cell<u64>,
 }
 
@@ -38,13 +38,13 @@
         f.write_str(match self {
             DropReason::TooLong => "too long",
             DropReason::UnknownSender => "from an unknown sender",
-            DropReason::Malformed => "unreadable",
+            DropReason::Malformed => "malformed",
         })
     }
 }
 
 impl GossipSocket {
-    /// A tier of which nothing is received yet: `peers` by their numbers, and the address that reaches all of them.
+    /// Creates an unbound socket. `peers` are indexed by peer number; `broadcast` is the address that reaches all peers.
     pub fn new(peers: Vec<SocketAddr>, broadcast: Option<SocketAddr>, limits: &Limits) -> GossipSocket {
         GossipSocket {
             socket: OnceCell::new(),
@@ -58,7 +58,7 @@
     /// Binds the socket, if it is not bound yet.
     ///
     /// # Errors
-    /// The error of the system, `AddrInUse` where another process has the address.
+    /// The I/O error of the bind, `AddrInUse` if another process uses the address.
     pub fn bind(&self, listen: SocketAddr) -> io::Result<()> {
         if self.socket.get().is_none() {
             let _ = self.socket.set(Async::<UdpSocket>::bind(listen)?);
@@ -66,33 +66,37 @@
         Ok(())
     }
 
-    /// Binds the socket, if it is not bound yet, and tries again every `interval` until the address is free.
+    /// Binds the socket, if it is not bound yet. Retries every `interval` until it succeeds.
     pub async fn bind_when_free(&self, listen: SocketAddr, interval: Duration) {
-        // Every error is tried again: none is left to return.
+        // All errors are retried, so there is none to return.
         let _ = bind_with_retry(interval, || self.bind(listen), |_| true).await;
     }
 
-    /// Sends to the peer of this number, or to all. A datagram that is too long is not sent: the platform allows none, and
-    /// peers would drop it.
+    /// Sends a datagram to the peer with this number, or to all peers. Datagrams that are too long are not sent, since
+    /// the platform forbids them and peers would drop them. Does nothing while the socket is unbound.
     pub async fn send(&self, to: Option<u16>, bytes: &[u8]) {
         let address = match to {
             Some(number) => self.peers.get(usize::from(number)).copied(),
             None => self.broadcast,
         };
-        // Peers know a pooler by its address: they would drop a datagram from any other socket.
+        // Peers identify a pooler by its address, so that they would drop a datagram from any other socket.
         let Some(socket) = self.socket.get() else { return };
         match address {
             Some(address) if bytes.len() <= self.max_datagram_bytes => {
                 let _ = socket.send_to(bytes, address).await;
             }
-            _ => log::warn!("gossip: a datagram of {} bytes to peer {to:?} was not sent", bytes.len()),
+            _ => log::warn!(
+                "gossip: datagram of {} bytes to peer {to:?} not sent: it is too long, or the peer has no address",
+                bytes.len()
+            ),
         }
     }
 
-    /// Hands every datagram that arrives to `deliver`, with the sender's number. Datagrams that are too long, unreadable
-    /// or from unknown senders are dropped and counted. Returns at once where the socket is not bound, else never.
+    /// Passes each received datagram to `deliver`, with the peer number of its sender. Datagrams that are too long,
+    /// malformed or from unknown senders are dropped and counted. Returns at once if the socket is not bound, otherwise
+    /// never.
     pub async fn receive<F: Future<Output = ()>>(&self, deliver: impl Fn(u16, Vec<u8>) -> F) {
-        // One byte more than the longest datagram, so that a longer one can be told from it.
+        // One byte more than the maximum, to detect datagrams that are too long.
         let mut bytes = vec![0; self.max_datagram_bytes + 1];
         let Some(socket) = self.socket.get() else { return };
         loop {
@@ -101,13 +105,14 @@
                     Ok(number) => deliver(number, bytes[..length].to_vec()).await,
                     Err(reason) => self.count_dropped(reason),
                 },
-                // The error of a datagram that a peer rejected, because it is down: the socket itself is sound.
+                // An earlier datagram was rejected by a peer that is down (ICMP port unreachable); the socket itself
+                // still works.
                 Err(error) => log::debug!("gossip: {error}"),
             }
         }
     }
 
-    /// The number of the peer that sent a datagram.
+    /// Returns the number of the peer that sent a datagram, or the reason to drop it.
     fn validate(&self, bytes: &[u8], sender: SocketAddr) -> Result<u16, DropReason> {
         if bytes.len() > self.max_datagram_bytes {
             return Err(DropReason::TooLong);
@@ -120,7 +125,8 @@
         Ok(number as u16)
     }
 
-    /// Counts a dropped datagram. Logged at every power of two: a flood of datagrams must not flood the log.
+    /// Counts a dropped datagram. Logs only when the count reaches a power of two, so that a flood of datagrams does not
+    /// flood the log.
     fn count_dropped(&self, reason: DropReason) {
         let dropped = self.dropped.get() + 1;
         self.dropped.set(dropped);
--- a/src/net/gossip_socket/golden_tests.rs
+++ b/src/net/gossip_socket/golden_tests.rs
@@ -1,4 +1,4 @@
-//! Golden bytes of a datagram: nothing precedes or follows the message.
+//! Golden test of the datagram format: a datagram is one message without any framing.
 
 use super::*;
 use async_channel::unbounded;
@@ -7,9 +7,9 @@
 const GOLDEN: [u8; 15] =
     [0x01, 0x09, 0x08, 0x07, 0x06, 0xd4, 0x31, 0x00, 0x06, 0x61, 0x97, 0x25, 0x70, 0x69, 0x7b];
 
-/// Guards against framing that poolers of the previous version do not know.
+/// Guards against added framing, which poolers of the previous version would reject.
 #[test]
-fn a_datagram_is_the_message_alone_both_ways() {
+fn a_datagram_is_exactly_one_message_when_sent_and_received() {
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = GossipSocket::new(vec![peer.local_addr().unwrap()], None, &Limits::for_sockets(64));
     own.bind(([127, 0, 0, 1], 0).into()).unwrap();
--- a/src/net/gossip_socket/tests.rs
+++ b/src/net/gossip_socket/tests.rs
@@ -1,14 +1,14 @@
-//! Datagrams that are sent and received, and those that are dropped.
+//! Tests of sending, receiving and dropping datagrams.
 
 use super::*;
 use crate::routing::{EndpointId, Timestamp};
 use async_channel::unbounded;
 use futures_lite::future;
 
-/// Guards against datagrams that are too long to be sent, unknown senders that pass for peers, and noise that is handed
-/// on.
+/// Guards against sending datagrams that are too long, accepting datagrams from unknown senders, and delivering
+/// malformed ones.
 #[test]
-fn long_datagrams_are_not_sent_and_unknown_senders_and_noise_are_dropped_and_counted() {
+fn long_datagrams_are_not_sent_and_invalid_ones_are_dropped_and_counted() {
     let bind = || UdpSocket::bind("127.0.0.1:0").unwrap();
     let (peer, stranger) = (bind(), bind());
     let limits = Limits::for_sockets(64);
@@ -28,8 +28,8 @@
     let endpoint = EndpointId { ip: [1, 2, 3, 4], port: 5 };
     let hint = PrimaryHint { endpoint, at: Timestamp::from_micros(6) }.write();
     stranger.send_to(&hint, address).unwrap();
-    for bad in [&hint[..hint.len() - 1], b"", b"noise", &[1; 257], &[1; 2000]] {
-        peer.send_to(bad, address).unwrap();
+    for malformed in [&hint[..hint.len() - 1], b"", b"noise", &[1; 257], &[1; 2000]] {
+        peer.send_to(malformed, address).unwrap();
     }
     peer.send_to(&hint, address).unwrap();
     let (received, messages) = unbounded();
--- a/src/net/inherited_socket.rs
+++ b/src/net/inherited_socket.rs
@@ -1,4 +1,5 @@
-//! The clients' listening socket where the platform holds it, so that one process can succeed another on it.
+//! Inherits a listening socket for clients from the platform, so that a new process can replace an old one without
+//! closing the socket.
 
 use rustix::io::Errno;
 use rustix::net::SocketType;
@@ -8,59 +9,59 @@
 use std::os::fd::{OwnedFd, RawFd};
 use thiserror::Error;
 
-/// Why the clients' socket cannot be inherited. `value` is the value of the environment variable.
+/// Why the socket cannot be inherited. `value` is the value of the environment variable `GW_PASSED_SOCKET`.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InheritedSocketError {
-    /// The value is no number of a descriptor.
+    /// The value is not a non-negative descriptor number.
     #[error("GW_PASSED_SOCKET={value}: not the number of a descriptor")]
     InvalidNumber {
-        /// The value.
+        /// The environment variable's value.
         value: String,
     },
-    /// The process cannot copy a descriptor of this number.
+    /// The descriptor cannot be duplicated, usually because it is not open.
     #[error("GW_PASSED_SOCKET={value}: {source}")]
     Unavailable {
-        /// The value.
+        /// The environment variable's value.
         value: String,
-        /// The error of the system.
+        /// The error of the system call.
         source: Errno,
     },
-    /// The descriptor is something else than a socket.
+    /// The descriptor does not refer to a socket.
     #[error("GW_PASSED_SOCKET={value}: no socket")]
     NotASocket {
-        /// The value.
+        /// The environment variable's value.
         value: String,
     },
-    /// The socket is connected, or carries datagrams.
+    /// The socket is not a listening stream socket: it is connected, or a datagram socket.
     #[error("GW_PASSED_SOCKET={value}: a socket that does not listen")]
     NotListening {
-        /// The value.
+        /// The environment variable's value.
         value: String,
     },
 }
 
-/// The listening socket that the process inherited as the descriptor of this number.
+/// Returns a duplicate of the listening socket that this process inherited under the given descriptor number.
 ///
-/// A descriptor of which only the number is known has no owner in this process, and to take ownership of it would be
-/// unsafe: the kernel is asked for a copy, which has one.
+/// Taking ownership of a raw descriptor number would require unsafe code, since nothing proves that it has no other
+/// owner. The kernel is asked for a duplicate instead, which is returned as an owned descriptor.
 ///
 /// # Errors
-/// [`InheritedSocketError`] where the number leads to no listening stream socket.
+/// [`InheritedSocketError`] if the descriptor is not a listening stream socket.
 pub fn from_descriptor(number: &str) -> Result<TcpListener, InheritedSocketError> {
     let value = || number.to_string();
     let parsed = number.trim().parse().ok().filter(|descriptor: &RawFd| *descriptor >= 0);
     let descriptor = parsed.ok_or_else(|| InheritedSocketError::InvalidNumber { value: value() })?;
-    let socket = copy_descriptor(descriptor)
+    let socket = duplicate_descriptor(descriptor)
         .map_err(|source| InheritedSocketError::Unavailable { value: value(), source })?;
-    let listens =
+    let is_listening =
         socket_acceptconn(&socket).map_err(|_| InheritedSocketError::NotASocket { value: value() })?;
-    if !listens || socket_type(&socket) != Ok(SocketType::STREAM) {
+    if !is_listening || socket_type(&socket) != Ok(SocketType::STREAM) {
         return Err(InheritedSocketError::NotListening { value: value() });
     }
     Ok(TcpListener::from(socket))
 }
 
-fn copy_descriptor(descriptor: RawFd) -> Result<OwnedFd, Errno> {
+fn duplicate_descriptor(descriptor: RawFd) -> Result<OwnedFd, Errno> {
     let this_process = pidfd_open(getpid(), PidfdFlags::empty())?;
     pidfd_getfd(this_process, descriptor, PidfdGetfdFlags::empty())
 }
--- a/src/net/inherited_socket/tests.rs
+++ b/src/net/inherited_socket/tests.rs
@@ -1,22 +1,23 @@
-//! Descriptors that are inherited, and those that are rejected.
+//! Tests of accepted and rejected descriptors.
 
 use super::*;
 use std::net::{TcpStream, UdpSocket};
 use std::os::fd::AsRawFd;
 
-/// Guards against a start that goes on without the clients' socket, or with something else in its place.
+/// Guards against a daemon that starts without the inherited socket, or with a descriptor that is not a listening
+/// socket.
 #[test]
-fn only_a_listening_socket_is_inherited_and_it_is_the_same_one() {
-    let held = TcpListener::bind("127.0.0.1:0").unwrap();
-    let inherited = from_descriptor(&held.as_raw_fd().to_string()).unwrap();
-    assert_eq!(inherited.local_addr().unwrap(), held.local_addr().unwrap());
-    let client = TcpStream::connect(held.local_addr().unwrap()).unwrap();
+fn only_a_listening_socket_is_inherited_and_the_duplicate_refers_to_it() {
+    let original = TcpListener::bind("127.0.0.1:0").unwrap();
+    let inherited = from_descriptor(&original.as_raw_fd().to_string()).unwrap();
+    assert_eq!(inherited.local_addr().unwrap(), original.local_addr().unwrap());
+    let client = TcpStream::connect(original.local_addr().unwrap()).unwrap();
     assert_eq!(inherited.accept().unwrap().1, client.local_addr().unwrap());
     drop(inherited);
-    TcpStream::connect(held.local_addr().unwrap()).unwrap();
+    TcpStream::connect(original.local_addr().unwrap()).unwrap();
     let udp = UdpSocket::bind("127.0.0.1:0").unwrap();
     let file = std::fs::File::open("Cargo.toml").unwrap();
-    for (number, why) in [
+    for (value, message) in [
         (client.as_raw_fd().to_string(), "does not listen"),
         (udp.as_raw_fd().to_string(), "does not listen"),
         (file.as_raw_fd().to_string(), "no socket"),
@@ -25,7 +26,7 @@
         ("three".into(), "not the number"),
         (String::new(), "not the number"),
     ] {
-        let error = from_descriptor(&number).unwrap_err().to_string();
-        assert!(error.starts_with("GW_PASSED_SOCKET=") && error.contains(why), "{error}");
+        let error = from_descriptor(&value).unwrap_err().to_string();
+        assert!(error.starts_with("GW_PASSED_SOCKET=") && error.contains(message), "{error}");
     }
 }
--- a/src/net/latch.rs
+++ b/src/net/latch.rs
@@ -1,10 +1,10 @@
-//! A one-way event between tasks of one thread: it is set once and stays set.
+//! A one-shot event for tasks: once set, it stays set.
 
 use async_channel::{Receiver, Sender};
 
-/// A one-way event. Clones share it.
+/// A one-shot event. Clones share its state.
 ///
-/// It is a channel that carries nothing: closing the channel sets the latch and wakes every waiting task.
+/// Implemented as a channel that carries no messages: closing it sets the latch and wakes all waiting tasks.
 #[derive(Clone, Debug)]
 pub struct Latch {
     sender: Sender<()>,
@@ -19,17 +19,17 @@
 }
 
 impl Latch {
-    /// Sets it; repeated calls change nothing.
+    /// Sets the latch. Repeated calls have no effect.
     pub fn set(&self) {
         self.sender.close();
     }
 
-    /// Whether it is set.
+    /// Whether the latch is set.
     pub fn is_set(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Completes once it is set.
+    /// Completes once the latch is set, or immediately if it is.
     pub async fn wait(&self) {
         while self.receiver.recv().await.is_ok() {}
     }
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -1,26 +1,26 @@
-//! Whether the process serves: one state for the operators' calls and for SIGTERM.
+//! Serving state of the process, changed by operators' calls and by SIGTERM.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Whether the process serves clients.
+/// Whether and how the process serves clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingState {
-    /// It serves.
+    /// Requests are served; the initial state.
     Serving,
-    /// Clients are sent to other poolers until an operator activates this one.
+    /// Clients are told to use another pooler until an operator activates this one.
     Drained,
-    /// It shuts down. This state is final.
+    /// The process is shutting down. This state is final.
     Terminating,
 }
 
-/// The process shuts down and cannot serve again.
+/// The process is shutting down and cannot be activated again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the pooler is ending")]
 pub struct TerminatingError;
 
-/// The serving state of the process, and since when.
+/// The serving state of the process and the time of its last change.
 #[derive(Debug)]
 pub struct Lifecycle {
     state: Cell<ServingState>,
@@ -39,15 +39,16 @@
         self.state.get()
     }
 
-    /// Drains the process. A repeated call changes nothing; one that shuts down sends its clients away already.
+    /// Drains the process. Has no effect if it is drained already, or shutting down, when clients are told to use another
+    /// pooler anyway.
     pub fn drain(&self) {
         self.change_to(ServingState::Drained);
     }
 
-    /// Lets the process serve again. A repeated call changes nothing.
+    /// Lets the process serve again. Has no effect if it is serving already.
     ///
     /// # Errors
-    /// [`TerminatingError`] once the shutdown has begun.
+    /// [`TerminatingError`] if the process is shutting down.
     pub fn activate(&self) -> Result<(), TerminatingError> {
         self.change_to(ServingState::Serving);
         match self.state() {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Begins the shutdown.
+    /// Begins the shutdown, which cannot be reverted.
     pub fn terminate(&self) {
         self.change_to(ServingState::Terminating);
     }
@@ -66,7 +67,7 @@
         self.state() == ServingState::Drained && self.since.get().elapsed() >= time
     }
 
-    /// Changes the state, unless it is the same or final.
+    /// Changes the state, unless the current one is the same or final.
     fn change_to(&self, next: ServingState) {
         let current = self.state();
         if current != next && current != ServingState::Terminating {
--- a/src/net/lifecycle/tests.rs
+++ b/src/net/lifecycle/tests.rs
@@ -1,13 +1,13 @@
-//! Orders of operators' calls and SIGTERM.
+//! Tests of operators' calls and SIGTERM in any order.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Guards against calls that are repeated or cross each other or SIGTERM: the shutdown is final, the last call before it
-/// counts, and a repeated drain does not start its time again.
+/// Guards against wrong states after repeated or interleaved calls: shutdown is final, before it the last call wins, and
+/// a repeated drain does not restart the time since the drain.
 #[test]
-fn any_order_of_calls_leaves_the_last_one_and_the_shutdown_is_final() {
+fn the_last_call_wins_in_any_order_and_shutdown_is_final() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[4; 32]);
     let check = |calls: Vec<u8>| {
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -1,4 +1,4 @@
-//! A front's listener: binds its address and accepts connections within the limits.
+//! Binds the listener of a front or of the admin server, and accepts connections within the limits.
 
 use super::bind_retry::bind_with_retry;
 use super::connection_limiter::{AcceptDecision, ConnectionLimiter, ConnectionSlot};
@@ -11,38 +11,38 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Most connections that are accepted after the request to stop: as many as the kernel's queue holds, because the
-/// standard library listens with a backlog of this length.
+/// Maximum number of connections that are accepted after the request to stop. The standard library listens with a
+/// backlog of this length, so that the kernel's queue holds no more.
 const LISTEN_BACKLOG: usize = 128;
 
 /// Binds a listener.
 ///
 /// # Errors
-/// The error of the system, `AddrInUse` where another process has the address.
+/// The I/O error of the bind, `AddrInUse` if another process uses the address.
 pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
 }
 
-/// Binds a listener; waits up to `Limits::bind_timeout` for an address that another process still has.
+/// Binds a listener. If another process uses the address, retries for up to `Limits::bind_timeout`.
 ///
 /// # Errors
-/// The error of the system, `AddrInUse` where another process has the address for longer.
+/// The I/O error of the bind, `AddrInUse` if the address does not become free in time.
 pub async fn bind_when_free(address: SocketAddr, limits: &Limits) -> io::Result<Async<TcpListener>> {
     let deadline = Instant::now() + limits.bind_timeout;
     let mut has_warned = false;
     let is_retryable = |error: &io::Error| {
-        let waits = error.kind() == io::ErrorKind::AddrInUse && Instant::now() < deadline;
-        if waits && !has_warned {
+        let retry = error.kind() == io::ErrorKind::AddrInUse && Instant::now() < deadline;
+        if retry && !has_warned {
             has_warned = true;
-            log::warn!("{address}: {error}; waiting for it, {:?} at the most", limits.bind_timeout);
+            log::warn!("{address}: {error}; waiting for it, {:?} at most", limits.bind_timeout);
         }
-        waits
+        retry
     };
     bind_with_retry(limits.idle_check_interval, || bind(address), is_retryable).await
 }
 
-/// Accepts connections and hands each to `serve` with its slot, until there is a message on `stop`; connections that
-/// are in the kernel's queue by then are still accepted.
+/// Accepts connections and passes each to `serve` with its slot, until a message arrives on `stop`. Connections that are
+/// in the kernel's queue by then are still accepted.
 pub async fn accept(
     listener: &Async<TcpListener>,
     limiter: &Rc<ConnectionLimiter>,
@@ -51,15 +51,15 @@
 ) {
     let stopped = async {
         if stop.recv().await.is_err() {
-            // Nobody can ask to stop any more.
+            // The sender is gone, so there will be no request to stop.
             future::pending::<()>().await;
         }
         None
     };
     futures_lite::pin!(stopped);
-    let mut left_after_stop = LISTEN_BACKLOG;
+    let mut remaining_after_stop = LISTEN_BACKLOG;
     loop {
-        // The kernel's queue is looked at before the request to stop.
+        // `or` prefers its first argument: queued connections are accepted before a request to stop takes effect.
         let accepted = async { Some(listener.accept().await) };
         match future::or(accepted, &mut stopped).await {
             None => return,
@@ -71,21 +71,21 @@
                         serve(stream, slot, decision);
                     }
                     None => {
-                        log::warn!("accept: too many connections, rejected ones included: one was dropped")
+                        log::warn!("accept: connection dropped: too many connections, rejected ones included")
                     }
                 }
-                // Connections that were just accepted are read, and evicted ones close, before the next is accepted.
+                // Lets new connections be read and evicted ones close before the next is accepted.
                 future::yield_now().await;
             }
             Some(Err(error)) => {
-                // Out of descriptors, or the connection was closed before it was accepted: the front goes on.
+                // The process is out of descriptors, or the client closed the connection before it was accepted.
                 log::warn!("accept: {error}");
                 Timer::after(limiter.limits().accept_retry_delay).await;
             }
         }
         if !stop.is_empty() {
-            left_after_stop -= 1;
-            if left_after_stop == 0 {
+            remaining_after_stop -= 1;
+            if remaining_after_stop == 0 {
                 return;
             }
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,10 @@
-//! Everything on sockets. It reaches the engine only through [`crate::engine::EngineHandle`].
+//! Network I/O. It accesses the engine only through [`crate::engine::EngineHandle`].
 //!
-//! - For clients: [`listener`] accepts connections within [`connection_limiter`], a front ([`postgres`], [`sparql`] over
-//!   [`http`]) serves each [`connection`]; [`lifecycle`] says whether clients are to be served.
-//! - For backends: [`backend_pool`] runs attempts with the protocol of the front.
-//! - For operators: [`admin_server`].
-//! - For the platform: [`discovery`], [`gossip_socket`], [`inherited_socket`].
+//! - Clients: [`listener`] accepts connections within the limits of [`connection_limiter`], and a front ([`postgres`],
+//!   or [`sparql`] over [`http`]) serves each [`connection`]. [`lifecycle`] tells the fronts whether to serve clients.
+//! - Endpoints: [`backend_pool`] runs attempts with the protocol of the front.
+//! - Operators: [`admin_server`].
+//! - Platform: [`discovery`], [`gossip_socket`], [`inherited_socket`].
 
 pub mod admin_server;
 pub mod answer_stream;
@@ -30,7 +30,7 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// Runs `work` until `deadline`; `None` where the deadline came first.
+/// Runs `work` to completion; `None` if `deadline` passes first, in which case `work` is dropped.
 pub async fn until<T>(deadline: Instant, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
         Timer::at(deadline).await;
@@ -39,13 +39,13 @@
     .await
 }
 
-/// Whether a stream is open and nothing is there to be read from it.
+/// Whether a stream is open and has no input to read.
 pub fn is_silent(stream: &Async<TcpStream>) -> bool {
     let peeked = stream.get_ref().peek(&mut [0]);
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// The 64-bit FNV-1a hash of a session's name, which stands for the session in the engine
+/// The 64-bit FNV-1a hash of a session's name, by which the engine identifies the session
 /// (<http://www.isthe.com/chongo/tech/comp/fnv/>).
 pub fn session_hash(name: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
