--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -118,7 +118,7 @@
             log::warn!(
                 "zones: local evacuation of {}: {:?}",
                 zones.state.name(zone),
-                zones.state.own_outcomes().get(&zone)
+                zones.state.own_report().get(&zone)
             );
         }
     }
@@ -132,7 +132,7 @@
 
     /// Sends this node's own outcomes to the peers, if there are any.
     pub(super) fn broadcast_zone_outcomes(&self) {
-        let outcomes = self.zones.borrow().state.own_outcomes().clone();
+        let outcomes = self.zones.borrow().state.own_report().clone();
         if !outcomes.is_empty() {
             self.broadcast(&PeerMessage::ZoneOutcomes(outcomes));
         }
@@ -189,7 +189,7 @@
     /// Marks the endpoints whose list entries depend on changed or reduced zone weights.
     pub(super) fn apply_zone_weights(&self, now: Timestamp) {
         let agreed = self.agreed();
-        let changed = self.zones.borrow_mut().state.take_changed(now, agreed.state());
+        let changed = self.zones.borrow_mut().state.take_changed_zones(now, agreed.state());
         let zones = self.zones.borrow();
         // Zones with reduced weight are included every time, because one of their endpoints may have become a primary.
         let affected = &changed | &zones.state.reduced_zones(now, agreed.state());
