--- a/src/daemon/operator/agreed_settings.rs
+++ b/src/daemon/operator/agreed_settings.rs
@@ -96,7 +96,7 @@
 
 /// Waits until this daemon has applied everything that the fleet has agreed on, so that no request is sent to an
 /// endpoint that was drained while this daemon was down. Returns after twice `Limits::discovery_timeout` at the latest,
-/// so that a daemon without a majority serves too.
+/// the time by which an endpoint list may be late, so that a daemon without a majority serves too.
 pub async fn wait_until_current(fleet: &Fleet, limits: &Limits) {
     let changed = fleet.subscribe();
     let current = async {
--- a/src/daemon/operator_config.rs
+++ b/src/daemon/operator_config.rs
@@ -47,8 +47,8 @@
     pub evacuation_policy: EvacuationPolicy,
     /// Maximum number of file descriptors that the process uses.
     pub sockets: usize,
-    /// Service settings as `path=value` lines, to be proposed to the fleet; `None` if this daemon proposes none and uses
-    /// those of the fleet.
+    /// Service settings as `path=value` lines, to be proposed to the fleet; `None` if this daemon proposes none and
+    /// uses those of the fleet.
     pub settings: Option<String>,
     /// When the file was last modified.
     pub modified_at: Timestamp,
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -198,8 +198,8 @@
         future::or(read, future::or(closed, timed_out)).await
     }
 
-    /// Reads once while requests are open. If more than `Limits::read_ahead_bytes` bytes are buffered, reads nothing and
-    /// only waits until the client closes the connection.
+    /// Reads once while requests are open. If more than `Limits::read_ahead_bytes` bytes are buffered, reads nothing
+    /// and only waits until the client closes the connection.
     pub async fn read_ahead(&mut self, into: &mut Buffer) -> ReadAhead {
         if into.unread().len() > self.limits.read_ahead_bytes {
             self.arrival_times.pause(self.clock.now());
--- a/src/net/connection/arrival_times.rs
+++ b/src/net/connection/arrival_times.rs
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Arrival time of the last consumed byte if the buffer holds `unread` bytes after it; `None` before the first read.
+    /// Arrival time of the last consumed byte if the buffer holds `unread` bytes after it; `None` before the first
+    /// read.
     pub(super) fn last_consumed_at(&mut self, unread: usize) -> Option<Timestamp> {
         let consumed = self.total_bytes.saturating_sub(unread as u64);
         while self.reads.len() > 1 && self.reads.front().is_some_and(|read| read.end < consumed) {
--- a/src/net/connection_limiter/eviction.rs
+++ b/src/net/connection_limiter/eviction.rs
@@ -16,9 +16,9 @@
 /// Closes one connection to make room for a new one. Returns false if none can be closed or all descriptors are in use.
 ///
 /// Clients keep connections that they do not use, and some connect without ever sending a request. A connection that is
-/// already closing is evicted first; otherwise [`select_victim`] selects one. Until the victim has closed, the additional
-/// descriptor is taken from the share of the rejected connections. Once half of that share is in use, the victim is
-/// evicted without an orderly close.
+/// already closing is evicted first; otherwise [`select_victim`] selects one. Until the victim has closed, the
+/// additional descriptor is taken from the share of the rejected connections. Once half of that share is in use, the
+/// victim is evicted without an orderly close.
 pub(super) fn make_room(active: &Connections, open_connections: usize, limits: &Limits) -> bool {
     let closing = longest_closing(active);
     if let Some(connection) = closing {
@@ -40,8 +40,8 @@
     true
 }
 
-/// The connection to close for a new one. In order of preference: one that has awaited a complete request for longer than
-/// `Limits::silent_client_grace`, an idle one, one that has awaited a request for a shorter time.
+/// The connection to close for a new one. In order of preference: one that has awaited a complete request for longer
+/// than `Limits::silent_client_grace`, an idle one, one that has awaited a request for a shorter time.
 fn select_victim<'a>(active: &'a Connections, limits: &Limits) -> Option<&'a Rc<ConnectionRecord>> {
     let silent = longest_in_state(active, SlotState::AwaitingRequest);
     let past_grace = silent.filter(|connection| connection.time_in_state() >= limits.silent_client_grace);
@@ -87,9 +87,9 @@
     }
 }
 
-/// Closes connections while the process is drained and the load balancer has stopped sending new ones. Each closes after
-/// its open request. One that awaits a request is evicted at half of `Limits::first_request_timeout`, so that no request
-/// arrives just before the timeout.
+/// Closes connections while the process is drained and the load balancer has stopped sending new ones. Each closes
+/// after its open request. One that awaits a request is evicted at half of `Limits::first_request_timeout`, so that no
+/// request arrives just before the timeout.
 pub(super) fn close_drained(active: &Connections, limits: &Limits) {
     let request_timeout = limits.first_request_timeout / 2;
     for connection in active.values() {
--- a/src/net/connection_limiter/slot.rs
+++ b/src/net/connection_limiter/slot.rs
@@ -123,8 +123,8 @@
         self.connection.requests_received.get() > 0
     }
 
-    /// Reserves `bytes` for a buffered message, replacing the connection's earlier reservation. Returns false and changes
-    /// nothing if they do not fit into `Limits::message_budget_bytes`. Messages of up to
+    /// Reserves `bytes` for a buffered message, replacing the connection's earlier reservation. Returns false without
+    /// any change if they do not fit into `Limits::message_budget_bytes`. Messages of up to
     /// `Limits::unbudgeted_message_bytes` bytes reserve nothing.
     pub fn try_reserve_message_bytes(&mut self, bytes: usize) -> bool {
         let limits = &self.limiter.limits;
--- a/src/net/gossip_socket.rs
+++ b/src/net/gossip_socket.rs
@@ -44,7 +44,8 @@
 }
 
 impl GossipSocket {
-    /// Creates an unbound socket. `peers` are indexed by peer number; `broadcast` is the address that reaches all peers.
+    /// Creates an unbound socket. `peers` are indexed by peer number; `broadcast` is the address that reaches all
+    /// peers.
     pub fn new(peers: Vec<SocketAddr>, broadcast: Option<SocketAddr>, limits: &Limits) -> GossipSocket {
         GossipSocket {
             socket: OnceCell::new(),
@@ -125,8 +126,8 @@
         Ok(number as u16)
     }
 
-    /// Counts a dropped datagram. Logs only when the count reaches a power of two, so that a flood of datagrams does not
-    /// flood the log.
+    /// Counts a dropped datagram. Logs only when the count reaches a power of two, so that a flood of datagrams does
+    /// not flood the log.
     fn count_dropped(&self, reason: DropReason) {
         let dropped = self.dropped.get() + 1;
         self.dropped.set(dropped);
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -65,7 +65,7 @@
 
     /// Whether nothing has come since the last response: neither bytes nor the end of the stream.
     pub fn is_silent(&self) -> bool {
-        self.buffer.unread().is_empty() && crate::net::is_silent(&self.stream)
+        self.buffer.unread().is_empty() && crate::net::is_idle(&self.stream)
     }
 
     /// Writes a request.
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -39,8 +39,8 @@
         self.state.get()
     }
 
-    /// Drains the process. Has no effect if it is drained already, or shutting down, when clients are told to use another
-    /// pooler anyway.
+    /// Drains the process. Has no effect if it is drained already, or shutting down, when clients are told to use
+    /// another pooler anyway.
     pub fn drain(&self) {
         self.change_to(ServingState::Drained);
     }
--- a/src/net/lifecycle/tests.rs
+++ b/src/net/lifecycle/tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Guards against wrong states after repeated or interleaved calls: shutdown is final, before it the last call wins, and
-/// a repeated drain does not restart the time since the drain.
+/// Guards against wrong states after repeated or interleaved calls: shutdown is final, before it the last call wins,
+/// and a repeated drain does not restart the time since the drain.
 #[test]
 fn the_last_call_wins_in_any_order_and_shutdown_is_final() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -41,8 +41,8 @@
     bind_with_retry(limits.idle_check_interval, || bind(address), is_retryable).await
 }
 
-/// Accepts connections and passes each to `serve` with its slot, until a message arrives on `stop`. Connections that are
-/// in the kernel's queue by then are still accepted.
+/// Accepts connections and passes each to `serve` with its slot, until a message arrives on `stop`. Connections that
+/// are in the kernel's queue by then are still accepted.
 pub async fn accept(
     listener: &Async<TcpListener>,
     limiter: &Rc<ConnectionLimiter>,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -40,7 +40,7 @@
 }
 
 /// Whether a stream is open and has no input to read.
-pub fn is_silent(stream: &Async<TcpStream>) -> bool {
+pub fn is_idle(stream: &Async<TcpStream>) -> bool {
     let peeked = stream.get_ref().peek(&mut [0]);
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
--- a/src/net/postgres/endpoint.rs
+++ b/src/net/postgres/endpoint.rs
@@ -9,7 +9,7 @@
 use crate::net::answer_stream::StreamChunk;
 use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult};
 use crate::net::buffer::Buffer;
-use crate::net::{is_silent, until};
+use crate::net::{is_idle, until};
 use crate::routing::AttemptOutcome;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
@@ -161,7 +161,7 @@
     }
 
     fn is_silent(&self, connection: &BackendConnection) -> bool {
-        connection.buffer.unread().is_empty() && is_silent(&connection.stream)
+        connection.buffer.unread().is_empty() && is_idle(&connection.stream)
     }
 
     async fn exchange(
