--- a/src/daemon/listeners.rs
+++ b/src/daemon/listeners.rs
@@ -85,7 +85,7 @@
                 match listener::bind_when_free(address, &limits).await {
                     Ok(listener) => start(listener),
                     Err(error) => {
-                        log::error!("admin: {address}: {error}; running without an admin server");
+                        log::error!("admin: {address}: {error}; there is no administration server");
                     }
                 }
             };
