--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -27,8 +27,8 @@
 use crate::net::latch::Latch;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::listener;
+use crate::net::sparql::endpoint::SparqlBackend;
 use crate::net::sparql::front::Front;
-use crate::net::sparql::host::SparqlBackend;
 use agreed_settings::AgreedSettings;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
@@ -103,10 +103,10 @@
         self.start_admin_server(&engine, &feeds.all_groups_served)?;
         client_front.begin_serving(Front {
             limits: self.limits.clone(),
-            handle: engine.clone(),
+            engine: engine.clone(),
             classes,
-            service: self.config.service.clone(),
-            ready: feeds.all_groups_served,
+            config: self.config.service.clone(),
+            all_groups_served: feeds.all_groups_served,
             lifecycle: self.lifecycle.clone(),
             log_rollbacks: self.fleet.breaks.clone(),
         });
--- a/src/daemon/operator/agreed_settings.rs
+++ b/src/daemon/operator/agreed_settings.rs
@@ -66,7 +66,8 @@
 
 fn check_front_classes(config: &OperatorConfig, classes: &Classes) -> Result<(), DaemonError> {
     let service = &config.service;
-    let named = [Some(&service.query), service.session.as_ref(), Some(&service.update)];
+    let named =
+        [Some(&service.query_class), service.session_query_class.as_ref(), Some(&service.update_class)];
     for class in named.into_iter().flatten() {
         if classes.find(class, IdempotencyKey::Present).is_none() {
             return Err(DaemonError::UnknownClass { path: config.path.clone(), class: class.clone() });
--- a/src/daemon/operator/client_front.rs
+++ b/src/daemon/operator/client_front.rs
@@ -68,5 +68,5 @@
 async fn reject(stream: Async<TcpStream>, slot: ConnectionSlot, limits: Rc<Limits>, clock: Clock) {
     let shortest = TimeDelta::from(limits.front_retry_after).as_micros();
     let retry_after = || TimeDelta::from_micros(fastrand::i64(shortest..2 * shortest));
-    front::serve_early(stream, slot, limits, clock, retry_after).await;
+    front::serve_while_starting(stream, slot, limits, clock, retry_after).await;
 }
--- a/src/daemon/operator_config.rs
+++ b/src/daemon/operator_config.rs
@@ -13,7 +13,7 @@
 use crate::config::Limits;
 use crate::fleet::zones::EvacuationPolicy;
 use crate::inventory::{self, Inventory};
-use crate::net::sparql::front::Service;
+use crate::net::sparql::front::FrontConfig;
 use crate::time::{TimeDelta, Timestamp};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -35,7 +35,7 @@
     /// Path at which backends answer operations.
     pub host_path: String,
     /// The SPARQL front.
-    pub service: Service,
+    pub service: FrontConfig,
     /// The store.
     pub store: StoreConfig,
     /// The inventory, if this daemon reads one.
--- a/src/daemon/operator_config/reader.rs
+++ b/src/daemon/operator_config/reader.rs
@@ -5,7 +5,7 @@
 use crate::fleet::zones::EvacuationBackoff;
 use crate::fleet::zones::EvacuationPolicy;
 use crate::inventory::yaml::{self, Node};
-use crate::net::sparql::front::Service;
+use crate::net::sparql::front::FrontConfig;
 use crate::routing::GroupId;
 use crate::time::{TimeDelta, Timestamp};
 use std::net::SocketAddr;
@@ -135,13 +135,13 @@
     Ok(path)
 }
 
-fn service(front: &Section<'_>) -> Result<Service, OperatorConfigError> {
-    Ok(Service {
+fn service(front: &Section<'_>) -> Result<FrontConfig, OperatorConfigError> {
+    Ok(FrontConfig {
         path: url_path(front, "path")?,
-        query: text_of(front.required("query")?)?,
-        session: front.optional("session", text_of)?,
-        update: text_of(front.required("update")?)?,
-        group: front.optional("group", |node| Ok(GroupId(node.parsed("group")?)))?,
+        query_class: text_of(front.required("query")?)?,
+        session_query_class: front.optional("session", text_of)?,
+        update_class: text_of(front.required("update")?)?,
+        default_group: front.optional("group", |node| Ok(GroupId(node.parsed("group")?)))?,
     })
 }
 
--- a/src/fleet/admin_api/mod.rs
+++ b/src/fleet/admin_api/mod.rs
@@ -16,7 +16,7 @@
 use super::zones::ZoneCommand;
 use crate::net::buffer::Buffer;
 use crate::net::connection::ClientConnection;
-use crate::net::http::server::{self, Next, Request};
+use crate::net::http::server::{self, NextRequest, Request};
 use std::rc::Rc;
 
 /// An answer to an operator.
@@ -44,21 +44,22 @@
 pub async fn serve(fleet: Rc<Fleet>, mut connection: ClientConnection) {
     let mut buffer = Buffer::default();
     loop {
-        let request = match server::next(&mut connection, &mut buffer, &fleet.limits).await {
-            Next::Over => break,
-            Next::Refused(error) => {
-                let refusal = server::answer(error.status(), &[("Connection", "close")], &error.to_string());
+        let request = match server::next_request(&mut connection, &mut buffer, &fleet.limits).await {
+            NextRequest::ConnectionClosed => break,
+            NextRequest::Rejected(error) => {
+                let refusal =
+                    server::text_response(error.status(), &[("Connection", "close")], &error.to_string());
                 let _ = connection.write(&refusal).await;
                 break;
             }
-            Next::Request(request) if Fleet::is_peer_connection(&request) => {
+            NextRequest::Received(request) if Fleet::is_peer_connection(&request) => {
                 return fleet.serve_peer(connection, buffer).await;
             }
-            Next::Request(request) => request,
+            NextRequest::Received(request) => request,
         };
         let Answer { status, text } = answer(&fleet, &request).await;
-        let stays_open = request.keeps_open() && !connection.ends();
-        let is_written = connection.write(&server::answer(status, &[], &text)).await.is_ok();
+        let stays_open = request.keeps_connection_open() && !connection.ends();
+        let is_written = connection.write(&server::text_response(status, &[], &text)).await.is_ok();
         if !is_written || !stays_open {
             break;
         }
@@ -67,10 +68,10 @@
 }
 
 async fn answer(fleet: &Fleet, request: &Request) -> Answer {
-    let (path, _) = request.target();
-    let method = request.head.line[0].as_str();
+    let (path, _) = request.path_and_query();
+    let method = request.head.start_line[0].as_str();
     // A page in a browser on this machine could drain endpoints otherwise.
-    if request.head.get("origin").is_some() {
+    if request.head.header("origin").is_some() {
         return Answer::new(403, "not for web pages");
     }
     match (method, path) {
--- a/src/fleet/peer_link.rs
+++ b/src/fleet/peer_link.rs
@@ -9,7 +9,7 @@
 use crate::config::Limits;
 use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
-use crate::net::http::client::Client;
+use crate::net::http::client::ServerConnection;
 use crate::net::until;
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
@@ -91,7 +91,7 @@
 
 /// A connection whose handshake was answered.
 struct Connected {
-    client: Client,
+    client: ServerConnection,
     reply: HandshakeReply,
 }
 
@@ -232,13 +232,13 @@
         limits: &Limits,
         events: &impl PeerLinkEvents,
     ) -> Result<Connected, ConnectError> {
-        let mut client = Client::connect(self.address).await?;
+        let mut client = ServerConnection::connect(self.address).await?;
         let request = format!(
             "POST {PATH} HTTP/1.1\r\nHost: {}\r\nConnection: Upgrade\r\nUpgrade: {PROTOCOL}\r\nContent-Length: 0\r\n\r\n",
             self.address
         );
         client.send(request.as_bytes()).await?;
-        client.upgraded(limits).await?;
+        client.read_upgrade_response(limits).await?;
         client.send(&PeerMessage::Handshake(events.handshake()).encode()).await?;
         loop {
             if let Some(decoded) = PeerMessage::decode(client.unread(), limits.peer_message_bytes)? {
@@ -248,7 +248,7 @@
                 };
                 return Ok(Connected { client, reply });
             }
-            if client.more().await? == 0 {
+            if client.fill_buffer().await? == 0 {
                 return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
         }
@@ -258,7 +258,7 @@
     /// may be outdated.
     async fn send_queued(
         &self,
-        mut client: Client,
+        mut client: ServerConnection,
         limits: &Limits,
         events: &impl PeerLinkEvents,
     ) -> DisconnectReason {
@@ -285,7 +285,7 @@
     }
 
     /// Waits for a message to send or for a reason to disconnect.
-    async fn next_step(&self, client: &mut Client) -> NextStep {
+    async fn next_step(&self, client: &mut ServerConnection) -> NextStep {
         let message = async {
             let next = self.queue_receiver.recv().await;
             next.map_or(NextStep::Disconnect(DisconnectReason::LinkClosed), NextStep::Send)
@@ -300,7 +300,7 @@
         };
         // After its answer to the handshake a peer sends nothing here: whatever is read means the end.
         let closed_by_peer = async {
-            let _ = client.more_of(&mut Buffer::default()).await;
+            let _ = client.read_into(&mut Buffer::default()).await;
             NextStep::Disconnect(DisconnectReason::ClosedByPeer)
         };
         use futures_lite::future::or;
--- a/src/fleet/runtime/incoming_connection.rs
+++ b/src/fleet/runtime/incoming_connection.rs
@@ -17,12 +17,12 @@
 impl Fleet {
     /// Whether an HTTP request asks for a connection between nodes.
     pub fn is_peer_connection(request: &Request) -> bool {
-        request.target().0 == PATH && request.head.has("upgrade", PROTOCOL)
+        request.path_and_query().0 == PATH && request.head.list_contains("upgrade", PROTOCOL)
     }
 
     /// Serves a connection that a peer has opened, until it ends.
     pub async fn serve_peer(&self, mut connection: ClientConnection, mut buffer: Buffer) {
-        let upgrade = server::answer_head(101, &[("Connection", "Upgrade"), ("Upgrade", PROTOCOL)]);
+        let upgrade = server::encode_response_head(101, &[("Connection", "Upgrade"), ("Upgrade", PROTOCOL)]);
         if connection.write(&upgrade).await.is_err() {
             return;
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 use brookpass::config::Limits;
 use brookpass::daemon::{self, ConfigError, DaemonError, operator, operator_config, platform};
 use brookpass::logger;
-use brookpass::net::http::client::Client;
+use brookpass::net::http::client::ServerConnection;
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -144,7 +144,7 @@
     let store: SocketAddr = store.parse().map_err(|_| ProgramError::StoreAddress(store.to_string()))?;
     let request = format!("{method} /fleet/recover HTTP/1.1\r\nHost: {store}\r\nContent-Length: 0\r\n\r\n");
     let call = async {
-        let mut client = Client::connect(store).await?;
+        let mut client = ServerConnection::connect(store).await?;
         client.call(request.as_bytes(), &Limits::for_sockets(0)).await
     };
     let response = async_io::block_on(call).map_err(|source| ProgramError::Call { store, source })?;
--- a/src/net/admin_server.rs
+++ b/src/net/admin_server.rs
@@ -4,7 +4,7 @@
 use super::buffer::Buffer;
 use super::connection::ClientConnection;
 use super::connection_limiter::{AcceptDecision, ConnectionSlot};
-use super::http::server::{self, Next, Request};
+use super::http::server::{self, NextRequest, Request};
 use super::latch::Latch;
 use super::lifecycle::{Lifecycle, ServingState};
 use super::until;
@@ -49,16 +49,16 @@
 impl RouteError {
     fn response(self) -> Vec<u8> {
         match self {
-            RouteError::NotFound => server::answer(404, &[], "nothing is here"),
+            RouteError::NotFound => server::text_response(404, &[], "nothing is here"),
             RouteError::MethodNotAllowed { allowed } => {
-                server::answer(405, &[("Allow", allowed)], "another method is wanted here")
+                server::text_response(405, &[("Allow", allowed)], "another method is wanted here")
             }
         }
     }
 }
 
 fn find_call(request: &Request) -> Result<Call, RouteError> {
-    let (path, _) = request.target();
+    let (path, _) = request.path_and_query();
     let route = ROUTES.iter().find(|route| route.path == path).ok_or(RouteError::NotFound)?;
     if route.method != request.head.method() {
         return Err(RouteError::MethodNotAllowed { allowed: route.method });
@@ -108,7 +108,7 @@
         let clock = self.engine.clock().clone();
         let mut connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
         let response = match decision {
-            AcceptDecision::Reject => server::answer(503, &[], "too many calls at once"),
+            AcceptDecision::Reject => server::text_response(503, &[], "too many calls at once"),
             AcceptDecision::Serve => match self.read_and_answer(&mut connection).await {
                 Some(response) => response,
                 None => return,
@@ -122,13 +122,13 @@
     /// Reads one request and answers it; `None` where the client has gone.
     async fn read_and_answer(&self, connection: &mut ClientConnection) -> Option<Vec<u8>> {
         let mut buffer = Buffer::default();
-        match server::next(connection, &mut buffer, &self.limits).await {
-            Next::Over => None,
-            Next::Refused(error) => {
+        match server::next_request(connection, &mut buffer, &self.limits).await {
+            NextRequest::ConnectionClosed => None,
+            NextRequest::Rejected(error) => {
                 log::debug!("admin: {error}");
-                Some(server::answer(error.status(), &[], &error.to_string()))
+                Some(server::text_response(error.status(), &[], &error.to_string()))
             }
-            Next::Request(request) => Some(match find_call(&request) {
+            NextRequest::Received(request) => Some(match find_call(&request) {
                 Ok(call) => self.answer(call).await,
                 Err(error) => error.response(),
             }),
@@ -138,14 +138,14 @@
     async fn answer(&self, call: Call) -> Vec<u8> {
         match call {
             Call::Ready => self.readiness(),
-            Call::Metrics => server::answer(200, &[], self.metrics().await.trim_end()),
+            Call::Metrics => server::text_response(200, &[], self.metrics().await.trim_end()),
             Call::Drain => {
                 self.lifecycle.drain();
-                server::answer(200, &[], "drained")
+                server::text_response(200, &[], "drained")
             }
             Call::Activate => match self.lifecycle.activate() {
-                Ok(()) => server::answer(200, &[], "at work"),
-                Err(error) => server::answer(409, &[], &error.to_string()),
+                Ok(()) => server::text_response(200, &[], "at work"),
+                Err(error) => server::text_response(409, &[], &error.to_string()),
             },
         }
     }
@@ -153,10 +153,10 @@
     /// Whether the process can serve clients: a drained one can, and so is ready.
     fn readiness(&self) -> Vec<u8> {
         match self.lifecycle.state() {
-            ServingState::Terminating => server::answer(503, &[], "ending"),
-            _ if !self.ready.is_set() => server::answer(503, &[], "no list of hosts yet"),
-            ServingState::Drained => server::answer(200, &[], "ready, drained"),
-            ServingState::Serving => server::answer(200, &[], "ready"),
+            ServingState::Terminating => server::text_response(503, &[], "ending"),
+            _ if !self.ready.is_set() => server::text_response(503, &[], "no list of hosts yet"),
+            ServingState::Drained => server::text_response(200, &[], "ready, drained"),
+            ServingState::Serving => server::text_response(200, &[], "ready"),
         }
     }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -7,7 +7,7 @@
 mod call;
 mod error;
 
-use super::http::client::Client;
+use super::http::client::ServerConnection;
 use super::until;
 use crate::config::Limits;
 use crate::engine::endpoints::EndpointUpdate;
@@ -40,7 +40,7 @@
         let began = Instant::now();
         match watcher.call().await {
             CallOutcome::List(list) => {
-                let is_new = watcher.accept(&list);
+                let is_new = watcher.record_index(&list);
                 if list.whole || !list.entries.is_empty() {
                     deliver(list).await;
                 }
@@ -49,7 +49,7 @@
                 }
             }
             CallOutcome::Failed(error) => watcher.back_off(&error).await,
-            CallOutcome::RefetchRequested => watcher.start_over(),
+            CallOutcome::RefetchRequested => watcher.reset(),
         }
     }
 }
@@ -68,7 +68,7 @@
     limits: &'a Limits,
     refetch: &'a Receiver<()>,
     /// The connection of the last call, if it may be used again.
-    connection: Option<Client>,
+    connection: Option<ServerConnection>,
     /// The index of the last list; `None`: the whole list is to be fetched.
     held_index: Option<u64>,
     backoff: Backoff<'a>,
@@ -97,7 +97,7 @@
     }
 
     /// Takes over the index of a list; true if it is another one than before.
-    fn accept(&mut self, list: &EndpointUpdate) -> bool {
+    fn record_index(&mut self, list: &EndpointUpdate) -> bool {
         self.backoff.reset();
         let is_new = self.held_index != Some(list.index);
         self.held_index = Some(list.index);
@@ -121,7 +121,7 @@
         if matches!(error, DiscoveryError::IndexWentBack { .. }) {
             self.held_index = None;
         }
-        let pause = self.backoff.failed(error);
+        let pause = self.backoff.record_failure(error);
         if self.pause(pause).await == PauseEnd::RefetchRequested {
             self.held_index = None;
             self.backoff.reset();
@@ -130,7 +130,7 @@
 
     /// Starts over at an address that may be another one. The connection of an abandoned call cannot be used again, and
     /// what failed at another address says nothing of this one.
-    fn start_over(&mut self) {
+    fn reset(&mut self) {
         self.connection = None;
         self.held_index = None;
         self.backoff.reset();
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CallTimes {
     /// How long discovery is asked to hold the call until the list changes.
-    pub(super) watch: Duration,
+    pub(super) watch_timeout: Duration,
     /// How long the call may take in all.
     pub(super) timeout: Duration,
 }
@@ -47,17 +47,20 @@
     pub(super) fn call_times(&self, is_watch: bool) -> CallTimes {
         let limits = self.limits;
         if !is_watch {
-            return CallTimes { watch: Duration::ZERO, timeout: limits.discovery_timeout_after_failure };
+            return CallTimes {
+                watch_timeout: Duration::ZERO,
+                timeout: limits.discovery_timeout_after_failure,
+            };
         }
-        let (watch, answer_timeout) = match self.timeout_after_failure {
+        let (watch_timeout, answer_timeout) = match self.timeout_after_failure {
             None => (limits.discovery_watch_timeout, limits.discovery_timeout),
             Some(timeout) => (limits.discovery_recheck_timeout, timeout),
         };
-        CallTimes { watch, timeout: watch + answer_timeout }
+        CallTimes { watch_timeout, timeout: watch_timeout + answer_timeout }
     }
 
     /// Records that a call failed, and returns the pause before the next one.
-    pub(super) fn failed(&mut self, error: &DiscoveryError) -> Duration {
+    pub(super) fn record_failure(&mut self, error: &DiscoveryError) -> Duration {
         let limits = self.limits;
         let (_, longest_pause) = limits.discovery_backoff;
         let pause = self.next_pause.mul_f64(0.5 + self.rng.f64());
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -12,7 +12,7 @@
 fn poolers_that_were_rejected_together_spread_their_calls() {
     let mut limits = Limits::for_sockets(64);
     let first_pauses = |limits: &Limits, error: &DiscoveryError| -> Vec<Duration> {
-        (0..100).map(|seed| Backoff::new(limits, seed * 7919).failed(error)).collect()
+        (0..100).map(|seed| Backoff::new(limits, seed * 7919).record_failure(error)).collect()
     };
     limits.spread_discovery_calls(Some(100));
     let mut pauses = first_pauses(&limits, &overloaded());
@@ -46,17 +46,17 @@
 fn after_a_failure_watches_are_short_and_timeouts_grow() {
     let limits = Limits::for_sockets(64);
     let mut backoff = Backoff::new(&limits, 1);
-    let watch = limits.discovery_watch_timeout;
-    let undisturbed = CallTimes { watch, timeout: watch + limits.discovery_timeout };
+    let watch_timeout = limits.discovery_watch_timeout;
+    let undisturbed = CallTimes { watch_timeout, timeout: watch_timeout + limits.discovery_timeout };
     assert_eq!(backoff.call_times(true), undisturbed);
     // The whole list may wait behind the calls of others.
     assert_eq!(backoff.call_times(false).timeout, limits.discovery_timeout_after_failure);
     let answer_timeouts: Vec<Duration> = (0..4)
         .map(|_| {
-            backoff.failed(&DiscoveryError::TimedOut);
+            backoff.record_failure(&DiscoveryError::TimedOut);
             let times = backoff.call_times(true);
-            assert_eq!(times.watch, limits.discovery_recheck_timeout);
-            times.timeout - times.watch
+            assert_eq!(times.watch_timeout, limits.discovery_recheck_timeout);
+            times.timeout - times.watch_timeout
         })
         .collect();
     assert!(
@@ -66,7 +66,7 @@
         "{answer_timeouts:?}"
     );
     backoff.reset();
-    assert_eq!(backoff.call_times(true).watch, limits.discovery_watch_timeout);
+    assert_eq!(backoff.call_times(true).watch_timeout, limits.discovery_watch_timeout);
     let (first_pause, _) = limits.discovery_backoff;
-    assert!(backoff.failed(&DiscoveryError::TimedOut) < first_pause * 2, "the pauses start over");
+    assert!(backoff.record_failure(&DiscoveryError::TimedOut) < first_pause * 2, "the pauses start over");
 }
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -5,7 +5,7 @@
 use crate::config::Limits;
 use crate::endpoint_list_json;
 use crate::engine::endpoints::EndpointUpdate;
-use crate::net::http::client::{Client, Response};
+use crate::net::http::client::{Response, ServerConnection};
 use crate::net::until;
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -26,23 +26,24 @@
     /// call if it may be used again.
     pub(super) async fn run(
         &self,
-        connection: &mut Option<Client>,
+        kept_connection: &mut Option<ServerConnection>,
     ) -> Result<EndpointUpdate, DiscoveryError> {
         let deadline = Instant::now() + self.times.timeout;
-        let text = until(deadline, self.fetch(connection)).await.unwrap_or(Err(DiscoveryError::TimedOut))?;
+        let text =
+            until(deadline, self.fetch(kept_connection)).await.unwrap_or(Err(DiscoveryError::TimedOut))?;
         // A list that cannot be read must not cost the one that is held: that stays, and the call is repeated.
         let update = endpoint_list_json::parse(&text, self.zones)?;
         self.check_index(update)
     }
 
-    async fn fetch(&self, connection: &mut Option<Client>) -> Result<String, DiscoveryError> {
-        let mut client = match connection.take() {
-            Some(client) => client,
-            None => Client::connect(self.address).await?,
+    async fn fetch(&self, kept_connection: &mut Option<ServerConnection>) -> Result<String, DiscoveryError> {
+        let mut connection = match kept_connection.take() {
+            Some(connection) => connection,
+            None => ServerConnection::connect(self.address).await?,
         };
         let Response { head, body, is_reusable } =
-            client.call(self.request().as_bytes(), self.limits).await?;
-        *connection = is_reusable.then_some(client);
+            connection.call(self.request().as_bytes(), self.limits).await?;
+        *kept_connection = is_reusable.then_some(connection);
         let status = head.status_text();
         match status {
             "200" => String::from_utf8(body).map_err(|_| DiscoveryError::NotUtf8),
@@ -56,7 +57,7 @@
         let path = match self.held_index {
             None => "/api/targets".to_string(),
             Some(after) => {
-                format!("/api/targets?after={after}&wait_ms={}", self.times.watch.as_millis())
+                format!("/api/targets?after={after}&wait_ms={}", self.times.watch_timeout.as_millis())
             }
         };
         format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n")
--- a/src/net/http/body.rs
+++ b/src/net/http/body.rs
@@ -20,7 +20,7 @@
 /// UntilClose: the end of the stream is the end of the body
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum BodyDecoder {
     /// A body of a stated length.
     ContentLength {
         /// Bytes that are still to come.
@@ -46,70 +46,72 @@
     Complete,
 }
 
-impl Body {
+impl BodyDecoder {
     /// The framing of a request's body: without any it has none.
     ///
     /// # Errors
     /// The head states contradictory framings, or one that is unknown.
-    pub fn of_request(head: &Head) -> Result<Body, MessageError> {
-        Ok(Body::stated(head)?.unwrap_or(Body::Complete))
+    pub fn for_request(head: &Head) -> Result<BodyDecoder, MessageError> {
+        Ok(BodyDecoder::stated_framing(head)?.unwrap_or(BodyDecoder::Complete))
     }
 
     /// The framing of a response's body: without any it lasts until the stream ends.
     ///
     /// # Errors
     /// The head states contradictory framings, or one that is unknown.
-    pub fn of_response(head: &Head) -> Result<Body, MessageError> {
-        if let Some(body) = Body::stated(head)? {
+    pub fn for_response(head: &Head) -> Result<BodyDecoder, MessageError> {
+        if let Some(body) = BodyDecoder::stated_framing(head)? {
             return Ok(body);
         }
         let without_body = [status::NO_CONTENT, status::NOT_MODIFIED];
         let has_body = !without_body.iter().any(|code| head.status() == Ok(*code));
-        Ok(if has_body { Body::UntilClose } else { Body::Complete })
+        Ok(if has_body { BodyDecoder::UntilClose } else { BodyDecoder::Complete })
     }
 
     /// The framing that a head states. Two of them in one message are how requests are smuggled past each other, so
     /// contradictions are errors and nothing is guessed.
-    fn stated(head: &Head) -> Result<Option<Body>, MessageError> {
-        let mut lengths = head.get_all("content-length");
+    fn stated_framing(head: &Head) -> Result<Option<BodyDecoder>, MessageError> {
+        let mut lengths = head.header_values("content-length");
         let length = lengths.next();
         if lengths.any(|other| Some(other) != length) {
             return Err(MessageError::ConflictingContentLengths);
         }
-        match (head.get("transfer-encoding"), length) {
+        match (head.header("transfer-encoding"), length) {
             (Some(_), Some(_)) => Err(MessageError::LengthAndTransferCoding),
-            (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(Some(Body::ChunkSize)),
+            (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => {
+                Ok(Some(BodyDecoder::ChunkSize))
+            }
             (Some(_), None) => Err(MessageError::UnknownTransferCoding),
-            (None, Some(length)) => Ok(Some(Body::of_length(length)?)),
+            (None, Some(length)) => Ok(Some(BodyDecoder::with_length(length)?)),
             (None, None) => Ok(None),
         }
     }
 
-    fn of_length(length: &str) -> Result<Body, MessageError> {
+    fn with_length(length: &str) -> Result<BodyDecoder, MessageError> {
         if !length.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(MessageError::InvalidContentLength);
         }
         match length.parse() {
-            Ok(0) => Ok(Body::Complete),
-            Ok(remaining) => Ok(Body::ContentLength { remaining }),
+            Ok(0) => Ok(BodyDecoder::Complete),
+            Ok(remaining) => Ok(BodyDecoder::ContentLength { remaining }),
             Err(_) => Err(MessageError::TooLarge),
         }
     }
 
     /// Whether the body is complete.
     pub fn is_complete(&self) -> bool {
-        *self == Body::Complete
+        *self == BodyDecoder::Complete
     }
 
     /// Whether only the end of the stream ends the body.
-    pub fn ends_with_stream(&self) -> bool {
-        *self == Body::UntilClose
+    pub fn is_close_delimited(&self) -> bool {
+        *self == BodyDecoder::UntilClose
     }
 
     /// Bytes that are stated but have not come: of the body, or of its present chunk.
-    pub fn announced_bytes(&self) -> usize {
+    pub fn stated_bytes_remaining(&self) -> usize {
         match self {
-            Body::ContentLength { remaining } | Body::ChunkData { remaining } => *remaining,
+            BodyDecoder::ContentLength { remaining } | BodyDecoder::ChunkData { remaining } => *remaining,
             _ => 0,
         }
     }
@@ -128,13 +130,13 @@
         loop {
             let rest = &bytes[used..];
             match self {
-                Body::Complete => return Ok(used),
-                Body::UntilClose => {
+                BodyDecoder::Complete => return Ok(used),
+                BodyDecoder::UntilClose => {
                     into.extend_from_slice(rest);
                     used = bytes.len();
                     break;
                 }
-                Body::ContentLength { remaining } | Body::ChunkData { remaining } => {
+                BodyDecoder::ContentLength { remaining } | BodyDecoder::ChunkData { remaining } => {
                     let count = rest.len().min(*remaining);
                     into.extend_from_slice(&rest[..count]);
                     used += count;
@@ -142,35 +144,39 @@
                     if *remaining > 0 {
                         break;
                     }
-                    *self = self.after_data();
+                    *self = self.state_after_data();
                 }
-                Body::ChunkSize | Body::ChunkDataEnd | Body::TrailerSection { .. } => {
+                BodyDecoder::ChunkSize | BodyDecoder::ChunkDataEnd | BodyDecoder::TrailerSection { .. } => {
                     let Some(line) = next_line(rest)? else { return Ok(used) };
                     used += line.len() + 2;
-                    *self = self.after_line(line)?;
+                    *self = self.state_after_line(line)?;
                 }
             }
         }
         if into.len() > max_bytes { Err(MessageError::TooLarge) } else { Ok(used) }
     }
 
-    fn after_data(&self) -> Body {
-        if matches!(self, Body::ChunkData { .. }) { Body::ChunkDataEnd } else { Body::Complete }
+    fn state_after_data(&self) -> BodyDecoder {
+        if matches!(self, BodyDecoder::ChunkData { .. }) {
+            BodyDecoder::ChunkDataEnd
+        } else {
+            BodyDecoder::Complete
+        }
     }
 
     /// What follows a line outside of a chunk's data.
-    fn after_line(&self, line: &str) -> Result<Body, MessageError> {
+    fn state_after_line(&self, line: &str) -> Result<BodyDecoder, MessageError> {
         match self {
-            Body::ChunkDataEnd if line.is_empty() => Ok(Body::ChunkSize),
-            Body::ChunkDataEnd => Err(MessageError::ChunkLongerThanSize),
-            Body::TrailerSection { .. } if line.is_empty() => Ok(Body::Complete),
-            Body::TrailerSection { remaining } => {
+            BodyDecoder::ChunkDataEnd if line.is_empty() => Ok(BodyDecoder::ChunkSize),
+            BodyDecoder::ChunkDataEnd => Err(MessageError::ChunkLongerThanSize),
+            BodyDecoder::TrailerSection { .. } if line.is_empty() => Ok(BodyDecoder::Complete),
+            BodyDecoder::TrailerSection { remaining } => {
                 let remaining = remaining.checked_sub(line.len() + 2).ok_or(MessageError::TooLarge)?;
-                Ok(Body::TrailerSection { remaining })
+                Ok(BodyDecoder::TrailerSection { remaining })
             }
             _ => match parse_chunk_size(line)? {
-                0 => Ok(Body::TrailerSection { remaining: MAX_TRAILER_SECTION_BYTES }),
-                remaining => Ok(Body::ChunkData { remaining }),
+                0 => Ok(BodyDecoder::TrailerSection { remaining: MAX_TRAILER_SECTION_BYTES }),
+                remaining => Ok(BodyDecoder::ChunkData { remaining }),
             },
         }
     }
--- a/src/net/http/body/tests.rs
+++ b/src/net/http/body/tests.rs
@@ -6,7 +6,7 @@
 /// Decodes the body of a response that arrives in pieces: its data, and whether it is complete.
 fn decode(text: &str, piece: usize) -> Result<(Vec<u8>, bool), MessageError> {
     let received = Head::decode(text.as_bytes(), &Limits::for_sockets(64))?.expect("the head is complete");
-    let mut body = Body::of_response(&received.head)?;
+    let mut body = BodyDecoder::for_response(&received.head)?;
     let mut data = Vec::new();
     let mut buffer = Vec::new();
     for bytes in text.as_bytes()[received.length..].chunks(piece) {
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -1,6 +1,6 @@
 //! The client side of HTTP/1.1: one connection, one exchange at a time.
 
-use super::body::Body;
+use super::body::BodyDecoder;
 use super::head::{Head, ReceivedHead};
 use super::status;
 use crate::config::Limits;
@@ -11,7 +11,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// A connection to a server.
-pub struct Client {
+pub struct ServerConnection {
     address: String,
     stream: Async<TcpStream>,
     buffer: Buffer,
@@ -41,11 +41,11 @@
     Err(io::ErrorKind::UnexpectedEof.into())
 }
 
-impl Client {
+impl ServerConnection {
     /// Takes a stream over.
-    pub fn new(stream: Async<TcpStream>) -> Client {
+    pub fn new(stream: Async<TcpStream>) -> ServerConnection {
         let address = stream.get_ref().peer_addr().map_or_else(|_| "host".into(), |peer| peer.to_string());
-        Client { address, stream, buffer: Buffer::default() }
+        ServerConnection { address, stream, buffer: Buffer::default() }
     }
 
     /// The server's address, as a `Host` header states it.
@@ -57,10 +57,10 @@
     ///
     /// # Errors
     /// The connection cannot be made.
-    pub async fn connect(address: SocketAddr) -> io::Result<Client> {
+    pub async fn connect(address: SocketAddr) -> io::Result<ServerConnection> {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
-        Ok(Client::new(stream))
+        Ok(ServerConnection::new(stream))
     }
 
     /// Whether nothing has come since the last response: neither bytes nor the end of the stream.
@@ -96,7 +96,7 @@
                 self.buffer.consume(length);
                 return Ok(head);
             }
-            if self.more().await? == 0 {
+            if self.fill_buffer().await? == 0 {
                 return unexpected_end();
             }
         }
@@ -109,7 +109,7 @@
     /// The connection broke, the body was cut short, or it is out of form ([`io::ErrorKind::InvalidData`]).
     pub async fn read_body_part(
         &mut self,
-        body: &mut Body,
+        body: &mut BodyDecoder,
         into: &mut Vec<u8>,
         max_bytes: usize,
     ) -> io::Result<BodyProgress> {
@@ -118,18 +118,18 @@
         if body.is_complete() {
             return Ok(BodyProgress::Complete);
         }
-        if self.more().await? > 0 {
+        if self.fill_buffer().await? > 0 {
             return Ok(BodyProgress::Partial);
         }
         // Only a body that lasts until the end of the stream may end so; any other was cut short.
-        if body.ends_with_stream() { Ok(BodyProgress::Complete) } else { unexpected_end() }
+        if body.is_close_delimited() { Ok(BodyProgress::Complete) } else { unexpected_end() }
     }
 
     /// Reads the response to an upgrade: from here on the connection carries another protocol.
     ///
     /// # Errors
     /// The connection broke or ended, the head is out of form, or the server refused the upgrade.
-    pub async fn upgraded(&mut self, limits: &Limits) -> io::Result<()> {
+    pub async fn read_upgrade_response(&mut self, limits: &Limits) -> io::Result<()> {
         let head = self.next_head(limits).await?;
         if head.status_text() == status::SWITCHING_PROTOCOLS.to_string() {
             return Ok(());
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// The connection broke.
-    pub async fn more(&mut self) -> io::Result<usize> {
+    pub async fn fill_buffer(&mut self) -> io::Result<usize> {
         self.buffer.fill(&self.stream).await
     }
 
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// The connection broke.
-    pub async fn more_of(&self, into: &mut Buffer) -> io::Result<usize> {
+    pub async fn read_into(&self, into: &mut Buffer) -> io::Result<usize> {
         into.fill(&self.stream).await
     }
 
@@ -170,8 +170,8 @@
     pub async fn call(&mut self, request: &[u8], limits: &Limits) -> io::Result<Response> {
         self.send(request).await?;
         let head = self.read_head(limits).await?;
-        let mut framing = Body::of_response(&head)?;
-        let is_reusable = head.response_keeps_open() && !framing.ends_with_stream();
+        let mut framing = BodyDecoder::for_response(&head)?;
+        let is_reusable = head.response_keeps_connection_open() && !framing.is_close_delimited();
         let mut body = Vec::new();
         while self.read_body_part(&mut framing, &mut body, limits.discovery_answer_bytes).await?
             != BodyProgress::Complete
--- a/src/net/http/head.rs
+++ b/src/net/http/head.rs
@@ -11,7 +11,7 @@
 pub struct Head {
     /// The three parts of the start line. Request line: method, request target and version; status line: version,
     /// status code and reason phrase.
-    pub line: [String; 3],
+    pub start_line: [String; 3],
     /// Names and values of the header section, in order.
     pub headers: Vec<(String, String)>,
 }
@@ -39,7 +39,7 @@
         }
         let text = std::str::from_utf8(&bytes[..end]).map_err(|_| MessageError::HeadNotUtf8)?;
         let mut lines = text.split("\r\n");
-        let line = parse_start_line(lines.next().unwrap_or(""))?;
+        let start_line = parse_start_line(lines.next().unwrap_or(""))?;
         let mut headers = Vec::new();
         for header_line in lines {
             headers.push(parse_header(header_line)?);
@@ -47,27 +47,27 @@
                 return Err(MessageError::TooLarge);
             }
         }
-        Ok(Some(ReceivedHead { head: Head { line, headers }, length: end + HEAD_END.len() }))
+        Ok(Some(ReceivedHead { head: Head { start_line, headers }, length: end + HEAD_END.len() }))
     }
 
     /// The method of a request.
     pub fn method(&self) -> &str {
-        &self.line[0]
+        &self.start_line[0]
     }
 
     /// The target of a request, as it was sent.
     pub fn request_target(&self) -> &str {
-        &self.line[1]
+        &self.start_line[1]
     }
 
     /// The HTTP version of a request.
     pub fn request_version(&self) -> &str {
-        &self.line[2]
+        &self.start_line[2]
     }
 
     /// The status code of a response, as it was sent.
     pub fn status_text(&self) -> &str {
-        &self.line[1]
+        &self.start_line[1]
     }
 
     /// The status code of a response.
@@ -77,44 +77,44 @@
     pub fn status(&self) -> Result<u16, MessageError> {
         let code = self.status_text();
         let has_three_digits = code.len() == 3 && code.bytes().all(|byte| byte.is_ascii_digit());
-        if !self.line[0].starts_with("HTTP/1.") || !has_three_digits {
+        if !self.start_line[0].starts_with("HTTP/1.") || !has_three_digits {
             return Err(MessageError::InvalidStatusLine);
         }
         code.parse().map_err(|_| MessageError::InvalidStatusLine)
     }
 
     /// The first value of a header; names are case-insensitive.
-    pub fn get(&self, name: &str) -> Option<&str> {
-        self.get_all(name).next()
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.header_values(name).next()
     }
 
     /// All values of a header, in order.
-    pub fn get_all<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a str> {
+    pub fn header_values<'a>(&'a self, name: &str) -> impl Iterator<Item = &'a str> {
         let named = self.headers.iter().filter(move |(header, _)| header.eq_ignore_ascii_case(name));
         named.map(|(_, value)| value.as_str())
     }
 
     /// Whether a header's comma-separated list has an element; both are case-insensitive.
-    pub fn has(&self, name: &str, element: &str) -> bool {
-        let mut elements = self.get_all(name).flat_map(|value| value.split(','));
+    pub fn list_contains(&self, name: &str, element: &str) -> bool {
+        let mut elements = self.header_values(name).flat_map(|value| value.split(','));
         elements.any(|candidate| candidate.trim().eq_ignore_ascii_case(element))
     }
 
     /// Whether the connection persists after this request (RFC 9112, section 9.3).
-    pub fn request_keeps_open(&self) -> bool {
-        self.keeps_open(self.request_version())
+    pub fn request_keeps_connection_open(&self) -> bool {
+        self.keeps_connection_open(self.request_version())
     }
 
     /// Whether the connection persists after this response.
-    pub fn response_keeps_open(&self) -> bool {
-        self.keeps_open(&self.line[0])
+    pub fn response_keeps_connection_open(&self) -> bool {
+        self.keeps_connection_open(&self.start_line[0])
     }
 
-    fn keeps_open(&self, version: &str) -> bool {
-        if self.has("connection", "close") {
+    fn keeps_connection_open(&self, version: &str) -> bool {
+        if self.list_contains("connection", "close") {
             return false;
         }
-        version == "HTTP/1.1" || self.has("connection", "keep-alive")
+        version == "HTTP/1.1" || self.list_contains("connection", "keep-alive")
     }
 }
 
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -1,6 +1,6 @@
 //! The server side of HTTP/1.1: requests that are read completely, and responses.
 
-use super::body::Body;
+use super::body::BodyDecoder;
 use super::error::{MessageError, RequestError};
 use super::head::{Head, ReceivedHead};
 use super::status;
@@ -22,36 +22,36 @@
 
 impl Request {
     /// Path and query string of its target.
-    pub fn target(&self) -> (&str, &str) {
+    pub fn path_and_query(&self) -> (&str, &str) {
         let target = self.head.request_target();
         target.split_once('?').unwrap_or((target, ""))
     }
 
     /// Whether the connection persists after its response.
-    pub fn keeps_open(&self) -> bool {
-        self.head.request_keeps_open()
+    pub fn keeps_connection_open(&self) -> bool {
+        self.head.request_keeps_connection_open()
     }
 }
 
 /// What came of waiting for a request.
-pub enum Next {
+pub enum NextRequest {
     /// A request.
-    Request(Box<Request>),
+    Received(Box<Request>),
     /// The connection is over; nobody waits for a response.
-    Over,
+    ConnectionClosed,
     /// What came is no request that can be served: the response is an error, and the connection ends after it.
-    Refused(RequestError),
+    Rejected(RequestError),
 }
 
 /// Why a request was not read.
-enum ReadFailure {
-    ConnectionOver,
-    Refused(RequestError),
+enum ReadRequestError {
+    ConnectionClosed,
+    Rejected(RequestError),
 }
 
-impl From<RequestError> for ReadFailure {
-    fn from(error: RequestError) -> ReadFailure {
-        ReadFailure::Refused(error)
+impl From<RequestError> for ReadRequestError {
+    fn from(error: RequestError) -> ReadRequestError {
+        ReadRequestError::Rejected(error)
     }
 }
 
@@ -65,7 +65,7 @@
 }
 
 /// The head of a response.
-pub fn answer_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
+pub fn encode_response_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
     let mut head = format!("HTTP/1.1 {status} {}\r\n", status::reason_phrase(status));
     for (name, value) in headers {
         for part in [name, ": ", value, "\r\n"] {
@@ -77,25 +77,29 @@
 }
 
 /// A complete response in plain text; a line feed is appended to the text.
-pub fn answer(status: u16, headers: &[(&str, &str)], text: &str) -> Vec<u8> {
+pub fn text_response(status: u16, headers: &[(&str, &str)], text: &str) -> Vec<u8> {
     let length = (text.len() + 1).to_string();
     let mut all = vec![("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", length.as_str())];
     all.extend_from_slice(headers);
-    let mut response = answer_head(status, &all);
+    let mut response = encode_response_head(status, &all);
     response.extend_from_slice(text.as_bytes());
     response.push(b'\n');
     response
 }
 
 /// Waits for the next request of a connection.
-pub async fn next(connection: &mut ClientConnection, buffer: &mut Buffer, limits: &Limits) -> Next {
+pub async fn next_request(
+    connection: &mut ClientConnection,
+    buffer: &mut Buffer,
+    limits: &Limits,
+) -> NextRequest {
     match read_request(connection, buffer, limits).await {
         Ok(request) => {
             connection.request_received();
-            Next::Request(Box::new(request))
+            NextRequest::Received(Box::new(request))
         }
-        Err(ReadFailure::ConnectionOver) => Next::Over,
-        Err(ReadFailure::Refused(error)) => Next::Refused(error),
+        Err(ReadRequestError::ConnectionClosed) => NextRequest::ConnectionClosed,
+        Err(ReadRequestError::Rejected(error)) => NextRequest::Rejected(error),
     }
 }
 
@@ -103,7 +107,7 @@
     connection: &mut ClientConnection,
     buffer: &mut Buffer,
     limits: &Limits,
-) -> Result<Request, ReadFailure> {
+) -> Result<Request, ReadRequestError> {
     while buffer.unread().is_empty() {
         wait_for_input(connection, RequestProgress::NotStarted, buffer).await?;
     }
@@ -111,10 +115,10 @@
     if !head.request_version().starts_with("HTTP/1.") {
         return Err(RequestError::UnsupportedVersion.into());
     }
-    let framing = Body::of_request(&head).map_err(RequestError::InvalidBody)?;
-    let expects_continue = !framing.is_complete() && head.has("expect", "100-continue");
+    let framing = BodyDecoder::for_request(&head).map_err(RequestError::InvalidBody)?;
+    let expects_continue = !framing.is_complete() && head.list_contains("expect", "100-continue");
     if expects_continue && connection.write(CONTINUE).await.is_err() {
-        return Err(ReadFailure::ConnectionOver);
+        return Err(ReadRequestError::ConnectionClosed);
     }
     let body = read_body(connection, buffer, framing, limits.client_message_bytes).await?;
     Ok(Request { head, body })
@@ -124,7 +128,7 @@
     connection: &mut ClientConnection,
     buffer: &mut Buffer,
     limits: &Limits,
-) -> Result<Head, ReadFailure> {
+) -> Result<Head, ReadRequestError> {
     loop {
         let decoded = Head::decode(buffer.unread(), limits).map_err(RequestError::InvalidHead)?;
         if let Some(ReceivedHead { head, length }) = decoded {
@@ -139,9 +143,9 @@
 async fn read_body(
     connection: &mut ClientConnection,
     buffer: &mut Buffer,
-    mut framing: Body,
+    mut framing: BodyDecoder,
     max_bytes: usize,
-) -> Result<Vec<u8>, ReadFailure> {
+) -> Result<Vec<u8>, ReadRequestError> {
     let mut body = Vec::new();
     loop {
         let decoded = framing.decode(buffer.unread(), &mut body, max_bytes);
@@ -151,7 +155,7 @@
             return Ok(body);
         }
         // A stated length above the limit is rejected before all of it has come.
-        if framing.announced_bytes() > max_bytes {
+        if framing.stated_bytes_remaining() > max_bytes {
             return Err(RequestError::InvalidBody(MessageError::TooLarge).into());
         }
         let progress = RequestProgress::Partial { bytes: body.len() + buffer.unread().len() };
@@ -164,12 +168,12 @@
     connection: &mut ClientConnection,
     progress: RequestProgress,
     buffer: &mut Buffer,
-) -> Result<(), ReadFailure> {
+) -> Result<(), ReadRequestError> {
     match connection.wait_for_input(progress, buffer).await {
         Ok(ReadEvent::Data) => Ok(()),
         Ok(ReadEvent::TimedOut) => Err(RequestError::Timeout.into()),
         Ok(ReadEvent::OverBudget) => Err(RequestError::MessageBudgetExhausted.into()),
         Ok(ReadEvent::Evicted) => Err(RequestError::Evicted.into()),
-        Ok(ReadEvent::Closed | ReadEvent::CloseRequested) | Err(_) => Err(ReadFailure::ConnectionOver),
+        Ok(ReadEvent::Closed | ReadEvent::CloseRequested) | Err(_) => Err(ReadRequestError::ConnectionClosed),
     }
 }
--- a/src/net/sparql/client_error.rs
+++ b/src/net/sparql/client_error.rs
@@ -95,7 +95,7 @@
             // The standard header counts in seconds: rounded up, so that nobody retries too early because of it.
             let seconds = ((millis + 999) / 1000).max(1).to_string();
             let millis = millis.max(1).to_string();
-            return server::answer(
+            return server::text_response(
                 self.status(),
                 &[("Retry-After", &seconds), (RETRY_AFTER_MS, &millis)],
                 &text,
@@ -103,9 +103,9 @@
         }
         match self.status() {
             status::METHOD_NOT_ALLOWED => {
-                server::answer(status::METHOD_NOT_ALLOWED, &[("Allow", "GET, POST")], &text)
+                server::text_response(status::METHOD_NOT_ALLOWED, &[("Allow", "GET, POST")], &text)
             }
-            other => server::answer(other, &[], &text),
+            other => server::text_response(other, &[], &text),
         }
     }
 }
--- a/src/net/sparql/host.rs
+++ b/src/net/sparql/endpoint.rs
@@ -1,16 +1,16 @@
 //! The host side: an operation sent to a host that speaks SPARQL over HTTP, and its response.
 
-use super::operation::{ForwardedTo, Operation};
+use super::operation::{AttemptParameters, Operation};
 use super::response_head::{
-    forwarded_headers, is_recent_enough, load_report, lost_commit, lost_commit_answer, outcome_of,
-    replica_status,
+    attempt_outcome, forwarded_headers, is_recent_enough, load_report, lost_commit_answer, replica_status,
+    rolled_back_to,
 };
 use crate::config::Limits;
 use crate::engine::Freshness;
 use crate::net::answer_stream::StreamChunk;
 use crate::net::backend_pool::{AttemptContext, BackendProtocol, ExchangeResult};
-use crate::net::http::body::Body;
-use crate::net::http::client::{BodyProgress, Client};
+use crate::net::http::body::BodyDecoder;
+use crate::net::http::client::{BodyProgress, ServerConnection};
 use crate::net::http::head::Head;
 use crate::net::until;
 use crate::routing::{AttemptOutcome, LoadReport, ReplicaStatus};
@@ -31,7 +31,7 @@
 
 /// The body of a host's answer.
 #[derive(Clone, Debug)]
-pub enum HostAnswerBody {
+pub enum AnswerBody {
     /// The complete body.
     Buffered(Vec<u8>),
     /// A body that is too long to be buffered, as it comes.
@@ -40,13 +40,13 @@
 
 /// A host's answer on its way to the client.
 #[derive(Clone, Debug)]
-pub struct HostAnswer {
+pub struct EndpointAnswer {
     /// The status.
     pub status: u16,
     /// Headers that are forwarded.
     pub headers: Vec<(String, String)>,
     /// The body.
-    pub body: HostAnswerBody,
+    pub body: AnswerBody,
 }
 
 /// SPARQL over HTTP towards hosts.
@@ -58,32 +58,32 @@
     report_fields: Vec<String>,
 }
 
-type OperationAttempt<'a> = AttemptContext<'a, Arc<Operation>, HostAnswer>;
+type OperationAttempt<'a> = AttemptContext<'a, Arc<Operation>, EndpointAnswer>;
 
 /// A response whose head was read.
 struct PendingResponse {
     head: Head,
     status: u16,
-    framing: Body,
+    framing: BodyDecoder,
     /// What it means for the attempt, with what the head says about the data.
     outcome: AttemptOutcome,
     replica_status: Option<ReplicaStatus>,
     load_report: LoadReport,
     /// The position to which its group went back, where that lost a commit of the session.
-    lost_commit: Option<LogPosition>,
+    rolled_back_to: Option<LogPosition>,
     /// Whether the connection may carry another request once the body is complete.
-    keeps_open: bool,
+    keeps_connection_open: bool,
 }
 
 impl PendingResponse {
     /// The result of the exchange, whose body was read to its end.
-    fn finished(self, answer: Option<HostAnswer>) -> ExchangeResult<HostAnswer> {
-        let reusable = self.keeps_open;
-        ExchangeResult { reusable, ..self.abandoned(answer) }
+    fn into_completed(self, answer: Option<EndpointAnswer>) -> ExchangeResult<EndpointAnswer> {
+        let reusable = self.keeps_connection_open;
+        ExchangeResult { reusable, ..self.into_abandoned(answer) }
     }
 
     /// The result of the exchange, whose body is not read any further: the connection cannot be reused.
-    fn abandoned(self, answer: Option<HostAnswer>) -> ExchangeResult<HostAnswer> {
+    fn into_abandoned(self, answer: Option<EndpointAnswer>) -> ExchangeResult<EndpointAnswer> {
         ExchangeResult {
             outcome: self.outcome,
             replica_status: self.replica_status,
@@ -94,18 +94,18 @@
     }
 
     /// The answer to the client.
-    fn answer(&self, body: HostAnswerBody) -> HostAnswer {
-        HostAnswer { status: self.status, headers: forwarded_headers(&self.head), body }
+    fn answer(&self, body: AnswerBody) -> EndpointAnswer {
+        EndpointAnswer { status: self.status, headers: forwarded_headers(&self.head), body }
     }
 
     /// The answer to the client, where there is one that does not need the body.
-    fn answer_without_body(&self) -> Option<HostAnswer> {
-        self.lost_commit.filter(|_| self.outcome == AttemptOutcome::Served).map(lost_commit_answer)
+    fn answer_without_body(&self) -> Option<EndpointAnswer> {
+        self.rolled_back_to.filter(|_| self.outcome == AttemptOutcome::Served).map(lost_commit_answer)
     }
 }
 
 /// The value of the `Via` header: characters of the daemon's name that a header may not have are left out.
-fn via(name: &str) -> String {
+fn via_header(name: &str) -> String {
     let is_allowed = |c: &char| c.is_ascii_alphanumeric() || "-_.".contains(*c);
     let name: String = name.chars().filter(is_allowed).collect();
     format!("1.1 {}", if name.is_empty() { DEFAULT_VIA_NAME } else { &name })
@@ -114,54 +114,54 @@
 impl SparqlBackend {
     /// Hosts serve operations at `path`; `name` is what `Via` calls this daemon.
     pub fn new(limits: Rc<Limits>, path: String, name: &str, report_fields: Vec<String>) -> SparqlBackend {
-        SparqlBackend { limits, path, via: via(name), report_fields }
+        SparqlBackend { limits, path, via: via_header(name), report_fields }
     }
 
     async fn send_and_receive(
         &self,
-        client: &mut Client,
+        connection: &mut ServerConnection,
         operation: &Operation,
         attempt: &OperationAttempt<'_>,
-    ) -> io::Result<ExchangeResult<HostAnswer>> {
+    ) -> io::Result<ExchangeResult<EndpointAnswer>> {
         let required_position = required_position(attempt);
-        let request = operation.encode(ForwardedTo {
-            host: client.address(),
+        let request = operation.encode(AttemptParameters {
+            host: connection.address(),
             path: &self.path,
             via: &self.via,
             time_left: attempt.time_left(),
             required_position,
         });
-        client.send(&request).await?;
+        connection.send(&request).await?;
         attempt.mark_sent();
-        let mut response = self.read_head(client, operation, required_position).await?;
+        let mut response = self.read_head(connection, operation, required_position).await?;
         let mut body = Vec::new();
         while body.len() <= self.limits.http_answer_buffer_bytes {
-            let progress = client.read_body_part(&mut response.framing, &mut body, usize::MAX).await?;
+            let progress = connection.read_body_part(&mut response.framing, &mut body, usize::MAX).await?;
             if progress == BodyProgress::Complete {
                 return Ok(buffered_result(response, body));
             }
         }
         if response.outcome != AttemptOutcome::Served {
-            return Ok(response.abandoned(None));
+            return Ok(response.into_abandoned(None));
         }
         match response.answer_without_body() {
-            Some(answer) => Ok(response.abandoned(Some(answer))),
-            None => self.stream(client, response, body, attempt).await,
+            Some(answer) => Ok(response.into_abandoned(Some(answer))),
+            None => self.stream(connection, response, body, attempt).await,
         }
     }
 
     async fn read_head(
         &self,
-        client: &mut Client,
+        connection: &mut ServerConnection,
         operation: &Operation,
         required_position: Option<LogPosition>,
     ) -> io::Result<PendingResponse> {
-        let head = client.read_head(&self.limits).await?;
+        let head = connection.read_head(&self.limits).await?;
         let status = head.status()?;
         let replica_status = replica_status(&head);
-        let framing = Body::of_response(&head)?;
+        let framing = BodyDecoder::for_response(&head)?;
         let is_success = status < 300;
-        let mut outcome = outcome_of(status);
+        let mut outcome = attempt_outcome(status);
         if outcome == AttemptOutcome::Served
             && is_success
             && !is_recent_enough(replica_status, required_position)
@@ -169,7 +169,7 @@
             log::warn!("host: answer dropped: its data is older than the read allows");
             outcome = AttemptOutcome::Misdirected;
         }
-        if outcome == AttemptOutcome::Served && framing.ends_with_stream() {
+        if outcome == AttemptOutcome::Served && framing.is_close_delimited() {
             // Nobody could tell such an answer from one that was cut short.
             log::warn!("host: answer dropped: it states neither a length nor chunks");
             outcome = AttemptOutcome::Error;
@@ -180,8 +180,8 @@
             outcome,
             replica_status,
             load_report: load_report(&head, &self.report_fields),
-            lost_commit: lost_commit(replica_status, session_commit),
-            keeps_open: head.response_keeps_open() && !framing.ends_with_stream(),
+            rolled_back_to: rolled_back_to(replica_status, session_commit),
+            keeps_connection_open: head.response_keeps_connection_open() && !framing.is_close_delimited(),
             framing,
             head,
         })
@@ -190,26 +190,26 @@
     /// Sends an answer to the client as it comes. From here on it is the client's and cannot be retried.
     async fn stream(
         &self,
-        client: &mut Client,
+        connection: &mut ServerConnection,
         mut response: PendingResponse,
         body: Vec<u8>,
         attempt: &OperationAttempt<'_>,
-    ) -> io::Result<ExchangeResult<HostAnswer>> {
+    ) -> io::Result<ExchangeResult<EndpointAnswer>> {
         let (chunks, received_chunks) = async_channel::bounded(self.limits.answer_chunks);
-        attempt.start_response(response.answer(HostAnswerBody::Streamed(received_chunks))).await;
-        response.outcome = self.forward_body(client, &mut response.framing, body, &chunks).await;
+        attempt.start_response(response.answer(AnswerBody::Streamed(received_chunks))).await;
+        response.outcome = self.forward_body(connection, &mut response.framing, body, &chunks).await;
         if response.outcome == AttemptOutcome::Served {
-            Ok(response.finished(None))
+            Ok(response.into_completed(None))
         } else {
-            Ok(response.abandoned(None))
+            Ok(response.into_abandoned(None))
         }
     }
 
     /// Forwards a body to its end and says how that ended.
     async fn forward_body(
         &self,
-        client: &mut Client,
-        framing: &mut Body,
+        connection: &mut ServerConnection,
+        framing: &mut BodyDecoder,
         mut body: Vec<u8>,
         chunks: &Sender<StreamChunk>,
     ) -> AttemptOutcome {
@@ -220,7 +220,7 @@
                     return AttemptOutcome::Cancelled;
                 }
             }
-            let read = client.read_body_part(framing, &mut body, usize::MAX);
+            let read = connection.read_body_part(framing, &mut body, usize::MAX);
             match until(Instant::now() + self.limits.backend_stall_timeout, read).await {
                 Some(Ok(BodyProgress::Partial)) => {}
                 Some(Ok(BodyProgress::Complete)) => break,
@@ -248,53 +248,53 @@
 }
 
 /// The result of an exchange whose body was buffered completely.
-fn buffered_result(response: PendingResponse, body: Vec<u8>) -> ExchangeResult<HostAnswer> {
+fn buffered_result(response: PendingResponse, body: Vec<u8>) -> ExchangeResult<EndpointAnswer> {
     if response.outcome != AttemptOutcome::Served {
-        return response.finished(None);
+        return response.into_completed(None);
     }
     let answer = match response.answer_without_body() {
         Some(answer) => answer,
-        None => response.answer(HostAnswerBody::Buffered(body)),
+        None => response.answer(AnswerBody::Buffered(body)),
     };
-    response.finished(Some(answer))
+    response.into_completed(Some(answer))
 }
 
 impl BackendProtocol for SparqlBackend {
     type Request = Arc<Operation>;
-    type Answer = HostAnswer;
-    type Connection = Client;
+    type Answer = EndpointAnswer;
+    type Connection = ServerConnection;
 
-    async fn handshake(&self, stream: Async<TcpStream>) -> Result<Client, AttemptOutcome> {
-        Ok(Client::new(stream))
+    async fn handshake(&self, stream: Async<TcpStream>) -> Result<ServerConnection, AttemptOutcome> {
+        Ok(ServerConnection::new(stream))
     }
 
-    fn is_silent(&self, client: &Client) -> bool {
-        client.is_silent()
+    fn is_silent(&self, connection: &ServerConnection) -> bool {
+        connection.is_silent()
     }
 
     fn probes_before_first_use(&self) -> bool {
         true
     }
 
-    async fn probe(&self, client: &mut Client) -> Option<LoadReport> {
+    async fn probe(&self, connection: &mut ServerConnection) -> Option<LoadReport> {
         let request = format!(
             "GET {}?query=ASK%20%7B%7D HTTP/1.1\r\nHost: {}\r\nVia: {}\r\n\r\n",
             self.path,
-            client.address(),
+            connection.address(),
             self.via
         );
-        let response = client.call(request.as_bytes(), &self.limits).await.ok()?;
+        let response = connection.call(request.as_bytes(), &self.limits).await.ok()?;
         let report = load_report(&response.head, &self.report_fields);
         (response.is_reusable && report.count >= MIN_PROBE_VALUES).then_some(report)
     }
 
     async fn exchange(
         &self,
-        client: &mut Client,
+        connection: &mut ServerConnection,
         operation: &Arc<Operation>,
         attempt: &OperationAttempt<'_>,
-    ) -> ExchangeResult<HostAnswer> {
-        let error = match self.send_and_receive(client, operation, attempt).await {
+    ) -> ExchangeResult<EndpointAnswer> {
+        let error = match self.send_and_receive(connection, operation, attempt).await {
             Ok(result) => return result,
             Err(error) => error,
         };
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -7,8 +7,8 @@
 mod starting;
 
 use super::client_error::ClientError;
+use super::endpoint::EndpointAnswer;
 use super::error::OperationError;
-use super::host::HostAnswer;
 use super::operation::{Operation, OperationKind};
 use super::response_head::lost_commit_answer;
 use crate::config::Limits;
@@ -19,7 +19,7 @@
 use crate::net::buffer::Buffer;
 use crate::net::connection::ClientConnection;
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
-use crate::net::http::server::{self, Next, Request};
+use crate::net::http::server::{self, NextRequest, Request};
 use crate::net::http::status;
 use crate::net::latch::Latch;
 use crate::net::lifecycle::{Lifecycle, ServingState};
@@ -30,7 +30,7 @@
 use async_io::Async;
 use futures_lite::future;
 use responder::{AfterResponse, Responder};
-pub use starting::serve_early;
+pub use starting::serve_while_starting;
 use std::cell::RefCell;
 use std::io;
 use std::net::TcpStream;
@@ -42,17 +42,17 @@
 
 /// What the operator's file says about the front.
 #[derive(Clone, Debug, Default)]
-pub struct Service {
+pub struct FrontConfig {
     /// The path of the operation endpoint.
     pub path: String,
     /// Class of a query that names none.
-    pub query: String,
+    pub query_class: String,
     /// Class of a query with a position that names none; without one it is that of any query.
-    pub session: Option<String>,
+    pub session_query_class: Option<String>,
     /// Class of an update that names none.
-    pub update: String,
+    pub update_class: String,
     /// The group of a request that names none.
-    pub group: Option<GroupId>,
+    pub default_group: Option<GroupId>,
 }
 
 /// What all connections of the front share.
@@ -60,13 +60,13 @@
     /// Limits of connections, messages and times.
     pub limits: Rc<Limits>,
     /// Submits requests to the engine.
-    pub handle: EngineHandle<Arc<Operation>, HostAnswer>,
+    pub engine: EngineHandle<Arc<Operation>, EndpointAnswer>,
     /// The classes by name.
     pub classes: Classes,
     /// The path, and defaults of requests.
-    pub service: Service,
+    pub config: FrontConfig,
     /// Set once all groups are served.
-    pub ready: Latch,
+    pub all_groups_served: Latch,
     /// Whether the process serves, is drained or terminates.
     pub lifecycle: Rc<Lifecycle>,
     /// Commits that groups have lost.
@@ -83,7 +83,7 @@
 impl Front {
     /// Serves one connection to its end.
     pub async fn serve(&self, stream: Async<TcpStream>, slot: ConnectionSlot, decision: AcceptDecision) {
-        let clock = self.handle.clock().clone();
+        let clock = self.engine.clock().clone();
         let mut connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
         if decision == AcceptDecision::Reject {
             let error = ClientError::TooManyConnections { retry_after: self.retry_after() };
@@ -109,31 +109,31 @@
         connection: &mut ClientConnection,
         buffer: &mut Buffer,
     ) -> io::Result<AfterResponse> {
-        match server::next(connection, buffer, &self.limits).await {
-            Next::Over => Ok(AfterResponse::Close),
-            Next::Refused(error) => {
+        match server::next_request(connection, buffer, &self.limits).await {
+            NextRequest::ConnectionClosed => Ok(AfterResponse::Close),
+            NextRequest::Rejected(error) => {
                 log::warn!("client: request rejected: {error}");
                 let close = [("Connection", "close")];
-                connection.write(&server::answer(error.status(), &close, &error.to_string())).await?;
+                connection.write(&server::text_response(error.status(), &close, &error.to_string())).await?;
                 Ok(AfterResponse::Close)
             }
-            Next::Request(request) => {
+            NextRequest::Received(request) => {
                 let mut responder = Responder { connection, buffer, request: &request };
-                self.answer(&request, &mut responder).await
+                self.respond(&request, &mut responder).await
             }
         }
     }
 
-    async fn answer(&self, request: &Request, responder: &mut Responder<'_>) -> io::Result<AfterResponse> {
-        let (path, _) = request.target();
+    async fn respond(&self, request: &Request, responder: &mut Responder<'_>) -> io::Result<AfterResponse> {
+        let (path, _) = request.path_and_query();
         if path == READINESS_PATH {
-            return responder.write(self.readiness()).await;
+            return responder.write(self.readiness_response()).await;
         }
-        if path != self.service.path {
+        if path != self.config.path {
             return responder.write(ClientError::NotFound.to_response()).await;
         }
         match Operation::parse(request).and_then(|operation| self.prepare(operation)) {
-            Ok(prepared) => self.run(prepared, responder).await,
+            Ok(prepared) => self.submit(prepared, responder).await,
             Err(error) => {
                 log::warn!("client: operation rejected: {error}");
                 responder.write(ClientError::from(error).to_response()).await
@@ -141,14 +141,14 @@
         }
     }
 
-    fn readiness(&self) -> Vec<u8> {
+    fn readiness_response(&self) -> Vec<u8> {
         if self.lifecycle.state() == ServingState::Drained {
-            return server::answer(status::SERVICE_UNAVAILABLE, &[], "drained");
+            return server::text_response(status::SERVICE_UNAVAILABLE, &[], "drained");
         }
-        if !self.ready.is_set() {
-            return server::answer(status::SERVICE_UNAVAILABLE, &[], "not all groups are served yet");
+        if !self.all_groups_served.is_set() {
+            return server::text_response(status::SERVICE_UNAVAILABLE, &[], "not all groups are served yet");
         }
-        server::answer(status::OK, &[], "ready")
+        server::text_response(status::OK, &[], "ready")
     }
 
     /// Completes an operation with the defaults, and checks that its class can serve it.
@@ -164,8 +164,8 @@
         if operation.position.is_some() && !self.classes.honors_client_position(class_name) {
             return Err(OperationError::ClassIgnoresPositions(class_name.to_string()));
         }
-        let group = operation.group.or(self.service.group).ok_or(OperationError::MissingGroup)?;
-        let now = self.handle.clock().now();
+        let group = operation.group.or(self.config.default_group).ok_or(OperationError::MissingGroup)?;
+        let now = self.engine.clock().now();
         // A client's clock that is a little ahead makes the age zero, not negative.
         let last_commit_age =
             operation.position.map(|position| (now - position.commit_time(Timestamp::ZERO)).or_zero());
@@ -179,16 +179,16 @@
 
     /// The class of an operation that names none.
     fn default_class(&self, operation: &Operation) -> &str {
-        let service = &self.service;
-        match (operation.kind, &service.session) {
-            (OperationKind::Update, _) => &service.update,
+        let config = &self.config;
+        match (operation.kind, &config.session_query_class) {
+            (OperationKind::Update, _) => &config.update_class,
             (OperationKind::Query, Some(session)) if operation.position.is_some() => session,
-            (OperationKind::Query, _) => &service.query,
+            (OperationKind::Query, _) => &config.query_class,
         }
     }
 
     /// Submits an operation and writes its answer.
-    async fn run(
+    async fn submit(
         &self,
         prepared: PreparedOperation,
         responder: &mut Responder<'_>,
@@ -207,7 +207,7 @@
         // The answer has to reach the client before it stops waiting.
         let margin = TimeDelta::from(self.limits.answer_margin);
         let deadline = arrived + (client_timeout - margin).or_zero();
-        let Some((id, reply)) = self.handle.submit(request, deadline, Arc::new(operation)).await else {
+        let Some((id, reply)) = self.engine.submit(request, deadline, Arc::new(operation)).await else {
             let error = ClientError::Terminating { retry_after: self.retry_after() };
             return responder.write_and_close(error.to_response()).await;
         };
@@ -217,7 +217,7 @@
         };
         if !matches!(written, Ok(AfterResponse::KeepOpen | AfterResponse::Close)) {
             // Whatever is still under way for this client ends now.
-            self.handle.send_input(Input::RequestCancelled(id)).await;
+            self.engine.send_input(Input::RequestCancelled(id)).await;
         }
         written
     }
@@ -225,9 +225,9 @@
     /// Waits for the final answer; `None` where the client leaves before.
     async fn wait_for_answer(
         &self,
-        reply: &Receiver<FinalAnswer<HostAnswer>>,
+        reply: &Receiver<FinalAnswer<EndpointAnswer>>,
         responder: &mut Responder<'_>,
-    ) -> Option<FinalAnswer<HostAnswer>> {
+    ) -> Option<FinalAnswer<EndpointAnswer>> {
         let answered = async { Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { overdue: false })) };
         let client_left = async {
             responder.connection.wait_for_departure(responder.buffer).await;
@@ -243,7 +243,7 @@
 }
 
 async fn write_final_answer(
-    answer: FinalAnswer<HostAnswer>,
+    answer: FinalAnswer<EndpointAnswer>,
     responder: &mut Responder<'_>,
 ) -> io::Result<AfterResponse> {
     let error = match answer {
--- a/src/net/sparql/front/responder.rs
+++ b/src/net/sparql/front/responder.rs
@@ -6,7 +6,7 @@
 use crate::net::http::server::{self, Request};
 use crate::net::http::status;
 use crate::net::sparql::client_error::ClientError;
-use crate::net::sparql::host::{HostAnswer, HostAnswerBody};
+use crate::net::sparql::endpoint::{AnswerBody, EndpointAnswer};
 use async_channel::Receiver;
 use std::io;
 
@@ -35,7 +35,7 @@
 impl Responder<'_> {
     /// Writes a complete response.
     pub(super) async fn write(&mut self, response: Vec<u8>) -> io::Result<AfterResponse> {
-        if !self.request.keeps_open() || self.connection.ends() {
+        if !self.request.keeps_connection_open() || self.connection.ends() {
             return self.write_and_close(response).await;
         }
         self.connection.write(&response).await?;
@@ -49,28 +49,28 @@
     }
 
     /// Writes a host's answer.
-    pub(super) async fn write_answer(&mut self, answer: HostAnswer) -> io::Result<AfterResponse> {
-        let HostAnswer { status, headers, body } = answer;
+    pub(super) async fn write_answer(&mut self, answer: EndpointAnswer) -> io::Result<AfterResponse> {
+        let EndpointAnswer { status, headers, body } = answer;
         let mut headers: Vec<(&str, &str)> =
             headers.iter().map(|(name, value)| (name.as_str(), value.as_str())).collect();
         match body {
-            HostAnswerBody::Buffered(body) => {
+            AnswerBody::Buffered(body) => {
                 let length = body.len().to_string();
                 if status != status::NO_CONTENT {
                     headers.push(("Content-Length", &length));
                 }
-                let mut response = server::answer_head(status, &headers);
+                let mut response = server::encode_response_head(status, &headers);
                 response.extend_from_slice(&body);
                 self.write(response).await
             }
-            HostAnswerBody::Streamed(_) if self.request.head.request_version() != "HTTP/1.1" => {
+            AnswerBody::Streamed(_) if self.request.head.request_version() != "HTTP/1.1" => {
                 // Without chunks the end of the connection would be the end of the answer, cut short or not.
                 self.write_and_close(ClientError::ChunksUnsupported.to_response()).await?;
                 Ok(AfterResponse::Abort)
             }
-            HostAnswerBody::Streamed(chunks) => {
+            AnswerBody::Streamed(chunks) => {
                 headers.push(("Transfer-Encoding", "chunked"));
-                self.connection.write(&server::answer_head(status, &headers)).await?;
+                self.connection.write(&server::encode_response_head(status, &headers)).await?;
                 self.write_chunks(&chunks).await
             }
         }
@@ -85,8 +85,12 @@
                 }
                 AnswerEvent::Received(StreamChunk::End) => {
                     self.connection.write(LAST_CHUNK).await?;
-                    let keeps_open = self.request.keeps_open();
-                    return Ok(if keeps_open { AfterResponse::KeepOpen } else { AfterResponse::Close });
+                    let keeps_connection_open = self.request.keeps_connection_open();
+                    return Ok(if keeps_connection_open {
+                        AfterResponse::KeepOpen
+                    } else {
+                        AfterResponse::Close
+                    });
                 }
                 AnswerEvent::ChannelClosed => {
                     log::warn!("host: the connection ended in the middle of an answer");
--- a/src/net/sparql/front/starting.rs
+++ b/src/net/sparql/front/starting.rs
@@ -6,7 +6,7 @@
 use crate::net::buffer::Buffer;
 use crate::net::connection::ClientConnection;
 use crate::net::connection_limiter::ConnectionSlot;
-use crate::net::http::server::{self, Next};
+use crate::net::http::server::{self, NextRequest};
 use crate::net::http::status;
 use crate::net::sparql::client_error::ClientError;
 use crate::time::TimeDelta;
@@ -16,7 +16,7 @@
 
 /// Rejects the first request of a connection and closes it: the next connection may find more. `retry_after` gives the
 /// retry-after hint, which may differ from call to call.
-pub async fn serve_early(
+pub async fn serve_while_starting(
     stream: Async<TcpStream>,
     slot: ConnectionSlot,
     limits: Rc<Limits>,
@@ -25,13 +25,13 @@
 ) {
     let mut connection = ClientConnection::new(stream, slot, limits.clone(), clock);
     let mut buffer = Buffer::default();
-    let response = match server::next(&mut connection, &mut buffer, &limits).await {
-        Next::Over => return,
-        Next::Refused(error) => ClientError::from(error).to_response(),
-        Next::Request(request) if request.target().0 == READINESS_PATH => {
-            server::answer(status::SERVICE_UNAVAILABLE, &[], "no list of hosts yet")
+    let response = match server::next_request(&mut connection, &mut buffer, &limits).await {
+        NextRequest::ConnectionClosed => return,
+        NextRequest::Rejected(error) => ClientError::from(error).to_response(),
+        NextRequest::Received(request) if request.path_and_query().0 == READINESS_PATH => {
+            server::text_response(status::SERVICE_UNAVAILABLE, &[], "no list of hosts yet")
         }
-        Next::Request(_) => ClientError::Starting { retry_after: retry_after() }.to_response(),
+        NextRequest::Received(_) => ClientError::Starting { retry_after: retry_after() }.to_response(),
     };
     let _ = connection.write(&server::with_connection_close(response)).await;
     let _ = connection.linger().await;
--- a/src/net/sparql/mod.rs
+++ b/src/net/sparql/mod.rs
@@ -5,12 +5,12 @@
 //!
 //! - clients: [`front`] (connections and requests), [`operation`] (a query or an update), [`error`] (why a request is
 //!   no operation), [`client_error`] (what a client receives in place of an answer)
-//! - hosts: [`host`] (exchanges), [`response_head`] (what a host's response means)
+//! - endpoints: [`endpoint`] (exchanges), [`response_head`] (what a host's response means)
 
 pub mod client_error;
+pub mod endpoint;
 pub mod error;
 pub mod front;
 pub mod headers;
-pub mod host;
 pub mod operation;
 pub mod response_head;
--- a/src/net/sparql/operation.rs
+++ b/src/net/sparql/operation.rs
@@ -75,7 +75,7 @@
 
 /// What differs between the attempts of an operation.
 #[derive(Clone, Copy, Debug)]
-pub struct ForwardedTo<'a> {
+pub struct AttemptParameters<'a> {
     /// Address of the host, for the `Host` header.
     pub host: &'a str,
     /// Path of the operation endpoint there.
@@ -95,11 +95,11 @@
     /// The request is not one of the protocol's forms, or a header is out of form.
     pub fn parse(request: &Request) -> Result<Operation, OperationError> {
         let head = &request.head;
-        let (_, query_string) = request.target();
-        let url = OperationParameters::decode(query_string)?;
+        let (_, query_string) = request.path_and_query();
+        let url = OperationCounts::decode(query_string)?;
         let (method, kind) = match head.method() {
-            "GET" => (Method::Get, url.kind_by_get()?),
-            "POST" => (Method::Post, kind_by_post(request, &url)?),
+            "GET" => (Method::Get, url.kind_of_get()?),
+            "POST" => (Method::Post, kind_of_post(request, &url)?),
             other => return Err(OperationError::MethodNotAllowed(other.to_string())),
         };
         let body = match method {
@@ -107,12 +107,12 @@
             Method::Post => request.body.clone(),
         };
         // In this order: of several headers that are out of form, the first one here is reported.
-        let class = parse_name(head, CLASS)?;
-        let group = parse_number(head, GROUP, i64::from(u32::MAX))?;
-        let session = parse_name(head, SESSION)?;
-        let key = parse_name(head, KEY)?;
-        let time_left = parse_number(head, TIME_LEFT, MAX_TIME_LEFT_MILLIS)?;
-        let position = parse_number(head, POSITION, MAX_POSITION_MILLIS)?;
+        let class = parse_name_header(head, CLASS)?;
+        let group = parse_number_header(head, GROUP, i64::from(u32::MAX))?;
+        let session = parse_name_header(head, SESSION)?;
+        let key = parse_name_header(head, KEY)?;
+        let time_left = parse_number_header(head, TIME_LEFT, MAX_TIME_LEFT_MILLIS)?;
+        let position = parse_number_header(head, POSITION, MAX_POSITION_MILLIS)?;
         Ok(Operation {
             kind,
             method,
@@ -135,8 +135,8 @@
 
     /// The request as a host receives it. URL and body are as the client wrote them: nothing is decoded and encoded
     /// again.
-    pub fn encode(&self, to: ForwardedTo<'_>) -> Vec<u8> {
-        let ForwardedTo { host, path, via, time_left, required_position } = to;
+    pub fn encode(&self, to: AttemptParameters<'_>) -> Vec<u8> {
+        let AttemptParameters { host, path, via, time_left, required_position } = to;
         let method = self.method.as_str();
         let separator = if self.query_string.is_empty() { "" } else { "?" };
         let mut out = format!("{method} {path}{separator}{} HTTP/1.1\r\nHost: {host}\r\n", self.query_string);
@@ -170,14 +170,14 @@
 
 /// How often a query string or a form holds an operation.
 #[derive(Clone, Copy, Debug)]
-struct OperationParameters {
+struct OperationCounts {
     queries: usize,
     updates: usize,
 }
 
-impl OperationParameters {
-    fn decode(text: &str) -> Result<OperationParameters, OperationError> {
-        let mut counted = OperationParameters { queries: 0, updates: 0 };
+impl OperationCounts {
+    fn decode(text: &str) -> Result<OperationCounts, OperationError> {
+        let mut counted = OperationCounts { queries: 0, updates: 0 };
         for (name, _) in decode_parameters(text)? {
             match name.as_str() {
                 "query" => counted.queries += 1,
@@ -188,7 +188,7 @@
         Ok(counted)
     }
 
-    fn kind_by_get(self) -> Result<OperationKind, OperationError> {
+    fn kind_of_get(self) -> Result<OperationKind, OperationError> {
         match (self.queries, self.updates) {
             (1, 0) => Ok(OperationKind::Query),
             (_, 1..) => Err(OperationError::UpdateByGet),
@@ -196,7 +196,7 @@
         }
     }
 
-    fn kind_by_form(self) -> Result<OperationKind, OperationError> {
+    fn kind_of_form(self) -> Result<OperationKind, OperationError> {
         match (self.queries, self.updates) {
             (1, 0) => Ok(OperationKind::Query),
             (0, 1) => Ok(OperationKind::Update),
@@ -204,20 +204,20 @@
         }
     }
 
-    fn is_absent(self) -> bool {
+    fn is_empty(self) -> bool {
         self.queries + self.updates == 0
     }
 }
 
-fn kind_by_post(request: &Request, url: &OperationParameters) -> Result<OperationKind, OperationError> {
-    let content_type = request.head.get("content-type").unwrap_or("");
+fn kind_of_post(request: &Request, url: &OperationCounts) -> Result<OperationKind, OperationError> {
+    let content_type = request.head.header("content-type").unwrap_or("");
     let media_type = content_type.split(';').next().unwrap_or("").trim().to_ascii_lowercase();
     match media_type.as_str() {
         FORM_TYPE => {
             let text = std::str::from_utf8(&request.body).map_err(|_| OperationError::FormNotUtf8)?;
-            let form = OperationParameters::decode(text)?;
-            check_only_in_body(url)?;
-            form.kind_by_form()
+            let form = OperationCounts::decode(text)?;
+            check_no_operation_in_url(url)?;
+            form.kind_of_form()
         }
         QUERY_TYPE => check_direct_operation(request, url).map(|()| OperationKind::Query),
         UPDATE_TYPE => check_direct_operation(request, url).map(|()| OperationKind::Update),
@@ -226,14 +226,14 @@
 }
 
 /// Checks a body that is the operation itself.
-fn check_direct_operation(request: &Request, url: &OperationParameters) -> Result<(), OperationError> {
-    check_only_in_body(url)?;
+fn check_direct_operation(request: &Request, url: &OperationCounts) -> Result<(), OperationError> {
+    check_no_operation_in_url(url)?;
     let text = std::str::from_utf8(&request.body).map_err(|_| OperationError::OperationNotUtf8)?;
     if text.trim().is_empty() { Err(OperationError::EmptyOperation) } else { Ok(()) }
 }
 
-fn check_only_in_body(url: &OperationParameters) -> Result<(), OperationError> {
-    if url.is_absent() { Ok(()) } else { Err(OperationError::OperationInUrlAndBody) }
+fn check_no_operation_in_url(url: &OperationCounts) -> Result<(), OperationError> {
+    if url.is_empty() { Ok(()) } else { Err(OperationError::OperationInUrlAndBody) }
 }
 
 /// The headers of a request that a host receives as they are.
@@ -246,8 +246,8 @@
 }
 
 /// A header that holds a number of digits alone, of `max` at most.
-fn parse_number(head: &Head, header: &'static str, max: i64) -> Result<Option<i64>, OperationError> {
-    let Some(text) = head.get(header) else { return Ok(None) };
+fn parse_number_header(head: &Head, header: &'static str, max: i64) -> Result<Option<i64>, OperationError> {
+    let Some(text) = head.header(header) else { return Ok(None) };
     let has_only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     match text.parse() {
         Ok(number) if has_only_digits && number <= max => Ok(Some(number)),
@@ -256,8 +256,8 @@
 }
 
 /// A header that holds a name.
-fn parse_name(head: &Head, header: &'static str) -> Result<Option<String>, OperationError> {
-    let Some(text) = head.get(header) else { return Ok(None) };
+fn parse_name_header(head: &Head, header: &'static str) -> Result<Option<String>, OperationError> {
+    let Some(text) = head.header(header) else { return Ok(None) };
     if text.is_empty() || text.len() > MAX_NAME_BYTES {
         return Err(OperationError::InvalidName(header));
     }
--- a/src/net/sparql/operation/tests.rs
+++ b/src/net/sparql/operation/tests.rs
@@ -29,7 +29,7 @@
         let request = request(&text);
         let operation = Operation::parse(&request).unwrap();
         assert_eq!(operation.is_update(), is_update, "{text}");
-        let forwarded_to = ForwardedTo {
+        let forwarded_to = AttemptParameters {
             host: "h:1",
             path: "/sparql",
             via: "1.1 b1",
--- a/src/net/sparql/response_head.rs
+++ b/src/net/sparql/response_head.rs
@@ -1,7 +1,7 @@
 //! What the head of a host's response means: for the attempt, about the host, and for the session of the client.
 
+use super::endpoint::{AnswerBody, EndpointAnswer};
 use super::headers::{LOAD, POSITION, ROLE};
-use super::host::{HostAnswer, HostAnswerBody};
 use crate::engine::load_report::build_load_report;
 use crate::net::backend_pool::load_report_value;
 use crate::net::http::head::Head;
@@ -22,12 +22,12 @@
 
 /// Role and log position that a host states; `None` where it states no role.
 pub(super) fn replica_status(head: &Head) -> Option<ReplicaStatus> {
-    let primary = match head.get(ROLE)? {
+    let primary = match head.header(ROLE)? {
         "primary" => true,
         "replica" => false,
         _ => return None,
     };
-    let stated = head.get(POSITION).and_then(|millis| millis.parse().ok());
+    let stated = head.header(POSITION).and_then(|millis| millis.parse().ok());
     let position = stated.and_then(LogPosition::try_from_millis).unwrap_or(LogPosition::UNKNOWN);
     // A position before the zero of Unix time is none.
     Some(ReplicaStatus { primary, position: position.max(LogPosition::UNKNOWN) })
@@ -39,13 +39,13 @@
     build_load_report(fields, |name| match name {
         POSITION_FIELD => replica_status.map(|status| status.position.as_micros() as f64 / 1e6),
         ROLE_FIELD => replica_status.map(|status| f64::from(u8::from(status.primary))),
-        name => load_report_value(head.get(LOAD).unwrap_or(""), name),
+        name => load_report_value(head.header(LOAD).unwrap_or(""), name),
     })
 }
 
 /// What a status means for the attempt. A response about the operation itself (a query that does not parse, a type that
 /// is not offered) is the client's.
-pub(super) fn outcome_of(status: u16) -> AttemptOutcome {
+pub(super) fn attempt_outcome(status: u16) -> AttemptOutcome {
     match status {
         status::PRECONDITION_FAILED | status::MISDIRECTED_REQUEST => AttemptOutcome::Misdirected,
         status::TOO_MANY_REQUESTS | status::SERVICE_UNAVAILABLE => AttemptOutcome::Overloaded,
@@ -69,7 +69,7 @@
 
 /// The position up to which a primary has its group's log, where it lacks the last commit of a session: the group has
 /// lost what the session wrote.
-pub(super) fn lost_commit(
+pub(super) fn rolled_back_to(
     replica_status: Option<ReplicaStatus>,
     session_commit: Option<LogPosition>,
 ) -> Option<LogPosition> {
@@ -78,14 +78,14 @@
 }
 
 /// The answer to a read whose session wrote what its group has lost: older data would be taken for the session's own.
-pub(super) fn lost_commit_answer(position: LogPosition) -> HostAnswer {
+pub(super) fn lost_commit_answer(position: LogPosition) -> EndpointAnswer {
     let position = position.as_millis().to_string();
     let text =
         format!("what this session wrote after position {position} is lost: its group went back to there");
-    HostAnswer {
+    EndpointAnswer {
         status: status::PRECONDITION_FAILED,
         headers: vec![(POSITION.into(), position)],
-        body: HostAnswerBody::Buffered(text.into_bytes()),
+        body: AnswerBody::Buffered(text.into_bytes()),
     }
 }
 
--- a/src/net/sparql/response_head/tests.rs
+++ b/src/net/sparql/response_head/tests.rs
@@ -20,15 +20,15 @@
 fn a_primary_that_lacks_a_sessions_write_is_detected() {
     let at = LogPosition::from_micros;
     let stated = |primary, position| Some(ReplicaStatus { primary, position: at(position) });
-    assert_eq!(lost_commit(stated(true, 4_000), Some(at(5_000))), Some(at(4_000)));
-    assert_eq!(lost_commit(stated(true, 5_000), Some(at(5_000))), None);
-    assert_eq!(lost_commit(stated(true, 4_000), None), None);
+    assert_eq!(rolled_back_to(stated(true, 4_000), Some(at(5_000))), Some(at(4_000)));
+    assert_eq!(rolled_back_to(stated(true, 5_000), Some(at(5_000))), None);
+    assert_eq!(rolled_back_to(stated(true, 4_000), None), None);
     // The first states no position, the second is a replica, which is only behind.
     assert_eq!(
         (
-            lost_commit(stated(true, 0), Some(at(5))),
-            lost_commit(stated(false, 4), Some(at(5))),
-            lost_commit(None, Some(at(5)))
+            rolled_back_to(stated(true, 0), Some(at(5))),
+            rolled_back_to(stated(false, 4), Some(at(5))),
+            rolled_back_to(None, Some(at(5)))
         ),
         (None, None, None)
     );
@@ -49,6 +49,6 @@
         (500, AttemptOutcome::Error),
         (301, AttemptOutcome::Error),
     ] {
-        assert_eq!(outcome_of(status), expected, "{status}");
+        assert_eq!(attempt_outcome(status), expected, "{status}");
     }
 }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -7,7 +7,7 @@
 use brookpass::fleet::zones::EvacuationBackoff;
 use brookpass::fleet::zones::EvacuationPolicy;
 use brookpass::inventory::{self, Inventory};
-use brookpass::net::sparql::front::Service;
+use brookpass::net::sparql::front::FrontConfig;
 use brookpass::platform_config::{self, PlatformConfig};
 use brookpass::routing::settings_parser;
 use brookpass::routing::*;
@@ -222,10 +222,13 @@
     } = operator_config::load(&path).unwrap();
     assert_eq!((own, name.as_str(), number, sockets), (path, "b7", 3, 2048));
     assert_eq!((listen, admin), (address("127.0.0.1:9001"), Some(address("127.0.0.1:9006"))));
-    let Service { path, query, session, update, group } = service;
+    let FrontConfig { path, query_class, session_query_class, update_class, default_group } = service;
     assert_eq!((path.as_str(), host_path.as_str()), ("/query", "/host/sparql"));
-    assert_eq!((query.as_str(), session.as_deref()), ("catalog-read", Some("own-edit-read")));
-    assert_eq!((update.as_str(), group), ("score-write", Some(GroupId(12))));
+    assert_eq!(
+        (query_class.as_str(), session_query_class.as_deref()),
+        ("catalog-read", Some("own-edit-read"))
+    );
+    assert_eq!((update_class.as_str(), default_group), ("score-write", Some(GroupId(12))));
     let StoreConfig { listen, peers, advertise, snapshot } = store;
     assert_eq!((listen, advertise), (address("127.0.0.1:9002"), Some(address("127.0.0.1:9003"))));
     assert_eq!(peers, [address("127.0.0.1:9004"), address("[::1]:9005")]);
@@ -283,7 +286,7 @@
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!((config.number, config.admin, config.sockets), (0, None, 1024));
     assert_eq!((config.host_path.as_str(), config.service.path.as_str()), ("/sparql", "/sparql"));
-    assert_eq!((config.service.session, config.service.group), (None, None));
+    assert_eq!((config.service.session_query_class, config.service.default_group), (None, None));
     assert_eq!((config.store.advertise, config.store.peers, config.store.snapshot), (None, Vec::new(), None));
     assert_eq!((config.inventory, config.zones, config.settings), (None, Vec::new(), None));
     assert_eq!((config.leaving.zone_names, config.leaving.automatic), (Vec::new(), true));
