--- a/src/net/http/body.rs
+++ b/src/net/http/body.rs
@@ -1,75 +1,77 @@
-//! Message bodies (RFC 9112, sections 6 and 7): framing by length, by the chunked transfer coding, or by the end of the
-//! stream. No I/O.
+//! Message bodies (RFC 9112, sections 6 and 7), framed by Content-Length, by the chunked transfer coding, or by the close
+//! of the connection. No I/O.
 
 use super::error::MessageError;
 use super::head::Head;
 use super::status;
 
-/// The longest line between chunks: a size with extensions, which are ignored.
+/// Limits an incomplete line: one that holds the size and the extensions of a chunk, or one of the trailer section.
 const MAX_CHUNK_LINE_BYTES: usize = 1024;
 
-/// Bytes of a trailer section. A response that has begun has neither a length nor a deadline to bound it.
+/// Limits the trailer section. Nothing else bounds it in a response that is being streamed: the length is unknown, and
+/// the deadline of the request no longer applies.
 const MAX_TRAILER_SECTION_BYTES: usize = 16 * 1024;
 
-/// Decoder of a body: what is expected next.
+/// Incremental decoder of a body. Each variant is a state, named after the input that it expects.
 ///
 /// ```text
 /// ContentLength ──► Complete
 /// ChunkSize ──► ChunkData ──► ChunkDataEnd ──► ChunkSize
 ///     └─ size 0 ──► TrailerSection ──► Complete
-/// UntilClose: the end of the stream is the end of the body
+/// UntilClose: the body ends when the server closes the connection
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BodyDecoder {
-    /// A body of a stated length.
+    /// The data of a body with a Content-Length.
     ContentLength {
-        /// Bytes that are still to come.
+        /// Bytes that have not been decoded yet; more than 0.
         remaining: usize,
     },
-    /// The line with the size of the next chunk.
+    /// The line that holds the size of the next chunk.
     ChunkSize,
     /// The data of a chunk.
     ChunkData {
-        /// Bytes that are still to come.
+        /// Bytes of the chunk that have not been decoded yet; more than 0.
         remaining: usize,
     },
-    /// The line end after the data of a chunk.
+    /// The CRLF after the data of a chunk.
     ChunkDataEnd,
     /// Lines of the trailer section, which are discarded.
     TrailerSection {
-        /// Bytes that the rest of the section may have.
+        /// How many more bytes the section may have.
         remaining: usize,
     },
-    /// Everything until the stream ends.
+    /// Data until the server closes the connection. Only responses are framed in this way.
     UntilClose,
-    /// The body is complete.
+    /// Nothing: the body is complete, or the message has none.
     Complete,
 }
 
 impl BodyDecoder {
-    /// The framing of a request's body: without any it has none.
+    /// The decoder for the body of a request. A request that states no framing has no body.
     ///
     /// # Errors
-    /// The head states contradictory framings, or one that is unknown.
+    /// The head states contradictory framings, an unknown transfer coding, or an invalid length.
     pub fn for_request(head: &Head) -> Result<BodyDecoder, MessageError> {
         Ok(BodyDecoder::stated_framing(head)?.unwrap_or(BodyDecoder::Complete))
     }
 
-    /// The framing of a response's body: without any it lasts until the stream ends.
+    /// The decoder for the body of a response. A response that states no framing ends when the server closes the
+    /// connection, unless its status rules out a body.
     ///
     /// # Errors
-    /// The head states contradictory framings, or one that is unknown.
+    /// The head states contradictory framings, an unknown transfer coding, or an invalid length.
     pub fn for_response(head: &Head) -> Result<BodyDecoder, MessageError> {
         if let Some(body) = BodyDecoder::stated_framing(head)? {
             return Ok(body);
         }
-        let without_body = [status::NO_CONTENT, status::NOT_MODIFIED];
-        let has_body = !without_body.iter().any(|code| head.status() == Ok(*code));
+        let statuses_without_body = [status::NO_CONTENT, status::NOT_MODIFIED];
+        let has_body = !statuses_without_body.iter().any(|code| head.status() == Ok(*code));
         Ok(if has_body { BodyDecoder::UntilClose } else { BodyDecoder::Complete })
     }
 
-    /// The framing that a head states. Two of them in one message are how requests are smuggled past each other, so
-    /// contradictions are errors and nothing is guessed.
+    /// The framing that the headers state; `None` if they state none. Contradictory framings are errors: if two
+    /// programs choose differently between them, a request can be smuggled inside another one.
     fn stated_framing(head: &Head) -> Result<Option<BodyDecoder>, MessageError> {
         let mut lengths = head.header_values("content-length");
         let length = lengths.next();
@@ -103,12 +105,12 @@
         *self == BodyDecoder::Complete
     }
 
-    /// Whether only the end of the stream ends the body.
+    /// Whether the body ends when the server closes the connection.
     pub fn is_close_delimited(&self) -> bool {
         *self == BodyDecoder::UntilClose
     }
 
-    /// Bytes that are stated but have not come: of the body, or of its present chunk.
+    /// Bytes of the body, or of its current chunk, that were stated but not decoded yet; 0 if no length is known.
     pub fn stated_bytes_remaining(&self) -> usize {
         match self {
             BodyDecoder::ContentLength { remaining } | BodyDecoder::ChunkData { remaining } => *remaining,
@@ -116,10 +118,11 @@
         }
     }
 
-    /// Decodes received bytes, appends the data to `into` and says how many bytes it used.
+    /// Decodes as much of `bytes` as it can, appends the data to `into`, and returns the number of bytes it consumed.
+    /// The caller passes the rest again, followed by further input.
     ///
     /// # Errors
-    /// The framing is out of form, or `into` has grown beyond `max_bytes`.
+    /// The framing is malformed, or `into` has grown beyond `max_bytes`.
     pub fn decode(
         &mut self,
         bytes: &[u8],
@@ -164,7 +167,7 @@
         }
     }
 
-    /// What follows a line outside of a chunk's data.
+    /// The state after a line outside of chunk data.
     fn state_after_line(&self, line: &str) -> Result<BodyDecoder, MessageError> {
         match self {
             BodyDecoder::ChunkDataEnd if line.is_empty() => Ok(BodyDecoder::ChunkSize),
@@ -182,7 +185,7 @@
     }
 }
 
-/// The next line without its end; `None` while it is incomplete.
+/// The next line, without its CRLF; `None` while it is incomplete.
 fn next_line(bytes: &[u8]) -> Result<Option<&str>, MessageError> {
     let Some(end) = bytes.windows(2).position(|window| window == b"\r\n") else {
         return if bytes.len() > MAX_CHUNK_LINE_BYTES { Err(MessageError::TooLarge) } else { Ok(None) };
@@ -190,7 +193,7 @@
     std::str::from_utf8(&bytes[..end]).map(Some).map_err(|_| MessageError::ChunkLineNotUtf8)
 }
 
-/// The size in front of a chunk, in hexadecimal digits; extensions behind it are ignored.
+/// Parses the line in front of a chunk: its size in hexadecimal digits. Chunk extensions are ignored.
 fn parse_chunk_size(line: &str) -> Result<usize, MessageError> {
     let size = line.split(';').next().unwrap_or("").trim();
     if size.is_empty() || !size.bytes().all(|byte| byte.is_ascii_hexdigit()) {
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -1,4 +1,4 @@
-//! The client side of HTTP/1.1: one connection, one exchange at a time.
+//! The client side of HTTP/1.1: connections to servers, with one request at a time on each.
 
 use super::body::BodyDecoder;
 use super::head::{Head, ReceivedHead};
@@ -10,7 +10,7 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection to a server.
+/// A connection to a server, with the input that was received on it but not yet decoded.
 pub struct ServerConnection {
     address: String,
     stream: Async<TcpStream>,
@@ -20,18 +20,18 @@
 /// A response that was read completely.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its head.
+    /// Status line and headers.
     pub head: Head,
-    /// Its body.
+    /// The decoded body, without its framing.
     pub body: Vec<u8>,
-    /// Whether the connection may carry another request.
+    /// Whether the connection can be used for another request.
     pub is_reusable: bool,
 }
 
-/// How far a body has come.
+/// Progress of a body that is read in parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyProgress {
-    /// More is to come.
+    /// The body continues.
     Partial,
     /// The body is complete.
     Complete,
@@ -42,36 +42,36 @@
 }
 
 impl ServerConnection {
-    /// Takes a stream over.
+    /// Wraps a TCP stream that is already connected.
     pub fn new(stream: Async<TcpStream>) -> ServerConnection {
         let address = stream.get_ref().peer_addr().map_or_else(|_| "host".into(), |peer| peer.to_string());
         ServerConnection { address, stream, buffer: Buffer::default() }
     }
 
-    /// The server's address, as a `Host` header states it.
+    /// The server's address, for the `Host` header.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Opens a connection.
+    /// Opens a connection, with `TCP_NODELAY` set.
     ///
     /// # Errors
-    /// The connection cannot be made.
+    /// The connection cannot be established.
     pub async fn connect(address: SocketAddr) -> io::Result<ServerConnection> {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
         Ok(ServerConnection::new(stream))
     }
 
-    /// Whether nothing has come since the last response: neither bytes nor the end of the stream.
+    /// Whether the connection is open and nothing was received after the last response.
     pub fn is_silent(&self) -> bool {
         self.buffer.unread().is_empty() && crate::net::is_silent(&self.stream)
     }
 
-    /// Writes a request.
+    /// Writes an encoded request, or other bytes after an upgrade.
     ///
     /// # Errors
-    /// The connection broke.
+    /// The connection was lost.
     pub async fn send(&mut self, request: &[u8]) -> io::Result<()> {
         self.stream.write_all(request).await
     }
@@ -79,7 +79,7 @@
     /// Reads the head of the final response; interim responses (1xx) are skipped.
     ///
     /// # Errors
-    /// The connection broke or ended, or the head is out of form ([`io::ErrorKind::InvalidData`]).
+    /// The connection was lost or closed, or the head is malformed ([`io::ErrorKind::InvalidData`]).
     pub async fn read_head(&mut self, limits: &Limits) -> io::Result<Head> {
         loop {
             let head = self.next_head(limits).await?;
@@ -102,11 +102,12 @@
         }
     }
 
-    /// Decodes what has come of a body and reads once more where it is not complete; the data is appended to `into`,
-    /// up to `max_bytes`.
+    /// Decodes the buffered part of a body and appends its data to `into`. If the body is not complete, reads once from
+    /// the socket; the next call decodes what was read.
     ///
     /// # Errors
-    /// The connection broke, the body was cut short, or it is out of form ([`io::ErrorKind::InvalidData`]).
+    /// The connection was lost, the body was truncated, or it is malformed or longer than `max_bytes`
+    /// ([`io::ErrorKind::InvalidData`]).
     pub async fn read_body_part(
         &mut self,
         body: &mut BodyDecoder,
@@ -121,52 +122,55 @@
         if self.fill_buffer().await? > 0 {
             return Ok(BodyProgress::Partial);
         }
-        // Only a body that lasts until the end of the stream may end so; any other was cut short.
+        // The server closed the connection. Any body that is not delimited by the close was truncated.
         if body.is_close_delimited() { Ok(BodyProgress::Complete) } else { unexpected_end() }
     }
 
-    /// Reads the response to an upgrade: from here on the connection carries another protocol.
+    /// Reads the response to an upgrade request. After status 101 the connection carries the other protocol.
     ///
     /// # Errors
-    /// The connection broke or ended, the head is out of form, or the server refused the upgrade.
+    /// The connection was lost or closed, the head is malformed, or the server rejected the upgrade.
     pub async fn read_upgrade_response(&mut self, limits: &Limits) -> io::Result<()> {
         let head = self.next_head(limits).await?;
         if head.status_text() == status::SWITCHING_PROTOCOLS.to_string() {
             return Ok(());
         }
-        Err(io::Error::other(format!("status {}", head.status_text())))
+        Err(io::Error::other(format!("the server rejected the upgrade with status {}", head.status_text())))
     }
 
-    /// Bytes that were received but not used.
+    /// Input that was received but not consumed.
     pub fn unread(&self) -> &[u8] {
         self.buffer.unread()
     }
 
-    /// Uses `count` of the received bytes.
+    /// Removes `count` bytes from the front of [`ServerConnection::unread`].
     pub fn consume(&mut self, count: usize) {
         self.buffer.consume(count);
     }
 
-    /// Reads once; 0 at the end of the stream.
+    /// Reads once from the socket into the connection's buffer and returns the number of bytes; 0 if the server closed
+    /// the connection.
     ///
     /// # Errors
-    /// The connection broke.
+    /// The connection was lost.
     pub async fn fill_buffer(&mut self) -> io::Result<usize> {
         self.buffer.fill(&self.stream).await
     }
 
-    /// Reads once into another buffer; 0 at the end of the stream.
+    /// Reads once from the socket into a buffer of the caller and returns the number of bytes; 0 if the server closed
+    /// the connection. Bytes that are already buffered stay where they are.
     ///
     /// # Errors
-    /// The connection broke.
+    /// The connection was lost.
     pub async fn read_into(&self, into: &mut Buffer) -> io::Result<usize> {
         into.fill(&self.stream).await
     }
 
-    /// Sends a request and reads the complete response.
+    /// Sends a request and reads the complete response, whose body may have up to `Limits::discovery_answer_bytes`.
     ///
     /// # Errors
-    /// The connection broke or ended, or the response is out of form or too large ([`io::ErrorKind::InvalidData`]).
+    /// The connection was lost or closed, or the response is malformed or too large
+    /// ([`io::ErrorKind::InvalidData`]).
     pub async fn call(&mut self, request: &[u8], limits: &Limits) -> io::Result<Response> {
         self.send(request).await?;
         let head = self.read_head(limits).await?;
--- a/src/net/http/error.rs
+++ b/src/net/http/error.rs
@@ -1,49 +1,49 @@
-//! Why an HTTP message was rejected. The texts reach clients.
+//! Reasons for rejecting an HTTP message. Their texts are sent to clients in the body of the error response.
 
 use super::status;
 use std::io;
 use thiserror::Error;
 
-/// A message whose head or body cannot be decoded.
+/// Errors in the head or the body of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MessageError {
-    /// The head holds bytes that are not UTF-8.
+    /// The head is not valid UTF-8.
     #[error("the head is not UTF-8")]
     HeadNotUtf8,
-    /// A part of the start line is missing or holds other characters than visible ASCII.
+    /// One of the first two parts of the start line is missing, or holds a character other than visible ASCII.
     #[error("the start line is out of form")]
     InvalidStartLine,
-    /// A status line names no version of HTTP/1 or no status code of three digits.
+    /// The version of a response is not HTTP/1.x, or its status code does not have three digits.
     #[error("the status line is out of form")]
     InvalidStatusLine,
     /// A line of the header section has no colon.
     #[error("a header has no colon")]
     HeaderWithoutColon,
-    /// The name of a header is no token, or its value holds control characters.
+    /// The name of a header is not a token, or its value holds control characters.
     #[error("a header is out of form")]
     InvalidHeader,
-    /// Content-Length headers that differ.
+    /// There are several Content-Length headers with different values.
     #[error("two lengths")]
     ConflictingContentLengths,
-    /// Both Content-Length and Transfer-Encoding.
+    /// There is both a Content-Length and a Transfer-Encoding.
     #[error("a length and a transfer coding")]
     LengthAndTransferCoding,
-    /// A transfer coding other than chunked.
+    /// The transfer coding is not `chunked`.
     #[error("unknown transfer coding")]
     UnknownTransferCoding,
-    /// Content-Length is not a number.
+    /// Content-Length holds a character other than a digit.
     #[error("the length is no number")]
     InvalidContentLength,
-    /// A line between chunks, or of the trailer section, is not UTF-8.
+    /// A line between chunks or in the trailer section is not valid UTF-8.
     #[error("a chunk line")]
     ChunkLineNotUtf8,
-    /// Data where a chunk should end.
+    /// The data of a chunk is not followed by a CRLF.
     #[error("a chunk is longer than its size")]
     ChunkLongerThanSize,
-    /// A chunk size is not a hexadecimal number.
+    /// The size of a chunk is not a hexadecimal number, or is too large to represent.
     #[error("a chunk's size is no number")]
     InvalidChunkSize,
-    /// The message exceeds a limit.
+    /// The message exceeds the limit on its head, its body, a line between chunks, or its trailer section.
     #[error("the message is too large")]
     TooLarge,
 }
@@ -54,18 +54,18 @@
     }
 }
 
-/// Parameters that are not URL-encoded as they should be.
+/// Errors in URL-encoded parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FormError {
-    /// A percent sign without two hexadecimal digits.
+    /// A percent sign is not followed by two hexadecimal digits.
     #[error("a broken percent escape")]
     InvalidPercentEncoding,
-    /// The decoded bytes are not UTF-8.
+    /// A decoded name or value is not valid UTF-8.
     #[error("a parameter is not UTF-8")]
     NotUtf8,
 }
 
-/// A client's request that is answered with an error before it is complete; the connection ends after it.
+/// Errors for which a request is rejected before it was read completely. The connection is closed after the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
     /// The head cannot be decoded.
@@ -74,22 +74,22 @@
     /// The body cannot be decoded.
     #[error(transparent)]
     InvalidBody(MessageError),
-    /// Another major version of HTTP.
+    /// The request line does not name HTTP/1.x.
     #[error("only HTTP/1.1 is spoken")]
     UnsupportedVersion,
-    /// The request did not arrive completely in time.
+    /// The request was not complete in time.
     #[error("no whole request came in time")]
     Timeout,
-    /// The memory budget for long messages is used up.
+    /// The memory budget that all connections share for long messages is exhausted.
     #[error("no room for a message of this length")]
     MessageBudgetExhausted,
-    /// The descriptor of a connection with an incomplete request is needed for others.
+    /// The connection was evicted in the middle of a request, because its file descriptor is needed elsewhere.
     #[error("no room for a request that is not whole")]
     Evicted,
 }
 
 impl RequestError {
-    /// The status to answer with.
+    /// The status code of the response.
     pub fn status(self) -> u16 {
         match self {
             RequestError::InvalidHead(MessageError::TooLarge) => status::REQUEST_HEADER_FIELDS_TOO_LARGE,
--- a/src/net/http/form.rs
+++ b/src/net/http/form.rs
@@ -1,11 +1,12 @@
-//! Query strings and bodies of type `application/x-www-form-urlencoded`.
+//! URL-encoded parameters, in query strings and in bodies of type `application/x-www-form-urlencoded`.
 
 use super::error::FormError;
 
-/// The parameters of a query string or a form, decoded, in order.
+/// Decodes the parameters of a query string or a form into names and values, in order. A parameter without `=` has an
+/// empty value.
 ///
 /// # Errors
-/// A percent sign without its two digits, or a parameter that is not UTF-8.
+/// A percent sign is not followed by two hexadecimal digits, or a name or value is not valid UTF-8.
 pub fn decode_parameters(text: &str) -> Result<Vec<(String, String)>, FormError> {
     let mut parameters = Vec::new();
     for parameter in text.split('&') {
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 (RFC 9112), as far as discovery, the SPARQL front, the admin server and the fleet need it.
+//! HTTP/1.1 (RFC 9112), limited to what discovery, the SPARQL protocol, the admin servers and the fleet need.
 //!
-//! - [`head`]: start line and header section; [`body`]: body framing; [`form`]: URL-encoded parameters. No I/O.
-//! - [`server`]: requests of clients; [`client`]: exchanges with servers
-//! - [`status`]: status codes; [`error`]: why a message was rejected
+//! - [`head`]: start line and headers; [`body`]: body framing; [`form`]: URL-encoded parameters. No I/O.
+//! - [`server`]: reads requests and encodes responses; [`client`]: sends requests and reads responses.
+//! - [`status`]: status codes; [`error`]: reasons for rejecting a message.
 
 pub mod body;
 pub mod client;
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -1,4 +1,4 @@
-//! The server side of HTTP/1.1: requests that are read completely, and responses.
+//! The server side of HTTP/1.1: reads complete requests, and encodes responses.
 
 use super::body::BodyDecoder;
 use super::error::{MessageError, RequestError};
@@ -8,42 +8,42 @@
 use crate::net::buffer::Buffer;
 use crate::net::connection::{ClientConnection, ReadEvent, RequestProgress};
 
-/// The interim response to a request that expects one before it sends its body.
+/// The interim response to `Expect: 100-continue`, for which the client waits before it sends the body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// A request that was read completely.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its head.
+    /// Request line and headers.
     pub head: Head,
-    /// Its body.
+    /// The decoded body, without its framing; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// Path and query string of its target.
+    /// Path and query string of the request target, both still percent-encoded; the query string may be empty.
     pub fn path_and_query(&self) -> (&str, &str) {
         let target = self.head.request_target();
         target.split_once('?').unwrap_or((target, ""))
     }
 
-    /// Whether the connection persists after its response.
+    /// Whether the client lets the connection persist after the response (RFC 9112, section 9.3).
     pub fn keeps_connection_open(&self) -> bool {
         self.head.request_keeps_connection_open()
     }
 }
 
-/// What came of waiting for a request.
+/// Result of waiting for a request.
 pub enum NextRequest {
-    /// A request.
+    /// A complete request.
     Received(Box<Request>),
-    /// The connection is over; nobody waits for a response.
+    /// The connection was lost or closed, or has to be closed; no response is expected.
     ConnectionClosed,
-    /// What came is no request that can be served: the response is an error, and the connection ends after it.
+    /// The input is not a valid request. The caller responds with the error and closes the connection.
     Rejected(RequestError),
 }
 
-/// Why a request was not read.
+/// Reasons why no request was read.
 enum ReadRequestError {
     ConnectionClosed,
     Rejected(RequestError),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Adds to a response that the connection closes after it.
+/// Adds the header `Connection: close` to an encoded response.
 pub fn with_connection_close(mut response: Vec<u8>) -> Vec<u8> {
     let status_line_end = response.windows(2).position(|window| window == b"\r\n");
     if let Some(end) = status_line_end {
@@ -64,7 +64,7 @@
     response
 }
 
-/// The head of a response.
+/// Encodes the status line and the header section of a response.
 pub fn encode_response_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
     let mut head = format!("HTTP/1.1 {status} {}\r\n", status::reason_phrase(status));
     for (name, value) in headers {
@@ -76,18 +76,19 @@
     head.into_bytes()
 }
 
-/// A complete response in plain text; a line feed is appended to the text.
+/// Encodes a complete response in plain text. A line feed is appended to `text`.
 pub fn text_response(status: u16, headers: &[(&str, &str)], text: &str) -> Vec<u8> {
     let length = (text.len() + 1).to_string();
-    let mut all = vec![("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", length.as_str())];
-    all.extend_from_slice(headers);
-    let mut response = encode_response_head(status, &all);
+    let mut all_headers =
+        vec![("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", length.as_str())];
+    all_headers.extend_from_slice(headers);
+    let mut response = encode_response_head(status, &all_headers);
     response.extend_from_slice(text.as_bytes());
     response.push(b'\n');
     response
 }
 
-/// Waits for the next request of a connection.
+/// Waits for the next request on a connection and reads it completely. Bytes after the request stay in `buffer`.
 pub async fn next_request(
     connection: &mut ClientConnection,
     buffer: &mut Buffer,
@@ -154,7 +155,7 @@
         if framing.is_complete() {
             return Ok(body);
         }
-        // A stated length above the limit is rejected before all of it has come.
+        // Rejects a body whose stated length exceeds the limit without waiting for its data.
         if framing.stated_bytes_remaining() > max_bytes {
             return Err(RequestError::InvalidBody(MessageError::TooLarge).into());
         }
@@ -163,7 +164,8 @@
     }
 }
 
-/// Waits for more bytes of a request. One that has begun must be complete within its time.
+/// Waits for more input. Fails if a request that has started is not complete in time, if the budget for long messages is
+/// exhausted, or if the connection is evicted or closed.
 async fn wait_for_input(
     connection: &mut ClientConnection,
     progress: RequestProgress,
