--- a/src/net/sparql/client_error.rs
+++ b/src/net/sparql/client_error.rs
@@ -1,4 +1,4 @@
-//! Errors that a client of the SPARQL front receives in place of an answer.
+//! Errors that the SPARQL front sends to a client in place of an endpoint's answer.
 
 use super::error::OperationError;
 use super::headers::RETRY_AFTER_MS;
@@ -7,61 +7,61 @@
 use crate::time::TimeDelta;
 use thiserror::Error;
 
-/// The retry-after hint of a rejection for which the decision gave no time.
+/// The retry-after hint of a rejection for which the router chose none.
 const DEFAULT_RETRY_AFTER: TimeDelta = TimeDelta::from_secs(1);
 
-/// An error as the client sees it: [`Display`](std::fmt::Display) gives the body of the response.
+/// An error response. [`Display`](std::fmt::Display) gives its body.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ClientError {
-    /// The request is malformed, too large or too slow. The connection ends after it.
+    /// The request is malformed, too large or too slow. The connection is closed after the response.
     #[error(transparent)]
     InvalidRequest(#[from] RequestError),
-    /// The request is no operation that can be routed.
+    /// The request is not a valid operation, or lacks what is needed to route it.
     #[error(transparent)]
     InvalidOperation(#[from] OperationError),
-    /// The path of the request leads nowhere.
+    /// The path is neither that of operations nor that of the readiness check.
     #[error("nothing is here")]
     NotFound,
-    /// No endpoint list names the group.
+    /// No endpoint list contains the group.
     #[error("no list names this group")]
     UnknownGroup,
-    /// Rejected by admission control or without a usable endpoint; nothing was executed.
+    /// Rejected by admission control, or because no endpoint is usable; nothing was executed.
     #[error("no score host can take this now")]
     Rejected {
-        /// When to retry, where the decision gave a time.
+        /// How long to wait before a retry; `None` if the router chose no time.
         retry_after: Option<TimeDelta>,
     },
-    /// The process has just started and serves nothing yet; nothing was executed.
+    /// The pooler has just started and cannot serve requests yet; nothing was executed.
     #[error("this daemon has just started")]
     Starting {
-        /// When to retry.
+        /// How long to wait before a retry.
         retry_after: TimeDelta,
     },
-    /// The process terminates; nothing was executed.
+    /// The pooler is shutting down; nothing was executed.
     #[error("the pooler is ending")]
     Terminating {
-        /// When to retry, with another process.
+        /// How long to wait before a retry, which should go to another pooler.
         retry_after: TimeDelta,
     },
     /// The connection limit is reached.
     #[error("too many connections")]
     TooManyConnections {
-        /// When to connect again.
+        /// How long to wait before the next connection.
         retry_after: TimeDelta,
     },
-    /// The client's deadline has passed.
+    /// The client's deadline passed. An update may have been executed.
     #[error("no answer came in time")]
     DeadlineExceeded,
-    /// Failed; an update may have had an effect.
+    /// An attempt failed; an update may have been executed.
     #[error("the request failed; it may have had an effect")]
     Failed,
-    /// The answer is streamed, which HTTP/1.0 cannot tell from one that was cut short.
+    /// The answer is streamed, but the client speaks HTTP/1.0: without chunks it could not detect a truncated answer.
     #[error("the answer is too long for HTTP/1.0")]
     ChunksUnsupported,
 }
 
 impl ClientError {
-    /// The status of the response.
+    /// The status code of the response.
     pub fn status(&self) -> u16 {
         match self {
             ClientError::InvalidRequest(error) => error.status(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The retry-after hint of a rejection: a retry is harmless, nothing was executed.
+    /// The retry-after hint; `None` if the request may have been executed or a retry would fail in the same way.
     fn retry_after(&self) -> Option<TimeDelta> {
         match self {
             ClientError::Rejected { retry_after } => Some(retry_after.unwrap_or(DEFAULT_RETRY_AFTER)),
@@ -87,12 +87,12 @@
         }
     }
 
-    /// The complete response.
+    /// Encodes the complete response.
     pub fn to_response(&self) -> Vec<u8> {
         let text = self.to_string();
         if let Some(retry_after) = self.retry_after() {
             let millis = retry_after.or_zero().as_millis();
-            // The standard header counts in seconds: rounded up, so that nobody retries too early because of it.
+            // Retry-After is in seconds. It is rounded up so that clients that use it do not retry too early.
             let seconds = ((millis + 999) / 1000).max(1).to_string();
             let millis = millis.max(1).to_string();
             return server::text_response(
--- a/src/net/sparql/endpoint.rs
+++ b/src/net/sparql/endpoint.rs
@@ -1,4 +1,4 @@
-//! The host side: an operation sent to a host that speaks SPARQL over HTTP, and its response.
+//! The endpoint side: sends operations to endpoints that speak SPARQL over HTTP, and receives their responses.
 
 use super::operation::{AttemptParameters, Operation};
 use super::response_head::{
@@ -23,66 +23,66 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Name in `Via` of a daemon whose own name has no character that may stand there.
+/// Name in the `Via` header if the pooler's own name has no character that is allowed there.
 const DEFAULT_VIA_NAME: &str = "brookpass";
 
-/// Values without which the response to a probe says too little: role and position.
+/// Fewest load report values with which a probe counts as successful; enough for role and position.
 const MIN_PROBE_VALUES: u8 = 2;
 
-/// The body of a host's answer.
+/// The body of an endpoint's answer.
 #[derive(Clone, Debug)]
 pub enum AnswerBody {
     /// The complete body.
     Buffered(Vec<u8>),
-    /// A body that is too long to be buffered, as it comes.
+    /// A body that is too long to be buffered, forwarded in chunks as they arrive.
     Streamed(Receiver<StreamChunk>),
 }
 
-/// A host's answer on its way to the client.
+/// An endpoint's answer, as the front sends it to the client.
 #[derive(Clone, Debug)]
 pub struct EndpointAnswer {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Headers that are forwarded.
+    /// The forwarded headers, without those that frame the body.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body, complete or as a stream.
     pub body: AnswerBody,
 }
 
-/// SPARQL over HTTP towards hosts.
+/// The SPARQL protocol on connections to endpoints.
 pub struct SparqlBackend {
     limits: Rc<Limits>,
     path: String,
-    /// What the `Via` header says (RFC 9110, section 7.6.3).
+    /// Value of the `Via` header (RFC 9110, section 7.6.3).
     via: String,
     report_fields: Vec<String>,
 }
 
 type OperationAttempt<'a> = AttemptContext<'a, Arc<Operation>, EndpointAnswer>;
 
-/// A response whose head was read.
+/// A response whose head was read, and whose body may not be complete yet.
 struct PendingResponse {
     head: Head,
     status: u16,
     framing: BodyDecoder,
-    /// What it means for the attempt, with what the head says about the data.
+    /// Outcome of the attempt if the body is received completely.
     outcome: AttemptOutcome,
     replica_status: Option<ReplicaStatus>,
     load_report: LoadReport,
-    /// The position to which its group went back, where that lost a commit of the session.
+    /// The log position to which the group was rolled back, if that lost the last commit of the session.
     rolled_back_to: Option<LogPosition>,
-    /// Whether the connection may carry another request once the body is complete.
+    /// Whether the connection can be used for another request once the body is complete.
     keeps_connection_open: bool,
 }
 
 impl PendingResponse {
-    /// The result of the exchange, whose body was read to its end.
+    /// The result of an exchange whose response was read completely.
     fn into_completed(self, answer: Option<EndpointAnswer>) -> ExchangeResult<EndpointAnswer> {
         let reusable = self.keeps_connection_open;
         ExchangeResult { reusable, ..self.into_abandoned(answer) }
     }
 
-    /// The result of the exchange, whose body is not read any further: the connection cannot be reused.
+    /// The result of an exchange whose response is not read to its end. The connection cannot be reused.
     fn into_abandoned(self, answer: Option<EndpointAnswer>) -> ExchangeResult<EndpointAnswer> {
         ExchangeResult {
             outcome: self.outcome,
@@ -93,26 +93,28 @@
         }
     }
 
-    /// The answer to the client.
+    /// The answer to the client, with this body.
     fn answer(&self, body: AnswerBody) -> EndpointAnswer {
         EndpointAnswer { status: self.status, headers: forwarded_headers(&self.head), body }
     }
 
-    /// The answer to the client, where there is one that does not need the body.
-    fn answer_without_body(&self) -> Option<EndpointAnswer> {
+    /// The answer that replaces the response if the group has lost the session's last commit.
+    fn lost_commit_answer(&self) -> Option<EndpointAnswer> {
         self.rolled_back_to.filter(|_| self.outcome == AttemptOutcome::Served).map(lost_commit_answer)
     }
 }
 
-/// The value of the `Via` header: characters of the daemon's name that a header may not have are left out.
+/// The value of the `Via` header. Characters of the pooler's name other than letters, digits, `-`, `_` and `.` are
+/// removed: a line break in the name would add headers.
 fn via_header(name: &str) -> String {
-    let is_allowed = |c: &char| c.is_ascii_alphanumeric() || "-_.".contains(*c);
+    let is_allowed = |character: &char| character.is_ascii_alphanumeric() || "-_.".contains(*character);
     let name: String = name.chars().filter(is_allowed).collect();
     format!("1.1 {}", if name.is_empty() { DEFAULT_VIA_NAME } else { &name })
 }
 
 impl SparqlBackend {
-    /// Hosts serve operations at `path`; `name` is what `Via` calls this daemon.
+    /// `path` is the URL path at which endpoints accept operations, `name` identifies this pooler in the `Via` header, and
+    /// `report_fields` names the load report fields that are read from responses.
     pub fn new(limits: Rc<Limits>, path: String, name: &str, report_fields: Vec<String>) -> SparqlBackend {
         SparqlBackend { limits, path, via: via_header(name), report_fields }
     }
@@ -144,7 +146,7 @@
         if response.outcome != AttemptOutcome::Served {
             return Ok(response.into_abandoned(None));
         }
-        match response.answer_without_body() {
+        match response.lost_commit_answer() {
             Some(answer) => Ok(response.into_abandoned(Some(answer))),
             None => self.stream(connection, response, body, attempt).await,
         }
@@ -166,12 +168,12 @@
             && is_success
             && !is_recent_enough(replica_status, required_position)
         {
-            log::warn!("host: answer dropped: its data is older than the read allows");
+            log::warn!("endpoint: response rejected: its data is older than the read allows");
             outcome = AttemptOutcome::Misdirected;
         }
         if outcome == AttemptOutcome::Served && framing.is_close_delimited() {
-            // Nobody could tell such an answer from one that was cut short.
-            log::warn!("host: answer dropped: it states neither a length nor chunks");
+            // Such a response cannot be told from a truncated one.
+            log::warn!("endpoint: response rejected: neither Content-Length nor chunked transfer coding");
             outcome = AttemptOutcome::Error;
         }
         let session_commit = operation.position.filter(|_| !operation.is_update() && is_success);
@@ -187,7 +189,7 @@
         })
     }
 
-    /// Sends an answer to the client as it comes. From here on it is the client's and cannot be retried.
+    /// Streams a long answer to the client. Once it has started, the attempt cannot be retried.
     async fn stream(
         &self,
         connection: &mut ServerConnection,
@@ -205,7 +207,8 @@
         }
     }
 
-    /// Forwards a body to its end and says how that ended.
+    /// Forwards a body until it is complete, and returns the outcome of the attempt. `body` holds the data that was decoded
+    /// so far.
     async fn forward_body(
         &self,
         connection: &mut ServerConnection,
@@ -227,7 +230,7 @@
                 Some(Err(_)) | None => return AttemptOutcome::Reset,
             }
         }
-        // The client may have left meanwhile; the answer was complete all the same.
+        // The response is complete, so a client that has disconnected in the meantime does not change the outcome.
         if !body.is_empty() {
             let _ = chunks.send(StreamChunk::Data(body)).await;
         }
@@ -236,8 +239,8 @@
     }
 }
 
-/// The position that the data of an answer must have reached. It is counted from the moment of sending: what the host
-/// must have is fixed before it has the request.
+/// The log position that the data of the response must have reached; `None` if any data is fresh enough. A maximum age
+/// counts back from the time at which the request is sent, since the position is part of the request.
 fn required_position(attempt: &OperationAttempt<'_>) -> Option<LogPosition> {
     let commit_time = match attempt.freshness {
         Freshness::Any => return None,
@@ -252,7 +255,7 @@
     if response.outcome != AttemptOutcome::Served {
         return response.into_completed(None);
     }
-    let answer = match response.answer_without_body() {
+    let answer = match response.lost_commit_answer() {
         Some(answer) => answer,
         None => response.answer(AnswerBody::Buffered(body)),
     };
@@ -298,8 +301,8 @@
             Ok(result) => return result,
             Err(error) => error,
         };
-        log::debug!("host: {error}");
-        // A malformed response: the request has run, or may have; the connection itself is not what failed.
+        log::debug!("endpoint: exchange failed: {error}");
+        // After a malformed response the operation may have been executed. The connection itself did not fail.
         let is_malformed = attempt.was_sent() && error.kind() == io::ErrorKind::InvalidData;
         let outcome = if is_malformed { AttemptOutcome::Error } else { attempt.connection_lost() };
         ExchangeResult::outcome_only(outcome)
--- a/src/net/sparql/error.rs
+++ b/src/net/sparql/error.rs
@@ -1,70 +1,71 @@
-//! Why a client's request is no operation that can be routed. The texts reach clients.
+//! Reasons for rejecting a client's operation. Their texts are sent to clients in the body of the error response.
 
 use super::headers::{CLASS, GROUP, POSITION};
 use crate::net::http::error::FormError;
 use crate::net::http::status;
 use thiserror::Error;
 
-/// A request that is answered with an error by the front itself; nothing was executed.
+/// Errors for which the front rejects an operation before it is routed; nothing was executed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OperationError {
     /// The parameters of the URL or of a form cannot be decoded.
     #[error(transparent)]
     InvalidParameters(#[from] FormError),
-    /// `query` or `update` in the URL of a request whose body is the operation.
+    /// The URL has a parameter `query` or `update`, although the operation is in the body.
     #[error("an operation in the URL and one in the body")]
     OperationInUrlAndBody,
-    /// The body is an operation but not UTF-8.
+    /// By its media type the body is an operation, but it is not valid UTF-8.
     #[error("the operation is not UTF-8")]
     OperationNotUtf8,
-    /// The body should be an operation but is empty.
+    /// By its media type the body is an operation, but it is empty.
     #[error("the operation is empty")]
     EmptyOperation,
-    /// The body is a form but not UTF-8.
+    /// By its media type the body is a form, but it is not valid UTF-8.
     #[error("the form is not UTF-8")]
     FormNotUtf8,
-    /// A GET with `update`: it would change data by a method that is safe.
+    /// A GET with a parameter `update`. GET is a safe method and must not change data.
     #[error("an update is not sent by GET")]
     UpdateByGet,
-    /// A GET without `query`, or with more than one.
+    /// A GET without exactly one parameter `query`.
     #[error("a GET has one parameter named query")]
     GetWithoutQuery,
-    /// A form without exactly one of `query` and `update`.
+    /// A form without exactly one parameter `query` or `update`.
     #[error("a form has one parameter, query or update")]
     FormWithoutOperation,
-    /// A POST of a media type that holds no operation.
+    /// A POST whose media type is not one of the protocol's.
     #[error("{0:?} is no form of a SPARQL operation")]
     UnsupportedMediaType(String),
     /// A method other than GET and POST.
     #[error("{0} is not used here")]
     MethodNotAllowed(String),
-    /// A header that holds a number is out of form or out of range.
+    /// The value of a numeric header is not a number, or is out of range.
     #[error("{header}: {value:?} is no such value")]
     InvalidNumber {
-        /// The header.
+        /// The header's name.
         header: &'static str,
         /// Its value as it was sent.
         value: String,
     },
-    /// A header that holds a name is empty or too long.
+    /// The value of the class, session or key header is empty or too long. Holds the header's name.
     #[error("{0}: no such value")]
     InvalidName(&'static str),
-    /// The settings have no such class.
+    /// The settings define no class of this name.
     #[error("{CLASS}: no class {0:?}")]
     UnknownClass(String),
-    /// An update of a class for reads, which would be sent to a replica.
+    /// An update whose class is for reads: it could be sent to a replica.
     #[error("{CLASS}: {0:?} is no class for updates")]
     ClassNotForUpdates(String),
-    /// A position with a class that does not look at it: the client would take an older answer for a newer one.
+    /// A request with a log position whose class ignores positions: the client would assume that the answer includes the
+    /// position.
     #[error("{POSITION}: {0:?} is no class that looks at positions")]
     ClassIgnoresPositions(String),
-    /// No group in the request, and no default.
+    /// The request names no group, and no default is configured.
     #[error("{GROUP} names no group, and there is no default")]
     MissingGroup,
 }
 
 impl OperationError {
-    /// The status to answer with.
+    /// The status code of the response.
     pub fn status(&self) -> u16 {
         match self {
             OperationError::UnsupportedMediaType(_) => status::UNSUPPORTED_MEDIA_TYPE,
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -1,7 +1,7 @@
-//! The front for SPARQL clients: what its connections share, and how one connection is served.
+//! The front for SPARQL clients: the state that its connections share, and serving one connection.
 //!
-//! - `starting`: connections while nothing can be served yet
-//! - `responder`: responses, complete or streamed
+//! - `starting`: connections that are accepted before the pooler can serve requests.
+//! - `responder`: writes responses, complete or streamed.
 
 mod responder;
 mod starting;
@@ -37,43 +37,43 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The path of the readiness check.
+/// URL path of the readiness check.
 const READINESS_PATH: &str = "/-/ready";
 
-/// What the operator's file says about the front.
+/// The front's configuration, from the operator's file.
 #[derive(Clone, Debug, Default)]
 pub struct FrontConfig {
-    /// The path of the operation endpoint.
+    /// URL path at which the front accepts operations.
     pub path: String,
-    /// Class of a query that names none.
+    /// Class of queries that name no class.
     pub query_class: String,
-    /// Class of a query with a position that names none; without one it is that of any query.
+    /// Class of queries that send a log position but name no class; `None`: the same class as without a position.
     pub session_query_class: Option<String>,
-    /// Class of an update that names none.
+    /// Class of updates that name no class.
     pub update_class: String,
-    /// The group of a request that names none.
+    /// Group of requests that name no group; `None`: such requests are rejected.
     pub default_group: Option<GroupId>,
 }
 
-/// What all connections of the front share.
+/// The front's state, which all its connections share.
 pub struct Front {
-    /// Limits of connections, messages and times.
+    /// Limits on connections, message lengths and times.
     pub limits: Rc<Limits>,
-    /// Submits requests to the engine.
+    /// Handle through which requests are submitted to the engine.
     pub engine: EngineHandle<Arc<Operation>, EndpointAnswer>,
-    /// The classes by name.
+    /// The classes of the settings.
     pub classes: Classes,
-    /// The path, and defaults of requests.
+    /// Path and defaults of requests.
     pub config: FrontConfig,
-    /// Set once all groups are served.
+    /// Set once all groups are served; until then the readiness check fails.
     pub all_groups_served: Latch,
-    /// Whether the process serves, is drained or terminates.
+    /// Whether the pooler serves, is drained or terminates.
     pub lifecycle: Rc<Lifecycle>,
-    /// Commits that groups have lost.
+    /// The known ranges of commits that groups have lost.
     pub log_rollbacks: Rc<RefCell<LogRollbacks>>,
 }
 
-/// An operation that can be submitted.
+/// An operation that is ready to be submitted to the engine.
 struct PreparedOperation {
     request: IncomingRequest,
     client_timeout: TimeDelta,
@@ -81,7 +81,7 @@
 }
 
 impl Front {
-    /// Serves one connection to its end.
+    /// Serves one connection until it is closed. A connection above the limit receives an error and is closed.
     pub async fn serve(&self, stream: Async<TcpStream>, slot: ConnectionSlot, decision: AcceptDecision) {
         let clock = self.engine.clock().clone();
         let mut connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
@@ -96,14 +96,14 @@
             match self.serve_request(&mut connection, &mut buffer).await {
                 Ok(AfterResponse::KeepOpen) if !(connection.ends() && buffer.unread().is_empty()) => {}
                 Ok(AfterResponse::KeepOpen | AfterResponse::Close) => break,
-                // No proper end of the connection: the client must see that what it has is not complete.
+                // Closes the connection without a graceful shutdown, so that the client notices the truncated response.
                 Ok(AfterResponse::Abort) | Err(_) => return,
             }
         }
         let _ = connection.linger().await;
     }
 
-    /// Waits for a request and answers it.
+    /// Waits for a request and responds to it.
     async fn serve_request(
         &self,
         connection: &mut ClientConnection,
@@ -151,7 +151,7 @@
         server::text_response(status::OK, &[], "ready")
     }
 
-    /// Completes an operation with the defaults, and checks that its class can serve it.
+    /// Adds the defaults to an operation and checks that its class exists and fits the operation.
     fn prepare(&self, operation: Operation) -> Result<PreparedOperation, OperationError> {
         let class_name = operation.class.as_deref().unwrap_or_else(|| self.default_class(&operation));
         let key = if operation.key.is_some() { IdempotencyKey::Present } else { IdempotencyKey::Absent };
@@ -166,7 +166,7 @@
         }
         let group = operation.group.or(self.config.default_group).ok_or(OperationError::MissingGroup)?;
         let now = self.engine.clock().now();
-        // A client's clock that is a little ahead makes the age zero, not negative.
+        // If the client's clock is ahead, the age is zero instead of negative.
         let last_commit_age =
             operation.position.map(|position| (now - position.commit_time(Timestamp::ZERO)).or_zero());
         let session = operation.session.as_deref().map_or(0, session_hash);
@@ -177,7 +177,7 @@
         Ok(PreparedOperation { request, client_timeout, operation })
     }
 
-    /// The class of an operation that names none.
+    /// The class of an operation that names no class.
     fn default_class(&self, operation: &Operation) -> &str {
         let config = &self.config;
         match (operation.kind, &config.session_query_class) {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Submits an operation and writes its answer.
+    /// Submits an operation to the engine, waits for the answer and writes it.
     async fn submit(
         &self,
         prepared: PreparedOperation,
@@ -195,18 +195,18 @@
     ) -> io::Result<AfterResponse> {
         let PreparedOperation { request, client_timeout, operation } = prepared;
         let session_commit = operation.position.filter(|_| !operation.is_update());
-        let lost = session_commit
+        let lost_position = session_commit
             .and_then(|commit| self.log_rollbacks.borrow().rolled_back_to(request.group, commit));
-        if let Some(position) = lost {
+        if let Some(position) = lost_position {
             return responder.write_answer(lost_commit_answer(position)).await;
         }
-        let arrived = responder.connection.arrival_time(responder.buffer.unread().len());
+        let arrived_at = responder.connection.arrival_time(responder.buffer.unread().len());
         if responder.connection.has_departed() {
             return Ok(AfterResponse::Abort);
         }
-        // The answer has to reach the client before it stops waiting.
+        // The margin leaves time for the answer to reach the client before it stops waiting.
         let margin = TimeDelta::from(self.limits.answer_margin);
-        let deadline = arrived + (client_timeout - margin).or_zero();
+        let deadline = arrived_at + (client_timeout - margin).or_zero();
         let Some((id, reply)) = self.engine.submit(request, deadline, Arc::new(operation)).await else {
             let error = ClientError::Terminating { retry_after: self.retry_after() };
             return responder.write_and_close(error.to_response()).await;
@@ -216,25 +216,25 @@
             None => Ok(AfterResponse::Abort),
         };
         if !matches!(written, Ok(AfterResponse::KeepOpen | AfterResponse::Close)) {
-            // Whatever is still under way for this client ends now.
+            // Nobody waits for the answer any more: ends all attempts of the request.
             self.engine.send_input(Input::RequestCancelled(id)).await;
         }
         written
     }
 
-    /// Waits for the final answer; `None` where the client leaves before.
+    /// Waits for the final answer; `None` if the client disconnects first.
     async fn wait_for_answer(
         &self,
         reply: &Receiver<FinalAnswer<EndpointAnswer>>,
         responder: &mut Responder<'_>,
     ) -> Option<FinalAnswer<EndpointAnswer>> {
         let answered = async { Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { overdue: false })) };
-        let client_left = async {
+        let client_disconnected = async {
             responder.connection.wait_for_departure(responder.buffer).await;
             None
         };
-        // An answer that has come is written even if the client has just left.
-        future::or(answered, client_left).await
+        // An answer that is available takes precedence over the disconnect of the client.
+        future::or(answered, client_disconnected).await
     }
 
     fn retry_after(&self) -> TimeDelta {
@@ -242,6 +242,7 @@
     }
 }
 
+/// Writes an answer of the engine: an endpoint's answer, or an error response.
 async fn write_final_answer(
     answer: FinalAnswer<EndpointAnswer>,
     responder: &mut Responder<'_>,
--- a/src/net/sparql/front/responder.rs
+++ b/src/net/sparql/front/responder.rs
@@ -1,4 +1,4 @@
-//! Responses to one request: complete ones, and answers that are streamed in chunks.
+//! Writes the response to one request, either completely or streamed in chunks.
 
 use crate::net::answer_stream::{AnswerEvent, StreamChunk, next_event};
 use crate::net::buffer::Buffer;
@@ -13,27 +13,27 @@
 /// The last chunk of the chunked transfer coding, with an empty trailer section.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// What becomes of a connection after a response.
+/// What to do with a connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterResponse {
-    /// It carries further requests.
+    /// Wait for the next request.
     KeepOpen,
-    /// It is closed; the response is complete.
+    /// Close it gracefully; the response is complete.
     Close,
-    /// It is closed at once, without a proper end: the response is not complete, or the client has left.
+    /// Close it at once: the response is not complete, or the client has disconnected.
     Abort,
 }
 
 /// Writes the response to one request.
 pub(super) struct Responder<'a> {
     pub(super) connection: &'a mut ClientConnection,
-    /// What the client has sent behind its request.
+    /// Input that the client has sent after its request.
     pub(super) buffer: &'a mut Buffer,
     pub(super) request: &'a Request,
 }
 
 impl Responder<'_> {
-    /// Writes a complete response.
+    /// Writes an encoded response.
     pub(super) async fn write(&mut self, response: Vec<u8>) -> io::Result<AfterResponse> {
         if !self.request.keeps_connection_open() || self.connection.ends() {
             return self.write_and_close(response).await;
@@ -42,13 +42,13 @@
         Ok(AfterResponse::KeepOpen)
     }
 
-    /// Writes a complete response that says that the connection closes after it.
+    /// Writes an encoded response with the header `Connection: close`.
     pub(super) async fn write_and_close(&mut self, response: Vec<u8>) -> io::Result<AfterResponse> {
         self.connection.write(&server::with_connection_close(response)).await?;
         Ok(AfterResponse::Close)
     }
 
-    /// Writes a host's answer.
+    /// Writes an endpoint's answer.
     pub(super) async fn write_answer(&mut self, answer: EndpointAnswer) -> io::Result<AfterResponse> {
         let EndpointAnswer { status, headers, body } = answer;
         let mut headers: Vec<(&str, &str)> =
@@ -64,7 +64,7 @@
                 self.write(response).await
             }
             AnswerBody::Streamed(_) if self.request.head.request_version() != "HTTP/1.1" => {
-                // Without chunks the end of the connection would be the end of the answer, cut short or not.
+                // Without chunks only the close of the connection could mark the end of the answer, truncated or not.
                 self.write_and_close(ClientError::ChunksUnsupported.to_response()).await?;
                 Ok(AfterResponse::Abort)
             }
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Writes an answer as it comes. Where the host breaks off the last chunk is missing, so that the client can tell.
+    /// Writes a streamed answer as it arrives. If the endpoint fails in the middle, the last chunk is not written, so that
+    /// the client can detect the truncation.
     async fn write_chunks(&mut self, chunks: &Receiver<StreamChunk>) -> io::Result<AfterResponse> {
         loop {
             match next_event(chunks, self.connection, self.buffer).await {
@@ -93,18 +94,19 @@
                     });
                 }
                 AnswerEvent::ChannelClosed => {
-                    log::warn!("host: the connection ended in the middle of an answer");
+                    log::warn!("endpoint: the answer ended before it was complete");
                     return Ok(AfterResponse::Abort);
                 }
                 AnswerEvent::ClientSentMore => {}
-                // A host that stalls must not hold an attempt for a client that has left.
+                // Ends the attempt even if the endpoint stalls, since its client has disconnected.
                 AnswerEvent::ClientLeft => return Ok(AfterResponse::Abort),
             }
         }
     }
 }
 
-/// A chunk of the chunked transfer coding (RFC 9112, section 7.1).
+/// Encodes a chunk of the chunked transfer coding (RFC 9112, section 7.1). `data` must not be empty: an empty chunk is the
+/// last one.
 fn encode_chunk(data: &[u8]) -> Vec<u8> {
     let mut chunk = format!("{:x}\r\n", data.len()).into_bytes();
     chunk.extend_from_slice(data);
--- a/src/net/sparql/front/starting.rs
+++ b/src/net/sparql/front/starting.rs
@@ -1,4 +1,4 @@
-//! Connections while the process has just started and nothing can be served yet.
+//! Connections that are accepted before the pooler can serve requests.
 
 use super::READINESS_PATH;
 use crate::clock::Clock;
@@ -14,8 +14,8 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Rejects the first request of a connection and closes it: the next connection may find more. `retry_after` gives the
-/// retry-after hint, which may differ from call to call.
+/// Rejects the first request of a connection and closes the connection. A later connection may be served. `retry_after`
+/// is called for the retry-after hint of each response.
 pub async fn serve_while_starting(
     stream: Async<TcpStream>,
     slot: ConnectionSlot,
--- a/src/net/sparql/mod.rs
+++ b/src/net/sparql/mod.rs
@@ -1,11 +1,11 @@
-//! SPARQL 1.1 Protocol over HTTP: the front for clients, and the host side.
+//! The SPARQL 1.1 Protocol over HTTP: the front for clients, and the backend protocol for endpoints.
 //!
-//! Operations and content negotiation pass through unread. What the pooler itself needs is in [`headers`] of its own:
-//! see `docs/sparql.md`.
+//! Operations and content negotiation are forwarded without being interpreted. The pooler takes what it needs from
+//! [`headers`] of its own, see `docs/sparql.md`.
 //!
-//! - clients: [`front`] (connections and requests), [`operation`] (a query or an update), [`error`] (why a request is
-//!   no operation), [`client_error`] (what a client receives in place of an answer)
-//! - endpoints: [`endpoint`] (exchanges), [`response_head`] (what a host's response means)
+//! - clients: [`front`] (connections and requests), [`operation`] (a query or an update), [`error`] (reasons for
+//!   rejecting an operation), [`client_error`] (error responses)
+//! - endpoints: [`endpoint`] (exchanges with endpoints), [`response_head`] (interpretation of their responses)
 
 pub mod client_error;
 pub mod endpoint;
--- a/src/net/sparql/operation.rs
+++ b/src/net/sparql/operation.rs
@@ -1,4 +1,4 @@
-//! A client's operation: a query or an update, as the SPARQL 1.1 Protocol (section 2) puts them into HTTP.
+//! Operations of clients: queries and updates in the HTTP forms of the SPARQL 1.1 Protocol (section 2).
 
 use super::error::OperationError;
 use super::headers::{CLASS, GROUP, KEY, POSITION, SESSION, TIME_LEFT};
@@ -8,30 +8,30 @@
 use crate::net::http::server::Request;
 use crate::time::{LogPosition, TimeDelta};
 
-/// The longest class, session or key.
+/// Limits the length of a class, session or key.
 const MAX_NAME_BYTES: usize = 256;
-/// The longest time that a client may state: a day. A bound keeps sums of times from overflowing.
+/// Limits the time that a client may say it waits, to one day, so that sums of times do not overflow.
 const MAX_TIME_LEFT_MILLIS: i64 = 86_400_000;
-/// The latest position whose microseconds can be counted.
+/// Limits a log position to what can be represented in microseconds.
 const MAX_POSITION_MILLIS: i64 = i64::MAX / 1000;
 
-/// The media type of parameters in a body.
+/// Media type of a body with URL-encoded parameters.
 const FORM_TYPE: &str = "application/x-www-form-urlencoded";
-/// The media type of a body that is a query.
+/// Media type of a body that is a query.
 const QUERY_TYPE: &str = "application/sparql-query";
-/// The media type of a body that is an update.
+/// Media type of a body that is an update.
 const UPDATE_TYPE: &str = "application/sparql-update";
 
-/// What an operation does.
+/// The two kinds of operations of the SPARQL 1.1 Protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperationKind {
-    /// It reads.
+    /// Reads data.
     Query,
-    /// It changes data.
+    /// Changes data.
     Update,
 }
 
-/// The method that an operation came by, and is forwarded by.
+/// The HTTP method with which an operation was received and is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Method {
     Get,
@@ -47,52 +47,52 @@
     }
 }
 
-/// An operation with what its headers say.
+/// An operation, with the values of the pooler's headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operation {
-    /// Whether it changes data.
+    /// Whether the operation is a query or an update.
     pub kind: OperationKind,
     method: Method,
-    /// The query string as the client wrote it.
+    /// The query string of the URL, as the client sent it.
     query_string: String,
-    /// Headers that pass through: content negotiation, type and coding of the body.
+    /// The forwarded headers: content negotiation, media type and content coding.
     headers: Vec<(String, String)>,
-    /// The body as the client wrote it.
+    /// The body, as the client sent it; empty for a GET.
     body: Vec<u8>,
-    /// The class that it names.
+    /// The class named by the client; `None` selects the front's default class.
     pub class: Option<String>,
-    /// The group that it names.
+    /// The group named by the client; `None` selects the front's default group.
     pub group: Option<GroupId>,
-    /// Its session.
+    /// The name of the client's session, if there is one.
     pub session: Option<String>,
-    /// Its idempotency key.
+    /// The idempotency key, if there is one.
     pub key: Option<String>,
-    /// How long the client waits.
+    /// How long the client waits for the response, if it says so.
     pub client_timeout: Option<TimeDelta>,
-    /// The position that its answer has to include, in Unix time.
+    /// The log position that the answer must include, in Unix time, if the client names one.
     pub position: Option<LogPosition>,
 }
 
-/// What differs between the attempts of an operation.
+/// The parts of a forwarded request that differ between the attempts of an operation.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptParameters<'a> {
-    /// Address of the host, for the `Host` header.
+    /// Value of the `Host` header: the endpoint's address.
     pub host: &'a str,
-    /// Path of the operation endpoint there.
+    /// URL path at which the endpoint accepts operations.
     pub path: &'a str,
-    /// The `Via` header: protocol version and name of this daemon.
+    /// Value of the `Via` header: the received protocol version and the pooler's name.
     pub via: &'a str,
-    /// How long this daemon waits, stated as at least 1 ms.
+    /// How long the pooler waits for the response; sent as at least 1 ms.
     pub time_left: TimeDelta,
-    /// The position that the host's data must have reached, in Unix time.
+    /// The log position that the endpoint's data must have reached, in Unix time, if there is a requirement.
     pub required_position: Option<LogPosition>,
 }
 
 impl Operation {
-    /// Reads an operation out of a request to the operation endpoint.
+    /// Parses a request that was sent to the path of operations.
     ///
     /// # Errors
-    /// The request is not one of the protocol's forms, or a header is out of form.
+    /// The request does not have one of the protocol's forms, or the value of a header is invalid.
     pub fn parse(request: &Request) -> Result<Operation, OperationError> {
         let head = &request.head;
         let (_, query_string) = request.path_and_query();
@@ -106,7 +106,7 @@
             Method::Get => Vec::new(),
             Method::Post => request.body.clone(),
         };
-        // In this order: of several headers that are out of form, the first one here is reported.
+        // The order determines which error is reported if several headers are invalid.
         let class = parse_name_header(head, CLASS)?;
         let group = parse_number_header(head, GROUP, i64::from(u32::MAX))?;
         let session = parse_name_header(head, SESSION)?;
@@ -128,47 +128,48 @@
         })
     }
 
-    /// Whether it changes data.
+    /// Whether the operation is an update.
     pub fn is_update(&self) -> bool {
         self.kind == OperationKind::Update
     }
 
-    /// The request as a host receives it. URL and body are as the client wrote them: nothing is decoded and encoded
-    /// again.
-    pub fn encode(&self, to: AttemptParameters<'_>) -> Vec<u8> {
-        let AttemptParameters { host, path, via, time_left, required_position } = to;
+    /// Encodes the request that is sent to an endpoint. Query string and body are those of the client, without decoding
+    /// and encoding them again.
+    pub fn encode(&self, parameters: AttemptParameters<'_>) -> Vec<u8> {
+        let AttemptParameters { host, path, via, time_left, required_position } = parameters;
         let method = self.method.as_str();
         let separator = if self.query_string.is_empty() { "" } else { "?" };
-        let mut out = format!("{method} {path}{separator}{} HTTP/1.1\r\nHost: {host}\r\n", self.query_string);
-        let mut put = |name: &str, value: &str| out += &format!("{name}: {value}\r\n");
+        let mut head =
+            format!("{method} {path}{separator}{} HTTP/1.1\r\nHost: {host}\r\n", self.query_string);
+        let mut add_header = |name: &str, value: &str| head += &format!("{name}: {value}\r\n");
         for (name, value) in &self.headers {
-            put(name, value);
+            add_header(name, value);
         }
-        put("Via", via);
-        put(TIME_LEFT, &time_left.as_millis().max(1).to_string());
+        add_header("Via", via);
+        add_header(TIME_LEFT, &time_left.as_millis().max(1).to_string());
         for (name, value) in [(CLASS, &self.class), (SESSION, &self.session), (KEY, &self.key)] {
             if let Some(value) = value {
-                put(name, value);
+                add_header(name, value);
             }
         }
         if let Some(group) = self.group {
-            put(GROUP, &group.to_string());
+            add_header(GROUP, &group.to_string());
         }
         if let Some(position) = required_position {
-            // Rounded up: a host that has applied everything up to there has applied what is required.
-            put(POSITION, &((position.as_micros() + 999) / 1000).to_string());
+            // Rounded up, so that an endpoint that has reached the rounded position has reached the required one.
+            add_header(POSITION, &((position.as_micros() + 999) / 1000).to_string());
         }
         if self.method == Method::Post {
-            put("Content-Length", &self.body.len().to_string());
+            add_header("Content-Length", &self.body.len().to_string());
         }
-        out += "\r\n";
-        let mut bytes = out.into_bytes();
+        head += "\r\n";
+        let mut bytes = head.into_bytes();
         bytes.extend_from_slice(&self.body);
         bytes
     }
 }
 
-/// How often a query string or a form holds an operation.
+/// How many `query` and `update` parameters a query string or a form has.
 #[derive(Clone, Copy, Debug)]
 struct OperationCounts {
     queries: usize,
@@ -177,15 +178,15 @@
 
 impl OperationCounts {
     fn decode(text: &str) -> Result<OperationCounts, OperationError> {
-        let mut counted = OperationCounts { queries: 0, updates: 0 };
+        let mut counts = OperationCounts { queries: 0, updates: 0 };
         for (name, _) in decode_parameters(text)? {
             match name.as_str() {
-                "query" => counted.queries += 1,
-                "update" => counted.updates += 1,
+                "query" => counts.queries += 1,
+                "update" => counts.updates += 1,
                 _ => {}
             }
         }
-        Ok(counted)
+        Ok(counts)
     }
 
     fn kind_of_get(self) -> Result<OperationKind, OperationError> {
@@ -225,7 +226,7 @@
     }
 }
 
-/// Checks a body that is the operation itself.
+/// Validates a request whose body is the operation itself, in contrast to a form.
 fn check_direct_operation(request: &Request, url: &OperationCounts) -> Result<(), OperationError> {
     check_no_operation_in_url(url)?;
     let text = std::str::from_utf8(&request.body).map_err(|_| OperationError::OperationNotUtf8)?;
@@ -236,7 +237,7 @@
     if url.is_empty() { Ok(()) } else { Err(OperationError::OperationInUrlAndBody) }
 }
 
-/// The headers of a request that a host receives as they are.
+/// The headers of a client's request that are forwarded to endpoints unchanged.
 fn forwarded_headers(head: &Head) -> Vec<(String, String)> {
     let is_forwarded = |name: &str| {
         let name = name.to_ascii_lowercase();
@@ -245,7 +246,7 @@
     head.headers.iter().filter(|(name, _)| is_forwarded(name)).cloned().collect()
 }
 
-/// A header that holds a number of digits alone, of `max` at most.
+/// Parses a header whose value is a decimal number from 0 to `max`; `None` if it is absent.
 fn parse_number_header(head: &Head, header: &'static str, max: i64) -> Result<Option<i64>, OperationError> {
     let Some(text) = head.header(header) else { return Ok(None) };
     let has_only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
@@ -255,7 +256,7 @@
     }
 }
 
-/// A header that holds a name.
+/// Parses a header whose value is a name of 1 to [`MAX_NAME_BYTES`] bytes; `None` if it is absent.
 fn parse_name_header(head: &Head, header: &'static str) -> Result<Option<String>, OperationError> {
     let Some(text) = head.header(header) else { return Ok(None) };
     if text.is_empty() || text.len() > MAX_NAME_BYTES {
--- a/src/net/sparql/operation/tests.rs
+++ b/src/net/sparql/operation/tests.rs
@@ -1,4 +1,4 @@
-//! The protocol's forms of an operation, and requests that are none.
+//! Requests in each form of the SPARQL 1.1 Protocol, and requests that are rejected.
 
 use super::*;
 use crate::config::Limits;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn each_form_of_the_protocol_is_parsed_and_forwarded_unchanged() {
+fn each_form_of_an_operation_is_parsed_and_forwarded_unchanged() {
     let form = "Content-Type: application/x-www-form-urlencoded; charset=UTF-8";
     for (text, is_update) in [
         (
@@ -29,26 +29,29 @@
         let request = request(&text);
         let operation = Operation::parse(&request).unwrap();
         assert_eq!(operation.is_update(), is_update, "{text}");
-        let forwarded_to = AttemptParameters {
+        let parameters = AttemptParameters {
             host: "h:1",
             path: "/sparql",
             via: "1.1 b1",
             time_left: TimeDelta::from_micros(5_000),
             required_position: Some(LogPosition::from_micros(1_500)),
         };
-        let sent = String::from_utf8(operation.encode(forwarded_to)).unwrap();
+        let encoded = String::from_utf8(operation.encode(parameters)).unwrap();
         let request_line = text.lines().next().unwrap();
-        assert!(sent.starts_with(&format!("{request_line}\r\nHost: h:1\r\n")), "{sent}");
-        assert!(sent.ends_with(text.split("\r\n\r\n").nth(1).unwrap()), "{sent}");
-        assert!(sent.contains("Brookpass-Time-Left-Ms: 5\r\n") && sent.contains("Brookpass-Position: 2\r\n"));
+        assert!(encoded.starts_with(&format!("{request_line}\r\nHost: h:1\r\n")), "{encoded}");
+        assert!(encoded.ends_with(text.split("\r\n\r\n").nth(1).unwrap()), "{encoded}");
+        assert!(
+            encoded.contains("Brookpass-Time-Left-Ms: 5\r\n")
+                && encoded.contains("Brookpass-Position: 2\r\n")
+        );
         for header in ["Accept: text/csv", form] {
-            assert_eq!(sent.contains(header), text.contains(header), "{sent}");
+            assert_eq!(encoded.contains(header), text.contains(header), "{encoded}");
         }
     }
 }
 
 #[test]
-fn malformed_requests_are_rejected_with_their_status() {
+fn invalid_requests_are_rejected_with_a_status_for_the_reason() {
     let form = "Content-Type: application/x-www-form-urlencoded\r\n\r\n";
     for (text, status) in [
         ("GET /sparql HTTP/1.1\r\n\r\n".to_string(), 400),
@@ -63,7 +66,7 @@
         ("GET /sparql?query=a HTTP/1.1\r\nBrookpass-Group: two\r\n\r\n".into(), 400),
         ("GET /sparql?query=a HTTP/1.1\r\nBrookpass-Time-Left-Ms: -1\r\n\r\n".into(), 400),
     ] {
-        let rejected = Operation::parse(&request(&text)).map_err(|error| error.status());
-        assert_eq!(rejected, Err(status), "{text}");
+        let result = Operation::parse(&request(&text)).map_err(|error| error.status());
+        assert_eq!(result, Err(status), "{text}");
     }
 }
--- a/src/net/sparql/response_head.rs
+++ b/src/net/sparql/response_head.rs
@@ -1,4 +1,5 @@
-//! What the head of a host's response means: for the attempt, about the host, and for the session of the client.
+//! Interprets the head of an endpoint's response: the outcome of the attempt, the state of the endpoint, and whether a
+//! commit of the client's session was lost.
 
 use super::endpoint::{AnswerBody, EndpointAnswer};
 use super::headers::{LOAD, POSITION, ROLE};
@@ -9,31 +10,33 @@
 use crate::routing::{AttemptOutcome, LoadReport, ReplicaStatus};
 use crate::time::LogPosition;
 
-/// Field of a load report that the pooler fills in itself: the position in seconds of Unix time.
+/// Load report field that is taken from [`POSITION`]: the endpoint's log position in seconds of Unix time.
 const POSITION_FIELD: &str = "x0";
-/// Field of a load report that the pooler fills in itself: 1 for a primary, 0 for a replica.
+/// Load report field that is taken from [`ROLE`]: 1 for a primary, 0 for a replica.
 const ROLE_FIELD: &str = "x1";
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and the length, which the front states itself.
+/// Headers that are not forwarded because they apply to one connection only (RFC 9110, section 7.6.1), and
+/// Content-Length, which the front sets itself.
 const HOP_BY_HOP_HEADERS: [&str; 7] =
     ["connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade", "content-length"];
-/// Headers of hosts that are meant for the pooler alone.
+/// Headers of endpoints that are meant for the pooler and not forwarded.
 const POOLER_HEADERS: [&str; 2] = ["brookpass-load", "brookpass-role"];
 
-/// Role and log position that a host states; `None` where it states no role.
+/// The role and log position that an endpoint reports; `None` if it reports no role. A missing or invalid position is
+/// [`LogPosition::UNKNOWN`].
 pub(super) fn replica_status(head: &Head) -> Option<ReplicaStatus> {
     let primary = match head.header(ROLE)? {
         "primary" => true,
         "replica" => false,
         _ => return None,
     };
-    let stated = head.header(POSITION).and_then(|millis| millis.parse().ok());
-    let position = stated.and_then(LogPosition::try_from_millis).unwrap_or(LogPosition::UNKNOWN);
-    // A position before the zero of Unix time is none.
+    let reported = head.header(POSITION).and_then(|millis| millis.parse().ok());
+    let position = reported.and_then(LogPosition::try_from_millis).unwrap_or(LogPosition::UNKNOWN);
+    // A position before the start of Unix time counts as unknown.
     Some(ReplicaStatus { primary, position: position.max(LogPosition::UNKNOWN) })
 }
 
-/// The load report of a host, with the values of `fields`.
+/// The load report of an endpoint, with the values of the given fields.
 pub(super) fn load_report(head: &Head, fields: &[String]) -> LoadReport {
     let replica_status = replica_status(head);
     build_load_report(fields, |name| match name {
@@ -43,21 +46,21 @@
     })
 }
 
-/// What a status means for the attempt. A response about the operation itself (a query that does not parse, a type that
-/// is not offered) is the client's.
+/// The outcome of an attempt by the status code of its response. A response about the operation itself, for example that
+/// the query has a syntax error or that no acceptable media type is available, is forwarded to the client.
 pub(super) fn attempt_outcome(status: u16) -> AttemptOutcome {
     match status {
         status::PRECONDITION_FAILED | status::MISDIRECTED_REQUEST => AttemptOutcome::Misdirected,
         status::TOO_MANY_REQUESTS | status::SERVICE_UNAVAILABLE => AttemptOutcome::Overloaded,
-        // The host has not received the request completely: that is no response to the operation.
+        // The endpoint did not receive the complete request, so this is not a response to the operation.
         status::REQUEST_TIMEOUT => AttemptOutcome::Error,
         200..=299 | 400..=499 => AttemptOutcome::Served,
         _ => AttemptOutcome::Error,
     }
 }
 
-/// Whether the data of a response is as recent as it has to be. A primary has everything; from a replica only a
-/// position that came with this very response counts.
+/// Whether the data of a response reaches the required log position. The data of a primary always does. A replica must
+/// prove it by the position in this response; its earlier reports do not count.
 pub(super) fn is_recent_enough(
     replica_status: Option<ReplicaStatus>,
     required_position: Option<LogPosition>,
@@ -67,8 +70,8 @@
     status.primary || status.position.is_known() && status.position >= required
 }
 
-/// The position up to which a primary has its group's log, where it lacks the last commit of a session: the group has
-/// lost what the session wrote.
+/// The log position of a primary that does not have the last commit of a session; `None` if it has the commit. The group
+/// was rolled back to this position and has lost what the session wrote after it.
 pub(super) fn rolled_back_to(
     replica_status: Option<ReplicaStatus>,
     session_commit: Option<LogPosition>,
@@ -77,7 +80,8 @@
     (status.position < session_commit?).then_some(status.position)
 }
 
-/// The answer to a read whose session wrote what its group has lost: older data would be taken for the session's own.
+/// The answer to a read of a session whose last commit was lost because its group was rolled back to `position`. With
+/// older data the client would assume that its own write is included.
 pub(super) fn lost_commit_answer(position: LogPosition) -> EndpointAnswer {
     let position = position.as_millis().to_string();
     let text =
@@ -89,15 +93,15 @@
     }
 }
 
-/// The headers of a host's response that its client receives.
+/// The headers of an endpoint's response that are forwarded to the client.
 pub(super) fn forwarded_headers(head: &Head) -> Vec<(String, String)> {
     head.headers.iter().filter(|(name, _)| is_forwarded(name)).cloned().collect()
 }
 
 fn is_forwarded(name: &str) -> bool {
     let name = name.to_ascii_lowercase();
-    let is_internal = HOP_BY_HOP_HEADERS.contains(&name.as_str()) || POOLER_HEADERS.contains(&name.as_str());
-    !is_internal && !name.starts_with("proxy-")
+    let is_dropped = HOP_BY_HOP_HEADERS.contains(&name.as_str()) || POOLER_HEADERS.contains(&name.as_str());
+    !is_dropped && !name.starts_with("proxy-")
 }
 
 #[cfg(test)]
--- a/src/net/sparql/response_head/tests.rs
+++ b/src/net/sparql/response_head/tests.rs
@@ -1,33 +1,34 @@
-//! What a response means, by its status and by what the host states about itself.
+//! Interpretation of a response by its status code and by the role and log position that the endpoint reports.
 
 use super::*;
 
-/// Guards against stale answers: a replica proves its position with each response, or the response is dropped.
+/// Guards against stale reads: without a sufficient position in the same response, the response of a replica is rejected.
 #[test]
-fn only_a_position_in_the_same_response_proves_it_recent() {
+fn a_replica_must_report_the_required_position_in_the_response() {
     let at = LogPosition::from_micros;
-    let stated = |primary, position| Some(ReplicaStatus { primary, position: at(position) });
+    let reported = |primary, position| Some(ReplicaStatus { primary, position: at(position) });
     assert!(is_recent_enough(None, None));
     assert!(!is_recent_enough(None, Some(at(5))));
-    assert!(is_recent_enough(stated(true, 0), Some(at(5))));
-    assert!(is_recent_enough(stated(false, 5), Some(at(5))));
-    assert!(!is_recent_enough(stated(false, 4), Some(at(5))));
-    assert!(!is_recent_enough(stated(false, 0), Some(at(-5))));
+    assert!(is_recent_enough(reported(true, 0), Some(at(5))));
+    assert!(is_recent_enough(reported(false, 5), Some(at(5))));
+    assert!(!is_recent_enough(reported(false, 4), Some(at(5))));
+    assert!(!is_recent_enough(reported(false, 0), Some(at(-5))));
 }
 
-/// Guards against a primary that lost a session's write and answers it with older data.
+/// Guards against a read from a primary that has lost the session's last write: the client would take older data for data
+/// that includes it.
 #[test]
-fn a_primary_that_lacks_a_sessions_write_is_detected() {
+fn a_primary_without_the_last_commit_of_a_session_is_detected() {
     let at = LogPosition::from_micros;
-    let stated = |primary, position| Some(ReplicaStatus { primary, position: at(position) });
-    assert_eq!(rolled_back_to(stated(true, 4_000), Some(at(5_000))), Some(at(4_000)));
-    assert_eq!(rolled_back_to(stated(true, 5_000), Some(at(5_000))), None);
-    assert_eq!(rolled_back_to(stated(true, 4_000), None), None);
-    // The first states no position, the second is a replica, which is only behind.
+    let reported = |primary, position| Some(ReplicaStatus { primary, position: at(position) });
+    assert_eq!(rolled_back_to(reported(true, 4_000), Some(at(5_000))), Some(at(4_000)));
+    assert_eq!(rolled_back_to(reported(true, 5_000), Some(at(5_000))), None);
+    assert_eq!(rolled_back_to(reported(true, 4_000), None), None);
+    // The first reports no position. The second is a replica, which may merely lag.
     assert_eq!(
         (
-            rolled_back_to(stated(true, 0), Some(at(5))),
-            rolled_back_to(stated(false, 4), Some(at(5))),
+            rolled_back_to(reported(true, 0), Some(at(5))),
+            rolled_back_to(reported(false, 4), Some(at(5))),
             rolled_back_to(None, Some(at(5)))
         ),
         (None, None, None)
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn each_status_has_its_outcome() {
+fn status_codes_map_to_attempt_outcomes() {
     for (status, expected) in [
         (200, AttemptOutcome::Served),
         (204, AttemptOutcome::Served),
