--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,7 +1,8 @@
-//! Watches discovery by long polling and delivers every endpoint list at once.
+//! Watches discovery by long polling and delivers each update of the endpoint list as soon as it arrives.
 //!
-//! The first call fetches the whole list, each further one asks for the changes since its index and is held until there
-//! are some. `call` is one call, `backoff` chooses the pauses after failures.
+//! The first call fetches the whole list. Each later call asks for the changes since the index of the last list, and
+//! discovery holds it until there are changes. `call` makes a single call; `backoff` chooses timeouts and the pauses after
+//! failures.
 
 mod backoff;
 mod call;
@@ -21,10 +22,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Watches discovery; never returns. `deliver` receives each list.
+/// Watches discovery; never returns. `deliver` receives each whole list and each update that contains changes. `zones` are
+/// the names of the zones by number, and `seed` initializes the random numbers for jitter.
 ///
-/// A message on `refetch` asks for the whole list, at the address that `address` then holds. It ends a call or a pause
-/// that is under way: the old address may not answer any more. `seed` chooses the jitter.
+/// A message on `refetch` requests the whole list, from the address that `address` then holds. It interrupts a call or a
+/// pause, because discovery at the old address may no longer respond.
 pub async fn watch<F: Future<Output = ()>>(
     address: &Cell<SocketAddr>,
     zones: &[String],
@@ -35,9 +37,9 @@
 ) {
     let backoff = Backoff::new(limits, seed);
     let mut watcher =
-        Watcher { address, zones, limits, refetch, connection: None, held_index: None, backoff };
+        Watcher { address, zones, limits, refetch, connection: None, known_index: None, backoff };
     loop {
-        let began = Instant::now();
+        let started_at = Instant::now();
         match watcher.call().await {
             CallOutcome::List(list) => {
                 let is_new = watcher.record_index(&list);
@@ -45,7 +47,7 @@
                     deliver(list).await;
                 }
                 if !is_new {
-                    watcher.pause_after_short_watch(began).await;
+                    watcher.pause_after_short_watch(started_at).await;
                 }
             }
             CallOutcome::Failed(error) => watcher.back_off(&error).await,
@@ -54,11 +56,11 @@
     }
 }
 
-/// What came of a call.
+/// Result of a call.
 enum CallOutcome {
     List(EndpointUpdate),
     Failed(DiscoveryError),
-    /// The call was abandoned for a call of the whole list.
+    /// The call was interrupted because the whole list was requested.
     RefetchRequested,
 }
 
@@ -67,10 +69,10 @@
     zones: &'a [String],
     limits: &'a Limits,
     refetch: &'a Receiver<()>,
-    /// The connection of the last call, if it may be used again.
+    /// The connection of the last call, if it can be reused.
     connection: Option<ServerConnection>,
-    /// The index of the last list; `None`: the whole list is to be fetched.
-    held_index: Option<u64>,
+    /// The index of the last list; `None` if the next call must fetch the whole list.
+    known_index: Option<u64>,
     backoff: Backoff<'a>,
 }
 
@@ -78,12 +80,12 @@
     async fn call(&mut self) -> CallOutcome {
         let call = DiscoveryCall {
             address: self.address.get(),
-            held_index: self.held_index,
-            times: self.backoff.call_times(self.held_index.is_some()),
+            known_index: self.known_index,
+            times: self.backoff.call_times(self.known_index.is_some()),
             zones: self.zones,
             limits: self.limits,
         };
-        let answer = async {
+        let response = async {
             match call.run(&mut self.connection).await {
                 Ok(list) => CallOutcome::List(list),
                 Err(error) => CallOutcome::Failed(error),
@@ -93,64 +95,67 @@
             refetch_requested(self.refetch).await;
             CallOutcome::RefetchRequested
         };
-        future::or(answer, refetch).await
+        future::or(response, refetch).await
     }
 
-    /// Takes over the index of a list; true if it is another one than before.
+    /// Records the index of a received list, and returns whether it differs from the previous one.
     fn record_index(&mut self, list: &EndpointUpdate) -> bool {
         self.backoff.reset();
-        let is_new = self.held_index != Some(list.index);
-        self.held_index = Some(list.index);
+        let is_new = self.known_index != Some(list.index);
+        self.known_index = Some(list.index);
         is_new
     }
 
-    /// Pauses after a watch that ended early without changes: a discovery that does not hold watches must not be called
-    /// without a pause.
-    async fn pause_after_short_watch(&mut self, began: Instant) {
+    /// Pauses if a call returned early without changes, so that a discovery that does not hold calls is not polled in a
+    /// tight loop.
+    async fn pause_after_short_watch(&mut self, started_at: Instant) {
         let (shortest_pause, _) = self.limits.discovery_backoff;
-        if began.elapsed() < shortest_pause && self.pause(shortest_pause).await == PauseEnd::RefetchRequested
+        if started_at.elapsed() < shortest_pause
+            && self.pause(shortest_pause).await == PauseEnd::RefetchRequested
         {
-            self.held_index = None;
+            self.known_index = None;
         }
     }
 
-    /// Pauses after a failed call. The list that was delivered last stays in use.
+    /// Pauses after a failed call. The last delivered list stays in use.
     async fn back_off(&mut self, error: &DiscoveryError) {
-        log::warn!("discovery: {error}; the last list stays");
+        log::warn!("discovery: {error}; the last endpoint list stays in use");
         self.connection = None;
         if matches!(error, DiscoveryError::IndexWentBack { .. }) {
-            self.held_index = None;
+            self.known_index = None;
         }
         let pause = self.backoff.record_failure(error);
         if self.pause(pause).await == PauseEnd::RefetchRequested {
-            self.held_index = None;
+            self.known_index = None;
             self.backoff.reset();
         }
     }
 
-    /// Starts over at an address that may be another one. The connection of an abandoned call cannot be used again, and
-    /// what failed at another address says nothing of this one.
+    /// Forgets the connection, the index and the failures, because the address may have changed. The connection of an
+    /// interrupted call cannot be reused, and failures at another address do not matter at this one.
     fn reset(&mut self) {
         self.connection = None;
-        self.held_index = None;
+        self.known_index = None;
         self.backoff.reset();
     }
 
+    /// Pauses, unless the whole list is requested before.
     async fn pause(&self, pause: Duration) -> PauseEnd {
         match until(Instant::now() + pause, refetch_requested(self.refetch)).await {
             Some(()) => PauseEnd::RefetchRequested,
-            None => PauseEnd::TimeOver,
+            None => PauseEnd::Elapsed,
         }
     }
 }
 
+/// Why a pause ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PauseEnd {
-    TimeOver,
+    Elapsed,
     RefetchRequested,
 }
 
-/// Waits for a message; for ever, where nobody can send one any more.
+/// Waits for a message that requests the whole list. Never returns if all senders were dropped.
 async fn refetch_requested(refetch: &Receiver<()>) {
     if refetch.recv().await.is_err() {
         future::pending::<()>().await;
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -1,49 +1,50 @@
-//! When discovery is called again after a failure, and how long a call may take.
+//! Timeouts of calls to discovery, and the pauses between calls after failures.
 
 use super::error::DiscoveryError;
 use crate::config::Limits;
 use fastrand::Rng;
 use std::time::Duration;
 
-/// How long a call may take.
+/// The times of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CallTimes {
-    /// How long discovery is asked to hold the call until the list changes.
+    /// How long discovery may hold the call while the list does not change; zero to fetch the whole list.
     pub(super) watch_timeout: Duration,
-    /// How long the call may take in all.
+    /// How long the call may take in total, from connecting to the complete response.
     pub(super) timeout: Duration,
 }
 
-/// Exponential backoff with jitter. Poolers start, fail and recover together: each chooses its own time, or discovery
-/// would receive all their calls at once again.
+/// Exponential backoff with jitter. The poolers of a tier start, lose discovery and recover at the same time; without
+/// jitter discovery would keep receiving all their calls at once.
 pub(super) struct Backoff<'a> {
     rng: Rng,
     limits: &'a Limits,
     /// The pause after the next failure, before jitter.
     next_pause: Duration,
-    /// How long discovery may take to answer beyond the watch; `None`: no call has failed since the last answer.
+    /// How long discovery may take to respond in addition to `CallTimes::watch_timeout`; `None` if no call has failed since
+    /// the last response.
     timeout_after_failure: Option<Duration>,
 }
 
 impl<'a> Backoff<'a> {
-    /// A backoff after which no call has failed yet.
+    /// A backoff without failures. `seed` initializes the random numbers for jitter.
     pub(super) fn new(limits: &'a Limits, seed: u64) -> Backoff<'a> {
         let (first_pause, _) = limits.discovery_backoff;
         Backoff { rng: Rng::with_seed(seed), limits, next_pause: first_pause, timeout_after_failure: None }
     }
 
-    /// Records that a call was answered, or that what failed no longer counts.
+    /// Records that a call has succeeded, or that earlier failures no longer matter.
     pub(super) fn reset(&mut self) {
         let (first_pause, _) = self.limits.discovery_backoff;
         self.next_pause = first_pause;
         self.timeout_after_failure = None;
     }
 
-    /// How long the next call may take: a watch for changes, or a call for the whole list.
+    /// The times of the next call, which is a watch for changes or fetches the whole list.
     ///
-    /// After a failure a watch is short: discovery's changes count from the time at which they are there, whether or
-    /// not a watch is open, and the time in which a silent call is waited for is lost. Discovery gets more time to
-    /// answer with every failure: it may have other poolers to answer first.
+    /// After a failure watches are short. A change takes effect when it is made, whether or not a call is waiting for it, so
+    /// the time spent on a call that gets no response is lost. With each failure discovery gets more time to respond,
+    /// since it may have to respond to other poolers first.
     pub(super) fn call_times(&self, is_watch: bool) -> CallTimes {
         let limits = self.limits;
         if !is_watch {
@@ -68,8 +69,8 @@
         let timeout = self.timeout_after_failure.map_or(limits.discovery_timeout, |timeout| timeout * 2);
         self.timeout_after_failure = Some(timeout.min(limits.discovery_timeout_after_failure));
         match error {
-            // Calls that wait at an overloaded discovery are what keeps the others out: all poolers of a tier together
-            // must call less often than it answers.
+            // Waiting calls are what keeps discovery overloaded. All poolers of a tier together must call less often than
+            // discovery can respond.
             DiscoveryError::Overloaded { .. } => pause.max(limits.discovery_spread.mul_f64(self.rng.f64())),
             _ => pause,
         }
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -1,4 +1,4 @@
-//! Pauses and times of calls to discovery.
+//! Timeouts of calls to discovery, and pauses after failures.
 
 use super::*;
 
@@ -6,10 +6,10 @@
     DiscoveryError::Overloaded { status: "503".to_string() }
 }
 
-/// Guards against poolers of a tier that come back together to a discovery without capacity for them, and so keep it
-/// overloaded.
+/// Guards against a tier of poolers that all repeat their calls at the same time after discovery rejected them for lack of
+/// capacity, and so keep it overloaded.
 #[test]
-fn poolers_that_were_rejected_together_spread_their_calls() {
+fn rejected_poolers_spread_their_next_calls() {
     let mut limits = Limits::for_sockets(64);
     let first_pauses = |limits: &Limits, error: &DiscoveryError| -> Vec<Duration> {
         (0..100).map(|seed| Backoff::new(limits, seed * 7919).record_failure(error)).collect()
@@ -17,7 +17,7 @@
     limits.spread_discovery_calls(Some(100));
     let mut pauses = first_pauses(&limits, &overloaded());
     pauses.sort();
-    // A tenth of the time in which discovery must have been called again.
+    // At most 25 of the 100 calls fall into any tenth of the spread.
     let tenth = limits.discovery_spread / 10;
     let calls_within_tenth = pauses
         .iter()
@@ -26,30 +26,33 @@
     let mean = pauses.iter().sum::<Duration>() / 100;
     let share = mean.as_secs_f64() / limits.discovery_spread.as_secs_f64();
     assert!((0.4..0.6).contains(&share), "{mean:?}");
-    // A discovery that does not answer, or not in form, is called again soon, but not by all at once.
+    // After other failures discovery is called again soon, but not by all poolers at once.
     let mut pauses = first_pauses(&limits, &DiscoveryError::TimedOut);
     pauses.sort();
     assert!(pauses[99] < Duration::from_millis(100) && pauses[99] > pauses[0] + Duration::from_millis(20));
     limits.spread_discovery_calls(Some(1));
     let alone = first_pauses(&limits, &overloaded());
-    assert!(alone.iter().max().unwrap() <= &Duration::from_millis(200), "nobody else calls");
+    assert!(
+        alone.iter().max().unwrap() <= &Duration::from_millis(200),
+        "a single pooler does not need the spread"
+    );
     limits.spread_discovery_calls(Some(60_000));
     assert!(
         limits.discovery_spread + limits.discovery_timeout <= Duration::from_secs(6),
-        "within the time in which it must have been called again and have answered"
+        "the spread and the timeout fit into the time within which discovery must have responded again"
     );
 }
 
-/// Guards against calls that stay silent for as long as a watch may, while discovery has recovered: after a failure an
-/// answer is wanted at once, and after an answer, or at another address, all is as before.
+/// Guards against a call that waits for a whole watch although discovery has recovered: after a failure watches are short.
+/// After a response, or at another address, the usual times apply again.
 #[test]
 fn after_a_failure_watches_are_short_and_timeouts_grow() {
     let limits = Limits::for_sockets(64);
     let mut backoff = Backoff::new(&limits, 1);
     let watch_timeout = limits.discovery_watch_timeout;
-    let undisturbed = CallTimes { watch_timeout, timeout: watch_timeout + limits.discovery_timeout };
-    assert_eq!(backoff.call_times(true), undisturbed);
-    // The whole list may wait behind the calls of others.
+    let usual_times = CallTimes { watch_timeout, timeout: watch_timeout + limits.discovery_timeout };
+    assert_eq!(backoff.call_times(true), usual_times);
+    // Discovery may have to respond to other poolers before it sends the whole list.
     assert_eq!(backoff.call_times(false).timeout, limits.discovery_timeout_after_failure);
     let answer_timeouts: Vec<Duration> = (0..4)
         .map(|_| {
@@ -68,5 +71,8 @@
     backoff.reset();
     assert_eq!(backoff.call_times(true).watch_timeout, limits.discovery_watch_timeout);
     let (first_pause, _) = limits.discovery_backoff;
-    assert!(backoff.record_failure(&DiscoveryError::TimedOut) < first_pause * 2, "the pauses start over");
+    assert!(
+        backoff.record_failure(&DiscoveryError::TimedOut) < first_pause * 2,
+        "the pauses are short again"
+    );
 }
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to discovery.
+//! A single call to discovery.
 
 use super::backoff::CallTimes;
 use super::error::DiscoveryError;
@@ -10,20 +10,20 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// A call for the whole list, or for what has changed since the list that is held.
+/// A call that fetches the whole list, or waits for changes since a known list.
 pub(super) struct DiscoveryCall<'a> {
     pub(super) address: SocketAddr,
-    /// The index of the list that is held; `None` asks for the whole list.
-    pub(super) held_index: Option<u64>,
+    /// The index of the known list; `None` to fetch the whole list.
+    pub(super) known_index: Option<u64>,
     pub(super) times: CallTimes,
-    /// Names of the zones by number.
+    /// The names of the zones by number.
     pub(super) zones: &'a [String],
     pub(super) limits: &'a Limits,
 }
 
 impl DiscoveryCall<'_> {
-    /// Runs the call on the connection of the call before, or on a new one, and leaves the connection for the next
-    /// call if it may be used again.
+    /// Makes the call, on `kept_connection` or on a new connection. Afterwards `kept_connection` holds the connection if it
+    /// can be reused.
     pub(super) async fn run(
         &self,
         kept_connection: &mut Option<ServerConnection>,
@@ -31,7 +31,7 @@
         let deadline = Instant::now() + self.times.timeout;
         let text =
             until(deadline, self.fetch(kept_connection)).await.unwrap_or(Err(DiscoveryError::TimedOut))?;
-        // A list that cannot be read must not cost the one that is held: that stays, and the call is repeated.
+        // A malformed list does not replace the known one: the error leads to another call.
         let update = endpoint_list_json::parse(&text, self.zones)?;
         self.check_index(update)
     }
@@ -54,7 +54,7 @@
 
     fn request(&self) -> String {
         let address = self.address;
-        let path = match self.held_index {
+        let path = match self.known_index {
             None => "/api/targets".to_string(),
             Some(after) => {
                 format!("/api/targets?after={after}&wait_ms={}", self.times.watch_timeout.as_millis())
@@ -63,12 +63,12 @@
         format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n")
     }
 
-    /// Accepts a list only if it can be added to the one that is held. Changes to an older list are changes to
-    /// something else: discovery has restarted.
+    /// Rejects changes that do not apply to the known list. If their index is lower than that of the known list, discovery
+    /// has restarted, and they refer to a different list.
     fn check_index(&self, update: EndpointUpdate) -> Result<EndpointUpdate, DiscoveryError> {
-        match self.held_index {
-            Some(held) if !update.whole && update.index < held => {
-                Err(DiscoveryError::IndexWentBack { held, received: update.index })
+        match self.known_index {
+            Some(known) if !update.whole && update.index < known => {
+                Err(DiscoveryError::IndexWentBack { known, received: update.index })
             }
             None if !update.whole => Err(DiscoveryError::ChangesWithoutList),
             _ => Ok(update),
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,45 +1,46 @@
-//! Why a call to discovery gave no list. The last list stays in use in every case.
+//! Errors of calls to discovery. The last list stays in use after each of them.
 
 use crate::endpoint_list_json::EndpointListError;
 use std::io;
 use thiserror::Error;
 
-/// Why a call to discovery gave no list.
+/// Reasons why a call to discovery returned no usable list.
 #[derive(Debug, Error)]
 pub(super) enum DiscoveryError {
-    /// Discovery cannot be reached, the connection broke, or the answer is not HTTP.
+    /// Discovery cannot be reached, the connection was lost, or the response is not valid HTTP.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// No complete answer came in time.
-    #[error("no answer in time")]
+    /// The response was not complete in time.
+    #[error("no complete response within the timeout")]
     TimedOut,
-    /// Discovery has no capacity for this call.
+    /// Discovery has no capacity for this call: status 429 or 503.
     #[error("overloaded: status {status}")]
     Overloaded {
         /// The status code.
         status: String,
     },
-    /// Another status than 200.
-    #[error("status {status}")]
+    /// The status is not 200, 429 or 503.
+    #[error("unexpected status {status}")]
     Status {
         /// The status code.
         status: String,
     },
-    /// The answer is not text.
-    #[error("the list is not UTF-8")]
+    /// The body of the response is not valid UTF-8.
+    #[error("the body of the response is not UTF-8")]
     NotUtf8,
-    /// The answer is not a list.
+    /// The body of the response is not a valid endpoint list.
     #[error(transparent)]
     List(#[from] EndpointListError),
-    /// Changes to an older list than the one that is held: discovery has restarted, and the whole list must be fetched.
-    #[error("the index went back from {held} to {received}")]
+    /// The index of the response is lower than that of the known list: discovery has restarted, and the whole list must be
+    /// fetched.
+    #[error("the index went back from {known} to {received}")]
     IndexWentBack {
-        /// The index of the list that is held.
-        held: u64,
-        /// The index of the answer.
+        /// The index of the known list.
+        known: u64,
+        /// The index of the response.
         received: u64,
     },
-    /// Changes came in answer to a call for the whole list.
-    #[error("changes where the whole list was asked for")]
+    /// The response to a call for the whole list contains only changes.
+    #[error("received changes in response to a call for the whole list")]
     ChangesWithoutList,
 }
