--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,8 +1,8 @@
 //! Watches discovery by long polling and delivers each update of the endpoint list as soon as it arrives.
 //!
 //! The first call fetches the whole list. Each later call asks for the changes since the index of the last list, and
-//! discovery holds it until there are changes. `call` makes a single call; `backoff` chooses timeouts and the pauses after
-//! failures.
+//! discovery holds it until there are changes. `call` makes a single call; `backoff` chooses timeouts and the pauses
+//! after failures.
 
 mod backoff;
 mod call;
@@ -22,11 +22,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Watches discovery; never returns. `deliver` receives each whole list and each update that contains changes. `zones` are
-/// the names of the zones by number, and `seed` initializes the random numbers for jitter.
+/// Watches discovery; never returns. `deliver` receives each whole list and each update that contains changes. `zones`
+/// are the names of the zones by number, and `seed` initializes the random numbers for jitter.
 ///
-/// A message on `refetch` requests the whole list, from the address that `address` then holds. It interrupts a call or a
-/// pause, because discovery at the old address may no longer respond.
+/// A message on `refetch` requests the whole list, from the address that `address` then holds. It interrupts a call or
+/// a pause, because discovery at the old address may no longer respond.
 pub async fn watch<F: Future<Output = ()>>(
     address: &Cell<SocketAddr>,
     zones: &[String],
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -21,8 +21,8 @@
     limits: &'a Limits,
     /// The pause after the next failure, before jitter.
     next_pause: Duration,
-    /// How long discovery may take to respond in addition to `CallTimes::watch_timeout`; `None` if no call has failed since
-    /// the last response.
+    /// How long discovery may take to respond in addition to `CallTimes::watch_timeout`; `None` if no call has failed
+    /// since the last response.
     timeout_after_failure: Option<Duration>,
 }
 
@@ -42,9 +42,9 @@
 
     /// The times of the next call, which is a watch for changes or fetches the whole list.
     ///
-    /// After a failure watches are short. A change takes effect when it is made, whether or not a call is waiting for it, so
-    /// the time spent on a call that gets no response is lost. With each failure discovery gets more time to respond,
-    /// since it may have to respond to other poolers first.
+    /// After a failure watches are short. A change takes effect when it is made, whether or not a call is waiting for
+    /// it, so the time spent on a call that gets no response is lost. With each failure discovery gets more time to
+    /// respond, since it may have to respond to other poolers first.
     pub(super) fn call_times(&self, is_watch: bool) -> CallTimes {
         let limits = self.limits;
         if !is_watch {
@@ -69,8 +69,8 @@
         let timeout = self.timeout_after_failure.map_or(limits.discovery_timeout, |timeout| timeout * 2);
         self.timeout_after_failure = Some(timeout.min(limits.discovery_timeout_after_failure));
         match error {
-            // Waiting calls are what keeps discovery overloaded. All poolers of a tier together must call less often than
-            // discovery can respond.
+            // Waiting calls are what keeps discovery overloaded. All poolers of a tier together must call less often
+            // than discovery can respond.
             DiscoveryError::Overloaded { .. } => pause.max(limits.discovery_spread.mul_f64(self.rng.f64())),
             _ => pause,
         }
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -6,8 +6,8 @@
     DiscoveryError::Overloaded { status: "503".to_string() }
 }
 
-/// Guards against a tier of poolers that all repeat their calls at the same time after discovery rejected them for lack of
-/// capacity, and so keep it overloaded.
+/// Guards against a tier of poolers that all repeat their calls at the same time after discovery rejected them for lack
+/// of capacity, and so keep it overloaded.
 #[test]
 fn rejected_poolers_spread_their_next_calls() {
     let mut limits = Limits::for_sockets(64);
@@ -43,8 +43,8 @@
     );
 }
 
-/// Guards against a call that waits for a whole watch although discovery has recovered: after a failure watches are short.
-/// After a response, or at another address, the usual times apply again.
+/// Guards against a call that waits for a whole watch although discovery has recovered: after a failure watches are
+/// short. After a response, or at another address, the usual times apply again.
 #[test]
 fn after_a_failure_watches_are_short_and_timeouts_grow() {
     let limits = Limits::for_sockets(64);
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -22,8 +22,8 @@
 }
 
 impl DiscoveryCall<'_> {
-    /// Makes the call, on `kept_connection` or on a new connection. Afterwards `kept_connection` holds the connection if it
-    /// can be reused.
+    /// Makes the call, on `kept_connection` or on a new connection. Afterwards `kept_connection` holds the connection
+    /// if it can be reused.
     pub(super) async fn run(
         &self,
         kept_connection: &mut Option<ServerConnection>,
@@ -63,8 +63,8 @@
         format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n")
     }
 
-    /// Rejects changes that do not apply to the known list. If their index is lower than that of the known list, discovery
-    /// has restarted, and they refer to a different list.
+    /// Rejects changes that do not apply to the known list. If their index is lower than that of the known list,
+    /// discovery has restarted, and they refer to a different list.
     fn check_index(&self, update: EndpointUpdate) -> Result<EndpointUpdate, DiscoveryError> {
         match self.known_index {
             Some(known) if !update.whole && update.index < known => {
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -31,8 +31,8 @@
     /// The body of the response is not a valid endpoint list.
     #[error(transparent)]
     List(#[from] EndpointListError),
-    /// The index of the response is lower than that of the known list: discovery has restarted, and the whole list must be
-    /// fetched.
+    /// The index of the response is lower than that of the known list: discovery has restarted, and the whole list must
+    /// be fetched.
     #[error("the index went back from {known} to {received}")]
     IndexWentBack {
         /// The index of the known list.
--- a/src/net/http/body.rs
+++ b/src/net/http/body.rs
@@ -1,5 +1,5 @@
-//! Message bodies (RFC 9112, sections 6 and 7), framed by Content-Length, by the chunked transfer coding, or by the close
-//! of the connection. No I/O.
+//! Message bodies (RFC 9112, sections 6 and 7), framed by Content-Length, by the chunked transfer coding, or by the
+//! close of the connection. No I/O.
 
 use super::error::MessageError;
 use super::head::Head;
--- a/src/net/http/body/tests.rs
+++ b/src/net/http/body/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 use crate::config::Limits;
 
-/// Decodes the body of a response that arrives in pieces of `piece_bytes`. Returns its data, and whether it is complete.
+/// Decodes the body of a response that arrives in pieces of `piece_bytes`. Returns its data, and whether it is
+/// complete.
 fn decode(text: &str, piece_bytes: usize) -> Result<(Vec<u8>, bool), MessageError> {
     let received = Head::decode(text.as_bytes(), &Limits::for_sockets(64))?.expect("the head is complete");
     let mut body = BodyDecoder::for_response(&received.head)?;
--- a/src/net/http/head.rs
+++ b/src/net/http/head.rs
@@ -119,8 +119,8 @@
     }
 }
 
-/// Splits a start line into its three parts. The query string of a request target is forwarded to endpoints as it is, so
-/// a bare line feed in it would let the client inject a header. Only visible ASCII is accepted.
+/// Splits a start line into its three parts. The query string of a request target is forwarded to endpoints as it is,
+/// so a bare line feed in it would let the client inject a header. Only visible ASCII is accepted.
 fn parse_start_line(line: &str) -> Result<[String; 3], MessageError> {
     let mut parts = line.splitn(3, ' ');
     let mut next_part = || parts.next().unwrap_or("").to_string();
--- a/src/net/http/server.rs
+++ b/src/net/http/server.rs
@@ -164,8 +164,8 @@
     }
 }
 
-/// Waits for more input. Fails if a request that has started is not complete in time, if the budget for long messages is
-/// exhausted, or if the connection is evicted or closed.
+/// Waits for more input. Fails if a request that has started is not complete in time, if the budget for long messages
+/// is exhausted, or if the connection is evicted or closed.
 async fn wait_for_input(
     connection: &mut ClientConnection,
     progress: RequestProgress,
--- a/src/net/sparql/endpoint.rs
+++ b/src/net/sparql/endpoint.rs
@@ -113,8 +113,8 @@
 }
 
 impl SparqlBackend {
-    /// `path` is the URL path at which endpoints accept operations, `name` identifies this pooler in the `Via` header, and
-    /// `report_fields` names the load report fields that are read from responses.
+    /// `path` is the URL path at which endpoints accept operations, `name` identifies this pooler in the `Via` header,
+    /// and `report_fields` names the load report fields that are read from responses.
     pub fn new(limits: Rc<Limits>, path: String, name: &str, report_fields: Vec<String>) -> SparqlBackend {
         SparqlBackend { limits, path, via: via_header(name), report_fields }
     }
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Forwards a body until it is complete, and returns the outcome of the attempt. `body` holds the data that was decoded
-    /// so far.
+    /// Forwards a body until it is complete, and returns the outcome of the attempt. `body` holds the data that was
+    /// decoded so far.
     async fn forward_body(
         &self,
         connection: &mut ServerConnection,
--- a/src/net/sparql/error.rs
+++ b/src/net/sparql/error.rs
@@ -55,8 +55,8 @@
     /// An update whose class is for reads: it could be sent to a replica.
     #[error("{CLASS}: {0:?} is no class for updates")]
     ClassNotForUpdates(String),
-    /// A request with a log position whose class ignores positions: the client would assume that the answer includes the
-    /// position.
+    /// A request with a log position whose class ignores positions: the client would assume that the answer includes
+    /// the position.
     #[error("{POSITION}: {0:?} is no class that looks at positions")]
     ClassIgnoresPositions(String),
     /// The request names no group, and no default is configured.
--- a/src/net/sparql/front/responder.rs
+++ b/src/net/sparql/front/responder.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Writes a streamed answer as it arrives. If the endpoint fails in the middle, the last chunk is not written, so that
-    /// the client can detect the truncation.
+    /// Writes a streamed answer as it arrives. If the endpoint fails in the middle, the last chunk is not written, so
+    /// that the client can detect the truncation.
     async fn write_chunks(&mut self, chunks: &Receiver<StreamChunk>) -> io::Result<AfterResponse> {
         loop {
             match next_event(chunks, self.connection, self.buffer).await {
@@ -105,8 +105,8 @@
     }
 }
 
-/// Encodes a chunk of the chunked transfer coding (RFC 9112, section 7.1). `data` must not be empty: an empty chunk is the
-/// last one.
+/// Encodes a chunk of the chunked transfer coding (RFC 9112, section 7.1). `data` must not be empty: an empty chunk is
+/// the last one.
 fn encode_chunk(data: &[u8]) -> Vec<u8> {
     let mut chunk = format!("{:x}\r\n", data.len()).into_bytes();
     chunk.extend_from_slice(data);
--- a/src/net/sparql/headers.rs
+++ b/src/net/sparql/headers.rs
@@ -10,9 +10,9 @@
 pub const KEY: &str = "Brookpass-Key";
 /// In requests from clients and to endpoints: how long the sender waits for the response, in milliseconds.
 pub const TIME_LEFT: &str = "Brookpass-Time-Left-Ms";
-/// A log position, in milliseconds of Unix time. From a client: the position that the answer must include. To an endpoint:
-/// the position that its data must have reached. From an endpoint: the position up to which it has applied the log, or
-/// the position of the commit of an update.
+/// A log position, in milliseconds of Unix time. From a client: the position that the answer must include. To an
+/// endpoint: the position that its data must have reached. From an endpoint: the position up to which it has applied
+/// the log, or the position of the commit of an update.
 pub const POSITION: &str = "Brookpass-Position";
 /// In responses of endpoints: the endpoint's role, `primary` or `replica`.
 pub const ROLE: &str = "Brookpass-Role";
--- a/src/net/sparql/response_head.rs
+++ b/src/net/sparql/response_head.rs
@@ -46,8 +46,8 @@
     })
 }
 
-/// The outcome of an attempt by the status code of its response. A response about the operation itself, for example that
-/// the query has a syntax error or that no acceptable media type is available, is forwarded to the client.
+/// The outcome of an attempt by the status code of its response. A response about the operation itself, for example
+/// that the query has a syntax error or that no acceptable media type is available, is forwarded to the client.
 pub(super) fn attempt_outcome(status: u16) -> AttemptOutcome {
     match status {
         status::PRECONDITION_FAILED | status::MISDIRECTED_REQUEST => AttemptOutcome::Misdirected,
@@ -70,8 +70,9 @@
     status.primary || status.position.is_known() && status.position >= required
 }
 
-/// The log position of a primary that does not have the last commit of a session; `None` if it has the commit. The group
-/// was rolled back to this position and has lost what the session wrote after it.
+/// The log position of a primary that does not have the last commit of a session: the group was rolled back to this
+/// position and has lost what the session wrote after it. `None` if the primary has the commit, and for a replica, which
+/// may merely lag.
 pub(super) fn rolled_back_to(
     replica_status: Option<ReplicaStatus>,
     session_commit: Option<LogPosition>,
--- a/src/net/sparql/response_head/tests.rs
+++ b/src/net/sparql/response_head/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Guards against stale reads: without a sufficient position in the same response, the response of a replica is rejected.
+/// Guards against stale reads: without a sufficient position in the same response, the response of a replica is
+/// rejected.
 #[test]
 fn a_replica_must_report_the_required_position_in_the_response() {
     let at = LogPosition::from_micros;
@@ -15,8 +16,8 @@
     assert!(!is_recent_enough(reported(false, 0), Some(at(-5))));
 }
 
-/// Guards against a read from a primary that has lost the session's last write: the client would take older data for data
-/// that includes it.
+/// Guards against a read from a primary that has lost the session's last write: the client would take older data for
+/// data that includes it.
 #[test]
 fn a_primary_without_the_last_commit_of_a_session_is_detected() {
     let at = LogPosition::from_micros;
