--- a/src/daemon/operator/client_front.rs
+++ b/src/daemon/operator/client_front.rs
@@ -69,5 +69,5 @@
 async fn reject(stream: Async<TcpStream>, slot: ConnectionSlot, limits: Rc<Limits>, clock: Clock) {
     let min_micros = TimeDelta::from(limits.front_retry_after).as_micros();
     let retry_after = || TimeDelta::from_micros(fastrand::i64(min_micros..2 * min_micros));
-    front::serve_early(stream, slot, limits, clock, retry_after).await;
+    front::serve_while_starting(stream, slot, limits, clock, retry_after).await;
 }
--- a/src/daemon/operator_config.rs
+++ b/src/daemon/operator_config.rs
@@ -14,7 +14,7 @@
 use crate::config::Limits;
 use crate::fleet::zones::EvacuationPolicy;
 use crate::inventory::{self, Inventory};
-use crate::net::sparql::front::Service;
+use crate::net::sparql::front::FrontConfig;
 use crate::time::{TimeDelta, Timestamp};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -36,7 +36,7 @@
     /// URL path at which endpoints serve SPARQL operations (key `host_path`).
     pub endpoint_path: String,
     /// URL path, classes and default group of the SPARQL front.
-    pub service: Service,
+    pub service: FrontConfig,
     /// Addresses and file of the store.
     pub store: StoreConfig,
     /// Path of the inventory; `None` if this daemon proposes no inventory to the fleet.
