--- a/tests/fleet_replication.rs
+++ b/tests/fleet_replication.rs
@@ -1,4 +1,5 @@
-//! Several processes of the program with faults between them: what is agreed, what acts before, what never counts.
+//! Replication between several nodes under faults: which changes are committed, which drains act before that, and which
+//! changes of a minority must never take effect.
 
 use brookpass_testkit::check::{self, CheckError, DrainPeriod};
 use brookpass_testkit::client::{LoadProfile, REQUEST_TIMEOUT};
@@ -14,79 +15,80 @@
 use std::thread;
 use std::time::Duration;
 
-fn cluster(setup: ClusterConfig) -> TestCluster {
+fn new_cluster(config: ClusterConfig) -> TestCluster {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-    TestCluster::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, setup)
+    TestCluster::new(Path::new(env!("CARGO_BIN_EXE_brookpass")), folder, config)
 }
 
-fn five() -> TestCluster {
-    let mut cluster = cluster(ClusterConfig::default());
+fn start_five_nodes() -> TestCluster {
+    let mut cluster = new_cluster(ClusterConfig::default());
     cluster.start_all();
     cluster
 }
 
-fn plan(rate: f64, seed: u64) -> LoadProfile {
-    LoadProfile { requests_per_second: rate, clients: 20, seed, ..LoadProfile::default() }
+fn load_profile(requests_per_second: f64, seed: u64) -> LoadProfile {
+    LoadProfile { requests_per_second, clients: 20, seed, ..LoadProfile::default() }
 }
 
-fn others(cluster: &TestCluster, one: usize) -> Vec<usize> {
-    (0..cluster.nodes.len()).filter(|n| *n != one).collect()
+fn other_nodes(cluster: &TestCluster, excluded: usize) -> Vec<usize> {
+    (0..cluster.nodes.len()).filter(|n| *n != excluded).collect()
 }
 
-/// The histories hold, whatever happened. `answers`: with a load beside it.
-fn holds(cluster: &TestCluster, voters: Option<usize>) -> usize {
-    let agreed = check::same_committed_sequence(&cluster.logs(), voters).unwrap_or_else(|e| panic!("{e}"));
+/// Asserts that all nodes committed the same sequence of changes and that no attempts overlapped. `voters` is the number
+/// of voters where it did not change. Returns the number of committed changes.
+fn assert_histories(cluster: &TestCluster, voters: Option<usize>) -> usize {
+    let committed = check::same_committed_sequence(&cluster.logs(), voters).unwrap_or_else(|e| panic!("{e}"));
     check::no_overlapping_attempts(&cluster.endpoints.arrivals()).unwrap_or_else(|e| panic!("{e}"));
-    agreed
+    committed
 }
 
-/// Guards against a fleet that stands still without its leader, and against a drain that needs one.
+/// Guards against a fleet that stalls when its leader is killed, and against a drain that needs a leader to take effect.
 #[test]
-fn a_killed_leader_is_replaced_and_drains_go_on() {
-    let mut cluster = five();
-    let load = cluster.start_load(plan(400.0, 1));
+fn a_killed_leader_is_replaced_and_drains_take_effect_without_one() {
+    let mut cluster = start_five_nodes();
+    let load = cluster.start_load(load_profile(400.0, 1));
     let leader = cluster.wait_for_leader();
-    let rest = others(&cluster, leader);
+    let others = other_nodes(&cluster, leader);
     cluster.kill(leader);
-    // Nobody leads yet: it acts at once all the same, everywhere.
-    let said = Timestamp::now();
+    // There is no leader yet, but the drain takes effect on all nodes at once.
+    let called_at = Timestamp::now();
     let status = thread::scope(|s| {
-        let call = s.spawn(|| cluster.post(rest[0], "/drain/s-1-1"));
-        let reached = cluster.wait_until_draining(&rest, "s-1-1");
+        let call = s.spawn(|| cluster.post(others[0], "/drain/s-1-1"));
+        let reached = cluster.wait_until_draining(&others, "s-1-1");
         assert!(reached < Duration::from_millis(250), "{reached:?}");
         call.join().unwrap()
     });
-    assert_eq!(status, 200, "a majority is there: it is agreed once somebody leads");
+    assert_eq!(status, 200, "a majority runs: the drain is committed once there is a leader");
     assert_ne!(cluster.wait_for_leader(), leader);
     cluster.start(leader);
     cluster.wait_until_ready(leader);
     cluster.wait_until_caught_up();
-    assert_eq!(cluster.is_draining(leader, "s-1-1"), Some(true), "it has caught up");
-    let asked = load.finish();
+    assert_eq!(cluster.is_draining(leader, "s-1-1"), Some(true), "the restarted node has caught up");
+    let requests = load.finish();
     let arrivals = cluster.endpoints.arrivals();
     check::no_arrivals_while_drained(
         &arrivals,
-        &[DrainPeriod::since("s-1-1", said + Duration::from_millis(250))],
+        &[DrainPeriod::since("s-1-1", called_at + Duration::from_millis(250))],
     )
     .unwrap();
-    assert!(check::no_stale_reads(&asked).unwrap() > 100);
-    check::every_request_answered(&asked, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
-    let alive: Vec<_> = asked.iter().filter(|a| a.node != leader).collect();
-    let served = alive.iter().filter(|a| a.status == 200).count();
-    assert!(served * 100 > alive.len() * 98, "{served} of {} served", alive.len());
-    holds(&cluster, Some(5));
+    assert!(check::no_stale_reads(&requests).unwrap() > 100);
+    check::every_request_answered(&requests, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
+    let sent_to_survivors: Vec<_> = requests.iter().filter(|a| a.node != leader).collect();
+    let served = sent_to_survivors.iter().filter(|a| a.status == 200).count();
+    assert!(served * 100 > sent_to_survivors.len() * 98, "{served} of {} served", sent_to_survivors.len());
+    assert_histories(&cluster, Some(5));
 }
 
-/// Guards against a leader that is cut off and goes on alone: a drain acts there, nothing else counts.
+/// Guards against an isolated leader that commits changes alone: it may put a drain into effect, but nothing else.
 #[test]
-fn a_leader_that_is_cut_off_restricts_only() {
-    let cluster = &mut five();
+fn an_isolated_leader_can_drain_but_not_undrain() {
+    let cluster = &mut start_five_nodes();
     let leader = cluster.wait_for_leader();
-    let rest = others(cluster, leader);
-    assert_eq!(cluster.post(rest[0], "/drain/s-2-2"), 200);
+    let others = other_nodes(cluster, leader);
+    assert_eq!(cluster.post(others[0], "/drain/s-2-2"), 200);
     cluster.wait_until_caught_up();
-    cluster.partition(&[vec![leader], rest.clone()]);
-    assert_eq!(cluster.post(leader, "/drain/s-1-1"), 202, "it holds here and waits for a majority");
+    cluster.partition(&[vec![leader], others.clone()]);
+    assert_eq!(cluster.post(leader, "/drain/s-1-1"), 202, "it takes effect here and waits for a majority");
     assert_eq!(cluster.is_draining(leader, "s-1-1"), Some(true));
     assert_eq!(cluster.post(leader, "/undrain/s-2-2"), 503);
     assert_eq!(cluster.is_draining(leader, "s-2-2"), Some(true));
@@ -95,192 +97,198 @@
         "{}",
         cluster.fleet_status(leader)
     );
-    eventually("the others have a leader", || {
-        rest.iter().all(|n| {
+    eventually("the other nodes have a leader", || {
+        others.iter().all(|n| {
             cluster.fleet_field(*n, "leader") != cluster.nodes[leader].name
                 && cluster.fleet_field(*n, "leader") != "none"
         })
     });
-    assert_eq!(cluster.post(rest[1], "/drain/s-1-2"), 200);
-    assert_eq!(cluster.is_draining(rest[2], "s-1-1"), Some(false));
+    assert_eq!(cluster.post(others[1], "/drain/s-1-2"), 200);
+    assert_eq!(cluster.is_draining(others[2], "s-1-1"), Some(false));
     cluster.heal_links();
     cluster.wait_until_caught_up();
     for n in 0..5 {
-        let seen = ["s-1-1", "s-1-2", "s-2-2"].map(|host| cluster.is_draining(n, host));
+        let draining = ["s-1-1", "s-1-2", "s-2-2"].map(|endpoint| cluster.is_draining(n, endpoint));
         assert_eq!(
-            seen,
+            draining,
             [Some(true); 3],
-            "daemon {n}: no drain is lost, and no undrain of a minority counts"
+            "node {n}: no drain is lost, and no undrain of a minority takes effect"
         );
     }
-    holds(cluster, Some(5));
+    assert_histories(cluster, Some(5));
 }
 
-/// Guards against a process that stood still, wakes up and takes itself for the leader.
+/// Guards against a leader process that is suspended, resumes and still acts as the leader.
 #[test]
-fn a_leader_that_stood_still_for_three_seconds_follows_afterwards() {
-    let cluster = &mut five();
-    let load = cluster.start_load(plan(300.0, 2));
+fn a_leader_suspended_for_three_seconds_follows_the_new_leader() {
+    let cluster = &mut start_five_nodes();
+    let load = cluster.start_load(load_profile(300.0, 2));
     let leader = cluster.wait_for_leader();
-    let rest = others(cluster, leader);
+    let others = other_nodes(cluster, leader);
     cluster.pause(leader);
-    eventually("another one leads", || cluster.leader().is_some_and(|n| n != leader));
-    assert_eq!(cluster.post(rest[0], "/drain/s-1-0"), 200);
+    eventually("another node leads", || cluster.leader().is_some_and(|n| n != leader));
+    assert_eq!(cluster.post(others[0], "/drain/s-1-0"), 200);
     thread::sleep(Duration::from_secs(2));
     cluster.resume(leader);
-    let heard = cluster.wait_until_draining(&[leader], "s-1-0");
-    assert!(heard < Duration::from_millis(250), "{heard:?}");
+    let took = cluster.wait_until_draining(&[leader], "s-1-0");
+    assert!(took < Duration::from_millis(250), "{took:?}");
     assert_eq!(cluster.post(leader, "/undrain/s-1-0"), 200);
     cluster.wait_until_caught_up();
-    let asked = load.finish();
-    assert!(check::no_stale_reads(&asked).unwrap() > 100);
-    check::every_request_answered(&asked, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
-    holds(cluster, Some(5));
+    let requests = load.finish();
+    assert!(check::no_stale_reads(&requests).unwrap() > 100);
+    check::every_request_answered(&requests, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
+    assert_histories(cluster, Some(5));
 }
 
-/// Guards against a minority whose inventory or undrain counts, now or after healing, also where the minority has
-/// the leader.
+/// Guards against an inventory or an undrain of a minority that takes effect during the partition or after it, also
+/// where the former leader is in the minority.
 #[test]
-fn what_a_minority_says_beyond_drains_never_counts() {
-    let cluster = &mut five();
+fn only_the_drains_of_a_minority_take_effect() {
+    let cluster = &mut start_five_nodes();
     let leader = cluster.wait_for_leader();
-    let mut rest = others(cluster, leader);
-    let second = rest.remove(0);
+    let mut others = other_nodes(cluster, leader);
+    let second = others.remove(0);
     assert_eq!(cluster.post(second, "/drain/s-1-1"), 200);
     cluster.wait_until_caught_up();
-    let load = cluster.start_load(plan(300.0, 3));
-    cluster.partition(&[vec![leader, second], rest.clone()]);
+    let load = cluster.start_load(load_profile(300.0, 3));
+    cluster.partition(&[vec![leader, second], others.clone()]);
     let inventory = cluster.inventory_csv();
-    let shorter: String =
+    let shortened: String =
         inventory.lines().filter(|l| !l.starts_with("s-2-2")).map(|l| format!("{l}\n")).collect();
-    cluster.write_inventory(second, &shorter);
+    cluster.write_inventory(second, &shortened);
     let (undrained, drained) = thread::scope(|s| {
         let undrained = s.spawn(|| cluster.post(leader, "/undrain/s-1-1"));
         let drained = s.spawn(|| cluster.post(second, "/drain/s-2-1"));
         (undrained.join().unwrap(), drained.join().unwrap())
     });
     assert_eq!((undrained, drained), (503, 202));
-    assert_eq!(cluster.is_draining(leader, "s-2-1"), Some(true), "the two of the minority hear one another");
+    assert_eq!(
+        cluster.is_draining(leader, "s-2-1"),
+        Some(true),
+        "the two nodes of the minority are connected"
+    );
     for n in [leader, second] {
         assert_eq!(cluster.is_draining(n, "s-1-1"), Some(true));
         assert!(
             cluster.is_draining(n, "s-2-2").is_some(),
-            "the inventory that nobody agreed to does not count"
+            "an inventory that is not committed has no effect"
         );
     }
-    // The majority goes on meanwhile, with a newer inventory of its own.
-    assert_eq!(cluster.post(rest[0], "/drain/s-1-2"), 200);
+    // The majority meanwhile commits a newer inventory of its own.
+    assert_eq!(cluster.post(others[0], "/drain/s-1-2"), 200);
     thread::sleep(Duration::from_millis(20));
-    cluster.write_inventory(rest[1], &(inventory.clone() + "s-9-9,127.0.0.1:9,1,z-0,\n"));
-    cluster.wait_until_active(&rest, "s-9-9");
+    cluster.write_inventory(others[1], &(inventory.clone() + "s-9-9,127.0.0.1:9,1,z-0,\n"));
+    cluster.wait_until_active(&others, "s-9-9");
     cluster.heal_links();
     cluster.wait_until_caught_up();
     for n in 0..5 {
         assert!(
             cluster.is_draining(n, "s-9-9").is_some() && cluster.is_draining(n, "s-2-2").is_some(),
-            "daemon {n}"
+            "node {n}"
         );
         assert_eq!(
-            ["s-1-1", "s-1-2", "s-2-1"].map(|h| cluster.is_draining(n, h)),
+            ["s-1-1", "s-1-2", "s-2-1"].map(|endpoint| cluster.is_draining(n, endpoint)),
             [Some(true); 3],
-            "daemon {n}"
+            "node {n}"
         );
     }
     let text = cluster.fleet_status(second);
     assert!(
-        text.contains(&format!("inventory of b{}", rest[1]))
+        text.contains(&format!("inventory of b{}", others[1]))
             && text.contains("its own file adds 0, changes 0, lacks 2"),
         "{text}"
     );
-    let asked = load.finish();
-    assert!(check::no_stale_reads(&asked).unwrap() > 100);
-    check::every_request_answered(&asked, &[], REQUEST_TIMEOUT).unwrap();
-    holds(cluster, Some(5));
+    let requests = load.finish();
+    assert!(check::no_stale_reads(&requests).unwrap() > 100);
+    check::every_request_answered(&requests, &[], REQUEST_TIMEOUT).unwrap();
+    assert_histories(cluster, Some(5));
 }
 
-/// Guards against one that hears and is not heard, and against links that are late and lose messages.
+/// Guards against replication that stalls when links fail in one direction, or when they are slow and lose messages.
 #[test]
-fn one_way_cuts_and_lossy_links_hold_nothing_up_for_long() {
-    let cluster = &mut five();
+fn replication_continues_over_one_way_cuts_and_lossy_links() {
+    let cluster = &mut start_five_nodes();
     let leader = cluster.wait_for_leader();
-    let rest = others(cluster, leader);
-    // The leader is not heard by two: what is agreed must reach them all the same.
-    cluster.cut_one_way(leader, rest[0]);
-    cluster.cut_one_way(leader, rest[1]);
-    assert_eq!(cluster.post(rest[2], "/drain/s-1-1"), 200);
-    // It is agreed, but this one cannot know yet.
-    assert_eq!(cluster.post(rest[0], "/drain/s-1-2"), 202);
+    let others = other_nodes(cluster, leader);
+    // Two nodes receive nothing from the leader: committed changes must still reach them.
+    cluster.cut_one_way(leader, others[0]);
+    cluster.cut_one_way(leader, others[1]);
+    assert_eq!(cluster.post(others[2], "/drain/s-1-1"), 200);
+    // The drain is committed, but this node cannot know that yet.
+    assert_eq!(cluster.post(others[0], "/drain/s-1-2"), 202);
     cluster.wait_until_caught_up();
-    assert_ne!(cluster.wait_for_leader(), leader, "one that all hear leads");
-    let term: u64 = cluster.fleet_field(rest[2], "term").parse().unwrap();
-    assert!(term < 20, "the lead goes round: term {term}");
-    assert_eq!(cluster.post(rest[1], "/undrain/s-1-2"), 200);
+    assert_ne!(cluster.wait_for_leader(), leader, "a node that reaches all others leads");
+    let term: u64 = cluster.fleet_field(others[2], "term").parse().unwrap();
+    assert!(term < 20, "too many elections: term {term}");
+    assert_eq!(cluster.post(others[1], "/undrain/s-1-2"), 200);
     cluster.heal_links();
     cluster.wait_until_caught_up();
     let leader = cluster.wait_for_leader();
     let slow_and_lossy =
         LinkFaults { delay: Duration::from_millis(200), loss_percent: 20, ..LinkFaults::NONE };
-    for n in others(cluster, leader) {
+    for n in other_nodes(cluster, leader) {
         cluster.set_link_faults(leader, n, slow_and_lossy);
     }
-    for host in ["s-2-0", "s-2-1", "s-2-2"] {
-        let n = others(cluster, leader)[0];
-        // Agreed in the end; acting everywhere long before.
-        let status = cluster.post(n, &format!("/drain/{host}"));
+    for endpoint in ["s-2-0", "s-2-1", "s-2-2"] {
+        let n = other_nodes(cluster, leader)[0];
+        // The drain takes effect everywhere long before it is committed.
+        let status = cluster.post(n, &format!("/drain/{endpoint}"));
         assert!(matches!(status, 200 | 202), "{status}");
-        assert_eq!(cluster.is_draining(n, host), Some(true));
+        assert_eq!(cluster.is_draining(n, endpoint), Some(true));
     }
     cluster.heal_links();
     cluster.wait_until_caught_up();
     assert_eq!(cluster.is_draining(leader, "s-2-2"), Some(true));
-    holds(cluster, Some(5));
+    assert_histories(cluster, Some(5));
 }
 
-/// Guards against a drain that two restarts lose, and against all losing their power while changes run.
+/// Guards against a drain that is lost when two nodes restart at once, or when all nodes lose power right after it was
+/// answered.
 #[test]
-fn restarts_at_once_lose_nothing_that_was_answered() {
-    let cluster = &mut five();
+fn simultaneous_restarts_lose_no_acknowledged_drain() {
+    let cluster = &mut start_five_nodes();
     let leader = cluster.wait_for_leader();
-    let rest = others(cluster, leader);
+    let others = other_nodes(cluster, leader);
     let status = thread::scope(|s| {
-        let (at, path) = (cluster.nodes[rest[0]].store_address, "/drain/s-1-1");
-        let call = s.spawn(move || http::call(at, "POST", path).map_or(0, |m| m.status()));
-        cluster.kill(rest[1]);
-        cluster.kill(rest[2]);
-        cluster.start(rest[1]);
-        cluster.start(rest[2]);
+        let (address, path) = (cluster.nodes[others[0]].store_address, "/drain/s-1-1");
+        let call = s.spawn(move || http::call(address, "POST", path).map_or(0, |m| m.status()));
+        cluster.kill(others[1]);
+        cluster.kill(others[2]);
+        cluster.start(others[1]);
+        cluster.start(others[2]);
         call.join().unwrap()
     });
     assert_eq!(status, 200);
     cluster.wait_until_draining(&[0, 1, 2, 3, 4], "s-1-1");
     for round in 0..3 {
-        let hosts = ["s-1-2", "s-2-0", "s-2-1"];
-        let status = cluster.post(round, &format!("/drain/{}", hosts[round]));
-        // The power fails in the moment of the answer.
+        let endpoints = ["s-1-2", "s-2-0", "s-2-1"];
+        let status = cluster.post(round, &format!("/drain/{}", endpoints[round]));
+        // All nodes lose power right after the answer.
         (0..5).for_each(|n| cluster.kill(n));
         assert_eq!(status, 200);
         (0..5).for_each(|n| cluster.start(n));
         (0..5).for_each(|n| cluster.wait_until_ready(n));
         for n in 0..5 {
-            assert_eq!(cluster.is_draining(n, hosts[round]), Some(true), "round {round}, daemon {n}");
+            assert_eq!(cluster.is_draining(n, endpoints[round]), Some(true), "round {round}, node {n}");
         }
     }
     cluster.wait_until_caught_up();
-    holds(cluster, Some(5));
+    assert_histories(cluster, Some(5));
 }
 
-/// Guards against a daemon that comes back without its disk and votes as its old self, or with an older copy.
+/// Guards against a node that restarts without its store, or with an outdated copy of it, and votes under its old
+/// identity.
 #[test]
-fn a_lost_disk_and_an_old_one_make_a_new_daemon_that_learns_first() {
-    let cluster = &mut five();
+fn a_node_with_a_lost_or_outdated_store_rejoins_under_a_new_identity() {
+    let cluster = &mut start_five_nodes();
     let leader = cluster.wait_for_leader();
-    let rest = others(cluster, leader);
-    let (lost, old) = (rest[0], rest[1]);
-    let file = cluster.nodes[old].folder.join("fleet.store");
-    cluster.kill(old);
-    let copy = std::fs::read(&file).unwrap();
-    cluster.start(old);
-    cluster.wait_until_ready(old);
+    let others = other_nodes(cluster, leader);
+    let (lost, outdated) = (others[0], others[1]);
+    let file = cluster.nodes[outdated].folder.join("fleet.store");
+    cluster.kill(outdated);
+    let earlier_copy = std::fs::read(&file).unwrap();
+    cluster.start(outdated);
+    cluster.wait_until_ready(outdated);
     let identity = |cluster: &TestCluster, n: usize| {
         let text = cluster.fleet_status(n);
         text.lines()
@@ -291,7 +299,7 @@
             .unwrap_or("")
             .to_string()
     };
-    let before = [identity(cluster, lost), identity(cluster, old)];
+    let before = [identity(cluster, lost), identity(cluster, outdated)];
     assert_eq!(cluster.post(leader, "/drain/s-1-1"), 200);
     cluster.wait_until_caught_up();
     cluster.kill(lost);
@@ -299,93 +307,99 @@
     cluster.start(lost);
     cluster.wait_until_ready(lost);
     cluster.wait_until_draining(&[lost], "s-1-1");
-    eventually("it votes again, as another one", || {
+    eventually("node votes again, under a new identity", || {
         let text = cluster.fleet_status(leader);
         text.lines().any(|l| {
             l.starts_with(&format!("member b{lost} ")) && l.contains(" voter ") && !l.contains(&before[0])
         })
     });
     assert!(cluster.fleet_status(leader).contains(&format!("removed b{lost} {}", before[0])));
-    // The same file with what was in it earlier, written over in place.
-    cluster.kill(old);
-    std::fs::OpenOptions::new().write(true).truncate(true).open(&file).unwrap().write_all(&copy).unwrap();
-    cluster.start(old);
-    eventually("it is a new one", || {
+    // Earlier contents are written over the file in place, so that its file id stays the same.
+    cluster.kill(outdated);
+    std::fs::OpenOptions::new()
+        .write(true)
+        .truncate(true)
+        .open(&file)
+        .unwrap()
+        .write_all(&earlier_copy)
+        .unwrap();
+    cluster.start(outdated);
+    eventually("node votes under a new identity", || {
         let text = cluster.fleet_status(leader);
         text.lines().any(|l| {
-            l.starts_with(&format!("member b{old} ")) && l.contains(" voter ") && !l.contains(&before[1])
+            l.starts_with(&format!("member b{outdated} ")) && l.contains(" voter ") && !l.contains(&before[1])
         })
     });
-    cluster.wait_until_ready(old);
+    cluster.wait_until_ready(outdated);
     cluster.wait_until_caught_up();
-    assert_eq!(cluster.is_draining(old, "s-1-1"), Some(true));
+    assert_eq!(cluster.is_draining(outdated, "s-1-1"), Some(true));
     let voters = cluster.voter_count(leader);
     assert_eq!(voters, 5);
-    holds(cluster, None);
+    assert_histories(cluster, None);
 }
 
-/// Members come and go one at a time while requests run.
+/// Guards against requests that fail and changes that are lost while members join and leave one at a time.
 #[test]
-fn a_fleet_goes_from_three_to_five_and_back_under_load() {
-    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
+fn a_fleet_grows_from_three_to_five_nodes_and_shrinks_back_under_load() {
+    let cluster = &mut new_cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start_all();
-    let load = cluster.start_load(plan(300.0, 4));
-    let runs = || {
+    let load = cluster.start_load(load_profile(300.0, 4));
+    let wait_for_requests = || {
         let before = load.finished_count();
         eventually("requests run", || load.finished_count() > before + 80);
     };
     for _ in 0..2 {
-        runs();
+        wait_for_requests();
         let n = cluster.add_node(&[0, 1, 2]);
         cluster.start(n);
         cluster.wait_until_ready(n);
-        eventually("it follows", || cluster.fleet_status(0).contains(&format!("member b{n} ")));
+        eventually("the new node is a member", || cluster.fleet_status(0).contains(&format!("member b{n} ")));
         assert!(
             cluster.fleet_status(n).contains(&format!("daemon b{n} "))
                 && cluster.fleet_field(n, "fleet") == cluster.fleet_field(0, "fleet")
         );
         assert_eq!(cluster.post(n, &format!("/fleet/vote/b{n}")), 200);
     }
-    eventually("five vote", || cluster.voter_count(3) == 5);
+    eventually("five nodes vote", || cluster.voter_count(3) == 5);
     assert_eq!(cluster.post(4, "/drain/s-1-1"), 200);
-    // The leader itself goes first, then another one.
+    // Each round removes the current leader.
     for _ in 0..2 {
-        runs();
-        let goes = cluster.wait_for_leader();
-        let stays = cluster.running_nodes().into_iter().find(|n| *n != goes).unwrap();
-        assert_eq!(cluster.post(stays, &format!("/fleet/leave/b{goes}")), 200);
-        eventually("it says so itself", || {
-            cluster.fleet_status(goes).lines().any(|l| l.starts_with("daemon ") && l.ends_with(" removed"))
+        wait_for_requests();
+        let leaving = cluster.wait_for_leader();
+        let remaining = cluster.running_nodes().into_iter().find(|n| *n != leaving).unwrap();
+        assert_eq!(cluster.post(remaining, &format!("/fleet/leave/b{leaving}")), 200);
+        eventually("the removed node reports its removal", || {
+            cluster.fleet_status(leaving).lines().any(|l| l.starts_with("daemon ") && l.ends_with(" removed"))
         });
-        assert_eq!(cluster.post(goes, "/drain/s-2-2"), 409);
-        assert_eq!(cluster.is_draining(goes, "s-1-1"), Some(true), "it serves with what it last knew");
-        cluster.kill(goes);
+        assert_eq!(cluster.post(leaving, "/drain/s-2-2"), 409);
+        assert_eq!(cluster.is_draining(leaving, "s-1-1"), Some(true), "it serves with its last known state");
+        cluster.kill(leaving);
     }
-    let stays = cluster.running_nodes();
-    assert_eq!(stays.len(), 3);
-    let voters = cluster.voter_count(stays[0]);
+    let remaining = cluster.running_nodes();
+    assert_eq!(remaining.len(), 3);
+    let voters = cluster.voter_count(remaining[0]);
     assert_eq!(voters, 3);
-    assert_eq!(cluster.post(stays[0], "/undrain/s-1-1"), 200);
+    assert_eq!(cluster.post(remaining[0], "/undrain/s-1-1"), 200);
     cluster.wait_until_caught_up();
-    runs();
-    let asked = load.finish();
-    assert!(check::no_stale_reads(&asked).unwrap() > 100);
-    check::every_request_answered(&asked, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
-    holds(cluster, None);
+    wait_for_requests();
+    let requests = load.finish();
+    assert!(check::no_stale_reads(&requests).unwrap() > 100);
+    check::every_request_answered(&requests, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
+    assert_histories(cluster, None);
 }
 
-/// Guards against an order of changes, a lease or an election that trusts clocks.
+/// Guards against an order of changes, a lease or an election that depends on the clocks of different nodes.
 #[test]
-fn clocks_that_differ_by_five_seconds_change_nothing_in_what_is_agreed() {
-    let cluster = &mut cluster(ClusterConfig {
+fn clock_offsets_of_five_seconds_do_not_affect_committed_changes() {
+    let cluster = &mut new_cluster(ClusterConfig {
         clock_offsets: [5_000, 0, -5_000, 0, 2_500].map(ClockOffset::from_millis).to_vec(),
         ..ClusterConfig::default()
     });
     cluster.start_all();
-    for (n, host) in [(0, "s-1-0"), (2, "s-1-1"), (4, "s-1-2")] {
-        assert_eq!(cluster.post(n, &format!("/drain/{host}")), 200);
+    for (n, endpoint) in [(0, "s-1-0"), (2, "s-1-1"), (4, "s-1-2")] {
+        assert_eq!(cluster.post(n, &format!("/drain/{endpoint}")), 200);
     }
-    // The one whose clock is behind undoes what the one whose clock is ahead has said.
+    // A node whose clock is behind undoes a drain of a node whose clock is ahead.
     assert_eq!(cluster.post(2, "/undrain/s-1-0"), 200);
     let leader = cluster.wait_for_leader();
     cluster.kill(leader);
@@ -396,26 +410,28 @@
     cluster.wait_until_ready(leader);
     cluster.wait_until_caught_up();
     for n in 0..5 {
-        let seen = ["s-1-0", "s-1-1", "s-1-2", "s-2-0"].map(|h| cluster.is_draining(n, h));
-        assert_eq!(seen, [Some(false), Some(true), Some(true), Some(true)], "daemon {n}");
+        let draining = ["s-1-0", "s-1-1", "s-1-2", "s-2-0"].map(|endpoint| cluster.is_draining(n, endpoint));
+        assert_eq!(draining, [Some(false), Some(true), Some(true), Some(true)], "node {n}");
     }
-    holds(cluster, Some(5));
+    assert_histories(cluster, Some(5));
 }
 
-/// Guards against two fleets out of one, and against a daemon that acts on what nobody agreed to.
+/// Guards against two fleets that form from one set of nodes, and against a node that serves before a fleet is formed.
 #[test]
-fn a_fleet_forms_when_all_have_answered_or_an_operator_says_so() {
-    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
+fn a_fleet_forms_only_once_all_peers_answer_or_an_operator_requests_it() {
+    let cluster = &mut new_cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start(0);
     cluster.start(1);
-    eventually("it says what it waits for", || cluster.fleet_status(0).contains("waits for an answer of"));
+    eventually("node reports what it waits for", || {
+        cluster.fleet_status(0).contains("waits for an answer of")
+    });
     assert!(cluster.fleet_status(0).contains("serves nothing"));
-    assert_eq!(cluster.post(0, "/drain/s-1-1"), 404, "it knows no host yet");
-    // Nothing is served yet, and whoever asks is told so at once, with a time to come back.
-    let front = cluster.nodes[0].process().wait_for_address(log_lines::SPARQL_LISTENING);
+    assert_eq!(cluster.post(0, "/drain/s-1-1"), 404, "the node knows no endpoint yet");
+    // Nothing is served yet: clients get a 503 at once, with a Retry-After header outside the readiness check.
+    let sparql_address = cluster.nodes[0].process().wait_for_address(log_lines::SPARQL_LISTENING);
     for path in ["/-/ready", "/sparql?query=ASK%20%7B%7D"] {
-        let early = brookpass_testkit::http::call(front, "GET", path).unwrap();
-        assert_eq!((early.status(), early.header("retry-after").is_some()), (503, path != "/-/ready"));
+        let answer = brookpass_testkit::http::call(sparql_address, "GET", path).unwrap();
+        assert_eq!((answer.status(), answer.header("retry-after").is_some()), (503, path != "/-/ready"));
     }
     assert_eq!(cluster.post(0, "/fleet/form"), 200);
     cluster.wait_until_ready(0);
@@ -425,25 +441,25 @@
     cluster.wait_until_caught_up();
     assert_eq!(cluster.fleet_field(2, "fleet"), cluster.fleet_field(0, "fleet"));
     assert_eq!(cluster.post(2, "/fleet/form"), 409);
-    // Whoever was not there when it was formed follows, until an operator gives it a vote.
+    // A node that was down when the fleet formed joins as a follower until an operator gives it a vote.
     assert!(
         cluster.fleet_status(0).lines().any(|l| l.starts_with("member b2 ") && l.contains(" follower ")),
         "{}",
         cluster.fleet_status(0)
     );
-    holds(cluster, None);
+    assert_histories(cluster, None);
 }
 
-/// Guards against a daemon that strangers' bytes stop, or that loses what it has over them.
+/// Guards against a node that stops or loses state when it receives malformed frames.
 #[test]
-fn bytes_out_of_form_are_dropped_and_counted() {
-    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
+fn malformed_frames_are_dropped_and_counted() {
+    let cluster = &mut new_cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start_all();
-    let at = cluster.nodes[0].store_address;
+    let address = cluster.nodes[0].store_address;
     let upgrade = "POST /fleet/link HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: brookpass-fleet/1\r\nContent-Length: 0\r\n\r\n";
-    let mut rng = fastrand_bytes(7);
+    let mut next_byte = random_bytes(7);
     for round in 0..60 {
-        let mut stream = TcpStream::connect(at).unwrap();
+        let mut stream = TcpStream::connect(address).unwrap();
         stream.write_all(upgrade.as_bytes()).unwrap();
         let mut head = [0; 12];
         stream.read_exact(&mut head).unwrap();
@@ -452,70 +468,78 @@
             1 => 40,
             _ => 0,
         };
-        let noise: Vec<u8> = (0..44).map(|_| rng()).collect();
+        let noise: Vec<u8> = (0..44).map(|_| next_byte()).collect();
         let _ = stream.write_all(&[&length.to_be_bytes()[..], &noise].concat());
-        let mut rest = Vec::new();
+        let mut remainder = Vec::new();
         let _ = stream.set_read_timeout(Some(Duration::from_secs(5)));
-        let _ = stream.read_to_end(&mut rest);
+        let _ = stream.read_to_end(&mut remainder);
     }
     let dropped: u64 = cluster.fleet_field(0, "frames").parse().unwrap();
     assert!(dropped >= 60, "{dropped}");
     assert_eq!(cluster.post(0, "/drain/s-1-1"), 200);
     cluster.wait_until_caught_up();
     assert_eq!(cluster.fleet_field(0, "panics"), "0");
-    holds(cluster, Some(3));
+    assert_histories(cluster, Some(3));
 }
 
-/// A little noise by seed.
-fn fastrand_bytes(seed: u64) -> impl FnMut() -> u8 {
-    let mut x = seed;
+/// Returns a generator of pseudorandom bytes, reproducible by seed.
+fn random_bytes(seed: u64) -> impl FnMut() -> u8 {
+    let mut state = seed;
     move || {
-        x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (x >> 56) as u8
+        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (state >> 56) as u8
     }
 }
 
-/// Guards against one slow daemon that holds the others up, or for which they hold ever more.
+/// Guards against one slow node that delays its peers, or for which they buffer without bound.
 #[test]
-fn a_slow_daemon_makes_nobody_else_slow_and_catches_up() {
-    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
+fn a_slow_node_does_not_delay_its_peers_and_catches_up() {
+    let cluster = &mut new_cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start_all();
     let leader = cluster.wait_for_leader();
-    let rest = others(cluster, leader);
-    let (slow, other) = (rest[0], rest[1]);
+    let others = other_nodes(cluster, leader);
+    let (slow, other) = (others[0], others[1]);
     cluster.set_node_faults(slow, LinkFaults { bytes_per_second: 2_000, ..LinkFaults::NONE });
     for round in 0..150 {
-        let host = ["s-1-0", "s-1-1", "s-2-2"][round % 3];
-        let began = std::time::Instant::now();
-        assert_eq!(cluster.post(other, &format!("/drain/{host}")), 200);
-        assert_eq!(cluster.is_draining(leader, host), Some(true));
-        assert!(began.elapsed() < Duration::from_millis(1_000), "round {round}: {:?}", began.elapsed());
-        assert_eq!(cluster.post(leader, &format!("/undrain/{host}")), 200);
+        let endpoint = ["s-1-0", "s-1-1", "s-2-2"][round % 3];
+        let started_at = std::time::Instant::now();
+        assert_eq!(cluster.post(other, &format!("/drain/{endpoint}")), 200);
+        assert_eq!(cluster.is_draining(leader, endpoint), Some(true));
+        assert!(
+            started_at.elapsed() < Duration::from_millis(1_000),
+            "round {round}: {:?}",
+            started_at.elapsed()
+        );
+        assert_eq!(cluster.post(leader, &format!("/undrain/{endpoint}")), 200);
     }
     for n in [leader, other] {
         let memory = cluster.nodes[n].process().resource_usage().memory_kib;
-        assert!(memory < 64 * 1024, "daemon {n} holds {memory} KiB");
+        assert!(memory < 64 * 1024, "node {n} holds {memory} KiB");
     }
     assert_eq!(cluster.post(leader, "/drain/s-1-1"), 200);
     cluster.heal_links();
     cluster.wait_until_draining(&[slow], "s-1-1");
     cluster.wait_until_caught_up();
-    holds(cluster, Some(3));
+    assert_histories(cluster, Some(3));
 }
 
-/// Guards against a change that goes into the log in the midst of another one's step.
+/// Guards against a change that is lost, or panics a node, when it is proposed while another one is being processed.
 #[test]
-fn changes_side_by_side_are_all_agreed() {
-    let cluster = &mut cluster(ClusterConfig { nodes: 3, groups: 8, ..ClusterConfig::default() });
+fn concurrent_changes_are_all_committed() {
+    let cluster = &mut new_cluster(ClusterConfig { nodes: 3, groups: 8, ..ClusterConfig::default() });
     cluster.start_all();
     thread::scope(|s| {
         for group in 1..=8 {
-            let at = cluster.nodes[group % 3].store_address;
+            let address = cluster.nodes[group % 3].store_address;
             s.spawn(move || {
                 for round in 0..12 {
-                    for word in ["drain", "undrain"] {
-                        let path = format!("/{word}/s-{group}-{}", round % 3);
-                        assert_eq!(http::call(at, "POST", &path).map(|m| m.status()), Some(200), "{path}");
+                    for action in ["drain", "undrain"] {
+                        let path = format!("/{action}/s-{group}-{}", round % 3);
+                        assert_eq!(
+                            http::call(address, "POST", &path).map(|m| m.status()),
+                            Some(200),
+                            "{path}"
+                        );
                     }
                 }
             });
@@ -523,63 +547,64 @@
     });
     cluster.wait_until_caught_up();
     for n in 0..3 {
-        assert_eq!(cluster.fleet_field(n, "panics"), "0", "daemon {n}");
-        assert!(!cluster.fleet_status(n).contains("\ndrain "), "daemon {n}");
+        assert_eq!(cluster.fleet_field(n, "panics"), "0", "node {n}");
+        assert!(!cluster.fleet_status(n).contains("\ndrain "), "node {n}");
     }
-    holds(cluster, Some(3));
+    assert_histories(cluster, Some(3));
 }
 
-/// Guards against daemons that each find a new primary by themselves, with a write that has to fail first.
+/// Guards against each node having to discover a new primary by itself through a failed write.
 #[test]
-fn what_one_daemon_hears_of_a_primary_the_others_know() {
-    let cluster = &mut cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
+fn a_primary_discovered_by_one_node_is_known_to_its_peers() {
+    let cluster = &mut new_cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start_all();
     let learned = |cluster: &TestCluster, n: usize| {
         http::call(cluster.nodes[n].store_address, "GET", "/fleet/learned").unwrap().text()
     };
-    // The hub hears of it only through the one between them.
+    // With the direct link cut, node 2 learns of the primary only through node 1.
     cluster.cut_one_way(0, 2);
     let primaries = ["s-1-0", "s-1-2", "s-1-1"];
-    for (round, host) in primaries.into_iter().enumerate() {
-        cluster.endpoints.promote(1, host);
-        let number = 1_000_000 + 10 * round as u64;
-        assert_eq!(cluster.write(0, 1, number), 200);
+    for (round, endpoint) in primaries.into_iter().enumerate() {
+        cluster.endpoints.promote(1, endpoint);
+        let request_id = 1_000_000 + 10 * round as u64;
+        assert_eq!(cluster.write(0, 1, request_id), 200);
         for n in [1, 2] {
-            let words = format!("group 1 primary {host} heard by b0");
-            eventually("the others know", || learned(cluster, n).contains(&words));
+            let expected = format!("group 1 primary {endpoint} heard by b0");
+            eventually("the peers know the primary", || learned(cluster, n).contains(&expected));
         }
         for n in [2, 1] {
-            let number = number + n as u64;
-            assert_eq!(cluster.write(n, 1, number), 200);
-            assert_eq!(cluster.endpoints_reached(number), [host], "daemon {n} asked nobody else");
+            let request_id = request_id + n as u64;
+            assert_eq!(cluster.write(n, 1, request_id), 200);
+            assert_eq!(cluster.endpoints_reached(request_id), [endpoint], "node {n} tried no other endpoint");
         }
     }
     let text = learned(cluster, 2);
     assert!(text.lines().any(|l| l.starts_with("s-1-1 b0 primary ")), "{text}");
-    holds(cluster, Some(3));
+    assert_histories(cluster, Some(3));
 }
 
-/// Plays faults by seed with a load beside them, and reads the histories.
-fn play(seed: u64) {
-    let cluster = &mut five();
+/// Runs the random faults of a seed under load and checks the recorded histories.
+fn run_seed(seed: u64) {
+    let cluster = &mut start_five_nodes();
     let endpoints = cluster.endpoints.names();
-    let load = cluster.start_load(plan(250.0, seed));
+    let load = cluster.start_load(load_profile(250.0, seed));
     let schedule = FaultSchedule::of_nodes(seed, 5, &endpoints, Duration::from_secs(5));
     let calls = cluster.run_schedule(&schedule);
     let running = cluster.running_nodes();
     assert_eq!(running.len(), 5, "seed {seed}");
     running.iter().for_each(|n| cluster.wait_until_ready(*n));
     cluster.wait_until_caught_up();
-    let asked = load.finish();
-    let faulty = |why: String| -> ! { panic!("seed {seed}: {why}\n{schedule:#?}") };
-    let violated = |error: CheckError| -> ! { faulty(error.to_string()) };
+    let requests = load.finish();
+    let fail = |why: String| -> ! { panic!("seed {seed}: {why}\n{schedule:#?}") };
+    let violated = |error: CheckError| -> ! { fail(error.to_string()) };
     check::same_committed_sequence(&cluster.logs(), Some(5)).unwrap_or_else(|e| violated(e));
-    check::no_stale_reads(&asked).unwrap_or_else(|e| violated(e));
-    check::every_request_answered(&asked, &cluster.downtimes, REQUEST_TIMEOUT)
+    check::no_stale_reads(&requests).unwrap_or_else(|e| violated(e));
+    check::every_request_answered(&requests, &cluster.downtimes, REQUEST_TIMEOUT)
         .unwrap_or_else(|e| violated(e));
     let arrivals: Vec<Arrival> = cluster.endpoints.arrivals();
     check::no_overlapping_attempts(&arrivals).unwrap_or_else(|e| violated(e));
-    // A drain that was answered stands, unless an undrain was said after it, or beside it.
+    // An acknowledged drain stays in effect unless an undrain was called after it or up to 5 s before it, when the two
+    // calls may have overlapped.
     for call in &calls {
         let FaultAction::Drain { endpoint, .. } = &call.action else { continue };
         let undone = calls.iter().any(|other| {
@@ -590,18 +615,18 @@
         if matches!(status, 200 | 202) && !undone {
             for n in 0..5 {
                 if cluster.is_draining(n, endpoint) != Some(true) {
-                    faulty(format!("the drain of {endpoint}, answered {status}, is lost at node {n}"));
+                    fail(format!("the drain of {endpoint}, answered {status}, is lost at node {n}"));
                 }
             }
         }
     }
 }
 
-/// Random faults by seed; `LAB_SEEDS=100..300` plays others.
+/// `LAB_SEEDS=100..300` runs other seeds.
 #[test]
-fn random_faults_by_seed() {
+fn invariants_hold_under_random_faults() {
     for seed in seed_range("0..3") {
-        play(seed);
+        run_seed(seed);
         println!("seed {seed} holds");
     }
 }
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -1,5 +1,5 @@
-//! Daemons of this build in a fleet with daemons of commit 029518c. The old program cannot run here, so a stand-in that
-//! declares that commit's messages by itself takes its part (tests/old_node).
+//! Nodes of this build in a fleet with nodes of commit 029518c. The old program cannot run here, so a stand-in with its
+//! own declarations of that commit's messages replaces it (tests/old_node).
 
 mod old_node;
 
@@ -12,8 +12,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Nobody listens there.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
+/// An address without a listener: the target of a relay until its node has started.
+const UNUSED_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 9);
 
 fn folder(test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("mixed-{test}-{}", std::process::id()));
@@ -22,7 +22,7 @@
     folder
 }
 
-/// A daemon of this build, reached by the others through a relay, so that its address is known before it runs.
+/// A node of this build. Its peers reach it through a relay, so that its address is known before it starts.
 struct NewNode {
     process: Process,
     store: SocketAddr,
@@ -62,7 +62,7 @@
     }
 
     fn wait_for_voters(&self, voters: usize) {
-        eventually("all daemons vote", || {
+        eventually("all nodes vote", || {
             self.get("/fleet")
                 .lines()
                 .filter(|line| line.starts_with("member ") && line.contains(" voter"))
@@ -72,11 +72,11 @@
     }
 
     fn wait_for_inventory(&self) {
-        eventually("the inventory is agreed", || self.get("/hosts").lines().count() == 3);
+        eventually("the inventory is committed", || self.get("/hosts").lines().count() == 3);
     }
 
     fn wait_for_drain(&self, host: &str) {
-        eventually("the host is drained", || {
+        eventually("the endpoint is drained", || {
             self.get("/hosts")
                 .lines()
                 .any(|line| line.starts_with(&format!("{host} ")) && line.contains(" leaving "))
@@ -84,49 +84,52 @@
     }
 }
 
-/// Guards against a change of the messages or of the log that daemons of the version before cannot read: the new
-/// daemon leads here, and has no majority without them.
+/// Guards against a change of the messages or of the log that nodes of the earlier version cannot read: the new node
+/// leads here and has no majority without them.
 #[test]
-fn one_new_daemon_and_two_old_ones_agree_on_drains() {
+fn one_new_node_and_two_old_nodes_agree_on_drains() {
     let folder = folder("two-old");
     let old = [OldNode::start(0x0b1, "b1"), OldNode::start(0x0b2, "b2")];
-    let relay = Relay::start(NOWHERE, RelayProtocol::Bytes);
+    let relay = Relay::start(UNUSED_ADDRESS, RelayProtocol::Bytes);
     let new = NewNode::start(&folder, 0, &relay, &[old[0].address, old[1].address]);
     old.iter().for_each(|node| node.link_to(relay.address));
     new.wait_for_voters(3);
     new.wait_for_inventory();
-    old.iter().for_each(OldNode::wait_until_it_follows);
-    assert_eq!(new.post("/drain/s-1"), 200, "agreed by a majority");
-    let marks = old.each_ref().map(|node| node.agreed_drain("s-1"));
-    assert_eq!(marks[0], marks[1]);
+    old.iter().for_each(OldNode::wait_until_following);
+    assert_eq!(new.post("/drain/s-1"), 200, "committed by a majority");
+    let drain_ids = old.each_ref().map(|node| node.committed_drain("s-1"));
+    assert_eq!(drain_ids[0], drain_ids[1]);
     assert!(new.get("/fleet").lines().any(|line| line == "drain s-1"));
-    let mark = old[0].drain("s-2", 7);
-    assert_eq!(old.each_ref().map(|node| node.agreed_drain("s-2")), [mark; 2]);
+    let drain_id = old[0].drain("s-2", 7);
+    assert_eq!(old.each_ref().map(|node| node.committed_drain("s-2")), [drain_id; 2]);
     new.wait_for_drain("s-2");
 }
 
-/// Guards against the reverse: an old daemon's drain that new ones do not take in, and a vote of its that does not count.
+/// Guards against new nodes that do not accept an old node's drains, or do not count its votes and acknowledgements.
 #[test]
-fn two_new_daemons_and_an_old_one_agree_on_drains_and_on_a_leader() {
+fn two_new_nodes_and_an_old_node_agree_on_drains_and_on_a_leader() {
     let folder = folder("one-old");
     let old = OldNode::start(0x0b2, "b2");
-    let relays = [Relay::start(NOWHERE, RelayProtocol::Bytes), Relay::start(NOWHERE, RelayProtocol::Bytes)];
+    let relays = [
+        Relay::start(UNUSED_ADDRESS, RelayProtocol::Bytes),
+        Relay::start(UNUSED_ADDRESS, RelayProtocol::Bytes),
+    ];
     let start = |n: usize| NewNode::start(&folder, n, &relays[n], &[relays[1 - n].address, old.address]);
     let mut new = [start(0), start(1)];
     relays.iter().for_each(|relay| old.link_to(relay.address));
     new.iter().for_each(|node| node.wait_for_voters(3));
     new.iter().for_each(NewNode::wait_for_inventory);
-    old.wait_until_it_follows();
-    assert_eq!(new[1].post("/drain/s-1"), 200, "agreed by a majority");
-    let mark = old.agreed_drain("s-1");
-    assert_ne!(mark.by, old.id);
-    let mark = old.drain("s-2", 7);
-    assert_eq!(old.agreed_drain("s-2"), mark);
+    old.wait_until_following();
+    assert_eq!(new[1].post("/drain/s-1"), 200, "committed by a majority");
+    let drain_id = old.committed_drain("s-1");
+    assert_ne!(drain_id.node, old.id);
+    let drain_id = old.drain("s-2", 7);
+    assert_eq!(old.committed_drain("s-2"), drain_id);
     new.iter().for_each(|node| node.wait_for_drain("s-2"));
-    // The other new daemon needs the old one's vote now, and its word that an entry is on its disk.
-    let votes = old.votes();
+    // The remaining new node now needs the old node's vote, and its acknowledgement that it has stored an entry.
+    let votes_before = old.votes();
     new[0].process.kill();
-    assert_eq!(new[1].post("/drain/s-3"), 200, "agreed by the two that are left");
-    old.agreed_drain("s-3");
-    assert!(old.votes() > votes, "it was asked for its vote");
+    assert_eq!(new[1].post("/drain/s-3"), 200, "committed by the two remaining nodes");
+    old.committed_drain("s-3");
+    assert!(old.votes() > votes_before, "the old node was asked for its vote");
 }
--- a/tests/old_node/mod.rs
+++ b/tests/old_node/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a daemon of commit 029518c in a fleet: it meets others, follows their log and votes, with the messages
-//! of that commit only. It never stands for election, so that whatever is agreed was led by the program under test.
+//! A stand-in for a node of commit 029518c in a fleet: it connects to its peers, replicates their log and votes, using
+//! only the messages of that commit. It never starts an election, so that the leader is always the program under test.
 
 pub mod wire;
 
@@ -12,96 +12,96 @@
 use std::time::Duration;
 use wire::*;
 
-/// Between two rounds in which the stand-in sends what it has to say.
-const ROUND: Duration = Duration::from_millis(20);
-/// Rounds between two heartbeats.
-const HEARTBEAT_ROUNDS: u32 = 10;
+/// Time between two rounds of sending queued messages.
+const SEND_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of send rounds from one heartbeat to the next.
+const HEARTBEAT_INTERVAL_ROUNDS: u32 = 10;
 
-/// What the stand-in keeps, and what it has been told.
+/// The stand-in's Raft state and its pending drains and messages.
 #[derive(Default)]
 struct State {
     fleet: u128,
     term: u64,
     leader: u64,
     committed: u64,
-    /// The last entry of the snapshot that the log begins after: its index and term.
+    /// Index and term of the last entry in the snapshot; the log begins after it.
     snapshot: (u64, u64),
     log: BTreeMap<u64, LogEntry>,
-    /// Drains that were said and not agreed, as others sent them.
-    drains: Vec<(String, DrainMark)>,
+    /// Drains accepted by this node, in the form in which they are sent to peers. They are kept after their commit.
+    drains: Vec<(String, DrainId)>,
     votes: u32,
-    /// Messages that wait for each peer.
+    /// Encoded messages that wait to be sent, by peer.
     outgoing: BTreeMap<u64, Vec<Vec<u8>>>,
 }
 
 impl State {
-    fn last(&self) -> (u64, u64) {
+    fn last_entry(&self) -> (u64, u64) {
         self.log.last_key_value().map_or(self.snapshot, |(index, entry)| (*index, entry.term))
     }
 }
 
-/// The stand-in. It runs until the test's process ends.
+/// Handle of a stand-in, which runs until the test process ends.
 #[derive(Clone)]
 pub struct OldNode {
     pub id: u64,
     pub name: String,
-    /// Where the others reach it.
+    /// Address at which peers reach it.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
 
 impl OldNode {
-    /// Listens at a free port.
+    /// Starts a stand-in that listens on a free port.
     pub fn start(id: u64, name: &str) -> OldNode {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let node = OldNode { id, name: name.into(), address, state: Arc::default() };
-        let own = node.clone();
+        let node_clone = node.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let own = own.clone();
-                thread::spawn(move || own.serve(stream));
+                let node_clone = node_clone.clone();
+                thread::spawn(move || node_clone.serve(stream));
             }
         });
         node
     }
 
-    /// Opens a link to a daemon, again whenever it breaks.
+    /// Opens a link to a peer and reopens it whenever it breaks.
     pub fn link_to(&self, peer: SocketAddr) {
-        let own = self.clone();
+        let node_clone = self.clone();
         thread::spawn(move || {
             loop {
-                let _ = own.send_to(peer);
-                thread::sleep(ROUND);
+                let _ = node_clone.send_to(peer);
+                thread::sleep(SEND_INTERVAL);
             }
         });
     }
 
-    /// Says that a host is drained, as an operator's call at this daemon did.
-    pub fn drain(&self, host: &str, number: u64) -> DrainMark {
-        let mark = DrainMark { by: self.id, number };
-        self.state().drains.push((host.into(), mark));
-        mark
+    /// Drains an endpoint, as an operator's call to this node would.
+    pub fn drain(&self, endpoint: &str, sequence: u64) -> DrainId {
+        let drain = DrainId { node: self.id, sequence };
+        self.state().drains.push((endpoint.into(), drain));
+        drain
     }
 
-    /// Votes that it has given to candidates.
+    /// Number of votes that it has granted to candidates.
     pub fn votes(&self) -> u32 {
         self.state().votes
     }
 
-    /// Waits until it has taken in what was agreed up to now: what comes later reaches it as entries of the log.
-    pub fn wait_until_it_follows(&self) {
-        eventually("an old daemon follows the log", || self.state().committed > 0);
+    /// Waits until it has received committed entries or a snapshot; later changes reach it as log entries.
+    pub fn wait_until_following(&self) {
+        eventually("the old node follows the log", || self.state().committed > 0);
     }
 
-    /// Waits until the log that is agreed has a drain of this host; the drain's mark.
-    pub fn agreed_drain(&self, host: &str) -> DrainMark {
+    /// Waits until the committed log has a drain of this endpoint and returns the id of the drain.
+    pub fn committed_drain(&self, endpoint: &str) -> DrainId {
         let mut found = None;
-        eventually("an old daemon's log has the drain as agreed", || {
+        eventually("the old node has committed the drain", || {
             let state = self.state();
-            let agreed = state.log.range(..=state.committed).map(|(_, entry)| entry);
-            found = agreed.filter_map(proposal).find_map(|proposal| match proposal.change {
-                Change::Drain { host: drained, mark } if drained == host => Some(mark),
+            let committed = state.log.range(..=state.committed).map(|(_, entry)| entry);
+            found = committed.filter_map(decode_proposal).find_map(|proposal| match proposal.change {
+                Change::Drain { host: drained, drain } if drained == endpoint => Some(drain),
                 _ => None,
             });
             found.is_some()
@@ -115,15 +115,15 @@
 
     fn hello(&self) -> Hello {
         let state = self.state();
-        let (index, term) = state.last();
-        let witness = (1, state.term, (term, index));
-        Hello { fleet: state.fleet, id: self.id, name: self.name.clone(), address: self.address, witness }
+        let (index, term) = state.last_entry();
+        let progress = (1, state.term, (term, index));
+        Hello { fleet: state.fleet, id: self.id, name: self.name.clone(), address: self.address, progress }
     }
 
-    /// What a daemon of that commit says now and then.
+    /// The heartbeat that a node of that commit sends periodically.
     fn heartbeat(&self, peer: u64) -> Vec<u8> {
         let state = self.state();
-        let (index, term) = state.last();
+        let (index, term) = state.last_entry();
         let heartbeat = Heartbeat {
             leader: state.leader,
             term: state.term,
@@ -131,13 +131,13 @@
             participates: true,
             committed: state.committed,
             applied: (state.committed, 0),
-            hears: vec![peer],
+            reachable_peers: vec![peer],
             ..Heartbeat::default()
         };
-        message(HEARTBEAT, &heartbeat)
+        encode_message(HEARTBEAT, &heartbeat)
     }
 
-    /// Meets a daemon and sends it what there is to say, until the link breaks.
+    /// Connects to a peer, exchanges hellos and sends it messages until the link breaks.
     fn send_to(&self, peer: SocketAddr) -> std::io::Result<()> {
         let mut stream = TcpStream::connect(peer)?;
         let head = format!(
@@ -146,27 +146,27 @@
         stream.write_all(head.as_bytes())?;
         let answer = read_head(&mut stream)?;
         assert!(answer.starts_with("HTTP/1.1 101 "), "{answer}");
-        stream.write_all(&message(HELLO, &self.hello()))?;
+        stream.write_all(&encode_message(HELLO, &self.hello()))?;
         let (variant, body) = read_message(&mut stream)?;
         assert_eq!(variant, VERDICT);
-        let (verdict, other): (Verdict, Hello) = fields(&body);
+        let (verdict, peer_hello): (Verdict, Hello) = decode_fields(&body);
         assert!(matches!(verdict, Verdict::Welcome | Verdict::Candidate(_)), "{verdict:?}");
         for round in 0.. {
-            let mut due = self.state().outgoing.remove(&other.id).unwrap_or_default();
-            if round % HEARTBEAT_ROUNDS == 0 {
-                due.push(self.heartbeat(other.id));
+            let mut messages = self.state().outgoing.remove(&peer_hello.id).unwrap_or_default();
+            if round % HEARTBEAT_INTERVAL_ROUNDS == 0 {
+                messages.push(self.heartbeat(peer_hello.id));
                 let drains = self.state().drains.clone();
                 if !drains.is_empty() {
-                    due.push(message(DRAINS, &drains));
+                    messages.push(encode_message(DRAINS, &drains));
                 }
             }
-            stream.write_all(&due.concat())?;
-            thread::sleep(ROUND);
+            stream.write_all(&messages.concat())?;
+            thread::sleep(SEND_INTERVAL);
         }
         Ok(())
     }
 
-    /// Serves the link of another daemon until it breaks.
+    /// Serves a link that a peer opened until it breaks.
     fn serve(&self, mut stream: TcpStream) {
         let _ = self.receive(&mut stream);
     }
@@ -179,29 +179,29 @@
             .write_all(b"HTTP/1.1 101 Other\r\nConnection: Upgrade\r\nUpgrade: brookpass-fleet/1\r\n\r\n")?;
         let (variant, body) = read_message(stream)?;
         assert_eq!(variant, HELLO);
-        let other: Hello = fields(&body);
-        stream.write_all(&message(VERDICT, &(Verdict::Welcome, self.hello())))?;
+        let peer_hello: Hello = decode_fields(&body);
+        stream.write_all(&encode_message(VERDICT, &(Verdict::Welcome, self.hello())))?;
         loop {
             let (variant, body) = read_message(stream)?;
             match variant {
                 RAFT => {
-                    for raft_message in fields::<Vec<RaftMessage>>(&body) {
-                        self.handle(other.fleet, raft_message);
+                    for raft_message in decode_fields::<Vec<RaftMessage>>(&body) {
+                        self.handle(peer_hello.fleet, raft_message);
                     }
                 }
                 HEARTBEAT => {
-                    let heartbeat: Heartbeat = fields(&body);
+                    let heartbeat: Heartbeat = decode_fields(&body);
                     assert!(heartbeat.committed >= heartbeat.applied.0, "{heartbeat:?}");
                 }
                 DRAINS => {
-                    fields::<Vec<(String, DrainMark)>>(&body);
+                    decode_fields::<Vec<(String, DrainId)>>(&body);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Takes part in the consensus as a follower that holds no doubts: its log is always what the leader says.
+    /// Handles a Raft message as a follower that grants every vote and always accepts the leader's log.
     fn handle(&self, fleet: u128, received: RaftMessage) {
         let mut state = self.state();
         if received.term < state.term {
@@ -223,7 +223,7 @@
             }
             _ => return,
         }
-        let bytes = message(RAFT, &vec![answer.clone()]);
+        let bytes = encode_message(RAFT, &vec![answer.clone()]);
         state.outgoing.entry(answer.to).or_default().push(bytes);
     }
 
@@ -234,7 +234,7 @@
                 answer.context = received.context;
             }
             SNAPSHOT => {
-                let snapshot = received.snapshot.expect("a snapshot has its state");
+                let snapshot = received.snapshot.expect("a snapshot message carries a snapshot");
                 state.log.clear();
                 state.snapshot = (snapshot.index, snapshot.term);
                 state.committed = snapshot.index;
@@ -242,9 +242,9 @@
             }
             _ => {
                 answer.kind = APPEND_RESPONSE;
-                let last = state.last().0;
-                if received.index > last {
-                    (answer.reject, answer.index, answer.reject_hint) = (true, received.index, last);
+                let last_index = state.last_entry().0;
+                if received.index > last_index {
+                    (answer.reject, answer.index, answer.reject_hint) = (true, received.index, last_index);
                     return;
                 }
                 answer.index = received.entries.last().map_or(received.index, |entry| entry.index);
@@ -254,12 +254,12 @@
                 }
             }
         }
-        state.committed = state.committed.max(received.commit.min(state.last().0));
+        state.committed = state.committed.max(received.commit.min(state.last_entry().0));
         answer.commit = state.committed;
     }
 }
 
-/// Reads the head of an HTTP message, its empty line included, and nothing behind it.
+/// Reads the head of an HTTP message up to and including its empty line, and no bytes after it.
 fn read_head(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -267,17 +267,17 @@
         stream.read_exact(&mut byte)?;
         head.push(byte[0]);
     }
-    Ok(String::from_utf8(head).expect("a head is text"))
+    Ok(String::from_utf8(head).expect("the head is UTF-8"))
 }
 
-/// Reads one message: its variant and the bytes of its fields.
+/// Reads one message and returns its variant and the bytes of its fields.
 fn read_message(stream: &mut TcpStream) -> std::io::Result<(u8, Vec<u8>)> {
     let mut bytes = vec![0; 4];
     stream.read_exact(&mut bytes)?;
     let length = u32::from_be_bytes(bytes[..4].try_into().unwrap()) as usize;
     bytes.resize(4 + length, 0);
     stream.read_exact(&mut bytes[4..])?;
-    let (variant, body, used) = split(&bytes).expect("a whole message");
+    let (variant, body, used) = split_message(&bytes).expect("the message is complete");
     assert_eq!(used, bytes.len());
     Ok((variant, body))
 }
--- a/tests/old_node/wire.rs
+++ b/tests/old_node/wire.rs
@@ -1,20 +1,21 @@
-//! The messages between daemons as commit 029518c wrote them, declared apart from the program: a change of the program's
-//! own types cannot change these. Only what the stand-in reads or writes is here, in the order of that commit.
+//! The messages between nodes as commit 029518c wrote them, declared independently of the program, so that a change of
+//! the program's own types cannot change these. Only what the stand-in reads or writes is declared, with fields and
+//! variants in the order of that commit. Field names are not part of the encoding.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes before the body of a message: its length and its CRC-32.
-const HEADER: usize = 8;
-/// Variants of the message, as they are numbered on the wire.
+/// Bytes before the body of a message: its length and its CRC-32, four bytes each.
+const HEADER_LENGTH: usize = 8;
+/// Message variants, as they are numbered on the wire.
 pub const HELLO: u8 = 0;
 pub const VERDICT: u8 = 1;
 pub const RAFT: u8 = 2;
 pub const DRAINS: u8 = 5;
 pub const HEARTBEAT: u8 = 6;
 
-/// Kinds of messages of the consensus.
+/// Kinds of Raft messages.
 pub const APPEND: u8 = 3;
 pub const APPEND_RESPONSE: u8 = 4;
 pub const VOTE: u8 = 5;
@@ -31,8 +32,8 @@
     pub id: u64,
     pub name: String,
     pub address: SocketAddr,
-    /// Starts, term, and the term and index of the last entry.
-    pub witness: (u64, u64, (u64, u64)),
+    /// The sender's boot count, its term, and the term and index of its last log entry.
+    pub progress: (u64, u64, (u64, u64)),
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -50,7 +51,7 @@
     pub index: u64,
     pub term: u64,
     pub kind: u8,
-    pub bytes: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -97,23 +98,23 @@
     pub participates: bool,
     pub committed: u64,
     pub applied: (u64, u32),
-    pub drains: u32,
-    pub hears: Vec<u64>,
-    pub recovers: bool,
+    pub pending_drains_digest: u32,
+    pub reachable_peers: Vec<u64>,
+    pub recovering: bool,
 }
 
-/// A drain: who said it, and its number there.
+/// Identifies a drain by the node that accepted it and its sequence number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct DrainMark {
-    pub by: u64,
-    pub number: u64,
+pub struct DrainId {
+    pub node: u64,
+    pub sequence: u64,
 }
 
-/// The first variants of a change; no other one is proposed in these tests before the drains are.
+/// The first variants of a change. Other variants do not decode as these and are skipped; the tests only read drains.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    Drain { host: String, mark: DrainMark },
-    Undrain { host: String, marks: Vec<DrainMark> },
+    Drain { host: String, drain: DrainId },
+    Undrain { host: String, drains: Vec<DrainId> },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -123,39 +124,40 @@
     pub change: Change,
 }
 
-/// A record of the store: its CRC-32 and its body.
-fn record(body: Vec<u8>) -> Vec<u8> {
+/// Encodes a store record: the CRC-32 of the body, then the body.
+fn encode_record(body: Vec<u8>) -> Vec<u8> {
     [&crc32fast::hash(&body).to_be_bytes()[..], &body[..]].concat()
 }
 
-/// A message of a variant, with its length before it.
-pub fn message(variant: u8, fields: &impl Serialize) -> Vec<u8> {
+/// Encodes a message of a variant: its length, then a record of the variant and the fields.
+pub fn encode_message(variant: u8, fields: &impl Serialize) -> Vec<u8> {
     let mut body = vec![variant];
     body.extend(postcard::to_allocvec(fields).unwrap());
-    let record = record(body);
+    let record = encode_record(body);
     [&(record.len() as u32).to_be_bytes()[..], &record[..]].concat()
 }
 
-/// The first whole message of these bytes: its variant, the bytes of its fields, and its length with its header.
-pub fn split(bytes: &[u8]) -> Option<(u8, Vec<u8>, usize)> {
+/// Splits off the first message: its variant, the bytes of its fields, and its length including the header. `None` if
+/// the message is incomplete.
+pub fn split_message(bytes: &[u8]) -> Option<(u8, Vec<u8>, usize)> {
     let length = u32::from_be_bytes(bytes.get(..4)?.try_into().unwrap()) as usize;
-    let whole = bytes.get(4..4 + length)?;
-    let (sum, body) = whole.split_at(HEADER - 4);
-    assert_eq!(sum, crc32fast::hash(body).to_be_bytes(), "the check sum of a message");
+    let record = bytes.get(4..4 + length)?;
+    let (checksum, body) = record.split_at(HEADER_LENGTH - 4);
+    assert_eq!(checksum, crc32fast::hash(body).to_be_bytes(), "the checksum of a message");
     Some((body[0], body[1..].to_vec(), length + 4))
 }
 
-/// The fields of a message, all of its bytes used.
-pub fn fields<T: DeserializeOwned>(bytes: &[u8]) -> T {
+/// Decodes the fields of a message; panics unless they use all of its bytes.
+pub fn decode_fields<T: DeserializeOwned>(bytes: &[u8]) -> T {
     let (value, rest) = postcard::take_from_bytes(bytes).unwrap();
-    assert!(rest.is_empty(), "a message of this version has {} bytes more", rest.len());
+    assert!(rest.is_empty(), "{} unexpected bytes after the fields of a message", rest.len());
     value
 }
 
-/// The proposal in an entry of the log; `None` for a change that this version of the tests does not name.
-pub fn proposal(entry: &LogEntry) -> Option<Proposal> {
-    let (sum, body) = entry.bytes.split_at_checked(4)?;
-    assert_eq!(sum, crc32fast::hash(body).to_be_bytes(), "the check sum of an entry");
+/// Decodes the proposal in a log entry; `None` if its change has no variant here.
+pub fn decode_proposal(entry: &LogEntry) -> Option<Proposal> {
+    let (checksum, body) = entry.payload.split_at_checked(4)?;
+    assert_eq!(checksum, crc32fast::hash(body).to_be_bytes(), "the checksum of an entry");
     let (proposal, rest) = postcard::take_from_bytes::<Proposal>(body).ok()?;
     rest.is_empty().then_some(proposal)
 }
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -1,5 +1,5 @@
-//! Store files that earlier builds wrote: everything in them is read, a store that is written now has the same bytes,
-//! and the program serves from one. tests/fixtures/README.md says how the files were made.
+//! Compatibility with store files of earlier builds: all their contents are read, this build writes the same bytes, and
+//! the program serves from such a file. tests/fixtures/README.md describes how the files were made.
 
 mod stored;
 
@@ -24,12 +24,12 @@
 use std::path::Path;
 use stored::*;
 
-/// The checksums over all committed entries, after each of the entries 21 to 27 of the fixture.
+/// The digests over all committed entries up to each of the entries 21 to 27 of the fixture.
 const DIGESTS: [u32; 7] =
     [0xee5a_9c8e, 0xd71d_b247, 0x2c14_3a22, 0xb2ce_1177, 0x9e11_de07, 0x962a_59e8, 0x9204_19f3];
 
-/// Asserts that storage held what the fixture holds.
-fn assert_contents(contents: &StoreContents) {
+/// Asserts that the opened storage has all contents of the fixture.
+fn assert_fixture_contents(contents: &StoreContents) {
     assert_eq!(contents.raft, raft_state());
     assert_eq!(contents.drains, pending_drains());
     assert_eq!(contents.reported_progress, reported_progress());
@@ -40,62 +40,72 @@
     assert_eq!((&contents.legacy, &contents.warnings), (&None, &Vec::new()));
 }
 
-/// The fixture's committed entries after the snapshot, as they are applied: index, digest, content and result.
+/// Index, digest, content and result of the fixture's committed entries after the snapshot, as they are applied.
 fn expected_entries() -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
-    let entries = entries().into_iter().filter(|e| (21..=27).contains(&e.index));
-    let content = |e: &LogEntry| match e.kind {
-        LogEntry::CHANGE => AppliedContent::Change(codec::decode(&e.payload).unwrap()),
-        _ => AppliedContent::Membership(codec::decode(&e.payload).unwrap()),
+    let entries = entries().into_iter().filter(|entry| (21..=27).contains(&entry.index));
+    let content = |entry: &LogEntry| match entry.kind {
+        LogEntry::CHANGE => AppliedContent::Change(codec::decode(&entry.payload).unwrap()),
+        _ => AppliedContent::Membership(codec::decode(&entry.payload).unwrap()),
     };
-    entries.zip(DIGESTS).map(|(e, digest)| (e.index, digest, content(&e), ApplyResult::Done)).collect()
+    entries
+        .zip(DIGESTS)
+        .map(|(entry, digest)| (entry.index, digest, content(&entry), ApplyResult::Done))
+        .collect()
 }
 
-fn without_types(applied: Vec<AppliedEntry>) -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
+fn comparable_entries(applied: Vec<AppliedEntry>) -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
     applied.into_iter().map(|a| (a.index, a.digest, a.content, a.result)).collect()
 }
 
 #[test]
-fn a_store_file_of_an_earlier_build_is_opened_whole() {
-    let folder = folder("opened");
-    let path = copy(&folder, "b1.store", true);
+fn opening_a_store_file_of_an_earlier_build_reads_all_its_contents() {
+    let folder = empty_folder("opened");
+    let path = copy_fixture(&folder, "b1.store", true);
     let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
-    assert_contents(&contents);
-    assert_eq!((storage.identity.id, storage.identity.boot_count), (B1, 6), "one start more");
+    assert_fixture_contents(&contents);
+    assert_eq!(
+        (storage.identity.id, storage.identity.boot_count),
+        (B1, 6),
+        "the boot count grows with each start"
+    );
     assert_eq!(storage.read_raft_state().unwrap(), raft_state());
     drop(storage);
     let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
-    assert_contents(&contents);
+    assert_fixture_contents(&contents);
     assert_eq!((storage.identity.id, storage.identity.boot_count), (B1, 7));
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// The file among the fixtures is a copy, and a copy must not vote under the identity of the original.
+/// A copy of a store file, such as the fixture, must not vote under the identity of the original.
 #[test]
 fn a_copied_store_file_of_an_earlier_build_is_set_aside_unchanged() {
-    let folder = folder("copied");
-    let path = copy(&folder, "b1.store", false);
+    let folder = empty_folder("copied");
+    let path = copy_fixture(&folder, "b1.store", false);
     let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
     assert_ne!(storage.identity.id, B1);
     assert!(contents.raft.is_new() && contents.drains.is_empty() && contents.gossip.is_none());
     assert!(contents.warnings[0].contains("a copy of another file"), "{:?}", contents.warnings);
     drop(storage);
-    assert_eq!(dump(&folder.join("b1.store.damaged")), dump(&copy(&folder, "again.store", false)));
+    assert_eq!(
+        dump_store(&folder.join("b1.store.damaged")),
+        dump_store(&copy_fixture(&folder, "again.store", false))
+    );
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// The committed entries after the snapshot make the same state, with the same checksums, as they did then.
+/// Applying the committed entries after the snapshot yields the same state and digests as in the earlier build.
 #[test]
-fn the_log_of_an_earlier_build_makes_the_same_replicated_state() {
+fn applying_the_log_of_an_earlier_build_yields_the_same_replicated_state() {
     let mut node = RaftNode::new(B1, raft_state()).unwrap();
     assert_eq!(node.state(), &snapshot_state());
-    let mut all = Vec::new();
+    let mut applied_entries = Vec::new();
     while let Some(ready) = node.next_ready() {
         assert_eq!(ready.write, RaftWrite::default());
         let CompletedWrite { messages, applied } = node.complete_write(ready);
         assert_eq!(messages, []);
-        all.extend(applied);
+        applied_entries.extend(applied);
     }
-    assert_eq!(without_types(all), expected_entries());
+    assert_eq!(comparable_entries(applied_entries), expected_entries());
     assert_eq!(node.state(), &committed_state(DIGESTS[6]));
     let configuration =
         Configuration { voters: vec![B1, B2], learners: vec![B3, B5], ..Configuration::default() };
@@ -107,20 +117,20 @@
     );
 }
 
-fn next(events: &Receiver<StoreEvent>) -> Option<StoreEvent> {
+fn next_event(events: &Receiver<StoreEvent>) -> Option<StoreEvent> {
     events.recv_blocking().ok()
 }
 
 #[test]
-fn the_store_thread_starts_on_a_store_file_of_an_earlier_build_with_all_that_it_holds() {
-    let folder = folder("owner");
-    let path = copy(&folder, "b1.store", true);
+fn the_store_thread_loads_all_contents_of_a_store_file_of_an_earlier_build() {
+    let folder = empty_folder("owner");
+    let path = copy_fixture(&folder, "b1.store", true);
     let storage = DurableStorage::open(&path).unwrap();
     let RunningStore { opened, commands, events } =
         store_thread::start(storage, &Limits::for_sockets(1024)).unwrap();
     assert_eq!((opened.identity.id, opened.identity.boot_count), (B1, 6));
     assert_eq!(opened.state, snapshot_state());
-    // Drains in the log after the snapshot act as well, committed or not.
+    // Drains in the log after the snapshot take effect too, committed or not.
     let mut drains = pending_drains();
     drains.extend([pending_drain("s-2-0", drain_id(B3, 2)), pending_drain("s-1-0", drain_id(B2, 11))]);
     assert_eq!(opened.drains, drains);
@@ -139,22 +149,22 @@
     );
     assert_eq!(status.reported_progress, reported_progress());
     assert_eq!(status.configuration, raft_state().snapshot.configuration);
-    let mut all = Vec::new();
-    while all.len() < 7 {
-        if let StoreEvent::Applied(applied) = next(&events).unwrap() {
-            all.extend(applied);
+    let mut applied_entries = Vec::new();
+    while applied_entries.len() < 7 {
+        if let StoreEvent::Applied(applied) = next_event(&events).unwrap() {
+            applied_entries.extend(applied);
         }
     }
-    assert_eq!(without_types(all), expected_entries());
+    assert_eq!(comparable_entries(applied_entries), expected_entries());
     drop(commands);
-    while next(&events).is_some() {}
+    while next_event(&events).is_some() {}
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// All tables, keys and bytes: those of the fixture, of the values in the tests, and of a store that is written now.
+/// Compares all tables, keys and bytes of the fixture, of the values in `stored`, and of a store that this build writes.
 #[test]
 fn a_store_written_now_has_the_tables_keys_and_bytes_of_the_fixture() {
-    let folder = folder("dump");
+    let folder = empty_folder("dump");
     let mut expected: Vec<String> = [
         ("dropped", codec::encode(&(raft_state().compacted.index, raft_state().compacted.term))),
         ("form", codec::encode(&1_u32)),
@@ -167,18 +177,20 @@
     ]
     .map(|(key, value)| format!("meta {key} = {}", hex(&value)))
     .into();
-    expected.extend(entries().iter().map(|e| format!("log {} = {}", e.index, hex(&codec::encode(e)))));
-    assert_eq!(dump(&copy(&folder, "b1.store", false)), expected);
+    expected.extend(
+        entries().iter().map(|entry| format!("log {} = {}", entry.index, hex(&codec::encode(entry)))),
+    );
+    assert_eq!(dump_store(&copy_fixture(&folder, "b1.store", false)), expected);
     let path = folder.join("now.store");
-    make(&path);
-    assert_eq!(dump(&path), expected);
+    write_fixture_store(&path);
+    assert_eq!(dump_store(&path), expected);
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// The store's thread writes under the keys of the fixture, in the same form.
+/// Guards against a store thread that writes under other keys than the fixture has, or in another encoding.
 #[test]
-fn what_the_store_thread_writes_has_the_keys_of_the_fixture() {
-    let folder = folder("keeps");
+fn the_store_thread_writes_the_keys_and_bytes_of_the_fixture() {
+    let folder = empty_folder("keeps");
     let path = folder.join("b1.store");
     let OpenedStorage { mut storage, contents } = DurableStorage::open(&path).unwrap();
     storage.identity.id = B1;
@@ -195,44 +207,44 @@
     commands.send(StoreCommand::RaftMessages(vec![heartbeat(B2, 4), heartbeat(B3, 3)])).unwrap();
     commands.send(StoreCommand::PersistGossip(codec::encode(&persisted_gossip()))).unwrap();
     commands.send(StoreCommand::PersistDrains { drains: pending_drains(), version: 77 }).unwrap();
-    while !matches!(next(&events).unwrap(), StoreEvent::DrainsPersisted(77)) {}
+    while !matches!(next_event(&events).unwrap(), StoreEvent::DrainsPersisted(77)) {}
     drop(commands);
-    while next(&events).is_some() {}
-    let kept = dump(&path);
-    let fixture = dump(&copy(&folder, "fixture.store", false));
+    while next_event(&events).is_some() {}
+    let written = dump_store(&path);
+    let fixture = dump_store(&copy_fixture(&folder, "fixture.store", false));
     for key in ["meta learned ", "meta marks ", "meta form ", "meta snapshot "] {
-        let of = |lines: &[String]| lines.iter().find(|l| l.starts_with(key)).cloned();
-        assert!(of(&kept).is_some(), "{key}");
-        assert_eq!(of(&kept), of(&fixture));
+        let line_of = |lines: &[String]| lines.iter().find(|l| l.starts_with(key)).cloned();
+        assert!(line_of(&written).is_some(), "{key}");
+        assert_eq!(line_of(&written), line_of(&fixture));
     }
-    let heard = [B2, B3].map(|id| (id, (0_u64, if id == B2 { 4_u64 } else { 3 }, (0_u64, 0_u64))));
-    let heard = codec::encode(&std::collections::BTreeMap::from(heard));
-    assert!(kept.contains(&format!("meta witnesses = {}", hex(&heard))), "{kept:#?}");
+    let progress = [B2, B3].map(|id| (id, (0_u64, if id == B2 { 4_u64 } else { 3 }, (0_u64, 0_u64))));
+    let progress = codec::encode(&std::collections::BTreeMap::from(progress));
+    assert!(written.contains(&format!("meta witnesses = {}", hex(&progress))), "{written:#?}");
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// Writes the fixture's store with this build.
-fn make(path: &Path) {
+/// Writes a store with the fixture's contents, using this build.
+fn write_fixture_store(path: &Path) {
     let OpenedStorage { storage, .. } = DurableStorage::open(path).unwrap();
     let (identity, gossip, drains, progress) =
         (identity(), codec::encode(&persisted_gossip()), pending_drains(), reported_progress());
-    let more = [
+    let values = [
         NodeValue::Identity(&identity),
         NodeValue::Gossip(&gossip),
         NodeValue::PendingDrains(&drains),
         NodeValue::ReportedProgress(&progress),
     ];
-    storage.write(&raft_state().full_write(), &more).unwrap();
+    storage.write(&raft_state().full_write(), &values).unwrap();
     drop(storage);
     let mut db = Database::open(path).unwrap();
     while db.compact().unwrap() {}
 }
 
 #[test]
-#[ignore = "writes the file with this build: only for a form that the fixtures do not have yet"]
+#[ignore = "writes the fixture with this build; run it only for a store format that has no fixture yet"]
 fn write_the_store_file() {
-    let path = folder("made").join("member.store");
-    make(&path);
+    let path = empty_folder("made").join("member.store");
+    write_fixture_store(&path);
     println!("{}: {} bytes", path.display(), fs::metadata(&path).unwrap().len());
 }
 
@@ -240,7 +252,7 @@
     fs::read_to_string(fixtures().join("store-0.2.0.txt")).unwrap()
 }
 
-/// What tests/fixtures/store-0.2.0.txt says.
+/// The contents of tests/fixtures/store-0.2.0.txt.
 fn legacy_store() -> LegacyStore {
     LegacyStore {
         hosts: vec![
@@ -264,19 +276,19 @@
 }
 
 #[test]
-fn every_line_and_escape_of_the_old_text_form_is_read() {
+fn every_line_and_escape_of_the_legacy_text_format_is_parsed() {
     assert_eq!(legacy::parse(&legacy_text()), Ok(legacy_store()));
-    let old = legacy_store();
-    let LegacySettings { text, changed_at } = old.settings.clone().unwrap();
+    let store = legacy_store();
+    let LegacySettings { text, changed_at } = store.settings.clone().unwrap();
     assert_eq!(
-        old.changes("b1"),
+        store.changes("b1"),
         [
             Change::Settings { read_by: "b1".into(), changed_at, text },
             Change::Inventory {
                 read_by: "b1".into(),
                 changed_at: Timestamp::from_micros(1_780_000_000_333_444),
                 base_version: 0,
-                upserts: old.hosts,
+                upserts: store.hosts,
                 removals: Vec::new(),
             },
         ]
@@ -284,8 +296,8 @@
 }
 
 #[test]
-fn a_disk_takes_over_a_store_of_the_old_text_form_and_keeps_the_file() {
-    let folder = folder("old");
+fn a_legacy_text_store_is_imported_once_and_its_file_is_kept() {
+    let folder = empty_folder("old");
     let path = folder.join("b1.store");
     fs::write(&path, legacy_text()).unwrap();
     let OpenedStorage { storage, contents } = DurableStorage::open(&path).unwrap();
@@ -297,28 +309,29 @@
     );
     drop(storage);
     assert_eq!(fs::read_to_string(folder.join("b1.store.old")).unwrap(), legacy_text());
-    assert_eq!(DurableStorage::open(&path).unwrap().contents.legacy, None, "once");
+    assert_eq!(DurableStorage::open(&path).unwrap().contents.legacy, None, "imported once only");
     fs::remove_dir_all(folder).unwrap();
 }
 
-const OPERATOR: &str = "name: b1\nnumber: 3\nsparql:\n  listen: 127.0.0.1:0\n  query: fixture-read\n  \
+const OPERATOR_FILE: &str = "name: b1\nnumber: 3\nsparql:\n  listen: 127.0.0.1:0\n  query: fixture-read\n  \
     update: fixture-write\nstore:\n  listen: 127.0.0.1:0\n  snapshot: fleet.store\nzones: [z-0, z-1, z-2]\n";
 
-/// The program on the fixture, without any of its peers: it serves by what was last committed, and drains that are in
-/// its marks or in its log act.
+/// Runs the program on the fixture without any of its peers: it serves by the last committed state, and drains that are
+/// pending or in its log take effect.
 #[test]
-#[expect(clippy::too_many_lines, reason = "a list: the lines that the program must answer")]
+#[expect(clippy::too_many_lines, reason = "lists the lines of the expected answers")]
 fn the_program_serves_hosts_drains_members_and_settings_of_an_earlier_builds_store() {
-    let folder = folder("program");
-    let path = copy(&folder, "fleet.store", true);
-    // What was learned is worth nothing after an hour: here it was written now.
-    let mut learned = persisted_gossip();
-    learned.written_at.wall = Timestamp::from_micros(brookpass_testkit::Timestamp::now().as_micros());
-    put(&path, "learned", &codec::encode(&codec::encode(&learned)));
-    let file = folder.join("operator.yaml");
-    fs::write(&file, OPERATOR).unwrap();
+    let folder = empty_folder("program");
+    let path = copy_fixture(&folder, "fleet.store", true);
+    // Saved gossip is discarded after an hour, so its time of writing is set to now.
+    let mut gossip = persisted_gossip();
+    gossip.written_at.wall = Timestamp::from_micros(brookpass_testkit::Timestamp::now().as_micros());
+    put_meta(&path, "learned", &codec::encode(&codec::encode(&gossip)));
+    let operator_file = folder.join("operator.yaml");
+    fs::write(&operator_file, OPERATOR_FILE).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_brookpass"));
-    let mut process = Process::start(program, &["--operator", &file.to_string_lossy()], ClockOffset::NONE);
+    let mut process =
+        Process::start(program, &["--operator", &operator_file.to_string_lossy()], ClockOffset::NONE);
     let store = process.wait_for_address(log_lines::STORE_LISTENING);
     let get = |path: &str| {
         let answer = http::call(store, "GET", path).unwrap();
@@ -362,13 +375,13 @@
     ] {
         assert!(fleet.lines().any(|l| l == line), "{line:?} is not in\n{fleet}");
     }
-    let counted = |start: &str| fleet.lines().filter(|l| l.starts_with(start)).count();
-    let counts = ["drain ", "unagreed drain ", "member ", "removed ", "lost "].map(counted);
+    let count_lines = |start: &str| fleet.lines().filter(|l| l.starts_with(start)).count();
+    let counts = ["drain ", "unagreed drain ", "member ", "removed ", "lost "].map(count_lines);
     assert_eq!(counts, [2, 3, 4, 2, 2], "{fleet}");
     let zones = get("/zones");
-    let shares: Vec<_> = zones.lines().map(|l| l.split(';').next().unwrap()).collect();
+    let weights: Vec<_> = zones.lines().map(|l| l.split(';').next().unwrap()).collect();
     assert_eq!(
-        shares,
+        weights,
         [
             "zone z-0 gets 1000 of 1000, agreed 1000 by move 0, Returns, failed 0",
             "zone z-1 gets 250 of 1000, agreed 250 by move 2, Lost, failed 3",
@@ -377,10 +390,11 @@
     );
     let regions: Vec<_> = zones.lines().map(|l| l.split(" of region ").nth(1).unwrap()).collect();
     assert_eq!(regions, ["north", "north", "south"]);
-    let learned = get("/fleet/learned");
-    assert!(learned.starts_with("group 1 guess s-1-0 from before this start, "), "{learned}");
-    assert_eq!(learned.lines().count(), 1, "{learned}");
-    // The services that the operator's file names are described in the committed settings only.
+    let gossip = get("/fleet/learned");
+    assert!(gossip.starts_with("group 1 guess s-1-0 from before this start, "), "{gossip}");
+    assert_eq!(gossip.lines().count(), 1, "{gossip}");
+    // The services that the operator's file names are defined only in the committed settings, so serving shows that these
+    // were read.
     process.wait_for_line(log_lines::SERVING_WITHOUT_MAJORITY);
     assert!(process.is_running());
     drop(process);
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -1,4 +1,5 @@
-//! Values as stores hold them, and the bytes that commit 029518c wrote for them (`tests/fixtures`).
+//! The values in the store fixtures of `tests/fixtures`, whose bytes commit 029518c wrote, and helpers to read and copy
+//! these fixtures.
 #![allow(dead_code)]
 
 use brookpass::engine::log_rollback::LogRollback;
@@ -23,7 +24,7 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// The tables of a store file. Their names are repeated here so that the tests notice a change of the program's.
+/// The tables of a store file. Their names are repeated here so that the tests detect a change of the program's names.
 pub const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 pub const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 
@@ -35,12 +36,13 @@
 pub const B8: NodeId = NodeId(0x8b8b_0000_0000_0008);
 pub const FLEET: FleetId = FleetId(0xf1ee_7000_0000_0000_0000_0000_0000_0042);
 
+/// The folder of the fixtures.
 pub fn fixtures() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures")
 }
 
-/// An empty folder of this name.
-pub fn folder(name: &str) -> PathBuf {
+/// Creates an empty folder whose path contains `name` and the process id.
+pub fn empty_folder(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("stored-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
@@ -48,7 +50,7 @@
 }
 
 pub fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|b| format!("{b:02x}")).collect()
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 pub fn unhex(text: &str) -> Vec<u8> {
@@ -99,11 +101,11 @@
     Change::Drain { host: host.into(), drain }
 }
 
-fn regions(all: &[(ZoneId, &str)]) -> BTreeMap<ZoneId, String> {
-    all.iter().map(|(zone, region)| (*zone, region.to_string())).collect()
+fn regions(zones: &[(ZoneId, &str)]) -> BTreeMap<ZoneId, String> {
+    zones.iter().map(|(zone, region)| (*zone, region.to_string())).collect()
 }
 
-/// The settings of the fixture, as the program stores them.
+/// The text of the fixture's committed settings, as the program stores it.
 pub const SETTINGS: &str = "family-info.behind=none\nfamily-info.consistency=lag_bound,mutate\n\
     family-info.max-age=0.8,0\nguarantees.cold-share=0.25\nguarantees.warm-up=16\nlimits.probes=true\n\
     services.0.deadline=2.5\nservices.0.name=fixture-read\nservices.0.repeat=repeatable\nservices.0.target=1.0\n\
@@ -159,8 +161,7 @@
     }
 }
 
-/// The fixture's log: two entries that the snapshot contains, seven committed ones after it, and one that is not
-/// committed.
+/// The fixture's log: two entries covered by the snapshot, seven committed entries after it, and one uncommitted entry.
 pub fn entries() -> Vec<LogEntry> {
     let change = |index, term, from, token, change| LogEntry {
         index,
@@ -168,7 +169,7 @@
         kind: LogEntry::CHANGE,
         payload: codec::encode(&proposal(from, token, change)),
     };
-    let members = |index, change: MembershipChange| LogEntry {
+    let membership = |index, change: MembershipChange| LogEntry {
         index,
         term: 3,
         kind: LogEntry::MEMBERSHIP,
@@ -197,8 +198,8 @@
                 regions: regions(&[(ZoneId(0), "north"), (ZoneId(1), "north"), (ZoneId(2), "south")]),
             },
         ),
-        members(25, MembershipChange { steps: vec![MembershipStep::Remove(B8)], joining: None }),
-        members(
+        membership(25, MembershipChange { steps: vec![MembershipStep::Remove(B8)], joining: None }),
+        membership(
             26,
             MembershipChange {
                 steps: vec![MembershipStep::AddLearner(B5)],
@@ -248,7 +249,7 @@
     state
 }
 
-/// The consensus state in the fixture.
+/// The persistent Raft state in the fixture.
 pub fn raft_state() -> RaftPersistentState {
     RaftPersistentState {
         hard_state: HardState { term: 4, vote: B2, commit: 27 },
@@ -267,7 +268,7 @@
     }
 }
 
-/// The identity of the fixture's node. Its file id is that of no file.
+/// The identity of the fixture's node. Its file id is that of no existing file.
 pub fn identity() -> NodeIdentity {
     NodeIdentity { id: B1, boot_count: 5, file: FileId { device: 11, inode: 12 } }
 }
@@ -335,41 +336,44 @@
     }
 }
 
-/// A copy of the fixture's file. Its file id differs from the one that the file states, by which the program recognizes
-/// copies; `adopted` writes the copy's own id into it, as if the node had created this file itself.
-pub fn copy(folder: &Path, name: &str, adopted: bool) -> PathBuf {
+/// Copies the fixture's store file. The copy has another file id than the one recorded in it, by which the program detects
+/// copies; `adopted` records the copy's own file id, as if the node had created the file itself.
+pub fn copy_fixture(folder: &Path, name: &str, adopted: bool) -> PathBuf {
     let path = folder.join(name);
     std::fs::write(&path, std::fs::read(fixtures().join("member.store")).unwrap()).unwrap();
     if adopted {
-        let meta = std::fs::metadata(&path).unwrap();
-        let own = NodeIdentity { file: FileId { device: meta.dev(), inode: meta.ino() }, ..identity() };
-        put(&path, "identity", &codec::encode(&own));
+        let file_metadata = std::fs::metadata(&path).unwrap();
+        let adopted_identity = NodeIdentity {
+            file: FileId { device: file_metadata.dev(), inode: file_metadata.ino() },
+            ..identity()
+        };
+        put_meta(&path, "identity", &codec::encode(&adopted_identity));
     }
     path
 }
 
-/// Puts one value into a store's file.
-pub fn put(path: &Path, key: &str, value: &[u8]) {
+/// Writes one encoded value into the `meta` table of a store file.
+pub fn put_meta(path: &Path, key: &str, value: &[u8]) {
     let db = Database::open(path).unwrap();
-    let writing = db.begin_write().unwrap();
-    writing.open_table(META).unwrap().insert(key, value).unwrap();
-    writing.commit().unwrap();
+    let transaction = db.begin_write().unwrap();
+    transaction.open_table(META).unwrap().insert(key, value).unwrap();
+    transaction.commit().unwrap();
 }
 
-/// The contents of a store's file, a line `table key = hex` for each value, in order.
-pub fn dump(path: &Path) -> Vec<String> {
+/// The contents of a store file as lines `table key = hex`, ordered by key, with the `meta` table first.
+pub fn dump_store(path: &Path) -> Vec<String> {
     let db = Database::open(path).unwrap();
-    let reading = db.begin_read().unwrap();
+    let transaction = db.begin_read().unwrap();
     let mut tables: Vec<String> =
-        reading.list_tables().unwrap().map(|t| redb::TableHandle::name(&t).to_string()).collect();
+        transaction.list_tables().unwrap().map(|table| redb::TableHandle::name(&table).to_string()).collect();
     tables.sort();
     assert_eq!(tables, ["log", "meta"]);
     let mut lines = Vec::new();
-    for row in reading.open_table(META).unwrap().iter().unwrap() {
+    for row in transaction.open_table(META).unwrap().iter().unwrap() {
         let (key, value) = row.unwrap();
         lines.push(format!("meta {} = {}", key.value(), hex(value.value())));
     }
-    for row in reading.open_table(LOG).unwrap().iter().unwrap() {
+    for row in transaction.open_table(LOG).unwrap().iter().unwrap() {
         let (key, value) = row.unwrap();
         lines.push(format!("log {} = {}", key.value(), hex(value.value())));
     }
--- a/tests/stored_records.rs
+++ b/tests/stored_records.rs
@@ -1,5 +1,5 @@
-//! The bytes of every record that a store holds. Every later build must read what commit 029518c has written, and that
-//! build what a later one writes: values and bytes are compared both ways.
+//! The bytes of every record in a store. Later builds must read what commit 029518c wrote, and that commit must read what
+//! later builds write, so encoding and decoding are both compared with golden bytes.
 
 mod stored;
 
@@ -18,13 +18,13 @@
 use std::fmt::Debug;
 use stored::*;
 
-/// Describes how the value that some bytes decode to differs from the expected one.
-type Fault = Box<dyn Fn(&[u8]) -> Option<String>>;
+/// Describes how the value that some bytes decode to differs from the expected one; `None` if it is equal.
+type Mismatch = Box<dyn Fn(&[u8]) -> Option<String>>;
 
 struct Record {
     name: &'static str,
     bytes: Vec<u8>,
-    fault: Fault,
+    mismatch: Mismatch,
 }
 
 fn record<T>(name: &'static str, value: T) -> Record
@@ -32,11 +32,11 @@
     T: Serialize + DeserializeOwned + PartialEq + Debug + 'static,
 {
     let bytes = codec::encode(&value);
-    let fault = move |bytes: &[u8]| {
-        let read: Option<T> = codec::decode(bytes);
-        (read.as_ref() != Some(&value)).then(|| format!("{read:?} is read, not {value:?}"))
+    let mismatch = move |bytes: &[u8]| {
+        let decoded: Option<T> = codec::decode(bytes);
+        (decoded.as_ref() != Some(&value)).then(|| format!("decoded {decoded:?}, expected {value:?}"))
     };
-    Record { name, bytes, fault: Box::new(fault) }
+    Record { name, bytes, mismatch: Box::new(mismatch) }
 }
 
 fn host_with_every_field() -> HostRecord {
@@ -60,7 +60,7 @@
     }
 }
 
-/// A state with something in every field, and zones with a share for every reason.
+/// A state in which no field is empty, with a zone weight for every reason.
 fn state_with_every_field() -> ClusterState {
     let mut state = snapshot_state();
     state.founders = BTreeSet::from(["b8".to_string(), "b9".to_string()]);
@@ -125,10 +125,10 @@
     ]
 }
 
-#[expect(clippy::too_many_lines, reason = "a table: one value of each stored record")]
+#[expect(clippy::too_many_lines, reason = "a table with a value of each stored record")]
 fn records() -> Vec<Record> {
-    let membership = |steps, comes| MembershipChange { steps, joining: comes };
-    let mut all = vec![
+    let membership = |steps, joining| MembershipChange { steps, joining };
+    let mut records = vec![
         record("form", 1_u32),
         record("dropped", (18_u64, 2_u64)),
         record(
@@ -192,14 +192,14 @@
         record("state-new", ClusterState::default()),
         record("state", state_with_every_field()),
     ];
-    for (name, whole, change) in changes() {
-        all.push(record(name, change.clone()));
-        all.push(record(whole, proposal(B3, 0x1_0000_0001, change)));
+    for (name, proposal_name, change) in changes() {
+        records.push(record(name, change.clone()));
+        records.push(record(proposal_name, proposal(B3, 0x1_0000_0001, change)));
     }
-    all
+    records
 }
 
-fn golden() -> BTreeMap<String, Vec<u8>> {
+fn golden_records() -> BTreeMap<String, Vec<u8>> {
     let text = std::fs::read_to_string(fixtures().join("stored-records.hex")).unwrap();
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     lines
@@ -212,75 +212,75 @@
 
 #[test]
 fn every_record_is_written_as_its_golden_bytes() {
-    let golden = golden();
-    for r in records() {
-        assert_eq!(hex(&r.bytes), hex(&golden[r.name]), "{}", r.name);
+    let golden = golden_records();
+    for record in records() {
+        assert_eq!(hex(&record.bytes), hex(&golden[record.name]), "{}", record.name);
     }
 }
 
 #[test]
 fn the_golden_bytes_of_every_record_are_read_as_its_value() {
-    let golden = golden();
-    for r in records() {
-        assert_eq!((r.fault)(&golden[r.name]), None, "{}", r.name);
+    let golden = golden_records();
+    for record in records() {
+        assert_eq!((record.mismatch)(&golden[record.name]), None, "{}", record.name);
     }
 }
 
-/// Guards against a record that is removed from the tests, so that its bytes are no longer compared.
+/// Guards against a record that is removed from the tests and whose bytes are then no longer compared.
 #[test]
 fn every_line_of_the_fixture_is_compared() {
-    let compared: BTreeSet<String> = records().iter().map(|r| r.name.to_string()).collect();
-    let earlier = ["state-without-regions", "state-without-shares"].map(String::from);
-    let compared: BTreeSet<String> = compared.into_iter().chain(earlier).collect();
-    assert_eq!(golden().into_keys().collect::<BTreeSet<_>>(), compared);
+    let compared: BTreeSet<String> = records().iter().map(|record| record.name.to_string()).collect();
+    let earlier_formats = ["state-without-regions", "state-without-shares"].map(String::from);
+    let compared: BTreeSet<String> = compared.into_iter().chain(earlier_formats).collect();
+    assert_eq!(golden_records().into_keys().collect::<BTreeSet<_>>(), compared);
 }
 
 fn without_regions() -> ClusterState {
     ClusterState { regions: Default::default(), ..state_with_every_field() }
 }
 
-fn without_shares() -> ClusterState {
+fn without_zone_weights() -> ClusterState {
     ClusterState { zone_weights: BTreeMap::new(), ..without_regions() }
 }
 
-/// The bytes of a state from which the last `missing` ones are cut, as a version wrote it that lacked these fields.
-fn earlier(state: &ClusterState, missing: usize) -> Vec<u8> {
+/// Encodes a state without its last `missing_bytes` bytes, as an earlier version without these fields wrote it.
+fn encode_without_last_fields(state: &ClusterState, missing_bytes: usize) -> Vec<u8> {
     let bytes = codec::encode(state);
-    let body = &bytes[4..bytes.len() - missing];
+    let body = &bytes[4..bytes.len() - missing_bytes];
     [&crc32fast::hash(body).to_be_bytes()[..], body].concat()
 }
 
 #[test]
-fn a_state_that_was_written_before_regions_or_shares_is_read_whole() {
-    let golden = golden();
+fn a_state_written_before_regions_or_zone_weights_existed_is_decoded() {
+    let golden = golden_records();
     for (name, expected) in
-        [("state-without-regions", without_regions()), ("state-without-shares", without_shares())]
+        [("state-without-regions", without_regions()), ("state-without-shares", without_zone_weights())]
     {
-        assert_eq!(codec::decode::<ClusterState>(&golden[name]), None, "{name} is of an earlier form");
+        assert_eq!(codec::decode::<ClusterState>(&golden[name]), None, "{name} has an earlier format");
         assert_eq!(ClusterState::decode(&golden[name]), Some(expected), "{name}");
     }
     assert_eq!(ClusterState::decode(&golden["state"]), Some(state_with_every_field()));
     assert_eq!(ClusterState::decode(&golden["state-new"]), Some(ClusterState::default()));
 }
 
-/// The check sum comes first, as four bytes with the highest first; what follows is postcard's form of the value.
+/// The checksum comes first, as four bytes in big-endian order, followed by the postcard encoding of the value.
 #[test]
-fn a_record_is_its_crc32_and_its_postcard_form() {
-    for (name, bytes) in golden() {
+fn a_record_is_a_crc32_followed_by_the_postcard_encoding() {
+    for (name, bytes) in golden_records() {
         assert_eq!(bytes[..4], crc32fast::hash(&bytes[4..]).to_be_bytes(), "{name}");
     }
-    assert_eq!(golden()["hard"][4..], postcard::to_allocvec(&(4_u64, B2, 1_000_u64)).unwrap());
+    assert_eq!(golden_records()["hard"][4..], postcard::to_allocvec(&(4_u64, B2, 1_000_u64)).unwrap());
 }
 
 #[test]
-#[ignore = "writes the bytes of this build: only for a record that the fixture does not have yet"]
+#[ignore = "writes the bytes of this build; run it only for a record that has no fixture yet"]
 fn write_records() {
     let mut text = String::from("# Records of a store as commit 029518c writes them; see README.md.\n");
     let mut line = |name: &str, bytes: &[u8]| text += &format!("{name} = {}\n", hex(bytes));
-    records().iter().for_each(|r| line(r.name, &r.bytes));
-    line("state-without-regions", &earlier(&without_regions(), 2));
-    line("state-without-shares", &earlier(&without_shares(), 3));
-    let to = folder("records").join("stored-records.hex");
-    std::fs::write(&to, text).unwrap();
-    println!("{}", to.display());
+    records().iter().for_each(|record| line(record.name, &record.bytes));
+    line("state-without-regions", &encode_without_last_fields(&without_regions(), 2));
+    line("state-without-shares", &encode_without_last_fields(&without_zone_weights(), 3));
+    let path = empty_folder("records").join("stored-records.hex");
+    std::fs::write(&path, text).unwrap();
+    println!("{}", path.display());
 }
