--- a/tests/fleet_recovery.rs
+++ b/tests/fleet_recovery.rs
@@ -1,4 +1,5 @@
-//! Restarts of a whole fleet after a power loss: which saved state each node still trusts, and which changes must survive.
+//! Restarts of a whole fleet after a power loss: which saved state each node still trusts, and which changes must
+//! survive.
 
 use brookpass_testkit::check;
 use brookpass_testkit::cluster::{ClusterConfig, TestCluster};
@@ -17,32 +18,32 @@
 }
 
 fn kill_all_nodes(cluster: &mut TestCluster) {
-    (0..cluster.nodes.len()).for_each(|n| cluster.kill(n));
+    (0..cluster.nodes.len()).for_each(|node| cluster.kill(node));
 }
 
 fn start_all_nodes(cluster: &mut TestCluster) {
-    (0..cluster.nodes.len()).for_each(|n| cluster.start(n));
-    (0..cluster.nodes.len()).for_each(|n| cluster.wait_until_ready(n));
+    (0..cluster.nodes.len()).for_each(|node| cluster.start(node));
+    (0..cluster.nodes.len()).for_each(|node| cluster.wait_until_ready(node));
 }
 
 /// Waits until all nodes know the primaries of `groups` groups and have saved them to disk.
 fn wait_until_primaries_saved(cluster: &TestCluster, groups: usize) {
-    let knows_primaries = |n: usize| {
-        let text = http::call(cluster.nodes[n].store_address, "GET", "/fleet/learned")
+    let knows_primaries = |node: usize| {
+        let text = http::call(cluster.nodes[node].store_address, "GET", "/fleet/learned")
             .map_or(String::new(), |m| m.text());
-        text.lines().filter(|l| l.starts_with("group ") && l.contains(" primary ")).count() == groups
+        text.lines().filter(|line| line.starts_with("group ") && line.contains(" primary ")).count() == groups
     };
-    let saved_count = |n: usize| {
-        let log = cluster.nodes[n].process().log();
-        log.iter().filter(|l| l.contains(log_lines::GOSSIP_SAVED)).count()
+    let saved_count = |node: usize| {
+        let log = cluster.nodes[node].process().log();
+        log.iter().filter(|line| line.contains(log_lines::GOSSIP_SAVED)).count()
     };
     let request_id = AtomicU64::new(1_000_000);
-    for n in 0..cluster.nodes.len() {
-        eventually("node knows the primaries", || knows_primaries(n));
-        let before = saved_count(n);
+    for node in 0..cluster.nodes.len() {
+        eventually("node knows the primaries", || knows_primaries(node));
+        let before = saved_count(node);
         eventually("node saves its gossip", || {
-            assert_eq!(cluster.write(n, 1, request_id.fetch_add(1, Ordering::SeqCst)), 200);
-            saved_count(n) > before
+            assert_eq!(cluster.write(node, 1, request_id.fetch_add(1, Ordering::SeqCst)), 200);
+            saved_count(node) > before
         });
     }
 }
@@ -55,7 +56,7 @@
     // The primary of each group is the endpoint that comes last in registry order, so trying them in order fails first.
     let last_in_order = |group: u32| {
         let mut members = brookpass::engine::endpoints::EndpointRegistry::default();
-        let mut names: Vec<String> = (0..3).map(|n| format!("s-{group}-{n}")).collect();
+        let mut names: Vec<String> = (0..3).map(|number| format!("s-{group}-{number}")).collect();
         names.sort_by_key(|name| members.register(name));
         names.pop().unwrap()
     };
@@ -71,19 +72,19 @@
     cluster.set_clock_offset(2, ClockOffset::from_millis(-60_000));
     start_all_nodes(cluster);
     let log_line =
-        |cluster: &TestCluster, n: usize, text: &str| cluster.nodes[n].process().wait_for_line(text);
+        |cluster: &TestCluster, node: usize, text: &str| cluster.nodes[node].process().wait_for_line(text);
     assert!(log_line(cluster, 0, log_lines::SAVED_GOSSIP_USED).contains(log_lines::SAVED_GOSSIP_AGE));
     assert!(log_line(cluster, 2, log_lines::SAVED_GOSSIP_REJECTED).contains(log_lines::CLOCK_CHANGED));
-    for n in [0, 1] {
-        let text = http::call(cluster.nodes[n].store_address, "GET", "/fleet/learned").unwrap().text();
+    for node in [0, 1] {
+        let text = http::call(cluster.nodes[node].store_address, "GET", "/fleet/learned").unwrap().text();
         assert!(text.contains("group 1 guess s-1-") || text.contains("group 1 primary s-1-"), "{text}");
         for group in 1..=6 {
-            let request_id = 1_000 + 100 * n as u64 + u64::from(group);
-            assert_eq!(cluster.write(n, group, request_id), 200);
+            let request_id = 1_000 + 100 * node as u64 + u64::from(group);
+            assert_eq!(cluster.write(node, group, request_id), 200);
             assert_eq!(
                 cluster.endpoints_reached(request_id),
                 [last_in_order(group)],
-                "node {n}, group {group}"
+                "node {node}, group {group}"
             );
         }
     }
@@ -112,7 +113,7 @@
     assert_eq!(cluster.post(0, "/drain/s-1-0"), 200);
     cluster.wait_until_caught_up();
     kill_all_nodes(cluster);
-    let store_path = |cluster: &TestCluster, n: usize| cluster.nodes[n].folder.join("fleet.store");
+    let store_path = |cluster: &TestCluster, node: usize| cluster.nodes[node].folder.join("fleet.store");
     let earlier_copy = std::fs::read(store_path(cluster, 0)).unwrap();
     start_all_nodes(cluster);
     assert_eq!(cluster.post(1, "/undrain/s-1-0"), 200);
@@ -132,10 +133,10 @@
         .set_len(whole.len() as u64 / 3)
         .unwrap();
     start_all_nodes(cluster);
-    for n in 0..5 {
-        cluster.wait_until_active(&[n], "s-1-0");
-        let draining = ["s-1-1", "s-2-2"].map(|endpoint| cluster.is_draining(n, endpoint));
-        assert_eq!(draining, [Some(true); 2], "node {n}");
+    for node in 0..5 {
+        cluster.wait_until_active(&[node], "s-1-0");
+        let draining = ["s-1-1", "s-2-2"].map(|endpoint| cluster.is_draining(node, endpoint));
+        assert_eq!(draining, [Some(true); 2], "node {node}");
     }
     eventually("all nodes vote again", || cluster.voter_count(3) == 5);
     assert!(cluster.nodes[1].folder.join("fleet.store.damaged").exists());
@@ -150,28 +151,28 @@
     assert_eq!(cluster.post(0, "/drain/s-1-1"), 200);
     cluster.wait_until_caught_up();
     kill_all_nodes(cluster);
-    for n in [1, 3] {
-        cluster.start(n);
+    for node in [1, 3] {
+        cluster.start(node);
     }
-    for n in [1, 3] {
-        cluster.wait_until_ready(n);
+    for node in [1, 3] {
+        cluster.wait_until_ready(node);
         assert!(
-            cluster.fleet_status(n).contains("serves with what was last agreed"),
+            cluster.fleet_status(node).contains("serves with what was last agreed"),
             "{}",
-            cluster.fleet_status(n)
+            cluster.fleet_status(node)
         );
-        assert_eq!(cluster.is_draining(n, "s-1-1"), Some(true));
-        assert_eq!(cluster.write(n, 1, 10 + n as u64), 200);
+        assert_eq!(cluster.is_draining(node, "s-1-1"), Some(true));
+        assert_eq!(cluster.write(node, 1, 10 + node as u64), 200);
     }
     assert_eq!(cluster.post(1, "/undrain/s-1-1"), 503);
     assert_eq!(cluster.post(3, "/drain/s-2-1"), 202);
     cluster.wait_until_draining(&[1, 3], "s-2-1");
     // The uncommitted drain that only these two nodes know survives their power loss.
-    for n in [1, 3] {
-        cluster.kill(n);
+    for node in [1, 3] {
+        cluster.kill(node);
     }
-    for n in 0..5 {
-        cluster.start(n);
+    for node in 0..5 {
+        cluster.start(node);
     }
     cluster.wait_until_draining(&[0, 1, 2, 3, 4], "s-2-1");
     assert_eq!(cluster.is_draining(0, "s-1-1"), Some(true));
@@ -189,9 +190,9 @@
         assert_eq!(cluster.post(0, &format!("/drain/{endpoint}")), 200);
     }
     cluster.wait_until_caught_up();
-    let recover = |cluster: &TestCluster, n: usize, options: &[&str]| {
+    let recover = |cluster: &TestCluster, node: usize, options: &[&str]| {
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_brookpass"));
-        let address = cluster.nodes[n].store_address.to_string();
+        let address = cluster.nodes[node].store_address.to_string();
         let output = command.args(["fleet", "recover", &address]).args(options).output().unwrap();
         let text =
             String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
@@ -200,14 +201,14 @@
     let (succeeded, text) = recover(cluster, 3, &["--yes"]);
     assert!(!succeeded && text.contains("a majority is there"), "{text}");
     kill_all_nodes(cluster);
-    for n in [0, 1, 2] {
-        cluster.delete_store(n);
+    for node in [0, 1, 2] {
+        cluster.delete_store(node);
     }
-    for n in 0..5 {
-        cluster.start(n);
+    for node in 0..5 {
+        cluster.start(node);
     }
-    for n in [3, 4] {
-        cluster.wait_until_ready(n);
+    for node in [3, 4] {
+        cluster.wait_until_ready(node);
     }
     // A drain that only the other surviving node knows is taken over too.
     cluster.partition(&[vec![0, 1, 2, 3], vec![4]]);
@@ -217,21 +218,21 @@
     assert!(cluster.fleet_status(3).contains("leader none"));
     let (succeeded, text) = recover(cluster, 3, &["--yes"]);
     assert!(succeeded && text.contains("goes on alone"), "{text}");
-    for n in [0, 1, 2] {
-        cluster.wait_until_ready(n);
+    for node in [0, 1, 2] {
+        cluster.wait_until_ready(node);
     }
     cluster.heal_links();
     cluster.wait_until_draining(&[0, 1, 2, 3, 4], "s-2-2");
-    for n in 0..5 {
+    for node in 0..5 {
         assert_eq!(
-            ["s-1-1", "s-2-0"].map(|endpoint| cluster.is_draining(n, endpoint)),
+            ["s-1-1", "s-2-0"].map(|endpoint| cluster.is_draining(node, endpoint)),
             [Some(true); 2],
-            "node {n}"
+            "node {node}"
         );
     }
     assert!(cluster.nodes[4].folder.join("fleet.store.recovered").exists());
-    for n in [0, 1, 2, 4] {
-        eventually("node votes again", || cluster.post(3, &format!("/fleet/vote/b{n}")) == 200);
+    for node in [0, 1, 2, 4] {
+        eventually("node votes again", || cluster.post(3, &format!("/fleet/vote/b{node}")) == 200);
     }
     assert_eq!(cluster.post(1, "/undrain/s-1-1"), 200);
     cluster.wait_until_caught_up();
@@ -242,7 +243,7 @@
 /// `LAB_KILLS=200` runs 200 rounds instead of 15.
 #[test]
 fn a_kill_at_any_moment_loses_no_acknowledged_change() {
-    let kills: u64 = std::env::var("LAB_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(15);
+    let kills: u64 = std::env::var("LAB_KILLS").ok().and_then(|text| text.parse().ok()).unwrap_or(15);
     let cluster = &mut new_cluster(ClusterConfig { nodes: 1, groups: 20, ..ClusterConfig::default() });
     cluster.start_all();
     let endpoints = cluster.endpoints.names();
@@ -255,15 +256,15 @@
             let (stop, calls, endpoints, before) = (&stop, &calls, &endpoints, expected.clone());
             s.spawn(move || {
                 let mut wanted = before;
-                for n in (0..endpoints.len()).cycle().skip(round as usize * 7 % endpoints.len()) {
+                for index in (0..endpoints.len()).cycle().skip(round as usize * 7 % endpoints.len()) {
                     if stop.load(Ordering::SeqCst) {
                         return;
                     }
-                    wanted[n] = !wanted[n];
-                    let action = if wanted[n] { "drain" } else { "undrain" };
-                    let status = http::call(address, "POST", &format!("/{action}/{}", endpoints[n]))
+                    wanted[index] = !wanted[index];
+                    let action = if wanted[index] { "drain" } else { "undrain" };
+                    let status = http::call(address, "POST", &format!("/{action}/{}", endpoints[index]))
                         .map_or(0, |m| m.status());
-                    calls.lock().unwrap().push((n, wanted[n], status));
+                    calls.lock().unwrap().push((index, wanted[index], status));
                     if status != 200 {
                         return;
                     }
@@ -276,22 +277,22 @@
         cluster.start(0);
         cluster.wait_until_ready(0);
         let log = cluster.nodes[0].process().log();
-        assert!(!log.iter().any(|l| l.contains(log_lines::STORE_SET_ASIDE)), "round {round}: {log:#?}");
+        assert!(!log.iter().any(|line| line.contains(log_lines::STORE_SET_ASIDE)), "round {round}: {log:#?}");
         let mut unanswered = None;
-        for (n, wanted, status) in calls.into_inner().unwrap() {
+        for (index, wanted, status) in calls.into_inner().unwrap() {
             match status {
                 200 => {
-                    expected[n] = wanted;
+                    expected[index] = wanted;
                     acknowledged += 1;
                 }
                 // The kill came before the answer: both outcomes are correct.
-                _ => unanswered = Some(n),
+                _ => unanswered = Some(index),
             }
         }
-        for (n, endpoint) in endpoints.iter().enumerate() {
+        for (index, endpoint) in endpoints.iter().enumerate() {
             let is_draining = cluster.is_draining(0, endpoint) == Some(true);
-            assert!(is_draining == expected[n] || unanswered == Some(n), "round {round}: {endpoint}");
-            expected[n] = is_draining;
+            assert!(is_draining == expected[index] || unanswered == Some(index), "round {round}: {endpoint}");
+            expected[index] = is_draining;
         }
     }
     assert!(acknowledged > kills, "{acknowledged} acknowledged changes over {kills} kills");
--- a/tests/fleet_recovery_power.rs
+++ b/tests/fleet_recovery_power.rs
@@ -49,7 +49,8 @@
     check::sessions_told_of_lost_writes(requests, &lost_commits(cluster)).unwrap()
 }
 
-/// Asserts that no cold endpoint gets more than its bound, and returns the load of the worst second as a fraction of it.
+/// Asserts that no cold endpoint gets more than its bound, and returns the load of the worst second as a fraction of
+/// it.
 fn worst_cold_load(cluster: &TestCluster, started_at: Timestamp) -> f64 {
     let arrivals = cluster.endpoints.arrivals();
     let cold = ColdStartBound { started_at, warm_capacity_per_second: 100.0, overload_multiple: 4.0 };
@@ -61,11 +62,16 @@
 }
 
 fn served_count(requests: &[RequestRecord], from: Timestamp, to: Timestamp) -> usize {
-    requests.iter().filter(|a| a.status == 200 && (from..to).contains(&a.finished_at)).count()
+    requests
+        .iter()
+        .filter(|request| request.status == 200 && (from..to).contains(&request.finished_at))
+        .count()
 }
 
 fn line_index(log: &[String], text: &str) -> usize {
-    log.iter().position(|l| l.contains(text)).unwrap_or_else(|| panic!("no line with {text:?}: {log:#?}"))
+    log.iter()
+        .position(|line| line.contains(text))
+        .unwrap_or_else(|| panic!("no line with {text:?}: {log:#?}"))
 }
 
 fn load_profile(seed: u64) -> LoadProfile {
@@ -81,8 +87,8 @@
 
 /// Waits until each node has saved its gossip to disk while serving.
 fn wait_until_gossip_saved(cluster: &TestCluster) {
-    for n in 0..cluster.nodes.len() {
-        cluster.nodes[n].process().wait_for_line(log_lines::GOSSIP_SAVED);
+    for node in 0..cluster.nodes.len() {
+        cluster.nodes[node].process().wait_for_line(log_lines::GOSSIP_SAVED);
     }
 }
 
@@ -98,15 +104,15 @@
     wait_until_gossip_saved(cluster);
     thread::sleep(Duration::from_secs(1));
     let powered_off_at = Timestamp::now();
-    (0..5).for_each(|n| cluster.kill(n));
+    (0..5).for_each(|node| cluster.kill(node));
     cluster.endpoints.power_off();
     thread::sleep(Duration::from_millis(300));
     cluster.endpoints.power_on(Duration::from_millis(150));
     let powered_on_at = Timestamp::now();
     cluster.start_nodes(&[0, 1, 2, 3, 4]);
-    (0..5).for_each(|n| cluster.wait_until_ready(n));
+    (0..5).for_each(|node| cluster.wait_until_ready(node));
     let candidates = (0..5)
-        .filter(|n| cluster.log(*n).iter().any(|l| l.contains(log_lines::FIRST_ELECTION_STARTED)))
+        .filter(|node| cluster.log(*node).iter().any(|line| line.contains(log_lines::FIRST_ELECTION_STARTED)))
         .count();
     assert!(candidates >= 1, "no node waits for its election timeout");
     let served_before = load.served_within(powered_off_at - Duration::from_secs(1)..powered_off_at);
@@ -114,7 +120,7 @@
         let end = Timestamp::now();
         load.served_within(end - Duration::from_secs(1)..end) * 2 > served_before
     });
-    eventually("a session is told of its lost write", || load.any(|a| a.status == 412));
+    eventually("a session is told of its lost write", || load.any(|request| request.status == 412));
     let requests = load.finish();
     assert!(assert_invariants(cluster, &requests) > 0);
     let worst = worst_cold_load(cluster, powered_on_at);
@@ -124,9 +130,9 @@
         &[DrainPeriod::since("s-4-2", powered_on_at)],
     )
     .unwrap();
-    for n in 0..5 {
-        assert_eq!(cluster.is_draining(n, "s-4-2"), Some(true));
-        let log = cluster.log(n);
+    for node in 0..5 {
+        assert_eq!(cluster.is_draining(node, "s-4-2"), Some(true));
+        let log = cluster.log(node);
         let steps = [log_lines::RECOVERY_PHASE_WRITES, log_lines::RECOVERY_PHASE_LAST]
             .map(|step| line_index(&log, step));
         assert!(steps[0] < steps[1]);
@@ -141,22 +147,22 @@
     for nodes in [3, 9] {
         let cluster = &mut new_cluster(ClusterConfig { nodes, groups: 4, ..ClusterConfig::default() });
         cluster.start_all();
-        (0..nodes).for_each(|n| cluster.kill(n));
+        (0..nodes).for_each(|node| cluster.kill(node));
         let powered_on_at = Timestamp::now();
-        (0..nodes).for_each(|n| cluster.start(n));
-        (0..nodes).for_each(|n| cluster.wait_until_ready(n));
-        for n in 0..nodes {
-            assert_eq!(cluster.write(n, 1, 9_000 + n as u64), 200);
+        (0..nodes).for_each(|node| cluster.start(node));
+        (0..nodes).for_each(|node| cluster.wait_until_ready(node));
+        for node in 0..nodes {
+            assert_eq!(cluster.write(node, 1, 9_000 + node as u64), 200);
         }
         let poll_count = |endpoint: &StandInEndpoint| {
             endpoint.polls().into_iter().filter(|at| *at >= powered_on_at).count()
         };
         let counts: Vec<usize> = cluster.endpoints.iter().map(poll_count).collect();
-        assert!(counts.iter().all(|n| *n >= 1), "{counts:?}");
+        assert!(counts.iter().all(|count| *count >= 1), "{counts:?}");
         total_polls.push(counts.iter().sum::<usize>());
-        assert!(counts.iter().all(|n| *n <= 4), "{nodes} nodes: {counts:?}");
+        assert!(counts.iter().all(|count| *count <= 4), "{nodes} nodes: {counts:?}");
         eventually("recovery is done", || {
-            (0..nodes).all(|n| cluster.fleet_status(n).contains("recovery done"))
+            (0..nodes).all(|node| cluster.fleet_status(node).contains("recovery done"))
         });
     }
     assert!(total_polls[1] <= total_polls[0] * 2, "{total_polls:?}");
@@ -172,21 +178,21 @@
     cluster.wait_until_caught_up();
     let load = cluster.start_load(LoadProfile { groups: 3, ..load_profile(2) });
     wait_until_gossip_saved(cluster);
-    (0..4).for_each(|n| cluster.kill(n));
+    (0..4).for_each(|node| cluster.kill(node));
     cluster.endpoints.power_off();
     cluster.partition(&[vec![0, 1], vec![2, 3]]);
     cluster.endpoints.power_on(Duration::ZERO);
     let powered_on_at = Timestamp::now();
-    (0..4).for_each(|n| cluster.start(n));
-    (0..4).for_each(|n| cluster.wait_until_ready(n));
+    (0..4).for_each(|node| cluster.start(node));
+    (0..4).for_each(|node| cluster.wait_until_ready(node));
     // Neither half is a majority: drains stay in effect and undrains are refused.
-    for n in [0, 3] {
+    for node in [0, 3] {
         assert!(
-            cluster.fleet_status(n).contains("serves with what was last agreed"),
+            cluster.fleet_status(node).contains("serves with what was last agreed"),
             "{}",
-            cluster.fleet_status(n)
+            cluster.fleet_status(node)
         );
-        assert_eq!(cluster.post(n, "/undrain/s-2-2"), 503);
+        assert_eq!(cluster.post(node, "/undrain/s-2-2"), 503);
     }
     assert_eq!(cluster.post(0, "/drain/s-3-1"), 202);
     thread::sleep(Duration::from_millis(500));
@@ -228,14 +234,14 @@
         })
         .collect();
     thread::sleep(Duration::from_millis(3));
-    (0..3).for_each(|n| cluster.kill(n));
+    (0..3).for_each(|node| cluster.kill(node));
     let answers: Vec<(&str, u16)> = calls.into_iter().map(|call| call.join().unwrap()).collect();
     cluster.endpoints.power_off();
     cluster.endpoints.power_on(Duration::ZERO);
     let powered_on_at = Timestamp::now();
-    for n in 0..3 {
-        cluster.start(n);
-        cluster.wait_until_ready(n);
+    for node in 0..3 {
+        cluster.start(node);
+        cluster.wait_until_ready(node);
         thread::sleep(Duration::from_millis(1_200));
     }
     cluster.wait_until_caught_up();
@@ -243,7 +249,7 @@
     assert_invariants(cluster, &requests);
     assert!(worst_cold_load(cluster, powered_on_at) < 1.0);
     for (endpoint, status) in answers {
-        let draining: Vec<_> = (0..3).map(|n| cluster.is_draining(n, endpoint)).collect();
+        let draining: Vec<_> = (0..3).map(|node| cluster.is_draining(node, endpoint)).collect();
         assert!(draining.iter().all(|d| *d == draining[0]), "{endpoint}: {draining:?}");
         assert!(
             status == 0 || draining[0] == Some(true),
@@ -261,22 +267,22 @@
     cluster.start_all();
     let load = cluster.start_load(LoadProfile { groups: 3, ..load_profile(4) });
     wait_until_gossip_saved(cluster);
-    for n in 0..3 {
-        cluster.kill(n);
+    for node in 0..3 {
+        cluster.kill(node);
         cluster.wait_for_leader();
-        cluster.start(n);
-        cluster.wait_until_ready(n);
+        cluster.start(node);
+        cluster.wait_until_ready(node);
         cluster.wait_until_caught_up();
     }
     let last = cluster.wait_for_leader();
-    let others: Vec<usize> = (0..3).filter(|n| *n != last).collect();
-    others.iter().for_each(|n| cluster.kill(*n));
+    let others: Vec<usize> = (0..3).filter(|node| *node != last).collect();
+    others.iter().for_each(|node| cluster.kill(*node));
     thread::sleep(Duration::from_millis(200));
-    others.iter().for_each(|n| cluster.start(*n));
-    others.iter().for_each(|n| cluster.wait_until_ready(*n));
-    for n in others {
-        let request_id = FIRST_SINGLE_WRITE_ID + n as u64;
-        assert_eq!(cluster.write(n, 2, request_id), 200);
+    others.iter().for_each(|node| cluster.start(*node));
+    others.iter().for_each(|node| cluster.wait_until_ready(*node));
+    for node in others {
+        let request_id = FIRST_SINGLE_WRITE_ID + node as u64;
+        assert_eq!(cluster.write(node, 2, request_id), 200);
         assert_eq!(cluster.endpoints_reached(request_id), ["s-2-0"], "the node knew the primary");
     }
     cluster.wait_until_caught_up();
@@ -287,12 +293,13 @@
 
 /// Reads once in a session whose last write has the log position `commit`; returns the status and the position that the
 /// answer states.
-fn read_once(cluster: &TestCluster, n: usize, commit: i64) -> (u16, Option<i64>) {
+fn read_once(cluster: &TestCluster, node: usize, commit: i64) -> (u16, Option<i64>) {
     let text = format!(
         "GET /sparql?query=SELECT%20r%23901 HTTP/1.1\r\nHost: lab\r\nBrookpass-Group: 1\r\n\
          Brookpass-Session: s\r\nBrookpass-Position: {commit}\r\n\r\n"
     );
-    let mut connection = http::Connection::open(cluster.sparql_address(n), Duration::from_secs(5)).unwrap();
+    let mut connection =
+        http::Connection::open(cluster.sparql_address(node), Duration::from_secs(5)).unwrap();
     connection.call(&text).map(|m| (m.status(), m.number("brookpass-position"))).expect("an answer")
 }
 
@@ -302,20 +309,20 @@
 fn every_node_tells_a_session_of_its_lost_write_even_after_restarts() {
     let cluster = &mut new_cluster(ClusterConfig { nodes: 3, groups: 1, ..ClusterConfig::default() });
     cluster.start_all();
-    let write = |cluster: &TestCluster, n: usize| {
+    let write = |cluster: &TestCluster, node: usize| {
         let mut commit = None;
         eventually("a write is admitted", || {
-            let answer = cluster.write_response(n, 1, 900).filter(|m| m.status() == 200);
+            let answer = cluster.write_response(node, 1, 900).filter(|m| m.status() == 200);
             commit = answer.and_then(|m| m.number("brookpass-position"));
             commit.is_some()
         });
         commit.expect("a commit")
     };
     // Reads that a cold endpoint rejects are retried.
-    let read = |cluster: &TestCluster, n: usize, commit: i64| {
+    let read = |cluster: &TestCluster, node: usize, commit: i64| {
         let mut last = (0, None);
         eventually("a read is admitted", || {
-            last = read_once(cluster, n, commit);
+            last = read_once(cluster, node, commit);
             last.0 != 503
         });
         last
@@ -329,32 +336,32 @@
     // The log position of the restarted primary shows that it lost commits.
     eventually("the session is told of its lost write", || read(cluster, 1, lost) == (412, Some(surviving)));
     assert_eq!(read(cluster, 1, surviving).0, 200);
-    for n in 0..3 {
-        eventually("node knows of the loss", || cluster.fleet_status(n).contains("lost group 1 after"));
+    for node in 0..3 {
+        eventually("node knows of the loss", || cluster.fleet_status(node).contains("lost group 1 after"));
     }
     // The session is told even after the primary has newer commits, and by nodes that did not observe the loss.
     let newer = write(cluster, 2);
     assert!(newer > lost);
-    for n in 0..3 {
+    for node in 0..3 {
         assert_eq!(
-            (read(cluster, n, lost), read(cluster, n, surviving).0, read(cluster, n, newer).0),
+            (read(cluster, node, lost), read(cluster, node, surviving).0, read(cluster, node, newer).0),
             ((412, Some(surviving)), 200, 200)
         );
     }
-    let log_of = |cluster: &TestCluster, n: usize| cluster.nodes[n].process().log();
-    for n in 0..3 {
-        let lines_before = log_of(cluster, n).len();
+    let log_of = |cluster: &TestCluster, node: usize| cluster.nodes[node].process().log();
+    for node in 0..3 {
+        let lines_before = log_of(cluster, node).len();
         eventually("the loss is saved to disk", || {
-            read(cluster, n, surviving);
-            log_of(cluster, n)[lines_before.min(log_of(cluster, n).len())..]
+            read(cluster, node, surviving);
+            log_of(cluster, node)[lines_before.min(log_of(cluster, node).len())..]
                 .iter()
-                .any(|l| l.contains(log_lines::GOSSIP_SAVED))
+                .any(|line| line.contains(log_lines::GOSSIP_SAVED))
         });
     }
-    (0..3).for_each(|n| cluster.kill(n));
-    (0..3).for_each(|n| cluster.start(n));
-    (0..3).for_each(|n| cluster.wait_until_ready(n));
-    for n in 0..3 {
-        assert_eq!((read(cluster, n, lost).0, read(cluster, n, newer).0), (412, 200), "node {n}");
+    (0..3).for_each(|node| cluster.kill(node));
+    (0..3).for_each(|node| cluster.start(node));
+    (0..3).for_each(|node| cluster.wait_until_ready(node));
+    for node in 0..3 {
+        assert_eq!((read(cluster, node, lost).0, read(cluster, node, newer).0), (412, 200), "node {node}");
     }
 }
--- a/tests/fleet_replication.rs
+++ b/tests/fleet_replication.rs
@@ -31,18 +31,20 @@
 }
 
 fn other_nodes(cluster: &TestCluster, excluded: usize) -> Vec<usize> {
-    (0..cluster.nodes.len()).filter(|n| *n != excluded).collect()
+    (0..cluster.nodes.len()).filter(|node| *node != excluded).collect()
 }
 
-/// Asserts that all nodes committed the same sequence of changes and that no attempts overlapped. `voters` is the number
-/// of voters where it did not change. Returns the number of committed changes.
+/// Asserts that all nodes committed the same sequence of changes and that no attempts overlapped. `voters` is the
+/// number of voters where it did not change. Returns the number of committed changes.
 fn assert_histories(cluster: &TestCluster, voters: Option<usize>) -> usize {
-    let committed = check::same_committed_sequence(&cluster.logs(), voters).unwrap_or_else(|e| panic!("{e}"));
-    check::no_overlapping_attempts(&cluster.endpoints.arrivals()).unwrap_or_else(|e| panic!("{e}"));
+    let committed =
+        check::same_committed_sequence(&cluster.logs(), voters).unwrap_or_else(|error| panic!("{error}"));
+    check::no_overlapping_attempts(&cluster.endpoints.arrivals()).unwrap_or_else(|error| panic!("{error}"));
     committed
 }
 
-/// Guards against a fleet that stalls when its leader is killed, and against a drain that needs a leader to take effect.
+/// Guards against a fleet that stalls when its leader is killed, and against a drain that needs a leader to take
+/// effect.
 #[test]
 fn a_killed_leader_is_replaced_and_drains_take_effect_without_one() {
     let mut cluster = start_five_nodes();
@@ -73,8 +75,8 @@
     .unwrap();
     assert!(check::no_stale_reads(&requests).unwrap() > 100);
     check::every_request_answered(&requests, &cluster.downtimes, REQUEST_TIMEOUT).unwrap();
-    let sent_to_survivors: Vec<_> = requests.iter().filter(|a| a.node != leader).collect();
-    let served = sent_to_survivors.iter().filter(|a| a.status == 200).count();
+    let sent_to_survivors: Vec<_> = requests.iter().filter(|request| request.node != leader).collect();
+    let served = sent_to_survivors.iter().filter(|request| request.status == 200).count();
     assert!(served * 100 > sent_to_survivors.len() * 98, "{served} of {} served", sent_to_survivors.len());
     assert_histories(&cluster, Some(5));
 }
@@ -98,21 +100,21 @@
         cluster.fleet_status(leader)
     );
     eventually("the other nodes have a leader", || {
-        others.iter().all(|n| {
-            cluster.fleet_field(*n, "leader") != cluster.nodes[leader].name
-                && cluster.fleet_field(*n, "leader") != "none"
+        others.iter().all(|node| {
+            cluster.fleet_field(*node, "leader") != cluster.nodes[leader].name
+                && cluster.fleet_field(*node, "leader") != "none"
         })
     });
     assert_eq!(cluster.post(others[1], "/drain/s-1-2"), 200);
     assert_eq!(cluster.is_draining(others[2], "s-1-1"), Some(false));
     cluster.heal_links();
     cluster.wait_until_caught_up();
-    for n in 0..5 {
-        let draining = ["s-1-1", "s-1-2", "s-2-2"].map(|endpoint| cluster.is_draining(n, endpoint));
+    for node in 0..5 {
+        let draining = ["s-1-1", "s-1-2", "s-2-2"].map(|endpoint| cluster.is_draining(node, endpoint));
         assert_eq!(
             draining,
             [Some(true); 3],
-            "node {n}: no drain is lost, and no undrain of a minority takes effect"
+            "node {node}: no drain is lost, and no undrain of a minority takes effect"
         );
     }
     assert_histories(cluster, Some(5));
@@ -126,7 +128,7 @@
     let leader = cluster.wait_for_leader();
     let others = other_nodes(cluster, leader);
     cluster.pause(leader);
-    eventually("another node leads", || cluster.leader().is_some_and(|n| n != leader));
+    eventually("another node leads", || cluster.leader().is_some_and(|node| node != leader));
     assert_eq!(cluster.post(others[0], "/drain/s-1-0"), 200);
     thread::sleep(Duration::from_secs(2));
     cluster.resume(leader);
@@ -154,7 +156,7 @@
     cluster.partition(&[vec![leader, second], others.clone()]);
     let inventory = cluster.inventory_csv();
     let shortened: String =
-        inventory.lines().filter(|l| !l.starts_with("s-2-2")).map(|l| format!("{l}\n")).collect();
+        inventory.lines().filter(|line| !line.starts_with("s-2-2")).map(|line| format!("{line}\n")).collect();
     cluster.write_inventory(second, &shortened);
     let (undrained, drained) = thread::scope(|s| {
         let undrained = s.spawn(|| cluster.post(leader, "/undrain/s-1-1"));
@@ -167,10 +169,10 @@
         Some(true),
         "the two nodes of the minority are connected"
     );
-    for n in [leader, second] {
-        assert_eq!(cluster.is_draining(n, "s-1-1"), Some(true));
+    for node in [leader, second] {
+        assert_eq!(cluster.is_draining(node, "s-1-1"), Some(true));
         assert!(
-            cluster.is_draining(n, "s-2-2").is_some(),
+            cluster.is_draining(node, "s-2-2").is_some(),
             "an inventory that is not committed has no effect"
         );
     }
@@ -181,15 +183,15 @@
     cluster.wait_until_active(&others, "s-9-9");
     cluster.heal_links();
     cluster.wait_until_caught_up();
-    for n in 0..5 {
+    for node in 0..5 {
         assert!(
-            cluster.is_draining(n, "s-9-9").is_some() && cluster.is_draining(n, "s-2-2").is_some(),
-            "node {n}"
+            cluster.is_draining(node, "s-9-9").is_some() && cluster.is_draining(node, "s-2-2").is_some(),
+            "node {node}"
         );
         assert_eq!(
-            ["s-1-1", "s-1-2", "s-2-1"].map(|endpoint| cluster.is_draining(n, endpoint)),
+            ["s-1-1", "s-1-2", "s-2-1"].map(|endpoint| cluster.is_draining(node, endpoint)),
             [Some(true); 3],
-            "node {n}"
+            "node {node}"
         );
     }
     let text = cluster.fleet_status(second);
@@ -226,15 +228,15 @@
     let leader = cluster.wait_for_leader();
     let slow_and_lossy =
         LinkFaults { delay: Duration::from_millis(200), loss_percent: 20, ..LinkFaults::NONE };
-    for n in other_nodes(cluster, leader) {
-        cluster.set_link_faults(leader, n, slow_and_lossy);
+    for node in other_nodes(cluster, leader) {
+        cluster.set_link_faults(leader, node, slow_and_lossy);
     }
     for endpoint in ["s-2-0", "s-2-1", "s-2-2"] {
-        let n = other_nodes(cluster, leader)[0];
+        let node = other_nodes(cluster, leader)[0];
         // The drain takes effect everywhere long before it is committed.
-        let status = cluster.post(n, &format!("/drain/{endpoint}"));
+        let status = cluster.post(node, &format!("/drain/{endpoint}"));
         assert!(matches!(status, 200 | 202), "{status}");
-        assert_eq!(cluster.is_draining(n, endpoint), Some(true));
+        assert_eq!(cluster.is_draining(node, endpoint), Some(true));
     }
     cluster.heal_links();
     cluster.wait_until_caught_up();
@@ -264,12 +266,12 @@
         let endpoints = ["s-1-2", "s-2-0", "s-2-1"];
         let status = cluster.post(round, &format!("/drain/{}", endpoints[round]));
         // All nodes lose power right after the answer.
-        (0..5).for_each(|n| cluster.kill(n));
+        (0..5).for_each(|node| cluster.kill(node));
         assert_eq!(status, 200);
-        (0..5).for_each(|n| cluster.start(n));
-        (0..5).for_each(|n| cluster.wait_until_ready(n));
-        for n in 0..5 {
-            assert_eq!(cluster.is_draining(n, endpoints[round]), Some(true), "round {round}, node {n}");
+        (0..5).for_each(|node| cluster.start(node));
+        (0..5).for_each(|node| cluster.wait_until_ready(node));
+        for node in 0..5 {
+            assert_eq!(cluster.is_draining(node, endpoints[round]), Some(true), "round {round}, node {node}");
         }
     }
     cluster.wait_until_caught_up();
@@ -289,10 +291,10 @@
     let earlier_copy = std::fs::read(&file).unwrap();
     cluster.start(outdated);
     cluster.wait_until_ready(outdated);
-    let identity = |cluster: &TestCluster, n: usize| {
-        let text = cluster.fleet_status(n);
+    let identity = |cluster: &TestCluster, node: usize| {
+        let text = cluster.fleet_status(node);
         text.lines()
-            .find(|l| l.starts_with("daemon "))
+            .find(|line| line.starts_with("daemon "))
             .unwrap_or("")
             .split(' ')
             .nth(2)
@@ -309,8 +311,10 @@
     cluster.wait_until_draining(&[lost], "s-1-1");
     eventually("node votes again, under a new identity", || {
         let text = cluster.fleet_status(leader);
-        text.lines().any(|l| {
-            l.starts_with(&format!("member b{lost} ")) && l.contains(" voter ") && !l.contains(&before[0])
+        text.lines().any(|line| {
+            line.starts_with(&format!("member b{lost} "))
+                && line.contains(" voter ")
+                && !line.contains(&before[0])
         })
     });
     assert!(cluster.fleet_status(leader).contains(&format!("removed b{lost} {}", before[0])));
@@ -326,8 +330,10 @@
     cluster.start(outdated);
     eventually("node votes under a new identity", || {
         let text = cluster.fleet_status(leader);
-        text.lines().any(|l| {
-            l.starts_with(&format!("member b{outdated} ")) && l.contains(" voter ") && !l.contains(&before[1])
+        text.lines().any(|line| {
+            line.starts_with(&format!("member b{outdated} "))
+                && line.contains(" voter ")
+                && !line.contains(&before[1])
         })
     });
     cluster.wait_until_ready(outdated);
@@ -350,15 +356,17 @@
     };
     for _ in 0..2 {
         wait_for_requests();
-        let n = cluster.add_node(&[0, 1, 2]);
-        cluster.start(n);
-        cluster.wait_until_ready(n);
-        eventually("the new node is a member", || cluster.fleet_status(0).contains(&format!("member b{n} ")));
+        let node = cluster.add_node(&[0, 1, 2]);
+        cluster.start(node);
+        cluster.wait_until_ready(node);
+        eventually("the new node is a member", || {
+            cluster.fleet_status(0).contains(&format!("member b{node} "))
+        });
         assert!(
-            cluster.fleet_status(n).contains(&format!("daemon b{n} "))
-                && cluster.fleet_field(n, "fleet") == cluster.fleet_field(0, "fleet")
+            cluster.fleet_status(node).contains(&format!("daemon b{node} "))
+                && cluster.fleet_field(node, "fleet") == cluster.fleet_field(0, "fleet")
         );
-        assert_eq!(cluster.post(n, &format!("/fleet/vote/b{n}")), 200);
+        assert_eq!(cluster.post(node, &format!("/fleet/vote/b{node}")), 200);
     }
     eventually("five nodes vote", || cluster.voter_count(3) == 5);
     assert_eq!(cluster.post(4, "/drain/s-1-1"), 200);
@@ -366,10 +374,13 @@
     for _ in 0..2 {
         wait_for_requests();
         let leaving = cluster.wait_for_leader();
-        let remaining = cluster.running_nodes().into_iter().find(|n| *n != leaving).unwrap();
+        let remaining = cluster.running_nodes().into_iter().find(|node| *node != leaving).unwrap();
         assert_eq!(cluster.post(remaining, &format!("/fleet/leave/b{leaving}")), 200);
         eventually("the removed node reports its removal", || {
-            cluster.fleet_status(leaving).lines().any(|l| l.starts_with("daemon ") && l.ends_with(" removed"))
+            cluster
+                .fleet_status(leaving)
+                .lines()
+                .any(|line| line.starts_with("daemon ") && line.ends_with(" removed"))
         });
         assert_eq!(cluster.post(leaving, "/drain/s-2-2"), 409);
         assert_eq!(cluster.is_draining(leaving, "s-1-1"), Some(true), "it serves with its last known state");
@@ -396,22 +407,23 @@
         ..ClusterConfig::default()
     });
     cluster.start_all();
-    for (n, endpoint) in [(0, "s-1-0"), (2, "s-1-1"), (4, "s-1-2")] {
-        assert_eq!(cluster.post(n, &format!("/drain/{endpoint}")), 200);
+    for (node, endpoint) in [(0, "s-1-0"), (2, "s-1-1"), (4, "s-1-2")] {
+        assert_eq!(cluster.post(node, &format!("/drain/{endpoint}")), 200);
     }
     // A node whose clock is behind undoes a drain of a node whose clock is ahead.
     assert_eq!(cluster.post(2, "/undrain/s-1-0"), 200);
     let leader = cluster.wait_for_leader();
     cluster.kill(leader);
     cluster.wait_for_leader();
-    let n = cluster.running_nodes()[0];
-    assert_eq!(cluster.post(n, "/drain/s-2-0"), 200);
+    let node = cluster.running_nodes()[0];
+    assert_eq!(cluster.post(node, "/drain/s-2-0"), 200);
     cluster.start(leader);
     cluster.wait_until_ready(leader);
     cluster.wait_until_caught_up();
-    for n in 0..5 {
-        let draining = ["s-1-0", "s-1-1", "s-1-2", "s-2-0"].map(|endpoint| cluster.is_draining(n, endpoint));
-        assert_eq!(draining, [Some(false), Some(true), Some(true), Some(true)], "node {n}");
+    for node in 0..5 {
+        let draining =
+            ["s-1-0", "s-1-1", "s-1-2", "s-2-0"].map(|endpoint| cluster.is_draining(node, endpoint));
+        assert_eq!(draining, [Some(false), Some(true), Some(true), Some(true)], "node {node}");
     }
     assert_histories(cluster, Some(5));
 }
@@ -443,7 +455,10 @@
     assert_eq!(cluster.post(2, "/fleet/form"), 409);
     // A node that was down when the fleet formed joins as a follower until an operator gives it a vote.
     assert!(
-        cluster.fleet_status(0).lines().any(|l| l.starts_with("member b2 ") && l.contains(" follower ")),
+        cluster
+            .fleet_status(0)
+            .lines()
+            .any(|line| line.starts_with("member b2 ") && line.contains(" follower ")),
         "{}",
         cluster.fleet_status(0)
     );
@@ -512,9 +527,9 @@
         );
         assert_eq!(cluster.post(leader, &format!("/undrain/{endpoint}")), 200);
     }
-    for n in [leader, other] {
-        let memory = cluster.nodes[n].process().resource_usage().memory_kib;
-        assert!(memory < 64 * 1024, "node {n} holds {memory} KiB");
+    for node in [leader, other] {
+        let memory = cluster.nodes[node].process().resource_usage().memory_kib;
+        assert!(memory < 64 * 1024, "node {node} holds {memory} KiB");
     }
     assert_eq!(cluster.post(leader, "/drain/s-1-1"), 200);
     cluster.heal_links();
@@ -546,9 +561,9 @@
         }
     });
     cluster.wait_until_caught_up();
-    for n in 0..3 {
-        assert_eq!(cluster.fleet_field(n, "panics"), "0", "node {n}");
-        assert!(!cluster.fleet_status(n).contains("\ndrain "), "node {n}");
+    for node in 0..3 {
+        assert_eq!(cluster.fleet_field(node, "panics"), "0", "node {node}");
+        assert!(!cluster.fleet_status(node).contains("\ndrain "), "node {node}");
     }
     assert_histories(cluster, Some(3));
 }
@@ -558,8 +573,8 @@
 fn a_primary_discovered_by_one_node_is_known_to_its_peers() {
     let cluster = &mut new_cluster(ClusterConfig { nodes: 3, ..ClusterConfig::default() });
     cluster.start_all();
-    let learned = |cluster: &TestCluster, n: usize| {
-        http::call(cluster.nodes[n].store_address, "GET", "/fleet/learned").unwrap().text()
+    let learned = |cluster: &TestCluster, node: usize| {
+        http::call(cluster.nodes[node].store_address, "GET", "/fleet/learned").unwrap().text()
     };
     // With the direct link cut, node 2 learns of the primary only through node 1.
     cluster.cut_one_way(0, 2);
@@ -568,18 +583,22 @@
         cluster.endpoints.promote(1, endpoint);
         let request_id = 1_000_000 + 10 * round as u64;
         assert_eq!(cluster.write(0, 1, request_id), 200);
-        for n in [1, 2] {
+        for node in [1, 2] {
             let expected = format!("group 1 primary {endpoint} heard by b0");
-            eventually("the peers know the primary", || learned(cluster, n).contains(&expected));
+            eventually("the peers know the primary", || learned(cluster, node).contains(&expected));
         }
-        for n in [2, 1] {
-            let request_id = request_id + n as u64;
-            assert_eq!(cluster.write(n, 1, request_id), 200);
-            assert_eq!(cluster.endpoints_reached(request_id), [endpoint], "node {n} tried no other endpoint");
+        for node in [2, 1] {
+            let request_id = request_id + node as u64;
+            assert_eq!(cluster.write(node, 1, request_id), 200);
+            assert_eq!(
+                cluster.endpoints_reached(request_id),
+                [endpoint],
+                "node {node} tried no other endpoint"
+            );
         }
     }
     let text = learned(cluster, 2);
-    assert!(text.lines().any(|l| l.starts_with("s-1-1 b0 primary ")), "{text}");
+    assert!(text.lines().any(|line| line.starts_with("s-1-1 b0 primary ")), "{text}");
     assert_histories(cluster, Some(3));
 }
 
@@ -592,17 +611,17 @@
     let calls = cluster.run_schedule(&schedule);
     let running = cluster.running_nodes();
     assert_eq!(running.len(), 5, "seed {seed}");
-    running.iter().for_each(|n| cluster.wait_until_ready(*n));
+    running.iter().for_each(|node| cluster.wait_until_ready(*node));
     cluster.wait_until_caught_up();
     let requests = load.finish();
     let fail = |why: String| -> ! { panic!("seed {seed}: {why}\n{schedule:#?}") };
     let violated = |error: CheckError| -> ! { fail(error.to_string()) };
-    check::same_committed_sequence(&cluster.logs(), Some(5)).unwrap_or_else(|e| violated(e));
-    check::no_stale_reads(&requests).unwrap_or_else(|e| violated(e));
+    check::same_committed_sequence(&cluster.logs(), Some(5)).unwrap_or_else(|error| violated(error));
+    check::no_stale_reads(&requests).unwrap_or_else(|error| violated(error));
     check::every_request_answered(&requests, &cluster.downtimes, REQUEST_TIMEOUT)
-        .unwrap_or_else(|e| violated(e));
+        .unwrap_or_else(|error| violated(error));
     let arrivals: Vec<Arrival> = cluster.endpoints.arrivals();
-    check::no_overlapping_attempts(&arrivals).unwrap_or_else(|e| violated(e));
+    check::no_overlapping_attempts(&arrivals).unwrap_or_else(|error| violated(error));
     // An acknowledged drain stays in effect unless an undrain was called after it or up to 5 s before it, when the two
     // calls may have overlapped.
     for call in &calls {
@@ -613,9 +632,9 @@
         });
         let status = call.status;
         if matches!(status, 200 | 202) && !undone {
-            for n in 0..5 {
-                if cluster.is_draining(n, endpoint) != Some(true) {
-                    fail(format!("the drain of {endpoint}, answered {status}, is lost at node {n}"));
+            for node in 0..5 {
+                if cluster.is_draining(node, endpoint) != Some(true) {
+                    fail(format!("the drain of {endpoint}, answered {status}, is lost at node {node}"));
                 }
             }
         }
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -40,7 +40,9 @@
     let mut cluster = new_cluster(config);
     cluster.start_all();
     let load = cluster.start_load(load_profile(seed));
-    eventually("recovery is done", || (0..nodes).all(|n| cluster.fleet_status(n).contains("recovery done")));
+    eventually("recovery is done", || {
+        (0..nodes).all(|node| cluster.fleet_status(node).contains("recovery done"))
+    });
     thread::sleep(Duration::from_secs(1));
     (cluster, load)
 }
@@ -68,22 +70,25 @@
 fn arrivals_in_zone(cluster: &TestCluster, zone: &str, from: Timestamp, to: Timestamp) -> usize {
     let arrivals = cluster.endpoints.arrivals();
     let in_zone = |name: &str| cluster.endpoints.get(name).zone == zone;
-    arrivals.iter().filter(|a| (from..to).contains(&a.arrived_at) && in_zone(&a.endpoint)).count()
+    arrivals
+        .iter()
+        .filter(|arrival| (from..to).contains(&arrival.arrived_at) && in_zone(&arrival.endpoint))
+        .count()
 }
 
 /// The weights of a zone, in thousandths, that a node applied from committed changes, in order.
-fn applied_weights(cluster: &TestCluster, n: usize, zone: &str) -> Vec<u16> {
-    let log = cluster.log(n);
+fn applied_weights(cluster: &TestCluster, node: usize, zone: &str) -> Vec<u16> {
+    let log = cluster.log(node);
     let number = zone.trim_start_matches("z-");
     let prefix = log_lines::zone_weight_set(number);
     let entries = log
         .iter()
-        .filter(|l| l.contains(log_lines::ENTRY_APPLIED) && l.ends_with(log_lines::ENTRY_SUCCEEDED));
-    entries.filter_map(|l| l.split(&prefix).nth(1)?.split(' ').next()?.parse().ok()).collect()
+        .filter(|line| line.contains(log_lines::ENTRY_APPLIED) && line.ends_with(log_lines::ENTRY_SUCCEEDED));
+    entries.filter_map(|line| line.split(&prefix).nth(1)?.split(' ').next()?.parse().ok()).collect()
 }
 
-/// Guards against each node having to detect each silent endpoint by itself, reads that wait there until their deadline,
-/// and a return that skips steps on some nodes.
+/// Guards against each node having to detect each silent endpoint by itself, reads that wait there until their
+/// deadline, and a return that skips steps on some nodes.
 #[test]
 fn all_nodes_evacuate_a_silent_zone_together_and_return_to_it_stepwise() {
     let (cluster, load) = nodes_under_load(3, 1);
@@ -105,14 +110,15 @@
     );
     let failed = check::unserved_requests(&requests, from..restored_at);
     assert!(failed <= 6, "{failed} requests were not served");
-    for n in 0..3 {
+    for node in 0..3 {
         assert_eq!(
-            applied_weights(&cluster, n, "z-1"),
+            applied_weights(&cluster, node, "z-1"),
             [&[0][..], &RETURN_STEPS_PERMILLE].concat(),
-            "node {n}"
+            "node {node}"
         );
         assert!(
-            applied_weights(&cluster, n, "z-0").is_empty() && applied_weights(&cluster, n, "z-2").is_empty()
+            applied_weights(&cluster, node, "z-0").is_empty()
+                && applied_weights(&cluster, node, "z-2").is_empty()
         );
     }
 }
@@ -158,7 +164,8 @@
     cluster.wait_for_zone_weight("z-1", 0);
     let first_restored_at = Timestamp::now();
     set_zone_silent(&cluster, "z-1", false);
-    // How long the first step takes depends on the few requests sent there, so only the time until that step is compared.
+    // How long the first step takes depends on the few requests sent there, so only the time until that step is
+    // compared.
     cluster.wait_for_zone_weight("z-1", 20);
     let first_return = Timestamp::now().duration_since(first_restored_at);
     cluster.wait_for_zone_weight("z-1", 125);
@@ -185,19 +192,22 @@
 fn isolated_nodes_evacuate_a_silent_zone_only_locally() {
     let (cluster, load) = nodes_under_load(3, 4);
     cluster.partition(&[vec![0], vec![1], vec![2]]);
-    eventually("there is no leader", || (0..3).all(|n| cluster.fleet_field(n, "leader") == "none"));
+    eventually("there is no leader", || (0..3).all(|node| cluster.fleet_field(node, "leader") == "none"));
     set_zone_silent(&cluster, "z-1", true);
     // Each node does so at its own time, and only if it sent enough requests there to detect it, since nodes avoid
     // silent endpoints anyway.
-    let evacuated =
-        |n: usize| cluster.log(n).iter().any(|l| l.contains(&log_lines::local_evacuation_of("z-1")));
+    let evacuated = |node: usize| {
+        cluster.log(node).iter().any(|line| line.contains(&log_lines::local_evacuation_of("z-1")))
+    };
     eventually("a node evacuates the zone locally", || (0..3).any(evacuated));
     thread::sleep(Duration::from_millis(1_500));
     let settled_from = Timestamp::now();
     thread::sleep(Duration::from_millis(1_500));
     let until = Timestamp::now();
     assert!(
-        (0..3).all(|n| cluster.zone_weight(n, "z-1").is_some_and(|weight| weight.agreed_permille == 1000))
+        (0..3).all(|node| cluster
+            .zone_weight(node, "z-1")
+            .is_some_and(|weight| weight.agreed_permille == 1000))
     );
     assert_eq!(cluster.post(1, "/zone/z-2/leave"), 503, "an operator's command needs a majority");
     set_zone_silent(&cluster, "z-1", false);
@@ -211,13 +221,13 @@
     let failed = check::unserved_requests(&requests, settled_from..until);
     assert!(failed <= 12, "{failed} requests were not served although the zone was known to be silent");
     assert!(
-        (0..3).all(|n| applied_weights(&cluster, n, "z-1").iter().all(|permille| *permille > 0)),
+        (0..3).all(|node| applied_weights(&cluster, node, "z-1").iter().all(|permille| *permille > 0)),
         "an evacuation was committed"
     );
 }
 
-/// Guards against an operator's evacuation that is overruled by what nodes observe, and against operators evacuating the
-/// last zone.
+/// Guards against an operator's evacuation that is overruled by what nodes observe, and against operators evacuating
+/// the last zone.
 #[test]
 fn an_operators_evacuation_holds_and_the_last_zone_is_kept() {
     let (cluster, load) = nodes_under_load(3, 5);
@@ -233,9 +243,9 @@
     assert_eq!(arrivals_in_zone(&cluster, "z-2", evacuated_at, Timestamp::now()), 0);
     // Writes go to a primary even in an evacuated zone.
     (1..=4).for_each(|group| cluster.endpoints.promote(group, &format!("s-{group}-2")));
-    for n in 0..3 {
-        eventually("writes go to the new primary", || cluster.write(n, 1, 70_000 + n as u64) == 200);
-        assert_eq!(cluster.endpoints_reached(70_000 + n as u64).last().map(String::as_str), Some("s-1-2"));
+    for node in 0..3 {
+        eventually("writes go to the new primary", || cluster.write(node, 1, 70_000 + node as u64) == 200);
+        assert_eq!(cluster.endpoints_reached(70_000 + node as u64).last().map(String::as_str), Some("s-1-2"));
     }
     assert_eq!(cluster.post(1, "/zone/z-2/return-now"), 200);
     cluster.wait_for_zone_weight("z-2", 1000);
@@ -259,15 +269,15 @@
     );
 }
 
-/// Guards against a zone of slow endpoints that keeps its full weight, and against one failed endpoint that is taken for
-/// a failure of its zone.
+/// Guards against a zone of slow endpoints that keeps its full weight, and against one failed endpoint that is taken
+/// for a failure of its zone.
 #[test]
 fn a_slow_zone_loses_weight_but_a_zone_with_one_dead_endpoint_does_not() {
     let (cluster, load) = nodes_under_load(3, 6);
     cluster.endpoints.get("s-1-1").configure(|behavior| behavior.is_silent = true);
     thread::sleep(Duration::from_secs(3));
     assert!(
-        (0..3).all(|n| cluster.zone_weight(n, "z-1") == Some(ZoneWeight::agreed(1000))),
+        (0..3).all(|node| cluster.zone_weight(node, "z-1") == Some(ZoneWeight::agreed(1000))),
         "one of four endpoints is dead"
     );
     cluster.endpoints.get("s-1-1").configure(|behavior| behavior.is_silent = false);
@@ -301,7 +311,7 @@
     let evacuated_at = Timestamp::now();
     thread::sleep(Duration::from_secs(1));
     assert!(
-        (0..5).all(|n| cluster.zone_weight(n, "z-1") == Some(ZoneWeight::agreed(1000))),
+        (0..5).all(|node| cluster.zone_weight(node, "z-1") == Some(ZoneWeight::agreed(1000))),
         "the last zone is kept"
     );
     set_zone_silent(&cluster, "z-2", false);
@@ -311,8 +321,11 @@
     let requests = load.finish();
     assert_invariants(&cluster, &requests);
     let served = |write: bool| {
-        requests.iter().any(|a| {
-            a.is_write == write && a.status == 200 && a.sent_at > evacuated_at && a.finished_at > from
+        requests.iter().any(|request| {
+            request.is_write == write
+                && request.status == 200
+                && request.sent_at > evacuated_at
+                && request.finished_at > from
         })
     };
     assert!(served(true) && served(false));
@@ -329,12 +342,12 @@
     cluster.wait_for_zone_weight("z-1", 0);
     cluster.wait_for_zone_weight("z-2", 0);
     assert!(
-        (0..3).all(|n| cluster.zone_weight(n, "z-0") == Some(ZoneWeight::agreed(1000))),
+        (0..3).all(|node| cluster.zone_weight(node, "z-0") == Some(ZoneWeight::agreed(1000))),
         "the other region is kept"
     );
     let text = http::call(cluster.nodes[0].store_address, "GET", "/zones").unwrap().text();
     assert!(
-        text.lines().any(|l| l.starts_with("zone z-2 gets 0") && l.ends_with("of region north")),
+        text.lines().any(|line| line.starts_with("zone z-2 gets 0") && line.ends_with("of region north")),
         "{text}"
     );
     set_zone_silent(&cluster, "z-1", false);
@@ -354,11 +367,11 @@
     let settled_from = Timestamp::now();
     thread::sleep(Duration::from_millis(1_500));
     let until = Timestamp::now();
-    for n in [0, 2] {
-        assert_eq!(cluster.zone_weight(n, "z-1"), Some(ZoneWeight::agreed(1000)));
+    for node in [0, 2] {
+        assert_eq!(cluster.zone_weight(node, "z-1"), Some(ZoneWeight::agreed(1000)));
         assert!(
-            !cluster.log(n).iter().any(|line| line.contains(log_lines::LOCAL_EVACUATION)),
-            "node {n} reaches the zone"
+            !cluster.log(node).iter().any(|line| line.contains(log_lines::LOCAL_EVACUATION)),
+            "node {node} reaches the zone"
         );
     }
     cluster.reconnect_zone(1, "z-1");
@@ -366,16 +379,19 @@
     ["z-0", "z-1", "z-2"].iter().for_each(|zone| cluster.cut_zone(2, zone));
     thread::sleep(Duration::from_secs(3));
     ["z-0", "z-1", "z-2"].iter().for_each(|zone| cluster.reconnect_zone(2, zone));
-    let served = |n: usize, from: Timestamp| {
-        cluster.write(n, 1, from.as_micros() as u64 % 1_000_000 + 80_000_000) == 200
+    let served = |node: usize, from: Timestamp| {
+        cluster.write(node, 1, from.as_micros() as u64 % 1_000_000 + 80_000_000) == 200
     };
     eventually("the node serves again", || served(2, Timestamp::now()));
     let requests = load.finish();
     assert_invariants(&cluster, &requests);
     let failed = check::unserved_requests(&requests, settled_from..until);
     assert!(failed <= 12, "{failed} requests were not served although their node had detected the cut zone");
-    for (n, zone) in (0..3).flat_map(|n| ["z-0", "z-1", "z-2"].map(|zone| (n, zone))) {
-        assert!(applied_weights(&cluster, n, zone).is_empty(), "node {n}: the weight of {zone} changed");
+    for (node, zone) in (0..3).flat_map(|node| ["z-0", "z-1", "z-2"].map(|zone| (node, zone))) {
+        assert!(
+            applied_weights(&cluster, node, zone).is_empty(),
+            "node {node}: the weight of {zone} changed"
+        );
     }
 }
 
@@ -403,13 +419,15 @@
     let zones = ["z-0", "z-1", "z-2"].map(String::from);
     let schedule = FaultSchedule::of_zones(seed, 3, &zones, Duration::from_secs(6));
     cluster.run_schedule(&schedule);
-    (0..3).for_each(|n| cluster.wait_until_ready(n));
+    (0..3).for_each(|node| cluster.wait_until_ready(node));
     cluster.wait_for_leader();
     for zone in &zones {
         // A zone that failed repeatedly stays evacuated for up to a minute; the operator's command skips that wait.
         eventually(&format!("seed {seed}: {zone} has its full weight"), || {
             cluster.post(0, &format!("/zone/{zone}/return-now"));
-            (0..3).all(|n| cluster.zone_weight(n, zone).is_some_and(|weight| weight.agreed_permille == 1000))
+            (0..3).all(|node| {
+                cluster.zone_weight(node, zone).is_some_and(|weight| weight.agreed_permille == 1000)
+            })
         });
     }
     let recovered_at = Timestamp::now();
@@ -417,9 +435,9 @@
     let requests = load.finish();
     assert_invariants(&cluster, &requests);
     let untouched_zones = zones.iter().filter(|zone| !schedule.touches_zone(zone));
-    for (n, zone) in untouched_zones.flat_map(|zone| (0..3).map(move |n| (n, zone))) {
+    for (node, zone) in untouched_zones.flat_map(|zone| (0..3).map(move |node| (node, zone))) {
         assert!(
-            applied_weights(&cluster, n, zone).iter().all(|permille| *permille > 0),
+            applied_weights(&cluster, node, zone).iter().all(|permille| *permille > 0),
             "seed {seed}: {zone} was evacuated"
         );
     }
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -75,11 +75,11 @@
         eventually("the inventory is committed", || self.get("/hosts").lines().count() == 3);
     }
 
-    fn wait_for_drain(&self, host: &str) {
+    fn wait_for_drain(&self, endpoint: &str) {
         eventually("the endpoint is drained", || {
             self.get("/hosts")
                 .lines()
-                .any(|line| line.starts_with(&format!("{host} ")) && line.contains(" leaving "))
+                .any(|line| line.starts_with(&format!("{endpoint} ")) && line.contains(" leaving "))
         });
     }
 }
@@ -114,7 +114,9 @@
         Relay::start(UNUSED_ADDRESS, RelayProtocol::Bytes),
         Relay::start(UNUSED_ADDRESS, RelayProtocol::Bytes),
     ];
-    let start = |n: usize| NewNode::start(&folder, n, &relays[n], &[relays[1 - n].address, old.address]);
+    let start = |number: usize| {
+        NewNode::start(&folder, number, &relays[number], &[relays[1 - number].address, old.address])
+    };
     let mut new = [start(0), start(1)];
     relays.iter().for_each(|relay| old.link_to(relay.address));
     new.iter().for_each(|node| node.wait_for_voters(3));
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -54,7 +54,7 @@
 }
 
 fn comparable_entries(applied: Vec<AppliedEntry>) -> Vec<(u64, u32, AppliedContent, ApplyResult)> {
-    applied.into_iter().map(|a| (a.index, a.digest, a.content, a.result)).collect()
+    applied.into_iter().map(|entry| (entry.index, entry.digest, entry.content, entry.result)).collect()
 }
 
 #[test]
@@ -161,7 +161,8 @@
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// Compares all tables, keys and bytes of the fixture, of the values in `stored`, and of a store that this build writes.
+/// Compares all tables, keys and bytes of the fixture, of the values in `stored`, and of a store that this build
+/// writes.
 #[test]
 fn a_store_written_now_has_the_tables_keys_and_bytes_of_the_fixture() {
     let folder = empty_folder("dump");
@@ -213,7 +214,7 @@
     let written = dump_store(&path);
     let fixture = dump_store(&copy_fixture(&folder, "fixture.store", false));
     for key in ["meta learned ", "meta marks ", "meta form ", "meta snapshot "] {
-        let line_of = |lines: &[String]| lines.iter().find(|l| l.starts_with(key)).cloned();
+        let line_of = |lines: &[String]| lines.iter().find(|line| line.starts_with(key)).cloned();
         assert!(line_of(&written).is_some(), "{key}");
         assert_eq!(line_of(&written), line_of(&fixture));
     }
@@ -373,13 +374,13 @@
         "removed b8 8b8b000000000008",
         "removed b7 7b7b000000000007",
     ] {
-        assert!(fleet.lines().any(|l| l == line), "{line:?} is not in\n{fleet}");
+        assert!(fleet.lines().any(|answered| answered == line), "{line:?} is not in\n{fleet}");
     }
-    let count_lines = |start: &str| fleet.lines().filter(|l| l.starts_with(start)).count();
+    let count_lines = |start: &str| fleet.lines().filter(|line| line.starts_with(start)).count();
     let counts = ["drain ", "unagreed drain ", "member ", "removed ", "lost "].map(count_lines);
     assert_eq!(counts, [2, 3, 4, 2, 2], "{fleet}");
     let zones = get("/zones");
-    let weights: Vec<_> = zones.lines().map(|l| l.split(';').next().unwrap()).collect();
+    let weights: Vec<_> = zones.lines().map(|line| line.split(';').next().unwrap()).collect();
     assert_eq!(
         weights,
         [
@@ -388,13 +389,13 @@
             "zone z-2 gets 0 of 1000, agreed 0 by move 3, Operator, failed 0",
         ]
     );
-    let regions: Vec<_> = zones.lines().map(|l| l.split(" of region ").nth(1).unwrap()).collect();
+    let regions: Vec<_> = zones.lines().map(|line| line.split(" of region ").nth(1).unwrap()).collect();
     assert_eq!(regions, ["north", "north", "south"]);
     let gossip = get("/fleet/learned");
     assert!(gossip.starts_with("group 1 guess s-1-0 from before this start, "), "{gossip}");
     assert_eq!(gossip.lines().count(), 1, "{gossip}");
-    // The services that the operator's file names are defined only in the committed settings, so serving shows that these
-    // were read.
+    // The services that the operator's file names are defined only in the committed settings, so serving shows that
+    // these were read.
     process.wait_for_line(log_lines::SERVING_WITHOUT_MAJORITY);
     assert!(process.is_running());
     drop(process);
--- a/tests/stored/mod.rs
+++ b/tests/stored/mod.rs
@@ -336,8 +336,8 @@
     }
 }
 
-/// Copies the fixture's store file. The copy has another file id than the one recorded in it, by which the program detects
-/// copies; `adopted` records the copy's own file id, as if the node had created the file itself.
+/// Copies the fixture's store file. The copy has another file id than the one recorded in it, by which the program
+/// detects copies; `adopted` records the copy's own file id, as if the node had created the file itself.
 pub fn copy_fixture(folder: &Path, name: &str, adopted: bool) -> PathBuf {
     let path = folder.join(name);
     std::fs::write(&path, std::fs::read(fixtures().join("member.store")).unwrap()).unwrap();
--- a/tests/stored_records.rs
+++ b/tests/stored_records.rs
@@ -1,5 +1,5 @@
-//! The bytes of every record in a store. Later builds must read what commit 029518c wrote, and that commit must read what
-//! later builds write, so encoding and decoding are both compared with golden bytes.
+//! The bytes of every record in a store. Later builds must read what commit 029518c wrote, and that commit must read
+//! what later builds write, so encoding and decoding are both compared with golden bytes.
 
 mod stored;
 
