--- a/tests/fleet_recovery_power.rs
+++ b/tests/fleet_recovery_power.rs
@@ -40,8 +40,8 @@
         .collect()
 }
 
-/// Asserts what must hold under any fault: no stale reads, no overlapping attempts, one answer per request, and
-/// sessions told of their lost writes. Returns how many lost writes sessions were told of.
+/// Asserts what must hold under any fault: no stale reads, no overlapping attempts, no write executed twice, one answer
+/// per request, and sessions told of their lost writes. Returns how many requests were told of a lost write.
 fn assert_invariants(cluster: &TestCluster, requests: &[RequestRecord]) -> usize {
     check::no_stale_reads(requests).unwrap();
     check::no_overlapping_attempts(&cluster.endpoints.arrivals()).unwrap();
@@ -49,8 +49,8 @@
     check::sessions_told_of_lost_writes(requests, &lost_commits(cluster)).unwrap()
 }
 
-/// Asserts that no cold endpoint gets more than its bound, and returns the load of the worst second as a fraction of
-/// it.
+/// Asserts that no cold endpoint gets more than its bound. Returns the load of the worst second as a fraction of its
+/// bound.
 fn worst_cold_load(cluster: &TestCluster, started_at: Timestamp) -> f64 {
     let arrivals = cluster.endpoints.arrivals();
     let cold = ColdStartBound { started_at, warm_capacity_per_second: 100.0, overload_multiple: 4.0 };
@@ -114,7 +114,7 @@
     let candidates = (0..5)
         .filter(|node| cluster.log(*node).iter().any(|line| line.contains(log_lines::FIRST_ELECTION_STARTED)))
         .count();
-    assert!(candidates >= 1, "no node waits for its election timeout");
+    assert!(candidates >= 1, "no node started an election without waiting for its timeout");
     let served_before = load.served_within(powered_off_at - Duration::from_secs(1)..powered_off_at);
     eventually("throughput is back at half of its earlier value", || {
         let end = Timestamp::now();
--- a/tests/fleet_replication.rs
+++ b/tests/fleet_replication.rs
@@ -34,8 +34,8 @@
     (0..cluster.nodes.len()).filter(|node| *node != excluded).collect()
 }
 
-/// Asserts that all nodes committed the same sequence of changes and that no attempts overlapped. `voters` is the
-/// number of voters where it did not change. Returns the number of committed changes.
+/// Asserts that all nodes applied the same sequence of changes, that no attempts overlapped and that no write was
+/// executed twice. `voters` is the number of voters, or `None` if it changed in the test. Returns the number of entries.
 fn assert_histories(cluster: &TestCluster, voters: Option<usize>) -> usize {
     let committed =
         check::same_committed_sequence(&cluster.logs(), voters).unwrap_or_else(|error| panic!("{error}"));
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -57,8 +57,8 @@
     changed_at
 }
 
-/// Asserts what must hold under any fault: no stale reads, no overlapping attempts, one answer per request, and one
-/// committed sequence on all nodes.
+/// Asserts what must hold under any fault: no stale reads, no overlapping attempts, no write executed twice, one answer
+/// per request, and one committed sequence on all nodes.
 fn assert_invariants(cluster: &TestCluster, requests: &[RequestRecord]) {
     check::no_stale_reads(requests).unwrap();
     check::no_overlapping_attempts(&cluster.endpoints.arrivals()).unwrap();
