--- a/src/fleet/runtime/incoming_connection.rs
+++ b/src/fleet/runtime/incoming_connection.rs
@@ -17,12 +17,13 @@
 impl Fleet {
     /// Whether an HTTP request asks to be upgraded to a connection between peers.
     pub fn is_peer_connection(request: &Request) -> bool {
-        request.target().0 == UPGRADE_PATH && request.head.has("upgrade", UPGRADE_PROTOCOL)
+        request.path_and_query().0 == UPGRADE_PATH && request.head.list_contains("upgrade", UPGRADE_PROTOCOL)
     }
 
     /// Serves a connection opened by a peer until it ends. `buffer` has the bytes read after the upgrade request.
     pub async fn serve_peer(&self, mut connection: ClientConnection, mut buffer: Buffer) {
-        let upgrade = server::answer_head(101, &[("Connection", "Upgrade"), ("Upgrade", UPGRADE_PROTOCOL)]);
+        let upgrade =
+            server::encode_response_head(101, &[("Connection", "Upgrade"), ("Upgrade", UPGRADE_PROTOCOL)]);
         if connection.write(&upgrade).await.is_err() {
             return;
         }
