--- a/tests/fleet_replication.rs
+++ b/tests/fleet_replication.rs
@@ -35,7 +35,8 @@
 }
 
 /// Asserts that all nodes applied the same sequence of changes, that no attempts overlapped and that no write was
-/// executed twice. `voters` is the number of voters, or `None` if it changed in the test. Returns the number of entries.
+/// executed twice. `voters` is the number of voters, or `None` if it changed in the test. Returns the number of
+/// entries.
 fn assert_histories(cluster: &TestCluster, voters: Option<usize>) -> usize {
     let committed =
         check::same_committed_sequence(&cluster.logs(), voters).unwrap_or_else(|error| panic!("{error}"));
