--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -1,9 +1,9 @@
-//! The daemon of an operator's file: the SPARQL front, with a store and a fleet that keep configuration and state.
+//! The daemon configured by an operator's file: the SPARQL front, with a store and a fleet that replicate
+//! configuration and state.
 //!
-//! The start has a fixed order, see [`serve`]. `fleet_startup` opens the store and joins the fleet, `client_front`
-//! accepts clients from the first moment on, `agreed_settings` waits for the settings that the fleet has agreed on,
-//! `engine_feeds` carries what the fleet knows to the engine and back, and `inventory_reload` follows the
-//! inventory's file.
+//! [`serve`] documents the startup order. `fleet_startup` opens the store and joins the fleet, `client_front` accepts
+//! clients before requests can be served, `agreed_settings` waits for the settings that the fleet has agreed on,
+//! `engine_feeds` exchanges state between the fleet and the engine, and `inventory_reload` watches the inventory file.
 
 mod agreed_settings;
 mod client_front;
@@ -27,8 +27,8 @@
 use crate::net::latch::Latch;
 use crate::net::lifecycle::Lifecycle;
 use crate::net::listener;
+use crate::net::sparql::endpoint::SparqlBackend;
 use crate::net::sparql::front::Front;
-use crate::net::sparql::host::SparqlBackend;
 use agreed_settings::AgreedSettings;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
@@ -38,21 +38,22 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// The engine of SPARQL operations.
+/// Handle of an engine for SPARQL operations.
 type Engine =
     EngineHandle<<SparqlBackend as BackendProtocol>::Request, <SparqlBackend as BackendProtocol>::Answer>;
 type EngineCommand = Command<<SparqlBackend as BackendProtocol>::Request>;
 
 /// Serves until SIGTERM.
 ///
-/// The order of the start matters: the store's listener and the fleet come first, since a drain that other daemons
-/// know of must be known here before the first request is sent; clients are accepted next and told to retry; the
+/// The startup order matters. The store's listener and the fleet start first, because this daemon must learn of the
+/// drains that other daemons know before it sends the first request. Clients are accepted next and told to retry. The
 /// engine starts once settings are agreed and this daemon has caught up with the fleet's log.
 ///
 /// # Errors
-/// [`DaemonError`] where a file, an address, the store or the settings cannot be used, or the engine ends.
+/// [`DaemonError`] if a file, an address, the store or the settings cannot be used, or if the engine thread ends.
 pub async fn serve(config: OperatorConfig, executor: Executor) -> Result<(), DaemonError> {
-    // Before anything else: without a handler this signal would end the process, which may wait for a peer below.
+    // First of all, since the startup below may wait for peers for a long time and an unhandled SIGHUP would terminate
+    // the process.
     let hangup = SignalStream::subscribe(Signal::Hangup)?;
     let clock = Clock::start();
     let mut limits = daemon_limits(&config);
@@ -64,7 +65,7 @@
     let lifecycle = Rc::new(Lifecycle::default());
     let client_front = ClientFront::start(&config, client_listener, &limits, &lifecycle, &clock, &executor);
 
-    let settings_text = agreed_settings::wait(&fleet, &limits).await;
+    let settings_text = agreed_settings::wait_until_agreed(&fleet, &limits).await;
     agreed_settings::wait_until_current(&fleet, &limits).await;
     let agreed = AgreedSettings::parse(settings_text, &config)?;
     fleet.start_recovery(agreed.cold_start_policy());
@@ -73,7 +74,7 @@
     daemon.run(agreed, client_front, hangup).await
 }
 
-/// A daemon that takes part in its fleet and has settings to serve with.
+/// A daemon that has joined its fleet and has agreed settings.
 struct OperatorDaemon {
     config: Rc<OperatorConfig>,
     fleet: Rc<Fleet>,
@@ -103,16 +104,16 @@
         self.start_admin_server(&engine, &feeds.all_groups_served)?;
         client_front.begin_serving(Front {
             limits: self.limits.clone(),
-            handle: engine.clone(),
+            engine: engine.clone(),
             classes,
-            service: self.config.service.clone(),
-            ready: feeds.all_groups_served,
+            config: self.config.service.clone(),
+            all_groups_served: feeds.all_groups_served,
             lifecycle: self.lifecycle.clone(),
             log_rollbacks: self.fleet.log_rollbacks.clone(),
         });
         let terminate = SignalStream::subscribe(Signal::Terminate)?;
         let ClientFront { limiter, acceptor, .. } = client_front;
-        let handover = Handover::Tier;
+        let handover = Handover::Peers;
         let OperatorDaemon { limits, lifecycle, .. } = self;
         let daemon = RunningDaemon { limits, limiter, lifecycle, engine, handover, acceptor, command_task };
         daemon.run(terminate).await
@@ -125,13 +126,14 @@
         report_fields: Vec<String>,
         observations_pending: Sender<()>,
     ) -> Task<()> {
-        let host_path = self.config.host_path.clone();
-        let protocol = SparqlBackend::new(self.limits.clone(), host_path, &self.config.name, report_fields);
+        let endpoint_path = self.config.endpoint_path.clone();
+        let protocol =
+            SparqlBackend::new(self.limits.clone(), endpoint_path, &self.config.name, report_fields);
         let backends = BackendPool::new(protocol, self.limits.clone(), self.clock.clone());
         let fleet = self.fleet.clone();
         let execute_other = async move |command| match command {
             Command::SendToPeers { bytes, .. } => fleet.send_primary_hint(&bytes),
-            // A full channel already holds a notification that has not been read.
+            // If the channel is full, an unread notification is already queued.
             Command::ObservationsPending => drop(observations_pending.try_send(())),
             _ => {}
         };
--- a/src/daemon/operator_config/reader.rs
+++ b/src/daemon/operator_config/reader.rs
@@ -5,7 +5,7 @@
 use crate::fleet::zones::EvacuationBackoff;
 use crate::fleet::zones::EvacuationPolicy;
 use crate::inventory::yaml::{self, Node};
-use crate::net::sparql::front::Service;
+use crate::net::sparql::front::FrontConfig;
 use crate::routing::GroupId;
 use crate::time::{TimeDelta, Timestamp};
 use std::net::SocketAddr;
@@ -15,14 +15,14 @@
     ["name", "number", "sparql", "admin", "store", "inventory", "zones", "leaving", "sockets", "settings"];
 const FRONT_KEYS: [&str; 7] = ["listen", "path", "host_path", "query", "session", "update", "group"];
 const STORE_KEYS: [&str; 4] = ["listen", "advertise", "peers", "snapshot"];
-const LEAVING_KEYS: [&str; 3] = ["automatic", "dwell", "longest"];
+const EVACUATION_KEYS: [&str; 3] = ["automatic", "dwell", "longest"];
 
 const DEFAULT_URL_PATH: &str = "/sparql";
-/// Bounds of the dwell times that a file may state.
+/// Range of the dwell times that a file may specify.
 const MIN_DWELL_SECS: f64 = 3.0;
 const MAX_DWELL_SECS: f64 = 86_400.0;
 
-/// Reads the text of an operator's file. Other files that it names are found from the folder of `path`.
+/// Parses the text of an operator's file. Relative paths in it are resolved against the directory of `path`.
 ///
 /// # Errors
 /// [`OperatorConfigError`] with the line of the first problem.
@@ -48,11 +48,11 @@
         number: file.optional("number", |node| Ok(node.parsed("number")?))?.unwrap_or(0),
         listen: loopback(front.required("listen")?, "listen")?,
         admin: file.optional("admin", |node| loopback(node, "admin"))?,
-        host_path: url_path(&front, "host_path")?,
+        endpoint_path: url_path(&front, "host_path")?,
         service: service(&front)?,
         store: store_config(&store, peers, folder)?,
-        inventory: file.optional("inventory", |node| file_path(node, folder))?,
-        leaving: leaving(&file, &zones)?,
+        inventory_path: file.optional("inventory", |node| file_path(node, folder))?,
+        evacuation_policy: evacuation_policy(&file, &zones)?,
         zones,
         sockets: file.optional("sockets", |node| Ok(node.parsed("sockets")?))?.unwrap_or(DEFAULT_SOCKETS),
         settings,
@@ -64,7 +64,7 @@
     Ok(config)
 }
 
-/// A mapping with known keys only.
+/// A mapping that contains only supported keys.
 struct Section<'a> {
     node: &'a Node,
     name: &'static str,
@@ -82,8 +82,8 @@
     }
 
     fn required(&self, key: &'static str) -> Result<&'a Node, OperatorConfigError> {
-        let missing = || OperatorConfigProblem::MissingKey { section: self.name, key };
-        self.node.get(key).ok_or_else(|| self.node.error(missing()))
+        let missing_key = || OperatorConfigProblem::MissingKey { section: self.name, key };
+        self.node.get(key).ok_or_else(|| self.node.error(missing_key()))
     }
 
     fn optional<T>(
@@ -94,7 +94,7 @@
         self.node.get(key).map(read).transpose()
     }
 
-    /// The items of a list; none where the key is missing.
+    /// The items of a list; empty if the key is missing.
     fn list<T>(
         &self,
         key: &str,
@@ -115,7 +115,7 @@
     Ok(folder.join(node.scalar("a file")?))
 }
 
-/// An address on this machine: nothing is encrypted, and no caller is authenticated.
+/// A loopback address. Others are rejected, since traffic is not encrypted and callers are not authenticated.
 fn loopback(node: &Node, what: &'static str) -> Result<SocketAddr, OperatorConfigError> {
     let address: SocketAddr = node.parsed(what)?;
     if !address.ip().is_loopback() {
@@ -124,7 +124,7 @@
     Ok(address)
 }
 
-/// The path of a URL, without query and fragment.
+/// A URL path without query and fragment; [`DEFAULT_URL_PATH`] if the key is missing.
 fn url_path(section: &Section<'_>, key: &'static str) -> Result<String, OperatorConfigError> {
     let Some(node) = section.node.get(key) else { return Ok(DEFAULT_URL_PATH.to_string()) };
     let path = text_of(node)?;
@@ -135,13 +135,13 @@
     Ok(path)
 }
 
-fn service(front: &Section<'_>) -> Result<Service, OperatorConfigError> {
-    Ok(Service {
+fn service(front: &Section<'_>) -> Result<FrontConfig, OperatorConfigError> {
+    Ok(FrontConfig {
         path: url_path(front, "path")?,
-        query: text_of(front.required("query")?)?,
-        session: front.optional("session", text_of)?,
-        update: text_of(front.required("update")?)?,
-        group: front.optional("group", |node| Ok(GroupId(node.parsed("group")?)))?,
+        query_class: text_of(front.required("query")?)?,
+        session_query_class: front.optional("session", text_of)?,
+        update_class: text_of(front.required("update")?)?,
+        default_group: front.optional("group", |node| Ok(GroupId(node.parsed("group")?)))?,
     })
 }
 
@@ -154,25 +154,25 @@
         listen: loopback(store.required("listen")?, "listen")?,
         advertise: store.optional("advertise", |node| loopback(node, "advertise"))?,
         peers,
-        snapshot: store.optional("snapshot", |node| file_path(node, folder))?,
+        file: store.optional("snapshot", |node| file_path(node, folder))?,
     })
 }
 
-/// How zones are evacuated, with times in seconds.
-fn leaving(file: &Section<'_>, zones: &[String]) -> Result<EvacuationPolicy, OperatorConfigError> {
-    let mut leaving = EvacuationPolicy { zone_names: zones.to_vec(), ..EvacuationPolicy::default() };
-    let Some(node) = file.node.get("leaving") else { return Ok(leaving) };
-    let section = Section::new(node, &LEAVING_KEYS, "leaving")?;
+/// Reads the `leaving` section, whose times are in seconds.
+fn evacuation_policy(file: &Section<'_>, zones: &[String]) -> Result<EvacuationPolicy, OperatorConfigError> {
+    let mut policy = EvacuationPolicy { zone_names: zones.to_vec(), ..EvacuationPolicy::default() };
+    let Some(node) = file.node.get("leaving") else { return Ok(policy) };
+    let section = Section::new(node, &EVACUATION_KEYS, "leaving")?;
     let automatic = section.optional("automatic", |node| Ok(node.parsed("true or false")?))?;
-    leaving.automatic = automatic.unwrap_or(true);
-    let least = section.optional("dwell", dwell_time)?.unwrap_or(leaving.backoff.initial);
-    let default_longest = leaving.backoff.maximum.max(least);
-    let longest = section.optional("longest", dwell_time)?.unwrap_or(default_longest);
-    if longest < least {
+    policy.automatic = automatic.unwrap_or(true);
+    let initial = section.optional("dwell", dwell_time)?.unwrap_or(policy.backoff.initial);
+    let default_maximum = policy.backoff.maximum.max(initial);
+    let maximum = section.optional("longest", dwell_time)?.unwrap_or(default_maximum);
+    if maximum < initial {
         return Err(node.error(OperatorConfigProblem::DwellContradiction));
     }
-    leaving.backoff = EvacuationBackoff { initial: least, maximum: longest };
-    Ok(leaving)
+    policy.backoff = EvacuationBackoff { initial, maximum };
+    Ok(policy)
 }
 
 fn dwell_time(node: &Node) -> Result<TimeDelta, OperatorConfigError> {
@@ -183,7 +183,7 @@
     Ok(TimeDelta::from_micros_f64(seconds * 1e6))
 }
 
-/// The front's classes must be defined by the settings of the same file, which must parse.
+/// Checks that the settings of the file parse and define the classes that its `sparql` section names.
 fn check_front_classes(
     tree: &Node,
     front: &Section<'_>,
--- a/src/net/admin_server.rs
+++ b/src/net/admin_server.rs
@@ -1,10 +1,10 @@
-//! The operators' HTTP/1.1 server, on an address of its own: readiness, metrics, drain and activate. One call a
-//! connection.
+//! HTTP/1.1 server for operators on a separate address: readiness, metrics, drain and activate. Each connection serves
+//! one call.
 
 use super::buffer::Buffer;
 use super::connection::ClientConnection;
 use super::connection_limiter::{AcceptDecision, ConnectionSlot};
-use super::http::server::{self, Next, Request};
+use super::http::server::{self, NextRequest, Request};
 use super::latch::Latch;
 use super::lifecycle::{Lifecycle, ServingState};
 use super::until;
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// What operators can call.
+/// The calls that operators can make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
     Ready,
@@ -26,7 +26,7 @@
     Activate,
 }
 
-/// Where a call is found.
+/// Path and method of a call.
 struct Route {
     path: &'static str,
     method: &'static str,
@@ -40,7 +40,7 @@
     Route { path: "/v1/pooler/activate", method: "PUT", call: Call::Activate },
 ];
 
-/// A request that is no call.
+/// A request that matches no route.
 enum RouteError {
     NotFound,
     MethodNotAllowed { allowed: &'static str },
@@ -49,16 +49,16 @@
 impl RouteError {
     fn response(self) -> Vec<u8> {
         match self {
-            RouteError::NotFound => server::answer(404, &[], "nothing is here"),
+            RouteError::NotFound => server::text_response(404, &[], "nothing is here"),
             RouteError::MethodNotAllowed { allowed } => {
-                server::answer(405, &[("Allow", allowed)], "another method is wanted here")
+                server::text_response(405, &[("Allow", allowed)], "another method is wanted here")
             }
         }
     }
 }
 
 fn find_call(request: &Request) -> Result<Call, RouteError> {
-    let (path, _) = request.target();
+    let (path, _) = request.path_and_query();
     let route = ROUTES.iter().find(|route| route.path == path).ok_or(RouteError::NotFound)?;
     if route.method != request.head.method() {
         return Err(RouteError::MethodNotAllowed { allowed: route.method });
@@ -66,21 +66,22 @@
     Ok(route.call)
 }
 
-/// What all calls share.
+/// State shared by all connections of the admin server.
 pub struct AdminServer<W, A> {
     limits: Rc<Limits>,
     engine: EngineHandle<W, A>,
     lifecycle: Rc<Lifecycle>,
     /// Set once the process can serve clients.
     ready: Latch,
-    /// The gauges of the last call that the engine answered in time.
+    /// The latest gauges from the engine.
     last_gauges: Cell<Gauges>,
-    /// Metrics of other parts, a line each.
+    /// Returns metrics of other components, one per line.
     other_metrics: Box<dyn Fn() -> String>,
 }
 
 impl<W, A> AdminServer<W, A> {
-    /// A server with limits of its own: calls are few and short. `other_metrics` are appended to the engine's.
+    /// Creates a server with separate, small limits, since calls are few and short. The result of `other_metrics` is
+    /// appended to the engine's metrics.
     pub fn new(
         limits: &Limits,
         engine: EngineHandle<W, A>,
@@ -98,17 +99,17 @@
         }
     }
 
-    /// The limits of its connections.
+    /// Limits of the server's own connections.
     pub fn limits(&self) -> &Rc<Limits> {
         &self.limits
     }
 
-    /// Serves one connection to its end.
+    /// Serves one connection until it is closed.
     pub async fn serve(&self, stream: Async<TcpStream>, slot: ConnectionSlot, decision: AcceptDecision) {
         let clock = self.engine.clock().clone();
         let mut connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
         let response = match decision {
-            AcceptDecision::Reject => server::answer(503, &[], "too many calls at once"),
+            AcceptDecision::Reject => server::text_response(503, &[], "too many calls at once"),
             AcceptDecision::Serve => match self.read_and_answer(&mut connection).await {
                 Some(response) => response,
                 None => return,
@@ -119,16 +120,16 @@
         }
     }
 
-    /// Reads one request and answers it; `None` where the client has gone.
+    /// Reads one request and returns the response; `None` if the client has disconnected.
     async fn read_and_answer(&self, connection: &mut ClientConnection) -> Option<Vec<u8>> {
         let mut buffer = Buffer::default();
-        match server::next(connection, &mut buffer, &self.limits).await {
-            Next::Over => None,
-            Next::Refused(error) => {
+        match server::next_request(connection, &mut buffer, &self.limits).await {
+            NextRequest::ConnectionClosed => None,
+            NextRequest::Rejected(error) => {
                 log::debug!("admin: {error}");
-                Some(server::answer(error.status(), &[], &error.to_string()))
+                Some(server::text_response(error.status(), &[], &error.to_string()))
             }
-            Next::Request(request) => Some(match find_call(&request) {
+            NextRequest::Received(request) => Some(match find_call(&request) {
                 Ok(call) => self.answer(call).await,
                 Err(error) => error.response(),
             }),
@@ -138,32 +139,32 @@
     async fn answer(&self, call: Call) -> Vec<u8> {
         match call {
             Call::Ready => self.readiness(),
-            Call::Metrics => server::answer(200, &[], self.metrics().await.trim_end()),
+            Call::Metrics => server::text_response(200, &[], self.metrics().await.trim_end()),
             Call::Drain => {
                 self.lifecycle.drain();
-                server::answer(200, &[], "drained")
+                server::text_response(200, &[], "drained")
             }
             Call::Activate => match self.lifecycle.activate() {
-                Ok(()) => server::answer(200, &[], "at work"),
-                Err(error) => server::answer(409, &[], &error.to_string()),
+                Ok(()) => server::text_response(200, &[], "at work"),
+                Err(error) => server::text_response(409, &[], &error.to_string()),
             },
         }
     }
 
-    /// Whether the process can serve clients: a drained one can, and so is ready.
+    /// Reports whether the process can serve clients. A drained process is ready too.
     fn readiness(&self) -> Vec<u8> {
         match self.lifecycle.state() {
-            ServingState::Terminating => server::answer(503, &[], "ending"),
-            _ if !self.ready.is_set() => server::answer(503, &[], "no list of hosts yet"),
-            ServingState::Drained => server::answer(200, &[], "ready, drained"),
-            ServingState::Serving => server::answer(200, &[], "ready"),
+            ServingState::Terminating => server::text_response(503, &[], "ending"),
+            _ if !self.ready.is_set() => server::text_response(503, &[], "no list of hosts yet"),
+            ServingState::Drained => server::text_response(200, &[], "ready, drained"),
+            ServingState::Serving => server::text_response(200, &[], "ready"),
         }
     }
 
     async fn metrics(&self) -> String {
         let deadline = Instant::now() + self.limits.readiness_timeout;
         let gauges = until(deadline, self.engine.gauges()).await.flatten();
-        // Late metrics are worse than gauges of a moment ago.
+        // Slightly outdated gauges are better than metrics that arrive late.
         let gauges = gauges.unwrap_or(self.last_gauges.get());
         self.last_gauges.set(gauges);
         self.engine.metrics().statsd_text(gauges) + &(self.other_metrics)()
--- a/src/net/postgres/front/client.rs
+++ b/src/net/postgres/front/client.rs
@@ -87,8 +87,8 @@
                     AnswerEvent::ChannelClosed => {
                         self.write_final_answer(FinalAnswer::Failed { overdue: false }).await?;
                     }
-                    AnswerEvent::ClientSentMore => {}
-                    AnswerEvent::ClientLeft => return Ok(ControlFlow::Break(())),
+                    AnswerEvent::ClientData => {}
+                    AnswerEvent::ClientDisconnected => return Ok(ControlFlow::Break(())),
                 }
             }
             Some(PendingAnswer::Close(bytes)) => {
@@ -127,7 +127,7 @@
         let connection = &mut self.connection;
         let input = self.session.input_buffer();
         let client_disconnected = async {
-            connection.wait_for_departure(input).await;
+            connection.wait_for_disconnect(input).await;
             ControlFlow::Break(())
         };
         let deadline = Instant::now() + self.front.limits.readiness_timeout;
@@ -173,9 +173,9 @@
                     let reason = "the endpoint closed the connection in the middle of an answer";
                     return Err(io::Error::new(io::ErrorKind::UnexpectedEof, reason));
                 }
-                AnswerEvent::ClientSentMore => {}
+                AnswerEvent::ClientData => {}
                 // A stalled endpoint must not keep the attempt running for a client that has disconnected.
-                AnswerEvent::ClientLeft => return Err(io::ErrorKind::ConnectionAborted.into()),
+                AnswerEvent::ClientDisconnected => return Err(io::ErrorKind::ConnectionAborted.into()),
             }
         }
     }
