--- a/src/bin/brookpass-simulator-adapter/tests.rs
+++ b/src/bin/brookpass-simulator-adapter/tests.rs
@@ -28,7 +28,7 @@
 }
 
 /// Starts an instance with a list of one endpoint, and sends it a write for that endpoint.
-fn conversation() -> Vec<u8> {
+fn start_and_request_frames() -> Vec<u8> {
     let settings =
         b"services.count=1\nservices.0.repeat=once\nservices.0.target=0.5\nfamily-info.consistency=mutate\n";
     let mut entry = vec![0u8; 28];
@@ -61,7 +61,7 @@
 }
 
 /// The records of each reply.
-fn split(output: &[u8]) -> Vec<Vec<Vec<u8>>> {
+fn split_replies(output: &[u8]) -> Vec<Vec<Vec<u8>>> {
     let number_at =
         |offset: usize| u32::from_le_bytes(output[offset..offset + 4].try_into().unwrap()) as usize;
     let mut frames = Vec::new();
@@ -76,15 +76,16 @@
     frames
 }
 
-fn replies(output: &[u8]) -> usize {
-    split(output).len()
+fn reply_count(output: &[u8]) -> usize {
+    split_replies(output).len()
 }
 
 #[test]
 fn a_write_is_sent_to_the_listed_primary_of_its_group() {
-    let (result, output) = run(&conversation());
+    let (result, output) = run(&start_and_request_frames());
     assert_eq!(result, Ok(()));
-    let sends: Vec<Vec<u8>> = split(&output).into_iter().flatten().filter(|record| record[0] == 1).collect();
+    let sends: Vec<Vec<u8>> =
+        split_replies(&output).into_iter().flatten().filter(|record| record[0] == 1).collect();
     assert_eq!(sends.len(), 1);
     assert_eq!(sends[0][1..5], 7u32.to_le_bytes());
     assert_eq!(sends[0][5..13], 99u64.to_le_bytes());
@@ -100,7 +101,7 @@
 
 #[test]
 fn malformed_input_is_named_and_nothing_is_written_for_it() {
-    let good = conversation();
+    let good = start_and_request_frames();
     let mut cases: Vec<(Vec<u8>, &str)> = vec![
         (good[..9].to_vec(), "header cut"),
         (good[..good.len() - 3].to_vec(), "body cut"),
@@ -121,7 +122,7 @@
         let error = result.expect_err(expected);
         assert!(error.contains(expected) && !error.contains('\n'), "{error:?} does not contain {expected:?}");
         let answered = if expected == "body cut" { 1 } else { 0 };
-        assert_eq!(replies(&output), answered, "complete replies to complete frames only: {expected}");
+        assert_eq!(reply_count(&output), answered, "complete replies to complete frames only: {expected}");
     }
 }
 
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -35,11 +35,11 @@
 
     /// The present time.
     pub fn now(&self) -> Timestamp {
-        self.follow(system_time())
+        self.now_at_system_time(system_time())
     }
 
     /// The present time, where the system's clock reads `system_now`.
-    fn follow(&self, system_now: Timestamp) -> Timestamp {
+    fn now_at_system_time(&self, system_now: Timestamp) -> Timestamp {
         let unstepped = self.unix_at_start + TimeDelta::from(self.started.elapsed());
         let now = unstepped + TimeDelta::from_micros(self.stepped_micros.load(Ordering::Relaxed));
         if system_now <= now + STEP_THRESHOLD {
@@ -53,7 +53,7 @@
 
     /// Identity of the machine's present boot, and the time since then, sleep included; empty and 0 where the system
     /// states none.
-    pub fn machine() -> (String, TimeDelta) {
+    pub fn boot_id_and_uptime() -> (String, TimeDelta) {
         let boot_id = read_or_empty("/proc/sys/kernel/random/boot_id").trim().to_string();
         let uptime = read_or_empty("/proc/uptime");
         let uptime_secs = uptime.split(' ').next().and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
@@ -61,7 +61,7 @@
     }
 
     /// The instant of a point in time; one before the clock's start is the start.
-    pub fn instant(&self, time: Timestamp) -> Instant {
+    pub fn instant_of(&self, time: Timestamp) -> Instant {
         let stepped = TimeDelta::from_micros(self.stepped_micros.load(Ordering::Relaxed));
         let since_start = time - self.unix_at_start - stepped;
         self.started + since_start.to_duration()
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -7,10 +7,10 @@
 #[test]
 fn it_follows_the_system_clock_forward_and_never_back() {
     let clock = Clock::start();
-    let before = clock.follow(clock.unix_at_start);
+    let before = clock.now_at_system_time(clock.unix_at_start);
     let hour = TimeDelta::from_secs(3_600);
-    let after = clock.follow(before + hour);
+    let after = clock.now_at_system_time(before + hour);
     assert!(after >= before + hour);
-    assert!(clock.follow(before) >= after, "a system clock that is set back changes nothing");
-    assert!(clock.instant(after) <= Instant::now() + Duration::from_secs(1));
+    assert!(clock.now_at_system_time(before) >= after, "a system clock that is set back changes nothing");
+    assert!(clock.instant_of(after) <= Instant::now() + Duration::from_secs(1));
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
 //! Limits of the program: every size, count and time that bounds what it does.
 //!
-//! [`Limits`] are computed once at the start from what the process may use ([`Machine`]) and handed down; the values
+//! [`Limits`] are computed once at the start from what the process may use ([`ProcessResources`]) and handed down; the values
 //! that depend on no machine stand with their reasons in `defaults`.
 
 mod defaults;
@@ -49,7 +49,7 @@
     /// Concurrent client connections beyond these, which are only told that there are too many.
     pub rejected_connections: usize,
     /// Client connections that have sent a request; beyond this number the ones that sent only one are evicted first.
-    pub crowded_clients: usize,
+    pub eviction_threshold: usize,
     /// A client connection that is idle for this long is closed.
     pub client_idle_timeout: Duration,
     /// Interval between two sweeps for idle client connections.
@@ -77,7 +77,7 @@
     /// Longest message of a client.
     pub client_message_bytes: usize,
     /// Bytes of its message that a client may have buffered without a reservation of `message_budget_bytes`.
-    pub unbudgeted_message_bytes: usize,
+    pub unreserved_message_bytes: usize,
     /// Bytes that the longer messages of all clients may have buffered together.
     pub message_budget_bytes: usize,
     /// Bytes that are read of what a client sends behind its open requests. Also the length of these requests from
@@ -226,7 +226,7 @@
 
 /// What the process may use of its machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Machine {
+pub struct ProcessResources {
     /// Descriptors that it may hold.
     pub sockets: usize,
     /// Descriptors out of them that are neither a client's nor a backend's connection.
@@ -237,10 +237,10 @@
     pub has_admin_server: bool,
 }
 
-impl Machine {
+impl ProcessResources {
     /// A process on the platform; `None` stands for the defaults.
-    pub fn platform(sockets: Option<usize>, memory_mb: Option<f64>) -> Machine {
-        Machine {
+    pub fn platform(sockets: Option<usize>, memory_mb: Option<f64>) -> ProcessResources {
+        ProcessResources {
             sockets: sockets.unwrap_or(DEFAULT_SOCKETS),
             reserved: PLATFORM_RESERVED_SOCKETS,
             memory_mb: memory_mb.filter(|mb| *mb >= 1.0).unwrap_or(DEFAULT_MEMORY_MB),
@@ -249,8 +249,8 @@
     }
 
     /// A daemon with an operator's file.
-    pub fn operator(sockets: usize) -> Machine {
-        Machine {
+    pub fn operator(sockets: usize) -> ProcessResources {
+        ProcessResources {
             sockets,
             reserved: OPERATOR_RESERVED_SOCKETS,
             memory_mb: DEFAULT_MEMORY_MB,
@@ -259,14 +259,14 @@
     }
 
     /// The same with an administration server: its listener and its connections are reserved.
-    pub fn with_admin_server(self) -> Machine {
+    pub fn with_admin_server(self) -> ProcessResources {
         let reserved = self.reserved + MAX_ADMIN_CONNECTIONS + MAX_REJECTED_ADMIN_CONNECTIONS + 1;
-        Machine { reserved, has_admin_server: true, ..self }
+        ProcessResources { reserved, has_admin_server: true, ..self }
     }
 
     /// Half of it, where a process runs beside the one that it replaces: the two together may use the whole.
-    pub fn half(self) -> Machine {
-        Machine { sockets: self.sockets / 2, memory_mb: self.memory_mb / 2.0, ..self }
+    pub fn half(self) -> ProcessResources {
+        ProcessResources { sockets: self.sockets / 2, memory_mb: self.memory_mb / 2.0, ..self }
     }
 }
 
@@ -282,23 +282,23 @@
 impl Limits {
     /// Limits of an operator's daemon that may hold `sockets` descriptors.
     pub fn for_sockets(sockets: usize) -> Limits {
-        Limits::on(Machine::operator(sockets))
+        Limits::for_resources(ProcessResources::operator(sockets))
     }
 
     /// Limits of a process on such a machine.
-    pub fn on(machine: Machine) -> Limits {
-        let free_sockets = machine.sockets.saturating_sub(machine.reserved).max(MIN_FREE_SOCKETS);
+    pub fn for_resources(resources: ProcessResources) -> Limits {
+        let free_sockets = resources.sockets.saturating_sub(resources.reserved).max(MIN_FREE_SOCKETS);
         // An open request needs a connection on each side, and clients hold further ones that are idle or silent.
         let clients = free_sockets / 2;
         let rejected = free_sockets / 16;
         // A long statement exists up to five times on its way: read, parsed, numbered, written.
-        let message_budget_bytes = (machine.memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
+        let message_budget_bytes = (resources.memory_mb * 1024.0 * 1024.0 / 8.0) as usize;
         Limits {
             client_connections: clients,
             rejected_connections: rejected,
-            crowded_clients: clients,
+            eviction_threshold: clients,
             backend_connections: free_sockets - clients - rejected,
-            admin_connections: if machine.has_admin_server { MAX_ADMIN_CONNECTIONS } else { 0 },
+            admin_connections: if resources.has_admin_server { MAX_ADMIN_CONNECTIONS } else { 0 },
             message_budget_bytes,
             read_ahead_bytes: (message_budget_bytes / clients).clamp(8 * 1024, 64 * 1024),
             ..DEFAULTS
@@ -307,8 +307,8 @@
 
     /// Limits of an operator's daemon. Its client connections are many, but none is evicted in haste: sweeps for idle
     /// ones may be rare.
-    pub fn for_operator_daemon(machine: Machine) -> Limits {
-        let limits = Limits::on(machine);
+    pub fn for_operator_daemon(resources: ProcessResources) -> Limits {
+        let limits = Limits::for_resources(resources);
         Limits {
             idle_check_interval: limits.file_check_interval,
             pool_sweep_interval: limits.file_check_interval * 4,
@@ -321,7 +321,7 @@
         Limits {
             client_connections: self.admin_connections,
             rejected_connections: self.admin_connections / 4,
-            crowded_clients: self.admin_connections,
+            eviction_threshold: self.admin_connections,
             client_idle_timeout: self.first_request_timeout,
             idle_check_interval: self.file_check_interval,
             client_message_bytes: 4 * 1024,
@@ -333,7 +333,7 @@
     /// All clients together use at most `connections` for requests, and open more: connections that are idle are taken
     /// from those that send requests, and closed soon.
     pub fn share_client_connections(&mut self, connections: usize) {
-        self.crowded_clients = (connections * 5 / 8).clamp(1, self.client_connections);
+        self.eviction_threshold = (connections * 5 / 8).clamp(1, self.client_connections);
         self.client_idle_timeout = SHARED_CLIENT_IDLE;
     }
 
--- a/src/config/defaults.rs
+++ b/src/config/defaults.rs
@@ -1,6 +1,6 @@
 //! The limits that depend on no machine, with the reasons for their values.
 //!
-//! Those that do depend on one (connections, `message_budget_bytes`, `read_ahead_bytes`) are set by [`Limits::on`] and
+//! Those that do depend on one (connections, `message_budget_bytes`, `read_ahead_bytes`) are set by [`Limits::for_resources`] and
 //! stand here as zero.
 
 use super::{CloseLinger, DISCOVERY_CALL_COST, Limits, YamlLimits};
@@ -17,7 +17,7 @@
 pub const DEFAULTS: Limits = Limits {
     client_connections: 0,
     rejected_connections: 0,
-    crowded_clients: 0,
+    eviction_threshold: 0,
     client_idle_timeout: Duration::from_secs(60),
     idle_check_interval: Duration::from_millis(50),
     first_request_timeout: Duration::from_millis(2_500),
@@ -31,7 +31,7 @@
     startup_message_bytes: 10_000,
     // Each byte of a value takes two digits in a statement.
     client_message_bytes: 2 * MAX_VALUE_BYTES + 4 * KIB,
-    unbudgeted_message_bytes: 16 * KIB,
+    unreserved_message_bytes: 16 * KIB,
     message_budget_bytes: 0,
     read_ahead_bytes: 0,
     pipelined_requests: 64,
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -18,7 +18,7 @@
 use super::signals::{Signal, SignalStream};
 use super::{DaemonError, Executor};
 use crate::clock::Clock;
-use crate::config::{Limits, Machine};
+use crate::config::{Limits, ProcessResources};
 use crate::engine::{self, Command, EngineHandle};
 use crate::fleet::admin_api;
 use crate::fleet::runtime::Fleet;
@@ -141,7 +141,7 @@
     fn start_admin_server(&self, engine: &Engine, ready: &Latch) -> Result<(), DaemonError> {
         let Some(address) = self.config.admin else { return Ok(()) };
         let fleet = self.fleet.clone();
-        let fleet_metrics = move || admin_api::figures(&fleet);
+        let fleet_metrics = move || admin_api::render_metrics(&fleet);
         let server = AdminServer::new(
             &self.limits,
             engine.clone(),
@@ -154,7 +154,7 @@
 }
 
 fn daemon_limits(config: &OperatorConfig) -> Limits {
-    let machine = Machine::operator(config.sockets);
+    let machine = ProcessResources::operator(config.sockets);
     let machine = if config.admin.is_some() { machine.with_admin_server() } else { machine };
     Limits::for_operator_daemon(machine)
 }
--- a/src/daemon/operator_config/error.rs
+++ b/src/daemon/operator_config/error.rs
@@ -87,7 +87,7 @@
 
 impl From<LineError<YamlProblem>> for OperatorConfigError {
     fn from(error: LineError<YamlProblem>) -> OperatorConfigError {
-        error.widen()
+        error.convert_problem()
     }
 }
 
--- a/src/daemon/platform.rs
+++ b/src/daemon/platform.rs
@@ -15,7 +15,7 @@
 use super::{ConfigError, DaemonError, Executor};
 use crate::address::parse_address;
 use crate::clock::Clock;
-use crate::config::{DEFAULT_SOCKETS, Limits, Machine};
+use crate::config::{DEFAULT_SOCKETS, Limits, ProcessResources};
 use crate::engine::classes::Classes;
 use crate::engine::{self, Command, EngineHandle};
 use crate::net::admin_server::AdminServer;
@@ -198,10 +198,10 @@
 }
 
 fn limits(config: &PlatformConfig) -> Limits {
-    let machine = Machine::platform(config.sockets, config.memory_mb);
+    let machine = ProcessResources::platform(config.sockets, config.memory_mb);
     let machine = if config.inherited_socket.is_some() { machine.half() } else { machine };
     let machine = if config.admin.is_some() { machine.with_admin_server() } else { machine };
-    let mut limits = Limits::on(machine);
+    let mut limits = Limits::for_resources(machine);
     limits.share_client_connections(config.sockets.unwrap_or(DEFAULT_SOCKETS) / 3);
     limits.spread_discovery_calls(config.settings.pooler_count);
     limits.set_backend_idle_timeout(config.backend_idle_secs);
--- a/src/engine/thread.rs
+++ b/src/engine/thread.rs
@@ -57,7 +57,7 @@
     let input = async { channels.inputs.recv().await.map_or(Wakeup::Disconnected, Wakeup::Input) };
     let timer = async {
         match next_due {
-            Some(due_at) => drop(Timer::at(clock.instant(due_at)).await),
+            Some(due_at) => drop(Timer::at(clock.instant_of(due_at)).await),
             None => future::pending().await,
         }
         Wakeup::TimerDue
--- a/src/fleet/admin_api/description.rs
+++ b/src/fleet/admin_api/description.rs
@@ -107,7 +107,7 @@
 /// The name of a node, also of one that is no member and was heard.
 fn node_name(fleet: &Fleet, id: NodeId) -> String {
     let agreed = fleet.agreed();
-    if id == NodeId::NOBODY && !agreed.is_member(id) {
+    if id == NodeId::NONE && !agreed.is_member(id) {
         return "none".into();
     }
     if let Some(status) = fleet.peers().status(id)
--- a/src/fleet/admin_api/metrics.rs
+++ b/src/fleet/admin_api/metrics.rs
@@ -13,7 +13,7 @@
 }
 
 /// The fleet's metrics, a line each.
-pub fn figures(fleet: &Fleet) -> String {
+pub fn render_metrics(fleet: &Fleet) -> String {
     let (agreed, peers, zones) = (fleet.agreed(), fleet.peers(), fleet.zone_metrics());
     let status = agreed.status();
     let unsent_messages: u64 = peers.links().map(|link| link.dropped_messages()).sum();
--- a/src/fleet/admin_api/mod.rs
+++ b/src/fleet/admin_api/mod.rs
@@ -7,7 +7,7 @@
 mod metrics;
 
 pub use self::description::{NodeRole, describe_fleet, node_role};
-pub use self::metrics::figures;
+pub use self::metrics::render_metrics;
 
 use super::membership::{MemberRequest, MembershipRequest};
 use super::runtime::{
@@ -30,7 +30,7 @@
         Answer { status, text: text.into() }
     }
 
-    fn nothing_here() -> Answer {
+    fn not_found() -> Answer {
         Answer::new(404, "nothing is here")
     }
 
@@ -85,7 +85,7 @@
             Err(error) => Answer::new(409, error.to_string()),
         },
         ("POST", _) => answer_command(fleet, path).await,
-        ("GET", _) => Answer::nothing_here(),
+        ("GET", _) => Answer::not_found(),
         _ => Answer::new(405, "GET or POST"),
     }
 }
@@ -117,7 +117,7 @@
     if let Some(name) = path.strip_prefix("/fleet/leave/") {
         return change_membership(fleet, name, MembershipRequest::Remove).await;
     }
-    Answer::nothing_here()
+    Answer::not_found()
 }
 
 async fn drain(fleet: &Fleet, endpoint: &str) -> Answer {
@@ -153,7 +153,7 @@
         "return" => ZoneCommand::Return,
         "return-now" => ZoneCommand::ReturnNow,
         "hold" => ZoneCommand::Hold,
-        _ => return Answer::nothing_here(),
+        _ => return Answer::not_found(),
     };
     match fleet.command_zone(zone, command).await {
         Ok(weight) => {
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -57,13 +57,13 @@
     /// How long ago each node was last heard.
     pub silent_for: &'a BTreeMap<NodeId, TimeDelta>,
     /// How long this node has led.
-    pub led_for: TimeDelta,
+    pub leading_for: TimeDelta,
     /// What each voter that is heard reports.
     pub voter_statuses: &'a BTreeMap<NodeId, VoterStatus>,
     /// What operators request.
     pub requests: &'a BTreeSet<MemberRequest>,
     /// A node that was silent for this long counts as gone.
-    pub gone_after: TimeDelta,
+    pub peer_gone_timeout: TimeDelta,
 }
 
 /// What the leader is to do next.
@@ -83,7 +83,7 @@
         if !self.configuration.voters_outgoing.is_empty() {
             return MembershipAction::Nothing;
         }
-        if let Some(successor) = self.better_heard_leader() {
+        if let Some(successor) = self.better_connected_leader() {
             return MembershipAction::TransferLeadership(successor);
         }
         match self.learner_to_promote().or_else(|| self.candidate_to_add()) {
@@ -100,7 +100,8 @@
     }
 
     fn is_gone(&self, id: NodeId) -> bool {
-        let is_silent = || self.silent_for.get(&id).is_none_or(|silent_for| *silent_for >= self.gone_after);
+        let is_silent =
+            || self.silent_for.get(&id).is_none_or(|silent_for| *silent_for >= self.peer_gone_timeout);
         id != self.local_node && is_silent()
     }
 
@@ -195,24 +196,24 @@
     /// A node to lead instead of this one, if a voter that is there has not heard this leader for too long: it would
     /// never learn what is committed. The successor is heard by more voters than this node, the lowest id of those that
     /// are heard by most.
-    fn better_heard_leader(&self) -> Option<NodeId> {
+    fn better_connected_leader(&self) -> Option<NodeId> {
         let reachable = self.reachable_voters();
-        if !reachable.iter().any(|voter| self.is_deaf_to_leader(*voter)) {
+        if !reachable.iter().any(|voter| self.is_cut_off_from_leader(*voter)) {
             return None;
         }
-        let own_hearers = self.hearers(&reachable, self.local_node);
+        let own_reach = self.reach(&reachable, self.local_node);
         let mut best: Option<(usize, NodeId)> = None;
         for candidate in &reachable {
-            if !self.has_caught_up(*candidate) || self.is_deaf_to_leader(*candidate) {
+            if !self.has_caught_up(*candidate) || self.is_cut_off_from_leader(*candidate) {
                 continue;
             }
             // This node hears its successor as well, or it would be the next to learn nothing.
-            let hearers = self.hearers(&reachable, *candidate) + 1;
-            let is_better = best.is_none_or(|(most_hearers, id)| {
-                hearers > most_hearers || hearers == most_hearers && *candidate < id
+            let reach = self.reach(&reachable, *candidate) + 1;
+            let is_better = best.is_none_or(|(largest_reach, id)| {
+                reach > largest_reach || reach == largest_reach && *candidate < id
             });
-            if hearers > own_hearers && is_better {
-                best = Some((hearers, *candidate));
+            if reach > own_reach && is_better {
+                best = Some((reach, *candidate));
             }
         }
         best.map(|(_, id)| id)
@@ -228,16 +229,16 @@
 
     /// Whether a voter has not heard this leader for too long. What it reported while another node led says nothing
     /// about this one: leadership would go round in circles.
-    fn is_deaf_to_leader(&self, voter: NodeId) -> bool {
+    fn is_cut_off_from_leader(&self, voter: NodeId) -> bool {
         let leaderless_for = self.voter_statuses[&voter].leaderless_for;
-        leaderless_for.min(self.led_for) >= self.gone_after
+        leaderless_for.min(self.leading_for) >= self.peer_gone_timeout
     }
 
     /// How many of these voters hear `node`.
-    fn hearers(&self, voters: &[NodeId], node: NodeId) -> usize {
+    fn reach(&self, voters: &[NodeId], node: NodeId) -> usize {
         let hears = |voter: &&NodeId| {
-            let is_deaf = node == self.local_node && self.is_deaf_to_leader(**voter);
-            **voter != node && !is_deaf && self.voter_statuses[*voter].reachable_peers.contains(&node)
+            let is_cut_off = node == self.local_node && self.is_cut_off_from_leader(**voter);
+            **voter != node && !is_cut_off && self.voter_statuses[*voter].reachable_peers.contains(&node)
         };
         voters.iter().filter(hears).count()
     }
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -9,7 +9,7 @@
     progress: Vec<PeerProgress>,
     candidates: BTreeMap<NodeId, Handshake>,
     silent_for: BTreeMap<NodeId, TimeDelta>,
-    led_for: TimeDelta,
+    leading_for: TimeDelta,
     voter_statuses: BTreeMap<NodeId, VoterStatus>,
     requests: BTreeSet<MemberRequest>,
 }
@@ -31,13 +31,13 @@
             progress: vec![PeerProgress { id: NodeId(1), match_index: 100, recently_active: true }],
             candidates: BTreeMap::new(),
             silent_for: BTreeMap::new(),
-            led_for: TimeDelta::from_micros(60_000),
+            leading_for: TimeDelta::from_micros(60_000),
             voter_statuses: BTreeMap::new(),
             requests: BTreeSet::new(),
         }
     }
 
-    fn meet(&mut self, id: u64, name: &str) {
+    fn add_candidate(&mut self, id: u64, name: &str) {
         let id = NodeId(id);
         let (address, progress) = (([127, 0, 0, 1], 9).into(), PersistedProgress::default());
         let handshake = Handshake { fleet: FleetId::NONE, id, name: name.into(), address, progress };
@@ -52,11 +52,11 @@
             progress,
             candidates,
             silent_for,
-            led_for,
+            leading_for,
             voter_statuses,
             requests,
         } = self;
-        let led_for = *led_for;
+        let leading_for = *leading_for;
         MembershipView {
             local_node: NodeId(1),
             state,
@@ -65,10 +65,10 @@
             progress,
             candidates,
             silent_for,
-            led_for,
+            leading_for,
             voter_statuses,
             requests,
-            gone_after: TimeDelta::from_micros(2_000),
+            peer_gone_timeout: TimeDelta::from_micros(2_000),
         }
         .next_action()
     }
@@ -107,7 +107,7 @@
 fn founders_get_a_vote_and_others_are_learners_until_an_operator_grants_them_one() {
     let mut fleet = SimulatedFleet::new(&["b", "c"]);
     for (id, name) in [(2, "b"), (3, "c"), (4, "d")] {
-        fleet.meet(id, name);
+        fleet.add_candidate(id, name);
     }
     fleet.run();
     assert_eq!(
@@ -135,10 +135,10 @@
 #[test]
 fn a_node_that_lost_its_disk_replaces_its_predecessor() {
     let mut fleet = SimulatedFleet::new(&["b", "c"]);
-    fleet.meet(2, "b");
-    fleet.meet(3, "c");
+    fleet.add_candidate(2, "b");
+    fleet.add_candidate(3, "c");
     fleet.run();
-    fleet.meet(5, "b");
+    fleet.add_candidate(5, "b");
     assert_eq!(fleet.next(), MembershipAction::Nothing, "the other b is reachable");
     fleet.silent_for.insert(NodeId(2), TimeDelta::from_micros(5_000));
     // The new node is a learner first, then takes the old one's place in one step.
@@ -153,7 +153,7 @@
     let mut fleet = SimulatedFleet::new(&[]);
     fleet.requests.insert(request("a", MembershipRequest::Remove));
     assert_eq!(fleet.next(), MembershipAction::Nothing);
-    fleet.meet(2, "b");
+    fleet.add_candidate(2, "b");
     assert_ne!(fleet.next(), MembershipAction::Nothing);
     fleet.configuration.voters_outgoing = vec![NodeId(1)];
     assert_eq!(fleet.next(), MembershipAction::Nothing);
@@ -165,7 +165,7 @@
 fn a_leader_that_some_voters_do_not_hear_hands_over_to_one_that_all_hear() {
     let mut fleet = SimulatedFleet::new(&["b", "c", "d", "e"]);
     for (id, name) in [(2, "b"), (3, "c"), (4, "d"), (5, "e")] {
-        fleet.meet(id, name);
+        fleet.add_candidate(id, name);
     }
     fleet.run();
     let status = |node: u64, leaderless, unheard: &[u64]| {
@@ -177,9 +177,9 @@
     fleet.voter_statuses.extend([status(2, 1_000, &[1]), status(3, 1_000, &[1])]);
     assert_eq!(fleet.next(), MembershipAction::Nothing, "not for long enough yet");
     fleet.voter_statuses.extend([status(2, 2_000, &[1]), status(3, 2_000, &[1])]);
-    fleet.led_for = TimeDelta::from_micros(1_999);
+    fleet.leading_for = TimeDelta::from_micros(1_999);
     assert_eq!(fleet.next(), MembershipAction::Nothing, "that was reported about the leader before");
-    fleet.led_for = TimeDelta::from_micros(2_000);
+    fleet.leading_for = TimeDelta::from_micros(2_000);
     assert_eq!(fleet.next(), MembershipAction::TransferLeadership(NodeId(4)));
     fleet.voter_statuses.extend([status(2, 2_000, &[1, 4]), status(3, 2_000, &[1])]);
     assert_eq!(
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -72,7 +72,7 @@
 /// The state that a node reports to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The leader that the sender follows; [`NodeId::NOBODY`] if it knows none.
+    /// The leader that the sender follows; [`NodeId::NONE`] if it knows none.
     pub leader: NodeId,
     /// The sender's Raft term.
     pub term: u64,
--- a/src/fleet/peer_link.rs
+++ b/src/fleet/peer_link.rs
@@ -156,9 +156,9 @@
         }
     }
 
-    /// The id of the node that last replied at this address; [`NodeId::NOBODY`] before the first reply.
+    /// The id of the node that last replied at this address; [`NodeId::NONE`] before the first reply.
     pub fn peer_id(&self) -> NodeId {
-        self.last_handshake.borrow().as_ref().map_or(NodeId::NOBODY, |peer| peer.id)
+        self.last_handshake.borrow().as_ref().map_or(NodeId::NONE, |peer| peer.id)
     }
 
     /// The name of the node that last replied at this address; `None` before the first reply.
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -77,7 +77,7 @@
     }
 
     /// Removes the drains that the log has resolved, and returns them.
-    pub fn remove_settled(&mut self, state: &ClusterState) -> Vec<PendingDrain> {
+    pub fn remove_resolved(&mut self, state: &ClusterState) -> Vec<PendingDrain> {
         let is_resolved = |drain: &&PendingDrain| state.is_resolved(&drain.host, drain.drain);
         let resolved: Vec<PendingDrain> = self.proposed_at.keys().filter(is_resolved).cloned().collect();
         for drain in &resolved {
--- a/src/fleet/pending_drains/tests.rs
+++ b/src/fleet/pending_drains/tests.rs
@@ -37,7 +37,7 @@
                     state.apply(step as u64, &Change::Undrain { host: endpoint, drains });
                 }
                 6 => {
-                    nodes[n].remove_settled(&state);
+                    nodes[n].remove_resolved(&state);
                 }
                 _ => {}
             }
@@ -51,7 +51,7 @@
             }
         }
         for node in &mut nodes {
-            node.remove_settled(&state);
+            node.remove_resolved(&state);
         }
         for (endpoint, id) in &requested {
             assert_eq!(
--- a/src/fleet/recovery/first_election.rs
+++ b/src/fleet/recovery/first_election.rs
@@ -22,13 +22,13 @@
     pub id: NodeId,
     /// The last entry of its log.
     pub last_entry: EntryId,
-    /// The leader that it knows; [`NodeId::NOBODY`]: none.
+    /// The leader that it knows; [`NodeId::NONE`]: none.
     pub leader: NodeId,
 }
 
 impl Voter {
     fn knows_leader(&self) -> bool {
-        self.leader != NodeId::NOBODY
+        self.leader != NodeId::NONE
     }
 
     /// Whether this voter rather than `other` is to be elected: the newer log by term, then index, as in Raft; of equal
--- a/src/fleet/recovery/first_election/tests.rs
+++ b/src/fleet/recovery/first_election/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn voter(id: u64, index: u64) -> Voter {
-    Voter { id: NodeId(id), last_entry: EntryId { term: 3, index }, leader: NodeId::NOBODY }
+    Voter { id: NodeId(id), last_entry: EntryId { term: 3, index }, leader: NodeId::NONE }
 }
 
 /// Guards against two candidates that hear each other, against a candidate beside a leader or without a majority, and
--- a/src/fleet/runtime/agreed_state.rs
+++ b/src/fleet/runtime/agreed_state.rs
@@ -76,7 +76,7 @@
 
     /// Whether a leader is known.
     pub fn has_leader(&self) -> bool {
-        self.status.leader != NodeId::NOBODY
+        self.status.leader != NodeId::NONE
     }
 
     /// Whether this node considers itself the leader. A deposed leader may not know of its successor yet.
--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -160,7 +160,7 @@
     pub(super) fn remove_settled_drains(&self) {
         let settled = {
             let agreed = self.agreed();
-            self.drains.borrow_mut().pending.remove_settled(agreed.state())
+            self.drains.borrow_mut().pending.remove_resolved(agreed.state())
         };
         if settled.is_empty() {
             return;
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -113,7 +113,7 @@
 
 /// Reads the wall clock and the machine's uptime clock.
 fn read_clocks(clock: &Clock) -> ClockReading {
-    let (boot_id, uptime) = Clock::machine();
+    let (boot_id, uptime) = Clock::boot_id_and_uptime();
     ClockReading { wall: clock.now(), boot_id, uptime }
 }
 
--- a/src/fleet/runtime/membership_requests.rs
+++ b/src/fleet/runtime/membership_requests.rs
@@ -164,10 +164,10 @@
             progress: &status.peer_progress,
             candidates: &candidates,
             silent_for: &silence,
-            led_for: agreed.leading_since().map_or(TimeDelta::ZERO, |since| (now - since).into()),
+            leading_for: agreed.leading_since().map_or(TimeDelta::ZERO, |since| (now - since).into()),
             voter_statuses: &voters,
             requests: &self.requests.borrow().current(),
-            gone_after: TimeDelta::from(self.limits.peer_gone_timeout),
+            peer_gone_timeout: TimeDelta::from(self.limits.peer_gone_timeout),
         };
         view.next_action()
     }
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -155,7 +155,7 @@
             }
             legacy_changes = legacy.changes(&local.name);
         }
-        drains.remove_settled(&state);
+        drains.remove_resolved(&state);
         let mut gossip = gossip::new_gossip_state(identity.id, &clock);
         let mut log_rollbacks = LogRollbacks::default();
         gossip::restore_gossip(stored_gossip, &clock, &mut gossip, &mut log_rollbacks);
--- a/src/fleet/runtime/peer_directory.rs
+++ b/src/fleet/runtime/peer_directory.rs
@@ -171,7 +171,7 @@
     /// Records a peer's heartbeat.
     pub(super) fn record_heartbeat(&mut self, sender: NodeId, heartbeat: Heartbeat) {
         let Some(status) = self.statuses.get_mut(&sender) else { return };
-        status.leaderless_since = if heartbeat.leader == NodeId::NOBODY {
+        status.leaderless_since = if heartbeat.leader == NodeId::NONE {
             Some(status.leaderless_since.unwrap_or_else(Instant::now))
         } else {
             None
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -53,14 +53,14 @@
     }
 }
 
-/// A node of the consensus: drawn at random when its store is created and kept there. See [`NodeId::NOBODY`].
+/// A node of the consensus: drawn at random when its store is created and kept there. See [`NodeId::NONE`].
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NodeId(pub u64);
 
 impl NodeId {
     /// No node: no vote was given, or no leader is known.
-    pub const NOBODY: NodeId = NodeId(0);
+    pub const NONE: NodeId = NodeId(0);
 }
 
 impl fmt::Display for NodeId {
--- a/src/inventory/ansible_form.rs
+++ b/src/inventory/ansible_format.rs
@@ -2,7 +2,7 @@
 //! for its hosts and children unless these state their own.
 
 use super::yaml::{self, Node};
-use super::{Entry, FACT_NAMES, Fact, Facts, InventoryError, InventoryProblem};
+use super::{Entry, FIELD_NAMES, Field, Fields, InventoryError, InventoryProblem};
 use crate::config::Limits;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     let tree = yaml::parse(text, limits)?;
     let mut hosts = Hosts::default();
     for (name, group) in tree.map("the inventory")? {
-        hosts.add_group(name, group, &Facts::new())?;
+        hosts.add_group(name, group, &Fields::new())?;
     }
     Ok(hosts.entries)
 }
@@ -30,11 +30,11 @@
 }
 
 impl Hosts {
-    fn add_group(&mut self, name: &str, group: &Node, inherited: &Facts) -> Result<(), InventoryError> {
-        let mut facts = inherited.clone();
+    fn add_group(&mut self, name: &str, group: &Node, inherited: &Fields) -> Result<(), InventoryError> {
+        let mut fields = inherited.clone();
         for (key, part) in group.map(&format!("group {name:?}"))? {
             match key.as_str() {
-                "vars" => read_variables(part, "vars", &mut facts)?,
+                "vars" => read_variables(part, "vars", &mut fields)?,
                 "hosts" | "children" => {}
                 _ => {
                     let problem =
@@ -45,45 +45,45 @@
         }
         if let Some(hosts) = group.get("hosts") {
             for (host, variables) in hosts.map("hosts")? {
-                self.add_host(host, variables, &facts)?;
+                self.add_host(host, variables, &fields)?;
             }
         }
         if let Some(children) = group.get("children") {
             for (child, part) in children.map("children")? {
-                self.add_group(child, part, &facts)?;
+                self.add_group(child, part, &fields)?;
             }
         }
         Ok(())
     }
 
-    fn add_host(&mut self, name: &str, variables: &Node, inherited: &Facts) -> Result<(), InventoryError> {
+    fn add_host(&mut self, name: &str, variables: &Node, inherited: &Fields) -> Result<(), InventoryError> {
         if name.contains('[') {
-            return Err(variables.error(InventoryProblem::Range(name.to_string())));
+            return Err(variables.error(InventoryProblem::HostRange(name.to_string())));
         }
-        let mut facts = inherited.clone();
-        read_variables(variables, "a host's variables", &mut facts)?;
+        let mut fields = inherited.clone();
+        read_variables(variables, "a host's variables", &mut fields)?;
         if let Some(index) = self.index_by_name.get(name) {
-            return self.entries[*index].merge(facts);
+            return self.entries[*index].merge(fields);
         }
         self.index_by_name.insert(name.to_string(), self.entries.len());
-        self.entries.push(Entry { name: name.to_string(), line: variables.line, facts });
+        self.entries.push(Entry { name: name.to_string(), line: variables.line, fields });
         Ok(())
     }
 }
 
 impl Entry {
     /// Adds what another group states of this host. A host may be in several groups where these agree.
-    fn merge(&mut self, facts: Facts) -> Result<(), InventoryError> {
-        for (name, fact) in facts {
-            let known = self.facts.entry(name.clone()).or_insert_with(|| fact.clone());
-            if known.text != fact.text {
-                let problem = InventoryProblem::Conflict {
+    fn merge(&mut self, fields: Fields) -> Result<(), InventoryError> {
+        for (name, field) in fields {
+            let known = self.fields.entry(name.clone()).or_insert_with(|| field.clone());
+            if known.text != field.text {
+                let problem = InventoryProblem::ConflictingValues {
                     endpoint: self.name.clone(),
-                    fact: name,
+                    field: name,
                     first: known.text.clone(),
-                    second: fact.text,
+                    second: field.text,
                 };
-                return Err(InventoryError::new(fact.line, problem));
+                return Err(InventoryError::new(field.line, problem));
             }
         }
         Ok(())
@@ -91,19 +91,19 @@
 }
 
 /// Adds what the variables of a group or host state: some of Ansible's own, and this program's.
-fn read_variables(node: &Node, what: &str, facts: &mut Facts) -> Result<(), InventoryError> {
+fn read_variables(node: &Node, what: &str, fields: &mut Fields) -> Result<(), InventoryError> {
     for (key, value) in node.map(what)? {
         let name = match key.as_str() {
             "ansible_host" => "address",
             "ansible_port" => "port",
             _ => match key.strip_prefix(VARIABLE_PREFIX) {
-                Some(name) if FACT_NAMES.contains(&name) => name,
+                Some(name) if FIELD_NAMES.contains(&name) => name,
                 Some(_) => return Err(value.error(InventoryProblem::UnknownVariable(key.clone()))),
                 None => continue,
             },
         };
-        let fact = Fact { text: value.scalar(key)?.to_string(), line: value.line };
-        facts.insert(name.to_string(), fact);
+        let field = Field { text: value.scalar(key)?.to_string(), line: value.line };
+        fields.insert(name.to_string(), field);
     }
     Ok(())
 }
--- a/src/inventory/csv_form.rs
+++ b/src/inventory/csv_format.rs
@@ -1,7 +1,7 @@
-//! Inventories in CSV: a header row with the names of facts, then a row for each endpoint. Lines that start with `#`
+//! Inventories in CSV: a header row with the names of fields, then a row for each endpoint. Lines that start with `#`
 //! are comments.
 
-use super::{Entry, Fact, Facts, InventoryError, InventoryProblem};
+use super::{Entry, Field, Fields, InventoryError, InventoryProblem};
 use csv::{ErrorKind, ReaderBuilder, StringRecord, Trim};
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
         let line = row.position().map_or(1, |position| lines.line_of(position.byte()));
         let entry = entry(&header, &row, line)?;
         if !names.insert(entry.name.clone()) {
-            return Err(InventoryError::new(line, InventoryProblem::Duplicate(entry.name)));
+            return Err(InventoryError::new(line, InventoryProblem::DuplicateEndpoint(entry.name)));
         }
         entries.push(entry);
     }
@@ -47,16 +47,16 @@
 }
 
 fn entry(header: &StringRecord, row: &StringRecord, line: usize) -> Result<Entry, InventoryError> {
-    let mut facts = Facts::new();
+    let mut fields = Fields::new();
     for (column, value) in header.iter().zip(row) {
         if !value.is_empty() {
-            facts.insert(column.to_string(), Fact { text: value.to_string(), line });
+            fields.insert(column.to_string(), Field { text: value.to_string(), line });
         }
     }
-    let Some(name) = facts.remove("name") else {
-        return Err(InventoryError::new(line, InventoryProblem::Unnamed));
+    let Some(name) = fields.remove("name") else {
+        return Err(InventoryError::new(line, InventoryProblem::MissingName));
     };
-    Ok(Entry { name: name.text, line, facts })
+    Ok(Entry { name: name.text, line, fields })
 }
 
 fn csv_error(error: &csv::Error, lines: &mut LineCounter<'_>) -> InventoryError {
--- a/src/inventory/error.rs
+++ b/src/inventory/error.rs
@@ -13,7 +13,7 @@
 pub enum InventoryProblem {
     /// The file's extension names no known form.
     #[error("an inventory is a .csv, .yaml or .yml file")]
-    UnknownForm,
+    UnknownFormat,
     /// There is no endpoint in it.
     #[error("the inventory names no host")]
     NoEndpoints,
@@ -43,7 +43,7 @@
     MissingColumn(&'static str),
     /// A row without a name.
     #[error("a host without a name")]
-    Unnamed,
+    MissingName,
 
     /// A variable with this program's prefix that it does not know.
     #[error("unknown variable {0:?}")]
@@ -58,14 +58,14 @@
     },
     /// One of Ansible's ranges of names, which this program does not expand.
     #[error("host {0:?}: ranges are not read; name each host")]
-    Range(String),
+    HostRange(String),
     /// Groups that state different values for the same endpoint.
-    #[error("host {endpoint:?}: {fact} is {first:?} and {second:?}")]
-    Conflict {
+    #[error("host {endpoint:?}: {field} is {first:?} and {second:?}")]
+    ConflictingValues {
         /// The endpoint.
         endpoint: String,
         /// What they state.
-        fact: String,
+        field: String,
         /// The value that was read first.
         first: String,
         /// The other one.
@@ -74,13 +74,13 @@
 
     /// An endpoint that stands in two rows.
     #[error("host {0:?} stands twice")]
-    Duplicate(String),
+    DuplicateEndpoint(String),
     /// A name with other characters than allowed.
     #[error("host {0:?}: a name has letters, digits, '-', '_' and '.' only")]
-    Name(String),
+    InvalidName(String),
     /// A text that is no address.
     #[error("host {endpoint:?}: {text:?} is no address with a port")]
-    Address {
+    InvalidAddress {
         /// The endpoint.
         endpoint: String,
         /// The text.
@@ -96,14 +96,14 @@
     },
     /// An endpoint without a group.
     #[error("host {0:?} has no group")]
-    NoGroup(String),
+    MissingGroup(String),
     /// A value that does not parse or is out of its range.
-    #[error("host {endpoint:?}: {fact} {value:?} is no such value")]
-    Value {
+    #[error("host {endpoint:?}: {field} {value:?} is no such value")]
+    InvalidValue {
         /// The endpoint.
         endpoint: String,
         /// What it states.
-        fact: &'static str,
+        field: &'static str,
         /// The value.
         value: String,
     },
@@ -129,6 +129,6 @@
 
 impl From<LineError<YamlProblem>> for InventoryError {
     fn from(error: LineError<YamlProblem>) -> InventoryError {
-        error.widen()
+        error.convert_problem()
     }
 }
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -1,11 +1,11 @@
-//! The endpoints as an operator writes them down: CSV with a header row (`csv_form`), or YAML in Ansible's inventory
-//! form (`ansible_form`).
+//! The endpoints as an operator writes them down: CSV with a header row (`csv_format`), or YAML in Ansible's inventory
+//! form (`ansible_format`).
 //!
 //! Both forms yield the same raw `Entry` for each endpoint, from which `record` makes a checked record. Every error
 //! names the line of the value at fault, and rejects the whole file.
 
-mod ansible_form;
-mod csv_form;
+mod ansible_format;
+mod csv_format;
 mod error;
 mod record;
 pub mod yaml;
@@ -32,22 +32,22 @@
 
 /// A value as the file states it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Fact {
+struct Field {
     text: String,
     line: usize,
 }
 
-/// What the file states of one endpoint, by the names in [`FACT_NAMES`].
-type Facts = BTreeMap<String, Fact>;
+/// What the file states of one endpoint, by the names in [`FIELD_NAMES`].
+type Fields = BTreeMap<String, Field>;
 
 /// Everything that a file may state of an endpoint; other columns and variables are the configuration tool's own.
-const FACT_NAMES: [&str; 8] = ["address", "group", "zone", "region", "weight", "status", "port", "since_ms"];
+const FIELD_NAMES: [&str; 8] = ["address", "group", "zone", "region", "weight", "status", "port", "since_ms"];
 
 /// One endpoint of the file, not checked yet.
 struct Entry {
     name: String,
     line: usize,
-    facts: Facts,
+    fields: Fields,
 }
 
 /// Reads an inventory; the extension of `path` tells its form. `zones` are the names of the zones by number.
@@ -62,9 +62,9 @@
 ) -> Result<Inventory, InventoryError> {
     let extension = path.extension().and_then(|extension| extension.to_str()).unwrap_or("");
     let entries = match extension.to_ascii_lowercase().as_str() {
-        "csv" => csv_form::parse(text)?,
-        "yaml" | "yml" => ansible_form::parse(text, limits)?,
-        _ => return Err(InventoryError::new(1, InventoryProblem::UnknownForm)),
+        "csv" => csv_format::parse(text)?,
+        "yaml" | "yml" => ansible_format::parse(text, limits)?,
+        _ => return Err(InventoryError::new(1, InventoryProblem::UnknownFormat)),
     };
     if entries.is_empty() {
         return Err(InventoryError::new(1, InventoryProblem::NoEndpoints));
@@ -72,7 +72,7 @@
     let mut inventory = Inventory::default();
     for entry in entries {
         let endpoint = record::check(&entry, zones)?;
-        record::add_region(&entry, endpoint.zone, &mut inventory.regions)?;
+        record::record_region(&entry, endpoint.zone, &mut inventory.regions)?;
         inventory.hosts.push(endpoint);
     }
     Ok(inventory)
--- a/src/inventory/record.rs
+++ b/src/inventory/record.rs
@@ -1,6 +1,6 @@
 //! Checks what a file states of an endpoint, and makes a record of it.
 
-use super::{Entry, Fact, InventoryError, InventoryProblem, Regions};
+use super::{Entry, Field, InventoryError, InventoryProblem, Regions};
 use crate::engine::endpoints::EndpointRecord;
 use crate::routing::{Availability, GroupId, ZoneId};
 use crate::time::Timestamp;
@@ -18,7 +18,7 @@
 pub fn check(entry: &Entry, zones: &[String]) -> Result<EndpointRecord, InventoryError> {
     // A separator of the store's records, or a line end, in a name would forge another record.
     if !is_name(&entry.name) {
-        return Err(entry.error(InventoryProblem::Name(entry.name.clone())));
+        return Err(entry.error(InventoryProblem::InvalidName(entry.name.clone())));
     }
     let address = address(entry)?;
     Ok(EndpointRecord {
@@ -38,10 +38,10 @@
 ///
 /// # Errors
 /// [`InventoryError`] where the name is not allowed, the endpoint states no zone, or the zone has another region.
-pub fn add_region(entry: &Entry, zone: ZoneId, regions: &mut Regions) -> Result<(), InventoryError> {
-    let Some(region) = entry.facts.get("region") else { return Ok(()) };
+pub fn record_region(entry: &Entry, zone: ZoneId, regions: &mut Regions) -> Result<(), InventoryError> {
+    let Some(region) = entry.fields.get("region") else { return Ok(()) };
     let endpoint = entry.name.clone();
-    if !entry.facts.contains_key("zone") {
+    if !entry.fields.contains_key("zone") {
         let problem = InventoryProblem::RegionWithoutZone { endpoint, region: region.text.clone() };
         return Err(InventoryError::new(region.line, problem));
     }
@@ -66,18 +66,18 @@
     !text.is_empty() && text.bytes().all(is_allowed)
 }
 
-/// The address, with the port from a fact of its own where it states none; without an address the name is taken for it.
+/// The address, with the port from a field of its own where it states none; without an address the name is taken for it.
 fn address(entry: &Entry) -> Result<SocketAddr, InventoryError> {
-    let stated = entry.facts.get("address");
-    let text = stated.map_or(entry.name.as_str(), |fact| fact.text.as_str());
-    let line = stated.map_or(entry.line, |fact| fact.line);
-    let parsed = match entry.facts.get("port") {
+    let stated = entry.fields.get("address");
+    let text = stated.map_or(entry.name.as_str(), |field| field.text.as_str());
+    let line = stated.map_or(entry.line, |field| field.line);
+    let parsed = match entry.fields.get("port") {
         Some(port) if !text.contains(':') => format!("{text}:{}", port.text).parse(),
         _ => text.parse(),
     };
     let endpoint = entry.name.clone();
     let Ok(address) = parsed else {
-        let problem = InventoryProblem::Address { endpoint, text: text.to_string() };
+        let problem = InventoryProblem::InvalidAddress { endpoint, text: text.to_string() };
         return Err(InventoryError::new(line, problem));
     };
     let address: SocketAddr = address;
@@ -88,39 +88,39 @@
 }
 
 fn group(entry: &Entry) -> Result<GroupId, InventoryError> {
-    let Some(fact) = entry.facts.get("group") else {
-        return Err(entry.error(InventoryProblem::NoGroup(entry.name.clone())));
+    let Some(field) = entry.fields.get("group") else {
+        return Err(entry.error(InventoryProblem::MissingGroup(entry.name.clone())));
     };
-    fact.text.parse().map(GroupId).map_err(|_| entry.invalid("group", fact))
+    field.text.parse().map(GroupId).map_err(|_| entry.invalid("group", field))
 }
 
 fn availability(entry: &Entry) -> Result<Availability, InventoryError> {
-    let Some(fact) = entry.facts.get("status") else { return Ok(Availability::Ready) };
-    match fact.text.as_str() {
+    let Some(field) = entry.fields.get("status") else { return Ok(Availability::Ready) };
+    match field.text.as_str() {
         "active" => Ok(Availability::Ready),
         "leaving" => Ok(Availability::Draining),
-        _ => Err(entry.invalid("status", fact)),
+        _ => Err(entry.invalid("status", field)),
     }
 }
 
 fn zone(entry: &Entry, zones: &[String]) -> Result<ZoneId, InventoryError> {
-    let Some(fact) = entry.facts.get("zone") else { return Ok(ZoneId(0)) };
-    let number = zones.iter().position(|name| *name == fact.text);
-    number.map(|number| ZoneId(number as u8)).ok_or_else(|| entry.invalid("zone", fact))
+    let Some(field) = entry.fields.get("zone") else { return Ok(ZoneId(0)) };
+    let number = zones.iter().position(|name| *name == field.text);
+    number.map(|number| ZoneId(number as u8)).ok_or_else(|| entry.invalid("zone", field))
 }
 
 fn weight(entry: &Entry) -> Result<f64, InventoryError> {
-    let Some(fact) = entry.facts.get("weight") else { return Ok(DEFAULT_WEIGHT) };
+    let Some(field) = entry.fields.get("weight") else { return Ok(DEFAULT_WEIGHT) };
     let is_allowed = |weight: &f64| *weight > 0.0 && *weight <= MAX_WEIGHT;
-    fact.text.parse().ok().filter(is_allowed).ok_or_else(|| entry.invalid("weight", fact))
+    field.text.parse().ok().filter(is_allowed).ok_or_else(|| entry.invalid("weight", field))
 }
 
 /// When the endpoint was started, in milliseconds of Unix time; 0: unknown.
 fn started_at(entry: &Entry) -> Result<Option<Timestamp>, InventoryError> {
-    let Some(fact) = entry.facts.get("since_ms").filter(|fact| fact.text != "0") else { return Ok(None) };
-    let millis = fact.text.parse::<i64>().ok().filter(|millis| *millis > 0);
+    let Some(field) = entry.fields.get("since_ms").filter(|field| field.text != "0") else { return Ok(None) };
+    let millis = field.text.parse::<i64>().ok().filter(|millis| *millis > 0);
     let started_at = millis.and_then(Timestamp::try_from_millis);
-    started_at.map(Some).ok_or_else(|| entry.invalid("since_ms", fact))
+    started_at.map(Some).ok_or_else(|| entry.invalid("since_ms", field))
 }
 
 impl Entry {
@@ -128,9 +128,12 @@
         InventoryError::new(self.line, problem)
     }
 
-    fn invalid(&self, name: &'static str, fact: &Fact) -> InventoryError {
-        let problem =
-            InventoryProblem::Value { endpoint: self.name.clone(), fact: name, value: fact.text.clone() };
-        InventoryError::new(fact.line, problem)
+    fn invalid(&self, name: &'static str, field: &Field) -> InventoryError {
+        let problem = InventoryProblem::InvalidValue {
+            endpoint: self.name.clone(),
+            field: name,
+            value: field.text.clone(),
+        };
+        InventoryError::new(field.line, problem)
     }
 }
--- a/src/inventory/yaml.rs
+++ b/src/inventory/yaml.rs
@@ -49,7 +49,7 @@
     NotScalar(String),
     /// A value that does not parse.
     #[error("{what}: {text:?} is no such value")]
-    Value {
+    InvalidValue {
         /// What the value is for.
         what: String,
         /// The value.
@@ -125,10 +125,10 @@
     /// A single value of type `T`.
     ///
     /// # Errors
-    /// [`YamlProblem::NotScalar`] or [`YamlProblem::Value`] with `what`.
+    /// [`YamlProblem::NotScalar`] or [`YamlProblem::InvalidValue`] with `what`.
     pub fn parsed<T: FromStr>(&self, what: &str) -> Result<T, YamlError> {
         let text = self.scalar(what)?;
-        let problem = || YamlProblem::Value { what: what.to_string(), text: text.to_string() };
+        let problem = || YamlProblem::InvalidValue { what: what.to_string(), text: text.to_string() };
         text.parse().map_err(|_| self.error(problem()))
     }
 
--- a/src/inventory/yaml/tests.rs
+++ b/src/inventory/yaml/tests.rs
@@ -20,7 +20,7 @@
     let tree = parse("a:\n  b: x\n").unwrap();
     let b = tree.get("a").and_then(|a| a.get("b")).unwrap();
     let error = b.parsed::<u32>("b").unwrap_err();
-    assert_eq!(error, YamlError::new(2, YamlProblem::Value { what: "b".into(), text: "x".into() }));
+    assert_eq!(error, YamlError::new(2, YamlProblem::InvalidValue { what: "b".into(), text: "x".into() }));
     assert_eq!(error.to_string(), "line 2: b: \"x\" is no such value");
 }
 
--- a/src/line_error.rs
+++ b/src/line_error.rs
@@ -19,7 +19,7 @@
     }
 
     /// The same error as one of a file format that contains this one.
-    pub fn widen<Q: From<P>>(self) -> LineError<Q> {
+    pub fn convert_problem<Q: From<P>>(self) -> LineError<Q> {
         LineError { line: self.line, problem: self.problem.into() }
     }
 }
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -7,7 +7,7 @@
 /// Names the level at which the program logs.
 const LEVEL_VARIABLE: &str = "BROOKPASS_LOG";
 /// Records of other crates are not logged.
-const OWN_TARGETS: &str = "brookpass";
+const OWN_TARGET_PREFIX: &str = "brookpass";
 
 /// Starts logging at the level that `BROOKPASS_LOG` names, or `info`. A logger that is already installed stays.
 pub fn start() {
@@ -21,7 +21,7 @@
 
 impl Log for Logger {
     fn enabled(&self, metadata: &Metadata) -> bool {
-        metadata.level() <= log::max_level() && metadata.target().starts_with(OWN_TARGETS)
+        metadata.level() <= log::max_level() && metadata.target().starts_with(OWN_TARGET_PREFIX)
     }
 
     fn log(&self, record: &Record) {
--- a/src/net/backend_pool/attempt.rs
+++ b/src/net/backend_pool/attempt.rs
@@ -82,7 +82,7 @@
             ExchangeResult::outcome_only(AttemptOutcome::Cancelled)
         };
         let timeout = async {
-            Timer::at(self.clock.instant(context.deadline)).await;
+            Timer::at(self.clock.instant_of(context.deadline)).await;
             if context.response_started() {
                 // A streamed answer is not bound by the deadline.
                 future::pending::<()>().await;
--- a/src/net/connection_limiter/eviction.rs
+++ b/src/net/connection_limiter/eviction.rs
@@ -57,7 +57,7 @@
 
 /// Closes connections that were idle for `Limits::client_idle_timeout`.
 ///
-/// While more than `Limits::crowded_clients` have sent requests, those that sent one only close after
+/// While more than `Limits::eviction_threshold` have sent requests, those that sent one only close after
 /// `Limits::silent_client_grace`: clients can open only so many, and these would leave none to clients that go on
 /// sending requests.
 pub(super) fn close_idle(active: &Connections, limits: &Limits) {
@@ -79,7 +79,7 @@
         }
     }
     used_once.sort_by_key(|connection| connection.state_since());
-    let excess = served.saturating_sub(limits.crowded_clients);
+    let excess = served.saturating_sub(limits.eviction_threshold);
     for connection in used_once.iter().take(excess) {
         connection.request_close();
     }
--- a/src/net/connection_limiter/slot.rs
+++ b/src/net/connection_limiter/slot.rs
@@ -124,10 +124,10 @@
 
     /// Reserves the bytes of the message that the connection has buffered, in place of those it had reserved before.
     /// False, and no change, where `Limits::message_budget_bytes` has no room for them. Messages of up to
-    /// `Limits::unbudgeted_message_bytes` bytes reserve nothing.
+    /// `Limits::unreserved_message_bytes` bytes reserve nothing.
     pub fn try_reserve_message_bytes(&mut self, bytes: usize) -> bool {
         let limits = &self.limiter.limits;
-        let wanted = if bytes > limits.unbudgeted_message_bytes { bytes } else { 0 };
+        let wanted = if bytes > limits.unreserved_message_bytes { bytes } else { 0 };
         let of_others = self.limiter.reserved_message_bytes.get() - self.reserved_message_bytes;
         if wanted > 0 && of_others + wanted > limits.message_budget_bytes {
             return false;
--- a/src/net/connection_limiter/tests.rs
+++ b/src/net/connection_limiter/tests.rs
@@ -1,7 +1,7 @@
 //! Slots of connections, and which connection closes for another one.
 
 use super::*;
-use crate::config::Machine;
+use crate::config::ProcessResources;
 use std::time::{Duration, Instant};
 
 fn limiter(limits: Limits) -> Rc<ConnectionLimiter> {
@@ -66,7 +66,7 @@
 /// sending requests would find none.
 #[test]
 fn idle_connections_close_and_in_a_crowd_those_used_once_close_first() {
-    let limits = Limits { client_connections: 9, crowded_clients: 3, ..Limits::for_sockets(64) };
+    let limits = Limits { client_connections: 9, eviction_threshold: 3, ..Limits::for_sockets(64) };
     let (grace, max_idle) = (limits.silent_client_grace, limits.client_idle_timeout);
     let limiter = limiter(limits);
     let admit = |requests: u32, idle_time: Duration| {
@@ -95,7 +95,7 @@
 #[test]
 fn long_messages_share_one_budget() {
     let limits =
-        Limits { unbudgeted_message_bytes: 10, message_budget_bytes: 100, ..Limits::for_sockets(64) };
+        Limits { unreserved_message_bytes: 10, message_budget_bytes: 100, ..Limits::for_sockets(64) };
     let limiter = limiter(limits);
     let (mut one, mut two) = (limiter.admit().unwrap(), limiter.admit().unwrap());
     assert!(one.try_reserve_message_bytes(60));
@@ -113,10 +113,10 @@
 #[test]
 fn the_limits_add_up_to_what_the_process_may_use() {
     for sockets in [64, 256, 384, 1024, 20_000] {
-        let platform = Machine::platform(Some(sockets), Some(32.0));
+        let platform = ProcessResources::platform(Some(sockets), Some(32.0));
         let half = platform.half().with_admin_server();
-        for machine in [Machine::operator(sockets), platform, platform.with_admin_server(), half] {
-            let limits = Limits::on(machine);
+        for machine in [ProcessResources::operator(sockets), platform, platform.with_admin_server(), half] {
+            let limits = Limits::for_resources(machine);
             let (admin, sockets) = (limits.for_admin_server(), machine.sockets);
             let (clients, backends) = (limits.client_connections, limits.backend_connections);
             let rejected = limits.rejected_connections;
--- a/src/platform_config.rs
+++ b/src/platform_config.rs
@@ -121,25 +121,26 @@
 pub fn parse(text: &str) -> Result<PlatformConfig, PlatformConfigError> {
     let value: Value = json::from_str(text)
         .map_err(|_| LineError::new(line_of_syntax_error(text), PlatformConfigProblem::NotJson))?;
-    let config: ConfigJson = json::from_str(text).map_err(|_| first_wrong_key(text, &value))?;
+    let config: ConfigJson = json::from_str(text).map_err(|_| first_invalid_key(text, &value))?;
     let pairs = flatten::flatten(&config.settings);
     let names = SettingsNames::read(&pairs);
     let settings = parse_settings(text, &pairs)?;
-    let source = Source { text };
+    let config_text = ConfigText { text };
     let limits = config.limits.as_ref();
     Ok(PlatformConfig {
-        listen: source.address("listen", &config.listen)?,
-        discovery: source.address("discovery", &config.discovery)?,
+        listen: config_text.address("listen", &config.listen)?,
+        discovery: config_text.address("discovery", &config.discovery)?,
         name: config.name,
         seed: config.seed.and_then(|hex| u64::from_str_radix(&hex, 16).ok()).unwrap_or(0),
         sockets: limits.and_then(|limits| limits.sockets).map(|sockets| sockets as usize),
         memory_mb: limits.and_then(|limits| limits.memory_mb),
-        peer_listen: source.optional_address("peer_listen", config.peer_listen)?,
-        peers: source.addresses("peers", config.peers)?,
-        peers_all: source.optional_address("peers_all", config.peers_all)?,
+        peer_listen: config_text.optional_address("peer_listen", config.peer_listen)?,
+        peers: config_text.addresses("peers", config.peers)?,
+        peers_all: config_text.optional_address("peers_all", config.peers_all)?,
         inherited_socket: None,
-        admin: source.optional_address("admin_addr", config.admin_addr.filter(|text| !text.is_empty()))?,
-        cached_list: source.cached_list(config.known, &names.zones)?,
+        admin: config_text
+            .optional_address("admin_addr", config.admin_addr.filter(|text| !text.is_empty()))?,
+        cached_list: config_text.cached_list(config.known, &names.zones)?,
         settings,
         classes: names.classes,
         zones: names.zones,
@@ -186,7 +187,7 @@
 
 /// What keeps a configuration from being read though it is JSON: the first key that must be stated and is missing or of
 /// another type.
-fn first_wrong_key(text: &str, config: &Value) -> PlatformConfigError {
+fn first_invalid_key(text: &str, config: &Value) -> PlatformConfigError {
     let Value::Object(object) = config else {
         return LineError::new(1, PlatformConfigProblem::NotObject);
     };
@@ -206,11 +207,11 @@
 }
 
 /// The file's text, to find the lines of values that cannot be used.
-struct Source<'a> {
+struct ConfigText<'a> {
     text: &'a str,
 }
 
-impl Source<'_> {
+impl ConfigText<'_> {
     fn address(&self, key: &str, value: &str) -> Result<SocketAddr, PlatformConfigError> {
         parse_address(value, key).map_err(|error| LineError::new(line_of_value(self.text, key, value), error))
     }
--- a/src/platform_config/flatten.rs
+++ b/src/platform_config/flatten.rs
@@ -7,22 +7,22 @@
 /// (`services.0.name`), any other list one value with commas.
 pub fn flatten(settings: &Value) -> BTreeMap<String, String> {
     let mut pairs = BTreeMap::new();
-    add("", settings, &mut pairs);
+    add_value("", settings, &mut pairs);
     pairs
 }
 
-fn add(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
+fn add_value(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
     match value {
         Value::Null => {}
         Value::Object(object) => {
             for (key, value) in object {
-                add(&join(path, key), value, pairs);
+                add_value(&join_path(path, key), value, pairs);
             }
         }
         Value::Array(elements) if elements.iter().any(|element| matches!(element, Value::Object(_))) => {
-            pairs.insert(join(path, "count"), elements.len().to_string());
+            pairs.insert(join_path(path, "count"), elements.len().to_string());
             for (index, element) in elements.iter().enumerate() {
-                add(&join(path, &index.to_string()), element, pairs);
+                add_value(&join_path(path, &index.to_string()), element, pairs);
             }
         }
         Value::Array(elements) => {
@@ -35,7 +35,7 @@
     }
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() { key.to_string() } else { format!("{path}.{key}") }
 }
 
--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -156,7 +156,7 @@
         self.log().hard_state.current_vote()
     }
 
-    /// The leader of the current term, or [`NodeId::NOBODY`] if this node knows none.
+    /// The leader of the current term, or [`NodeId::NONE`] if this node knows none.
     pub fn leader(&self) -> NodeId {
         NodeId(self.node.raft.leader_id)
     }
@@ -226,7 +226,7 @@
     /// Handles a message from a peer. Returns false if the message is malformed, addressed to another node, or
     /// rejected by the `raft` crate.
     pub fn receive(&mut self, message: RaftMessage) -> bool {
-        let is_from_peer = message.from != self.id && message.from != NodeId::NOBODY;
+        let is_from_peer = message.from != self.id && message.from != NodeId::NONE;
         let is_addressed_here = message.to == self.id;
         let Some(message) = message.into_raft() else { return false };
         if !is_addressed_here || !is_from_peer || !self.accepts_snapshot_in(&message) {
--- a/src/store/raft_node/persistent_state.rs
+++ b/src/store/raft_node/persistent_state.rs
@@ -78,7 +78,7 @@
     fn single_voter(state: &ClusterState, id: NodeId, at: EntryId) -> RaftPersistentState {
         let configuration = Configuration { voters: vec![id], ..Configuration::default() };
         RaftPersistentState {
-            hard_state: HardState { term: at.term, vote: NodeId::NOBODY, commit: at.index },
+            hard_state: HardState { term: at.term, vote: NodeId::NONE, commit: at.index },
             snapshot: SnapshotRecord {
                 index: at.index,
                 term: at.term,
--- a/src/store/raft_node/tests.rs
+++ b/src/store/raft_node/tests.rs
@@ -163,7 +163,7 @@
         RaftPersistentState { entries: vec![entry(3)], ..valid.clone() },
         RaftPersistentState { entries: vec![LogEntry { kind: 9, ..entry(2) }], ..valid.clone() },
         RaftPersistentState {
-            hard_state: HardState { term: 1, vote: NodeId::NOBODY, commit: 9 },
+            hard_state: HardState { term: 1, vote: NodeId::NONE, commit: 9 },
             ..valid.clone()
         },
         RaftPersistentState { snapshot: undecodable, ..valid.clone() },
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -130,7 +130,7 @@
 pub struct HardState {
     /// The term that the node is in.
     pub term: u64,
-    /// The candidate that received this node's vote in the term, or [`NodeId::NOBODY`] if it has not voted.
+    /// The candidate that received this node's vote in the term, or [`NodeId::NONE`] if it has not voted.
     pub vote: NodeId,
     /// The index of the last entry that is known to be committed.
     pub commit: u64,
@@ -148,7 +148,7 @@
 pub struct Vote {
     /// The term of the election.
     pub term: u64,
-    /// The candidate, or [`NodeId::NOBODY`] if the node has not voted.
+    /// The candidate, or [`NodeId::NONE`] if the node has not voted.
     pub candidate: NodeId,
 }
 
--- a/src/store/store_thread/commands.rs
+++ b/src/store/store_thread/commands.rs
@@ -124,7 +124,7 @@
     }
 
     fn campaign_without_leader(&mut self) {
-        if self.participating && self.node.leader() == NodeId::NOBODY {
+        if self.participating && self.node.leader() == NodeId::NONE {
             log::debug!("raft: election requested: term {}", self.node.term());
             self.with_node(RaftNode::campaign);
         }
--- a/src/store/store_thread/interface.rs
+++ b/src/store/store_thread/interface.rs
@@ -80,7 +80,7 @@
 /// The status of a node in the consensus.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoreStatus {
-    /// The leader of the current term, or [`NodeId::NOBODY`] if this node knows none.
+    /// The leader of the current term, or [`NodeId::NONE`] if this node knows none.
     pub leader: NodeId,
     /// The term that this node is in.
     pub term: u64,
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -129,7 +129,7 @@
     let status = &opened.status;
     assert_eq!(
         (status.term, status.leader, status.participating),
-        (4, NodeId::NOBODY, false),
+        (4, NodeId::NONE, false),
         "its peers first compare its storage with its earlier reports"
     );
     assert_eq!((status.committed, status.applied), (27, 20));
