--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,44 +1,45 @@
 //! One clock for the whole program: Unix time in microseconds that never goes back.
 //!
-//! Log positions on the sockets are Unix times, so that the settings' zero is 0 and [`Timestamp::ZERO`] is the Unix
-//! epoch.
+//! Log positions are Unix times in the wire protocols, so the daemon replaces the zero in the settings by
+//! [`Timestamp::ZERO`], the Unix epoch.
 
 use crate::time::{TimeDelta, Timestamp};
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Arc, OnceLock};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time that is ahead of the monotonic clock by more than this was stepped, or the machine slept. Smaller
-/// differences are the two clocks' drift, which is not followed.
+/// If the system clock is ahead of the monotonic clock by more than this, it was stepped or the machine was suspended.
+/// Smaller differences are drift between the two clocks and are ignored.
 const STEP_THRESHOLD: TimeDelta = TimeDelta::from_millis(50);
 
-/// Shifts the system's clock by this many milliseconds, for tests of daemons whose clocks differ.
+/// Environment variable with an offset in milliseconds that is added to the system clock, for tests with daemons whose
+/// clocks differ.
 const OFFSET_VARIABLE: &str = "BROOKPASS_CLOCK_OFFSET_MS";
 
-/// Unix time as read at the start, advanced by the monotonic clock. Clones are the same clock.
+/// The Unix time at the start of the process, advanced by the monotonic clock. Clones share their state.
 ///
-/// It follows steps of the system's clock forward, never back: with a clock behind those of the backends a read would
-/// be taken for fresher than it is.
+/// The clock follows forward steps of the system clock, but never goes back: if it were behind the clocks of the
+/// backends, reads would look fresher than they are.
 #[derive(Clone, Debug)]
 pub struct Clock {
     started: Instant,
     unix_at_start: Timestamp,
-    /// Microseconds by which the system's clock was stepped forward since the start.
+    /// Microseconds by which the system clock was stepped forward since the start.
     stepped_micros: Arc<AtomicI64>,
 }
 
 impl Clock {
-    /// Reads both clocks.
+    /// Starts the clock from the current readings of the system clock and the monotonic clock.
     pub fn start() -> Clock {
         Clock { started: Instant::now(), unix_at_start: system_time(), stepped_micros: Arc::default() }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Timestamp {
         self.now_at_system_time(system_time())
     }
 
-    /// The present time, where the system's clock reads `system_now`.
+    /// The current time, given that the system clock reads `system_now`.
     fn now_at_system_time(&self, system_now: Timestamp) -> Timestamp {
         let unstepped = self.unix_at_start + TimeDelta::from(self.started.elapsed());
         let now = unstepped + TimeDelta::from_micros(self.stepped_micros.load(Ordering::Relaxed));
@@ -46,13 +47,13 @@
             return now;
         }
         let step = (system_now - unstepped).as_micros();
-        // Another thread may have followed a larger step meanwhile.
+        // Another thread may have recorded a larger step in the meantime.
         let largest_step = self.stepped_micros.fetch_max(step, Ordering::Relaxed).max(step);
         unstepped + TimeDelta::from_micros(largest_step)
     }
 
-    /// Identity of the machine's present boot, and the time since then, sleep included; empty and 0 where the system
-    /// states none.
+    /// The kernel's boot id and the time since boot, including suspend. The id is empty and the time zero on systems that
+    /// do not provide them.
     pub fn boot_id_and_uptime() -> (String, TimeDelta) {
         let boot_id = read_or_empty("/proc/sys/kernel/random/boot_id").trim().to_string();
         let uptime = read_or_empty("/proc/uptime");
@@ -60,7 +61,7 @@
         (boot_id, TimeDelta::from_micros_f64(uptime_secs * 1e6))
     }
 
-    /// The instant of a point in time; one before the clock's start is the start.
+    /// Converts a timestamp to an [`Instant`]. A timestamp before the clock was started maps to the start.
     pub fn instant_of(&self, time: Timestamp) -> Instant {
         let stepped = TimeDelta::from_micros(self.stepped_micros.load(Ordering::Relaxed));
         let since_start = time - self.unix_at_start - stepped;
@@ -68,7 +69,7 @@
     }
 }
 
-/// The system's clock, with the offset of [`OFFSET_VARIABLE`].
+/// The system clock plus the offset from [`OFFSET_VARIABLE`].
 fn system_time() -> Timestamp {
     static OFFSET: OnceLock<TimeDelta> = OnceLock::new();
     let offset = *OFFSET.get_or_init(|| {
--- a/src/clock/tests.rs
+++ b/src/clock/tests.rs
@@ -1,9 +1,10 @@
-//! The clock against steps of the system's clock.
+//! How the clock handles steps of the system clock.
 
 use super::*;
 use std::time::Duration;
 
-/// Guards against a machine that slept: its monotonic clock stood still while the data of the backends went on.
+/// Guards against a clock that lags after the machine was suspended: the monotonic clock stands still during suspend
+/// while the backends keep committing.
 #[test]
 fn it_follows_the_system_clock_forward_and_never_back() {
     let clock = Clock::start();
@@ -11,6 +12,6 @@
     let hour = TimeDelta::from_secs(3_600);
     let after = clock.now_at_system_time(before + hour);
     assert!(after >= before + hour);
-    assert!(clock.now_at_system_time(before) >= after, "a system clock that is set back changes nothing");
+    assert!(clock.now_at_system_time(before) >= after, "setting the system clock back has no effect");
     assert!(clock.instant_of(after) <= Instant::now() + Duration::from_secs(1));
 }
--- a/src/config/defaults.rs
+++ b/src/config/defaults.rs
@@ -1,19 +1,19 @@
-//! The limits that depend on no machine, with the reasons for their values.
+//! The limits that do not depend on the resources of the process, with the reasons for their values.
 //!
-//! Those that do depend on one (connections, `message_budget_bytes`, `read_ahead_bytes`) are set by [`Limits::for_resources`] and
-//! stand here as zero.
+//! Those that do (connections, `message_budget_bytes`, `read_ahead_bytes`) are zero here and set by
+//! [`Limits::for_resources`].
 
 use super::{CloseLinger, DISCOVERY_CALL_COST, Limits, YamlLimits};
 use std::time::Duration;
 
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
-/// Longest value that a client may write.
+/// Maximum length of a value that a client writes.
 const MAX_VALUE_BYTES: usize = 64 * KIB;
-/// Longest value that a backend returns.
+/// Maximum length of a value that a backend returns.
 const MAX_STORED_VALUE_BYTES: usize = 4 * MIB;
 
-/// See the module documentation.
+/// The default limits; see the module documentation for those that are zero.
 pub const DEFAULTS: Limits = Limits {
     client_connections: 0,
     rejected_connections: 0,
@@ -29,7 +29,7 @@
     bind_timeout: Duration::from_secs(20),
 
     startup_message_bytes: 10_000,
-    // Each byte of a value takes two digits in a statement.
+    // A statement contains two digits for each byte of a value.
     client_message_bytes: 2 * MAX_VALUE_BYTES + 4 * KIB,
     unreserved_message_bytes: 16 * KIB,
     message_budget_bytes: 0,
@@ -47,7 +47,7 @@
 
     backend_connections: 0,
     connect_timeout: Duration::from_millis(250),
-    // What `set_backend_idle_timeout` gives for 15 s, which the deployed settings state.
+    // The result of `set_backend_idle_timeout` for 15 s, the value in the deployed settings.
     backend_idle_timeout: Duration::from_secs(14),
     pool_sweep_interval: Duration::from_millis(500),
     connection_settle_time: Duration::from_millis(1),
@@ -59,13 +59,13 @@
     postgres_row_bytes: MAX_STORED_VALUE_BYTES + KIB,
 
     discovery_answer_bytes: 4 * MIB,
-    // A watch that fell silent must be noticed before a change counts as announced, 6 s after discovery had it: one
-    // watch, its timeout, the first backoff and another timeout pass until then.
+    // A watch that went silent must be detected before a change counts as announced, 6 s after discovery received it.
+    // Detection takes one watch, its timeout, the first backoff and another timeout.
     discovery_watch_timeout: Duration::from_secs(2),
     discovery_timeout: Duration::from_secs(1),
-    // Short: what discovery has to announce counts whether or not a watch is open.
+    // Short, because a change that discovery announces counts as announced even if no watch is open.
     discovery_recheck_timeout: Duration::from_millis(100),
-    // With the longest backoff and another timeout still within the 6 s.
+    // Together with the longest backoff and another timeout, this stays within the 6 s.
     discovery_timeout_after_failure: Duration::from_millis(2_500),
     discovery_spread: DISCOVERY_CALL_COST,
     discovery_backoff: (Duration::from_millis(50), Duration::from_secs(1)),
@@ -89,7 +89,8 @@
     proposal_retry_interval: Duration::from_millis(250),
     gossip_save_interval: Duration::from_secs(5),
     peer_gone_timeout: Duration::from_secs(2),
-    // A peer that missed ten thousand changes of one endpoint each catches up by log entries, without a snapshot.
+    // Large enough that a peer that missed ten thousand changes of one endpoint each catches up from the log without a
+    // snapshot.
     log_bytes: 4 * MIB,
     log_entries: 16 * 1024,
     fleet_nodes: 32,
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,10 +1,10 @@
-//! Limits that have to fit together.
+//! Relations between limits that must hold together.
 
 use super::*;
 
-/// Guards against a drain that SIGKILL cuts off, and against one that leaves clients without a pooler too early.
+/// Guards against a shutdown that SIGKILL interrupts, and against a pooler without peers that stops serving too early.
 #[test]
-fn the_drain_ends_before_sigkill_and_only_a_pooler_without_peers_serves_longer() {
+fn the_process_exits_before_sigkill_and_only_a_pooler_without_peers_serves_longer() {
     let limits = Limits::for_sockets(64);
     let micros = [-5, 1, 400_000, 930_000, 2_500_000, i64::MAX].map(|n| Some(TimeDelta::from_micros(n)));
     for client_timeout in std::iter::once(None).chain(micros) {
@@ -27,20 +27,20 @@
     assert!(limits.drain_times_without_peers(long_request).accept_period > Duration::from_secs(2));
 }
 
-/// Guards against attempts on a draining endpoint where the watch that had to announce the drain fell silent: what
-/// discovery has to announce counts as known 6 s later.
+/// Guards against attempts on a draining endpoint after the watch that should have announced the drain went silent. A
+/// change counts as known 6 s after discovery received it.
 #[test]
-fn a_silent_watch_is_noticed_within_five_seconds() {
+fn a_silent_watch_is_detected_within_five_seconds() {
     let limits = Limits::for_sockets(64);
-    let noticed = limits.discovery_watch_timeout
+    let detected_after = limits.discovery_watch_timeout
         + limits.discovery_timeout
         + limits.discovery_backoff.0
         + limits.discovery_timeout;
-    assert!(noticed < Duration::from_secs(5), "{noticed:?}");
+    assert!(detected_after < Duration::from_secs(5), "{detected_after:?}");
 }
 
-/// Guards against a drain that counts as known while the pooler still waits to repeat its call: a call may just have
-/// begun when discovery can be reached again, times out, and the longest backoff follows.
+/// Guards against a pooler that still waits to repeat its call to discovery when a drain already counts as known. In the
+/// worst case a call starts just before discovery becomes reachable again, times out, and the longest backoff follows.
 #[test]
 fn a_change_is_received_within_six_seconds_of_any_failed_call() {
     let mut limits = Limits::for_sockets(64);
@@ -49,16 +49,16 @@
         let timed_out = (limits.discovery_watch_timeout + limits.discovery_timeout)
             .max(limits.discovery_timeout_after_failure)
             + limits.discovery_backoff.1 * 3 / 2;
-        // A rejected call ends at once: discovery could not be reached before it had no capacity.
+        // A rejected call ends at once: discovery was reachable but had no capacity.
         let rejected = limits.discovery_spread.max(limits.discovery_backoff.1 * 3 / 2);
         let received = timed_out.max(rejected) + limits.discovery_timeout;
         assert!(received <= Duration::from_secs(6), "{poolers:?}: {received:?}");
     }
 }
 
-/// Guards against a drain that follows the timeout that a client claims, where the settings bound all deadlines.
+/// Guards against a shutdown that lasts as long as a client's timeout although the settings limit all deadlines.
 #[test]
-fn the_longest_deadline_of_the_classes_bounds_the_drain() {
+fn the_longest_deadline_of_the_classes_bounds_the_shutdown() {
     let millis = |millis: i64| Some(TimeDelta::from_millis(millis));
     let shutdown_deadline = |deadlines: &[Option<TimeDelta>]| {
         let mut limits = Limits::for_sockets(64);
@@ -68,6 +68,6 @@
     let default = Limits::for_sockets(64).shutdown_deadline;
     assert_eq!(shutdown_deadline(&[millis(500), millis(700)]), Duration::from_millis(700));
     assert_eq!(shutdown_deadline(&[millis(60_000)]), default);
-    assert_eq!(shutdown_deadline(&[millis(500), None]), default, "one class states none");
+    assert_eq!(shutdown_deadline(&[millis(500), None]), default, "one class has no deadline");
     assert_eq!(shutdown_deadline(&[]), default);
 }
--- a/src/endpoint_list_json.rs
+++ b/src/endpoint_list_json.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it, in JSON.
+//! The JSON format of discovery's endpoint lists.
 
 use crate::address::{AddressError, parse_address};
 use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
@@ -7,26 +7,26 @@
 use miniserde::{Deserialize, json};
 use thiserror::Error;
 
-/// Why a list cannot be used. It is rejected as a whole: the last good list stays.
+/// Why a list cannot be used. A bad list is rejected as a whole, and the last good list stays in use.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EndpointListError {
-    /// Not JSON, or not with the fields of a list.
-    #[error("the list is not in discovery's form")]
+    /// The text is not JSON, or fields are missing or of the wrong type.
+    #[error("the endpoint list is not valid JSON or has missing or invalid fields")]
     Malformed,
     /// A status other than `active`, `leaving` and `left`.
     #[error("endpoint {endpoint}: unknown status {status:?}")]
     UnknownStatus {
         /// The endpoint's name.
         endpoint: String,
-        /// The status.
+        /// The unknown status.
         status: String,
     },
-    /// The address of an endpoint.
+    /// The address of an endpoint does not parse.
     #[error(transparent)]
     Address(#[from] AddressError),
 }
 
-/// A list in the form of discovery's answers; the platform's configuration may contain one.
+/// An endpoint list as discovery sends it. The platform's configuration may contain one too.
 #[derive(Deserialize)]
 pub struct EndpointListJson {
     index: u64,
@@ -45,20 +45,20 @@
     since_ms: Option<f64>,
 }
 
-/// Reads an answer of discovery. `zones` are the names of the zones by number.
+/// Parses an answer of discovery. `zones` holds the zone names in the order of their numbers.
 ///
 /// # Errors
-/// [`EndpointListError`]; one endpoint that cannot be read rejects the whole list.
+/// [`EndpointListError`]; a single invalid endpoint rejects the whole list.
 pub fn parse(text: &str, zones: &[String]) -> Result<EndpointUpdate, EndpointListError> {
     let list: EndpointListJson = json::from_str(text).map_err(|_| EndpointListError::Malformed)?;
     list.into_update(zones)
 }
 
 impl EndpointListJson {
-    /// The list with its names and numbers resolved.
+    /// Converts the list to an update for the engine, resolving zone names and statuses.
     ///
     /// # Errors
-    /// As of [`parse`].
+    /// The same as for [`parse`].
     pub fn into_update(self, zones: &[String]) -> Result<EndpointUpdate, EndpointListError> {
         let mut entries = Vec::with_capacity(self.endpoints.len());
         for endpoint in self.endpoints {
@@ -79,7 +79,7 @@
             }
         };
         let address = parse_address(&self.address, &format!("endpoint {}", self.name))?;
-        // A zone that the settings do not name counts as the first one.
+        // A zone that is not in the settings is treated as the first one.
         let zone = self.zone.and_then(|zone| zones.iter().position(|name| *name == zone)).unwrap_or(0);
         let started_at_millis = self.since_ms.filter(|millis| millis.is_finite() && *millis > 0.0);
         Ok(EndpointRecord {
@@ -88,7 +88,7 @@
             zone: ZoneId(zone as u8),
             group: GroupId(self.group),
             availability,
-            // Roles are learned from answers alone.
+            // Roles are learned only from responses of the endpoints.
             primary: false,
             weight: self.weight.filter(|weight| weight.is_finite()).unwrap_or(1.0),
             started_at: started_at_millis
--- a/src/fleet/admin_api/description.rs
+++ b/src/fleet/admin_api/description.rs
@@ -1,4 +1,4 @@
-//! What operators read about the fleet: a line for each fact.
+//! Descriptions of the fleet for operators: lines of plain text, one for each item.
 
 use crate::engine::endpoints::EndpointRecord;
 use crate::fleet::runtime::{AgreedState, Fleet};
@@ -9,10 +9,10 @@
 use std::fmt::{self, Write};
 use std::time::Instant;
 
-/// Removed members that are listed: the last ones by their id.
+/// Maximum number of removed members that are listed, those with the highest ids.
 const LISTED_REMOVED_MEMBERS: usize = 8;
 
-/// The endpoint list, a line for each endpoint.
+/// The endpoint list, one line for each endpoint.
 pub(super) fn describe_endpoints(fleet: &Fleet) -> String {
     let Some(list) = fleet.endpoint_list() else { return String::new() };
     let lines: Vec<String> = list.entries.iter().map(describe_endpoint).collect();
@@ -26,7 +26,7 @@
     format!("{name} {address} {group} {zone} {weight} {status} {started_at_millis}")
 }
 
-/// The gossip: the believed primaries first, then guesses from before this start, then all observations.
+/// The gossiped state: the believed primaries, then guesses of primaries from before this start, then all observations.
 pub(super) fn describe_gossip(fleet: &Fleet) -> String {
     let (agreed, gossip, now) = (fleet.agreed(), fleet.gossip(), fleet.now());
     let gossip = gossip.state();
@@ -44,20 +44,20 @@
     lines.join("\n")
 }
 
-/// What this node is in its fleet. Operators read the `Display` text.
+/// The role of this node in its fleet. The `Display` text is shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeRole {
     /// Its storage failed.
     Broken,
-    /// It was removed.
+    /// It was removed from its fleet.
     Removed,
-    /// It has no fleet.
+    /// It belongs to no fleet yet.
     NoFleet,
-    /// It leads, as far as it knows.
+    /// It considers itself the leader.
     Leader,
-    /// It votes.
+    /// It has a vote.
     Voter,
-    /// It follows without a vote.
+    /// It replicates the log without a vote.
     Learner,
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// What this node is in its fleet.
+/// Determines the role of this node; the first role in the order of [`NodeRole`] that applies.
 pub fn node_role(agreed: &AgreedState) -> NodeRole {
     if agreed.storage_failure().is_some() {
         NodeRole::Broken
@@ -91,7 +91,7 @@
     }
 }
 
-/// All that is known of the fleet.
+/// The answer to `GET /fleet`: consensus, service, drains, sources of the configuration, nodes and counters.
 pub fn describe_fleet(fleet: &Fleet) -> String {
     let mut out = String::new();
     // Writing into a string cannot fail.
@@ -104,7 +104,7 @@
     out
 }
 
-/// The name of a node, also of one that is no member and was heard.
+/// The name of a node, also of a non-member that this node has received messages from.
 fn node_name(fleet: &Fleet, id: NodeId) -> String {
     let agreed = fleet.agreed();
     if id == NodeId::NONE && !agreed.is_member(id) {
@@ -238,7 +238,7 @@
     Ok(())
 }
 
-/// What was last heard of a member.
+/// The last heartbeat of a member, or why there is none.
 fn describe_member(fleet: &Fleet, id: NodeId) -> String {
     if id == fleet.agreed().local_id() {
         return "this daemon".into();
--- a/src/fleet/admin_api/metrics.rs
+++ b/src/fleet/admin_api/metrics.rs
@@ -1,18 +1,18 @@
-//! The fleet's metrics, as the operators' endpoint lists them.
+//! The fleet's metrics in the text format of the administration server.
 
 use crate::fleet::runtime::Fleet;
 use std::fmt::Write;
 
-/// How a metric changes, as the last letter of its line says.
+/// The type of a metric, written as the last letter of its line.
 #[derive(Clone, Copy)]
 enum Kind {
-    /// It goes up and down.
+    /// A value that goes up and down.
     Gauge,
-    /// It only goes up, from 0 at the start.
+    /// A value that only increases, from 0 at the start of the process.
     Counter,
 }
 
-/// The fleet's metrics, a line each.
+/// Formats the fleet's metrics, one line each.
 pub fn render_metrics(fleet: &Fleet) -> String {
     let (agreed, peers, zones) = (fleet.agreed(), fleet.peers(), fleet.zone_metrics());
     let status = agreed.status();
@@ -50,7 +50,7 @@
     lines
 }
 
-/// Members that were heard within the time after which a peer counts as gone.
+/// The number of members from which a message arrived within the time after which a peer counts as gone.
 fn reachable_members(fleet: &Fleet) -> u64 {
     let (agreed, peers) = (fleet.agreed(), fleet.peers());
     let mut count = 0;
--- a/src/fleet/admin_api/mod.rs
+++ b/src/fleet/admin_api/mod.rs
@@ -1,7 +1,6 @@
-//! The operators' HTTP interface at the store's address, on loopback only. The same address serves the connections of
-//! peers.
+//! The HTTP interface for operators at the store's address, on loopback only. The same address serves peer connections.
 //!
-//! The texts and status codes of all answers are an interface that scripts use: the golden answers hold them.
+//! Scripts depend on the texts and status codes of all answers; the golden answers of the tests pin them.
 
 mod description;
 mod metrics;
@@ -34,13 +33,13 @@
         Answer::new(404, "nothing is here")
     }
 
-    /// Nothing was done because no majority committed it in time.
+    /// No majority committed the command in time.
     fn no_majority() -> Answer {
         Answer::new(503, "not done: no majority agreed in time. Say it again later")
     }
 }
 
-/// Serves one connection, of an operator or of a peer.
+/// Serves one connection from an operator or a peer.
 pub async fn serve(fleet: Rc<Fleet>, mut connection: ClientConnection) {
     let mut buffer = Buffer::default();
     loop {
@@ -69,7 +68,7 @@
 async fn answer(fleet: &Fleet, request: &Request) -> Answer {
     let (path, _) = request.target();
     let method = request.head.line[0].as_str();
-    // A page in a browser on this machine could drain endpoints otherwise.
+    // Otherwise a web page in a browser on this machine could drain endpoints.
     if request.head.get("origin").is_some() {
         return Answer::new(403, "not for web pages");
     }
@@ -97,7 +96,7 @@
     }
 }
 
-/// Carries out a command that needs this node's fleet.
+/// Carries out a command that requires membership in the fleet.
 async fn answer_command(fleet: &Fleet, path: &str) -> Answer {
     if fleet.agreed().is_removed() {
         return Answer::new(409, "this daemon was removed from its fleet: say it to another one");
--- a/src/fleet/bootstrap.rs
+++ b/src/fleet/bootstrap.rs
@@ -1,8 +1,8 @@
-//! How a fleet is founded, and how two nodes judge each other when they connect. No I/O.
+//! How a fleet is founded, and which peers a node accepts. No I/O.
 //!
-//! A node that never had an agreed configuration belongs to no fleet (fleet id 0). [`Bootstrap::state`] says
-//! whether it founds one or what it waits for; [`judge_handshake`] says whether a peer may exchange messages
-//! with this node.
+//! A node that never had a committed configuration belongs to no fleet (fleet id 0). [`Bootstrap::state`] determines
+//! whether it founds one or what it waits for. [`check_handshake`] determines whether a peer may exchange messages with
+//! this node.
 
 use crate::ids::{FleetId, NodeId};
 use crate::store::state_machine::{ClusterState, Member};
@@ -12,55 +12,55 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The first message of a connection: what a node says of itself. The order of the fields is that of the bytes.
+/// The first message of a connection, in which a node describes itself. The field order is part of the message format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Handshake {
-    /// The fleet that it belongs to; 0 for none.
+    /// The sender's fleet; [`FleetId::NONE`] if it belongs to none.
     pub fleet: FleetId,
-    /// Its id.
+    /// The sender's id.
     pub id: NodeId,
-    /// Its name in its operator's file.
+    /// The sender's name in its operator's file.
     pub name: String,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub address: SocketAddr,
-    /// How far its storage is, for peers to detect one that was put back to an earlier copy.
+    /// How far its storage has advanced, by which peers detect storage restored from an earlier copy.
     pub progress: PersistedProgress,
 }
 
-/// A member of a fleet, for a node that is to join it.
+/// A member of a fleet, as sent to a node that has yet to join.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberAddress {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub address: SocketAddr,
 }
 
-/// The answer to a handshake. The order of the variants is that of the bytes.
+/// The answer to a handshake. The variant order is part of the message format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HandshakeVerdict {
-    /// Messages may follow.
+    /// The sender may exchange messages with this node.
     Accepted,
     /// The sender is a member of another fleet.
     OtherFleet,
     /// The sender was removed from the fleet.
     RemovedMember,
-    /// The sender's storage knows less than it once reported: it was put back to an earlier copy.
+    /// The sender's storage is behind what it reported before, so it was restored from an earlier copy.
     OutdatedStorage,
-    /// An operator founded this fleet anew from the sender's, which it supersedes.
+    /// An operator founded this fleet from the sender's, which it supersedes.
     SupersededFleet,
-    /// The sender is not a member of the fleet yet; these are the members.
+    /// The sender is not a member of the fleet yet. Contains the current members.
     NotYetMember(Vec<MemberAddress>),
 }
 
-/// Judges the handshake of a peer. `known` is the furthest that this peer's storage was ever reported to be.
-pub fn judge_handshake(
+/// Checks the handshake of a peer. `known` is the furthest progress ever reported for this peer's storage.
+pub fn check_handshake(
     state: &ClusterState,
     known: Option<&PersistedProgress>,
     handshake: &Handshake,
 ) -> HandshakeVerdict {
     if state.fleet.is_none() {
-        // A node without a fleet has nothing to compare the peer with.
+        // A node without a fleet has nothing to check the peer against.
         return HandshakeVerdict::Accepted;
     }
     if state.previous_fleets.contains(&handshake.fleet) {
@@ -84,23 +84,23 @@
     }
 }
 
-/// Whether nodes of these fleets may exchange messages: they are of one fleet, or one of them has none yet.
+/// Whether nodes of these fleets may exchange messages: the fleets are the same, or one node has none yet.
 pub fn fleets_are_compatible(one: FleetId, other: FleetId) -> bool {
     one == other || one.is_none() || other.is_none()
 }
 
-/// What a node without a fleet does. Operators read the `Display` text.
+/// What a node without a fleet does next. The `Display` text is shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BootstrapState {
-    /// Configured peers at these addresses have not answered yet.
+    /// It waits for the configured peers at these addresses, which have not answered yet.
     AwaitingAnswers(Vec<SocketAddr>),
-    /// This node founds the fleet; nodes of these names get a vote as they join.
+    /// It founds the fleet. Nodes with these names get a vote when they join.
     FoundsFleet(BTreeSet<String>),
-    /// The node of this name has to found the fleet.
+    /// It waits for the node with this name to found the fleet.
     AwaitsFounder(String),
-    /// A fleet exists and has to admit this node.
+    /// It waits for this existing fleet to admit it.
     AwaitsAdmission(FleetId),
-    /// Another node has this node's name.
+    /// It cannot continue, since another node has the same name.
     DuplicateName(String),
 }
 
@@ -119,25 +119,25 @@
     }
 }
 
-/// What the founding of a fleet depends on.
+/// The inputs for the decision on founding a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Bootstrap<'a> {
     /// This node's name.
     pub name: &'a str,
     /// This node's id.
     pub id: NodeId,
-    /// The addresses of peers in the operator's file.
+    /// The peer addresses in the operator's file.
     pub configured_peers: &'a [SocketAddr],
     /// The last handshake from each address that has answered.
     pub answers: &'a BTreeMap<SocketAddr, Handshake>,
-    /// An operator has ordered to found the fleet with the nodes that have answered.
+    /// Whether an operator ordered this node to found the fleet with the nodes that have answered.
     pub ordered_by_operator: bool,
 }
 
 impl Bootstrap<'_> {
-    /// What this node does. The node of the lowest name founds the fleet once all configured peers have answered
-    /// that they have none either; so at most one node founds without an operator. On an operator's order the
-    /// node that got it founds, with the peers that have answered.
+    /// What this node does next. The node with the lowest name founds the fleet once all configured peers have answered
+    /// that they have none either, so at most one node founds without an operator. A node that an operator ordered to
+    /// found does so with the peers that have answered.
     pub fn state(&self) -> BootstrapState {
         if let Some(member) = self.answers.values().find(|peer| !peer.fleet.is_none()) {
             return BootstrapState::AwaitsAdmission(member.fleet);
--- a/src/fleet/bootstrap/tests.rs
+++ b/src/fleet/bootstrap/tests.rs
@@ -1,10 +1,10 @@
-//! Which node founds a fleet, and how handshakes are judged.
+//! Which node founds a fleet, and which handshakes are accepted.
 
 use super::*;
 use crate::store::records::EntryId;
 use crate::store::state_machine::Member;
 
-/// The handshake of node `id`.
+/// The handshake of node `id`, with fixed progress.
 fn handshake(name: &str, id: u64, fleet: u128) -> Handshake {
     let address = ([127, 0, 0, 1], id as u16).into();
     let progress = PersistedProgress { boot_count: 3, term: 5, last_entry: EntryId { term: 4, index: 90 } };
@@ -15,7 +15,7 @@
     ([127, 0, 0, 1], port).into()
 }
 
-/// What node `id` of this name does without an operator's order.
+/// What this node does without an operator's order.
 fn state_of(
     name: &str,
     id: u64,
@@ -25,7 +25,7 @@
     Bootstrap { name, id: NodeId(id), configured_peers, answers, ordered_by_operator: false }.state()
 }
 
-/// The same on an operator's order.
+/// What this node does on an operator's order.
 fn state_when_ordered(
     name: &str,
     id: u64,
@@ -35,7 +35,8 @@
     Bootstrap { name, id: NodeId(id), configured_peers, answers, ordered_by_operator: true }.state()
 }
 
-/// Guards against two fleets out of one: whichever answers each node got, at most one founds by itself.
+/// Guards against two fleets founded instead of one: whichever answers each node received, at most one founds a fleet
+/// without an operator.
 #[test]
 fn at_most_one_node_founds_and_only_after_all_have_answered() {
     let names = ["a", "b", "c", "d", "e"];
@@ -43,16 +44,16 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let size = rng.usize(1..=5);
         let mut founders = Vec::new();
-        for (n, name) in names.iter().take(size).enumerate() {
-            let others: Vec<usize> = (0..size).filter(|o| *o != n).collect();
-            let configured: Vec<SocketAddr> = others.iter().map(|o| address(*o as u16)).collect();
+        for (index, name) in names.iter().take(size).enumerate() {
+            let others: Vec<usize> = (0..size).filter(|other| *other != index).collect();
+            let configured: Vec<SocketAddr> = others.iter().map(|other| address(*other as u16)).collect();
             let mut answers = BTreeMap::new();
-            for o in others {
+            for other in others {
                 if rng.u8(..10) < 8 {
-                    answers.insert(address(o as u16), handshake(names[o], o as u64 + 1, 0));
+                    answers.insert(address(other as u16), handshake(names[other], other as u64 + 1, 0));
                 }
             }
-            match state_of(name, n as u64 + 1, &configured, &answers) {
+            match state_of(name, index as u64 + 1, &configured, &answers) {
                 BootstrapState::FoundsFleet(names) => {
                     assert_eq!(names.len(), size - 1, "seed {seed}");
                     founders.push(name);
@@ -86,23 +87,24 @@
     assert_eq!(state_of("b", 2, &configured, &answers), BootstrapState::DuplicateName("b".into()));
 }
 
-/// Guards against storage from an earlier copy that votes again, a removed member, and a node of another fleet.
+/// Guards against accepting a node whose storage was restored from an earlier copy and could vote again, a removed member,
+/// or a node of another fleet.
 #[test]
 fn a_handshake_is_compared_with_the_fleet_and_with_earlier_reports() {
     let mut state = ClusterState::default();
-    assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 0)), HandshakeVerdict::Accepted);
+    assert_eq!(check_handshake(&state, None, &handshake("b", 2, 0)), HandshakeVerdict::Accepted);
     state.fleet = FleetId(7);
     state.members.insert(NodeId(1), Member { name: "a".into(), address: address(1) });
     state.removed.insert(NodeId(9), "x".into());
     assert_eq!(
-        judge_handshake(&state, None, &handshake("b", 2, 0)),
+        check_handshake(&state, None, &handshake("b", 2, 0)),
         HandshakeVerdict::NotYetMember(vec![MemberAddress { name: "a".into(), address: address(1) }])
     );
-    assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 8)), HandshakeVerdict::OtherFleet);
-    assert_eq!(judge_handshake(&state, None, &handshake("x", 9, 7)), HandshakeVerdict::RemovedMember);
-    assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 7)), HandshakeVerdict::Accepted);
+    assert_eq!(check_handshake(&state, None, &handshake("b", 2, 8)), HandshakeVerdict::OtherFleet);
+    assert_eq!(check_handshake(&state, None, &handshake("x", 9, 7)), HandshakeVerdict::RemovedMember);
+    assert_eq!(check_handshake(&state, None, &handshake("b", 2, 7)), HandshakeVerdict::Accepted);
     state.previous_fleets.insert(FleetId(6));
-    assert_eq!(judge_handshake(&state, None, &handshake("b", 2, 6)), HandshakeVerdict::SupersededFleet);
+    assert_eq!(check_handshake(&state, None, &handshake("b", 2, 6)), HandshakeVerdict::SupersededFleet);
     let reported = handshake("b", 2, 7).progress;
     for (known, expected) in [
         (reported, HandshakeVerdict::Accepted),
@@ -117,6 +119,6 @@
             HandshakeVerdict::Accepted,
         ),
     ] {
-        assert_eq!(judge_handshake(&state, Some(&known), &handshake("b", 2, 7)), expected, "{known:?}");
+        assert_eq!(check_handshake(&state, Some(&known), &handshake("b", 2, 7)), expected, "{known:?}");
     }
 }
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership: the leader's next step, one at a time. No I/O.
+//! Membership changes: which one the leader carries out next, one at a time. No I/O.
 
 use super::bootstrap::Handshake;
 use crate::ids::NodeId;
@@ -9,76 +9,76 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node has caught up if its log lacks no more committed entries than this: few enough for it to vote or lead at once
-/// without holding up the others.
+/// A node counts as caught up if its log lacks at most this many committed entries, few enough that it can vote or lead at
+/// once without delaying the others.
 const CAUGHT_UP_ENTRIES: u64 = 64;
 
-/// What an operator requests of a member. The order of variants is part of the message format.
+/// What an operator requests for a member. The variant order is part of the message format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MembershipRequest {
-    /// The member is to have a vote.
+    /// The member gets a vote.
     GrantVote,
-    /// The member is to leave the fleet.
+    /// The member is removed from the fleet.
     Remove,
 }
 
-/// An operator's request, with the name of the member that it is about. Field order is part of the message format.
+/// An operator's request concerning one member. The field order is part of the message format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberRequest {
     /// The member's name.
     pub member: String,
-    /// What is requested of it.
+    /// What is requested for it.
     pub request: MembershipRequest,
 }
 
-/// What a voter reports of the leader and of its peers.
+/// What a voter reports about the leader and its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VoterStatus {
     /// How long it has known no leader.
     pub leaderless_for: TimeDelta,
-    /// The nodes that it hears.
+    /// The nodes from which it receives messages.
     pub reachable_peers: BTreeSet<NodeId>,
 }
 
-/// All that the leader knows.
+/// The leader's inputs for its next membership change.
 pub struct MembershipView<'a> {
     /// The leader, which is this node.
     pub local_node: NodeId,
     /// The committed state.
     pub state: &'a ClusterState,
-    /// The voters and learners.
+    /// The current voters and learners.
     pub configuration: &'a Configuration,
     /// The index of the last committed entry.
     pub commit_index: u64,
-    /// How far the logs of the other nodes are.
+    /// How far the log is replicated to the other nodes.
     pub progress: &'a [PeerProgress],
-    /// Nodes that were met recently and are no members.
+    /// Nodes that connected recently and may not be members yet.
     pub candidates: &'a BTreeMap<NodeId, Handshake>,
-    /// How long ago each node was last heard.
+    /// How long ago the last message from each node arrived; nodes without one are missing.
     pub silent_for: &'a BTreeMap<NodeId, TimeDelta>,
-    /// How long this node has led.
+    /// How long this node has been the leader.
     pub leading_for: TimeDelta,
-    /// What each voter that is heard reports.
+    /// The latest report of each voter that this node receives messages from.
     pub voter_statuses: &'a BTreeMap<NodeId, VoterStatus>,
-    /// What operators request.
+    /// The current requests of operators.
     pub requests: &'a BTreeSet<MemberRequest>,
-    /// A node that was silent for this long counts as gone.
+    /// A node that is silent for this long counts as gone.
     pub peer_gone_timeout: TimeDelta,
 }
 
-/// What the leader is to do next.
+/// What the leader does next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
-    /// Nothing.
+    /// No change is needed or possible now.
     Nothing,
     /// Propose this change.
     Propose(MembershipChange),
-    /// Hand leadership over to this node.
+    /// Transfer leadership to this node.
     TransferLeadership(NodeId),
 }
 
 impl MembershipView<'_> {
-    /// The next step. Nothing is proposed while an earlier change is still being carried out.
+    /// Determines the next action. Nothing is proposed while an earlier change is still in progress.
     pub fn next_action(&self) -> MembershipAction {
         if !self.configuration.voters_outgoing.is_empty() {
             return MembershipAction::Nothing;
@@ -109,14 +109,14 @@
         self.requests.contains(&MemberRequest { member: member.to_string(), request })
     }
 
-    /// Another member of the same name: the same node before it lost its disk.
+    /// Another member with the same name: the same node before it lost its disk.
     fn predecessor(&self, id: NodeId, name: &str) -> Option<NodeId> {
         let mut members = self.state.members.iter();
         let predecessor = members.find(|(other, member)| **other != id && member.name == name);
         predecessor.map(|(other, _)| *other)
     }
 
-    /// The first candidate that may join, as a learner.
+    /// The addition, as a learner, of the first candidate that may join.
     fn candidate_to_add(&self) -> Option<MembershipChange> {
         if self.state.members.len() >= MAX_MEMBERS {
             return None;
@@ -125,7 +125,7 @@
             if self.state.members.contains_key(id) || self.state.removed.contains_key(id) {
                 continue;
             }
-            // While the member of the same name is there, two nodes would pass for one.
+            // While the member with this name is still present, two nodes would have the same name.
             let predecessor = self.predecessor(*id, &handshake.name);
             if predecessor.is_some_and(|predecessor| !self.is_gone(predecessor)) {
                 continue;
@@ -139,7 +139,7 @@
         None
     }
 
-    /// The first learner that has caught up and takes its predecessor's place, or is to vote.
+    /// The promotion of the first learner that has caught up and either replaces its predecessor or gets a vote.
     fn learner_to_promote(&self) -> Option<MembershipChange> {
         for id in &self.configuration.learners {
             if !self.has_caught_up(*id) {
@@ -163,8 +163,8 @@
         None
     }
 
-    /// The removal of the first member that an operator wants to leave. The last voter stays. A leader that is to leave
-    /// hands over leadership first.
+    /// The removal of the first member whose removal an operator requested. The last voter is never removed. A leader
+    /// transfers leadership before its own removal.
     fn requested_removal(&self) -> MembershipAction {
         let voters = &self.configuration.voters;
         for (id, member) in &self.state.members {
@@ -193,9 +193,9 @@
         }
     }
 
-    /// A node to lead instead of this one, if a voter that is there has not heard this leader for too long: it would
-    /// never learn what is committed. The successor is heard by more voters than this node, the lowest id of those that
-    /// are heard by most.
+    /// A better leader, if a reachable voter has not received messages from this leader for too long: that voter would
+    /// never learn what is committed. The successor reaches more voters than this node; of those that reach the most, it is
+    /// the one with the lowest id.
     fn better_connected_leader(&self) -> Option<NodeId> {
         let reachable = self.reachable_voters();
         if !reachable.iter().any(|voter| self.is_cut_off_from_leader(*voter)) {
@@ -207,7 +207,7 @@
             if !self.has_caught_up(*candidate) || self.is_cut_off_from_leader(*candidate) {
                 continue;
             }
-            // This node hears its successor as well, or it would be the next to learn nothing.
+            // Plus one for this node: it receives the candidate's messages, or it would be cut off from the new leader.
             let reach = self.reach(&reachable, *candidate) + 1;
             let is_better = best.is_none_or(|(largest_reach, id)| {
                 reach > largest_reach || reach == largest_reach && *candidate < id
@@ -219,7 +219,7 @@
         best.map(|(_, id)| id)
     }
 
-    /// The other voters that are heard and report their status.
+    /// The other voters that report their status and are not gone.
     fn reachable_voters(&self) -> Vec<NodeId> {
         let is_reachable = |voter: &NodeId| {
             *voter != self.local_node && self.voter_statuses.contains_key(voter) && !self.is_gone(*voter)
@@ -227,24 +227,24 @@
         self.configuration.voters.iter().copied().filter(is_reachable).collect()
     }
 
-    /// Whether a voter has not heard this leader for too long. What it reported while another node led says nothing
-    /// about this one: leadership would go round in circles.
+    /// Whether a voter has not received messages from this leader for too long. Time without a leader before this node's
+    /// leadership does not count; otherwise leadership would keep moving between nodes.
     fn is_cut_off_from_leader(&self, voter: NodeId) -> bool {
         let leaderless_for = self.voter_statuses[&voter].leaderless_for;
         leaderless_for.min(self.leading_for) >= self.peer_gone_timeout
     }
 
-    /// How many of these voters hear `node`.
+    /// The number of these voters that receive messages from `node`.
     fn reach(&self, voters: &[NodeId], node: NodeId) -> usize {
-        let hears = |voter: &&NodeId| {
+        let is_reached = |voter: &&NodeId| {
             let is_cut_off = node == self.local_node && self.is_cut_off_from_leader(**voter);
             **voter != node && !is_cut_off && self.voter_statuses[*voter].reachable_peers.contains(&node)
         };
-        voters.iter().filter(hears).count()
+        voters.iter().filter(is_reached).count()
     }
 }
 
-/// A learner takes its predecessor's place in one step, with its vote if it had one.
+/// The steps by which a learner replaces its predecessor in one change. `votes` says whether it gets a vote.
 fn replacement_steps(predecessor: NodeId, learner: NodeId, votes: bool) -> Vec<MembershipStep> {
     let mut steps = vec![MembershipStep::Remove(predecessor)];
     if votes {
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -1,8 +1,10 @@
+//! The leader's membership changes, carried out on a simulated fleet.
+
 use super::*;
 use crate::ids::FleetId;
 use crate::store::storage::PersistedProgress;
 
-/// A simulated fleet: every step that is proposed is committed and carried out.
+/// A simulated fleet in which every proposed step is committed and carried out.
 struct SimulatedFleet {
     state: ClusterState,
     configuration: Configuration,
@@ -73,11 +75,11 @@
         .next_action()
     }
 
-    /// Carries out steps until there is nothing to do. Returns the voters after each.
+    /// Carries out steps until there is nothing left to do. Returns the voters after each step.
     fn run(&mut self) -> Vec<Vec<NodeId>> {
         let mut voters = Vec::new();
         while let MembershipAction::Propose(change) = self.next() {
-            assert!(voters.len() < 50, "it never ends: {change:?}");
+            assert!(voters.len() < 50, "membership changes do not end: {change:?}");
             for step in &change.steps {
                 let remove = |ids: &mut Vec<NodeId>, id| ids.retain(|known| *known != id);
                 match *step {
@@ -127,11 +129,11 @@
     assert_eq!(
         fleet.next(),
         MembershipAction::TransferLeadership(NodeId(3)),
-        "it is the leader: another node has to lead first"
+        "the leader transfers leadership before its removal"
     );
 }
 
-/// Guards against a node that lost its disk and has two votes, and against one that takes the name of a live member.
+/// Guards against a node that gets a second vote after it lost its disk, and against one that takes a live member's name.
 #[test]
 fn a_node_that_lost_its_disk_replaces_its_predecessor() {
     let mut fleet = SimulatedFleet::new(&["b", "c"]);
@@ -141,11 +143,11 @@
     fleet.add_candidate(5, "b");
     assert_eq!(fleet.next(), MembershipAction::Nothing, "the other b is reachable");
     fleet.silent_for.insert(NodeId(2), TimeDelta::from_micros(5_000));
-    // The new node is a learner first, then takes the old one's place in one step.
+    // The new node joins as a learner, then replaces the old one in a single step.
     assert_eq!(fleet.run(), [[1, 2, 3].map(NodeId), [1, 3, 5].map(NodeId)]);
     assert!(!fleet.state.members.contains_key(&NodeId(2)));
     fleet.candidates.remove(&NodeId(5));
-    assert_eq!(fleet.next(), MembershipAction::Nothing, "the removed node does not come back");
+    assert_eq!(fleet.next(), MembershipAction::Nothing, "the removed node is not added again");
 }
 
 #[test]
@@ -159,10 +161,10 @@
     assert_eq!(fleet.next(), MembershipAction::Nothing);
 }
 
-/// Guards against a node that hears all but the leader and never learns anything, and against leadership that goes
-/// round in circles.
+/// Guards against a node that receives messages from all nodes but the leader and so never learns what is committed, and
+/// against leadership that keeps moving between nodes.
 #[test]
-fn a_leader_that_some_voters_do_not_hear_hands_over_to_one_that_all_hear() {
+fn a_leader_that_some_voters_do_not_hear_transfers_leadership_to_one_that_all_hear() {
     let mut fleet = SimulatedFleet::new(&["b", "c", "d", "e"]);
     for (id, name) in [(2, "b"), (3, "c"), (4, "d"), (5, "e")] {
         fleet.add_candidate(id, name);
@@ -178,16 +180,16 @@
     assert_eq!(fleet.next(), MembershipAction::Nothing, "not for long enough yet");
     fleet.voter_statuses.extend([status(2, 2_000, &[1]), status(3, 2_000, &[1])]);
     fleet.leading_for = TimeDelta::from_micros(1_999);
-    assert_eq!(fleet.next(), MembershipAction::Nothing, "that was reported about the leader before");
+    assert_eq!(fleet.next(), MembershipAction::Nothing, "the report is about the previous leader");
     fleet.leading_for = TimeDelta::from_micros(2_000);
     assert_eq!(fleet.next(), MembershipAction::TransferLeadership(NodeId(4)));
     fleet.voter_statuses.extend([status(2, 2_000, &[1, 4]), status(3, 2_000, &[1])]);
     assert_eq!(
         fleet.next(),
         MembershipAction::TransferLeadership(NodeId(5)),
-        "not every other voter hears 4"
+        "not every other voter hears node 4"
     );
-    // A voter that hears no node is no reason to hand over: no other leader would be heard better.
+    // A voter that hears no node is no reason for a transfer: it would hear no other leader either.
     fleet.voter_statuses = (2..=4).map(|id| status(id, 0, &[5])).collect();
     fleet.voter_statuses.extend([status(5, 9_000, &[1, 2, 3, 4])]);
     assert_eq!(fleet.next(), MembershipAction::Nothing);
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,17 +1,17 @@
-//! The nodes of a fleet: what they agree on, what they tell one another, and what follows for the endpoint list.
+//! The nodes of a fleet: what they agree on, what they send each other, and the endpoint list that follows from it.
 //!
-//! All decisions are made without I/O, in modules that can be tested alone:
+//! All decisions are made in modules without I/O, which can be tested on their own:
 //!
-//! - [`bootstrap`]: which node founds a fleet, and how handshakes are judged.
-//! - [`membership`]: the leader's next change of the members.
-//! - [`pending_drains`]: drains that act before they are committed.
-//! - [`gossip`]: what endpoints reported to which node.
-//! - [`recovery`]: in which order service returns after a start.
-//! - [`zones`]: when traffic leaves a zone, and how it returns.
+//! - [`bootstrap`]: which node founds a fleet, and which handshakes are accepted.
+//! - [`membership`]: the next membership change that the leader proposes.
+//! - [`pending_drains`]: drains that take effect before they are committed.
+//! - [`gossip`]: observations of endpoints that the nodes exchange.
+//! - [`recovery`]: the order in which service is restored after a start.
+//! - [`zones`]: when traffic is moved out of a zone, and how it returns.
 //!
-//! [`runtime`] carries them out: start at [`runtime::Fleet`]. It uses [`message`] for what nodes send one another,
-//! [`peer_link`] for the connections, and the thread of [`crate::store`] for consensus and storage. [`admin_api`]
-//! answers operators.
+//! [`runtime`] carries the decisions out; start reading at [`runtime::Fleet`]. It uses [`message`] for the messages
+//! between nodes, [`peer_link`] for the connections, and the thread of [`crate::store`] for consensus and storage.
+//! [`admin_api`] answers operators.
 
 pub mod admin_api;
 pub mod bootstrap;
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -1,7 +1,7 @@
 //! Drains that are not committed yet. No I/O.
 //!
-//! Such a drain acts wherever it is known, also where no majority can be reached, until the log has resolved it: it
-//! was committed, or undone.
+//! A pending drain takes effect on every node that knows it, even without a majority, until the log resolves it by
+//! committing or undoing it.
 
 use crate::ids::NodeId;
 use crate::store::codec;
@@ -12,16 +12,16 @@
 /// Drains that wait for a majority, by endpoint name.
 #[derive(Debug, Default)]
 pub struct PendingDrains {
-    /// When each drain was last proposed by this node as the leader; `None`: not yet.
+    /// When this node, as the leader, last proposed each drain; `None` if it has not proposed it.
     proposed_at: BTreeMap<PendingDrain, Option<Timestamp>>,
-    /// The number of pending drains of each endpoint that has any.
+    /// The number of pending drains of each endpoint, without zeros.
     count_by_endpoint: BTreeMap<String, usize>,
     last_sequence: u64,
     version: u64,
 }
 
 impl PendingDrains {
-    /// The drains that the disk held.
+    /// Restores the drains that were stored on disk.
     pub fn new(persisted: Vec<PendingDrain>) -> PendingDrains {
         let mut drains = PendingDrains::default();
         for drain in persisted {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Drains an endpoint on behalf of this node; one that this node drains already keeps its id. `now` makes the
-    /// sequence number one that this node has never used, also after a restart that lost its disk.
+    /// Adds a drain of an endpoint on behalf of this node; if this node drains the endpoint already, returns the existing
+    /// id. The sequence number is derived from `now`, so that it is new even if the node lost its disk.
     pub fn request_drain(&mut self, endpoint: &str, local_node: NodeId, now: Timestamp) -> DrainId {
         for pending in self.proposed_at.keys() {
             if pending.host == endpoint && pending.drain.node == local_node {
@@ -64,8 +64,8 @@
         id
     }
 
-    /// Takes in the pending drains of a peer that the log has not resolved, up to `limit` drains in all. Returns whether
-    /// any of them was new.
+    /// Adds a peer's pending drains that the log has not resolved, up to `limit` drains in total. Returns whether any of
+    /// them was new.
     pub fn merge(&mut self, received: Vec<PendingDrain>, state: &ClusterState, limit: usize) -> bool {
         let version_before = self.version;
         for drain in received {
@@ -89,39 +89,39 @@
         resolved
     }
 
-    /// Whether any of them drains this endpoint.
+    /// Whether any pending drain is for this endpoint.
     pub fn is_draining(&self, endpoint: &str) -> bool {
         self.count_by_endpoint.contains_key(endpoint)
     }
 
-    /// The pending drains of an endpoint.
+    /// The ids of an endpoint's pending drains.
     pub fn drains_of(&self, endpoint: &str) -> BTreeSet<DrainId> {
         let keys = self.proposed_at.keys();
         keys.filter(|pending| pending.host == endpoint).map(|pending| pending.drain).collect()
     }
 
-    /// All of them, with their endpoints.
+    /// All pending drains, ordered by endpoint name and id.
     pub fn all(&self) -> Vec<PendingDrain> {
         self.proposed_at.keys().cloned().collect()
     }
 
-    /// Whether there is none.
+    /// Whether there are no pending drains.
     pub fn is_empty(&self) -> bool {
         self.proposed_at.is_empty()
     }
 
-    /// A number that grows with every change, for writing them to disk only when they have changed.
+    /// A number that grows with every change, so that the drains are written to disk only after a change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// A checksum that is equal on nodes with the same drains; 0: there is none.
+    /// A checksum that is equal on nodes with the same drains; 0 if there are none.
     pub fn digest(&self) -> u32 {
         if self.is_empty() { 0 } else { crc32fast::hash(&codec::encode(&self.all())) }
     }
 
-    /// The drains that the leader has to propose: each at once, and again every `retry_interval` until the log has
-    /// resolved it.
+    /// The drains that the leader has to propose now. Each is proposed at once, and again every `retry_interval` until the
+    /// log resolves it.
     pub fn due_proposals(&mut self, now: Timestamp, retry_interval: TimeDelta) -> Vec<Change> {
         let mut due = Vec::new();
         for (pending, proposed_at) in &mut self.proposed_at {
--- a/src/fleet/pending_drains/tests.rs
+++ b/src/fleet/pending_drains/tests.rs
@@ -1,9 +1,11 @@
+//! Drains between their request and their commit, and the bounds of their number.
+
 use super::*;
 
-/// Guards against a drain that is requested in a minority and lost, and against an undrain that undoes a drain that it
-/// did not know of. Seeded: three nodes that exchange their drains now and then, a log that takes the drains of one.
+/// Guards against losing a drain that was requested in a minority, and against an undrain that undoes a drain it did not
+/// know of. In each seeded run, three nodes exchange drains at random and any of them proposes its own to one log.
 #[test]
-fn a_drain_acts_where_it_is_known_until_the_log_has_resolved_it() {
+fn a_drain_takes_effect_where_it_is_known_until_the_log_resolves_it() {
     for seed in 0..500 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut state = ClusterState::default();
@@ -11,33 +13,36 @@
         let mut requested: BTreeSet<(String, DrainId)> = BTreeSet::new();
         let mut undone: BTreeSet<DrainId> = BTreeSet::new();
         for step in 0..200i64 {
-            let n = rng.usize(..3);
+            let index = rng.usize(..3);
             let endpoint = format!("s-{}", rng.u8(..4));
             match rng.u8(..10) {
                 0 => {
-                    let id =
-                        nodes[n].request_drain(&endpoint, NodeId(n as u64 + 1), Timestamp::from_micros(step));
+                    let id = nodes[index].request_drain(
+                        &endpoint,
+                        NodeId(index as u64 + 1),
+                        Timestamp::from_micros(step),
+                    );
                     requested.insert((endpoint, id));
                 }
                 1..=3 => {
                     let all = nodes[rng.usize(..3)].all();
-                    nodes[n].merge(all, &state, 1000);
+                    nodes[index].merge(all, &state, 1000);
                 }
                 4 => {
                     for change in
-                        nodes[n].due_proposals(Timestamp::from_micros(step), TimeDelta::from_micros(10))
+                        nodes[index].due_proposals(Timestamp::from_micros(step), TimeDelta::from_micros(10))
                     {
                         state.apply(step as u64, &change);
                     }
                 }
                 5 => {
                     let known = state.drains.get(&endpoint).into_iter().flatten().copied();
-                    let drains: Vec<DrainId> = known.chain(nodes[n].drains_of(&endpoint)).collect();
+                    let drains: Vec<DrainId> = known.chain(nodes[index].drains_of(&endpoint)).collect();
                     undone.extend(&drains);
                     state.apply(step as u64, &Change::Undrain { host: endpoint, drains });
                 }
                 6 => {
-                    nodes[n].remove_resolved(&state);
+                    nodes[index].remove_resolved(&state);
                 }
                 _ => {}
             }
@@ -56,7 +61,7 @@
         for (endpoint, id) in &requested {
             assert_eq!(
                 state.is_resolved(endpoint, *id),
-                !nodes.iter().any(|n| n.drains_of(endpoint).contains(id))
+                !nodes.iter().any(|node| node.drains_of(endpoint).contains(id))
             );
         }
     }
@@ -66,11 +71,11 @@
 fn a_sequence_number_is_never_used_twice_and_the_number_of_drains_is_bounded() {
     let (mut drains, local_node, at) = (PendingDrains::default(), NodeId(7), Timestamp::from_micros);
     let first = drains.request_drain("a", local_node, at(1_000));
-    assert_eq!(drains.request_drain("a", local_node, at(2_000)), first, "it is drained already");
+    assert_eq!(drains.request_drain("a", local_node, at(2_000)), first, "it is already draining");
     assert!(drains.request_drain("b", local_node, at(1_000)).sequence > first.sequence);
     assert!(
         PendingDrains::default().request_drain("a", local_node, at(5_000)).sequence > first.sequence,
-        "after a restart that lost the disk"
+        "after a restart with an empty disk"
     );
     let many = (0..50)
         .map(|n| PendingDrain { host: format!("s-{n}"), drain: DrainId { node: NodeId(9), sequence: n } })
--- a/src/fleet/runtime/incoming_connection.rs
+++ b/src/fleet/runtime/incoming_connection.rs
@@ -27,7 +27,7 @@
             return;
         }
         let Some(peer) = self.read_handshake(&mut connection, &mut buffer).await else { return };
-        let verdict = self.judge_handshake(&peer);
+        let verdict = self.check_handshake(&peer);
         let role = match &verdict {
             HandshakeVerdict::Accepted => Some(PeerRole::Member),
             HandshakeVerdict::NotYetMember(_) => Some(PeerRole::Candidate),
@@ -65,10 +65,10 @@
 
     /// Judges the handshake of a peer that has connected. Records the peer as a candidate if it asks to be admitted,
     /// and counts a rejection.
-    fn judge_handshake(&self, peer: &Handshake) -> HandshakeVerdict {
+    fn check_handshake(&self, peer: &Handshake) -> HandshakeVerdict {
         let agreed = self.agreed();
         let known_progress = agreed.status().reported_progress.get(&peer.id);
-        let verdict = bootstrap::judge_handshake(agreed.state(), known_progress, peer);
+        let verdict = bootstrap::check_handshake(agreed.state(), known_progress, peer);
         match &verdict {
             HandshakeVerdict::NotYetMember(_) => self.peers.borrow_mut().add_candidate(peer),
             HandshakeVerdict::OtherFleet
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,30 +1,29 @@
-//! Identities that several parts of the program share: requests, groups, zones, endpoints, nodes of the
-//! consensus and fleets.
+//! Identifiers that several modules share: requests, groups, zones, endpoints, consensus nodes and fleets.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A request, numbered by the process that received it; never reused.
+/// Identifies a request. Assigned by the process that received the request and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub u64);
 
-/// A group: one primary and its replicas.
+/// Identifies a group: a primary and its replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct GroupId(pub u32);
 
-/// A zone: a part of the deployment that fails as one.
+/// Identifies a zone: a failure domain of the deployment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ZoneId(pub u8);
 
-/// A backend that the endpoint list names, by its address. Ordered by the bytes of the address, then by the port.
+/// Identifies an endpoint by its IPv4 address and port. Ordered by the bytes of the address, then by the port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointId {
-    /// The four bytes of the address, first byte first.
+    /// The bytes of the IPv4 address in network order.
     pub ip: [u8; 4],
-    /// The port.
+    /// The TCP port.
     pub port: u16,
 }
 
@@ -53,13 +52,14 @@
     }
 }
 
-/// A node of the consensus: drawn at random when its store is created and kept there. See [`NodeId::NONE`].
+/// Identifies a node in the consensus. Drawn at random when the node's store is created, and kept in the store.
+/// [`NodeId::NONE`] stands for no node.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// No node: no vote was given, or no leader is known.
+    /// No node, where no vote was given or no leader is known.
     pub const NONE: NodeId = NodeId(0);
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// The bare number, as log lines on membership changes print it.
+/// Prints the bare number, as log lines about membership changes show it.
 impl fmt::Debug for NodeId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Debug::fmt(&self.0, f)
@@ -82,7 +82,7 @@
     }
 }
 
-/// A fleet: the set of nodes that share one replicated log. Drawn at random when the fleet is founded.
+/// Identifies a fleet, the set of nodes that share one replicated log. Drawn at random when the fleet is founded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FleetId(pub u128);
@@ -91,18 +91,18 @@
     /// No fleet: the node has not joined one yet.
     pub const NONE: FleetId = FleetId(0);
 
-    /// A new identity. Never [`FleetId::NONE`].
+    /// Draws a new random id, never [`FleetId::NONE`].
     pub fn random() -> FleetId {
         FleetId(fastrand::u128(1..))
     }
 
-    /// Whether this is no fleet.
+    /// Whether this is [`FleetId::NONE`].
     pub fn is_none(self) -> bool {
         self == FleetId::NONE
     }
 }
 
-/// As log lines and operators' answers print it, with `{:032x}`.
+/// Log lines and answers to operators print the id with `{:032x}`.
 impl fmt::LowerHex for FleetId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::LowerHex::fmt(&self.0, f)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,31 +3,31 @@
 //! # Where to start reading
 //!
 //! `docs/architecture.md` describes the program as a whole, `docs/design.md` the routing decisions. In the code, follow
-//! a request: a front accepts it ([`net`]), the engine ([`engine`]) hands it to the decision module ([`routing`]) and
-//! executes the actions that come back, and a pool of backend connections ([`net::backend_pool`]) carries the attempts
-//! out. [`daemon`] shows how these parts are put together.
+//! a request: a front accepts it ([`net`]), the engine ([`engine`]) passes it to the decision module ([`routing`]) and
+//! executes the returned actions, and a pool of backend connections ([`net::backend_pool`]) carries out the attempts.
+//! [`daemon`] shows how these parts are assembled.
 //!
 //! # Layers
 //!
 //! Each module uses only modules of the layers below its own:
 //!
-//! | layer | modules | what they are |
+//! | layer | modules | contents |
 //! | --- | --- | --- |
 //! | program | `main.rs`, [`logger`] | the command line; log records on standard error |
-//! | daemon | [`daemon`], [`platform_config`] | the two kinds of daemon, and their configuration |
+//! | daemon | [`daemon`], [`platform_config`] | the two kinds of daemon and their configuration |
 //! | fleet | [`fleet`] | daemons that agree on configuration: peers, recovery, zones, gossip |
-//! | inventory | [`inventory`] | the endpoints as an operator writes them down |
-//! | store | [`store`] | the replicated log and its state on the disk |
-//! | net | [`net`], [`endpoint_list_json`] | everything that speaks on sockets; discovery's list |
+//! | inventory | [`inventory`] | the operator's list of endpoints |
+//! | store | [`store`] | the replicated log and its state on disk |
+//! | net | [`net`], [`endpoint_list_json`] | all socket I/O; the format of discovery's endpoint lists |
 //! | engine | [`engine`] | the thread that owns the decision module, and the table of open requests |
 //! | routing | [`routing`] | the decision module, without any I/O |
 //! | base | [`config`], [`clock`], [`primary_hint`], [`line_error`], [`address`], [`time`], [`ids`] | limits and values |
 //!
-//! # The decision module alone
+//! # Using the decision module alone
 //!
-//! A driver feeds [`Router::handle`] with events and carries out the actions that it gets back. One mechanism decides
-//! the ordinary path (see `docs/design.md`): each group's believed primary, a ring of its other endpoints, queueing of
-//! writes while there is no primary, and a weighted draw for reads among the replicas known to be fresh enough.
+//! A driver passes events to [`Router::handle`] and carries out the actions that it returns. The normal path of a request
+//! (see `docs/design.md`) depends on each group's believed primary, a ring of its other endpoints, a queue for writes
+//! while there is no primary, and a weighted random choice for reads among the replicas known to be fresh enough.
 //!
 //! ```
 //! use brookpass::Router;
--- a/src/line_error.rs
+++ b/src/line_error.rs
@@ -1,4 +1,4 @@
-//! An error in a text file, with the line where it was found.
+//! An error in a text file, with its line number.
 
 use thiserror::Error;
 
@@ -8,17 +8,17 @@
 pub struct LineError<P> {
     /// The line, counted from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// What is wrong in this line.
     pub problem: P,
 }
 
 impl<P> LineError<P> {
-    /// A problem found at `line`, counted from 1.
+    /// Creates an error for the given line, counted from 1.
     pub fn new(line: usize, problem: impl Into<P>) -> LineError<P> {
         LineError { line, problem: problem.into() }
     }
 
-    /// The same error as one of a file format that contains this one.
+    /// Converts the problem to that of an enclosing file format and keeps the line.
     pub fn convert_problem<Q: From<P>>(self) -> LineError<Q> {
         LineError { line: self.line, problem: self.problem.into() }
     }
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,15 +1,16 @@
-//! The program's logger: one line a record on standard error, with the time and the level.
+//! The program's logger: writes each record as one line on standard error, with the time and the level.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Names the level at which the program logs.
+/// Environment variable with the maximum log level.
 const LEVEL_VARIABLE: &str = "BROOKPASS_LOG";
-/// Records of other crates are not logged.
+/// Only records whose target starts with this are logged, so those of other crates are not.
 const OWN_TARGET_PREFIX: &str = "brookpass";
 
-/// Starts logging at the level that `BROOKPASS_LOG` names, or `info`. A logger that is already installed stays.
+/// Installs the logger with the level in `BROOKPASS_LOG`, or `info` if it is unset or invalid. A logger that is already
+/// installed stays.
 pub fn start() {
     let level = std::env::var(LEVEL_VARIABLE).ok().and_then(|name| name.parse().ok());
     if log::set_logger(&Logger).is_ok() {
@@ -29,10 +30,10 @@
             return;
         }
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        // A record may contain what peers sent: it must not be able to forge a line.
+        // A record may contain text from peers, which must not be able to forge a log line.
         let text = record.args().to_string().replace(|character: char| character.is_control(), " ");
         let line = format!("{}.{:03} {:5} {text}\n", now.as_secs(), now.subsec_millis(), record.level());
-        // A log that nobody reads must not stop the program.
+        // The program must keep running when standard error cannot be written.
         let _ = std::io::stderr().lock().write_all(line.as_bytes());
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads the command line and runs what it asks for.
+//! The program's entry point: parses the command line and runs the command.
 
 use brookpass::config::Limits;
 use brookpass::daemon::{self, ConfigError, DaemonError, operator, operator_config, platform};
@@ -18,15 +18,15 @@
                                    --yes it only says what would be lost
        brookpass --version";
 
-/// Names the configuration of the platform's daemon.
+/// Environment variable with the path of the platform daemon's configuration.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
 
-/// What the command line asks for.
+/// A command of the command line.
 #[derive(Debug, PartialEq, Eq)]
 enum Command<'a> {
     /// Run the platform's daemon.
     ServePlatform,
-    /// Run the daemon of an operator's file.
+    /// Run the daemon that an operator's file configures.
     ServeOperator {
         file: &'a str,
     },
@@ -34,11 +34,11 @@
     Check {
         file: &'a str,
     },
-    /// Report what a fleet would lose if this daemon went on alone.
+    /// Report what the fleet would lose if the daemon with this store continued without a majority.
     PreviewRecovery {
         store: &'a str,
     },
-    /// Have this daemon go on alone.
+    /// Make the daemon with this store continue without a majority.
     Recover {
         store: &'a str,
     },
@@ -64,7 +64,7 @@
 /// Why the program ends with an exit code other than 0.
 #[derive(Debug, Error)]
 enum ProgramError {
-    /// The command line or the environment states nothing that can be done.
+    /// The command line is invalid, or no configuration is named in the environment.
     #[error("{USAGE}")]
     Usage,
     #[error(transparent)]
@@ -75,7 +75,7 @@
     StoreAddress(String),
     #[error("{store}: {source}")]
     Call { store: SocketAddr, source: io::Error },
-    /// The daemon answered that it does not recover; the text says why.
+    /// The daemon rejected the recovery; its answer gives the reason.
     #[error("{store}: {answer}")]
     RecoveryRejected { store: SocketAddr, answer: String },
 }
@@ -127,7 +127,7 @@
     Ok(())
 }
 
-/// Reads what a daemon with this operator's file would read at its start.
+/// Loads the files that a daemon with this operator's file would load at its start.
 fn check(file: &str) -> Result<(), ProgramError> {
     let config = operator_config::load(Path::new(file))?;
     let limits = Limits::for_sockets(config.sockets);
@@ -139,7 +139,7 @@
     Ok(())
 }
 
-/// Calls the recovery of the daemon whose store is at this address, and returns its answer.
+/// Sends a recovery request to the daemon whose store is at this address, and returns its answer.
 fn call_recovery(store: &str, method: &str) -> Result<String, ProgramError> {
     let store: SocketAddr = store.parse().map_err(|_| ProgramError::StoreAddress(store.to_string()))?;
     let request = format!("{method} /fleet/recover HTTP/1.1\r\nHost: {store}\r\nContent-Length: 0\r\n\r\n");
--- a/src/platform_config.rs
+++ b/src/platform_config.rs
@@ -1,7 +1,7 @@
-//! The platform's configuration of a pooler: one JSON file, named by `GW_CONFIG`.
+//! The platform's configuration of a pooler: a JSON file whose path is in `GW_CONFIG`.
 //!
-//! Its `settings` are the service's settings as nested objects; `flatten` brings them into the `path=value` pairs
-//! that [`settings_parser`] reads. Errors name the line: the JSON parser knows none, so `line_search` looks for it.
+//! Its `settings` are the service's settings as nested objects, which `flatten` converts to the `path=value` pairs that
+//! [`settings_parser`] reads. Errors name the line. The JSON parser reports none, so `line_search` searches for it.
 
 mod flatten;
 mod line_search;
@@ -19,31 +19,31 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A problem in the platform's configuration, with its line.
+/// A problem in the platform's configuration, with its line number.
 pub type PlatformConfigError = LineError<PlatformConfigProblem>;
 
 /// What is wrong with the platform's configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PlatformConfigProblem {
-    /// The file does not parse.
+    /// The file is not valid JSON.
     #[error("not JSON")]
     NotJson,
-    /// The file is JSON, but no object.
-    #[error("no object")]
+    /// The file is JSON, but not an object.
+    #[error("the configuration is not a JSON object")]
     NotObject,
-    /// A key whose value must be a string.
+    /// The value of this key must be a string.
     #[error("{0} is no text")]
     NotText(&'static str),
-    /// A key that must be stated.
+    /// This required key is missing.
     #[error("there is no {0}")]
     Missing(&'static str),
-    /// There are no settings.
+    /// The key `settings` is missing.
     #[error("there are no settings")]
     MissingSettings,
-    /// Another key has a value of the wrong type.
-    #[error("limits, peers or known are out of form")]
+    /// A value of another key has the wrong type.
+    #[error("limits, peers, known or another optional key has a value of the wrong type")]
     WrongType,
-    /// A setting does not parse.
+    /// A setting is invalid; the text is the settings parser's.
     #[error("{0}")]
     Settings(String),
     /// An address does not parse.
@@ -54,33 +54,33 @@
     CachedList(#[from] EndpointListError),
 }
 
-/// What the platform states for a pooler.
+/// The platform's configuration of a pooler.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
     /// The pooler's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address where clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of the engine's and discovery's random numbers.
+    /// Seed of the random numbers in the engine and the discovery client; 0 if the file has none.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Maximum number of file descriptors; `None` selects the default.
     pub sockets: Option<usize>,
-    /// Memory that the process may use, in MB.
+    /// Memory that the process may use in MB; `None` selects the default.
     pub memory_mb: Option<f64>,
-    /// Where peers' datagrams arrive.
+    /// The address that receives datagrams from peers.
     pub peer_listen: Option<SocketAddr>,
-    /// The poolers of the tier by number.
+    /// The addresses of the tier's poolers, by pooler number.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all poolers of the tier.
+    /// An address that reaches all poolers of the tier.
     pub peers_all: Option<SocketAddr>,
-    /// Number of the descriptor of the clients' listening socket, where the platform passes one on. From the
-    /// environment, not from the file.
+    /// File descriptor number of the listening socket for clients, if the platform passes one to the process. Comes from
+    /// the environment, not from the file.
     pub inherited_socket: Option<String>,
-    /// Where the administration server listens.
+    /// The address of the administration server; `None` for no server.
     pub admin: Option<SocketAddr>,
-    /// The endpoint list as this pooler last had it.
+    /// The last endpoint list of this pooler, from before its start.
     pub cached_list: Option<EndpointUpdate>,
     /// The settings of the service.
     pub settings: Settings,
@@ -88,11 +88,11 @@
     pub classes: Vec<String>,
     /// Names of the zones, by number.
     pub zones: Vec<String>,
-    /// Backends close a connection that was idle for this many seconds.
+    /// Idle time in seconds after which backends close a connection.
     pub backend_idle_secs: Option<f64>,
 }
 
-/// The file's keys and types.
+/// The keys of the file and their types.
 #[derive(Deserialize)]
 struct ConfigJson {
     name: String,
@@ -114,7 +114,7 @@
     sockets: Option<u64>,
 }
 
-/// Reads the platform's configuration.
+/// Parses the platform's configuration.
 ///
 /// # Errors
 /// [`PlatformConfigError`] with the line of the first problem.
@@ -148,7 +148,7 @@
     })
 }
 
-/// What this program reads from the settings itself; the rest is the decision module's.
+/// The values that the daemon reads from the settings itself; the decision module reads the others.
 struct SettingsNames {
     classes: Vec<String>,
     zones: Vec<String>,
@@ -173,11 +173,12 @@
         let line = line_of_setting(text, &message);
         LineError::new(line, PlatformConfigProblem::Settings(message))
     })?;
-    // Log positions on the sockets are Unix times, as the program's clock is.
+    // Log positions are Unix times in the wire protocols, as the program's clock is.
     Ok(Settings { position_epoch: Some(Timestamp::ZERO), ..settings })
 }
 
-/// The line of the setting that `message` names as `settings: PATH=VALUE …`; the last part of the path is the key.
+/// The line of the setting that `message` names in the form `settings: PATH=VALUE …`. The last part of the path is the
+/// key in the file.
 fn line_of_setting(text: &str, message: &str) -> usize {
     let stated = message.split_once(": ").map_or("", |(_, rest)| rest.split(' ').next().unwrap_or(""));
     let (path, value) = stated.split_once('=').unwrap_or((stated, ""));
@@ -185,8 +186,7 @@
     line_of_value(text, key, value)
 }
 
-/// What keeps a configuration from being read though it is JSON: the first key that must be stated and is missing or of
-/// another type.
+/// Finds out why a JSON text is no valid configuration: the first required key that is missing or has the wrong type.
 fn first_invalid_key(text: &str, config: &Value) -> PlatformConfigError {
     let Value::Object(object) = config else {
         return LineError::new(1, PlatformConfigProblem::NotObject);
@@ -206,7 +206,7 @@
     LineError::new(1, PlatformConfigProblem::WrongType)
 }
 
-/// The file's text, to find the lines of values that cannot be used.
+/// The text of the file, for finding the lines of invalid values.
 struct ConfigText<'a> {
     text: &'a str,
 }
--- a/src/platform_config/flatten.rs
+++ b/src/platform_config/flatten.rs
@@ -1,10 +1,10 @@
-//! Nested settings as `path=value` pairs, in the form that the simulator's protocol writes them in.
+//! Converts nested settings to `path=value` pairs, the format that the simulator's protocol uses.
 
 use miniserde::json::Value;
 use std::collections::BTreeMap;
 
-/// All values below `settings` by their path. A list of objects becomes a `count` and an element each
-/// (`services.0.name`), any other list one value with commas.
+/// Returns all values in `settings` by their paths. A list of objects becomes a `count` and a numbered path for each
+/// element (`services.0.name`); any other list becomes one comma-separated value.
 pub fn flatten(settings: &Value) -> BTreeMap<String, String> {
     let mut pairs = BTreeMap::new();
     add_value("", settings, &mut pairs);
--- a/src/platform_config/line_search.rs
+++ b/src/platform_config/line_search.rs
@@ -1,7 +1,7 @@
-//! Lines of problems in a JSON text: the parser reports none.
+//! Finds the lines of problems in a JSON text, since the parser does not report them.
 
-/// Line of the first unbalanced bracket or unclosed string, which most syntax errors show up as; the last line if there
-/// is none.
+/// The line of the first unbalanced bracket or unterminated string, which is how most syntax errors show; the last line
+/// if there is neither.
 pub fn line_of_syntax_error(text: &str) -> usize {
     let mut line = 1;
     let mut in_string = false;
@@ -19,7 +19,7 @@
             match character {
                 '\\' => is_escaped = true,
                 '"' => in_string = false,
-                // A string ends on its line.
+                // A JSON string cannot contain a line break.
                 '\n' => return line - 1,
                 _ => {}
             }
@@ -36,7 +36,7 @@
     line
 }
 
-/// The line of a value: the first with its key and its text, else the first with its key, else the last one.
+/// The line of a value: the first line with both its key and its text, else the first with its key, else the last line.
 pub fn line_of_value(text: &str, key: &str, value: &str) -> usize {
     let quoted_key = format!("\"{key}\"");
     let first_line_with = |value: &str| {
--- a/src/platform_config/tests.rs
+++ b/src/platform_config/tests.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration and the lines of its errors.
+//! Parsing of the platform's configuration, and the lines that its errors name.
 
 use super::*;
 use crate::routing::{Availability, GroupId, ZoneId};
@@ -13,7 +13,7 @@
     \"limits\":{\"conn-idle\":15,\"probes\":false},\"more\":null}}";
 
 #[test]
-fn a_configuration_is_read_with_positions_from_the_unix_epoch() {
+fn a_configuration_is_parsed_with_log_positions_counted_from_the_unix_epoch() {
     let config = parse(CONFIG).unwrap();
     assert_eq!(
         (config.classes, config.backend_idle_secs, config.sockets),
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn an_error_names_its_line() {
-    for (from, to, wanted) in [
+fn an_error_names_the_line_of_the_invalid_value() {
+    for (from, to, expected) in [
         ("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"here\"", "line 2: listen"),
         ("\"discovery\":\"127.0.0.1:2\"", "\"discovery\":7", "line 3: discovery is no text"),
         ("\"leaving\"", "\"lost\"", "line 5: endpoint s-1"),
@@ -45,7 +45,7 @@
         ("\"probes\":false", "\"probes\":false]", "line 9: not JSON"),
     ] {
         let error = parse(&CONFIG.replace(from, to)).map(|config| config.name).unwrap_err().to_string();
-        assert!(error.starts_with(wanted), "{to}: {error}");
+        assert!(error.starts_with(expected), "{to}: {error}");
     }
     let error = parse("{\"name\":\"n\"}").map(|config| config.name).unwrap_err().to_string();
     assert_eq!(error, "line 1: there is no listen");
--- a/src/primary_hint.rs
+++ b/src/primary_hint.rs
@@ -1,9 +1,9 @@
-//! The datagram by which poolers of a tier tell each other of a primary. This module knows its form only; how far a
-//! hint is believed is decided by `routing::learning`.
+//! The datagram by which the poolers of a tier inform each other of a primary. This module only encodes and decodes it;
+//! `routing::learning` decides how far a hint is trusted.
 //!
-//! Form, each number with its highest byte first: the kind (1 byte), the endpoint's address (4) and port (2), and the
-//! time (8, signed microseconds). Poolers of two versions share a tier during an upgrade, so a form never changes; a
-//! new one gets a kind of its own.
+//! Format, in network byte order: the kind (1 byte), the endpoint's address (4) and port (2), and the time (8, signed
+//! microseconds). Poolers of two versions share a tier during an upgrade, so a format never changes; a new one gets its
+//! own kind.
 
 use crate::ids::EndpointId;
 use crate::time::Timestamp;
@@ -14,9 +14,9 @@
 /// An endpoint responded that it is the primary of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrimaryHint {
-    /// The endpoint.
+    /// The endpoint that responded.
     pub endpoint: EndpointId,
-    /// When its response came, on the clock that all machines share.
+    /// When its response arrived, in Unix time.
     pub at: Timestamp,
 }
 
@@ -30,7 +30,7 @@
         bytes
     }
 
-    /// Decodes a datagram; `None` where it is truncated, too long or of another kind.
+    /// Decodes a datagram; `None` if it is truncated, too long or of another kind.
     pub fn read(bytes: &[u8]) -> Option<PrimaryHint> {
         let [KIND_PRIMARY_SEEN, rest @ ..] = bytes else { return None };
         let (ip, rest) = rest.split_first_chunk::<4>()?;
--- a/src/primary_hint/tests.rs
+++ b/src/primary_hint/tests.rs
@@ -1,8 +1,8 @@
-//! Decoding of datagrams that other programs sent or the network cut.
+//! Decoding of datagrams that are truncated or come from other programs.
 
 use super::*;
 
-/// Guards against a datagram that is truncated, too long or of another kind and is taken for a hint.
+/// Guards against decoding a datagram that is truncated, too long or of another kind.
 #[test]
 fn only_complete_datagrams_of_this_kind_are_decoded() {
     let endpoint = EndpointId { ip: [9, 8, 7, 6], port: 54321 };
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,8 +1,8 @@
-//! Points in time, lengths of time and positions in a group's log, as types that cannot be mixed up.
+//! Distinct types for points in time, durations and positions in a group's log.
 //!
 //! All three count whole microseconds. [`Timestamp`] is a reading of the program's clock, [`TimeDelta`] the signed
-//! distance between two readings, and [`LogPosition`] how far an endpoint has applied its group's log.
-//! Arithmetic that overflows panics, as it does for plain integers in this program's builds.
+//! difference between two readings, and [`LogPosition`] how far an endpoint has applied its group's log.
+//! Arithmetic that overflows panics, as integer arithmetic does in all builds of this program.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Div, Mul, Rem, Shl, Sub};
@@ -11,20 +11,20 @@
 const MICROS_PER_MILLI: i64 = 1_000;
 const MICROS_PER_SECOND: i64 = 1_000_000;
 
-/// A point in time: microseconds since the zero of the clock that it was read from.
+/// A point in time, in microseconds since the zero of the clock that it was read from.
 ///
-/// In the daemon that clock counts Unix time; the decision module accepts any clock that never goes back.
+/// The daemon's clock counts Unix time. The decision module accepts any clock that never goes back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Timestamp(i64);
 
-/// A signed length of time in microseconds.
+/// A signed duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TimeDelta(i64);
 
-/// How far an endpoint has applied its group's log: the commit time of the last applied entry, in microseconds after
-/// the zero that the settings name. [`LogPosition::UNKNOWN`] where the endpoint reported none.
+/// How far an endpoint has applied its group's log: the commit time of the last applied entry, in microseconds since
+/// the zero in the settings. [`LogPosition::UNKNOWN`] if the endpoint reported none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LogPosition(i64);
@@ -37,7 +37,7 @@
     /// Later than every reading of a clock.
     pub const MAX: Timestamp = Timestamp(i64::MAX);
 
-    /// The point `micros` microseconds after the clock's zero.
+    /// The timestamp `micros` microseconds after the clock's zero.
     pub const fn from_micros(micros: i64) -> Timestamp {
         Timestamp(micros)
     }
@@ -47,17 +47,17 @@
         self.0
     }
 
-    /// The point `millis` milliseconds after the clock's zero; `None` where that is out of range.
+    /// The timestamp `millis` milliseconds after the clock's zero; `None` if it is out of range.
     pub fn try_from_millis(millis: i64) -> Option<Timestamp> {
         millis.checked_mul(MICROS_PER_MILLI).map(Timestamp)
     }
 
-    /// Whole milliseconds since the clock's zero, rounded towards it.
+    /// Milliseconds since the clock's zero, truncated towards zero.
     pub const fn as_millis(self) -> i64 {
         self.0 / MICROS_PER_MILLI
     }
 
-    /// The point `seconds` seconds after the clock's zero, rounded as in [`TimeDelta::from_secs_f64`].
+    /// The timestamp `seconds` seconds after the clock's zero, rounded as in [`TimeDelta::from_secs_f64`].
     pub fn from_secs_f64(seconds: f64) -> Timestamp {
         Timestamp(TimeDelta::from_secs_f64(seconds).0)
     }
@@ -67,89 +67,89 @@
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// The middle between both points, rounded towards the clock's zero.
+    /// The midpoint of both timestamps, rounded towards the clock's zero.
     pub fn midpoint(self, other: Timestamp) -> Timestamp {
         Timestamp((self.0 + other.0) / 2)
     }
 
-    /// The point `delta` earlier, or the earliest one where it would be before that.
+    /// The timestamp `delta` earlier; saturates at the earliest one.
     pub fn saturating_sub(self, delta: TimeDelta) -> Timestamp {
         Timestamp(self.0.saturating_sub(delta.0))
     }
 
-    /// Time since `earlier`; negative where `earlier` is the later one.
+    /// The time elapsed since `earlier`; negative if `earlier` is in fact later.
     pub fn since(self, earlier: Timestamp) -> TimeDelta {
         self - earlier
     }
 }
 
 impl TimeDelta {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: TimeDelta = TimeDelta(0);
-    /// The longest time that can be expressed.
+    /// The longest duration that can be represented.
     pub const MAX: TimeDelta = TimeDelta(i64::MAX);
 
-    /// A length of `micros` microseconds.
+    /// A duration of `micros` microseconds.
     pub const fn from_micros(micros: i64) -> TimeDelta {
         TimeDelta(micros)
     }
 
-    /// A length of `millis` milliseconds.
+    /// A duration of `millis` milliseconds.
     pub const fn from_millis(millis: i64) -> TimeDelta {
         TimeDelta(millis * MICROS_PER_MILLI)
     }
 
-    /// A length of `seconds` seconds.
+    /// A duration of `seconds` seconds.
     pub const fn from_secs(seconds: i64) -> TimeDelta {
         TimeDelta(seconds * MICROS_PER_SECOND)
     }
 
-    /// A length of `seconds` seconds, rounded to whole microseconds; out of range it saturates, not a number is zero.
+    /// A duration of `seconds` seconds, rounded to whole microseconds. Saturates if out of range; NaN becomes zero.
     pub fn from_secs_f64(seconds: f64) -> TimeDelta {
         TimeDelta((seconds * MICROS_PER_SECOND as f64).round() as i64)
     }
 
-    /// A length of `micros` microseconds, cut to whole ones; out of range it saturates, not a number is zero.
+    /// A duration of `micros` microseconds, truncated to whole ones. Saturates if out of range; NaN becomes zero.
     pub fn from_micros_f64(micros: f64) -> TimeDelta {
         TimeDelta(micros as i64)
     }
 
-    /// Microseconds.
+    /// The duration in microseconds.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 
-    /// Whole milliseconds, rounded towards zero.
+    /// The duration in milliseconds, truncated towards zero.
     pub const fn as_millis(self) -> i64 {
         self.0 / MICROS_PER_MILLI
     }
 
-    /// Microseconds, for rates and weights.
+    /// The duration in microseconds as a float, for rates and weights.
     pub fn as_micros_f64(self) -> f64 {
         self.0 as f64
     }
 
-    /// Seconds.
+    /// The duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND as f64
     }
 
-    /// The same length for the standard library; a negative one is zero.
+    /// Converts to a standard [`Duration`]; a negative value becomes zero.
     pub fn to_duration(self) -> Duration {
         Duration::from_micros(self.0.max(0) as u64)
     }
 
-    /// Its length without its sign.
+    /// The absolute value.
     pub fn abs(self) -> TimeDelta {
         TimeDelta(self.0.abs())
     }
 
-    /// This length, or zero where it is negative.
+    /// The duration, or zero if it is negative.
     pub fn or_zero(self) -> TimeDelta {
         self.max(TimeDelta::ZERO)
     }
 
-    /// This many times the length, or the longest length where it would overflow.
+    /// The duration multiplied by `factor`; saturates on overflow.
     pub fn saturating_mul(self, factor: i64) -> TimeDelta {
         TimeDelta(self.0.saturating_mul(factor))
     }
@@ -159,28 +159,28 @@
     /// The endpoint reported no position.
     pub const UNKNOWN: LogPosition = LogPosition(0);
 
-    /// The position whose commit time is `micros` microseconds after the settings' zero.
+    /// The position of an entry committed `micros` microseconds after the zero in the settings.
     pub const fn from_micros(micros: i64) -> LogPosition {
         LogPosition(micros)
     }
 
-    /// The position whose commit time is `millis` milliseconds after the settings' zero.
+    /// The position of an entry committed `millis` milliseconds after the zero in the settings.
     pub const fn from_millis(millis: i64) -> LogPosition {
         LogPosition(millis * MICROS_PER_MILLI)
     }
 
-    /// Microseconds after the settings' zero.
+    /// Microseconds since the zero in the settings.
     pub const fn as_micros(self) -> i64 {
         self.0
     }
 
-    /// The position whose commit time is `millis` milliseconds after the settings' zero; `None` where that is out
-    /// of range.
+    /// The position of an entry committed `millis` milliseconds after the zero in the settings; `None` if it is out of
+    /// range.
     pub fn try_from_millis(millis: i64) -> Option<LogPosition> {
         millis.checked_mul(MICROS_PER_MILLI).map(LogPosition)
     }
 
-    /// Whole milliseconds after the settings' zero.
+    /// Milliseconds since the zero in the settings, truncated towards zero.
     pub const fn as_millis(self) -> i64 {
         self.0 / MICROS_PER_MILLI
     }
@@ -190,12 +190,12 @@
         self.0 > 0
     }
 
-    /// The position of a commit at `time`, where positions count from `zero`.
+    /// The position of an entry committed at `time`, where positions count from `zero`.
     pub fn of_commit(time: Timestamp, zero: Timestamp) -> LogPosition {
         LogPosition(time.0 - zero.0)
     }
 
-    /// When the last applied entry was committed, where positions count from `zero`.
+    /// When the last applied entry was committed, given that positions count from `zero`.
     pub fn commit_time(self, zero: Timestamp) -> Timestamp {
         Timestamp(zero.0 + self.0)
     }
@@ -263,8 +263,8 @@
 
 impl Mul<TimeDelta> for i64 {
     type Output = TimeDelta;
-    fn mul(self, length: TimeDelta) -> TimeDelta {
-        length * self
+    fn mul(self, delta: TimeDelta) -> TimeDelta {
+        delta * self
     }
 }
 
@@ -277,7 +277,7 @@
 
 impl Div for TimeDelta {
     type Output = i64;
-    /// How many whole periods it has, rounded towards zero.
+    /// The number of whole periods, truncated towards zero.
     fn div(self, period: TimeDelta) -> i64 {
         self.0 / period.0
     }
@@ -292,7 +292,7 @@
 
 impl Shl<u32> for TimeDelta {
     type Output = TimeDelta;
-    /// Doubles the length `doublings` times.
+    /// Doubles the duration `doublings` times.
     fn shl(self, doublings: u32) -> TimeDelta {
         TimeDelta(self.0 << doublings)
     }
