--- a/src/bin/brookpass-simulator-adapter/instance_host.rs
+++ b/src/bin/brookpass-simulator-adapter/instance_host.rs
@@ -1,4 +1,4 @@
-//! The instances of the router, one for each pooler that the simulator runs.
+//! The router instances, one for each pooler in the simulation.
 
 use crate::error::FrameError;
 use crate::records::Record;
@@ -8,18 +8,18 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Runs the records of a batch against the instances that they name.
+/// Holds the router instances and applies batches of records to them.
 #[derive(Default)]
 pub struct InstanceHost {
     routers: BTreeMap<u32, Router>,
-    /// Endpoint lists by slot, as last defined.
+    /// The last endpoint list defined in each slot.
     endpoint_lists: BTreeMap<u8, Vec<EndpointEntry>>,
-    /// Actions of the event at hand, kept to reuse its memory.
+    /// The actions of the current event, kept to reuse the allocation.
     actions: Vec<Action>,
 }
 
 impl InstanceHost {
-    /// Runs a batch at the simulator's time `now`.
+    /// Applies a batch at the simulator's time `now`.
     pub fn run_batch(&mut self, now: Timestamp, records: Vec<Record>) -> Result<Reply, FrameError> {
         let mut reply = Reply::default();
         for record in records {
@@ -48,11 +48,11 @@
             Ok(router) => {
                 self.routers.insert(instance, router);
             }
-            Err(_) => reply.push_instance_failure(instance, "the module panicked at its start"),
+            Err(_) => reply.push_instance_failure(instance, "the decision module panicked during its start"),
         }
     }
 
-    /// The list of `slot`; a failed update has none.
+    /// The endpoint list in `slot`; empty for a failed update, which has no list.
     fn list_for(&self, kind: ListKind, slot: u8) -> Result<Vec<EndpointEntry>, FrameError> {
         if kind == ListKind::Failed {
             return Ok(Vec::new());
@@ -60,7 +60,8 @@
         self.endpoint_lists.get(&slot).cloned().ok_or(FrameError::UnknownEndpointList(slot))
     }
 
-    /// Passes an event to an instance. A panic there fails that instance only; the simulator decides what follows.
+    /// Passes an event to an instance. A panic is reported as a failure of this instance only, and the simulator
+    /// decides what to do.
     fn handle(
         &mut self,
         now: Timestamp,
@@ -87,5 +88,5 @@
     if let Some(text) = panic.downcast_ref::<String>() {
         return text;
     }
-    panic.downcast_ref::<&str>().copied().unwrap_or("the module panicked")
+    panic.downcast_ref::<&str>().copied().unwrap_or("the decision module panicked")
 }
--- a/src/bin/brookpass-simulator-adapter/layout.rs
+++ b/src/bin/brookpass-simulator-adapter/layout.rs
@@ -1,32 +1,32 @@
-//! Sizes, codes and offsets of the simulator's protocol. All numbers have their lowest byte first.
+//! Sizes, codes and offsets of the simulator's protocol. All numbers are little-endian.
 //!
-//! A frame of input is a header, records of events of one size, and a tail with what has no fixed size. A reply is a
-//! shorter header, records of actions, and a tail. A reference to the tail is an offset and a number of items, four
-//! bytes each.
+//! An input frame consists of a header, event records of fixed size, and a tail with data of variable size. A reply
+//! consists of a shorter header, action records, and a tail. A reference to the tail is an offset and a number of
+//! items, four bytes each.
 
-/// Size of the header of an input frame.
+/// Size of an input frame's header.
 pub const HEADER_BYTES: usize = 16;
-/// Size of a record of an event.
+/// Size of an event record.
 pub const EVENT_BYTES: usize = 56;
-/// Size of a record of an action.
+/// Size of an action record.
 pub const ACTION_BYTES: usize = 32;
-/// Size of an entry of an endpoint list, in the tail.
+/// Size of an endpoint list's entry in the tail.
 pub const ENTRY_BYTES: usize = 28;
-/// Size of the header of a reply: the number of records and the length of the body.
+/// Size of a reply's header, which holds the number of records and the length of the body.
 pub const REPLY_HEADER_BYTES: usize = 8;
-/// Size of an endpoint: its address and its port.
+/// Size of an endpoint, which is an IPv4 address and a port.
 pub const ENDPOINT_BYTES: usize = 6;
 /// Size of a reference to the tail.
 pub const TAIL_REFERENCE_BYTES: usize = 8;
 
-/// Offsets in the header of an input frame.
+/// Offsets in an input frame's header.
 pub mod header {
     pub const RECORD_COUNT: usize = 0;
     pub const BODY_LENGTH: usize = 4;
     pub const CLOCK: usize = 8;
 }
 
-/// Codes of events, in a record's first byte.
+/// Event codes, in the first byte of a record.
 pub mod event_code {
     pub const START: u8 = 1;
     pub const LIST_UPDATE: u8 = 2;
@@ -41,20 +41,20 @@
     pub const DEFINE_LIST: u8 = 11;
 }
 
-/// Offsets that most records of events share.
+/// Offsets that most event records share.
 pub mod event {
     pub const CODE: usize = 0;
     pub const INSTANCE: usize = 1;
-    /// The id of a request, the number of a timer, or the seed of an instance.
+    /// The request id, the timer number or the instance's seed, depending on the event.
     pub const NUMBER: usize = 5;
 }
 
-/// The start of an instance.
+/// An instance starts.
 pub mod start {
     pub const SETTINGS_REFERENCE: usize = 13;
 }
 
-/// The definition of an endpoint list, which belongs to no instance.
+/// Defines an endpoint list, independent of any instance.
 pub mod define_list {
     pub const SLOT: usize = 1;
     pub const ENTRIES_REFERENCE: usize = 2;
@@ -66,13 +66,13 @@
     pub const SLOT: usize = 10;
 }
 
-/// A client's request.
+/// A client sends a request.
 pub mod request {
     pub const CLASS: usize = 13;
     pub const WORK_HINT: usize = 15;
     pub const GROUP: usize = 23;
     pub const TENANT: usize = 27;
-    /// Age of the session's last commit, in milliseconds; 0 where there is none.
+    /// Age of the session's last commit in milliseconds; 0 if there is none.
     pub const COMMIT_AGE: usize = 29;
     pub const FLAGS: usize = 33;
     pub const CLIENT_TIMEOUT: usize = 34;
@@ -82,13 +82,13 @@
     pub const FLAG_REPEATED: u8 = 2;
 }
 
-/// A response has begun.
+/// A response starts.
 pub mod response_started {
     pub const ATTEMPT: usize = 13;
     pub const ENDPOINT: usize = 14;
 }
 
-/// An attempt has ended.
+/// An attempt ends.
 pub mod attempt_finished {
     pub const ENDPOINT: usize = 13;
     pub const TOOK: usize = 19;
@@ -99,8 +99,8 @@
     pub const REPORT: usize = 34;
 }
 
-/// What an endpoint responded about itself: its role in the lowest two bits, above them its log position in
-/// milliseconds. Other roles mean that it responded nothing.
+/// The status that an endpoint reported: its role in the lowest two bits, and above them its log position in
+/// milliseconds. Any other role means that it reported none.
 pub mod replica_status {
     pub const ROLE_MASK: u32 = 3;
     pub const ROLE_BITS: u32 = 2;
@@ -115,16 +115,16 @@
     pub const VALUE_BYTES: usize = 4;
 }
 
-/// A probe has ended.
+/// A probe ends.
 pub mod probe_finished {
     pub const ENDPOINT: usize = 5;
-    /// 0 where the endpoint responded.
+    /// 0 if the endpoint responded.
     pub const STATUS: usize = 11;
     pub const TOOK: usize = 12;
     pub const REPORT: usize = 20;
 }
 
-/// A message of another pooler.
+/// A message from another pooler arrives.
 pub mod peer_message {
     pub const FROM: usize = 5;
     pub const BYTES_REFERENCE: usize = 7;
@@ -136,14 +136,14 @@
     pub const ZONE: usize = 6;
     pub const GROUP: usize = 9;
     pub const AVAILABILITY: usize = 11;
-    /// A share; from one half on the list names the endpoint as primary.
+    /// A fraction; the endpoint is the primary if it is at least one half.
     pub const PRIMARY: usize = 12;
     pub const UNITS: usize = 16;
-    /// 0, infinite or not a number where it is long ago.
+    /// 0, infinite or NaN if the endpoint started long ago.
     pub const STARTED_AT: usize = 20;
 }
 
-/// Codes of actions, in a record's first byte.
+/// Action codes, in the first byte of a record.
 pub mod action_code {
     pub const SEND: u8 = 1;
     pub const REJECT: u8 = 2;
--- a/src/bin/brookpass-simulator-adapter/main.rs
+++ b/src/bin/brookpass-simulator-adapter/main.rs
@@ -1,8 +1,8 @@
-//! Runs the decision module behind the simulator's protocol: frames with batches of events on standard input, a reply
-//! with actions to each on standard output.
+//! Runs the decision module for the simulator: reads frames with batches of events from standard input and writes a
+//! reply with actions for each to standard output.
 //!
-//! `layout` holds the protocol's codes and offsets, `records` decodes input, `instance_host` runs one [`Router`] for
-//! each pooler of the simulation, and `reply` encodes output.
+//! `layout` defines the protocol's codes and offsets, `records` decodes the input, `instance_host` runs one [`Router`]
+//! for each pooler in the simulation, and `reply` encodes the output.
 //!
 //! [`Router`]: brookpass::Router
 
@@ -29,19 +29,19 @@
     }
 }
 
-/// Answers frames until the input ends.
+/// Processes frames until the input ends.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = InstanceHost::default();
     for frame in 0u64.. {
-        let answered = serve_frame(&mut host, input, output);
-        if !answered.map_err(|cause| AdapterError { frame, cause })? {
+        let has_frame = serve_frame(&mut host, input, output);
+        if !has_frame.map_err(|cause| AdapterError { frame, cause })? {
             break;
         }
     }
     Ok(())
 }
 
-/// Answers one frame; false where the input has ended before it.
+/// Processes one frame. Returns false if the input ended before it.
 fn serve_frame(
     host: &mut InstanceHost,
     input: &mut impl Read,
@@ -63,7 +63,7 @@
     Ok(true)
 }
 
-/// Fills `header`; false where the input ended before its first byte.
+/// Reads a frame's header. Returns false if the input ended before its first byte.
 fn read_header(input: &mut impl Read, header: &mut [u8]) -> Result<bool, FrameError> {
     let mut filled = 0;
     while filled < header.len() {
@@ -80,7 +80,8 @@
     Ok(true)
 }
 
-/// Reads a body of `length` bytes as it comes: a false length must not reserve memory that no frame fills.
+/// Reads a body of `length` bytes. The buffer grows with the data, so that a wrong length does not allocate memory that
+/// the input never fills.
 fn read_body(input: &mut impl Read, length: usize) -> Result<Vec<u8>, FrameError> {
     let mut body = Vec::new();
     let read = input.take(length as u64).read_to_end(&mut body).map_err(FrameError::Io)?;
--- a/src/bin/brookpass-simulator-adapter/records.rs
+++ b/src/bin/brookpass-simulator-adapter/records.rs
@@ -11,7 +11,7 @@
 pub struct FrameHeader {
     pub record_count: usize,
     pub body_length: usize,
-    /// The simulator's clock in seconds, as sent: it may not be finite.
+    /// The simulator's clock in seconds, as sent. It may be infinite or NaN.
     pub clock_seconds: f64,
 }
 
@@ -23,9 +23,9 @@
     Stop { instance: u32 },
     /// Define the endpoint list in a slot, for later updates.
     DefineList { slot: u8, entries: Vec<EndpointEntry> },
-    /// Give an instance the endpoint list of a slot.
+    /// Pass the endpoint list in a slot to an instance.
     ListUpdate { instance: u32, kind: ListKind, slot: u8 },
-    /// Give an instance any other event.
+    /// Pass any other event to an instance.
     Event { instance: u32, event: Event },
 }
 
@@ -207,7 +207,7 @@
     LoadReport { count, values }
 }
 
-/// The items of `item_bytes` each that the reference at `offset` of `record` names.
+/// The part of the tail that the reference at `offset` in `record` names, with items of `item_bytes` each.
 fn tail_items<'a>(
     record: &[u8],
     offset: usize,
--- a/src/bin/brookpass-simulator-adapter/reply.rs
+++ b/src/bin/brookpass-simulator-adapter/reply.rs
@@ -3,7 +3,7 @@
 use crate::layout::{ACTION_BYTES, ENDPOINT_BYTES, REPLY_HEADER_BYTES, TAIL_REFERENCE_BYTES, action_code};
 use brookpass::routing::{Action, EndpointId, TimeDelta, Timestamp};
 
-/// Stands for all poolers as the receiver of a message.
+/// The receiver of a message that goes to all peers.
 const ALL_PEERS: u16 = u16::MAX;
 
 /// A reply frame under construction.
@@ -14,7 +14,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub fn push_action(&mut self, instance: u32, action: &Action) {
         match action {
             Action::Send { id, endpoint, stop_at } => {
@@ -55,13 +55,13 @@
         }
     }
 
-    /// Reports that an instance's router panicked.
+    /// Appends the report that an instance's router panicked, with the panic message.
     pub fn push_instance_failure(&mut self, instance: u32, text: &str) {
         let reference = self.push_to_tail(text.as_bytes());
         self.push_record(action_code::INSTANCE_FAILED, instance, &[&reference]);
     }
 
-    /// The whole frame.
+    /// Encodes the complete frame.
     pub fn to_bytes(&self) -> Vec<u8> {
         let record_count = self.records.len() / ACTION_BYTES;
         let body_length = self.records.len() + self.tail.len();
@@ -83,7 +83,7 @@
         self.records.resize(record_end, 0);
     }
 
-    /// Appends to the tail and returns the reference to that part.
+    /// Appends data to the tail and returns the reference to it.
     fn push_to_tail(&mut self, bytes: &[u8]) -> [u8; TAIL_REFERENCE_BYTES] {
         let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(bytes);
@@ -94,8 +94,8 @@
     }
 }
 
-fn seconds(length: TimeDelta) -> [u8; 8] {
-    length.as_secs_f64().to_le_bytes()
+fn seconds(delta: TimeDelta) -> [u8; 8] {
+    delta.as_secs_f64().to_le_bytes()
 }
 
 fn optional_time(time: Option<Timestamp>) -> [u8; 8] {
--- a/src/bin/brookpass-simulator-adapter/tests.rs
+++ b/src/bin/brookpass-simulator-adapter/tests.rs
@@ -1,4 +1,4 @@
-//! The simulator's protocol, on frames written for this project.
+//! The simulator's protocol, tested with frames that are assembled byte by byte.
 
 use super::*;
 use crate::reply::Reply;
@@ -27,7 +27,7 @@
     frame
 }
 
-/// Starts an instance with a list of one endpoint, and sends it a write for that endpoint.
+/// Two frames: the start of an instance with a list of one endpoint, and a write for that endpoint's group.
 fn start_and_request_frames() -> Vec<u8> {
     let settings =
         b"services.count=1\nservices.0.repeat=once\nservices.0.target=0.5\nfamily-info.consistency=mutate\n";
@@ -60,7 +60,7 @@
     (result, output)
 }
 
-/// The records of each reply.
+/// Splits the output into the records of each reply.
 fn split_replies(output: &[u8]) -> Vec<Vec<Vec<u8>>> {
     let number_at =
         |offset: usize| u32::from_le_bytes(output[offset..offset + 4].try_into().unwrap()) as usize;
@@ -100,18 +100,18 @@
 }
 
 #[test]
-fn malformed_input_is_named_and_nothing_is_written_for_it() {
+fn a_malformed_frame_is_reported_and_gets_no_reply() {
     let good = start_and_request_frames();
     let mut cases: Vec<(Vec<u8>, &str)> = vec![
-        (good[..9].to_vec(), "header cut"),
-        (good[..good.len() - 3].to_vec(), "body cut"),
+        (good[..9].to_vec(), "header truncated"),
+        (good[..good.len() - 3].to_vec(), "body truncated"),
         (frame(1.0, &[record(77, &[])], &[]), "unknown event code 77"),
-        (frame(1.0, &[record(6, &[])], &[]), "instance 7 never started"),
-        (frame(1.0, &[record(10, &[])], &[]), "instance 7 never started"),
-        (frame(f64::NAN, &[], &[]), "the clock is not a number"),
+        (frame(1.0, &[record(6, &[])], &[]), "instance 7 is not running"),
+        (frame(1.0, &[record(10, &[])], &[]), "instance 7 is not running"),
+        (frame(f64::NAN, &[], &[]), "the clock is not a finite number"),
         (frame(1.0, &[record(1, &[(13, &5u32.to_le_bytes()), (17, &9u32.to_le_bytes())])], &[]), "outside"),
         (frame(1.0, &[record(1, &[(17, &7u32.to_le_bytes())])], b"step=no"), "step=no does not parse"),
-        (frame(1.0, &[record(2, &[(5, &[2])])], &[]), "list 0 was never given"),
+        (frame(1.0, &[record(2, &[(5, &[2])])], &[]), "endpoint list 0 is not defined"),
         (frame(1.0, &[record(5, &[(32, &[99])])], &[]), "unknown outcome 99"),
     ];
     let mut short = frame(1.0, &[], &[]);
@@ -121,13 +121,13 @@
         let (result, output) = run(&input);
         let error = result.expect_err(expected);
         assert!(error.contains(expected) && !error.contains('\n'), "{error:?} does not contain {expected:?}");
-        let answered = if expected == "body cut" { 1 } else { 0 };
+        let answered = if expected == "body truncated" { 1 } else { 0 };
         assert_eq!(reply_count(&output), answered, "complete replies to complete frames only: {expected}");
     }
 }
 
 #[test]
-fn every_action_is_one_record_of_its_size_with_text_in_the_tail() {
+fn every_action_is_one_record_of_fixed_size_with_text_in_the_tail() {
     let endpoint = EndpointId { ip: [1, 2, 3, 4], port: 5 };
     let mut reply = Reply::default();
     let actions = [
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -52,8 +52,8 @@
         unstepped + TimeDelta::from_micros(largest_step)
     }
 
-    /// The kernel's boot id and the time since boot, including suspend. The id is empty and the time zero on systems that
-    /// do not provide them.
+    /// The kernel's boot id and the time since boot, including suspend. The id is empty and the time zero on systems
+    /// that do not provide them.
     pub fn boot_id_and_uptime() -> (String, TimeDelta) {
         let boot_id = read_or_empty("/proc/sys/kernel/random/boot_id").trim().to_string();
         let uptime = read_or_empty("/proc/uptime");
--- a/src/config.rs
+++ b/src/config.rs
@@ -54,13 +54,13 @@
     pub client_idle_timeout: Duration,
     /// Interval between checks for idle client connections.
     pub idle_check_interval: Duration,
-    /// Timeout for receiving a complete request: the first one counts from the accepted connection, any further one from
-    /// its first byte.
+    /// Timeout for receiving a complete request: the first one counts from the accepted connection, any further one
+    /// from its first byte.
     pub first_request_timeout: Duration,
     /// A client that sends no complete request for this long may be evicted in favor of one that does.
     pub silent_client_grace: Duration,
-    /// A request that was buffered for this long is forwarded only if its client is still connected. Also the interval of
-    /// that check while a client's input is not read.
+    /// A request that was buffered for this long is forwarded only if its client is still connected. Also the interval
+    /// of that check while a client's input is not read.
     pub departure_check_interval: Duration,
     /// Timeout for writing an answer to a client.
     pub client_write_timeout: Duration,
@@ -114,8 +114,8 @@
     pub backend_idle_timeout: Duration,
     /// Interval between checks for idle backend connections.
     pub pool_sweep_interval: Duration,
-    /// Delay before a backend connection is reused after an answer: unexpected bytes arrive right after an answer and must
-    /// be detected.
+    /// Delay before a backend connection is reused after an answer: unexpected bytes arrive right after an answer and
+    /// must be detected.
     pub connection_settle_time: Duration,
     /// A backend that sends nothing for this long during a streamed answer is considered failed.
     pub backend_stall_timeout: Duration,
@@ -345,8 +345,9 @@
         self.discovery_spread = (DISCOVERY_CALL_COST * poolers).min(MAX_DISCOVERY_SPREAD);
     }
 
-    /// Sets the idle timeout of backend connections for backends that close idle ones after `seconds`. This process closes
-    /// its connections well before that, since a request sent while the backend closes may or may not be executed.
+    /// Sets the idle timeout of backend connections for backends that close idle ones after `seconds`. This process
+    /// closes its connections well before that, since a request sent while the backend closes may or may not be
+    /// executed.
     pub fn set_backend_idle_timeout(&mut self, seconds: Option<f64>) {
         if let Some(seconds) = seconds.filter(|seconds| *seconds > 0.0 && *seconds < MAX_BACKEND_IDLE_SECS) {
             self.backend_idle_timeout = Duration::from_secs_f64((seconds - 1.0).max(seconds / 2.0));
@@ -366,8 +367,8 @@
         }
     }
 
-    /// Shutdown times of a process whose clients can use other poolers. `client_timeout` is the longest timeout that any
-    /// client has set for a request.
+    /// Shutdown times of a process whose clients can use other poolers. `client_timeout` is the longest timeout that
+    /// any client has set for a request.
     pub fn drain_times(&self, client_timeout: Option<TimeDelta>) -> DrainTimes {
         let client_timeout = client_timeout.unwrap_or(TimeDelta::ZERO).to_duration();
         let longest_request = client_timeout.min(self.shutdown_deadline).max(self.shutdown_accept_period);
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -39,8 +39,9 @@
     assert!(detected_after < Duration::from_secs(5), "{detected_after:?}");
 }
 
-/// Guards against a pooler that still waits to repeat its call to discovery when a drain already counts as known. In the
-/// worst case a call starts just before discovery becomes reachable again, times out, and the longest backoff follows.
+/// Guards against a pooler that still waits to repeat its call to discovery when a drain already counts as known. In
+/// the worst case a call starts just before discovery becomes reachable again, times out, and the longest backoff
+/// follows.
 #[test]
 fn a_change_is_received_within_six_seconds_of_any_failed_call() {
     let mut limits = Limits::for_sockets(64);
--- a/src/fleet/bootstrap/tests.rs
+++ b/src/fleet/bootstrap/tests.rs
@@ -87,8 +87,8 @@
     assert_eq!(state_of("b", 2, &configured, &answers), BootstrapState::DuplicateName("b".into()));
 }
 
-/// Guards against accepting a node whose storage was restored from an earlier copy and could vote again, a removed member,
-/// or a node of another fleet.
+/// Guards against accepting a node whose storage was restored from an earlier copy and could vote again, a removed
+/// member, or a node of another fleet.
 #[test]
 fn a_handshake_is_compared_with_the_fleet_and_with_earlier_reports() {
     let mut state = ClusterState::default();
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node counts as caught up if its log lacks at most this many committed entries, few enough that it can vote or lead at
-/// once without delaying the others.
+/// A node counts as caught up if its log lacks at most this many committed entries, few enough that it can vote or lead
+/// at once without delaying the others.
 const CAUGHT_UP_ENTRIES: u64 = 64;
 
 /// What an operator requests for a member. The variant order is part of the message format.
@@ -194,8 +194,8 @@
     }
 
     /// A better leader, if a reachable voter has not received messages from this leader for too long: that voter would
-    /// never learn what is committed. The successor reaches more voters than this node; of those that reach the most, it is
-    /// the one with the lowest id.
+    /// never learn what is committed. The successor reaches more voters than this node; of those that reach the most,
+    /// it is the one with the lowest id.
     fn better_connected_leader(&self) -> Option<NodeId> {
         let reachable = self.reachable_voters();
         if !reachable.iter().any(|voter| self.is_cut_off_from_leader(*voter)) {
@@ -227,8 +227,8 @@
         self.configuration.voters.iter().copied().filter(is_reachable).collect()
     }
 
-    /// Whether a voter has not received messages from this leader for too long. Time without a leader before this node's
-    /// leadership does not count; otherwise leadership would keep moving between nodes.
+    /// Whether a voter has not received messages from this leader for too long. Time without a leader before this
+    /// node's leadership does not count; otherwise leadership would keep moving between nodes.
     fn is_cut_off_from_leader(&self, voter: NodeId) -> bool {
         let leaderless_for = self.voter_statuses[&voter].leaderless_for;
         leaderless_for.min(self.leading_for) >= self.peer_gone_timeout
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -133,7 +133,8 @@
     );
 }
 
-/// Guards against a node that gets a second vote after it lost its disk, and against one that takes a live member's name.
+/// Guards against a node that gets a second vote after it lost its disk, and against one that takes a live member's
+/// name.
 #[test]
 fn a_node_that_lost_its_disk_replaces_its_predecessor() {
     let mut fleet = SimulatedFleet::new(&["b", "c"]);
@@ -161,8 +162,8 @@
     assert_eq!(fleet.next(), MembershipAction::Nothing);
 }
 
-/// Guards against a node that receives messages from all nodes but the leader and so never learns what is committed, and
-/// against leadership that keeps moving between nodes.
+/// Guards against a node that receives messages from all nodes but the leader and so never learns what is committed,
+/// and against leadership that keeps moving between nodes.
 #[test]
 fn a_leader_that_some_voters_do_not_hear_transfers_leadership_to_one_that_all_hear() {
     let mut fleet = SimulatedFleet::new(&["b", "c", "d", "e"]);
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Adds a drain of an endpoint on behalf of this node; if this node drains the endpoint already, returns the existing
-    /// id. The sequence number is derived from `now`, so that it is new even if the node lost its disk.
+    /// Adds a drain of an endpoint on behalf of this node; if this node drains the endpoint already, returns the
+    /// existing id. The sequence number is derived from `now`, so that it is new even if the node lost its disk.
     pub fn request_drain(&mut self, endpoint: &str, local_node: NodeId, now: Timestamp) -> DrainId {
         for pending in self.proposed_at.keys() {
             if pending.host == endpoint && pending.drain.node == local_node {
@@ -64,8 +64,8 @@
         id
     }
 
-    /// Adds a peer's pending drains that the log has not resolved, up to `limit` drains in total. Returns whether any of
-    /// them was new.
+    /// Adds a peer's pending drains that the log has not resolved, up to `limit` drains in total. Returns whether any
+    /// of them was new.
     pub fn merge(&mut self, received: Vec<PendingDrain>, state: &ClusterState, limit: usize) -> bool {
         let version_before = self.version;
         for drain in received {
@@ -120,8 +120,8 @@
         if self.is_empty() { 0 } else { crc32fast::hash(&codec::encode(&self.all())) }
     }
 
-    /// The drains that the leader has to propose now. Each is proposed at once, and again every `retry_interval` until the
-    /// log resolves it.
+    /// The drains that the leader has to propose now. Each is proposed at once, and again every `retry_interval` until
+    /// the log resolves it.
     pub fn due_proposals(&mut self, now: Timestamp, retry_interval: TimeDelta) -> Vec<Change> {
         let mut due = Vec::new();
         for (pending, proposed_at) in &mut self.proposed_at {
--- a/src/inventory/ansible_format.rs
+++ b/src/inventory/ansible_format.rs
@@ -1,18 +1,18 @@
-//! Inventories in YAML, in Ansible's form: groups with `hosts`, `children` and `vars`. The variables of a group hold
-//! for its hosts and children unless these state their own.
+//! Inventories in Ansible's YAML format: groups with `hosts`, `children` and `vars`. The variables of a group apply to
+//! its hosts and children unless these override them.
 
 use super::yaml::{self, Node};
 use super::{Entry, FIELD_NAMES, Field, Fields, InventoryError, InventoryProblem};
 use crate::config::Limits;
 use std::collections::BTreeMap;
 
-/// Variables of this program start with it; other ones are the configuration tool's.
+/// Prefix of this program's variables. Other variables belong to the configuration tool.
 const VARIABLE_PREFIX: &str = "brookpass_";
 
-/// Reads all hosts of all groups.
+/// Parses the hosts of all groups.
 ///
 /// # Errors
-/// [`InventoryError`] with the line of the part at fault.
+/// [`InventoryError`] with the line of the first problem.
 pub fn parse(text: &str, limits: &Limits) -> Result<Vec<Entry>, InventoryError> {
     let tree = yaml::parse(text, limits)?;
     let mut hosts = Hosts::default();
@@ -22,7 +22,7 @@
     Ok(hosts.entries)
 }
 
-/// Hosts in the order of the file.
+/// The hosts read so far, in the order of the file.
 #[derive(Default)]
 struct Hosts {
     entries: Vec<Entry>,
@@ -72,7 +72,7 @@
 }
 
 impl Entry {
-    /// Adds what another group states of this host. A host may be in several groups where these agree.
+    /// Adds the values that another group sets for this host. A host may be in several groups if their values agree.
     fn merge(&mut self, fields: Fields) -> Result<(), InventoryError> {
         for (name, field) in fields {
             let known = self.fields.entry(name.clone()).or_insert_with(|| field.clone());
@@ -90,7 +90,7 @@
     }
 }
 
-/// Adds what the variables of a group or host state: some of Ansible's own, and this program's.
+/// Adds the variables of a group or host to `fields`: this program's, and Ansible's host and port.
 fn read_variables(node: &Node, what: &str, fields: &mut Fields) -> Result<(), InventoryError> {
     for (key, value) in node.map(what)? {
         let name = match key.as_str() {
--- a/src/inventory/csv_format.rs
+++ b/src/inventory/csv_format.rs
@@ -1,5 +1,5 @@
-//! Inventories in CSV: a header row with the names of fields, then a row for each endpoint. Lines that start with `#`
-//! are comments.
+//! Inventories in CSV: a header row with the field names, then one row for each endpoint. Lines that start with `#` are
+//! comments.
 
 use super::{Entry, Field, Fields, InventoryError, InventoryProblem};
 use csv::{ErrorKind, ReaderBuilder, StringRecord, Trim};
@@ -7,10 +7,10 @@
 
 const REQUIRED_COLUMNS: [&str; 3] = ["name", "address", "group"];
 
-/// Reads all rows.
+/// Parses all rows.
 ///
 /// # Errors
-/// [`InventoryError`] with the line of the row.
+/// [`InventoryError`] with the line of the first invalid row.
 pub fn parse(text: &str) -> Result<Vec<Entry>, InventoryError> {
     let mut reader = ReaderBuilder::new().trim(Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
     let mut lines = LineCounter { text, counted_bytes: 0, line: 1 };
@@ -71,12 +71,12 @@
     InventoryError::new(line, problem)
 }
 
-/// Finds the lines of records that the reader reports by the byte at which it began to look for them. It counts on from
-/// the last record: counting from the start each time would take the square of a file's length.
+/// Converts byte offsets to line numbers. The CSV reader reports the offset at which it began to look for a record.
+/// Counting continues from the last record, since counting from the start each time would take quadratic time.
 struct LineCounter<'a> {
     text: &'a str,
     counted_bytes: usize,
-    /// Line of the byte at `counted_bytes`.
+    /// The line that contains the byte at `counted_bytes`.
     line: usize,
 }
 
@@ -93,7 +93,7 @@
         self.line
     }
 
-    /// Where the record itself begins, behind blank lines and comments.
+    /// The offset of the record itself, after blank lines and comments.
     fn skip_blank_lines(&self, mut start: usize) -> usize {
         while let Some(rest) = self.text.get(start..).filter(|rest| !rest.is_empty()) {
             let line = rest.split('\n').next().unwrap_or("");
--- a/src/inventory/error.rs
+++ b/src/inventory/error.rs
@@ -1,128 +1,128 @@
-//! What can be wrong with an inventory.
+//! The errors of inventories.
 
 use super::yaml::YamlProblem;
 use crate::line_error::LineError;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A problem in an inventory, with its line.
+/// A problem in an inventory, with its line number.
 pub type InventoryError = LineError<InventoryProblem>;
 
-/// What is wrong with an inventory. One problem rejects the whole file.
+/// What is wrong with an inventory. A single problem rejects the whole file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InventoryProblem {
-    /// The file's extension names no known form.
+    /// The file's extension belongs to no known format.
     #[error("an inventory is a .csv, .yaml or .yml file")]
     UnknownFormat,
-    /// There is no endpoint in it.
-    #[error("the inventory names no host")]
+    /// The file contains no endpoint.
+    #[error("the inventory contains no host")]
     NoEndpoints,
-    /// YAML that does not parse or has another structure.
+    /// The YAML does not parse or does not have the structure of an inventory.
     #[error(transparent)]
     Yaml(#[from] YamlProblem),
 
-    /// A row of a CSV file with too few or too many values.
+    /// A CSV row has too few or too many values.
     #[error("{values} values under {columns} columns")]
     RowLength {
-        /// Values in the row.
+        /// Number of values in the row.
         values: u64,
-        /// Columns of the header.
+        /// Number of columns in the header.
         columns: u64,
     },
-    /// A CSV file in another encoding.
+    /// A CSV file is not UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
-    /// A CSV file that does not parse.
+    /// A CSV file does not parse.
     #[error("not CSV")]
     NotCsv,
-    /// Two columns of the same name.
+    /// Two columns have the same name.
     #[error("column {0:?} stands twice")]
     DuplicateColumn(String),
-    /// A column that must be there.
+    /// A required column is missing.
     #[error("the header row has no column {0:?}")]
     MissingColumn(&'static str),
-    /// A row without a name.
-    #[error("a host without a name")]
+    /// A row has no endpoint name.
+    #[error("the host has no name")]
     MissingName,
 
-    /// A variable with this program's prefix that it does not know.
+    /// A variable has this program's prefix but an unknown name.
     #[error("unknown variable {0:?}")]
     UnknownVariable(String),
-    /// A key of a YAML group that Ansible does not have.
-    #[error("group {group:?} has hosts, children and vars, not {key:?}")]
+    /// A YAML group has a key that does not exist in Ansible's format.
+    #[error("group {group:?}: unknown key {key:?}; the keys are hosts, children and vars")]
     UnknownGroupKey {
-        /// The group.
+        /// The name of the group.
         group: String,
-        /// The key.
+        /// The unknown key.
         key: String,
     },
-    /// One of Ansible's ranges of names, which this program does not expand.
-    #[error("host {0:?}: ranges are not read; name each host")]
+    /// A host name contains one of Ansible's ranges, which this program does not expand.
+    #[error("host {0:?}: ranges are not supported; list each host")]
     HostRange(String),
-    /// Groups that state different values for the same endpoint.
-    #[error("host {endpoint:?}: {field} is {first:?} and {second:?}")]
+    /// Groups set different values for the same endpoint.
+    #[error("host {endpoint:?}: {field} is set to both {first:?} and {second:?}")]
     ConflictingValues {
         /// The endpoint.
         endpoint: String,
-        /// What they state.
+        /// The field that they set.
         field: String,
-        /// The value that was read first.
+        /// The first value in the file.
         first: String,
-        /// The other one.
+        /// The conflicting value.
         second: String,
     },
 
-    /// An endpoint that stands in two rows.
+    /// Two rows have the same endpoint name.
     #[error("host {0:?} stands twice")]
     DuplicateEndpoint(String),
-    /// A name with other characters than allowed.
-    #[error("host {0:?}: a name has letters, digits, '-', '_' and '.' only")]
+    /// A name is empty or contains characters that are not allowed.
+    #[error("host {0:?}: a name may only contain letters, digits, '-', '_' and '.'")]
     InvalidName(String),
-    /// A text that is no address.
+    /// An address does not parse.
     #[error("host {endpoint:?}: {text:?} is no address with a port")]
     InvalidAddress {
         /// The endpoint.
         endpoint: String,
-        /// The text.
+        /// The text that does not parse.
         text: String,
     },
-    /// An address of another machine; nothing is encrypted, so that traffic must not leave this one.
-    #[error("host {endpoint:?}: {address} is not on this machine's loopback")]
+    /// An address is not a loopback address. Traffic is not encrypted, so it must not leave this machine.
+    #[error("host {endpoint:?}: {address} is not a loopback address")]
     NotLoopback {
         /// The endpoint.
         endpoint: String,
-        /// The address.
+        /// The address of the endpoint.
         address: SocketAddr,
     },
-    /// An endpoint without a group.
+    /// An endpoint has no group.
     #[error("host {0:?} has no group")]
     MissingGroup(String),
-    /// A value that does not parse or is out of its range.
+    /// A value does not parse or is out of range.
     #[error("host {endpoint:?}: {field} {value:?} is no such value")]
     InvalidValue {
         /// The endpoint.
         endpoint: String,
-        /// What it states.
+        /// The field with this value.
         field: &'static str,
-        /// The value.
+        /// The invalid value.
         value: String,
     },
-    /// A region is stated where no zone is.
+    /// An endpoint has a region but no zone.
     #[error("host {endpoint:?}: region {region:?} without a zone")]
     RegionWithoutZone {
         /// The endpoint.
         endpoint: String,
-        /// The region.
+        /// The region of the endpoint.
         region: String,
     },
-    /// Endpoints of one zone that state different regions.
+    /// Endpoints in the same zone have different regions.
     #[error("host {endpoint:?}: its zone is in region {known:?}, not {region:?}")]
     ConflictingRegion {
         /// The endpoint.
         endpoint: String,
-        /// The zone's region, as an earlier endpoint states it.
+        /// The zone's region according to an earlier endpoint.
         known: String,
-        /// The region that this one states.
+        /// The region of this endpoint.
         region: String,
     },
 }
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -1,8 +1,8 @@
-//! The endpoints as an operator writes them down: CSV with a header row (`csv_format`), or YAML in Ansible's inventory
-//! form (`ansible_format`).
+//! The operator's list of endpoints: CSV with a header row (`csv_format`), or YAML in Ansible's inventory format
+//! (`ansible_format`).
 //!
-//! Both forms yield the same raw `Entry` for each endpoint, from which `record` makes a checked record. Every error
-//! names the line of the value at fault, and rejects the whole file.
+//! Both formats yield an unchecked `Entry` for each endpoint, which `record` validates and converts to an endpoint
+//! record. Every error names the line of the invalid value and rejects the whole file.
 
 mod ansible_format;
 mod csv_format;
@@ -18,39 +18,40 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Regions by the numbers of their zones: zones of one region fail together.
+/// The region of each zone that has one. Zones of the same region can fail together.
 pub type Regions = BTreeMap<ZoneId, String>;
 
-/// What an inventory states.
+/// The content of an inventory.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Inventory {
     /// The endpoints, in the order of the file.
     pub hosts: Vec<EndpointRecord>,
-    /// The regions of those zones that have one.
+    /// The regions of the zones that have one.
     pub regions: Regions,
 }
 
-/// A value as the file states it.
+/// A value as written in the file, with its line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Field {
     text: String,
     line: usize,
 }
 
-/// What the file states of one endpoint, by the names in [`FIELD_NAMES`].
+/// The values of one endpoint by field name. Only names in [`FIELD_NAMES`] are used.
 type Fields = BTreeMap<String, Field>;
 
-/// Everything that a file may state of an endpoint; other columns and variables are the configuration tool's own.
+/// The fields of an endpoint. Other columns and variables belong to configuration tools and are ignored.
 const FIELD_NAMES: [&str; 8] = ["address", "group", "zone", "region", "weight", "status", "port", "since_ms"];
 
-/// One endpoint of the file, not checked yet.
+/// An endpoint as written in the file, not validated yet.
 struct Entry {
     name: String,
     line: usize,
     fields: Fields,
 }
 
-/// Reads an inventory; the extension of `path` tells its form. `zones` are the names of the zones by number.
+/// Parses an inventory in the format that the extension of `path` indicates. `zones` holds the zone names in the order
+/// of their numbers.
 ///
 /// # Errors
 /// [`InventoryError`] with the line of the first problem.
--- a/src/inventory/record.rs
+++ b/src/inventory/record.rs
@@ -1,4 +1,4 @@
-//! Checks what a file states of an endpoint, and makes a record of it.
+//! Validates an entry of an inventory and converts it to an endpoint record.
 
 use super::{Entry, Field, InventoryError, InventoryProblem, Regions};
 use crate::engine::endpoints::EndpointRecord;
@@ -7,16 +7,17 @@
 use std::net::SocketAddr;
 
 const MAX_REGION_NAME_BYTES: usize = 64;
-/// Weights are relative; a larger one is taken for a mistake.
+/// Weights are relative; a larger one is treated as a mistake.
 const MAX_WEIGHT: f64 = 100.0;
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The record of an endpoint.
+/// Validates an entry and converts it to an endpoint record. `zones` holds the zone names in the order of their
+/// numbers.
 ///
 /// # Errors
-/// [`InventoryError`] with the line of the value at fault, or of the endpoint where one is missing.
+/// [`InventoryError`] with the line of the invalid value, or of the entry if a value is missing.
 pub fn check(entry: &Entry, zones: &[String]) -> Result<EndpointRecord, InventoryError> {
-    // A separator of the store's records, or a line end, in a name would forge another record.
+    // A name with a line end or a separator of the store's records could forge another record.
     if !is_name(&entry.name) {
         return Err(entry.error(InventoryProblem::InvalidName(entry.name.clone())));
     }
@@ -29,15 +30,15 @@
         zone: zone(entry, zones)?,
         weight: weight(entry)?,
         started_at: started_at(entry)?,
-        // Roles are learned from answers alone: an inventory proves none.
+        // Roles are learned only from responses of the endpoints; an inventory is no evidence.
         primary: false,
     })
 }
 
-/// Notes the region of an endpoint's zone.
+/// Adds the region of the entry's zone to `regions`.
 ///
 /// # Errors
-/// [`InventoryError`] where the name is not allowed, the endpoint states no zone, or the zone has another region.
+/// [`InventoryError`] if the region's name is invalid, the entry has no zone, or the zone already has another region.
 pub fn record_region(entry: &Entry, zone: ZoneId, regions: &mut Regions) -> Result<(), InventoryError> {
     let Some(region) = entry.fields.get("region") else { return Ok(()) };
     let endpoint = entry.name.clone();
@@ -60,13 +61,13 @@
     Ok(())
 }
 
-/// Whether a text has the characters of a name and no others.
+/// Whether a text is a valid name: not empty, and only letters, digits, `-`, `_` and `.`.
 fn is_name(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     !text.is_empty() && text.bytes().all(is_allowed)
 }
 
-/// The address, with the port from a field of its own where it states none; without an address the name is taken for it.
+/// The address. If it has no port, the port comes from the field `port`; if there is no address, the name is used.
 fn address(entry: &Entry) -> Result<SocketAddr, InventoryError> {
     let stated = entry.fields.get("address");
     let text = stated.map_or(entry.name.as_str(), |field| field.text.as_str());
@@ -115,7 +116,7 @@
     field.text.parse().ok().filter(is_allowed).ok_or_else(|| entry.invalid("weight", field))
 }
 
-/// When the endpoint was started, in milliseconds of Unix time; 0: unknown.
+/// When the endpoint was started, from Unix time in milliseconds. 0 stands for unknown.
 fn started_at(entry: &Entry) -> Result<Option<Timestamp>, InventoryError> {
     let Some(field) = entry.fields.get("since_ms").filter(|field| field.text != "0") else { return Ok(None) };
     let millis = field.text.parse::<i64>().ok().filter(|millis| *millis > 0);
--- a/src/inventory/tests.rs
+++ b/src/inventory/tests.rs
@@ -1,4 +1,4 @@
-//! Both forms of an inventory, and the lines of their errors.
+//! Both inventory formats, and the lines that their errors name.
 
 use super::*;
 use crate::routing::{Availability, GroupId};
@@ -11,16 +11,16 @@
     parse(Path::new(name), text, &["a".to_string(), "b".to_string()], &Limits::for_sockets(64))
 }
 
-/// Guards against a zone in two regions, and a region of no zone.
+/// Guards against a zone with two regions, and against a region without a zone.
 #[test]
 fn a_zone_belongs_to_one_region() {
     let csv = CSV.replace("status\n", "status,region\n").replace("active\n", "active,north\n");
     let csv = csv.replace("leaving\n", "leaving,\n");
     let yaml = YAML
         .replace("{brookpass_group: 1}", "{brookpass_group: 1, brookpass_zone: a, brookpass_region: north}");
-    let wanted = Regions::from([(ZoneId(0), "north".to_string())]);
-    assert_eq!(inventory("i.csv", &csv).unwrap().regions, wanted);
-    assert_eq!(inventory("i.yml", &yaml).unwrap().regions, wanted);
+    let expected = Regions::from([(ZoneId(0), "north".to_string())]);
+    assert_eq!(inventory("i.csv", &csv).unwrap().regions, expected);
+    assert_eq!(inventory("i.yml", &yaml).unwrap().regions, expected);
     let second = csv + "s-3,127.0.0.1:7003,1,a,1,active,";
     for (row, why) in [("south", "in region \"north\""), ("no/name", "no such value")] {
         let error = inventory("i.csv", &format!("{second}{row}\n")).unwrap_err();
@@ -41,7 +41,7 @@
                     s-2:\n          ansible_port: 7002\n          brookpass_status: leaving\n";
 
 #[test]
-fn both_forms_say_the_same() {
+fn both_formats_yield_the_same_endpoints() {
     let (csv, yaml) = (read("i.csv", CSV).unwrap(), read("i.yml", YAML).unwrap());
     assert_eq!(csv, yaml);
     assert_eq!((csv[1].group, csv[1].zone, csv[1].weight), (GroupId(2), ZoneId(1), 0.5));
--- a/src/inventory/yaml.rs
+++ b/src/inventory/yaml.rs
@@ -1,4 +1,4 @@
-//! YAML into a tree that knows lines, so that every error can name one.
+//! Parses YAML into a tree with line numbers, so that every error can name its line.
 
 mod parser;
 
@@ -8,70 +8,70 @@
 
 pub use parser::parse;
 
-/// A problem in a YAML file, with its line.
+/// A problem in a YAML file, with its line number.
 pub type YamlError = LineError<YamlProblem>;
 
 /// What is wrong with a YAML file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum YamlProblem {
-    /// It does not parse; the text is the parser's.
+    /// The file is not valid YAML; the text is the parser's.
     #[error("{0}")]
     Syntax(String),
     /// More nodes than [`crate::config::YamlLimits`] allows.
-    #[error("the file holds too much")]
+    #[error("the file has too many nodes")]
     TooManyNodes,
     /// More nested levels than [`crate::config::YamlLimits`] allows.
-    #[error("too many levels")]
+    #[error("the nesting is too deep")]
     TooDeep,
-    /// An alias before, or without, its anchor.
-    #[error("an alias without an anchor")]
+    /// An alias refers to an anchor that does not exist or comes later.
+    #[error("an alias refers to an undefined anchor")]
     UnknownAlias,
-    /// The parser reported something else than a document's part.
-    #[error("out of form")]
+    /// The parser reported an event that is not allowed at this point.
+    #[error("unexpected YAML structure")]
     UnexpectedEvent,
-    /// More than one document in the file.
-    #[error("a second document")]
+    /// The file contains more than one document.
+    #[error("the file contains a second document")]
     SecondDocument,
-    /// A key that is a list or a mapping.
-    #[error("a key is no single value")]
+    /// A key is empty, a list or a mapping.
+    #[error("a key is not a scalar")]
     KeyNotScalar,
-    /// A key that stands twice in a mapping.
+    /// A mapping has two equal keys.
     #[error("{0:?} stands twice")]
     DuplicateKey(String),
-    /// A mapping is expected here.
-    #[error("{0} is no mapping")]
+    /// A mapping is required here.
+    #[error("{0} is not a mapping")]
     NotMapping(String),
-    /// A list is expected here.
+    /// A list is required here.
     #[error("{0} is no list")]
     NotList(String),
-    /// A single value is expected here.
-    #[error("{0} is no single value")]
+    /// A scalar is required here.
+    #[error("{0} is not a scalar")]
     NotScalar(String),
-    /// A value that does not parse.
+    /// A value does not parse.
     #[error("{what}: {text:?} is no such value")]
     InvalidValue {
-        /// What the value is for.
+        /// The name of the value.
         what: String,
-        /// The value.
+        /// The text that does not parse.
         text: String,
     },
 }
 
-/// A part of a file.
+/// A node of the YAML tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
-    /// The line where it begins, counted from 1.
+    /// The line where the node begins, counted from 1.
     pub line: usize,
-    /// Its content.
+    /// The node's content.
     pub kind: NodeKind,
 }
 
 /// The content of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeKind {
-    /// Nothing, as in `key:`.
+    /// No value, as in `key:`, or an explicit null.
     Empty,
-    /// A single value, whatever its type.
+    /// A scalar of any type, as text.
     Scalar(String),
     /// A list.
     List(Vec<Node>),
@@ -80,15 +80,15 @@
 }
 
 impl Node {
-    /// An error in the line of this node.
+    /// Creates an error at the line of this node.
     pub fn error<P>(&self, problem: impl Into<P>) -> LineError<P> {
         LineError::new(self.line, problem)
     }
 
-    /// The pairs of a mapping; an empty node has none.
+    /// The pairs of a mapping; an empty node has none. `what` names the node in the error.
     ///
     /// # Errors
-    /// [`YamlProblem::NotMapping`] with `what`.
+    /// [`YamlProblem::NotMapping`] if this is a scalar or a list.
     pub fn map(&self, what: &str) -> Result<&[(String, Node)], YamlError> {
         match &self.kind {
             NodeKind::Map(pairs) => Ok(pairs),
@@ -97,10 +97,10 @@
         }
     }
 
-    /// The items of a list; an empty node has none.
+    /// The items of a list; an empty node has none. `what` names the node in the error.
     ///
     /// # Errors
-    /// [`YamlProblem::NotList`] with `what`.
+    /// [`YamlProblem::NotList`] if this is a scalar or a mapping.
     pub fn list(&self, what: &str) -> Result<&[Node], YamlError> {
         match &self.kind {
             NodeKind::List(items) => Ok(items),
@@ -109,10 +109,10 @@
         }
     }
 
-    /// A single value.
+    /// The text of a scalar. `what` names the node in the error.
     ///
     /// # Errors
-    /// [`YamlProblem::NotScalar`] with `what`.
+    /// [`YamlProblem::NotScalar`] if this is empty, a list or a mapping.
     pub fn scalar(&self, what: &str) -> Result<&str, YamlError> {
         match &self.kind {
             NodeKind::Scalar(text) => Ok(text),
@@ -122,17 +122,17 @@
         }
     }
 
-    /// A single value of type `T`.
+    /// Parses a scalar as a `T`. `what` names the node in the error.
     ///
     /// # Errors
-    /// [`YamlProblem::NotScalar`] or [`YamlProblem::InvalidValue`] with `what`.
+    /// [`YamlProblem::NotScalar`] if this is no scalar, [`YamlProblem::InvalidValue`] if it does not parse.
     pub fn parsed<T: FromStr>(&self, what: &str) -> Result<T, YamlError> {
         let text = self.scalar(what)?;
         let problem = || YamlProblem::InvalidValue { what: what.to_string(), text: text.to_string() };
         text.parse().map_err(|_| self.error(problem()))
     }
 
-    /// The node under a key of a mapping.
+    /// The value of a key; `None` if the key is missing or this is not a mapping.
     pub fn get(&self, key: &str) -> Option<&Node> {
         match &self.kind {
             NodeKind::Map(pairs) => pairs.iter().find(|(name, _)| name == key).map(|(_, node)| node),
--- a/src/inventory/yaml/parser.rs
+++ b/src/inventory/yaml/parser.rs
@@ -1,11 +1,11 @@
-//! Builds the tree from the events of a YAML parser, within bounds.
+//! Builds the tree from the events of a YAML parser, within the limits on its size and depth.
 
 use super::{Node, NodeKind, YamlError, YamlProblem};
 use crate::config::{Limits, YamlLimits};
 use saphyr_parser::{Event, Parser, ScalarStyle, StrInput};
 use std::collections::BTreeMap;
 
-/// Reads a file of one document; an empty file is an empty node.
+/// Parses a file with a single document. An empty file yields an empty node.
 ///
 /// # Errors
 /// [`YamlError`] with the line of the problem.
@@ -37,14 +37,14 @@
 struct TreeBuilder<'a> {
     parser: Parser<'a, StrInput<'a>>,
     anchors: BTreeMap<usize, Node>,
-    /// Nodes so far, those of expanded aliases included: aliases of aliases must not grow a small file into a large
-    /// tree.
+    /// Number of nodes so far, including those of expanded aliases: a small file with aliases of aliases must not
+    /// expand into a huge tree.
     node_count: usize,
     limits: YamlLimits,
 }
 
 impl<'a> TreeBuilder<'a> {
-    /// The next event, and its line.
+    /// The next event and its line. After the end of the input, [`Event::StreamEnd`].
     fn next_event(&mut self) -> Result<(Event<'a>, usize), YamlError> {
         match self.parser.next_event() {
             Some(Ok((event, span))) => Ok((event, span.start.line())),
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// The node that starts with `event`.
+    /// Builds the node that starts with `event`.
     fn node(&mut self, event: Event<'a>, line: usize, depth: usize) -> Result<Node, YamlError> {
         self.count_nodes(1, line)?;
         if depth > self.limits.depth {
@@ -85,7 +85,7 @@
         Ok(node)
     }
 
-    /// A copy of the node with this anchor, in the line of the alias.
+    /// A copy of the node with this anchor, at the line of the alias.
     fn alias(&mut self, anchor: usize, line: usize) -> Result<Node, YamlError> {
         let Some(node) = self.anchors.get(&anchor).cloned() else {
             return Err(YamlError::new(line, YamlProblem::UnknownAlias));
--- a/src/inventory/yaml/tests.rs
+++ b/src/inventory/yaml/tests.rs
@@ -1,4 +1,4 @@
-//! Lines of YAML errors, and bounds of the tree.
+//! The lines of YAML errors, and the limit on the tree's size.
 
 use super::*;
 use crate::config::Limits;
@@ -24,14 +24,14 @@
     assert_eq!(error.to_string(), "line 2: b: \"x\" is no such value");
 }
 
-/// Guards against a small file of nested aliases that would exhaust the memory.
+/// Guards against a small file whose nested aliases expand until memory is exhausted.
 #[test]
 fn aliases_cannot_grow_without_bound() {
     let mut text = "a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n".to_string();
     for n in 1..9 {
-        let last = format!("*a{}", n - 1);
-        text += &format!("a{n}: &a{n} [{}]\n", vec![last; 10].join(", "));
+        let previous = format!("*a{}", n - 1);
+        text += &format!("a{n}: &a{n} [{}]\n", vec![previous; 10].join(", "));
     }
-    assert!(parse(&text).unwrap_err().problem.to_string().contains("too much"));
+    assert!(parse(&text).unwrap_err().problem.to_string().contains("too many nodes"));
     assert_eq!(parse("a: &x 1\nb: *x\n").unwrap().get("b").unwrap().scalar("b"), Ok("1"));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,9 +25,10 @@
 //!
 //! # Using the decision module alone
 //!
-//! A driver passes events to [`Router::handle`] and carries out the actions that it returns. The normal path of a request
-//! (see `docs/design.md`) depends on each group's believed primary, a ring of its other endpoints, a queue for writes
-//! while there is no primary, and a weighted random choice for reads among the replicas known to be fresh enough.
+//! A driver passes events to [`Router::handle`] and carries out the actions that it returns. The normal path of a
+//! request (see `docs/design.md`) depends on each group's believed primary, a ring of its other endpoints, a queue for
+//! writes while there is no primary, and a weighted random choice for reads among the replicas known to be fresh
+//! enough.
 //!
 //! ```
 //! use brookpass::Router;
--- a/src/platform_config.rs
+++ b/src/platform_config.rs
@@ -75,8 +75,8 @@
     pub peers: Vec<SocketAddr>,
     /// An address that reaches all poolers of the tier.
     pub peers_all: Option<SocketAddr>,
-    /// File descriptor number of the listening socket for clients, if the platform passes one to the process. Comes from
-    /// the environment, not from the file.
+    /// File descriptor number of the listening socket for clients, if the platform passes one to the process. Comes
+    /// from the environment, not from the file.
     pub inherited_socket: Option<String>,
     /// The address of the administration server; `None` for no server.
     pub admin: Option<SocketAddr>,
