--- a/src/fleet/admin_api/description.rs
+++ b/src/fleet/admin_api/description.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 /// Maximum number of removed members that are listed, those with the highest ids.
-const LISTED_REMOVED_MEMBERS: usize = 8;
+const MAX_LISTED_REMOVED_MEMBERS: usize = 8;
 
 /// The endpoint list, one line for each endpoint.
 pub(super) fn describe_endpoints(fleet: &Fleet) -> String {
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeRole {
     /// Its storage failed.
-    Broken,
+    StorageFailed,
     /// It was removed from its fleet.
     Removed,
     /// It belongs to no fleet yet.
@@ -64,7 +64,7 @@
 impl fmt::Display for NodeRole {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            NodeRole::Broken => "broken",
+            NodeRole::StorageFailed => "broken",
             NodeRole::Removed => "removed",
             NodeRole::NoFleet => "none",
             NodeRole::Leader => "leads",
@@ -77,7 +77,7 @@
 /// Determines the role of this node; the first role in the order of [`NodeRole`] that applies.
 pub fn node_role(agreed: &AgreedState) -> NodeRole {
     if agreed.storage_failure().is_some() {
-        NodeRole::Broken
+        NodeRole::StorageFailed
     } else if agreed.is_removed() {
         NodeRole::Removed
     } else if !agreed.has_fleet() {
@@ -100,7 +100,7 @@
     let _ = write_drains(&mut out, fleet);
     let _ = write_sources(&mut out, fleet);
     let _ = write_nodes(&mut out, fleet);
-    let _ = write_counts(&mut out, fleet);
+    let _ = write_counters(&mut out, fleet);
     out
 }
 
@@ -232,7 +232,7 @@
             writeln!(out, "candidate {} {id:016x} {age} ms ago", candidate.handshake.name)?;
         }
     }
-    for (id, name) in state.removed.iter().rev().take(LISTED_REMOVED_MEMBERS) {
+    for (id, name) in state.removed.iter().rev().take(MAX_LISTED_REMOVED_MEMBERS) {
         writeln!(out, "removed {name} {id:016x}")?;
     }
     Ok(())
@@ -255,7 +255,7 @@
     )
 }
 
-fn write_counts(out: &mut String, fleet: &Fleet) -> fmt::Result {
+fn write_counters(out: &mut String, fleet: &Fleet) -> fmt::Result {
     let (agreed, peers) = (fleet.agreed(), fleet.peers());
     let status = agreed.status();
     let unsent: u64 = peers.links().map(|link| link.dropped_messages()).sum();
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -149,8 +149,8 @@
             let is_founder = self.state.founders.contains(name);
             let steps = match self.predecessor(*id, name) {
                 Some(predecessor) if self.is_gone(predecessor) => {
-                    let votes = is_founder || self.configuration.voters.contains(&predecessor);
-                    replacement_steps(predecessor, *id, votes)
+                    let has_vote = is_founder || self.configuration.voters.contains(&predecessor);
+                    replacement_steps(predecessor, *id, has_vote)
                 }
                 Some(_) => continue,
                 None if is_founder || self.is_requested(name, MembershipRequest::GrantVote) => {
@@ -244,10 +244,10 @@
     }
 }
 
-/// The steps by which a learner replaces its predecessor in one change. `votes` says whether it gets a vote.
-fn replacement_steps(predecessor: NodeId, learner: NodeId, votes: bool) -> Vec<MembershipStep> {
+/// The steps by which a learner replaces its predecessor in one change. `has_vote` says whether it gets a vote.
+fn replacement_steps(predecessor: NodeId, learner: NodeId, has_vote: bool) -> Vec<MembershipStep> {
     let mut steps = vec![MembershipStep::Remove(predecessor)];
-    if votes {
+    if has_vote {
         steps.push(MembershipStep::AddVoter(learner));
     }
     steps
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -26,7 +26,7 @@
 
 impl SimulatedFleet {
     fn new(founders: &[&str]) -> SimulatedFleet {
-        let founders = founders.iter().map(|f| f.to_string()).collect();
+        let founders = founders.iter().map(|name| name.to_string()).collect();
         SimulatedFleet {
             state: ClusterState::found_fleet(FleetId(7), NodeId(1), member("a"), founders),
             configuration: Configuration { voters: vec![NodeId(1)], ..Configuration::default() },
@@ -123,9 +123,9 @@
     assert_eq!(fleet.run(), [[1, 3, 4].map(NodeId)]);
     assert_eq!(fleet.state.removed.get(&NodeId(2)).map(String::as_str), Some("b"));
     fleet.requests = [request("a", MembershipRequest::Remove)].into();
-    fleet.progress.iter_mut().for_each(|p| p.match_index = 0);
+    fleet.progress.iter_mut().for_each(|progress| progress.match_index = 0);
     assert_eq!(fleet.next(), MembershipAction::Nothing, "no voter has caught up enough to lead next");
-    fleet.progress.iter_mut().for_each(|p| p.match_index = 100);
+    fleet.progress.iter_mut().for_each(|progress| progress.match_index = 100);
     assert_eq!(
         fleet.next(),
         MembershipAction::TransferLeadership(NodeId(3)),
--- a/src/fleet/pending_drains/tests.rs
+++ b/src/fleet/pending_drains/tests.rs
@@ -78,7 +78,10 @@
         "after a restart with an empty disk"
     );
     let many = (0..50)
-        .map(|n| PendingDrain { host: format!("s-{n}"), drain: DrainId { node: NodeId(9), sequence: n } })
+        .map(|sequence| PendingDrain {
+            host: format!("s-{sequence}"),
+            drain: DrainId { node: NodeId(9), sequence },
+        })
         .collect();
     assert!(drains.merge(many, &ClusterState::default(), 10));
     assert_eq!(drains.all().len(), 10);
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -75,7 +75,7 @@
     }
 
     fn push_hint(&self, hint: PrimaryHint) {
-        let _ = self.hint_sender.try_send(hint.write());
+        let _ = self.hint_sender.try_send(hint.encode());
     }
 
     fn push_observations(&self, observations: Vec<PeerObservation>) {
@@ -218,7 +218,7 @@
 
     /// Sends a hint from this node's engine to the peers. Its time is sent as an age, because clocks may differ.
     pub fn send_primary_hint(&self, hint: &[u8]) {
-        let Some(PrimaryHint { endpoint, at }) = PrimaryHint::read(hint) else { return };
+        let Some(PrimaryHint { endpoint, at }) = PrimaryHint::decode(hint) else { return };
         let age = (self.clock.now() - at).or_zero();
         self.broadcast(&PeerMessage::PrimaryHint { endpoint: endpoint.into(), age });
     }
@@ -234,10 +234,10 @@
         let mut hints = Vec::new();
         for belief in gossip.state.primary_beliefs().values() {
             let endpoint = id_of(&belief.endpoint);
-            hints.push(PrimaryHint { endpoint, at: belief.observed_at }.write());
+            hints.push(PrimaryHint { endpoint, at: belief.observed_at }.encode());
         }
         for guess in gossip.state.restored_primaries(agreed.state()).into_values() {
-            hints.push(PrimaryHint { endpoint: id_of(&guess.endpoint), at: guess.observed_at }.write());
+            hints.push(PrimaryHint { endpoint: id_of(&guess.endpoint), at: guess.observed_at }.encode());
         }
         hints
     }
--- a/src/inventory/ansible_format.rs
+++ b/src/inventory/ansible_format.rs
@@ -15,7 +15,7 @@
 /// [`InventoryError`] with the line of the first problem.
 pub fn parse(text: &str, limits: &Limits) -> Result<Vec<Entry>, InventoryError> {
     let tree = yaml::parse(text, limits)?;
-    let mut hosts = Hosts::default();
+    let mut hosts = HostCollector::default();
     for (name, group) in tree.map("the inventory")? {
         hosts.add_group(name, group, &Fields::new())?;
     }
@@ -24,12 +24,12 @@
 
 /// The hosts read so far, in the order of the file.
 #[derive(Default)]
-struct Hosts {
+struct HostCollector {
     entries: Vec<Entry>,
     index_by_name: BTreeMap<String, usize>,
 }
 
-impl Hosts {
+impl HostCollector {
     fn add_group(&mut self, name: &str, group: &Node, inherited: &Fields) -> Result<(), InventoryError> {
         let mut fields = inherited.clone();
         for (key, part) in group.map(&format!("group {name:?}"))? {
--- a/src/inventory/csv_format.rs
+++ b/src/inventory/csv_format.rs
@@ -21,7 +21,7 @@
     for row in reader.records() {
         let row = row.map_err(|error| csv_error(&error, &mut lines))?;
         let line = row.position().map_or(1, |position| lines.line_of(position.byte()));
-        let entry = entry(&header, &row, line)?;
+        let entry = parse_row(&header, &row, line)?;
         if !names.insert(entry.name.clone()) {
             return Err(InventoryError::new(line, InventoryProblem::DuplicateEndpoint(entry.name)));
         }
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-fn entry(header: &StringRecord, row: &StringRecord, line: usize) -> Result<Entry, InventoryError> {
+fn parse_row(header: &StringRecord, row: &StringRecord, line: usize) -> Result<Entry, InventoryError> {
     let mut fields = Fields::new();
     for (column, value) in header.iter().zip(row) {
         if !value.is_empty() {
--- a/src/inventory/mod.rs
+++ b/src/inventory/mod.rs
@@ -72,7 +72,7 @@
     }
     let mut inventory = Inventory::default();
     for entry in entries {
-        let endpoint = record::check(&entry, zones)?;
+        let endpoint = record::validate(&entry, zones)?;
         record::record_region(&entry, endpoint.zone, &mut inventory.regions)?;
         inventory.hosts.push(endpoint);
     }
--- a/src/inventory/record.rs
+++ b/src/inventory/record.rs
@@ -16,9 +16,9 @@
 ///
 /// # Errors
 /// [`InventoryError`] with the line of the invalid value, or of the entry if a value is missing.
-pub fn check(entry: &Entry, zones: &[String]) -> Result<EndpointRecord, InventoryError> {
+pub fn validate(entry: &Entry, zones: &[String]) -> Result<EndpointRecord, InventoryError> {
     // A name with a line end or a separator of the store's records could forge another record.
-    if !is_name(&entry.name) {
+    if !is_valid_name(&entry.name) {
         return Err(entry.error(InventoryProblem::InvalidName(entry.name.clone())));
     }
     let address = address(entry)?;
@@ -46,7 +46,7 @@
         let problem = InventoryProblem::RegionWithoutZone { endpoint, region: region.text.clone() };
         return Err(InventoryError::new(region.line, problem));
     }
-    if region.text.len() > MAX_REGION_NAME_BYTES || !is_name(&region.text) {
+    if region.text.len() > MAX_REGION_NAME_BYTES || !is_valid_name(&region.text) {
         return Err(entry.invalid("region", region));
     }
     let known = regions.entry(zone).or_insert_with(|| region.text.clone());
@@ -62,7 +62,7 @@
 }
 
 /// Whether a text is a valid name: not empty, and only letters, digits, `-`, `_` and `.`.
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     !text.is_empty() && text.bytes().all(is_allowed)
 }
--- a/src/net/gossip_socket.rs
+++ b/src/net/gossip_socket.rs
@@ -114,7 +114,7 @@
         }
         let position = self.peers.iter().position(|peer| *peer == sender);
         let number = position.ok_or(DropReason::UnknownSender)?;
-        if PrimaryHint::read(bytes).is_none() {
+        if PrimaryHint::decode(bytes).is_none() {
             return Err(DropReason::Unreadable);
         }
         Ok(number as u16)
--- a/src/net/gossip_socket/tests.rs
+++ b/src/net/gossip_socket/tests.rs
@@ -26,7 +26,7 @@
     let mut bytes = [0; 512];
     assert_eq!(peer.recv(&mut bytes).unwrap(), 256, "the longer one was never sent");
     let endpoint = EndpointId { ip: [1, 2, 3, 4], port: 5 };
-    let hint = PrimaryHint { endpoint, at: Timestamp::from_micros(6) }.write();
+    let hint = PrimaryHint { endpoint, at: Timestamp::from_micros(6) }.encode();
     stranger.send_to(&hint, address).unwrap();
     for bad in [&hint[..hint.len() - 1], b"", b"noise", &[1; 257], &[1; 2000]] {
         peer.send_to(bad, address).unwrap();
--- a/src/primary_hint.rs
+++ b/src/primary_hint.rs
@@ -22,7 +22,7 @@
 
 impl PrimaryHint {
     /// Encodes the hint as a datagram.
-    pub fn write(self) -> Vec<u8> {
+    pub fn encode(self) -> Vec<u8> {
         let mut bytes = vec![KIND_PRIMARY_SEEN];
         bytes.extend(self.endpoint.ip);
         bytes.extend(self.endpoint.port.to_be_bytes());
@@ -31,7 +31,7 @@
     }
 
     /// Decodes a datagram; `None` if it is truncated, too long or of another kind.
-    pub fn read(bytes: &[u8]) -> Option<PrimaryHint> {
+    pub fn decode(bytes: &[u8]) -> Option<PrimaryHint> {
         let [KIND_PRIMARY_SEEN, rest @ ..] = bytes else { return None };
         let (ip, rest) = rest.split_first_chunk::<4>()?;
         let (port, time) = rest.split_first_chunk::<2>()?;
--- a/src/primary_hint/golden_tests.rs
+++ b/src/primary_hint/golden_tests.rs
@@ -13,11 +13,11 @@
         endpoint: EndpointId { ip: [9, 8, 7, 6], port: 54321 },
         at: Timestamp::from_micros(0x0006_6197_2570_697b),
     };
-    assert_eq!((hint.write(), PrimaryHint::read(&GOLDEN)), (GOLDEN.to_vec(), Some(hint)));
+    assert_eq!((hint.encode(), PrimaryHint::decode(&GOLDEN)), (GOLDEN.to_vec(), Some(hint)));
     let before_zero = PrimaryHint { at: Timestamp::from_micros(-2), ..hint };
     let bytes = [&GOLDEN[..7], &[0xff; 7], &[0xfe]].concat();
     assert_eq!(
-        (before_zero.write(), PrimaryHint::read(&bytes)),
+        (before_zero.encode(), PrimaryHint::decode(&bytes)),
         (bytes, Some(before_zero)),
         "the time is signed"
     );
--- a/src/routing/learning.rs
+++ b/src/routing/learning.rs
@@ -63,7 +63,7 @@
             // find the new primary by misdirected attempts of its own.
             if status.is_some() && self.settings.peer_messages == Some(true) {
                 let hint = PrimaryHint { endpoint: id, at: now };
-                actions.push(Action::SendToPeers { to: None, bytes: hint.write() });
+                actions.push(Action::SendToPeers { to: None, bytes: hint.encode() });
             }
         }
         if status.is_some() {
@@ -79,7 +79,7 @@
 
     /// Handles a message from a peer, which is untrusted. Any message that is not a primary hint is ignored.
     pub(super) fn receive_peer_message(&mut self, now: Timestamp, bytes: &[u8]) {
-        if let Some(hint) = PrimaryHint::read(bytes) {
+        if let Some(hint) = PrimaryHint::decode(bytes) {
             self.apply_primary_hint(now, hint);
         }
     }
--- a/tests/router/peer_hints.rs
+++ b/tests/router/peer_hints.rs
@@ -14,7 +14,7 @@
     harness.update_list(ListKind::Full, (1..=3).map(entry).collect());
     (2..=3).for_each(|n| harness.report_state(n, Role::Replica, 900 * MS));
     let hint = PrimaryHint { endpoint: endpoint(1), at: harness.now };
-    harness.handle(Event::PeerMessage { from: 2, bytes: hint.write() });
+    harness.handle(Event::PeerMessage { from: 2, bytes: hint.encode() });
     let (id, actions) = harness.request(SESSION_READ, 2_000 * MS, Some(100 * MS));
     let probes_primary =
         |action: &Action| matches!(action, Action::Probe { endpoint: to } if *to == endpoint(1));
@@ -86,7 +86,7 @@
         "the hint is older than the misdirected attempt"
     );
     let hint =
-        |n, at| Event::PeerMessage { from: 0, bytes: PrimaryHint { endpoint: endpoint(n), at }.write() };
+        |n, at| Event::PeerMessage { from: 0, bytes: PrimaryHint { endpoint: endpoint(n), at }.encode() };
     receiver.update_list(
         ListKind::Delta,
         vec![EndpointEntry { availability: Availability::Draining, ..entry(3) }],
@@ -105,7 +105,7 @@
     let mut harness = RouterHarness::new(settings, 2);
     harness.report_state(2, Role::Replica, 4_000 * MS);
     harness.now += 1_000 * MS;
-    let bytes = PrimaryHint { endpoint: endpoint(2), at: Timestamp::MAX }.write();
+    let bytes = PrimaryHint { endpoint: endpoint(2), at: Timestamp::MAX }.encode();
     harness.handle(Event::PeerMessage { from: 0, bytes });
     let (id, sent) = harness.request(BOUNDED_READ, 2_000 * MS, None);
     assert!(sent_to(&sent, id).is_empty(), "the endpoint named by the hint would serve stale data");
