--- a/src/config.rs
+++ b/src/config.rs
@@ -274,7 +274,7 @@
 
 /// The times of a process's shutdown, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DrainTimes {
+pub struct ShutdownTimes {
     /// How long connections are still accepted, and idle ones kept open.
     pub accept_period: Duration,
     /// When the process exits.
@@ -369,17 +369,17 @@
 
     /// Shutdown times of a process whose clients can use other poolers. `client_timeout` is the longest timeout that
     /// any client has set for a request.
-    pub fn drain_times(&self, client_timeout: Option<TimeDelta>) -> DrainTimes {
+    pub fn shutdown_times(&self, client_timeout: Option<TimeDelta>) -> ShutdownTimes {
         let client_timeout = client_timeout.unwrap_or(TimeDelta::ZERO).to_duration();
         let longest_request = client_timeout.min(self.shutdown_deadline).max(self.shutdown_accept_period);
-        DrainTimes { accept_period: self.shutdown_accept_period, total: longest_request + EXIT_MARGIN }
+        ShutdownTimes { accept_period: self.shutdown_accept_period, total: longest_request + EXIT_MARGIN }
     }
 
     /// Shutdown times of a pooler without peers, which accepts requests for as long as it can still answer them.
-    pub fn drain_times_without_peers(&self, client_timeout: Option<TimeDelta>) -> DrainTimes {
-        let times = self.drain_times(client_timeout);
+    pub fn shutdown_times_without_peers(&self, client_timeout: Option<TimeDelta>) -> ShutdownTimes {
+        let times = self.shutdown_times(client_timeout);
         let until_last_accept = times.total.saturating_sub(LAST_ACCEPT_MARGIN);
-        DrainTimes { accept_period: times.accept_period.max(until_last_accept), ..times }
+        ShutdownTimes { accept_period: times.accept_period.max(until_last_accept), ..times }
     }
 }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -8,7 +8,7 @@
     let limits = Limits::for_sockets(64);
     let micros = [-5, 1, 400_000, 930_000, 2_500_000, i64::MAX].map(|n| Some(TimeDelta::from_micros(n)));
     for client_timeout in std::iter::once(None).chain(micros) {
-        let DrainTimes { accept_period, total } = limits.drain_times_without_peers(client_timeout);
+        let ShutdownTimes { accept_period, total } = limits.shutdown_times_without_peers(client_timeout);
         let (shortest, longest) = (TimeDelta::from_millis(450), TimeDelta::from_secs(3));
         let deadline = client_timeout.unwrap_or(TimeDelta::ZERO).clamp(shortest, longest).to_duration();
         assert!(total < deadline + Duration::from_millis(700), "{client_timeout:?}");
@@ -18,13 +18,13 @@
             "{client_timeout:?}"
         );
         assert_eq!(
-            limits.drain_times(client_timeout),
-            DrainTimes { accept_period: limits.shutdown_accept_period, total },
+            limits.shutdown_times(client_timeout),
+            ShutdownTimes { accept_period: limits.shutdown_accept_period, total },
             "{client_timeout:?}"
         );
     }
     let long_request = Some(TimeDelta::from_millis(2_500));
-    assert!(limits.drain_times_without_peers(long_request).accept_period > Duration::from_secs(2));
+    assert!(limits.shutdown_times_without_peers(long_request).accept_period > Duration::from_secs(2));
 }
 
 /// Guards against attempts on a draining endpoint after the watch that should have announced the drain went silent. A
--- a/src/daemon/shutdown.rs
+++ b/src/daemon/shutdown.rs
@@ -61,8 +61,8 @@
             lifecycle.terminate();
             let client_timeout = engine.longest_client_timeout();
             let drain = match handover {
-                Handover::Nobody => limits.drain_times_without_peers(client_timeout),
-                Handover::Tier | Handover::Successor => limits.drain_times(client_timeout),
+                Handover::Nobody => limits.shutdown_times_without_peers(client_timeout),
+                Handover::Tier | Handover::Successor => limits.shutdown_times(client_timeout),
             };
             stop_accepting(handover, acceptor, signalled_at, drain.accept_period).await;
             let end = signalled_at + drain.total;
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -165,14 +165,15 @@
 /// Guards against a node that receives messages from all nodes but the leader and so never learns what is committed,
 /// and against leadership that keeps moving between nodes.
 #[test]
-fn a_leader_that_some_voters_do_not_hear_transfers_leadership_to_one_that_all_hear() {
+fn a_leader_that_does_not_reach_all_voters_transfers_leadership_to_one_that_does() {
     let mut fleet = SimulatedFleet::new(&["b", "c", "d", "e"]);
     for (id, name) in [(2, "b"), (3, "c"), (4, "d"), (5, "e")] {
         fleet.add_candidate(id, name);
     }
     fleet.run();
-    let status = |node: u64, leaderless, unheard: &[u64]| {
-        let reachable_peers = (1..=5).filter(|id| *id != node && !unheard.contains(id)).map(NodeId).collect();
+    let status = |node: u64, leaderless, unreachable: &[u64]| {
+        let reachable_peers =
+            (1..=5).filter(|id| *id != node && !unreachable.contains(id)).map(NodeId).collect();
         (NodeId(node), VoterStatus { leaderless_for: TimeDelta::from_micros(leaderless), reachable_peers })
     };
     fleet.voter_statuses = (2..=5).map(|id| status(id, 0, &[])).collect();
@@ -188,9 +189,9 @@
     assert_eq!(
         fleet.next(),
         MembershipAction::TransferLeadership(NodeId(5)),
-        "not every other voter hears node 4"
+        "node 4 does not reach every other voter"
     );
-    // A voter that hears no node is no reason for a transfer: it would hear no other leader either.
+    // A voter that no node reaches is no reason for a transfer: no other leader would reach it either.
     fleet.voter_statuses = (2..=4).map(|id| status(id, 0, &[5])).collect();
     fleet.voter_statuses.extend([status(5, 9_000, &[1, 2, 3, 4])]);
     assert_eq!(fleet.next(), MembershipAction::Nothing);
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -59,7 +59,7 @@
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// No node, where no vote was given or no leader is known.
+    /// No node: used if no vote was given or no leader is known.
     pub const NONE: NodeId = NodeId(0);
 }
 
--- a/src/inventory/record.rs
+++ b/src/inventory/record.rs
@@ -116,7 +116,7 @@
     field.text.parse().ok().filter(is_allowed).ok_or_else(|| entry.invalid("weight", field))
 }
 
-/// When the endpoint was started, from Unix time in milliseconds. 0 stands for unknown.
+/// When the endpoint was started: Unix time in milliseconds, 0 if unknown.
 fn started_at(entry: &Entry) -> Result<Option<Timestamp>, InventoryError> {
     let Some(field) = entry.fields.get("since_ms").filter(|field| field.text != "0") else { return Ok(None) };
     let millis = field.text.parse::<i64>().ok().filter(|millis| *millis > 0);
