--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -33,7 +33,7 @@
     fn starting(waiting_for: &str) -> RecoveryStatus {
         let now = Instant::now();
         RecoveryStatus {
-            phase: RecoveryPhase::List,
+            phase: RecoveryPhase::EndpointList,
             waiting_for: waiting_for.into(),
             phase_since: now,
             started_at: now,
@@ -257,6 +257,6 @@
             };
             known.insert(name, endpoint);
         }
-        restarts.record(now, slow_start, cold.into_iter(), &known)
+        restarts.check(now, slow_start, cold.into_iter(), &known)
     }
 }
