--- a/src/bin/brookpass-simulator-adapter/instance_host.rs
+++ b/src/bin/brookpass-simulator-adapter/instance_host.rs
@@ -48,7 +48,7 @@
             Ok(router) => {
                 self.routers.insert(instance, router);
             }
-            Err(_) => reply.push_instance_failure(instance, "the decision module panicked during its start"),
+            Err(_) => reply.push_instance_failure(instance, "the module panicked at its start"),
         }
     }
 
@@ -88,5 +88,5 @@
     if let Some(text) = panic.downcast_ref::<String>() {
         return text;
     }
-    panic.downcast_ref::<&str>().copied().unwrap_or("the decision module panicked")
+    panic.downcast_ref::<&str>().copied().unwrap_or("the module panicked")
 }
