--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -1,14 +1,14 @@
-//! The front for SPARQL clients: what its connections share, and how one connection is served.
+//! The front for SPARQL clients: the state that its connections share, and serving one connection.
 //!
-//! - `starting`: connections while nothing can be served yet
-//! - `responder`: responses, complete or streamed
+//! - `starting`: connections that are accepted before the pooler can serve requests.
+//! - `responder`: writes responses, complete or streamed.
 
 mod responder;
 mod starting;
 
 use super::client_error::ClientError;
+use super::endpoint::EndpointAnswer;
 use super::error::OperationError;
-use super::host::HostAnswer;
 use super::operation::{Operation, OperationKind};
 use super::response_head::lost_commit_answer;
 use crate::config::Limits;
@@ -19,7 +19,7 @@
 use crate::net::buffer::Buffer;
 use crate::net::connection::ClientConnection;
 use crate::net::connection_limiter::{AcceptDecision, ConnectionSlot};
-use crate::net::http::server::{self, Next, Request};
+use crate::net::http::server::{self, NextRequest, Request};
 use crate::net::http::status;
 use crate::net::latch::Latch;
 use crate::net::lifecycle::{Lifecycle, ServingState};
@@ -30,50 +30,50 @@
 use async_io::Async;
 use futures_lite::future;
 use responder::{AfterResponse, Responder};
-pub use starting::serve_early;
+pub use starting::serve_while_starting;
 use std::cell::RefCell;
 use std::io;
 use std::net::TcpStream;
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The path of the readiness check.
+/// URL path of the readiness check.
 const READINESS_PATH: &str = "/-/ready";
 
-/// What the operator's file says about the front.
+/// The front's configuration, from the operator's file.
 #[derive(Clone, Debug, Default)]
-pub struct Service {
-    /// The path of the operation endpoint.
+pub struct FrontConfig {
+    /// URL path at which the front accepts operations.
     pub path: String,
-    /// Class of a query that names none.
-    pub query: String,
-    /// Class of a query with a position that names none; without one it is that of any query.
-    pub session: Option<String>,
-    /// Class of an update that names none.
-    pub update: String,
-    /// The group of a request that names none.
-    pub group: Option<GroupId>,
+    /// Class of queries that name no class.
+    pub query_class: String,
+    /// Class of queries that send a log position but name no class; `None`: the same class as without a position.
+    pub session_query_class: Option<String>,
+    /// Class of updates that name no class.
+    pub update_class: String,
+    /// Group of requests that name no group; `None`: such requests are rejected.
+    pub default_group: Option<GroupId>,
 }
 
-/// What all connections of the front share.
+/// The front's state, which all its connections share.
 pub struct Front {
-    /// Limits of connections, messages and times.
+    /// Limits on connections, message lengths and times.
     pub limits: Rc<Limits>,
-    /// Submits requests to the engine.
-    pub handle: EngineHandle<Arc<Operation>, HostAnswer>,
-    /// The classes by name.
+    /// Handle through which requests are submitted to the engine.
+    pub engine: EngineHandle<Arc<Operation>, EndpointAnswer>,
+    /// The classes of the settings.
     pub classes: Classes,
-    /// The path, and defaults of requests.
-    pub service: Service,
-    /// Set once all groups are served.
-    pub ready: Latch,
-    /// Whether the process serves, is drained or terminates.
+    /// Path and defaults of requests.
+    pub config: FrontConfig,
+    /// Set once all groups are served; until then the readiness check fails.
+    pub all_groups_served: Latch,
+    /// Whether the pooler serves, is drained or terminates.
     pub lifecycle: Rc<Lifecycle>,
-    /// Commits that groups have lost.
+    /// The known ranges of commits that groups have lost.
     pub log_rollbacks: Rc<RefCell<LogRollbacks>>,
 }
 
-/// An operation that can be submitted.
+/// An operation that is ready to be submitted to the engine.
 struct PreparedOperation {
     request: IncomingRequest,
     client_timeout: TimeDelta,
@@ -81,9 +81,9 @@
 }
 
 impl Front {
-    /// Serves one connection to its end.
+    /// Serves one connection until it is closed. A connection above the limit receives an error and is closed.
     pub async fn serve(&self, stream: Async<TcpStream>, slot: ConnectionSlot, decision: AcceptDecision) {
-        let clock = self.handle.clock().clone();
+        let clock = self.engine.clock().clone();
         let mut connection = ClientConnection::new(stream, slot, self.limits.clone(), clock);
         if decision == AcceptDecision::Reject {
             let error = ClientError::TooManyConnections { retry_after: self.retry_after() };
@@ -96,44 +96,44 @@
             match self.serve_request(&mut connection, &mut buffer).await {
                 Ok(AfterResponse::KeepOpen) if !(connection.ends() && buffer.unread().is_empty()) => {}
                 Ok(AfterResponse::KeepOpen | AfterResponse::Close) => break,
-                // No proper end of the connection: the client must see that what it has is not complete.
+                // Closes the connection without a graceful shutdown, so that the client notices the truncated response.
                 Ok(AfterResponse::Abort) | Err(_) => return,
             }
         }
         let _ = connection.linger().await;
     }
 
-    /// Waits for a request and answers it.
+    /// Waits for a request and responds to it.
     async fn serve_request(
         &self,
         connection: &mut ClientConnection,
         buffer: &mut Buffer,
     ) -> io::Result<AfterResponse> {
-        match server::next(connection, buffer, &self.limits).await {
-            Next::Over => Ok(AfterResponse::Close),
-            Next::Refused(error) => {
+        match server::next_request(connection, buffer, &self.limits).await {
+            NextRequest::ConnectionClosed => Ok(AfterResponse::Close),
+            NextRequest::Rejected(error) => {
                 log::warn!("client: request rejected: {error}");
                 let close = [("Connection", "close")];
-                connection.write(&server::answer(error.status(), &close, &error.to_string())).await?;
+                connection.write(&server::text_response(error.status(), &close, &error.to_string())).await?;
                 Ok(AfterResponse::Close)
             }
-            Next::Request(request) => {
+            NextRequest::Received(request) => {
                 let mut responder = Responder { connection, buffer, request: &request };
-                self.answer(&request, &mut responder).await
+                self.respond(&request, &mut responder).await
             }
         }
     }
 
-    async fn answer(&self, request: &Request, responder: &mut Responder<'_>) -> io::Result<AfterResponse> {
-        let (path, _) = request.target();
+    async fn respond(&self, request: &Request, responder: &mut Responder<'_>) -> io::Result<AfterResponse> {
+        let (path, _) = request.path_and_query();
         if path == READINESS_PATH {
-            return responder.write(self.readiness()).await;
+            return responder.write(self.readiness_response()).await;
         }
-        if path != self.service.path {
+        if path != self.config.path {
             return responder.write(ClientError::NotFound.to_response()).await;
         }
         match Operation::parse(request).and_then(|operation| self.prepare(operation)) {
-            Ok(prepared) => self.run(prepared, responder).await,
+            Ok(prepared) => self.submit(prepared, responder).await,
             Err(error) => {
                 log::warn!("client: operation rejected: {error}");
                 responder.write(ClientError::from(error).to_response()).await
@@ -141,17 +141,17 @@
         }
     }
 
-    fn readiness(&self) -> Vec<u8> {
+    fn readiness_response(&self) -> Vec<u8> {
         if self.lifecycle.state() == ServingState::Drained {
-            return server::answer(status::SERVICE_UNAVAILABLE, &[], "drained");
+            return server::text_response(status::SERVICE_UNAVAILABLE, &[], "drained");
         }
-        if !self.ready.is_set() {
-            return server::answer(status::SERVICE_UNAVAILABLE, &[], "not all groups are served yet");
+        if !self.all_groups_served.is_set() {
+            return server::text_response(status::SERVICE_UNAVAILABLE, &[], "not all groups are served yet");
         }
-        server::answer(status::OK, &[], "ready")
+        server::text_response(status::OK, &[], "ready")
     }
 
-    /// Completes an operation with the defaults, and checks that its class can serve it.
+    /// Adds the defaults to an operation and checks that its class exists and fits the operation.
     fn prepare(&self, operation: Operation) -> Result<PreparedOperation, OperationError> {
         let class_name = operation.class.as_deref().unwrap_or_else(|| self.default_class(&operation));
         let key = if operation.key.is_some() { IdempotencyKey::Present } else { IdempotencyKey::Absent };
@@ -164,9 +164,9 @@
         if operation.position.is_some() && !self.classes.honors_client_position(class_name) {
             return Err(OperationError::ClassIgnoresPositions(class_name.to_string()));
         }
-        let group = operation.group.or(self.service.group).ok_or(OperationError::MissingGroup)?;
-        let now = self.handle.clock().now();
-        // A client's clock that is a little ahead makes the age zero, not negative.
+        let group = operation.group.or(self.config.default_group).ok_or(OperationError::MissingGroup)?;
+        let now = self.engine.clock().now();
+        // If the client's clock is ahead, the age is zero instead of negative.
         let last_commit_age =
             operation.position.map(|position| (now - position.commit_time(Timestamp::ZERO)).or_zero());
         let session = operation.session.as_deref().map_or(0, session_hash);
@@ -177,37 +177,37 @@
         Ok(PreparedOperation { request, client_timeout, operation })
     }
 
-    /// The class of an operation that names none.
+    /// The class of an operation that names no class.
     fn default_class(&self, operation: &Operation) -> &str {
-        let service = &self.service;
-        match (operation.kind, &service.session) {
-            (OperationKind::Update, _) => &service.update,
+        let config = &self.config;
+        match (operation.kind, &config.session_query_class) {
+            (OperationKind::Update, _) => &config.update_class,
             (OperationKind::Query, Some(session)) if operation.position.is_some() => session,
-            (OperationKind::Query, _) => &service.query,
+            (OperationKind::Query, _) => &config.query_class,
         }
     }
 
-    /// Submits an operation and writes its answer.
-    async fn run(
+    /// Submits an operation to the engine, waits for the answer and writes it.
+    async fn submit(
         &self,
         prepared: PreparedOperation,
         responder: &mut Responder<'_>,
     ) -> io::Result<AfterResponse> {
         let PreparedOperation { request, client_timeout, operation } = prepared;
         let session_commit = operation.position.filter(|_| !operation.is_update());
-        let lost = session_commit
+        let lost_position = session_commit
             .and_then(|commit| self.log_rollbacks.borrow().rolled_back_to(request.group, commit));
-        if let Some(position) = lost {
+        if let Some(position) = lost_position {
             return responder.write_answer(lost_commit_answer(position)).await;
         }
-        let arrived = responder.connection.arrival_time(responder.buffer.unread().len());
+        let arrived_at = responder.connection.arrival_time(responder.buffer.unread().len());
         if responder.connection.has_departed() {
             return Ok(AfterResponse::Abort);
         }
-        // The answer has to reach the client before it stops waiting.
+        // The margin leaves time for the answer to reach the client before it stops waiting.
         let margin = TimeDelta::from(self.limits.answer_margin);
-        let deadline = arrived + (client_timeout - margin).or_zero();
-        let Some((id, reply)) = self.handle.submit(request, deadline, Arc::new(operation)).await else {
+        let deadline = arrived_at + (client_timeout - margin).or_zero();
+        let Some((id, reply)) = self.engine.submit(request, deadline, Arc::new(operation)).await else {
             let error = ClientError::Terminating { retry_after: self.retry_after() };
             return responder.write_and_close(error.to_response()).await;
         };
@@ -216,25 +216,25 @@
             None => Ok(AfterResponse::Abort),
         };
         if !matches!(written, Ok(AfterResponse::KeepOpen | AfterResponse::Close)) {
-            // Whatever is still under way for this client ends now.
-            self.handle.send_input(Input::RequestCancelled(id)).await;
+            // Nobody waits for the answer any more: ends all attempts of the request.
+            self.engine.send_input(Input::RequestCancelled(id)).await;
         }
         written
     }
 
-    /// Waits for the final answer; `None` where the client leaves before.
+    /// Waits for the final answer; `None` if the client disconnects first.
     async fn wait_for_answer(
         &self,
-        reply: &Receiver<FinalAnswer<HostAnswer>>,
+        reply: &Receiver<FinalAnswer<EndpointAnswer>>,
         responder: &mut Responder<'_>,
-    ) -> Option<FinalAnswer<HostAnswer>> {
+    ) -> Option<FinalAnswer<EndpointAnswer>> {
         let answered = async { Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { overdue: false })) };
-        let client_left = async {
+        let client_disconnected = async {
             responder.connection.wait_for_departure(responder.buffer).await;
             None
         };
-        // An answer that has come is written even if the client has just left.
-        future::or(answered, client_left).await
+        // An answer that is available takes precedence over the disconnect of the client.
+        future::or(answered, client_disconnected).await
     }
 
     fn retry_after(&self) -> TimeDelta {
@@ -242,8 +242,9 @@
     }
 }
 
+/// Writes an answer of the engine: an endpoint's answer, or an error response.
 async fn write_final_answer(
-    answer: FinalAnswer<HostAnswer>,
+    answer: FinalAnswer<EndpointAnswer>,
     responder: &mut Responder<'_>,
 ) -> io::Result<AfterResponse> {
     let error = match answer {
