--- a/src/net/connection_limiter/slot.rs
+++ b/src/net/connection_limiter/slot.rs
@@ -125,10 +125,10 @@
 
     /// Reserves `bytes` for a buffered message, replacing the connection's earlier reservation. Returns false without
     /// any change if they do not fit into `Limits::message_budget_bytes`. Messages of up to
-    /// `Limits::unbudgeted_message_bytes` bytes reserve nothing.
+    /// `Limits::unreserved_message_bytes` bytes reserve nothing.
     pub fn try_reserve_message_bytes(&mut self, bytes: usize) -> bool {
         let limits = &self.limiter.limits;
-        let budgeted = if bytes > limits.unbudgeted_message_bytes { bytes } else { 0 };
+        let budgeted = if bytes > limits.unreserved_message_bytes { bytes } else { 0 };
         let reserved_by_others = self.limiter.reserved_message_bytes.get() - self.reserved_message_bytes;
         if budgeted > 0 && reserved_by_others + budgeted > limits.message_budget_bytes {
             return false;
--- a/src/net/connection_limiter/tests.rs
+++ b/src/net/connection_limiter/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of connection slots and of the selection of connections to close.
 
 use super::*;
-use crate::config::Machine;
+use crate::config::ProcessResources;
 use std::time::{Duration, Instant};
 
 fn limiter(limits: Limits) -> Rc<ConnectionLimiter> {
@@ -68,8 +68,8 @@
 /// Guards against clients that send a single request and stay connected: since connections are limited, they would lock
 /// out clients that keep sending requests.
 #[test]
-fn above_crowded_clients_idle_connections_with_one_request_are_closed_first() {
-    let limits = Limits { client_connections: 9, crowded_clients: 3, ..Limits::for_sockets(64) };
+fn above_the_eviction_threshold_idle_connections_with_one_request_are_closed_first() {
+    let limits = Limits { client_connections: 9, eviction_threshold: 3, ..Limits::for_sockets(64) };
     let (grace, max_idle) = (limits.silent_client_grace, limits.client_idle_timeout);
     let limiter = limiter(limits);
     let admit = |requests: u32, idle_time: Duration| {
@@ -102,7 +102,7 @@
 #[test]
 fn long_messages_share_one_budget() {
     let limits =
-        Limits { unbudgeted_message_bytes: 10, message_budget_bytes: 100, ..Limits::for_sockets(64) };
+        Limits { unreserved_message_bytes: 10, message_budget_bytes: 100, ..Limits::for_sockets(64) };
     let limiter = limiter(limits);
     let (mut first, mut second) = (limiter.admit().unwrap(), limiter.admit().unwrap());
     assert!(first.try_reserve_message_bytes(60));
@@ -120,10 +120,10 @@
 #[test]
 fn the_sum_of_the_limits_is_within_what_the_process_may_use() {
     for sockets in [64, 256, 384, 1024, 20_000] {
-        let platform = Machine::platform(Some(sockets), Some(32.0));
+        let platform = ProcessResources::platform(Some(sockets), Some(32.0));
         let half = platform.half().with_admin_server();
-        for machine in [Machine::operator(sockets), platform, platform.with_admin_server(), half] {
-            let limits = Limits::on(machine);
+        for machine in [ProcessResources::operator(sockets), platform, platform.with_admin_server(), half] {
+            let limits = Limits::for_resources(machine);
             let (admin, sockets) = (limits.for_admin_server(), machine.sockets);
             let (clients, backends) = (limits.client_connections, limits.backend_connections);
             let rejected = limits.rejected_connections;
--- a/src/platform_config/flatten.rs
+++ b/src/platform_config/flatten.rs
@@ -1,28 +1,28 @@
-//! Nested settings as `path=value` pairs, in the form that the simulator's protocol writes them in.
+//! Converts nested settings to `path=value` pairs, the format that the simulator's protocol uses.
 
 use miniserde::json::Value;
 use std::collections::BTreeMap;
 
-/// All values below `settings` by their path. A list of objects becomes a `count` and an element each
-/// (`services.0.name`), any other list one value with commas.
+/// Returns all values in `settings` by their paths. A list of objects becomes a `count` and a numbered path for each
+/// element (`services.0.name`); any other list becomes one comma-separated value.
 pub fn flatten(settings: &Value) -> BTreeMap<String, String> {
     let mut pairs = BTreeMap::new();
-    add("", settings, &mut pairs);
+    add_value("", settings, &mut pairs);
     pairs
 }
 
-fn add(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
+fn add_value(path: &str, value: &Value, pairs: &mut BTreeMap<String, String>) {
     match value {
         Value::Null => {}
         Value::Object(object) => {
             for (key, value) in object {
-                add(&join(path, key), value, pairs);
+                add_value(&join_path(path, key), value, pairs);
             }
         }
         Value::Array(elements) if elements.iter().any(|element| matches!(element, Value::Object(_))) => {
-            pairs.insert(join(path, "count"), elements.len().to_string());
+            pairs.insert(join_path(path, "count"), elements.len().to_string());
             for (index, element) in elements.iter().enumerate() {
-                add(&join(path, &index.to_string()), element, pairs);
+                add_value(&join_path(path, &index.to_string()), element, pairs);
             }
         }
         Value::Array(elements) => {
@@ -35,7 +35,7 @@
     }
 }
 
-fn join(path: &str, key: &str) -> String {
+fn join_path(path: &str, key: &str) -> String {
     if path.is_empty() { key.to_string() } else { format!("{path}.{key}") }
 }
 
