--- a/src/fleet/admin_api/mod.rs
+++ b/src/fleet/admin_api/mod.rs
@@ -1,13 +1,12 @@
-//! The operators' HTTP interface at the store's address, on loopback only. The same address serves the connections of
-//! peers.
+//! The HTTP interface for operators at the store's address, on loopback only. The same address serves peer connections.
 //!
-//! The texts and status codes of all answers are an interface that scripts use: the golden answers hold them.
+//! Scripts depend on the texts and status codes of all answers; the golden answers of the tests pin them.
 
 mod description;
 mod metrics;
 
 pub use self::description::{NodeRole, describe_fleet, node_role};
-pub use self::metrics::figures;
+pub use self::metrics::render_metrics;
 
 use super::membership::{MemberRequest, MembershipRequest};
 use super::runtime::{
@@ -30,17 +29,17 @@
         Answer { status, text: text.into() }
     }
 
-    fn nothing_here() -> Answer {
+    fn not_found() -> Answer {
         Answer::new(404, "nothing is here")
     }
 
-    /// Nothing was done because no majority committed it in time.
+    /// No majority committed the command in time.
     fn no_majority() -> Answer {
         Answer::new(503, "not done: no majority agreed in time. Say it again later")
     }
 }
 
-/// Serves one connection, of an operator or of a peer.
+/// Serves one connection from an operator or a peer.
 pub async fn serve(fleet: Rc<Fleet>, mut connection: ClientConnection) {
     let mut buffer = Buffer::default();
     loop {
@@ -70,7 +69,7 @@
 async fn answer(fleet: &Fleet, request: &Request) -> Answer {
     let (path, _) = request.path_and_query();
     let method = request.head.start_line[0].as_str();
-    // A page in a browser on this machine could drain endpoints otherwise.
+    // Otherwise a web page in a browser on this machine could drain endpoints.
     if request.head.header("origin").is_some() {
         return Answer::new(403, "not for web pages");
     }
@@ -86,7 +85,7 @@
             Err(error) => Answer::new(409, error.to_string()),
         },
         ("POST", _) => answer_command(fleet, path).await,
-        ("GET", _) => Answer::nothing_here(),
+        ("GET", _) => Answer::not_found(),
         _ => Answer::new(405, "GET or POST"),
     }
 }
@@ -98,7 +97,7 @@
     }
 }
 
-/// Carries out a command that needs this node's fleet.
+/// Carries out a command that requires membership in the fleet.
 async fn answer_command(fleet: &Fleet, path: &str) -> Answer {
     if fleet.agreed().is_removed() {
         return Answer::new(409, "this daemon was removed from its fleet: say it to another one");
@@ -118,7 +117,7 @@
     if let Some(name) = path.strip_prefix("/fleet/leave/") {
         return change_membership(fleet, name, MembershipRequest::Remove).await;
     }
-    Answer::nothing_here()
+    Answer::not_found()
 }
 
 async fn drain(fleet: &Fleet, endpoint: &str) -> Answer {
@@ -154,7 +153,7 @@
         "return" => ZoneCommand::Return,
         "return-now" => ZoneCommand::ReturnNow,
         "hold" => ZoneCommand::Hold,
-        _ => return Answer::nothing_here(),
+        _ => return Answer::not_found(),
     };
     match fleet.command_zone(zone, command).await {
         Ok(weight) => {
--- a/src/inventory/csv_form.rs
+++ b/src/inventory/csv_format.rs
@@ -1,16 +1,16 @@
-//! Inventories in CSV: a header row with the names of facts, then a row for each endpoint. Lines that start with `#`
-//! are comments.
+//! Inventories in CSV: a header row with the field names, then one row for each endpoint. Lines that start with `#` are
+//! comments.
 
-use super::{Entry, Fact, Facts, InventoryError, InventoryProblem};
+use super::{Entry, Field, Fields, InventoryError, InventoryProblem};
 use csv::{ErrorKind, ReaderBuilder, StringRecord, Trim};
 use std::collections::BTreeSet;
 
 const REQUIRED_COLUMNS: [&str; 3] = ["name", "address", "group"];
 
-/// Reads all rows.
+/// Parses all rows.
 ///
 /// # Errors
-/// [`InventoryError`] with the line of the row.
+/// [`InventoryError`] with the line of the first invalid row.
 pub fn parse(text: &str) -> Result<Vec<Entry>, InventoryError> {
     let mut reader = ReaderBuilder::new().trim(Trim::All).comment(Some(b'#')).from_reader(text.as_bytes());
     let mut lines = LineCounter { text, counted_bytes: 0, line: 1 };
@@ -21,9 +21,9 @@
     for row in reader.records() {
         let row = row.map_err(|error| csv_error(&error, &mut lines))?;
         let line = row.position().map_or(1, |position| lines.line_of(position.byte()));
-        let entry = entry(&header, &row, line)?;
+        let entry = parse_row(&header, &row, line)?;
         if !names.insert(entry.name.clone()) {
-            return Err(InventoryError::new(line, InventoryProblem::Duplicate(entry.name)));
+            return Err(InventoryError::new(line, InventoryProblem::DuplicateEndpoint(entry.name)));
         }
         entries.push(entry);
     }
@@ -46,17 +46,17 @@
     Ok(())
 }
 
-fn entry(header: &StringRecord, row: &StringRecord, line: usize) -> Result<Entry, InventoryError> {
-    let mut facts = Facts::new();
+fn parse_row(header: &StringRecord, row: &StringRecord, line: usize) -> Result<Entry, InventoryError> {
+    let mut fields = Fields::new();
     for (column, value) in header.iter().zip(row) {
         if !value.is_empty() {
-            facts.insert(column.to_string(), Fact { text: value.to_string(), line });
+            fields.insert(column.to_string(), Field { text: value.to_string(), line });
         }
     }
-    let Some(name) = facts.remove("name") else {
-        return Err(InventoryError::new(line, InventoryProblem::Unnamed));
+    let Some(name) = fields.remove("name") else {
+        return Err(InventoryError::new(line, InventoryProblem::MissingName));
     };
-    Ok(Entry { name: name.text, line, facts })
+    Ok(Entry { name: name.text, line, fields })
 }
 
 fn csv_error(error: &csv::Error, lines: &mut LineCounter<'_>) -> InventoryError {
@@ -71,12 +71,12 @@
     InventoryError::new(line, problem)
 }
 
-/// Finds the lines of records that the reader reports by the byte at which it began to look for them. It counts on from
-/// the last record: counting from the start each time would take the square of a file's length.
+/// Converts byte offsets to line numbers. The CSV reader reports the offset at which it began to look for a record.
+/// Counting continues from the last record, since counting from the start each time would take quadratic time.
 struct LineCounter<'a> {
     text: &'a str,
     counted_bytes: usize,
-    /// Line of the byte at `counted_bytes`.
+    /// The line that contains the byte at `counted_bytes`.
     line: usize,
 }
 
@@ -93,7 +93,7 @@
         self.line
     }
 
-    /// Where the record itself begins, behind blank lines and comments.
+    /// The offset of the record itself, after blank lines and comments.
     fn skip_blank_lines(&self, mut start: usize) -> usize {
         while let Some(rest) = self.text.get(start..).filter(|rest| !rest.is_empty()) {
             let line = rest.split('\n').next().unwrap_or("");
--- a/src/net/backend_pool/attempt.rs
+++ b/src/net/backend_pool/attempt.rs
@@ -83,7 +83,7 @@
             ExchangeResult::outcome_only(AttemptOutcome::Cancelled)
         };
         let timeout = async {
-            Timer::at(self.clock.instant(context.deadline)).await;
+            Timer::at(self.clock.instant_of(context.deadline)).await;
             if context.response_started() {
                 // The deadline does not apply to a streamed answer.
                 future::pending::<()>().await;
--- a/src/net/connection_limiter/eviction.rs
+++ b/src/net/connection_limiter/eviction.rs
@@ -59,7 +59,7 @@
 
 /// Closes connections that have been idle for `Limits::client_idle_timeout`.
 ///
-/// While more than `Limits::crowded_clients` connections have sent requests, the excess is closed among those that sent
+/// While more than `Limits::eviction_threshold` connections have sent requests, the excess is closed among those that sent
 /// only one request and have been idle for `Limits::silent_client_grace`, longest idle first. Otherwise they would use
 /// up the limited number of connections and lock out clients that keep sending requests.
 pub(super) fn close_idle(active: &Connections, limits: &Limits) {
@@ -81,7 +81,7 @@
         }
     }
     single_request.sort_by_key(|connection| connection.state_since());
-    let excess = served.saturating_sub(limits.crowded_clients);
+    let excess = served.saturating_sub(limits.eviction_threshold);
     for connection in single_request.iter().take(excess) {
         connection.request_close();
     }
