--- a/tests/door.rs
+++ b/tests/admin_and_takeover.rs
@@ -3,13 +3,13 @@
 mod stand_in;
 
 use brookpass_testkit::log_lines;
-use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{DiscoveryServer, endpoint_json};
 use stand_in::http::{HttpClient, HttpMessage, call, read_http_message};
 use stand_in::network::unused_address;
 use stand_in::platform::{keyed_write_statement, primary_and_replica_list, read_statement};
 use stand_in::postgres::client::{PostgresClient, row_of};
 use stand_in::postgres::endpoint::{PostgresEndpoint, Reply, release_channel};
+use stand_in::process::{Process, test_directory};
 use stand_in::waiting::eventually;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -80,7 +80,7 @@
 
 /// The program with an admin server, a group and a discovery server.
 struct RunningPooler {
-    daemon: Daemon,
+    process: Process,
     client_address: SocketAddr,
     admin: AdminServer,
     discovery: DiscoveryServer,
@@ -95,11 +95,11 @@
     discovery.preset(&list);
     let config_path = test_directory("door").join("config.json");
     std::fs::write(&config_path, config(discovery.address, ADMIN_ON_ANY_PORT)).unwrap();
-    let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-    let client_address = daemon.wait_for_address(log_lines::POSTGRES_LISTENING);
-    let admin = AdminServer { address: daemon.wait_for_address(log_lines::ADMIN_LISTENING) };
+    let mut process = Process::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+    let client_address = process.wait_for_address(log_lines::POSTGRES_LISTENING);
+    let admin = AdminServer { address: process.wait_for_address(log_lines::ADMIN_LISTENING) };
     discovery.wait_for_watch();
-    RunningPooler { daemon, client_address, admin, discovery, group }
+    RunningPooler { process, client_address, admin, discovery, group }
 }
 
 /// The program's admin server.
@@ -135,7 +135,7 @@
 /// is left out.
 #[test]
 fn every_outcome_is_counted_once_and_gauges_show_the_current_state() {
-    let RunningPooler { daemon: _daemon, client_address, admin, discovery, group } = start_pooler();
+    let RunningPooler { process: _process, client_address, admin, discovery, group } = start_pooler();
     let mut client = PostgresClient::connect(client_address);
     assert_eq!(admin.metric("success.never"), "0|c");
     assert_eq!(admin.metric("targets"), "3|g");
@@ -221,21 +221,21 @@
     let discovery = DiscoveryServer::start();
     let config_path = test_directory("door").join("config.json");
     std::fs::write(&config_path, config(discovery.address, "")).unwrap();
-    let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-    daemon.wait_for_log(log_lines::LONG_MESSAGES_LIMITED);
+    let mut process = Process::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+    process.wait_for_log(log_lines::LONG_MESSAGES_LIMITED);
     discovery.wait_for_watch();
-    daemon.signal("-TERM");
-    assert!(daemon.wait_for_exit().success());
-    daemon.wait_for_log(log_lines::DRAINED);
-    let names_admin_server = daemon.log_lines.iter().any(|line| line.contains("operators"));
-    assert!(!names_admin_server, "{:?}", daemon.log_lines);
+    process.signal("-TERM");
+    assert!(process.wait_for_exit().success());
+    process.wait_for_log(log_lines::DRAINED);
+    let names_admin_server = process.log_lines.iter().any(|line| line.contains("operators"));
+    assert!(!names_admin_server, "{:?}", process.log_lines);
 }
 
 /// Guards against requests that are lost and connections that stay open while the pooler is drained, and
 /// against a pooler that stays drained.
 #[test]
 fn a_drained_pooler_sends_clients_away_without_losing_any_and_comes_back() {
-    let RunningPooler { daemon: _daemon, client_address, admin, discovery: _discovery, group } =
+    let RunningPooler { process: _process, client_address, admin, discovery: _discovery, group } =
         start_pooler();
     let mut busy = PostgresClient::connect(client_address);
     let mut idle = PostgresClient::connect(client_address);
@@ -276,19 +276,19 @@
     let mut busy = PostgresClient::connect(pooler.client_address);
     pooler.group.send_write(&mut busy, "1", 11);
     assert_eq!(pooler.admin.status("PUT", "/v1/pooler/drain"), 200);
-    pooler.daemon.signal("-TERM");
-    pooler.daemon.wait_for_log(log_lines::SIGTERM_RECEIVED);
+    pooler.process.signal("-TERM");
+    pooler.process.wait_for_log(log_lines::SIGTERM_RECEIVED);
     assert_eq!(pooler.admin.status("PUT", "/v1/pooler/activate"), 409);
     assert_eq!(pooler.admin.status("PUT", "/v1/pooler/drain"), 200);
     assert_eq!(pooler.admin.status("GET", "/v1/readyz"), 503);
     pooler.group.release_write.send(()).unwrap();
     assert_eq!(busy.receive().unwrap().value, row_of(b"late"));
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Starts the program as a platform does that holds the clients' socket itself: the program inherits it as
 /// descriptor 3.
-fn start_on_inherited_socket(socket: &TcpListener, config_path: &Path) -> Daemon {
+fn start_on_inherited_socket(socket: &TcpListener, config_path: &Path) -> Process {
     let script = format!("exec {} 3<&{}", env!("CARGO_BIN_EXE_brookpass"), socket.as_raw_fd());
     let mut command = Command::new("bash");
     command
@@ -296,7 +296,7 @@
         .env("GW_CONFIG", config_path)
         .env("GW_PASSED_SOCKET", "3")
         .env("GW_ADMIN_ADDR", "127.0.0.1:0");
-    Daemon::spawn(command)
+    Process::spawn(command)
 }
 
 /// A listening socket that child processes inherit.
@@ -351,8 +351,8 @@
     std::fs::write(&config_path, config(unused_address(), "")).unwrap();
     for descriptor in ["3", "0x3", "700"] {
         let variables = [("GW_CONFIG", config_path.to_str().unwrap()), ("GW_PASSED_SOCKET", descriptor)];
-        let mut daemon = Daemon::start(&[], &variables);
-        daemon.wait_for_log(&format!("GW_PASSED_SOCKET={descriptor}"));
-        assert!(!daemon.wait_for_exit().success());
+        let mut process = Process::start(&[], &variables);
+        process.wait_for_log(&format!("GW_PASSED_SOCKET={descriptor}"));
+        assert!(!process.wait_for_exit().success());
     }
 }
--- a/tests/client_departures.rs
+++ b/tests/client_departures.rs
@@ -3,16 +3,16 @@
 
 mod stand_in;
 
-use stand_in::daemon::test_directory;
 use stand_in::discovery::{ScriptedDiscoveryServer, endpoint_json, snapshot_json};
 use stand_in::platform::{
-    PostgresGroup, SETTINGS, config, keyed_write_statement, read_statement, start_daemon, start_pooler,
-    start_pooler_with_config,
+    PostgresGroup, SETTINGS, config, keyed_write_statement, read_statement, start_pooler,
+    start_pooler_with_config, start_process,
 };
 use stand_in::postgres::client::{PostgresClient, PostgresResponse, row_of};
 use stand_in::postgres::endpoint::{PostgresEndpoint, Reply, release_channel};
 use stand_in::postgres::manual_endpoint::ManualEndpoint;
 use stand_in::postgres::messages;
+use stand_in::process::test_directory;
 use stand_in::waiting::{DEFAULT_TIMEOUT, eventually};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -34,7 +34,7 @@
 /// is hidden behind them: its attempt would go on until the deadline.
 #[test]
 fn a_client_that_goes_with_bytes_sent_ahead_unread_ends_its_attempt() {
-    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let group = PostgresGroup::start(|_| Reply::NoResponse);
     let pooler = start_pooler(&group.endpoint_list());
     let mut client = PostgresClient::connect(pooler.address);
     client.send_query(&keyed_write_statement("1", REMOTE_DEADLINE_MS, 1));
@@ -87,7 +87,7 @@
     let discovery = ScriptedDiscoveryServer::start();
     let config_path = test_directory("gone").join("config.json");
     std::fs::write(&config_path, config("127.0.0.1:0", discovery.address, SETTINGS)).unwrap();
-    let pooler = start_daemon(&config_path);
+    let pooler = start_process(&config_path);
     let call = discovery.next_call();
     let mut client = PostgresClient::connect_without_startup(pooler.address);
     // The readiness query waits for a list, and the write waits behind it.
--- a/tests/discovery_orders.rs
+++ b/tests/discovery_orders.rs
@@ -3,14 +3,14 @@
 mod stand_in;
 
 use brookpass_testkit::log_lines;
-use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{
     DiscoveryCall, ScriptedDiscoveryServer, changes_json, endpoint_json, snapshot_json,
 };
-use stand_in::platform::{SETTINGS, StartedDaemon, config, read_statement, start_daemon};
+use stand_in::platform::{SETTINGS, StartedProcess, config, read_statement, start_process};
 use stand_in::postgres::client::{PostgresClient, PostgresResponse, row_of};
 use stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
 use stand_in::postgres::messages;
+use stand_in::process::{Process, test_directory};
 use stand_in::waiting::eventually;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 
 /// The program on a discovery server whose answers the test gives.
 struct ScriptedPooler {
-    daemon: Daemon,
+    process: Process,
     /// Where clients connect.
     address: SocketAddr,
     config_path: PathBuf,
@@ -47,8 +47,8 @@
         let discovery = ScriptedDiscoveryServer::start();
         let config_path = test_directory(directory).join("config.json");
         std::fs::write(&config_path, edit(config("127.0.0.1:0", discovery.address, SETTINGS))).unwrap();
-        let StartedDaemon { daemon, address } = start_daemon(&config_path);
-        ScriptedPooler { daemon, address, config_path, discovery }
+        let StartedProcess { process, address } = start_process(&config_path);
+        ScriptedPooler { process, address, config_path, discovery }
     }
 
     /// Waits for the next watch; answers other calls with `list`.
@@ -282,7 +282,7 @@
     let watch = pooler.next_watch(&snapshot_json(50, &[endpoints.old_entry("active")]));
     let second_server = ScriptedDiscoveryServer::start();
     std::fs::write(&pooler.config_path, config("127.0.0.1:0", second_server.address, SETTINGS)).unwrap();
-    pooler.daemon.signal("-HUP");
+    pooler.process.signal("-HUP");
     let call = second_server.next_call();
     assert!(!call.is_watch(), "the whole list: {}", call.target);
     watch.answer(&snapshot_json(60, &[endpoints.old_entry("active")]));
@@ -298,9 +298,9 @@
     }
     let third_server = ScriptedDiscoveryServer::start();
     std::fs::write(&pooler.config_path, config("127.0.0.1:0", third_server.address, SETTINGS)).unwrap();
-    pooler.daemon.wait_for_log(log_lines::DISCOVERY_RELOADED);
+    pooler.process.wait_for_log(log_lines::DISCOVERY_RELOADED);
     let moved_at = Instant::now();
-    pooler.daemon.signal("-HUP");
+    pooler.process.signal("-HUP");
     third_server.next_call().close();
     third_server.next_call().answer(&snapshot_json(1, &[endpoints.old_entry("active")]));
     assert!(moved_at.elapsed() < Duration::from_millis(700), "{:?}", moved_at.elapsed());
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -7,11 +7,11 @@
 use brookpass::store::zone_weights::WeightReason;
 use brookpass_testkit::cluster::{ClusterConfig, SERVICE_SETTINGS, TestCluster};
 use brookpass_testkit::log_lines;
-use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{endpoint_json, snapshot_json};
 use stand_in::http::{HttpClient, call};
 use stand_in::network::{spawn_server, unused_address};
 use stand_in::platform;
+use stand_in::process::{Process, test_directory};
 use stand_in::waiting::{DEFAULT_TIMEOUT, eventually, now_ms};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -164,7 +164,7 @@
 }
 
 struct One {
-    daemon: Daemon,
+    daemon: Process,
     store: SocketAddr,
     front: SocketAddr,
     door: Option<SocketAddr>,
@@ -189,7 +189,7 @@
     );
     let file = folder.join("operator.yaml");
     std::fs::write(&file, text).unwrap();
-    let mut daemon = Daemon::start(&["--operator", file.to_str().unwrap()], &[]);
+    let mut daemon = Process::start(&["--operator", file.to_str().unwrap()], &[]);
     let store = daemon.wait_for_address(log_lines::STORE_LISTENING);
     let front = daemon.wait_for_address(log_lines::SPARQL_LISTENING);
     One { daemon, store, front, door: None, primary, replica }
@@ -612,7 +612,7 @@
     let at = discovery.local_addr().unwrap();
     let path = test_directory("golden").join("config.json");
     std::fs::write(&path, platform::config("127.0.0.1:0", at, platform::SETTINGS)).unwrap();
-    let _daemon = platform::start_daemon(&path);
+    let _daemon = platform::start_process(&path);
     let (mut stream, _) = discovery.accept().unwrap();
     stream.set_read_timeout(Some(DEFAULT_TIMEOUT)).unwrap();
     let wanted =
--- a/tests/platform/attempts.rs
+++ b/tests/platform/attempts.rs
@@ -162,7 +162,7 @@
 /// Guards against work whose result nobody receives: when a client disconnects, its attempt ends.
 #[test]
 fn a_client_that_goes_ends_its_attempt() {
-    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let group = PostgresGroup::start(|_| Reply::NoResponse);
     let pooler = start_pooler(&group.endpoint_list());
     let mut client = PostgresClient::connect(pooler.address);
     // The deadline lies far beyond the test's own timeout: it is not what ends the attempt.
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -4,7 +4,7 @@
 #[path = "../stand_in/mod.rs"]
 mod stand_in;
 
-mod answers;
 mod attempts;
 mod clients;
+mod responses;
 mod signals;
--- a/tests/platform/answers.rs
+++ b/tests/platform/responses.rs
@@ -135,7 +135,7 @@
 /// after.
 #[test]
 fn a_request_without_an_answer_fails_at_its_deadline_and_a_rejected_one_gets_a_retry_after() {
-    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let group = PostgresGroup::start(|_| Reply::NoResponse);
     let pooler = start_pooler(&group.endpoint_list());
     let sent_at = Instant::now();
     let response = PostgresClient::connect(pooler.address).query(&keyed_write_statement("1", 300, 1));
--- a/tests/platform/signals.rs
+++ b/tests/platform/signals.rs
@@ -1,6 +1,5 @@
 //! SIGTERM, SIGHUP, and malformed configurations.
 
-use super::stand_in::daemon::{Daemon, test_directory};
 use super::stand_in::discovery::{DiscoveryServer, endpoint_json};
 use super::stand_in::network::unused_address;
 use super::stand_in::platform::{
@@ -8,6 +7,7 @@
 };
 use super::stand_in::postgres::client::{PostgresClient, row_of};
 use super::stand_in::postgres::endpoint::{PostgresEndpoint, Reply, release_channel};
+use super::stand_in::process::{Process, test_directory};
 use super::stand_in::waiting::eventually;
 use brookpass_testkit::log_lines;
 
@@ -24,13 +24,13 @@
     let mut idle = PostgresClient::connect(pooler.address);
     client.send_query(&keyed_write_statement("1", 2_000, 1));
     eventually("the primary has the write", || group.primary.statement_count() == 1);
-    pooler.daemon.signal("-TERM");
-    pooler.daemon.wait_for_log(log_lines::DRAINING);
+    pooler.process.signal("-TERM");
+    pooler.process.wait_for_log(log_lines::DRAINING);
     assert_eq!(idle.query(&read_statement("2", 1000)).value, row_of(b"replica"), "taken after SIGTERM");
     release.send(()).unwrap();
     assert_eq!(client.receive().unwrap().value, row_of(b"late"));
     assert_eq!(idle.receive(), None, "idle connections end");
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against a reload that ends the program, waits for the old discovery server, or fails an open
@@ -54,8 +54,8 @@
     ]);
     std::fs::write(&pooler.config_path, config("127.0.0.1:0", new_discovery.address, SETTINGS)).unwrap();
     // The old discovery server holds a watch open meanwhile and does not answer it.
-    pooler.daemon.signal("-HUP");
-    pooler.daemon.wait_for_log(log_lines::DISCOVERY_RELOADED);
+    pooler.process.signal("-HUP");
+    pooler.process.wait_for_log(log_lines::DISCOVERY_RELOADED);
     new_discovery.wait_for_watch();
     let mut second_client = PostgresClient::connect(pooler.address);
     for number in 2..12 {
@@ -63,16 +63,16 @@
         assert_eq!(response.value, row_of(b"new"));
     }
     std::fs::write(&pooler.config_path, "{\"name\":7}").unwrap();
-    pooler.daemon.signal("-HUP");
-    let line = pooler.daemon.wait_for_log(log_lines::CONFIGURATION_KEPT);
+    pooler.process.signal("-HUP");
+    let line = pooler.process.wait_for_log(log_lines::CONFIGURATION_KEPT);
     assert!(line.contains("name is no text"), "{line}");
     new_discovery.publish(&[endpoint_json("other", new_replica.address, 1, "active")]);
     release.send(()).unwrap();
     assert_eq!(client.receive().unwrap().value, row_of(b"late"));
-    pooler.daemon.signal("-TERM");
-    pooler.daemon.signal("-HUP");
-    pooler.daemon.wait_for_log(log_lines::CONFIGURATION_KEPT);
-    assert!(pooler.daemon.wait_for_exit().success());
+    pooler.process.signal("-TERM");
+    pooler.process.signal("-HUP");
+    pooler.process.wait_for_log(log_lines::CONFIGURATION_KEPT);
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against an error in a configuration that the log does not locate.
@@ -87,9 +87,9 @@
         (good.replace("\"deadline\":2.0", "\"deadline\":\"soon\""), "services.1.deadline"),
     ] {
         std::fs::write(&path, text).unwrap();
-        let mut daemon = Daemon::start(&[], &[("GW_CONFIG", file)]);
-        let line = daemon.wait_for_log(file);
+        let mut process = Process::start(&[], &[("GW_CONFIG", file)]);
+        let line = process.wait_for_log(file);
         assert!(line.contains(error), "{line}");
-        assert!(!daemon.wait_for_exit().success());
+        assert!(!process.wait_for_exit().success());
     }
 }
--- a/tests/shutdown_orders.rs
+++ b/tests/shutdown_orders.rs
@@ -3,7 +3,6 @@
 mod stand_in;
 
 use brookpass_testkit::log_lines;
-use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{DiscoveryServer, endpoint_json};
 use stand_in::platform::{
     PostgresGroup, RunningPooler, SETTINGS, config, keyed_write_statement, read_statement,
@@ -12,6 +11,7 @@
 use stand_in::postgres::client::{PostgresClient, PostgresResponse, row_of};
 use stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
 use stand_in::postgres::messages;
+use stand_in::process::{Process, test_directory};
 use stand_in::waiting::eventually;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpListener;
@@ -36,8 +36,8 @@
 
 /// Sends SIGTERM and waits until the program drains.
 fn begin_shutdown(pooler: &mut RunningPooler) {
-    pooler.daemon.signal("-TERM");
-    pooler.daemon.wait_for_log(log_lines::DRAINING);
+    pooler.process.signal("-TERM");
+    pooler.process.wait_for_log(log_lines::DRAINING);
 }
 
 /// Checks that a read has an answer. A read that would queue for too long is rejected: that is an answer too.
@@ -62,7 +62,7 @@
     sending.send(second_half);
     assert!(sending.receive().expect("an answer").value.is_some());
     assert_eq!(sending.receive(), None, "then it ends");
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against connections in the system's accept queue that the program has not accepted when its
@@ -73,7 +73,7 @@
     let mut pooler = start_one_of_two(&group.endpoint_list());
     drop(connect_and_read(&pooler));
     begin_shutdown(&mut pooler);
-    pooler.daemon.signal("-STOP");
+    pooler.process.signal("-STOP");
     let mut clients = Vec::new();
     for number in 0..20 {
         let mut client = PostgresClient::connect_without_startup(pooler.address);
@@ -84,12 +84,12 @@
     // Longer than connections are accepted for, so that the program sees the end of that time and the
     // connections at the same moment.
     thread::sleep(Duration::from_millis(700));
-    pooler.daemon.signal("-CONT");
+    pooler.process.signal("-CONT");
     for (number, mut client) in clients.into_iter().enumerate() {
         assert_eq!(client.receive(), Some(PostgresResponse::READY), "connection {number}");
         check_answered(&client.receive().expect("an answer"), number);
     }
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against a request that crosses the end of its connection: it is not forwarded, and the client then
@@ -107,7 +107,7 @@
         assert_eq!(client.stream.read(&mut [0; 64]).expect("no reset"), 0);
     }
     drop(client);
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
     assert_eq!(group.statement_count(), count_before, "nothing of it was sent on");
 }
 
@@ -116,7 +116,7 @@
 #[test]
 fn a_rejected_connection_can_read_why() {
     const SOCKETS: u32 = 64;
-    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let group = PostgresGroup::start(|_| Reply::NoResponse);
     let pooler = start_pooler_with_sockets(&group.endpoint_list(), SOCKETS);
     let mut busy_clients = Vec::new();
     let mut rejected = loop {
@@ -144,7 +144,7 @@
 /// longest deadline of the service classes.
 #[test]
 fn the_end_follows_the_classes_deadlines_and_not_a_clients_claim() {
-    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let group = PostgresGroup::start(|_| Reply::NoResponse);
     let mut pooler = start_pooler_with_config(&group.endpoint_list(), |text| {
         text.replace("\"deadline\":2.5", "\"deadline\":0.6").replace("\"deadline\":2.0", "\"deadline\":0.5")
     });
@@ -152,9 +152,9 @@
     client.send_query(&keyed_write_statement("claims", 600_000, 1));
     eventually("the primary has the write", || group.primary.statement_count() == 1);
     let terminated_at = Instant::now();
-    pooler.daemon.signal("-TERM");
+    pooler.process.signal("-TERM");
     assert!(client.receive().expect("a final answer").sqlstate.is_some());
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
     let elapsed = terminated_at.elapsed();
     assert!(elapsed < Duration::from_millis(2_000), "the platform kills it 1.3 s after SIGTERM: {elapsed:?}");
 }
@@ -163,7 +163,7 @@
 /// that was sent to an endpoint that hangs.
 #[test]
 fn a_held_write_and_one_behind_a_host_that_hangs_get_final_answers_at_the_end() {
-    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let group = PostgresGroup::start(|_| Reply::NoResponse);
     let mut pooler = start_one_of_two(&group.endpoint_list());
     let mut unanswered = PostgresClient::connect(pooler.address);
     unanswered.send_query(&keyed_write_statement("hangs", 60_000, 1));
@@ -177,10 +177,10 @@
     let write_to_group_2 = keyed_write_statement("held", 60_000, 2).replace("cluster=1", "cluster=2");
     queued.send_query(&write_to_group_2);
     eventually("the write has missed", || lone_replica.statement_count() > 0);
-    pooler.daemon.signal("-TERM");
+    pooler.process.signal("-TERM");
     assert_eq!(unanswered.receive().unwrap().sqlstate.as_deref(), Some("58000"), "it may have run");
     assert_eq!(queued.receive().unwrap().sqlstate.as_deref(), Some("58000"), "it was tried");
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against a retry that starts as the program ends and whose request then gets no answer, or a second
@@ -202,7 +202,7 @@
     client.send_query(&keyed_write_statement("again", 1_500, 1));
     assert_eq!(client.receive().unwrap().value, row_of(b"second"));
     assert_eq!(*attempt_count.lock().unwrap(), 2);
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against a start that fails because the process before it still has the port, and against a process
@@ -217,7 +217,7 @@
     let config_path = test_directory("held").join("config.json");
     std::fs::write(&config_path, config(&address.to_string(), discovery.address, SETTINGS)).unwrap();
     let start_waiting_daemon = || {
-        let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+        let mut daemon = Process::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
         daemon.wait_for_log(log_lines::DISCOVERY_AWAITED);
         daemon
     };
@@ -248,5 +248,5 @@
     }
     let end = client.stream.write_all(b"").and_then(|()| client.stream.read(&mut [0; 8]));
     assert!(matches!(end, Ok(0)) || end.is_err_and(|error| error.kind() != ErrorKind::ConnectionReset));
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
--- a/tests/sparql/administration.rs
+++ b/tests/sparql/administration.rs
@@ -11,11 +11,11 @@
 
 /// The address of the admin server, which may be logged before or after the clients' address.
 fn admin_address(pooler: &mut RunningPooler) -> SocketAddr {
-    let logged = pooler.daemon.log_lines.iter().find_map(|line| {
+    let logged = pooler.process.log_lines.iter().find_map(|line| {
         let address = line.split(ADMIN_ADDRESS_PREFIX).nth(1)?;
         address.parse().ok()
     });
-    logged.unwrap_or_else(|| pooler.daemon.wait_for_address(ADMIN_ADDRESS_PREFIX))
+    logged.unwrap_or_else(|| pooler.process.wait_for_address(ADMIN_ADDRESS_PREFIX))
 }
 
 fn call_admin(address: SocketAddr, method: &str, path: &str) -> HttpMessage {
@@ -112,7 +112,7 @@
     let stored_bytes = std::fs::read(&store_path).unwrap();
     std::fs::write(&store_path, &stored_bytes[..stored_bytes.len() / 2]).unwrap();
     let mut without_store = start_pooler(&files);
-    let log_lines = &without_store.daemon.log_lines;
+    let log_lines = &without_store.process.log_lines;
     assert!(log_lines.iter().any(|line| line.contains("set aside as")), "{log_lines:?}");
     assert!(files.directory.join("b1.store.damaged").exists());
     without_store.kill();
--- a/tests/sparql/configuration.rs
+++ b/tests/sparql/configuration.rs
@@ -1,7 +1,7 @@
 //! The operator's file and its inventory: at the start, at a reload, from a peer.
 
 use super::endpoint::SparqlEndpoint;
-use super::pooler::{OperatorFiles, RunningPooler, entry, query_request, start_daemon, start_pooler};
+use super::pooler::{OperatorFiles, RunningPooler, entry, query_request, start_pooler, start_process};
 use super::stand_in::http::HttpClient;
 use super::stand_in::network::unused_address;
 use super::stand_in::waiting::{eventually, now_ms};
@@ -40,8 +40,8 @@
     let mut pooler = start_pooler(&files);
     assert_eq!(listed_names(&pooler), ["one"]);
     std::fs::write(files.inventory_path(), "name,address,group\ntwo,nowhere,1\n").unwrap();
-    pooler.daemon.signal("-HUP");
-    let line = pooler.daemon.wait_for_log(log_lines::INVENTORY_KEPT);
+    pooler.process.signal("-HUP");
+    let line = pooler.process.wait_for_log(log_lines::INVENTORY_KEPT);
     assert!(line.contains("hosts.csv: line 2"), "{line}");
     assert_eq!(listed_names(&pooler), ["one"]);
     files.write_inventory(&[entry("one", one.address), entry("two", two.address)]);
@@ -97,10 +97,10 @@
 
 /// Checks that the program does not start and that its error contains `error`.
 fn check_start_fails(files: &OperatorFiles, error: &str) {
-    let mut daemon = start_daemon(&files.operator_path());
-    let line = daemon.wait_for_log(log_lines::ERROR_LEVEL);
+    let mut process = start_process(&files.operator_path());
+    let line = process.wait_for_log(log_lines::ERROR_LEVEL);
     assert!(line.contains(error), "{line}");
-    assert!(!daemon.wait_for_exit().success());
+    assert!(!process.wait_for_exit().success());
 }
 
 /// Runs the program's check of an operator's file.
--- a/tests/sparql/connections.rs
+++ b/tests/sparql/connections.rs
@@ -14,7 +14,7 @@
 /// disconnects, its attempt ends.
 #[test]
 fn a_client_that_drops_its_connection_ends_the_attempt() {
-    let endpoint = SparqlEndpoint::primary_replying(|_| Some(Reply::NoAnswer));
+    let endpoint = SparqlEndpoint::primary_replying(|_| Some(Reply::NoResponse));
     let pooler = start_pooler(&OperatorFiles::write("drop", &[entry("p", endpoint.address)]));
     let mut client = HttpClient::connect(pooler.client_address);
     // The deadline lies far beyond the test's own timeout: it is not what ends the attempt.
@@ -87,10 +87,10 @@
     let mut client = HttpClient::connect(pooler.client_address);
     client.send(&update_request(""));
     eventually("the host has it", || received_count.load(Ordering::SeqCst) == 1);
-    pooler.daemon.signal("-TERM");
-    pooler.daemon.wait_for_log(log_lines::DRAINING);
+    pooler.process.signal("-TERM");
+    pooler.process.wait_for_log(log_lines::DRAINING);
     is_held.store(false, Ordering::SeqCst);
     assert_eq!(client.receive().status(), 200);
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
     assert!(endpoint.is_primary.load(Ordering::SeqCst));
 }
--- a/tests/sparql/endpoint.rs
+++ b/tests/sparql/endpoint.rs
@@ -25,7 +25,7 @@
     /// No answer; the endpoint closes the connection.
     Close,
     /// No answer; the connection stays open until the other side closes it.
-    NoAnswer,
+    NoResponse,
     /// A complete answer of this length.
     LongAnswer {
         length: usize,
@@ -182,7 +182,7 @@
                     write_answer(&mut writer, 200, "text/plain", &body, &status)?;
                 }
                 Reply::Close => return None,
-                Reply::NoAnswer => return self.wait_for_close(&mut reader),
+                Reply::NoResponse => return self.wait_for_close(&mut reader),
                 Reply::LongAnswer { length } => write_long_answer(&mut writer, length, length, &status)?,
                 Reply::TruncatedAnswer { length } => {
                     write_long_answer(&mut writer, length, length - 1, &status)?;
--- a/tests/sparql/main.rs
+++ b/tests/sparql/main.rs
@@ -10,7 +10,7 @@
 
 // Tests, a property each.
 mod administration;
-mod answers;
 mod configuration;
 mod connections;
 mod reads;
+mod responses;
--- a/tests/sparql/pooler.rs
+++ b/tests/sparql/pooler.rs
@@ -1,7 +1,7 @@
 //! The program on an operator's file, and requests to it.
 
-use super::stand_in::daemon::{Daemon, test_directory};
 use super::stand_in::http::{HttpMessage, call};
+use super::stand_in::process::{Process, test_directory};
 use super::stand_in::waiting::eventually;
 use brookpass_testkit::log_lines;
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
 
 /// The program, ready for clients.
 pub struct RunningPooler {
-    pub daemon: Daemon,
+    pub process: Process,
     /// Where the store's and the fleet's HTTP calls go.
     pub store_address: SocketAddr,
     /// Where clients connect.
@@ -87,17 +87,17 @@
 
 /// Starts the program on these files and waits until it is ready.
 pub fn start_pooler(files: &OperatorFiles) -> RunningPooler {
-    let mut daemon = start_daemon(&files.operator_path());
-    let store_address = daemon.wait_for_address(log_lines::STORE_LISTENING);
-    let client_address = daemon.wait_for_address(log_lines::SPARQL_LISTENING);
-    let pooler = RunningPooler { daemon, store_address, client_address };
+    let mut process = start_process(&files.operator_path());
+    let store_address = process.wait_for_address(log_lines::STORE_LISTENING);
+    let client_address = process.wait_for_address(log_lines::SPARQL_LISTENING);
+    let pooler = RunningPooler { process, store_address, client_address };
     eventually("ready", || pooler.readiness() == 200);
     pooler
 }
 
 /// Starts the program on an operator's file; it may not become ready.
-pub fn start_daemon(operator_path: &Path) -> Daemon {
-    Daemon::start(&["--operator", operator_path.to_str().unwrap()], &[])
+pub fn start_process(operator_path: &Path) -> Process {
+    Process::start(&["--operator", operator_path.to_str().unwrap()], &[])
 }
 
 impl RunningPooler {
@@ -123,8 +123,8 @@
 
     /// Ends the process as a crash does, and waits until it is gone.
     pub fn kill(&mut self) {
-        self.daemon.signal("-KILL");
-        self.daemon.wait_for_exit();
+        self.process.signal("-KILL");
+        self.process.wait_for_exit();
     }
 }
 
--- a/tests/sparql/answers.rs
+++ b/tests/sparql/responses.rs
@@ -80,7 +80,7 @@
 /// Guards against a status that does not tell clients whether, and when, they may retry.
 #[test]
 fn rejected_failed_and_late_operations_have_their_statuses() {
-    let silent = SparqlEndpoint::primary_replying(|_| Some(Reply::NoAnswer));
+    let silent = SparqlEndpoint::primary_replying(|_| Some(Reply::NoResponse));
     let pooler = start_pooler(&OperatorFiles::write("late", &[entry("p", silent.address)]));
     assert_eq!(pooler.call(&update_request("Brookpass-Time-Left-Ms: 200\r\n")).status(), 504);
     let overloaded = SparqlEndpoint::primary_replying(|_| Some(Reply::text(503, "full")));
--- a/tests/stand_in/discovery.rs
+++ b/tests/stand_in/discovery.rs
@@ -96,7 +96,7 @@
         assert!(!wait.timed_out(), "the daemon did not ask again");
     }
 
-    /// Sets the list before the first call; does not wait for the daemon.
+    /// Sets the list before the first call; does not wait for the process.
     pub fn preset(&self, endpoints: &[String]) {
         let mut state = self.list.state.lock().unwrap();
         state.index = 1;
--- a/tests/stand_in/platform.rs
+++ b/tests/stand_in/platform.rs
@@ -1,8 +1,8 @@
 //! The program as the platform starts it, with a stand-in discovery server and a group of two endpoints.
 
-use super::daemon::{Daemon, test_directory};
 use super::discovery::{DiscoveryServer, endpoint_json};
 use super::postgres::endpoint::{PostgresEndpoint, Reply};
+use super::process::{Process, test_directory};
 use brookpass_testkit::log_lines;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
 /// The program with its discovery server.
 pub struct RunningPooler {
     pub config_path: PathBuf,
-    pub daemon: Daemon,
+    pub process: Process,
     /// Where clients connect.
     pub address: SocketAddr,
     pub discovery: DiscoveryServer,
@@ -52,23 +52,23 @@
     discovery.preset(endpoints);
     let config_path = test_directory("platform").join("config.json");
     std::fs::write(&config_path, edit(&config("127.0.0.1:0", discovery.address, SETTINGS))).unwrap();
-    let StartedDaemon { daemon, address } = start_daemon(&config_path);
+    let StartedProcess { process, address } = start_process(&config_path);
     discovery.wait_for_watch();
-    RunningPooler { config_path, daemon, address, discovery }
+    RunningPooler { config_path, process, address, discovery }
 }
 
 /// The program without a discovery server of its own.
-pub struct StartedDaemon {
-    pub daemon: Daemon,
+pub struct StartedProcess {
+    pub process: Process,
     /// Where clients connect.
     pub address: SocketAddr,
 }
 
 /// Starts the program on a configuration and waits until it accepts clients.
-pub fn start_daemon(config_path: &Path) -> StartedDaemon {
-    let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-    let address = daemon.wait_for_address(log_lines::POSTGRES_LISTENING);
-    StartedDaemon { daemon, address }
+pub fn start_process(config_path: &Path) -> StartedProcess {
+    let mut process = Process::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+    let address = process.wait_for_address(log_lines::POSTGRES_LISTENING);
+    StartedProcess { process, address }
 }
 
 /// A read of group 1 with an id and a deadline.
--- a/tests/stand_in/postgres/endpoint.rs
+++ b/tests/stand_in/postgres/endpoint.rs
@@ -19,7 +19,7 @@
     /// An error with this SQLSTATE.
     Error(&'static str),
     /// No answer; the connection stays open until the other side closes it.
-    NoAnswer,
+    NoResponse,
     /// No answer; the endpoint closes the connection.
     Close,
     /// A row, then the endpoint closes the connection.
@@ -112,7 +112,7 @@
                 }
                 Reply::Bytes(bytes) => bytes,
                 Reply::Close => return None,
-                Reply::NoAnswer => return self.wait_for_close(&mut stream),
+                Reply::NoResponse => return self.wait_for_close(&mut stream),
                 Reply::RowThenClose(value) => {
                     return self.write_then_close(&mut stream, &[messages::row(value), rest].concat());
                 }
--- a/tests/stand_in/daemon.rs
+++ b/tests/stand_in/process.rs
@@ -25,23 +25,23 @@
 }
 
 /// A process of the program under test; killed when dropped.
-pub struct Daemon {
+pub struct Process {
     pub child: Child,
     log: Receiver<String>,
     /// The log lines that were read so far, in order.
     pub log_lines: Vec<String>,
 }
 
-impl Daemon {
+impl Process {
     /// Starts the program with these arguments and environment variables.
-    pub fn start(arguments: &[&str], variables: &[(&str, &str)]) -> Daemon {
+    pub fn start(arguments: &[&str], variables: &[(&str, &str)]) -> Process {
         let mut command = Command::new(env!("CARGO_BIN_EXE_brookpass"));
         command.args(arguments).env_remove("GW_CONFIG").envs(variables.iter().copied());
-        Daemon::spawn(command)
+        Process::spawn(command)
     }
 
     /// Starts a command that runs the program, and reads its standard error as the log.
-    pub fn spawn(mut command: Command) -> Daemon {
+    pub fn spawn(mut command: Command) -> Process {
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let standard_error = BufReader::new(child.stderr.take().unwrap());
         let (log_sender, log) = channel();
@@ -52,7 +52,7 @@
                 }
             }
         });
-        Daemon { child, log, log_lines: Vec::new() }
+        Process { child, log, log_lines: Vec::new() }
     }
 
     /// Waits for a log line that contains `text`, and returns it.
@@ -99,7 +99,7 @@
     }
 }
 
-impl Drop for Daemon {
+impl Drop for Process {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
