--- a/tests/stand_in/discovery.rs
+++ b/tests/stand_in/discovery.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the platform's discovery server: one that keeps a list, and one whose every answer the test
-//! gives.
+//! Stand-ins for the platform's discovery server: one that publishes a list, and one whose responses the test
+//! writes itself.
 
 use super::http::{HttpMessage, read_http_message};
 use super::network::spawn_server;
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long a watch is held when the list does not change.
+/// How long a watch (a long poll) waits for a change of the list.
 const WATCH_HOLD: Duration = Duration::from_secs(1);
 
 /// One entry of an endpoint list; `status` is `active` or `leaving`.
@@ -20,12 +20,12 @@
     )
 }
 
-/// An answer with the complete endpoint list.
+/// The response body with the complete endpoint list.
 pub fn snapshot_json(index: u64, endpoints: &[String]) -> String {
     list_json(index, true, endpoints)
 }
 
-/// An answer with the entries that changed since the index that the call named.
+/// The response body with the entries that changed since the index in the call.
 pub fn changes_json(index: u64, endpoints: &[String]) -> String {
     list_json(index, false, endpoints)
 }
@@ -38,14 +38,14 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// The index after which a watch asks; `None`: the call asks for the complete list.
+/// The index whose successors a watch waits for; `None` when the call asks for the complete list.
 fn watched_index(request: &HttpMessage) -> Option<u64> {
     let after = request.first_line.split("after=").nth(1)?;
     after.split(['&', ' ']).next()?.parse().ok()
 }
 
-/// A discovery server that answers as the platform's agent does: at once with the list, to a watch once it
-/// changes.
+/// A discovery server that behaves like the platform's agent: it returns the list at once, and responds to a
+/// watch when the list changes.
 pub struct DiscoveryServer {
     list: Arc<PublishedList>,
     pub address: SocketAddr,
@@ -61,16 +61,16 @@
     index: u64,
     /// Entries in JSON, separated by commas.
     endpoints: String,
-    /// The index after which the last watch asked.
+    /// The index in the last watch.
     watched_index: u64,
-    /// Answered once in place of the list.
-    malformed_answer: Option<String>,
+    /// Body of the next response, in place of the list.
+    malformed_response: Option<String>,
 }
 
 impl ListState {
-    /// Whether a watch after this index has nothing to report.
+    /// Whether a watch for changes after this index has to wait.
     fn is_unchanged_since(&self, index: u64) -> bool {
-        self.index <= index && self.malformed_answer.is_none()
+        self.index <= index && self.malformed_response.is_none()
     }
 }
 
@@ -83,7 +83,7 @@
         DiscoveryServer { list, address }
     }
 
-    /// Publishes a list and returns once the daemon has it: its next watch asks after it.
+    /// Publishes a list and waits until the program has received it, which its next watch shows.
     pub fn publish(&self, endpoints: &[String]) {
         let mut state = self.list.state.lock().unwrap();
         state.index += 1;
@@ -93,32 +93,32 @@
         let not_watched = |state: &mut ListState| state.watched_index < index;
         let (_state, wait) =
             self.list.changed.wait_timeout_while(state, DEFAULT_TIMEOUT, not_watched).unwrap();
-        assert!(!wait.timed_out(), "the daemon did not ask again");
+        assert!(!wait.timed_out(), "no watch for changes after the published list");
     }
 
-    /// Sets the list before the first call; does not wait for the process.
+    /// Sets the list before the program starts, without waiting for a watch.
     pub fn preset(&self, endpoints: &[String]) {
         let mut state = self.list.state.lock().unwrap();
         state.index = 1;
         state.endpoints = endpoints.join(",");
     }
 
-    /// Answers the next call, or the watch that is open, with a body that is no list.
+    /// Responds to the open watch, or else to the next call, with a body that is not a valid list.
     pub fn answer_malformed_once(&self, body: &str) {
-        self.list.state.lock().unwrap().malformed_answer = Some(body.to_string());
+        self.list.state.lock().unwrap().malformed_response = Some(body.to_string());
         self.list.changed.notify_all();
     }
 
-    /// Waits until the daemon watches for changes to the current list.
+    /// Waits until the program watches for changes to the current list.
     pub fn wait_for_watch(&self) {
-        eventually("a watch", || {
+        eventually("a watch of the current list", || {
             let state = self.list.state.lock().unwrap();
-            state.watched_index == state.index && state.malformed_answer.is_none()
+            state.watched_index == state.index && state.malformed_response.is_none()
         });
     }
 }
 
-/// Answers the calls on one connection until it closes.
+/// Serves the calls on one connection until it closes.
 fn serve_list(stream: TcpStream, list: &PublishedList) {
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
@@ -130,7 +130,7 @@
     }
 }
 
-/// The body of the answer to a call; a watch is held until there is something to report.
+/// The body of the response to a call. For a watch, waits up to [`WATCH_HOLD`] until the list changes.
 fn next_list(request: &HttpMessage, list: &PublishedList) -> String {
     let after = watched_index(request);
     let mut state = list.state.lock().unwrap();
@@ -140,7 +140,7 @@
         let unchanged = |state: &mut ListState| state.is_unchanged_since(after);
         state = list.changed.wait_timeout_while(state, WATCH_HOLD, unchanged).unwrap().0;
     }
-    if let Some(malformed) = state.malformed_answer.take() {
+    if let Some(malformed) = state.malformed_response.take() {
         return malformed;
     }
     let is_newer = after.is_none_or(|after| state.index > after);
@@ -151,20 +151,19 @@
     }
 }
 
-/// A discovery server whose every answer the test gives: each call is handed to the test and waits for its
-/// answer.
+/// A discovery server that passes each call to the test and waits until the test responds to it.
 pub struct ScriptedDiscoveryServer {
     pub address: SocketAddr,
     calls: Receiver<DiscoveryCall>,
 }
 
-/// A call that waits for its answer.
+/// A call without a response so far.
 pub struct DiscoveryCall {
-    /// The request's target, its path with the query.
+    /// The request target: path and query.
     pub target: String,
     pub received_at: Instant,
     stream: TcpStream,
-    /// When this is dropped, the connection's thread reads the next call.
+    /// Dropped with the call; the connection's thread then reads the next one.
     _finished: Sender<()>,
 }
 
@@ -172,18 +171,18 @@
     pub fn start() -> ScriptedDiscoveryServer {
         let (call_sender, calls) = channel();
         let call_sender = Mutex::new(call_sender);
-        let address = spawn_server(move |stream| hand_out_calls(stream, &call_sender));
+        let address = spawn_server(move |stream| forward_calls(stream, &call_sender));
         ScriptedDiscoveryServer { address, calls }
     }
 
     /// Waits for the next call on any connection.
     pub fn next_call(&self) -> DiscoveryCall {
-        self.calls.recv_timeout(DEFAULT_TIMEOUT).expect("a call to discovery")
+        self.calls.recv_timeout(DEFAULT_TIMEOUT).expect("the program calls the discovery server")
     }
 }
 
-/// Hands the calls on one connection to the test, each after the one before has been finished.
-fn hand_out_calls(stream: TcpStream, calls: &Mutex<Sender<DiscoveryCall>>) {
+/// Passes the calls on one connection to the test, each after the previous one has been dropped.
+fn forward_calls(stream: TcpStream, calls: &Mutex<Sender<DiscoveryCall>>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     while let Some(request) = read_http_message(&mut reader) {
         let target = request.first_line.split(' ').nth(1).unwrap().to_string();
@@ -202,22 +201,22 @@
 }
 
 impl DiscoveryCall {
-    /// Whether the call waits for changes, rather than asking for the complete list.
+    /// Whether the call waits for changes; otherwise it asks for the complete list.
     pub fn is_watch(&self) -> bool {
         self.target.contains("after=")
     }
 
-    /// Answers with status 200 and this body.
+    /// Responds with status 200 and this body.
     pub fn answer(mut self, body: &str) {
         let _ = self.stream.write_all(ok_response(body).as_bytes());
     }
 
-    /// Writes exactly these bytes and leaves the answer open. Returns whether they could be written.
+    /// Writes these bytes as a part of the response. Returns whether they could be written.
     pub fn write_bytes(&mut self, bytes: &[u8]) -> bool {
         self.stream.write_all(bytes).is_ok()
     }
 
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     pub fn close(self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
--- a/tests/stand_in/http.rs
+++ b/tests/stand_in/http.rs
@@ -19,24 +19,24 @@
         HttpClient { reader: BufReader::new(stream) }
     }
 
-    /// Sends a request that is written out, head and body.
+    /// Sends a complete request, head and body.
     pub fn send(&mut self, request: &str) {
         self.reader.get_mut().write_all(request.as_bytes()).unwrap();
     }
 
-    /// The next response; its body may be incomplete where the server closed early.
+    /// Waits for the next response; its body is incomplete when the server closed the connection early.
     pub fn receive(&mut self) -> HttpMessage {
-        read_http_message(&mut self.reader).expect("an answer")
+        read_http_message(&mut self.reader).expect("a response from the server")
     }
 
-    /// One request and its response.
+    /// Sends a request and waits for its response.
     pub fn call(&mut self, request: &str) -> HttpMessage {
         self.send(request);
         self.receive()
     }
 }
 
-/// One request, written out, and its response, on a connection of its own.
+/// Sends a complete request on a new connection and waits for its response.
 pub fn call(address: SocketAddr, request: &str) -> HttpMessage {
     HttpClient::connect(address).call(request)
 }
--- a/tests/stand_in/mod.rs
+++ b/tests/stand_in/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what the program meets: a discovery server, endpoints and clients, in threads on loopback
-//! sockets.
+//! Stand-ins for the programs that a pooler communicates with: a discovery server, endpoints and clients. They
+//! run in threads of the test and use loopback sockets.
 //!
-//! Start with [`platform::start_pooler`], which runs the program with a stand-in discovery server, or with
-//! [`process::Process`], the program alone.
+//! Most tests use [`platform::start_pooler`], which runs the program with a stand-in discovery server;
+//! [`process::Process`] runs the program alone.
 // Each test binary compiles this module for itself and uses only a part of it.
 #![allow(dead_code)]
 
--- a/tests/stand_in/network.rs
+++ b/tests/stand_in/network.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Accepts connections for as long as the test runs and serves each in a thread. Returns the server's
-/// address.
+/// Starts a server on a free loopback port and returns its address. It accepts connections until the test
+/// process ends and serves each in a thread.
 pub fn spawn_server(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -21,8 +21,8 @@
     address
 }
 
-/// Endpoint names in the order of the router's ring. A router without knowledge tries the first one as its
-/// primary.
+/// Endpoint names in the order of the router's ring. As long as a router knows of no primary, it tries the
+/// first one.
 pub fn names_in_ring_order<const N: usize>() -> [String; N] {
     let mut registry = EndpointRegistry::default();
     let mut names = std::array::from_fn(|number| format!("host-{number}"));
@@ -30,7 +30,7 @@
     names
 }
 
-/// An address on which no socket listens.
+/// A loopback address with a free port, on which no socket listens.
 pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
--- a/tests/stand_in/platform.rs
+++ b/tests/stand_in/platform.rs
@@ -1,4 +1,4 @@
-//! The program as the platform starts it, with a stand-in discovery server and a group of two endpoints.
+//! The program with the platform's configuration, a stand-in discovery server and a group of two endpoints.
 
 use super::discovery::{DiscoveryServer, endpoint_json};
 use super::postgres::endpoint::{PostgresEndpoint, Reply};
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The settings of the platform's configuration.
+/// The `settings` object of the platform's configuration.
 pub const SETTINGS: &str = r#"{"balancers":1,"me":0,"discovery":"automatic","zones":["a"],"zone":0,
  "services":[
   {"name":"read","target":1.0,"deadline":2.5,"repeat":"repeatable","worth":3,"late-worth":0.2},
@@ -17,16 +17,16 @@
   "connect-timeout":0.25,"conn-idle":15.0},
  "report":{"via":"answers","fields":["x0","x1","util"]}}"#;
 
-/// The program with its discovery server.
+/// The program and its discovery server.
 pub struct RunningPooler {
     pub config_path: PathBuf,
     pub process: Process,
-    /// Where clients connect.
+    /// The address for clients.
     pub address: SocketAddr,
     pub discovery: DiscoveryServer,
 }
 
-/// The platform's configuration as text.
+/// The platform's configuration, with this listen address, discovery address and `settings` object.
 pub fn config(listen: &str, discovery: SocketAddr, settings: &str) -> String {
     format!(
         "{{\"name\":\"n0\",\"listen\":\"{listen}\",\"discovery\":\"{discovery}\",\"seed\":\"8c1f\",\n\
@@ -34,19 +34,19 @@
     )
 }
 
-/// Starts the program on these endpoints and waits until it watches the discovery server.
+/// Starts the program with these endpoint entries and waits until it watches the discovery server.
 pub fn start_pooler(endpoints: &[String]) -> RunningPooler {
     start_pooler_with_sockets(endpoints, 1024)
 }
 
-/// Starts the program with this limit on its open sockets.
+/// Like [`start_pooler`], with this limit on open sockets instead of 1024.
 pub fn start_pooler_with_sockets(endpoints: &[String], sockets: u32) -> RunningPooler {
     start_pooler_with_config(endpoints, |text| {
         text.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"))
     })
 }
 
-/// Starts the program on the usual configuration as `edit` changes it.
+/// Like [`start_pooler`], with the configuration text changed by `edit`.
 pub fn start_pooler_with_config(endpoints: &[String], edit: impl Fn(&str) -> String) -> RunningPooler {
     let discovery = DiscoveryServer::start();
     discovery.preset(endpoints);
@@ -57,50 +57,50 @@
     RunningPooler { config_path, process, address, discovery }
 }
 
-/// The program without a discovery server of its own.
+/// The program, started with a discovery server that the test runs itself.
 pub struct StartedProcess {
     pub process: Process,
-    /// Where clients connect.
+    /// The address for clients.
     pub address: SocketAddr,
 }
 
-/// Starts the program on a configuration and waits until it accepts clients.
+/// Starts the program with this configuration file and waits until it listens for clients.
 pub fn start_process(config_path: &Path) -> StartedProcess {
     let mut process = Process::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
     let address = process.wait_for_address(log_lines::POSTGRES_LISTENING);
     StartedProcess { process, address }
 }
 
-/// A read of group 1 with an id and a deadline.
+/// A read of group 1. `deadline_ms`, here and below, is how long the client waits for the response.
 pub fn read_statement(id: &str, deadline_ms: u32) -> String {
     format!("/* id={id},c=read,d={deadline_ms},cluster=1 */ SELECT payload FROM entries WHERE ref = 'a'")
 }
 
-/// A write to group 1 without an idempotency key: after a break it may not be retried.
+/// A write to group 1 without an idempotency key: the pooler must not retry it once it may have run.
 pub fn write_statement(id: &str, deadline_ms: u32) -> String {
     write_statement_with(id, deadline_ms, "")
 }
 
-/// A write to group 1 with an idempotency key.
+/// A write to group 1 with an idempotency key, which allows retries.
 pub fn keyed_write_statement(id: &str, deadline_ms: u32, key: usize) -> String {
     write_statement_with(id, deadline_ms, &format!(",k={key}"))
 }
 
-fn write_statement_with(id: &str, deadline_ms: u32, key: &str) -> String {
+fn write_statement_with(id: &str, deadline_ms: u32, key_field: &str) -> String {
     format!(
-        "/* id={id},c=write,d={deadline_ms}{key},cluster=1 */ INSERT INTO entries (ref, payload) VALUES ('a', 'b') RETURNING payload"
+        "/* id={id},c=write,d={deadline_ms}{key_field},cluster=1 */ INSERT INTO entries (ref, payload) VALUES ('a', 'b') RETURNING payload"
     )
 }
 
-/// A group of a primary and a replica. The router starts at the first of its ring, so a write may reach the
-/// replica first, which rejects it; a read may reach either.
+/// A group of a primary and a replica. The router first tries the endpoint that is first in its ring, so a
+/// write may reach the replica, which rejects it. A read may reach either endpoint.
 pub struct PostgresGroup {
     pub primary: PostgresEndpoint,
     pub replica: PostgresEndpoint,
 }
 
 impl PostgresGroup {
-    /// A primary that replies like this, and a replica that answers every read with `replica`.
+    /// Starts a primary with these replies and a replica that returns the value `replica` for every read.
     pub fn start(primary_reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> PostgresGroup {
         let replica_reply = |text: &str| {
             if text.contains("INSERT") { Reply::Error("25006") } else { Reply::Row(b"replica") }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Both endpoints as entries of group 1.
+    /// The endpoint list with both endpoints in group 1.
     pub fn endpoint_list(&self) -> Vec<String> {
         primary_and_replica_list(&self.primary, &self.replica)
     }
@@ -122,7 +122,7 @@
     }
 }
 
-/// Two endpoints as entries `p` and `r` of group 1.
+/// An endpoint list with the entries `p` and `r` of group 1.
 pub fn primary_and_replica_list(primary: &PostgresEndpoint, replica: &PostgresEndpoint) -> Vec<String> {
     vec![endpoint_json("p", primary.address, 1, "active"), endpoint_json("r", replica.address, 1, "active")]
 }
--- a/tests/stand_in/postgres/client.rs
+++ b/tests/stand_in/postgres/client.rs
@@ -1,25 +1,25 @@
-//! A client of the pooler.
+//! A client of the pooler's PostgreSQL port.
 
 use super::super::waiting::DEFAULT_TIMEOUT;
 use super::messages::{self, error_field, kind};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 
-/// Length of what stands before the value in a data row of one column: the number of columns and the value's
+/// Size of the fields before the value in a data row of one column: the number of columns and the value's
 /// length.
-const DATA_ROW_HEAD_BYTES: usize = 6;
+const DATA_ROW_HEADER_BYTES: usize = 6;
 
-/// What a client received up to one ReadyForQuery, or up to the end of the connection.
+/// What a client received up to the next ReadyForQuery, or up to the end of the connection.
 #[derive(Debug, Default, PartialEq)]
 pub struct PostgresResponse {
     /// The value of the last row.
     pub value: Option<Vec<u8>>,
     pub sqlstate: Option<String>,
-    /// The error's detail: the time to retry after, in milliseconds.
+    /// The error's detail. A rejection states there after how many milliseconds the client may retry.
     pub detail: Option<String>,
-    /// Whether the query was an empty one.
+    /// Whether the response contains EmptyQueryResponse.
     pub is_empty_query: bool,
-    /// Whether the error ends the connection.
+    /// Whether the error's severity is `FATAL`: the connection ends after it.
     pub is_fatal: bool,
 }
 
@@ -34,7 +34,7 @@
     };
 }
 
-/// The [`PostgresResponse::value`] of a response with this row.
+/// The [`PostgresResponse::value`] to expect for a row with this value.
 pub fn row_of(value: &[u8]) -> Option<Vec<u8>> {
     Some(value.to_vec())
 }
@@ -53,7 +53,7 @@
         client
     }
 
-    /// Connects and sends nothing.
+    /// Connects without a startup message.
     pub fn connect_without_startup(address: SocketAddr) -> PostgresClient {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -70,7 +70,7 @@
         self.send(&messages::query(text));
     }
 
-    /// The next response; `None` when the connection has ended.
+    /// Waits for the next response; `None` when the connection has ended.
     pub fn receive(&mut self) -> Option<PostgresResponse> {
         let mut response = PostgresResponse::default();
         loop {
@@ -79,7 +79,7 @@
             };
             match message.kind {
                 kind::READY_FOR_QUERY => return Some(response),
-                kind::DATA_ROW => response.value = Some(message.body[DATA_ROW_HEAD_BYTES..].to_vec()),
+                kind::DATA_ROW => response.value = Some(message.body[DATA_ROW_HEADER_BYTES..].to_vec()),
                 kind::EMPTY_QUERY_RESPONSE => response.is_empty_query = true,
                 kind::ERROR_RESPONSE => {
                     response.sqlstate = message.error_field(error_field::SQLSTATE);
@@ -92,9 +92,9 @@
         }
     }
 
-    /// One query and its response.
+    /// Sends a query and waits for its response.
     pub fn query(&mut self, text: &str) -> PostgresResponse {
         self.send_query(text);
-        self.receive().expect("an answer")
+        self.receive().expect("a response to the query")
     }
 }
--- a/tests/stand_in/postgres/endpoint.rs
+++ b/tests/stand_in/postgres/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in endpoint that answers each statement as the test says.
+//! A stand-in PostgreSQL endpoint whose reply to each statement the test chooses.
 
 use super::super::network::spawn_server;
 use super::super::waiting::{DEFAULT_TIMEOUT, now_ms};
@@ -8,8 +8,9 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::sync::{Arc, Mutex};
 
-/// The parameter `rank` of a primary and of a replica.
+/// Value of the parameter `rank` that a primary reports.
 const PRIMARY_RANK: &str = "source";
+/// Value of the parameter `rank` that a replica reports.
 const REPLICA_RANK: &str = "copy";
 
 /// What a stand-in endpoint does with a statement.
@@ -18,9 +19,9 @@
     Row(&'static [u8]),
     /// An error with this SQLSTATE.
     Error(&'static str),
-    /// No answer; the connection stays open until the other side closes it.
+    /// No response; the connection stays open until the other side closes it.
     NoResponse,
-    /// No answer; the endpoint closes the connection.
+    /// No response; the endpoint closes the connection.
     Close,
     /// A row, then the endpoint closes the connection.
     RowThenClose(&'static [u8]),
@@ -30,11 +31,11 @@
     BytesThenSilence(Vec<u8>),
     /// Exactly these bytes, then the endpoint closes the connection.
     BytesThenClose(Vec<u8>),
-    /// A row, once the test has released it.
+    /// A row, sent when the test releases it, or after [`DEFAULT_TIMEOUT`].
     RowAfterRelease(ReleaseSignal, &'static [u8]),
 }
 
-/// Receives one message for each answer that may be given. When the sender is dropped, all are released.
+/// Receives one message for each response that may be sent. Dropping the sender releases all of them.
 pub type ReleaseSignal = Arc<Mutex<Receiver<()>>>;
 
 /// A channel for [`Reply::RowAfterRelease`].
@@ -47,18 +48,19 @@
 pub struct PostgresEndpoint {
     pub address: SocketAddr,
     statements: Arc<Mutex<Vec<String>>>,
-    /// A message for each statement that was left unanswered: whether the other side then closed the
-    /// connection. Also `true` for each connection that the endpoint itself has closed after its answer.
+    /// One message per statement with [`Reply::NoResponse`] or [`Reply::BytesThenSilence`]: `true` when the
+    /// other side then closed the connection, `false` when it sent more. Also `true` for each connection that
+    /// the endpoint itself has closed after its response.
     pub closed_connections: Receiver<bool>,
 }
 
 impl PostgresEndpoint {
-    /// An endpoint that says it is its group's primary.
+    /// An endpoint that reports the role of a primary.
     pub fn primary(reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> PostgresEndpoint {
         PostgresEndpoint::start(PRIMARY_RANK, reply)
     }
 
-    /// An endpoint that says it is a replica.
+    /// An endpoint that reports the role of a replica.
     pub fn replica(reply: impl Fn(&str) -> Reply + Send + Sync + 'static) -> PostgresEndpoint {
         PostgresEndpoint::start(REPLICA_RANK, reply)
     }
@@ -85,7 +87,7 @@
     }
 }
 
-/// What the threads of an endpoint's connections share.
+/// State that the threads of an endpoint's connections share.
 struct Behavior<F> {
     rank: &'static str,
     reply: F,
@@ -94,27 +96,28 @@
 }
 
 impl<F: Fn(&str) -> Reply> Behavior<F> {
-    /// Serves one connection; returns when it is over.
+    /// Serves one connection until it ends.
     fn serve(&self, mut stream: TcpStream) -> Option<()> {
         messages::read_startup(&mut stream)?;
         stream.write_all(&messages::startup_response()).ok()?;
         loop {
             let statement = messages::read_message(&mut stream)?.query_text()?;
             self.statements.lock().unwrap().push(statement.clone());
-            // The position is of the moment before a reply that waits.
-            let rest = [self.status(), messages::ready_for_query()].concat();
-            let answer = match (self.reply)(&statement) {
-                Reply::Row(value) => [messages::row(value), rest].concat(),
-                Reply::Error(sqlstate) => [messages::error(sqlstate), rest].concat(),
+            // Taken before the reply, which may wait: the response states the position at the statement's arrival.
+            let status_and_ready = [self.status(), messages::ready_for_query()].concat();
+            let response = match (self.reply)(&statement) {
+                Reply::Row(value) => [messages::row(value), status_and_ready].concat(),
+                Reply::Error(sqlstate) => [messages::error(sqlstate), status_and_ready].concat(),
                 Reply::RowAfterRelease(released, value) => {
                     let _ = released.lock().unwrap().recv_timeout(DEFAULT_TIMEOUT);
-                    [messages::row(value), rest].concat()
+                    [messages::row(value), status_and_ready].concat()
                 }
                 Reply::Bytes(bytes) => bytes,
                 Reply::Close => return None,
                 Reply::NoResponse => return self.wait_for_close(&mut stream),
                 Reply::RowThenClose(value) => {
-                    return self.write_then_close(&mut stream, &[messages::row(value), rest].concat());
+                    return self
+                        .write_then_close(&mut stream, &[messages::row(value), status_and_ready].concat());
                 }
                 Reply::BytesThenClose(bytes) => return self.write_then_close(&mut stream, &bytes),
                 Reply::BytesThenSilence(bytes) => {
@@ -122,11 +125,11 @@
                     return self.wait_for_close(&mut stream);
                 }
             };
-            stream.write_all(&answer).ok()?;
+            stream.write_all(&response).ok()?;
         }
     }
 
-    /// The endpoint's role and the position of its data, as it reports them with each answer.
+    /// The endpoint's role and the position of its data, which it reports with each response.
     fn status(&self) -> Vec<u8> {
         let rank = messages::parameter_status("rank", self.rank);
         let position = messages::parameter_status("as_of", &now_ms().to_string());
@@ -140,7 +143,7 @@
         None
     }
 
-    /// Waits for the other side, and tells the test whether it closed the connection or sent more.
+    /// Waits until the other side closes the connection or sends more, and reports to the test which of both.
     fn wait_for_close(&self, stream: &mut TcpStream) -> Option<()> {
         let sent_more = matches!(stream.read(&mut [0]), Ok(length) if length > 0);
         let _ = self.closed.lock().unwrap().send(!sent_more);
--- a/tests/stand_in/postgres/manual_endpoint.rs
+++ b/tests/stand_in/postgres/manual_endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in endpoint whose connections become ready when the test says so.
+//! A stand-in endpoint that leaves the startup of each connection to the test.
 
 use super::super::network::spawn_server;
 use super::super::waiting::DEFAULT_TIMEOUT;
@@ -8,7 +8,7 @@
 use std::sync::Mutex;
 use std::sync::mpsc::{Receiver, channel};
 
-/// An endpoint that hands each of its connections to the test.
+/// An endpoint that passes each of its connections to the test after the startup message.
 pub struct ManualEndpoint {
     pub address: SocketAddr,
     connections: Receiver<ManualConnection>,
@@ -31,9 +31,9 @@
         ManualEndpoint { address, connections }
     }
 
-    /// Waits for the pooler's next connection.
+    /// Waits for the pooler's next connection and its startup message.
     pub fn next_connection(&self) -> ManualConnection {
-        self.connections.recv_timeout(DEFAULT_TIMEOUT).expect("a connection to the host")
+        self.connections.recv_timeout(DEFAULT_TIMEOUT).expect("the pooler opens a connection to the endpoint")
     }
 }
 
--- a/tests/stand_in/process.rs
+++ b/tests/stand_in/process.rs
@@ -10,15 +10,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at whether the child process has exited.
+/// Interval at which a test checks whether the child process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Creates an empty directory that no other test uses.
+/// Creates an empty directory of the test's own; `name` is the start of the directory's name.
 pub fn test_directory(name: &str) -> PathBuf {
     static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
-    let process = std::process::id();
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{process}-{number}"));
+    let process_id = std::process::id();
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{process_id}-{number}"));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
@@ -28,7 +28,7 @@
 pub struct Process {
     pub child: Child,
     log: Receiver<String>,
-    /// The log lines that were read so far, in order.
+    /// The log lines that the `wait_for_` methods have read so far, in order.
     pub log_lines: Vec<String>,
 }
 
@@ -55,7 +55,7 @@
         Process { child, log, log_lines: Vec::new() }
     }
 
-    /// Waits for a log line that contains `text`, and returns it.
+    /// Waits for a log line that contains `text`, and returns it; a line already read does not count.
     pub fn wait_for_log(&mut self, text: &str) -> String {
         loop {
             match self.log.recv_timeout(DEFAULT_TIMEOUT) {
@@ -65,12 +65,12 @@
                         return line;
                     }
                 }
-                Err(error) => panic!("no line with {text:?} ({error}): {:#?}", self.log_lines),
+                Err(error) => panic!("no log line contains {text:?} ({error}): {:#?}", self.log_lines),
             }
         }
     }
 
-    /// Waits for a log line that contains `prefix`, and returns the address behind it.
+    /// Waits for a log line that contains `prefix`, and returns the address that follows it.
     pub fn wait_for_address(&mut self, prefix: &str) -> SocketAddr {
         let line = self.wait_for_log(prefix);
         let after_prefix = line.split(prefix).nth(1).unwrap();
@@ -86,14 +86,14 @@
         assert!(sent.success());
     }
 
-    /// Waits until the process has exited.
+    /// Waits until the process has exited; panics after [`DEFAULT_TIMEOUT`].
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let deadline = Instant::now() + DEFAULT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(Instant::now() < deadline, "the daemon still runs: {:#?}", self.log_lines);
+            assert!(Instant::now() < deadline, "the process has not exited: {:#?}", self.log_lines);
             thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
