--- a/tests/platform/clients.rs
+++ b/tests/platform/clients.rs
@@ -1,4 +1,4 @@
-//! What clients send: pipelined, malformed, in floods, never complete.
+//! Input of clients that is pipelined, malformed or never complete.
 
 use super::stand_in::platform::{
     PostgresGroup, keyed_write_statement, read_statement, start_pooler, start_pooler_with_sockets,
@@ -13,9 +13,9 @@
 use std::thread;
 use std::time::Instant;
 
-/// Guards against clients that write their first queries right behind the startup message.
+/// Guards against queries that are lost or reordered when a client sends them together with the startup message.
 #[test]
-fn a_startup_with_queries_right_behind_it_is_answered_in_order() {
+fn queries_sent_together_with_the_startup_message_are_answered_in_order() {
     let group = PostgresGroup::start(|_| Reply::Row(b"\x9f\x00\x03"));
     let pooler = start_pooler(&group.endpoint_list());
     let mut client = PostgresClient::connect_without_startup(pooler.address);
@@ -28,17 +28,21 @@
     assert_eq!(client.receive().unwrap().value, row_of(b"\x9f\x00\x03"));
     assert!(client.receive().unwrap().value.is_some());
     let statements = group.primary.statements();
-    let sent = statements.iter().find(|text| text.contains("INSERT")).unwrap();
-    let deadline_text = sent.split(",d=").nth(1).unwrap().split(',').next().unwrap();
+    let forwarded = statements.iter().find(|text| text.contains("INSERT")).unwrap();
+    let deadline_text = forwarded.split(",d=").nth(1).unwrap().split(',').next().unwrap();
     let deadline_ms: u32 = deadline_text.parse().unwrap();
-    assert!((1..=1000).contains(&deadline_ms), "{sent}");
-    assert_eq!(sent.replace(&format!(",d={deadline_ms}"), ",d=1000"), write, "only d changes");
+    assert!((1..=1000).contains(&deadline_ms), "{forwarded}");
+    assert_eq!(
+        forwarded.replace(&format!(",d={deadline_ms}"), ",d=1000"),
+        write,
+        "only the deadline changes"
+    );
 }
 
 /// Guards against a client that reuses the id of another client's open request: an endpoint would take the
 /// second request for a retry of the first.
 #[test]
-fn the_id_of_an_open_request_is_refused_until_that_is_answered() {
+fn the_id_of_an_open_request_is_rejected_until_that_request_is_answered() {
     let (release, released) = release_channel();
     let group = PostgresGroup::start(move |_| Reply::RowAfterRelease(released.clone(), b"own"));
     let pooler = start_pooler(&group.endpoint_list());
@@ -53,13 +57,13 @@
     assert_eq!(counts, (1, count_before));
     release.send(()).unwrap();
     assert_eq!(first.receive().unwrap().value, row_of(b"own"));
-    assert_eq!(other.query(&read_statement("7", 1000)).value, row_of(b"replica"), "it is open no more");
+    assert_eq!(other.query(&read_statement("7", 1000)).value, row_of(b"replica"), "the id is free again");
 }
 
-/// Guards against malformed input that reaches an endpoint, or that costs the client its connection without
-/// an error.
+/// Guards against malformed input that is forwarded to an endpoint, and against a connection that is closed
+/// without an error.
 #[test]
-fn malformed_input_gets_a_proper_error_and_is_not_forwarded() {
+fn malformed_input_gets_a_specific_error_and_is_not_forwarded() {
     let group = PostgresGroup::start(|_| Reply::Row(b"x"));
     let pooler = start_pooler(&group.endpoint_list());
     let mut client = PostgresClient::connect(pooler.address);
@@ -82,11 +86,15 @@
         [messages::startup(), messages::message(kind::QUERY, b"no end")].concat(),
         [messages::startup(), vec![b'!', 0, 0, 0, 4]].concat(),
     ] {
-        let last = last_response_to(&bytes, pooler.address).expect("an answer before the end");
+        let last = last_response_to(&bytes, pooler.address).expect("an error before the connection ends");
         assert_eq!((last.sqlstate.as_deref(), last.is_fatal), (Some("08P01"), true), "{bytes:?}");
     }
     assert_eq!(group.statement_count(), 0);
-    assert_eq!(client.query(&keyed_write_statement("9", 1000, 1)).value, row_of(b"x"), "it still serves");
+    assert_eq!(
+        client.query(&keyed_write_statement("9", 1000, 1)).value,
+        row_of(b"x"),
+        "the connection is still usable"
+    );
 }
 
 /// Sends these bytes on a new connection and returns the last response before the connection ends.
@@ -100,9 +108,10 @@
     last
 }
 
-/// Guards against requests whose deadline passes while they wait behind another one on their connection.
+/// Guards against pipelined requests that are not sent before the previous one has its response, so that their
+/// deadlines pass.
 #[test]
-fn requests_written_behind_another_are_sent_at_once_and_answered_in_order() {
+fn pipelined_requests_are_sent_at_once_and_answered_in_order() {
     let (release, released) = release_channel();
     let group = PostgresGroup::start(move |_| Reply::RowAfterRelease(released.clone(), b"slow"));
     let pooler = start_pooler(&group.endpoint_list());
@@ -119,27 +128,33 @@
         read_statement("4", 5_000),
     ];
     client.send(&pipelined.map(|text| messages::query(&text)).concat());
-    eventually("those behind it are sent too", || group.replica.statement_count() == count_before + 2);
+    eventually("the reads behind the write are sent too", || {
+        group.replica.statement_count() == count_before + 2
+    });
     release.send(()).unwrap();
     assert_eq!(client.receive().unwrap().value, row_of(b"slow"));
     assert_eq!(client.receive().unwrap().value, row_of(b"replica"));
     assert_eq!(client.receive().unwrap().sqlstate.as_deref(), Some("22023"));
-    assert_eq!(client.receive().unwrap().sqlstate.as_deref(), Some("42710"), "its id is open before it");
+    assert_eq!(
+        client.receive().unwrap().sqlstate.as_deref(),
+        Some("42710"),
+        "the id belongs to an open request"
+    );
     assert_eq!(client.receive().unwrap().value, row_of(b"replica"));
     // A client that disconnects ends all of its open requests.
     let fifth = messages::query(&keyed_write_statement("5", 600_000, 5));
     let sixth = messages::query(&keyed_write_statement("6", 600_000, 6));
     client.send(&[fifth, sixth].concat());
-    eventually("both are out", || group.primary.statement_count() == 4);
+    eventually("the primary has both writes", || group.primary.statement_count() == 4);
     drop(client);
     let mut other = PostgresClient::connect(pooler.address);
     eventually("their ids are free again", || other.query(&read_statement("6", 1_000)).value.is_some());
 }
 
 /// Guards against connections that send nothing, or never a complete request: they must be closed in time,
-/// and must not take up the connection slots of clients that send requests.
+/// and must not occupy the connection slots of clients that send requests.
 #[test]
-fn silent_connections_make_room_and_end_in_time() {
+fn silent_connections_free_their_slots_and_are_closed_in_time() {
     let group = PostgresGroup::start(|_| Reply::Row(b"x"));
     let pooler = start_pooler_with_sockets(&group.endpoint_list(), 64);
     let mut client = PostgresClient::connect(pooler.address);
@@ -147,8 +162,8 @@
     let half_a_startup = messages::startup()[..9].to_vec();
     let half_a_message = vec![kind::QUERY, 0, 0, 1, 0, b'x'];
     let incomplete_inputs = [vec![], half_a_startup, [messages::startup(), half_a_message].concat()];
-    let began = Instant::now();
-    // As many as the pooler has descriptors.
+    let started_at = Instant::now();
+    // As many as the pooler's limit on open sockets.
     let mut silent_clients = Vec::new();
     for number in 0..64 {
         let mut silent = PostgresClient::connect_without_startup(pooler.address);
@@ -165,31 +180,31 @@
     for mut silent in silent_clients {
         while silent.receive().is_some() {}
     }
-    assert!(began.elapsed().as_millis() < 3_000, "each of them was told or closed in time");
+    assert!(started_at.elapsed().as_millis() < 3_000, "each was sent an error or closed in time");
 }
 
-/// Guards against losing the order of hundreds of pipelined commands, and against waiting for all the bytes
-/// that a message's length claims.
+/// Guards against responses out of order when a client pipelines hundreds of queries, and against a wait for
+/// all the bytes of a message whose stated length is too large.
 #[test]
-fn a_flood_is_answered_in_order_and_a_false_length_at_once() {
+fn hundreds_of_pipelined_queries_are_answered_in_order_and_an_excessive_length_at_once() {
     let group = PostgresGroup::start(|_| Reply::Row(b"x"));
     let pooler = start_pooler(&group.endpoint_list());
     let mut client = PostgresClient::connect(pooler.address);
-    let mut flood = Vec::new();
+    let mut pipelined = Vec::new();
     for number in 0..600 {
         let unknown_class = read_statement(&number.to_string(), 5000).replace("c=read", "c=no");
-        flood.extend(messages::query(&unknown_class));
+        pipelined.extend(messages::query(&unknown_class));
     }
     let mut writer = client.stream.try_clone().unwrap();
-    let sending = thread::spawn(move || writer.write_all(&flood));
+    let sending = thread::spawn(move || writer.write_all(&pipelined));
     for number in 0..600 {
-        assert_eq!(client.receive().unwrap().sqlstate.as_deref(), Some("22023"), "command {number}");
+        assert_eq!(client.receive().unwrap().sqlstate.as_deref(), Some("22023"), "query {number}");
     }
     assert!(sending.join().unwrap().is_ok());
-    let mut huge = PostgresClient::connect(pooler.address);
-    huge.send(&[kind::QUERY, 3, 0x93, 0x87, 0]);
-    let rejection = huge.receive().unwrap();
-    assert_eq!(rejection.sqlstate.as_deref(), Some("08P01"), "none of the 60 MB had to come");
-    assert_eq!(huge.receive(), None);
+    let mut oversized = PostgresClient::connect(pooler.address);
+    oversized.send(&[kind::QUERY, 3, 0x93, 0x87, 0]);
+    let rejection = oversized.receive().unwrap();
+    assert_eq!(rejection.sqlstate.as_deref(), Some("08P01"), "rejected before any of the 60 MB arrived");
+    assert_eq!(oversized.receive(), None);
     assert_eq!(group.statement_count(), 0);
 }
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,5 +1,5 @@
-//! The program on the platform's protocol: started as the platform starts it, with clients, endpoints and
-//! discovery on sockets.
+//! The program with the platform's configuration, tested over sockets with stand-in clients, endpoints and
+//! discovery servers.
 
 #[path = "../stand_in/mod.rs"]
 mod stand_in;
--- a/tests/platform/responses.rs
+++ b/tests/platform/responses.rs
@@ -1,4 +1,4 @@
-//! What endpoints answer: malformed, long, cut short, missing.
+//! Responses of endpoints that are malformed, long, truncated or missing.
 
 use super::stand_in::discovery::endpoint_json;
 use super::stand_in::platform::{
@@ -13,8 +13,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// A row of a value of 3 bytes whose data row claims these lengths; 13 and 3 are the true ones.
-fn row_claiming(row_bytes: u32, value_bytes: u32) -> Vec<u8> {
+/// A result with one value of 3 bytes whose data row states these lengths; 13 and 3 are correct.
+fn row_stating(row_bytes: u32, value_bytes: u32) -> Vec<u8> {
     let one_column = [0, 1];
     let data_row =
         [&[kind::DATA_ROW][..], &row_bytes.to_be_bytes(), &one_column, &value_bytes.to_be_bytes(), b"bad"];
@@ -22,23 +22,23 @@
     [messages::row_description(), data_row.concat(), end].concat()
 }
 
-fn malformed_answers() -> Vec<Vec<u8>> {
+fn malformed_responses() -> Vec<Vec<u8>> {
     vec![
-        row_claiming(2, 3),
-        row_claiming(3_000_000_000, 3),
-        row_claiming(40, 3),
-        row_claiming(13, 90),
+        row_stating(2, 3),
+        row_stating(3_000_000_000, 3),
+        row_stating(40, 3),
+        row_stating(13, 90),
         vec![b'x'; 300],
         b"\0\xff\r\n".to_vec(),
-        row_claiming(13, 3)[..40].to_vec(),
+        row_stating(13, 3)[..40].to_vec(),
     ]
 }
 
-/// Guards against malformed answers that are passed on, that are waited for until the deadline, or that count
-/// as failures of an endpoint that works.
+/// Guards against malformed responses that are forwarded, that are waited for until the deadline, or that make
+/// the pooler treat a working endpoint as failed.
 #[test]
-fn a_malformed_answer_is_a_failed_attempt_and_its_connection_is_not_used_again() {
-    for bytes in malformed_answers() {
+fn a_malformed_response_fails_its_attempt_and_its_connection_is_not_reused() {
+    for bytes in malformed_responses() {
         let context = format!("{bytes:?}");
         let statement_count = Arc::new(AtomicUsize::new(0));
         let counter = statement_count.clone();
@@ -48,13 +48,17 @@
         });
         let pooler = start_pooler(&group.endpoint_list());
         let mut client = PostgresClient::connect(pooler.address);
-        assert_eq!(client.query(&write_statement("0", 1900)).sqlstate, None, "now the primary is known");
+        assert_eq!(
+            client.query(&write_statement("0", 1900)).sqlstate,
+            None,
+            "the router now knows the primary"
+        );
         let sent_at = Instant::now();
         let keyed = client.query(&keyed_write_statement("1", 1900, 9));
         assert_eq!(keyed.value, row_of(b"good"), "{context}");
-        assert!(sent_at.elapsed().as_millis() < 1_000, "not waited for: {context}");
+        assert!(sent_at.elapsed().as_millis() < 1_000, "no wait for the deadline: {context}");
         assert_eq!(statement_count.load(Ordering::SeqCst), 3, "{context}");
-        // Without a key it may not be retried: it has run, or may have.
+        // Without a key the write must not be retried, since it may have run.
         statement_count.store(1, Ordering::SeqCst);
         let without_key = client.query(&write_statement("2", 1900));
         assert_eq!(without_key.sqlstate.as_deref(), Some("58000"), "{context}");
@@ -63,10 +67,10 @@
     }
 }
 
-/// Guards against correct answers that are taken for malformed because of their length, and against a
-/// connection that cannot be used after one.
+/// Guards against valid responses that are taken for malformed because of their length, and against a
+/// connection that is unusable after one.
 #[test]
-fn long_values_pass_whole() {
+fn long_values_are_forwarded_in_full() {
     static LONG_VALUE: [u8; 4 * 1024 * 1024] = [7; 4 * 1024 * 1024];
     let group = PostgresGroup::start(|text| match text.contains("id=1,") {
         true => Reply::Row(&LONG_VALUE[..70_000]),
@@ -84,21 +88,21 @@
     pipelining.send(&[long_query, shorter_query].concat());
     let mut received_length = || pipelining.receive().unwrap().value.map(|value| value.len());
     assert_eq!(received_length(), Some(LONG_VALUE.len()));
-    assert_eq!(received_length(), Some(70_000), "in their order");
+    assert_eq!(received_length(), Some(70_000), "in the order of the queries");
 }
 
-/// Guards against a long value that is kept back until it is complete, and against one that breaks off and
-/// passes for complete.
+/// Guards against a long value that is buffered until it is complete, and against a truncated one that looks
+/// complete to the client.
 #[test]
-fn a_long_value_passes_on_as_it_comes_and_the_client_can_tell_where_it_broke_off() {
+fn a_long_value_is_streamed_and_a_client_can_detect_that_it_is_truncated() {
     const VALUE_BYTES: usize = 200_000;
     const ROW_DESCRIPTION_BYTES: usize = 33;
-    const DATA_ROW_HEAD_BYTES: usize = 11;
-    let half_of_a_row = || messages::partial_row(VALUE_BYTES, &[9; VALUE_BYTES / 2]);
+    const DATA_ROW_HEADER_BYTES: usize = 11;
+    let half_a_row = || messages::partial_row(VALUE_BYTES, &[9; VALUE_BYTES / 2]);
     let row_without_end = || messages::partial_row(VALUE_BYTES, &[9; VALUE_BYTES]);
     let group = PostgresGroup::start(move |text| match text {
-        text if text.contains("id=1,") => Reply::BytesThenSilence(half_of_a_row()),
-        text if text.contains("id=2,") => Reply::BytesThenClose(half_of_a_row()),
+        text if text.contains("id=1,") => Reply::BytesThenSilence(half_a_row()),
+        text if text.contains("id=2,") => Reply::BytesThenClose(half_a_row()),
         text if text.contains("id=3,") => {
             Reply::BytesThenClose([row_without_end(), b"!!!!!".to_vec()].concat())
         }
@@ -106,35 +110,42 @@
         _ => Reply::Row(b"x"),
     });
     let pooler = start_pooler(&group.endpoint_list());
-    // The endpoint has sent half of it and sends no more: the client already has that half.
+    // The endpoint sends half of the row and no more; the client receives that half.
     let mut waiting = PostgresClient::connect(pooler.address);
     waiting.send_query(&keyed_write_statement("1", 1_000, 1));
-    let mut received_half = vec![0; ROW_DESCRIPTION_BYTES + DATA_ROW_HEAD_BYTES + VALUE_BYTES / 2];
+    let mut received_half = vec![0; ROW_DESCRIPTION_BYTES + DATA_ROW_HEADER_BYTES + VALUE_BYTES / 2];
     waiting.stream.read_exact(&mut received_half).unwrap();
     drop(waiting);
     let closed = group.primary.closed_connections.recv_timeout(DEFAULT_TIMEOUT);
-    assert_eq!(closed, Ok(true), "its attempt ends with the client");
+    assert_eq!(closed, Ok(true), "the attempt ends when the client disconnects");
     for id in ["2", "3"] {
         let mut client = PostgresClient::connect(pooler.address);
         client.send_query(&keyed_write_statement(id, 1_000, 1));
         let mut received = Vec::new();
         let _ = client.stream.read_to_end(&mut received);
-        let ends_as_complete = received.ends_with(b"Z\0\0\0\x05I");
-        assert!(received.len() >= VALUE_BYTES / 2 && !ends_as_complete, "{id}: it cannot pass for whole");
+        let ends_with_ready = received.ends_with(b"Z\0\0\0\x05I");
+        assert!(
+            received.len() >= VALUE_BYTES / 2 && !ends_with_ready,
+            "{id}: a truncated response must not look complete"
+        );
     }
     let count_before = group.primary.statement_count();
     let response = PostgresClient::connect(pooler.address).query(&write_statement("4", 1_000));
     let count_after = group.primary.statement_count();
     let outcome = (response.sqlstate.as_deref(), count_after);
-    assert_eq!(outcome, (Some("58000"), count_before + 1), "rejected by its head");
+    assert_eq!(
+        outcome,
+        (Some("58000"), count_before + 1),
+        "rejected for the length in its header, without a retry"
+    );
     let response = PostgresClient::connect(pooler.address).query(&write_statement("5", 5_000));
     assert_eq!(response.value, row_of(b"x"));
 }
 
-/// Guards against a request that outlives its deadline, and against a rejection without a time to retry
-/// after.
+/// Guards against a request that stays open after its deadline, and against a rejection that does not state
+/// when to retry.
 #[test]
-fn a_request_without_an_answer_fails_at_its_deadline_and_a_rejected_one_gets_a_retry_after() {
+fn a_request_without_a_response_fails_at_its_deadline_and_a_rejected_one_gets_a_retry_after() {
     let group = PostgresGroup::start(|_| Reply::NoResponse);
     let pooler = start_pooler(&group.endpoint_list());
     let sent_at = Instant::now();
--- a/tests/platform/signals.rs
+++ b/tests/platform/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM, SIGHUP, and malformed configurations.
+//! SIGTERM, SIGHUP and invalid configurations.
 
 use super::stand_in::discovery::{DiscoveryServer, endpoint_json};
 use super::stand_in::network::unused_address;
@@ -11,9 +11,9 @@
 use super::stand_in::waiting::eventually;
 use brookpass_testkit::log_lines;
 
-/// Guards against requests lost at a planned restart.
+/// Guards against requests that are lost in a planned restart.
 #[test]
-fn sigterm_answers_all_that_was_taken_and_then_ends() {
+fn after_sigterm_all_open_requests_are_answered_before_the_exit() {
     let (release, released) = release_channel();
     let group = PostgresGroup::start(move |text| match text.contains("INSERT") {
         true => Reply::RowAfterRelease(released.clone(), b"late"),
@@ -26,17 +26,17 @@
     eventually("the primary has the write", || group.primary.statement_count() == 1);
     pooler.process.signal("-TERM");
     pooler.process.wait_for_log(log_lines::DRAINING);
-    assert_eq!(idle.query(&read_statement("2", 1000)).value, row_of(b"replica"), "taken after SIGTERM");
+    assert_eq!(idle.query(&read_statement("2", 1000)).value, row_of(b"replica"), "accepted after SIGTERM");
     release.send(()).unwrap();
     assert_eq!(client.receive().unwrap().value, row_of(b"late"));
-    assert_eq!(idle.receive(), None, "idle connections end");
+    assert_eq!(idle.receive(), None, "idle connections are closed");
     assert!(pooler.process.wait_for_exit().success());
 }
 
-/// Guards against a reload that ends the program, waits for the old discovery server, or fails an open
+/// Guards against a reload that terminates the program, waits for the old discovery server or fails an open
 /// request.
 #[test]
-fn sighup_moves_discovery_at_once_and_leaves_open_requests_alone() {
+fn sighup_changes_the_discovery_server_at_once_and_keeps_open_requests() {
     let (release, released) = release_channel();
     let group = PostgresGroup::start(move |text| match text.contains("INSERT") {
         true => Reply::RowAfterRelease(released.clone(), b"late"),
@@ -53,7 +53,7 @@
         endpoint_json("other", new_replica.address, 1, "active"),
     ]);
     std::fs::write(&pooler.config_path, config("127.0.0.1:0", new_discovery.address, SETTINGS)).unwrap();
-    // The old discovery server holds a watch open meanwhile and does not answer it.
+    // The old discovery server still holds a watch open and does not respond to it.
     pooler.process.signal("-HUP");
     pooler.process.wait_for_log(log_lines::DISCOVERY_RELOADED);
     new_discovery.wait_for_watch();
@@ -75,16 +75,16 @@
     assert!(pooler.process.wait_for_exit().success());
 }
 
-/// Guards against an error in a configuration that the log does not locate.
+/// Guards against an invalid configuration whose error the log does not locate.
 #[test]
-fn a_bad_configuration_is_one_line_with_file_and_line() {
+fn an_invalid_configuration_is_logged_in_one_line_with_file_and_location() {
     let path = test_directory("bad").join("config.json");
     let file = path.to_str().unwrap();
-    let good = config("127.0.0.1:0", unused_address(), SETTINGS);
+    let valid = config("127.0.0.1:0", unused_address(), SETTINGS);
     for (text, error) in [
-        (good.replace("\"repeat\":\"by_key\"", "\"repeat\":\"by_key\"]"), "line 6"),
-        (good.replace("127.0.0.1:0", "here"), "listen"),
-        (good.replace("\"deadline\":2.0", "\"deadline\":\"soon\""), "services.1.deadline"),
+        (valid.replace("\"repeat\":\"by_key\"", "\"repeat\":\"by_key\"]"), "line 6"),
+        (valid.replace("127.0.0.1:0", "here"), "listen"),
+        (valid.replace("\"deadline\":2.0", "\"deadline\":\"soon\""), "services.1.deadline"),
     ] {
         std::fs::write(&path, text).unwrap();
         let mut process = Process::start(&[], &[("GW_CONFIG", file)]);
