--- a/tests/sparql/administration.rs
+++ b/tests/sparql/administration.rs
@@ -1,4 +1,4 @@
-//! Drains and the admin server, over restarts with and without a disk.
+//! The admin server, and drains across restarts with and without a store on disk.
 
 use super::endpoint::SparqlEndpoint;
 use super::pooler::{OperatorFiles, RunningPooler, entry, query_request, start_pooler, update_request};
@@ -6,7 +6,7 @@
 use super::stand_in::waiting::eventually;
 use std::net::SocketAddr;
 
-/// What the log says before the admin server's address.
+/// The text before the admin server's address in the log.
 const ADMIN_ADDRESS_PREFIX: &str = "operators at http://";
 
 /// The address of the admin server, which may be logged before or after the clients' address.
@@ -22,10 +22,10 @@
     call(address, &format!("{method} {path} HTTP/1.1\r\n\r\n"))
 }
 
-/// Guards against a SPARQL front that operators cannot observe, drain and reactivate as they can on the
-/// platform.
+/// Guards against a SPARQL server that operators cannot observe, drain and reactivate, as they can a PostgreSQL
+/// one.
 #[test]
-fn the_admin_server_shows_metrics_drains_and_reactivates_the_sparql_front() {
+fn the_admin_server_returns_metrics_and_drains_and_reactivates_the_sparql_server() {
     let primary = SparqlEndpoint::primary();
     let mut pooler = start_pooler(&OperatorFiles::write("door", &[entry("p", primary.address)]));
     let admin = admin_address(&mut pooler);
@@ -46,15 +46,15 @@
         assert!(metrics.lines().any(|line| line == expected), "{expected} in {metrics}");
     }
     assert_eq!(call_admin(admin, "PUT", "/v1/pooler/drain").status(), 200);
-    assert_eq!(client.call(&query_request("")).status(), 200, "what is taken is answered");
+    assert_eq!(client.call(&query_request("")).status(), 200, "an open connection is still served");
     assert_eq!(pooler.readiness(), 503);
-    assert!(read_http_message(&mut client.reader).is_none(), "then its connection ends");
+    assert!(read_http_message(&mut client.reader).is_none(), "the connection is closed after the response");
     assert_eq!(call_admin(admin, "PUT", "/v1/pooler/activate").status(), 200);
     assert_eq!(pooler.readiness(), 200);
     assert_eq!(pooler.call(&query_request("")).status(), 200);
 }
 
-/// The status of a POST to the store.
+/// Sends a POST without a body to the store and returns the status.
 fn post_to_store(pooler: &RunningPooler, path: &str) -> u16 {
     pooler.call_store(&format!("POST /{path} HTTP/1.1\r\nContent-Length: 0\r\n\r\n")).status()
 }
@@ -65,10 +65,10 @@
     list.lines().any(|line| line.starts_with("one ") && line.contains(" leaving "))
 }
 
-/// Guards against a drain that does not take effect: at once on the pooler that is told, soon on its peers,
-/// and after a restart.
+/// Guards against a drain that does not take effect: at once on the pooler that receives it, soon after on its
+/// peers, and after a restart.
 #[test]
-fn a_drain_holds_here_at_peers_and_after_a_restart_without_disk() {
+fn a_drain_takes_effect_locally_on_peers_and_after_a_restart_without_disk() {
     let one = SparqlEndpoint::primary();
     let two = SparqlEndpoint::primary();
     let entries = || [entry("one", one.address), entry("two", two.address)];
@@ -76,8 +76,8 @@
     let files = OperatorFiles::write_with_peers("b", &entries(), &[peer.store_address]);
     let mut pooler = start_pooler(&files);
     assert_eq!(post_to_store(&pooler, "drain/nobody"), 404);
-    let from_a_browser = "POST /drain/one HTTP/1.1\r\nOrigin: http://x\r\n\r\n";
-    assert_eq!(pooler.call_store(from_a_browser).status(), 403);
+    let cross_origin_request = "POST /drain/one HTTP/1.1\r\nOrigin: http://x\r\n\r\n";
+    assert_eq!(pooler.call_store(cross_origin_request).status(), 403);
     assert!(!is_one_leaving(&peer) && !is_one_leaving(&pooler));
     assert_eq!(post_to_store(&pooler, "drain/one"), 200);
     assert!(is_one_leaving(&pooler));
@@ -85,24 +85,26 @@
     for _ in 0..10 {
         assert_eq!(pooler.call(&query_request("")).status(), 200);
     }
-    assert_eq!(one.operation_count(), count_before, "a local drain acts at once");
-    eventually("the peer hears of it", || is_one_leaving(&peer));
+    assert_eq!(one.operation_count(), count_before, "the drain takes effect at once where it was requested");
+    eventually("the peer learns of the drain", || is_one_leaving(&peer));
     pooler.kill();
     let pooler = start_pooler(&files);
-    eventually("the restarted daemon has caught up", || is_one_leaving(&pooler));
+    eventually("the restarted pooler has the drain again", || is_one_leaving(&pooler));
     assert_eq!(post_to_store(&pooler, "undrain/one"), 200);
-    eventually("a later change wins everywhere", || !is_one_leaving(&peer) && !is_one_leaving(&pooler));
+    eventually("the later undrain takes effect on both poolers", || {
+        !is_one_leaving(&peer) && !is_one_leaving(&pooler)
+    });
 }
 
-/// Guards against a restart that loses drains where there is a disk but no peer, and against a damaged file
-/// that prevents the start.
+/// Guards against a restart without peers that loses the drains on disk, and against a damaged store file that
+/// prevents the start.
 #[test]
-fn the_disk_brings_the_store_back_and_a_damaged_one_is_set_aside() {
+fn a_restart_restores_the_store_from_disk_and_renames_a_damaged_store_file() {
     let one = SparqlEndpoint::primary();
     let files = OperatorFiles::write("disk", &[entry("one", one.address)]);
     files.edit_operator_file(|text| text.replace("# snapshot: b1.store", "snapshot: b1.store"));
     let mut pooler = start_pooler(&files);
-    // A drain that was answered is durable, however soon the power fails.
+    // A drain is durable as soon as its request is answered, even if the power fails right after.
     assert_eq!(pooler.call_store("POST /drain/one HTTP/1.1\r\n\r\n").status(), 200);
     pooler.kill();
     let mut restarted = start_pooler(&files);
@@ -116,10 +118,12 @@
     assert!(log_lines.iter().any(|line| line.contains("set aside as")), "{log_lines:?}");
     assert!(files.directory.join("b1.store.damaged").exists());
     without_store.kill();
-    // A store in the format of the version before is read with its drains.
+    // A store file in the format of the previous version is read, with its drains.
     std::fs::remove_file(&store_path).unwrap();
     let old_format = "brookpass-store 1\n5\ta.1\tdrain/one\t+1\nend\n";
     std::fs::write(&store_path, old_format).unwrap();
     let with_old_store = start_pooler(&files);
-    eventually("the old store's drain holds", || with_old_store.endpoint_list().contains(" leaving "));
+    eventually("the drain in the old store file is in effect", || {
+        with_old_store.endpoint_list().contains(" leaving ")
+    });
 }
--- a/tests/sparql/configuration.rs
+++ b/tests/sparql/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's file and its inventory: at the start, at a reload, from a peer.
+//! The operator's file and its inventory: at the start, on reload, and from a peer.
 
 use super::endpoint::SparqlEndpoint;
 use super::pooler::{OperatorFiles, RunningPooler, entry, query_request, start_pooler, start_process};
@@ -9,19 +9,19 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Guards against a pooler without settings and inventory that does not take them over from its peers' store.
+/// Guards against a pooler without settings and inventory that does not use those in its peers' store.
 #[test]
-fn settings_and_hosts_come_from_a_peer_where_the_file_has_none() {
+fn settings_and_endpoints_come_from_a_peer_when_the_file_has_none() {
     let endpoint = SparqlEndpoint::primary();
-    let giver = start_pooler(&OperatorFiles::write("giver", &[entry("one", endpoint.address)]));
+    let peer = start_pooler(&OperatorFiles::write("giver", &[entry("one", endpoint.address)]));
     let unused_entry = entry("one", unused_address());
-    let files = OperatorFiles::write_with_peers("taker", &[unused_entry], &[giver.store_address]);
+    let files = OperatorFiles::write_with_peers("taker", &[unused_entry], &[peer.store_address]);
     files.edit_operator_file(|text| {
         let before_settings = text.split("\nsettings:").next().unwrap();
         before_settings.replace("inventory: hosts.csv\n", "") + "\n"
     });
-    let taker = start_pooler(&files);
-    assert_eq!(taker.call(&query_request("")).status(), 200);
+    let pooler = start_pooler(&files);
+    assert_eq!(pooler.call(&query_request("")).status(), 200);
     assert_eq!(endpoint.operation_count(), 1);
 }
 
@@ -31,9 +31,9 @@
     list.lines().filter_map(|line| line.split(' ').next()).map(str::to_string).collect()
 }
 
-/// Guards against a half-written inventory that removes endpoints or gets into use.
+/// Guards against an incomplete inventory file that removes endpoints or is used in part.
 #[test]
-fn an_inventory_is_reloaded_whole_or_not_at_all() {
+fn an_inventory_is_reloaded_completely_or_not_at_all() {
     let one = SparqlEndpoint::primary();
     let two = SparqlEndpoint::replica(0);
     let files = OperatorFiles::write("reload", &[entry("one", one.address)]);
@@ -45,27 +45,27 @@
     assert!(line.contains("hosts.csv: line 2"), "{line}");
     assert_eq!(listed_names(&pooler), ["one"]);
     files.write_inventory(&[entry("one", one.address), entry("two", two.address)]);
-    eventually("the new host is listed", || listed_names(&pooler) == ["one", "two"]);
+    eventually("the new endpoint is listed", || listed_names(&pooler) == ["one", "two"]);
     let list = pooler.endpoint_list();
     let mut in_service_since_ms = Vec::new();
     for line in list.lines() {
         let last_column: i64 = line.rsplit(' ').next().unwrap().parse().unwrap();
         in_service_since_ms.push(last_column);
     }
-    assert_eq!(in_service_since_ms[0], 0, "it was there from the start");
+    assert_eq!(in_service_since_ms[0], 0, "an endpoint of the first inventory counts as warm");
     let age_ms = now_ms() - in_service_since_ms[1];
-    assert!(age_ms < 60_000, "one that is new to a running inventory starts cold: {list}");
+    assert!(age_ms < 60_000, "an endpoint that a reload adds starts cold: {list}");
 }
 
-/// Guards against a new endpoint that is overloaded: until it is warm it gets a small share of the requests.
+/// Guards against overload of a new endpoint: until it is warm, it must get only a small share of the requests.
 #[test]
-fn a_host_new_to_a_running_inventory_gets_a_slow_start() {
+fn an_endpoint_that_a_reload_adds_gets_a_slow_start() {
     let primary = SparqlEndpoint::primary();
     let old = SparqlEndpoint::replica(0);
     let new = SparqlEndpoint::replica(0);
     let old_entries = || vec![entry("p", primary.address), entry("old", old.address)];
     let files = OperatorFiles::write("cold", &old_entries());
-    // Endpoints that check the age of a read themselves (`await`) are tried before a health check.
+    // With `await`, endpoints check the age of a read themselves, so they are tried before any health check.
     files.edit_operator_file(|text| {
         text.replace("cold-share: 0.25", "cold-share: 0.05")
             .replace("behind: none", "behind: await")
@@ -78,24 +78,27 @@
             assert_eq!(client.call(&query_request("")).status(), 200);
         }
     };
-    // Until the router's latencies have settled, an endpoint without measurements looks slow anyway.
+    // Until the router's latency estimates have settled, an endpoint without measurements looks slow in any case.
     send_reads(600);
     let mut all_entries = old_entries();
     all_entries.push(entry("new", new.address));
     files.write_inventory(&all_entries);
-    eventually("the new host is listed", || pooler.endpoint_list().contains("new "));
+    eventually("the new endpoint is listed", || pooler.endpoint_list().contains("new "));
     let old_count_before = old.operation_count();
     send_reads(200);
     let warm_count = old.operation_count() - old_count_before;
     let cold_count = new.operation_count();
-    assert!(cold_count * 4 < warm_count, "the cold host got {cold_count}, the warm one {warm_count}");
-    eventually("it gets its small share", || {
+    assert!(
+        cold_count * 4 < warm_count,
+        "the cold endpoint got {cold_count} reads, the warm one {warm_count}"
+    );
+    eventually("the cold endpoint gets reads", || {
         send_reads(1);
         new.operation_count() > 0
     });
 }
 
-/// Checks that the program does not start and that its error contains `error`.
+/// Checks that the program exits with a failure and logs an error that contains `error`.
 fn check_start_fails(files: &OperatorFiles, error: &str) {
     let mut process = start_process(&files.operator_path());
     let line = process.wait_for_log(log_lines::ERROR_LEVEL);
@@ -103,21 +106,21 @@
     assert!(!process.wait_for_exit().success());
 }
 
-/// Runs the program's check of an operator's file.
+/// Runs `brookpass --check` on an operator's file.
 fn check_file(operator_path: &Path) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_brookpass"));
     command.args(["--check", operator_path.to_str().unwrap()]).output().unwrap()
 }
 
-/// Guards against an error in a file that the log does not locate.
+/// Guards against an invalid file whose error the log does not locate.
 #[test]
-fn a_bad_file_at_the_start_is_one_line_with_file_and_line() {
+fn an_invalid_file_at_the_start_is_logged_in_one_line_with_file_and_line() {
     let files = OperatorFiles::write("bad", &[entry("one", unused_address())]);
-    let good = files.operator_text();
+    let valid_text = files.operator_text();
     files.edit_operator_file(|text| text.replace("warm-up: 16", "warm-up: long"));
-    let line_number = good.lines().position(|line| line.contains("warm-up")).unwrap() + 1;
+    let line_number = valid_text.lines().position(|line| line.contains("warm-up")).unwrap() + 1;
     check_start_fails(&files, &format!("operator.yaml: line {line_number}: guarantees.warm-up"));
-    std::fs::write(files.operator_path(), &good).unwrap();
+    std::fs::write(files.operator_path(), &valid_text).unwrap();
     let duplicate_name = "name,address,group\none,127.0.0.1:1,1\none,127.0.0.1:2,1\n";
     std::fs::write(files.inventory_path(), duplicate_name).unwrap();
     check_start_fails(&files, "hosts.csv: line 3: host \"one\" stands twice");
--- a/tests/sparql/connections.rs
+++ b/tests/sparql/connections.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect, stay silent, or wait while the program ends.
+//! Clients that disconnect, stay silent, or wait for a response during the shutdown.
 
 use super::endpoint::{Reply, SparqlEndpoint};
 use super::pooler::{OperatorFiles, entry, query_request, start_pooler, update_request};
@@ -10,50 +10,53 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Guards against work whose result nobody receives, the operators' other hard case: when a client
-/// disconnects, its attempt ends.
+/// Guards against work whose result no client receives, the other hard case for operators besides stale reads.
 #[test]
-fn a_client_that_drops_its_connection_ends_the_attempt() {
+fn a_client_that_disconnects_ends_its_attempt() {
     let endpoint = SparqlEndpoint::primary_replying(|_| Some(Reply::NoResponse));
     let pooler = start_pooler(&OperatorFiles::write("drop", &[entry("p", endpoint.address)]));
     let mut client = HttpClient::connect(pooler.client_address);
-    // The deadline lies far beyond the test's own timeout: it is not what ends the attempt.
+    // The deadline is far longer than the test's timeout, so it cannot be what ends the attempt.
     client.send(&update_request("Brookpass-Time-Left-Ms: 600000\r\n"));
-    eventually("the host has the operation", || endpoint.operation_count() == 1);
+    eventually("the endpoint has the operation", || endpoint.operation_count() == 1);
     drop(client);
     let closed = endpoint.closed_connections.recv_timeout(DEFAULT_TIMEOUT);
     assert_eq!(closed, Ok(true), "the attempt's connection is closed");
 }
 
-/// Guards against an attempt that waits for an endpoint to continue a long answer although its client has
-/// disconnected.
+/// Guards against an attempt that waits for the rest of a long response although the client has disconnected.
 #[test]
-fn a_client_that_goes_in_the_midst_of_a_long_answer_ends_the_attempt() {
-    const ANSWER_BYTES: usize = 3 * 1024 * 1024;
-    let endpoint = SparqlEndpoint::primary_replying(|_| Some(Reply::StalledAnswer { length: ANSWER_BYTES }));
+fn a_client_that_disconnects_during_a_long_response_ends_its_attempt() {
+    const RESPONSE_BYTES: usize = 3 * 1024 * 1024;
+    let endpoint =
+        SparqlEndpoint::primary_replying(|_| Some(Reply::StalledResponse { length: RESPONSE_BYTES }));
     let pooler = start_pooler(&OperatorFiles::write("leaves-long", &[entry("h", endpoint.address)]));
     let mut client = HttpClient::connect(pooler.client_address);
     client.send(&query_request(""));
     let mut buffer = vec![0; 64 * 1024];
     client.reader.read_exact(&mut buffer).unwrap();
-    let began = Instant::now();
+    let started_at = Instant::now();
     // The client reads until nothing more arrives, then disconnects.
     client.reader.get_ref().set_read_timeout(Some(Duration::from_millis(300))).unwrap();
     while matches!(client.reader.read(&mut buffer), Ok(length) if length > 0) {}
     drop(client);
     assert_eq!(endpoint.closed_connections.recv_timeout(DEFAULT_TIMEOUT), Ok(true));
-    assert!(began.elapsed().as_secs() < 5, "a host's stall is not waited for: {:?}", began.elapsed());
+    assert!(
+        started_at.elapsed().as_secs() < 5,
+        "the attempt waited for the stalled endpoint: {:?}",
+        started_at.elapsed()
+    );
 }
 
-/// Guards against connections that send nothing, or never a complete request, and take up the connection
-/// slots of clients that send requests.
+/// Guards against connections that send nothing, or never a complete request, and occupy the connection slots
+/// of clients that send requests.
 #[test]
-fn silent_connections_make_room_and_end_in_time() {
+fn silent_connections_free_their_slots_and_are_closed_in_time() {
     let primary = SparqlEndpoint::primary();
     let files = OperatorFiles::write("silent", &[entry("p", primary.address)]);
     files.edit_operator_file(|text| text.replace("sockets: 1024", "sockets: 96"));
     let pooler = start_pooler(&files);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let half_a_body = "POST /sparql HTTP/1.1\r\nHost: b\r\nContent-Length: 900\r\n\r\nhalf";
     let incomplete_inputs = ["", "GET /sp", half_a_body];
     let mut silent_clients = Vec::new();
@@ -68,25 +71,25 @@
     for mut silent in silent_clients {
         while read_http_message(&mut silent.reader).is_some() {}
     }
-    assert!(began.elapsed().as_millis() < 3_000, "each of them was told or closed in time");
+    assert!(started_at.elapsed().as_millis() < 3_000, "each was sent an error or closed in time");
 }
 
-/// Guards against requests lost when the program is stopped.
+/// Guards against requests that are lost when the program is stopped.
 #[test]
-fn sigterm_answers_what_was_taken() {
+fn after_sigterm_all_open_requests_are_answered_before_the_exit() {
     let is_held = Arc::new(AtomicBool::new(true));
     let received_count = Arc::new(AtomicUsize::new(0));
     let held = is_held.clone();
     let counter = received_count.clone();
     let endpoint = SparqlEndpoint::primary_replying(move |_| {
         counter.fetch_add(1, Ordering::SeqCst);
-        eventually("the test lets go", || !held.load(Ordering::SeqCst));
+        eventually("the test releases the response", || !held.load(Ordering::SeqCst));
         None
     });
     let mut pooler = start_pooler(&OperatorFiles::write("term", &[entry("p", endpoint.address)]));
     let mut client = HttpClient::connect(pooler.client_address);
     client.send(&update_request(""));
-    eventually("the host has it", || received_count.load(Ordering::SeqCst) == 1);
+    eventually("the endpoint has the update", || received_count.load(Ordering::SeqCst) == 1);
     pooler.process.signal("-TERM");
     pooler.process.wait_for_log(log_lines::DRAINING);
     is_held.store(false, Ordering::SeqCst);
--- a/tests/sparql/endpoint.rs
+++ b/tests/sparql/endpoint.rs
@@ -12,54 +12,54 @@
 
 /// What a stand-in endpoint does with an operation.
 pub enum Reply {
-    Answer {
+    Response {
         status: u16,
         content_type: &'static str,
         body: String,
     },
-    /// An answer that states this position, whatever the position of the endpoint's data is.
-    AnswerAtPosition {
+    /// A response that states this position, whatever the position of the endpoint's data is.
+    ResponseAtPosition {
         position_ms: i64,
         body: String,
     },
-    /// No answer; the endpoint closes the connection.
+    /// No response; the endpoint closes the connection.
     Close,
-    /// No answer; the connection stays open until the other side closes it.
+    /// No response; the connection stays open until the other side closes it.
     NoResponse,
-    /// A complete answer of this length.
-    LongAnswer {
+    /// A complete response with a body of this length.
+    LongResponse {
         length: usize,
     },
-    /// An answer that states this length, without its last byte; the endpoint closes the connection.
-    TruncatedAnswer {
+    /// A response that states this length, without the last byte of its body; the endpoint closes the connection.
+    TruncatedResponse {
         length: usize,
     },
-    /// An answer that states this length, without its last byte; the connection stays open until the other
+    /// A response that states this length, without the last byte of its body; the connection stays open until the other
     /// side closes it.
-    StalledAnswer {
+    StalledResponse {
         length: usize,
     },
-    /// An answer that states no length, and a reset of the connection.
+    /// The start of a response that states no length, then a reset of the connection.
     ResetWithoutLength,
 }
 
 impl Reply {
-    /// An answer with a text.
+    /// A response with this status and a plain text body.
     pub fn text(status: u16, body: &str) -> Reply {
-        Reply::Answer { status, content_type: "text/plain", body: body.to_string() }
+        Reply::Response { status, content_type: "text/plain", body: body.to_string() }
     }
 }
 
-/// An endpoint that speaks SPARQL over HTTP and answers from whatever data it has. Unless a test says
-/// otherwise, an answer's body is the position of the data that it was made from.
+/// An endpoint that speaks SPARQL over HTTP and answers from the data that it has, however old that is. By
+/// default the body of a response is the position of the data that it was made from.
 pub struct SparqlEndpoint {
     pub address: SocketAddr,
     pub is_primary: Arc<AtomicBool>,
     /// How far the endpoint's data is behind, in milliseconds.
     pub lag_ms: Arc<AtomicI64>,
     operations: Arc<Mutex<Vec<HttpMessage>>>,
-    /// A message for each operation that was left unanswered: whether the other side then closed the
-    /// connection.
+    /// One message per operation with [`Reply::NoResponse`] or [`Reply::StalledResponse`]: `true` when the other
+    /// side then closed the connection, `false` when it sent more.
     pub closed_connections: Receiver<bool>,
 }
 
@@ -69,19 +69,19 @@
         SparqlEndpoint::primary_replying(|_| None)
     }
 
-    /// A replica that answers every query from data that is this far behind.
+    /// A replica that answers every query from data that is this far behind the primary.
     pub fn replica(lag_ms: i64) -> SparqlEndpoint {
         SparqlEndpoint::replica_replying(lag_ms, |_| None)
     }
 
-    /// A primary that replies like this; `None`: as usual.
+    /// A primary with these replies; `None` selects the default reply.
     pub fn primary_replying(
         reply: impl Fn(&HttpMessage) -> Option<Reply> + Send + Sync + 'static,
     ) -> SparqlEndpoint {
         SparqlEndpoint::start(true, 0, reply)
     }
 
-    /// A replica that replies like this; `None`: as usual.
+    /// A replica with these replies; `None` selects the default reply.
     pub fn replica_replying(
         lag_ms: i64,
         reply: impl Fn(&HttpMessage) -> Option<Reply> + Send + Sync + 'static,
@@ -122,7 +122,7 @@
     }
 }
 
-/// What the threads of an endpoint's connections share.
+/// State that the threads of an endpoint's connections share.
 struct Behavior<F> {
     is_primary: Arc<AtomicBool>,
     lag_ms: Arc<AtomicI64>,
@@ -131,7 +131,7 @@
     reply: F,
 }
 
-/// What an endpoint reports of itself in the headers of an answer.
+/// The role and position that an endpoint reports in the headers of a response.
 struct Status {
     role: &'static str,
     position_ms: i64,
@@ -152,8 +152,8 @@
     request.header("content-type") == Some("application/sparql-update")
 }
 
-/// What an endpoint answers unless the test says otherwise.
-fn usual_reply(request: &HttpMessage, status: &Status) -> Reply {
+/// The reply to a request for which the test sets none.
+fn default_reply(request: &HttpMessage, status: &Status) -> Reply {
     if is_update(request) && status.role != "primary" {
         return Reply::text(421, "not the primary");
     }
@@ -161,7 +161,7 @@
 }
 
 impl<F: Fn(&HttpMessage) -> Option<Reply>> Behavior<F> {
-    /// Serves one connection; returns when it is over.
+    /// Serves one connection until it ends.
     fn serve(&self, stream: TcpStream) -> Option<()> {
         let mut writer = stream.try_clone().ok()?;
         let mut reader = BufReader::new(stream);
@@ -170,26 +170,26 @@
             if !is_health_check {
                 self.operations.lock().unwrap().push(request.clone());
             }
-            // The position is of the moment before a reply that waits.
+            // Taken before the reply, which may wait: the response states the position at the request's arrival.
             let status = self.status();
             let reply = if is_health_check { None } else { (self.reply)(&request) };
-            match reply.unwrap_or_else(|| usual_reply(&request, &status)) {
-                Reply::Answer { status: code, content_type, body } => {
-                    write_answer(&mut writer, code, content_type, &body, &status)?;
+            match reply.unwrap_or_else(|| default_reply(&request, &status)) {
+                Reply::Response { status: code, content_type, body } => {
+                    write_response(&mut writer, code, content_type, &body, &status)?;
                 }
-                Reply::AnswerAtPosition { position_ms, body } => {
+                Reply::ResponseAtPosition { position_ms, body } => {
                     let status = Status { position_ms, ..status };
-                    write_answer(&mut writer, 200, "text/plain", &body, &status)?;
+                    write_response(&mut writer, 200, "text/plain", &body, &status)?;
                 }
                 Reply::Close => return None,
                 Reply::NoResponse => return self.wait_for_close(&mut reader),
-                Reply::LongAnswer { length } => write_long_answer(&mut writer, length, length, &status)?,
-                Reply::TruncatedAnswer { length } => {
-                    write_long_answer(&mut writer, length, length - 1, &status)?;
+                Reply::LongResponse { length } => write_long_response(&mut writer, length, length, &status)?,
+                Reply::TruncatedResponse { length } => {
+                    write_long_response(&mut writer, length, length - 1, &status)?;
                     return None;
                 }
-                Reply::StalledAnswer { length } => {
-                    write_long_answer(&mut writer, length, length - 1, &status)?;
+                Reply::StalledResponse { length } => {
+                    write_long_response(&mut writer, length, length - 1, &status)?;
                     return self.wait_for_close(&mut reader);
                 }
                 Reply::ResetWithoutLength => return write_then_reset(&mut writer, &status),
@@ -203,7 +203,7 @@
         Status { role, position_ms: now_ms() - self.lag_ms.load(Ordering::SeqCst) }
     }
 
-    /// Waits for the other side, and tells the test whether it closed the connection or sent more.
+    /// Waits until the other side closes the connection or sends more, and reports to the test which of both.
     fn wait_for_close(&self, reader: &mut BufReader<TcpStream>) -> Option<()> {
         let is_closed = read_http_message(reader).is_none();
         let _ = self.closed.lock().unwrap().send(is_closed);
@@ -211,7 +211,7 @@
     }
 }
 
-fn write_answer(
+fn write_response(
     writer: &mut TcpStream,
     code: u16,
     content_type: &str,
@@ -228,19 +228,24 @@
     writer.write_all(body.as_bytes()).ok()
 }
 
-/// Writes an answer that states `length`, with as many bytes of its body as `written`.
-fn write_long_answer(writer: &mut TcpStream, length: usize, written: usize, status: &Status) -> Option<()> {
+/// Writes a response that states `length`, with `body_bytes` bytes of its body.
+fn write_long_response(
+    writer: &mut TcpStream,
+    length: usize,
+    body_bytes: usize,
+    status: &Status,
+) -> Option<()> {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{}\r\n", status.headers());
     writer.write_all(head.as_bytes()).ok()?;
-    writer.write_all(&vec![b'x'; written]).ok()
+    writer.write_all(&vec![b'x'; body_bytes]).ok()
 }
 
-/// Writes the beginning of an answer that states no length, and resets the connection.
+/// Writes the start of a response that states no length, and resets the connection.
 fn write_then_reset(writer: &mut TcpStream, status: &Status) -> Option<()> {
     let head = format!("HTTP/1.1 200 OK\r\n{}\r\n", status.headers());
     writer.write_all(head.as_bytes()).ok()?;
     writer.write_all(b"half of it").ok()?;
-    // A close without lingering is a reset.
+    // Closing a socket with a linger time of zero resets the connection.
     rustix::net::sockopt::set_socket_linger(&writer, Some(Duration::ZERO)).ok()?;
     None
 }
--- a/tests/sparql/main.rs
+++ b/tests/sparql/main.rs
@@ -1,14 +1,13 @@
-//! The program with an operator's file: SPARQL over HTTP, against stand-in endpoints whose data lags on
-//! purpose.
+//! The program with an operator's file: SPARQL over HTTP, with stand-in endpoints whose data lags by a set time.
 
 #[path = "../stand_in/mod.rs"]
 mod stand_in;
 
-// Stand-ins and the program.
+// Helpers: the stand-in endpoint and the program.
 mod endpoint;
 mod pooler;
 
-// Tests, a property each.
+// Tests.
 mod administration;
 mod configuration;
 mod connections;
