--- a/tests/admin_and_takeover.rs
+++ b/tests/admin_and_takeover.rs
@@ -1,4 +1,4 @@
-//! The admin server, draining, and one process that takes over from another, over sockets.
+//! The admin server, draining, and the takeover of an inherited client socket by a new process.
 
 mod stand_in;
 
@@ -19,13 +19,13 @@
 use std::sync::mpsc::Sender;
 use std::time::{Duration, Instant};
 
-/// Deadline of the statements, where a test does not state another one.
+/// Deadline of statements for which a test sets no other one.
 const DEADLINE_MS: u32 = 2000;
 
-/// Configuration line for an admin server on any free port.
+/// Configuration line that starts the admin server on a free port.
 const ADMIN_ON_ANY_PORT: &str = "\"admin_addr\":\"127.0.0.1:0\",";
 
-/// Settings with a class of requests, `never`, that no test sends.
+/// The `settings` object, with a request class `never` that no test uses.
 const SETTINGS: &str = r#"{"balancers":2,"me":0,"discovery":"automatic","zones":["a"],"zone":0,
  "services":[
   {"name":"read","target":1.0,"deadline":2.5,"repeat":"repeatable","worth":3,"late-worth":0.2},
@@ -36,7 +36,7 @@
   "connect-timeout":0.25,"conn-idle":15.0},
  "report":{"via":"answers","fields":["x0","x1","util"]}}"#;
 
-/// A group whose primary answers each write once the test releases it, and whose replica answers at once.
+/// A group whose primary answers each write when the test releases it, and whose replica answers reads at once.
 struct Group {
     primary: PostgresEndpoint,
     replica: PostgresEndpoint,
@@ -57,12 +57,12 @@
         Group { primary, replica, release_write }
     }
 
-    /// How many statements were received, as the metrics write a counter.
+    /// How many statements both endpoints have received, in the form of a counter in the metrics.
     fn statement_counter(&self) -> String {
         format!("{}|c", self.primary.statement_count() + self.replica.statement_count())
     }
 
-    /// Sends a write and waits until the primary has received it; its answer waits for the test.
+    /// Sends a write and waits until the primary has received it. `release_write` releases the response.
     fn send_write(&self, client: &mut PostgresClient, id: &str, key: usize) {
         let count_before = self.primary.statement_count();
         client.send_query(&keyed_write_statement(id, DEADLINE_MS, key));
@@ -70,15 +70,15 @@
     }
 }
 
-/// The platform's configuration as text, with more lines of it.
-fn config(discovery: SocketAddr, more_lines: &str) -> String {
+/// The platform's configuration with additional lines, each of which ends with a comma.
+fn config(discovery: SocketAddr, additional_lines: &str) -> String {
     format!(
-        "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"{discovery}\",\"seed\":\"8c1f\",{more_lines}\n\
+        "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"{discovery}\",\"seed\":\"8c1f\",{additional_lines}\n\
          \"limits\":{{\"cores\":1.0,\"memory_mb\":192,\"sockets\":384}},\n\"settings\":{SETTINGS}}}"
     )
 }
 
-/// The program with an admin server, a group and a discovery server.
+/// The program with its admin server, a group and a discovery server.
 struct RunningPooler {
     process: Process,
     client_address: SocketAddr,
@@ -93,7 +93,7 @@
     let mut list = primary_and_replica_list(&group.primary, &group.replica);
     list.push(endpoint_json("old", unused_address(), 1, "leaving"));
     discovery.preset(&list);
-    let config_path = test_directory("door").join("config.json");
+    let config_path = test_directory("admin").join("config.json");
     std::fs::write(&config_path, config(discovery.address, ADMIN_ON_ANY_PORT)).unwrap();
     let mut process = Process::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
     let client_address = process.wait_for_address(log_lines::POSTGRES_LISTENING);
@@ -113,7 +113,7 @@
         call(self.address, &request)
     }
 
-    /// The status of a call's answer.
+    /// Sends a call and returns the status of its response.
     fn status(&self, method: &str, path: &str) -> u16 {
         self.call(method, path).status()
     }
@@ -122,7 +122,7 @@
         self.status("GET", "/v1/readyz") == 200
     }
 
-    /// A metric's value with its type: `3|c` of the line `svc.success.read:3|c`.
+    /// A metric's value and type: `3|c` for the line `svc.success.read:3|c`.
     fn metric(&self, name: &str) -> String {
         let metrics = self.call("GET", "/v1/metrics").text();
         let prefix = format!("svc.{name}:");
@@ -131,15 +131,15 @@
     }
 }
 
-/// Guards against requests that are counted twice or not at all, by their outcome, and against a class that
-/// is left out.
+/// Guards against request outcomes that are counted twice or not at all, and against a request class that is
+/// missing from the metrics.
 #[test]
 fn every_outcome_is_counted_once_and_gauges_show_the_current_state() {
     let RunningPooler { process: _process, client_address, admin, discovery, group } = start_pooler();
     let mut client = PostgresClient::connect(client_address);
     assert_eq!(admin.metric("success.never"), "0|c");
     assert_eq!(admin.metric("targets"), "3|g");
-    assert_eq!(admin.metric("targets_disabled"), "1|g", "one is leaving");
+    assert_eq!(admin.metric("targets_disabled"), "1|g", "the endpoint `old` is leaving");
     for number in 0..5 {
         assert_eq!(client.query(&read_statement(&number.to_string(), DEADLINE_MS)).sqlstate, None);
     }
@@ -158,11 +158,11 @@
     assert_eq!(client.query(&read_statement("9", 300)).sqlstate.as_deref(), Some("53300"));
     let after_rejections = (admin.metric("error.read"), admin.metric("overload.read"));
     assert_eq!(after_rejections, ("1|c".into(), "1|c".into()));
-    let at_the_end = (admin.metric("dispatches"), admin.metric("targets"));
-    assert_eq!(at_the_end, (group.statement_counter(), "1|g".into()));
+    let final_metrics = (admin.metric("dispatches"), admin.metric("targets"));
+    assert_eq!(final_metrics, (group.statement_counter(), "1|g".into()));
 }
 
-/// Opens connections to the admin server that send nothing, or half of a request.
+/// Opens 60 connections to the admin server. Half of them send nothing, the others an incomplete request.
 fn connect_silent_callers(address: SocketAddr) -> Vec<TcpStream> {
     let mut callers = Vec::new();
     for number in 0..60 {
@@ -175,17 +175,17 @@
     callers
 }
 
-/// Guards against silent callers that keep others from the admin server, and against bad calls that have an
-/// effect.
+/// Guards against silent connections that block the admin server for other callers, and against invalid calls
+/// that have an effect.
 #[test]
-fn the_admin_server_answers_beside_callers_that_say_nothing() {
+fn silent_connections_do_not_block_the_admin_server_and_invalid_calls_have_no_effect() {
     let pooler = start_pooler();
     let admin = &pooler.admin;
     let silent_callers = connect_silent_callers(admin.address);
     for _ in 0..20 {
-        let began = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(admin.status("GET", "/v1/readyz"), 200);
-        assert!(began.elapsed() < Duration::from_secs(1));
+        assert!(started_at.elapsed() < Duration::from_secs(1));
     }
     drop(silent_callers);
     for (method, path, status) in [
@@ -195,10 +195,10 @@
         ("POST", "/v1/pooler/drain", 405),
         ("GET", "/v1/pooler/activate", 405),
     ] {
-        let answer = admin.call(method, path);
-        let outcome = (answer.status(), answer.header("connection"));
+        let response = admin.call(method, path);
+        let outcome = (response.status(), response.header("connection"));
         assert_eq!(outcome, (status, Some("close")), "{method} {path}");
-        assert_eq!(answer.header("allow").is_some(), status == 405);
+        assert_eq!(response.header("allow").is_some(), status == 405);
     }
     for (request, status) in [
         ("\r\n\r\n".to_string(), 400),
@@ -209,17 +209,20 @@
     ] {
         let mut client = HttpClient::connect(admin.address);
         assert_eq!(client.call(&request).status(), status, "{request:.40}");
-        assert!(read_http_message(&mut client.reader).is_none(), "and a close");
+        assert!(
+            read_http_message(&mut client.reader).is_none(),
+            "the connection is closed after the response"
+        );
     }
-    assert_eq!(admin.metric("concurrent"), "0|g", "no bad call drained or broke anything");
+    assert_eq!(admin.metric("concurrent"), "0|g", "no invalid call has had an effect");
     assert!(PostgresClient::connect(pooler.client_address).query("").is_empty_query);
 }
 
-/// Guards against an admin server that listens although the configuration names no address for it.
+/// Guards against an admin server that listens although the configuration contains no address for it.
 #[test]
-fn without_an_address_there_is_no_admin_server() {
+fn without_a_configured_address_there_is_no_admin_server() {
     let discovery = DiscoveryServer::start();
-    let config_path = test_directory("door").join("config.json");
+    let config_path = test_directory("admin").join("config.json");
     std::fs::write(&config_path, config(discovery.address, "")).unwrap();
     let mut process = Process::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
     process.wait_for_log(log_lines::LONG_MESSAGES_LIMITED);
@@ -231,47 +234,47 @@
     assert!(!names_admin_server, "{:?}", process.log_lines);
 }
 
-/// Guards against requests that are lost and connections that stay open while the pooler is drained, and
-/// against a pooler that stays drained.
+/// Guards against lost requests and connections that stay open while the pooler is drained, and against a
+/// pooler that cannot be reactivated.
 #[test]
-fn a_drained_pooler_sends_clients_away_without_losing_any_and_comes_back() {
+fn a_drained_pooler_closes_connections_without_losing_requests_and_can_be_reactivated() {
     let RunningPooler { process: _process, client_address, admin, discovery: _discovery, group } =
         start_pooler();
     let mut busy = PostgresClient::connect(client_address);
     let mut idle = PostgresClient::connect(client_address);
     assert_eq!(idle.query(&read_statement("1", DEADLINE_MS)).sqlstate, None);
     group.send_write(&mut busy, "2", 12);
-    // Twice: the second call changes nothing.
+    // Called twice: the second call must change nothing.
     for _ in 0..2 {
         assert_eq!(admin.status("PUT", "/v1/pooler/drain"), 200);
     }
     let drained_at = Instant::now();
     let idle_read = idle.query(&read_statement("3", DEADLINE_MS));
     assert!(idle_read.value.is_some(), "an open connection may still send requests");
-    // The readiness query of the balancer in front of the poolers.
-    let mut balancer = PostgresClient::connect(client_address);
-    let not_ready = balancer.query("");
+    // The load balancer in front of the poolers checks readiness by an empty query.
+    let mut load_balancer = PostgresClient::connect(client_address);
+    let not_ready = load_balancer.query("");
     let outcome = (not_ready.is_empty_query, not_ready.sqlstate.as_deref(), not_ready.is_fatal);
     assert_eq!(outcome, (false, Some("57P03"), false));
-    assert_eq!((idle.receive(), balancer.receive()), (None, None), "then they end");
-    let mut late = PostgresClient::connect(client_address);
-    let late_read = late.query(&read_statement("4", DEADLINE_MS));
-    assert!(late_read.value.is_some(), "a new connection is served all the same");
-    assert_eq!(late.receive(), None);
+    assert_eq!((idle.receive(), load_balancer.receive()), (None, None), "then both connections are closed");
+    let mut new_client = PostgresClient::connect(client_address);
+    let new_client_read = new_client.query(&read_statement("4", DEADLINE_MS));
+    assert!(new_client_read.value.is_some(), "a new connection may still send a request");
+    assert_eq!(new_client.receive(), None);
     group.release_write.send(()).unwrap();
-    assert_eq!(busy.receive().unwrap().value, row_of(b"late"), "nothing taken is lost");
+    assert_eq!(busy.receive().unwrap().value, row_of(b"late"), "an accepted request is not lost");
     assert_eq!(busy.receive(), None);
     assert!(drained_at.elapsed() < Duration::from_secs(4));
     assert_eq!(admin.call("GET", "/v1/readyz").text().trim(), "ready, drained");
     for _ in 0..2 {
         assert_eq!(admin.status("PUT", "/v1/pooler/activate"), 200);
-        assert!(PostgresClient::connect(client_address).query("").is_empty_query, "back at once");
+        assert!(PostgresClient::connect(client_address).query("").is_empty_query, "ready again at once");
     }
 }
 
-/// Guards against admin calls after SIGTERM that undo the shutdown or lose an open request.
+/// Guards against admin calls after SIGTERM that cancel the shutdown or lose an open request.
 #[test]
-fn sigterm_ends_a_drained_pooler_and_no_call_brings_it_back() {
+fn sigterm_shuts_down_a_drained_pooler_and_no_admin_call_reactivates_it() {
     let mut pooler = start_pooler();
     let mut busy = PostgresClient::connect(pooler.client_address);
     pooler.group.send_write(&mut busy, "1", 11);
@@ -286,9 +289,9 @@
     assert!(pooler.process.wait_for_exit().success());
 }
 
-/// Starts the program as a platform does that holds the clients' socket itself: the program inherits it as
+/// Starts the program as a platform does that owns the client socket: the program inherits it as file
 /// descriptor 3.
-fn start_on_inherited_socket(socket: &TcpListener, config_path: &Path) -> Process {
+fn start_with_inherited_socket(socket: &TcpListener, config_path: &Path) -> Process {
     let script = format!("exec {} 3<&{}", env!("CARGO_BIN_EXE_brookpass"), socket.as_raw_fd());
     let mut command = Command::new("bash");
     command
@@ -306,27 +309,28 @@
     socket
 }
 
-/// Guards against requests that are rejected, reset or left unread while one process takes over from another.
+/// Guards against requests that are rejected, reset or left unread while a new process takes over from an old
+/// one.
 #[test]
-fn a_process_follows_another_on_the_same_socket() {
+fn a_new_process_takes_over_the_client_socket_without_failed_requests() {
     let group = Group::start();
     let discovery = DiscoveryServer::start();
     discovery.preset(&primary_and_replica_list(&group.primary, &group.replica));
     let peer_address = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let peer_lines = format!("\"peer_listen\":\"{peer_address}\",\"peers\":[\"{peer_address}\"],");
-    let config_path = test_directory("follow").join("config.json");
+    let config_path = test_directory("takeover").join("config.json");
     std::fs::write(&config_path, config(discovery.address, &peer_lines)).unwrap();
     let socket = inheritable_listener();
     let client_address = socket.local_addr().unwrap();
-    let mut old = start_on_inherited_socket(&socket, &config_path);
+    let mut old = start_with_inherited_socket(&socket, &config_path);
     let old_admin = AdminServer { address: old.wait_for_address(log_lines::ADMIN_LISTENING) };
-    eventually("the old one says yes", || old_admin.is_ready());
+    eventually("the old process is ready", || old_admin.is_ready());
     let mut client = PostgresClient::connect(client_address);
     group.send_write(&mut client, "1", 11);
-    let mut new = start_on_inherited_socket(&socket, &config_path);
+    let mut new = start_with_inherited_socket(&socket, &config_path);
     new.wait_for_log(log_lines::ADMIN_ADDRESS_BUSY);
     let new_admin = AdminServer { address: new.wait_for_address(log_lines::ADMIN_LISTENING) };
-    eventually("the new one says yes", || new_admin.is_ready());
+    eventually("the new process is ready", || new_admin.is_ready());
     old.signal("-TERM");
     old.wait_for_log(log_lines::SIGTERM_RECEIVED);
     for number in 2..20 {
@@ -337,17 +341,17 @@
     }
     group.release_write.send(()).unwrap();
     let response = client.receive().unwrap();
-    assert_eq!(response.value, row_of(b"late"), "the old one answers what it took");
+    assert_eq!(response.value, row_of(b"late"), "the old process answers the request that it accepted");
     assert!(old.wait_for_exit().success());
-    assert!(PostgresClient::connect(client_address).query("").is_empty_query, "the new one serves on");
-    eventually("the peers' address is free again and taken", || UdpSocket::bind(peer_address).is_err());
+    assert!(PostgresClient::connect(client_address).query("").is_empty_query, "the new process still serves");
+    eventually("the new process has bound the peer address", || UdpSocket::bind(peer_address).is_err());
     assert_eq!(new_admin.metric("error.read"), "0|c");
 }
 
-/// Guards against a start that goes on without the clients' socket.
+/// Guards against a start that continues without the client socket.
 #[test]
-fn a_variable_that_names_no_listening_socket_is_one_clear_line() {
-    let config_path = test_directory("follow").join("config.json");
+fn a_start_fails_when_the_variable_names_no_listening_socket() {
+    let config_path = test_directory("takeover").join("config.json");
     std::fs::write(&config_path, config(unused_address(), "")).unwrap();
     for descriptor in ["3", "0x3", "700"] {
         let variables = [("GW_CONFIG", config_path.to_str().unwrap()), ("GW_PASSED_SOCKET", descriptor)];
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -1,11 +1,11 @@
-//! The state machine of a PostgreSQL client's connection under random messages, against a short model.
+//! Checks the state machine of a PostgreSQL client's connection against a model, with random messages.
 
 use brookpass::config::Limits;
 use brookpass::net::postgres::session::{Session, SessionAction, SessionState};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// A message that a client may send.
+/// A message that a client may send after the startup.
 #[derive(Clone, Copy, Debug)]
 enum ClientMessage {
     EmptyQuery,
@@ -16,7 +16,7 @@
     Terminate,
 }
 
-/// What the session asks its owner to do about a message.
+/// The kind of a [`SessionAction`] that a message causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Effect {
     Write,
@@ -26,21 +26,21 @@
 }
 
 fn encode(message: ClientMessage) -> Vec<u8> {
-    let frame = |message_type: u8, body: &[u8]| {
+    let encode_message = |message_type: u8, body: &[u8]| {
         let length = (body.len() as u32 + 4).to_be_bytes();
         [&[message_type][..], &length, body].concat()
     };
     match message {
-        ClientMessage::EmptyQuery => frame(b'Q', b" \0"),
-        ClientMessage::Query => frame(b'Q', b"SELECT 1\0"),
-        ClientMessage::Parse => frame(b'P', b"\0x\0\0\0"),
-        ClientMessage::Sync => frame(b'S', b""),
-        ClientMessage::UnknownType => frame(b'!', b""),
-        ClientMessage::Terminate => frame(b'X', b""),
+        ClientMessage::EmptyQuery => encode_message(b'Q', b" \0"),
+        ClientMessage::Query => encode_message(b'Q', b"SELECT 1\0"),
+        ClientMessage::Parse => encode_message(b'P', b"\0x\0\0\0"),
+        ClientMessage::Sync => encode_message(b'S', b""),
+        ClientMessage::UnknownType => encode_message(b'!', b""),
+        ClientMessage::Terminate => encode_message(b'X', b""),
     }
 }
 
-/// The model: what a message causes in a state, and the state after it.
+/// The model: the effect of a message in a state, and the next state.
 fn model(state: SessionState, message: ClientMessage) -> (Option<Effect>, SessionState) {
     match (state, message) {
         (SessionState::Closed, _) => (None, SessionState::Closed),
@@ -54,8 +54,8 @@
     }
 }
 
-/// Acts until nothing is left to do. The oldest query is answered only when no more may be pending, and all of them
-/// in the end.
+/// Carries out the session's actions until none is left. A query is answered only when the session waits, so that as
+/// many as possible are pending; in the end all are answered.
 fn run_actions(session: &mut Session, max_pending: usize) -> Vec<Effect> {
     let mut effects = Vec::new();
     let mut pending = 0;
@@ -70,7 +70,7 @@
             SessionAction::Close(_) => effects.push(Effect::Close),
             action @ (SessionAction::EmptyQuery | SessionAction::Query(_)) => {
                 pending += 1;
-                assert!(pending <= max_pending, "no more than these are pending at once");
+                assert!(pending <= max_pending, "more than {max_pending} queries are pending");
                 let is_empty = action == SessionAction::EmptyQuery;
                 effects.push(if is_empty { Effect::EmptyQuery } else { Effect::Query });
             }
@@ -78,15 +78,15 @@
     }
 }
 
-/// An SSLRequest.
+/// An SSLRequest, which a client may send before its startup message.
 const SSL_REQUEST: [u8; 8] = [0, 0, 0, 8, 4, 210, 22, 47];
 
-/// A StartupMessage of version 3.0.
+/// A StartupMessage of version 3.0 with a user.
 fn startup_message() -> Vec<u8> {
     [&14u32.to_be_bytes()[..], &196_608u32.to_be_bytes(), b"user\0\0"].concat()
 }
 
-/// Random messages; the two that close a connection are rare, or hardly any run would get far.
+/// Sequences of random messages. The two that close a connection are rare, since no message after them has an effect.
 fn messages() -> impl Strategy<Value = Vec<ClientMessage>> {
     let all = [
         ClientMessage::EmptyQuery,
@@ -96,19 +96,25 @@
         ClientMessage::UnknownType,
         ClientMessage::Terminate,
     ];
-    let weighted: Vec<ClientMessage> = all[..4].repeat(8).into_iter().chain(all).collect();
-    prop::collection::vec(prop::sample::select(weighted), 0..30)
+    let weighted_messages: Vec<ClientMessage> = all[..4].repeat(8).into_iter().chain(all).collect();
+    prop::collection::vec(prop::sample::select(weighted_messages), 0..30)
 }
 
-/// However the bytes are split on arrival, each message has the effect that the model says, in order, once.
+/// Guards against messages that are lost, repeated or reordered when their bytes arrive in arbitrary chunks: each has
+/// exactly the effect that the model states, in order.
 #[test]
-fn random_messages_follow_the_model() {
+fn random_messages_in_arbitrary_chunks_have_the_effects_of_the_model() {
     let cases = (messages(), prop::collection::vec(1usize..40, 1..20), any::<bool>(), 1usize..6);
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
-    let check = |(sent, pieces, asks_encryption, pipeline): (Vec<ClientMessage>, Vec<usize>, bool, usize)| {
-        let mut bytes = if asks_encryption { SSL_REQUEST.to_vec() } else { Vec::new() };
-        let mut expected = vec![Effect::Write; 1 + usize::from(asks_encryption)];
+    let check = |(sent, chunk_lengths, requests_encryption, max_pending): (
+        Vec<ClientMessage>,
+        Vec<usize>,
+        bool,
+        usize,
+    )| {
+        let mut bytes = if requests_encryption { SSL_REQUEST.to_vec() } else { Vec::new() };
+        let mut expected = vec![Effect::Write; 1 + usize::from(requests_encryption)];
         bytes.extend(startup_message());
         let mut state = SessionState::Ready;
         for message in sent {
@@ -117,16 +123,16 @@
             expected.extend(effect);
             state = next_state;
         }
-        let limits = Limits { pipelined_requests: pipeline, ..Limits::for_sockets(64) };
+        let limits = Limits { pipelined_requests: max_pending, ..Limits::for_sockets(64) };
         let mut session = Session::new(&limits);
         let mut effects = Vec::new();
-        let mut rest = &bytes[..];
-        for piece in pieces.iter().cycle() {
-            let (arrived, later) = rest.split_at((*piece).min(rest.len()));
-            session.input_buffer().push(arrived);
-            effects.extend(run_actions(&mut session, pipeline));
-            rest = later;
-            if rest.is_empty() {
+        let mut unread = &bytes[..];
+        for chunk_length in chunk_lengths.iter().cycle() {
+            let (chunk, remaining) = unread.split_at((*chunk_length).min(unread.len()));
+            session.input_buffer().push(chunk);
+            effects.extend(run_actions(&mut session, max_pending));
+            unread = remaining;
+            if unread.is_empty() {
                 break;
             }
         }
