--- a/lab/src/bin/fleet-bench/catch_up.rs
+++ b/lab/src/bin/fleet-bench/catch_up.rs
@@ -38,7 +38,7 @@
         cluster.wait_until_ready(LATE_NODE);
         let start_up_ms = format!("{:.0}", millis(started.elapsed()));
         let rows = self.rows("catch-up", "3");
-        rows.print_value("until a node that missed 10,000 changes is ready, ms", start_up_ms);
+        rows.print_value("until a node that missed 10,000 changes serves, ms", start_up_ms);
         cluster.wait_until_caught_up();
         let memory = cluster.nodes.iter().map(|node| node.process().resource_usage().memory_kib);
         rows.print_value("memory of the largest node, MiB", memory.max().unwrap_or(0) / 1024);
--- a/lab/src/bin/fleet-bench/power/trace.rs
+++ b/lab/src/bin/fleet-bench/power/trace.rs
@@ -31,7 +31,7 @@
     fn print_values(&self, rows: &Rows, since_return_ms: u128, window: &Range<Timestamp>) {
         let rejected = self.finished_in(window).filter(|record| record.status == 503).count();
         rows.print(
-            format!("{since_return_ms} ms: value served, that of the oracle; rejected"),
+            format!("{since_return_ms} ms: value served, that of the oracle; refused"),
             format!("{:.0}, {:.0}", self.served_value(window), self.best_value(window)),
             rejected,
         );
