--- a/src/engine/message.rs
+++ b/src/engine/message.rs
@@ -15,6 +15,15 @@
 use async_channel::Sender;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Whether the deadline of a request had passed when the request got its final answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DeadlineStatus {
+    /// The deadline had not passed, or the request was answered for a reason that does not depend on it.
+    Pending,
+    /// The deadline had passed.
+    Passed,
+}
+
 /// The one final answer to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer<A> {
@@ -24,13 +33,13 @@
     Rejected {
         /// How long the client should wait before it tries again; `None` if it may try again at any time.
         retry_after: Option<TimeDelta>,
-        /// The request's deadline has passed.
-        overdue: bool,
+        /// Whether the request's deadline had passed when it was answered.
+        deadline: DeadlineStatus,
     },
     /// Failed; an endpoint may or may not have run the request.
     Failed {
-        /// The request's deadline has passed.
-        overdue: bool,
+        /// Whether the request's deadline had passed when it was answered.
+        deadline: DeadlineStatus,
     },
     /// No endpoint list so far has contained the request's group.
     UnknownGroup,
@@ -61,7 +70,7 @@
     /// The role and log position that the endpoint reported with its answer; `None` if it reported none.
     pub replica_status: Option<ReplicaStatus>,
     /// The load report that came with the answer; empty if there was none.
-    pub report: LoadReport,
+    pub load_report: LoadReport,
     /// The endpoint's answer; `None` if the attempt was not served, or if the answer was already handed over by
     /// [`Input::ResponseStarted`].
     pub answer: Option<A>,
@@ -187,7 +196,7 @@
         /// The work of the request.
         work: W,
         /// When to stop waiting for the answer.
-        until: Timestamp,
+        deadline: Timestamp,
         /// The attempt must not be sent after this time: an earlier attempt may have run, and endpoints forget its
         /// idempotency key then. `None` if there is no such limit.
         send_by: Option<Timestamp>,
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -25,8 +25,8 @@
 
 pub use handle::EngineHandle;
 pub use message::{
-    AttemptReport, Command, Control, FinalAnswer, Freshness, Input, PeerObservation, PollParticipants,
-    Submission,
+    AttemptReport, Command, Control, DeadlineStatus, FinalAnswer, Freshness, Input, PeerObservation,
+    PollParticipants, Submission,
 };
 
 use crate::clock::Clock;
--- a/src/engine/request_engine/attempts.rs
+++ b/src/engine/request_engine/attempts.rs
@@ -88,7 +88,7 @@
             endpoint,
             endpoint_name: target.name.clone(),
             work: request.work.clone(),
-            until: stop_at.map_or(request.deadline, |stop_at| stop_at.min(request.deadline)),
+            deadline: stop_at.map_or(request.deadline, |stop_at| stop_at.min(request.deadline)),
             send_by: request.first_may_have_run_at.and_then(|first| key_expiry(class, first)),
             freshness: request.freshness,
         });
@@ -122,10 +122,10 @@
         report: AttemptReport<A>,
         commands: &mut Vec<Command<W>>,
     ) {
-        let AttemptReport { id, attempt, outcome, replica_status, report, answer } = report;
+        let AttemptReport { id, attempt, outcome, replica_status, load_report, answer } = report;
         let Some(in_flight) = self.in_flight.0.remove(&AttemptId { request: id, attempt }) else { return };
         let replica_status = plausible_status(now, replica_status);
-        let report = plausible_report(&self.settings, now, report);
+        let report = plausible_report(&self.settings, now, load_report);
         self.observe_attempt(now, &in_flight, outcome, replica_status, &report);
         let took = now - in_flight.sent_at;
         if let Some(request) = self.requests.get_mut(id) {
--- a/src/engine/request_engine/request_table.rs
+++ b/src/engine/request_engine/request_table.rs
@@ -1,7 +1,7 @@
 //! The table of requests: enforces their deadlines and gives each one final answer.
 
 use crate::config::Limits;
-use crate::engine::message::{FinalAnswer, Freshness};
+use crate::engine::message::{DeadlineStatus, FinalAnswer, Freshness};
 use crate::engine::metrics::{Metrics, RequestOutcome};
 use crate::routing::{GroupId, RequestId, TimeDelta, Timestamp};
 use async_channel::Sender;
@@ -99,20 +99,20 @@
 
     /// Ends an open request by rejecting it.
     pub(super) fn reject(&mut self, now: Timestamp, id: RequestId, retry_after: Option<TimeDelta>) {
-        let overdue = self.is_overdue(now, id);
-        self.finish(id, FinalAnswer::Rejected { retry_after, overdue });
+        let deadline = self.deadline_status(now, id);
+        self.finish(id, FinalAnswer::Rejected { retry_after, deadline });
     }
 
     /// Ends an open request as failed.
     pub(super) fn fail(&mut self, now: Timestamp, id: RequestId) {
-        let overdue = self.is_overdue(now, id);
-        self.finish(id, FinalAnswer::Failed { overdue });
+        let deadline = self.deadline_status(now, id);
+        self.finish(id, FinalAnswer::Failed { deadline });
     }
 
     /// Fails all open requests, and drops those whose answer is being streamed without counting them.
     pub(super) fn fail_all(&mut self) {
         for id in self.open_ids() {
-            self.finish(id, FinalAnswer::Failed { overdue: false });
+            self.finish(id, FinalAnswer::Failed { deadline: DeadlineStatus::Pending });
         }
         self.streaming.clear();
     }
@@ -157,15 +157,19 @@
         while self.next_deadline().is_some_and(|at| at <= now) {
             let id = self.expiries.pop_first()?.id;
             if self.is_open(id) {
-                self.finish(id, FinalAnswer::Failed { overdue: true });
+                self.finish(id, FinalAnswer::Failed { deadline: DeadlineStatus::Passed });
                 return Some(id);
             }
         }
         None
     }
 
-    fn is_overdue(&self, now: Timestamp, id: RequestId) -> bool {
-        self.open.get(&id).is_some_and(|request| now >= request.deadline)
+    /// Whether the deadline of an open request has passed; [`DeadlineStatus::Pending`] if the request is not open.
+    fn deadline_status(&self, now: Timestamp, id: RequestId) -> DeadlineStatus {
+        match self.open.get(&id) {
+            Some(request) if now >= request.deadline => DeadlineStatus::Passed,
+            _ => DeadlineStatus::Pending,
+        }
     }
 
     fn remove(&mut self, id: RequestId) -> Option<OpenRequest<W, A>> {
--- a/src/engine/request_engine/requests.rs
+++ b/src/engine/request_engine/requests.rs
@@ -3,7 +3,7 @@
 use super::request_table::OpenRequest;
 use super::{Intake, RequestEngine};
 use crate::engine::admission::AdmissionDecision;
-use crate::engine::message::{Command, FinalAnswer, Freshness, Submission};
+use crate::engine::message::{Command, DeadlineStatus, FinalAnswer, Freshness, Submission};
 use crate::routing::{Class, Consistency, Event, IncomingRequest, RequestId, TimeDelta, Timestamp};
 
 impl<W: Clone, A> RequestEngine<W, A> {
@@ -40,13 +40,14 @@
             return Some(FinalAnswer::UnknownGroup);
         }
         if self.intake == Intake::Closed || self.requests.is_full() {
-            return Some(FinalAnswer::Rejected { retry_after: None, overdue: false });
+            return Some(FinalAnswer::Rejected { retry_after: None, deadline: DeadlineStatus::Pending });
         }
         match self.admission.admit(now, request.class, request.group) {
             AdmissionDecision::Admitted => None,
-            AdmissionDecision::Rejected { retry_after } => {
-                Some(FinalAnswer::Rejected { retry_after: Some(retry_after), overdue: false })
-            }
+            AdmissionDecision::Rejected { retry_after } => Some(FinalAnswer::Rejected {
+                retry_after: Some(retry_after),
+                deadline: DeadlineStatus::Pending,
+            }),
         }
     }
 
@@ -90,8 +91,8 @@
         for id in self.requests.open_ids() {
             let attempts = self.requests.get_mut(id).map_or(0, |request| request.attempts);
             let answer = match attempts {
-                0 => FinalAnswer::Rejected { retry_after: None, overdue: false },
-                _ => FinalAnswer::Failed { overdue: false },
+                0 => FinalAnswer::Rejected { retry_after: None, deadline: DeadlineStatus::Pending },
+                _ => FinalAnswer::Failed { deadline: DeadlineStatus::Pending },
             };
             self.requests.finish(id, answer);
             self.dispatch(now, Event::RequestCancelled { id }, commands);
--- a/src/engine/request_engine/tests.rs
+++ b/src/engine/request_engine/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use crate::engine::classes::Classes;
 use crate::engine::endpoints::EndpointRecord;
-use crate::engine::message::{AttemptReport, FinalAnswer, Freshness, Submission};
+use crate::engine::message::{AttemptReport, DeadlineStatus, FinalAnswer, Freshness, Submission};
 use crate::routing::{
     AttemptOutcome, Class, Consistency, GroupId, Idempotency, IncomingRequest, LoadReport, LogPosition,
     ReplicaStatus, ReplicationLagPolicy, RequestId, TimeDelta,
@@ -13,8 +13,9 @@
 type TestAnswer = Receiver<FinalAnswer<&'static str>>;
 type Commands = Vec<Command<&'static str>>;
 
-const REJECTED: FinalAnswer<&'static str> = FinalAnswer::Rejected { retry_after: None, overdue: false };
-const FAILED: FinalAnswer<&'static str> = FinalAnswer::Failed { overdue: false };
+const REJECTED: FinalAnswer<&'static str> =
+    FinalAnswer::Rejected { retry_after: None, deadline: DeadlineStatus::Pending };
+const FAILED: FinalAnswer<&'static str> = FinalAnswer::Failed { deadline: DeadlineStatus::Pending };
 
 fn at(micros: i64) -> Timestamp {
     Timestamp::from_micros(micros)
@@ -75,7 +76,7 @@
         attempt,
         outcome,
         replica_status,
-        report: LoadReport::default(),
+        load_report: LoadReport::default(),
         answer,
     })
 }
--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -83,7 +83,7 @@
                 endpoint,
                 endpoint_name,
                 work,
-                until,
+                deadline,
                 send_by,
                 freshness,
             } => {
@@ -92,7 +92,7 @@
                     endpoint,
                     endpoint_name,
                     request: work,
-                    deadline: until,
+                    deadline,
                     send_by,
                     freshness,
                 };
--- a/src/net/backend_pool/attempt.rs
+++ b/src/net/backend_pool/attempt.rs
@@ -61,7 +61,7 @@
             let AttemptKey { request: id, attempt } = spec.key;
             let ExchangeResult { outcome, replica_status, report, answer, .. } = result;
             log::trace!("request {id}: attempt {attempt} at {}: {outcome:?}", spec.endpoint_name);
-            let report = AttemptReport { id, attempt, outcome, replica_status, report, answer };
+            let report = AttemptReport { id, attempt, outcome, replica_status, load_report: report, answer };
             handle.send_input(Input::AttemptFinished(report)).await;
         };
         executor.spawn(task).detach();
--- a/src/net/postgres/front/client.rs
+++ b/src/net/postgres/front/client.rs
@@ -6,7 +6,7 @@
 
 use super::Front;
 use super::submission::OpenRequest;
-use crate::engine::{FinalAnswer, Input};
+use crate::engine::{DeadlineStatus, FinalAnswer, Input};
 use crate::net::answer_stream::{AnswerEvent, StreamChunk, next_event};
 use crate::net::connection::{ClientConnection, ReadEvent, RequestProgress};
 use crate::net::lifecycle::ServingState;
@@ -85,7 +85,8 @@
                 match next_event(&request.reply, &mut self.connection, input).await {
                     AnswerEvent::Received(answer) => self.write_final_answer(answer).await?,
                     AnswerEvent::ChannelClosed => {
-                        self.write_final_answer(FinalAnswer::Failed { overdue: false }).await?;
+                        self.write_final_answer(FinalAnswer::Failed { deadline: DeadlineStatus::Pending })
+                            .await?;
                     }
                     AnswerEvent::ClientData => {}
                     AnswerEvent::ClientDisconnected => return Ok(ControlFlow::Break(())),
@@ -151,8 +152,8 @@
                 return self.write_answer(&rows).await;
             }
             FinalAnswer::Rejected { retry_after, .. } => ClientError::Rejected { retry_after },
-            FinalAnswer::Failed { overdue: true } => ClientError::DeadlineExceeded,
-            FinalAnswer::Failed { overdue: false } => ClientError::Failed,
+            FinalAnswer::Failed { deadline: DeadlineStatus::Passed } => ClientError::DeadlineExceeded,
+            FinalAnswer::Failed { deadline: DeadlineStatus::Pending } => ClientError::Failed,
             FinalAnswer::UnknownGroup => ClientError::UnknownGroup,
         };
         self.write_answer(&error.to_query_answer()).await
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -14,7 +14,7 @@
 use crate::config::Limits;
 use crate::engine::classes::{Classes, IdempotencyKey};
 use crate::engine::log_rollback::LogRollbacks;
-use crate::engine::{EngineHandle, FinalAnswer, Input};
+use crate::engine::{DeadlineStatus, EngineHandle, FinalAnswer, Input};
 use crate::ids::GroupId;
 use crate::net::buffer::Buffer;
 use crate::net::connection::ClientConnection;
@@ -228,7 +228,9 @@
         reply: &Receiver<FinalAnswer<EndpointAnswer>>,
         responder: &mut Responder<'_>,
     ) -> Option<FinalAnswer<EndpointAnswer>> {
-        let answered = async { Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { overdue: false })) };
+        let answered = async {
+            Some(reply.recv().await.unwrap_or(FinalAnswer::Failed { deadline: DeadlineStatus::Pending }))
+        };
         let client_disconnected = async {
             responder.connection.wait_for_disconnect(responder.buffer).await;
             None
@@ -249,11 +251,12 @@
 ) -> io::Result<AfterResponse> {
     let error = match answer {
         FinalAnswer::Served(answer) => return responder.write_answer(answer).await,
-        FinalAnswer::Rejected { overdue: true, .. } | FinalAnswer::Failed { overdue: true } => {
-            ClientError::DeadlineExceeded
+        FinalAnswer::Rejected { deadline: DeadlineStatus::Passed, .. }
+        | FinalAnswer::Failed { deadline: DeadlineStatus::Passed } => ClientError::DeadlineExceeded,
+        FinalAnswer::Rejected { retry_after, deadline: DeadlineStatus::Pending } => {
+            ClientError::Rejected { retry_after }
         }
-        FinalAnswer::Rejected { retry_after, overdue: false } => ClientError::Rejected { retry_after },
-        FinalAnswer::Failed { overdue: false } => ClientError::Failed,
+        FinalAnswer::Failed { deadline: DeadlineStatus::Pending } => ClientError::Failed,
         FinalAnswer::UnknownGroup => ClientError::UnknownGroup,
     };
     responder.write(error.to_response()).await
