--- a/src/daemon/platform/endpoint_lists.rs
+++ b/src/daemon/platform/endpoint_lists.rs
@@ -3,7 +3,7 @@
 use crate::config::Limits;
 use crate::daemon::Executor;
 use crate::daemon::signals::SignalStream;
-use crate::engine::endpoints::{EndpointCatalog, EndpointUpdate};
+use crate::engine::endpoints::{EndpointCatalog, EndpointUpdate, ListCoverage};
 use crate::engine::{Control, EngineHandle};
 use crate::net::discovery;
 use crate::net::latch::Latch;
@@ -26,7 +26,7 @@
     pub fn new(cached: Option<EndpointUpdate>) -> EndpointLists {
         let mut catalog = EndpointCatalog::default();
         if let Some(cached) = cached {
-            catalog.apply(&EndpointUpdate { whole: true, ..cached });
+            catalog.apply(&EndpointUpdate { coverage: ListCoverage::Complete, ..cached });
         }
         EndpointLists { catalog: Rc::new(RefCell::new(catalog)), first_list_sent: Latch::default() }
     }
--- a/src/endpoint_list_json.rs
+++ b/src/endpoint_list_json.rs
@@ -1,7 +1,7 @@
 //! The JSON format of discovery's endpoint lists.
 
 use crate::address::{AddressError, parse_address};
-use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
+use crate::engine::endpoints::{EndpointRecord, EndpointUpdate, ListCoverage};
 use crate::routing::{Availability, GroupId, ZoneId};
 use crate::time::{TimeDelta, Timestamp};
 use miniserde::{Deserialize, json};
@@ -64,7 +64,8 @@
         for endpoint in self.endpoints {
             entries.push(endpoint.into_record(zones)?);
         }
-        Ok(EndpointUpdate { index: self.index, whole: self.snapshot, entries })
+        let coverage = if self.snapshot { ListCoverage::Complete } else { ListCoverage::Changes };
+        Ok(EndpointUpdate { version: self.index, coverage, entries })
     }
 }
 
--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -28,13 +28,22 @@
     pub started_at: Option<Timestamp>,
 }
 
+/// Which endpoints of a list an [`EndpointUpdate`] contains.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListCoverage {
+    /// All of them: an endpoint that is missing has left the list.
+    Complete,
+    /// Only those that have changed since the last update.
+    Changes,
+}
+
 /// A whole list of endpoints, or changes to the last one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
     /// The version of the list.
-    pub index: u64,
-    /// Whether `entries` is the whole list; otherwise it holds only the endpoints that changed.
-    pub whole: bool,
+    pub version: u64,
+    /// Whether `entries` is the whole list or holds only the endpoints that changed.
+    pub coverage: ListCoverage,
     /// The endpoints; one that was removed from the list has [`Availability::Gone`].
     pub entries: Vec<EndpointRecord>,
 }
@@ -49,7 +58,8 @@
 impl EndpointCatalog {
     /// Applies an update from discovery.
     pub fn apply(&mut self, update: &EndpointUpdate) {
-        let replaced = update.whole.then(|| std::mem::take(&mut self.endpoints));
+        let replaced =
+            (update.coverage == ListCoverage::Complete).then(|| std::mem::take(&mut self.endpoints));
         for record in &update.entries {
             if record.availability == Availability::Gone {
                 self.endpoints.remove(&record.name);
@@ -62,10 +72,10 @@
         }
     }
 
-    /// The current list as an update. Its index is a local version, which increases with every change.
+    /// The current list as an update. Its version is local and increases with every change.
     pub fn whole_list(&self) -> EndpointUpdate {
         let entries = self.endpoints.values().cloned().collect();
-        EndpointUpdate { index: self.version, whole: true, entries }
+        EndpointUpdate { version: self.version, coverage: ListCoverage::Complete, entries }
     }
 }
 
@@ -170,7 +180,7 @@
         for record in &update.entries {
             self.apply_record(record, &mut applied);
         }
-        if update.whole {
+        if update.coverage == ListCoverage::Complete {
             self.close_unlisted(&mut applied);
         }
         for endpoint in applied.changed.iter().filter(|endpoint| endpoint.gone) {
--- a/src/engine/endpoints/tests.rs
+++ b/src/engine/endpoints/tests.rs
@@ -11,14 +11,17 @@
     let mut catalog = EndpointCatalog::default();
     let x = record("x", Availability::Ready);
     let y = record("y", Availability::Ready);
-    let update = |whole, entries| EndpointUpdate { index: 1, whole, entries };
-    catalog.apply(&update(true, vec![x.clone(), y.clone()]));
+    let update = |coverage, entries| EndpointUpdate { version: 1, coverage, entries };
+    catalog.apply(&update(ListCoverage::Complete, vec![x.clone(), y.clone()]));
     let draining = record("x", Availability::Draining);
-    catalog.apply(&update(false, vec![draining.clone()]));
+    catalog.apply(&update(ListCoverage::Changes, vec![draining.clone()]));
     assert_eq!(catalog.whole_list().entries, [draining.clone(), y]);
-    catalog.apply(&update(false, vec![record("y", Availability::Gone)]));
+    catalog.apply(&update(ListCoverage::Changes, vec![record("y", Availability::Gone)]));
     assert_eq!(catalog.whole_list().entries, [draining]);
-    catalog.apply(&update(true, vec![record("z", Availability::Ready), record("x", Availability::Gone)]));
+    catalog.apply(&update(
+        ListCoverage::Complete,
+        vec![record("z", Availability::Ready), record("x", Availability::Gone)],
+    ));
     assert_eq!(catalog.whole_list().entries, [record("z", Availability::Ready)]);
 }
 
@@ -51,16 +54,16 @@
     let mut registry = EndpointRegistry::default();
     for n in 0..1000 {
         let (old, new) = (format!("h{n}"), format!("h{}", n + 1));
-        let whole = n % 2 == 0;
-        let removed = (!whole).then(|| record(&old, Availability::Gone));
+        let coverage = if n % 2 == 0 { ListCoverage::Complete } else { ListCoverage::Changes };
+        let removed = (coverage == ListCoverage::Changes).then(|| record(&old, Availability::Gone));
         let entries = removed.into_iter().chain([record(&new, Availability::Ready)]).collect();
-        let changed = registry.apply(&EndpointUpdate { index: n, whole, entries }).changed;
+        let changed = registry.apply(&EndpointUpdate { version: n, coverage, entries }).changed;
         let gone = changed.iter().filter(|endpoint| endpoint.gone && endpoint.name == old).count();
         assert_eq!(gone, usize::from(n > 0), "{n}");
         let kept = (registry.ids.len(), registry.endpoints.len(), registry.entries.len());
         assert_eq!(kept, (1, 1, 1), "{n}");
     }
-    registry.apply(&EndpointUpdate { index: 1001, whole: true, entries: Vec::new() });
+    registry.apply(&EndpointUpdate { version: 1001, coverage: ListCoverage::Complete, entries: Vec::new() });
     assert!(
         registry.endpoints.is_empty()
             && registry.knows_group(GroupId(1))
@@ -73,9 +76,11 @@
 fn an_endpoint_missing_from_a_whole_list_is_closed() {
     let mut registry = EndpointRegistry::default();
     let both = vec![record("a", Availability::Ready), record("b", Availability::Ready)];
-    registry.apply(&EndpointUpdate { index: 1, whole: true, entries: both });
+    registry.apply(&EndpointUpdate { version: 1, coverage: ListCoverage::Complete, entries: both });
     let only = vec![record("a", Availability::Ready)];
-    let changed = registry.apply(&EndpointUpdate { index: 2, whole: true, entries: only }).changed;
+    let changed = registry
+        .apply(&EndpointUpdate { version: 2, coverage: ListCoverage::Complete, entries: only })
+        .changed;
     let states: Vec<_> = changed.iter().map(|endpoint| (endpoint.name.as_str(), endpoint.open)).collect();
     assert_eq!(states, [("b", false)]);
 }
--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -18,7 +18,7 @@
 mod timers;
 
 use super::admission::AdmissionController;
-use super::endpoints::{EndpointRegistry, EndpointUpdate};
+use super::endpoints::{EndpointRegistry, EndpointUpdate, ListCoverage};
 use super::message::{Command, Control, Input};
 use super::metrics::{Gauges, Metrics};
 use super::observations::Observations;
@@ -103,10 +103,10 @@
     ) -> AfterControl {
         match control {
             Control::EndpointList { list, cached } => {
-                let kind = match (cached, list.whole) {
+                let kind = match (cached, list.coverage) {
                     (true, _) => ListKind::Cached,
-                    (false, true) => ListKind::Full,
-                    (false, false) => ListKind::Delta,
+                    (false, ListCoverage::Complete) => ListKind::Full,
+                    (false, ListCoverage::Changes) => ListKind::Delta,
                 };
                 self.apply_endpoint_list(now, &list, kind, commands);
             }
--- a/src/engine/request_engine/tests.rs
+++ b/src/engine/request_engine/tests.rs
@@ -49,11 +49,11 @@
 fn apply_list(
     engine: &mut RequestEngine<&'static str, &'static str>,
     now: Timestamp,
-    index: u64,
+    version: u64,
     entries: Vec<EndpointRecord>,
     commands: &mut Commands,
 ) {
-    let list = EndpointUpdate { index, whole: true, entries };
+    let list = EndpointUpdate { version, coverage: ListCoverage::Complete, entries };
     engine.handle_control(now, Control::EndpointList { list, cached: false }, commands);
 }
 
--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -6,7 +6,7 @@
 use super::gossip::GossipExchange;
 use super::recovery::RecoveryProgress;
 use super::zones::ZoneControl;
-use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
+use crate::engine::endpoints::{EndpointRecord, EndpointUpdate, ListCoverage};
 use crate::fleet::zones::{EndpointPlacement, groups_confined_to};
 use crate::ids::{GroupId, ZoneId};
 use crate::routing::Availability;
@@ -123,7 +123,8 @@
         if entries.is_empty() {
             return None;
         }
-        Some(EndpointUpdate { index: inputs.agreed.applied_index(), whole: is_full_list, entries })
+        let coverage = if is_full_list { ListCoverage::Complete } else { ListCoverage::Changes };
+        Some(EndpointUpdate { version: inputs.agreed.applied_index(), coverage, entries })
     }
 
     fn list_inputs(&self) -> ListInputs<'_> {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -11,7 +11,7 @@
 use super::http::client::ServerConnection;
 use super::until;
 use crate::config::Limits;
-use crate::engine::endpoints::EndpointUpdate;
+use crate::engine::endpoints::{EndpointUpdate, ListCoverage};
 use async_channel::Receiver;
 use backoff::Backoff;
 use call::DiscoveryCall;
@@ -43,7 +43,7 @@
         match watcher.call().await {
             CallOutcome::List(list) => {
                 let is_new = watcher.record_index(&list);
-                if list.whole || !list.entries.is_empty() {
+                if list.coverage == ListCoverage::Complete || !list.entries.is_empty() {
                     deliver(list).await;
                 }
                 if !is_new {
@@ -101,8 +101,8 @@
     /// Records the index of a received list, and returns whether it differs from the previous one.
     fn record_index(&mut self, list: &EndpointUpdate) -> bool {
         self.backoff.reset();
-        let is_new = self.known_index != Some(list.index);
-        self.known_index = Some(list.index);
+        let is_new = self.known_index != Some(list.version);
+        self.known_index = Some(list.version);
         is_new
     }
 
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -4,7 +4,7 @@
 use super::error::DiscoveryError;
 use crate::config::Limits;
 use crate::endpoint_list_json;
-use crate::engine::endpoints::EndpointUpdate;
+use crate::engine::endpoints::{EndpointUpdate, ListCoverage};
 use crate::net::http::client::{Response, ServerConnection};
 use crate::net::until;
 use std::net::SocketAddr;
@@ -67,10 +67,10 @@
     /// discovery has restarted, and they refer to a different list.
     fn check_index(&self, update: EndpointUpdate) -> Result<EndpointUpdate, DiscoveryError> {
         match self.known_index {
-            Some(known) if !update.whole && update.index < known => {
-                Err(DiscoveryError::IndexWentBack { known, received: update.index })
+            Some(known) if update.coverage == ListCoverage::Changes && update.version < known => {
+                Err(DiscoveryError::IndexWentBack { known, received: update.version })
             }
-            None if !update.whole => Err(DiscoveryError::ChangesWithoutList),
+            None if update.coverage == ListCoverage::Changes => Err(DiscoveryError::ChangesWithoutList),
             _ => Ok(update),
         }
     }
--- a/src/store/state_machine/inventory.rs
+++ b/src/store/state_machine/inventory.rs
@@ -1,7 +1,7 @@
 //! Conversion of the committed inventory to an endpoint list, and comparison of inventory files with it.
 
 use super::{Change, ClusterState};
-use crate::engine::endpoints::{EndpointRecord, EndpointUpdate};
+use crate::engine::endpoints::{EndpointRecord, EndpointUpdate, ListCoverage};
 use crate::store::records::{HostRecord, NamedHost};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
@@ -33,7 +33,7 @@
             let is_drained = self.is_drained(name) || has_pending_drain(name);
             entries.push(host.endpoint_record(name, is_drained));
         }
-        EndpointUpdate { index, whole: true, entries }
+        EndpointUpdate { version: index, coverage: ListCoverage::Complete, entries }
     }
 
     /// The change from the committed inventory to that of a file that was last modified at `changed_at`. Returns
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -3,7 +3,7 @@
 
 use brookpass::config::Limits;
 use brookpass::daemon::operator_config::{self, OperatorConfig, ParsedSettings, StoreConfig};
-use brookpass::engine::endpoints::{EndpointRecord, EndpointUpdate};
+use brookpass::engine::endpoints::{EndpointRecord, EndpointUpdate, ListCoverage};
 use brookpass::fleet::zones::EvacuationBackoff;
 use brookpass::fleet::zones::EvacuationPolicy;
 use brookpass::inventory::{self, Inventory};
@@ -381,7 +381,7 @@
         endpoint("s-2", 7002, ZoneId(0), GroupId(4), Availability::Ready, 2.0, None),
         endpoint("s-3", 7003, ZoneId(0), GroupId(5), Availability::Gone, 1.0, None),
     ];
-    assert_eq!(cached_list, Some(EndpointUpdate { index: 41, whole: false, entries }));
+    assert_eq!(cached_list, Some(EndpointUpdate { version: 41, coverage: ListCoverage::Changes, entries }));
     assert_eq!((classes, zones), (vec!["read".into(), "write".into()], vec!["a".into(), "b".into()]));
     let pooler_number = settings.pooler_number;
     assert_eq!((settings.pooler_count, pooler_number, settings.zone), (Some(2), Some(1), Some(ZoneId(1))));
