--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -10,6 +10,7 @@
 use crate::fleet::zones::{EndpointPlacement, groups_confined_to};
 use crate::ids::{GroupId, ZoneId};
 use crate::routing::Availability;
+use crate::store::records::DrainRequest;
 use crate::store::zone_weights::WeightReason;
 use crate::time::Timestamp;
 use std::cell::Ref;
@@ -57,7 +58,8 @@
     fn record(&self, name: &str) -> Option<EndpointRecord> {
         let state = self.agreed.state();
         let is_drained = state.is_drained(name) || self.drains.pending().is_draining(name);
-        let mut record = state.hosts.get(name)?.endpoint_record(name, is_drained);
+        let drain = if is_drained { DrainRequest::InForce } else { DrainRequest::Absent };
+        let mut record = state.hosts.get(name)?.endpoint_record(name, drain);
         record.started_at = record.started_at.max(self.recovery.reported_start(name));
         let confined = self.confined_groups.get(&record.zone);
         let placement = EndpointPlacement {
--- a/src/fleet/zones/state/tests.rs
+++ b/src/fleet/zones/state/tests.rs
@@ -1,6 +1,6 @@
 use super::super::EvacuationBackoff;
 use super::*;
-use crate::store::records::HostRecord;
+use crate::store::records::{DrainRequest, HostRecord};
 use crate::store::state_machine::{Change, Member};
 
 /// The time at which the tests start, one second after the clock's zero.
@@ -73,7 +73,7 @@
     let zones = ZoneState::new(EvacuationPolicy::default());
     let listed_as = |state: &ClusterState, may_be_primary, group_confined_to_zone| {
         let placement = EndpointPlacement { may_be_primary, group_confined_to_zone };
-        let listed = state.hosts["s-1-0"].endpoint_record("s-1-0", false);
+        let listed = state.hosts["s-1-0"].endpoint_record("s-1-0", DrainRequest::Absent);
         let weighted = zones.apply_weight(Timestamp::ZERO, listed, state, placement);
         (weighted.availability, weighted.weight)
     };
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -30,6 +30,15 @@
     pub started_at: Option<Timestamp>,
 }
 
+/// Whether a drain request for a host is in force, committed or pending.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DrainRequest {
+    /// No drain request for the host is in force.
+    Absent,
+    /// A drain request for the host is in force.
+    InForce,
+}
+
 impl HostRecord {
     /// Converts a record of an endpoint list. Its name and its role are not kept.
     pub fn from_endpoint_record(endpoint: &EndpointRecord) -> HostRecord {
@@ -43,9 +52,10 @@
         }
     }
 
-    /// Converts to a record of an endpoint list. `is_drained` tells whether a drain request for the host is in force.
-    pub fn endpoint_record(&self, name: &str, is_drained: bool) -> EndpointRecord {
-        let is_draining = is_drained || self.draining;
+    /// Converts to a record of an endpoint list. The host is listed as draining if a drain request for it is in force or
+    /// the inventory marks it as draining.
+    pub fn endpoint_record(&self, name: &str, drain: DrainRequest) -> EndpointRecord {
+        let is_draining = drain == DrainRequest::InForce || self.draining;
         EndpointRecord {
             name: name.to_string(),
             address: self.address,
--- a/src/store/state_machine/inventory.rs
+++ b/src/store/state_machine/inventory.rs
@@ -2,7 +2,7 @@
 
 use super::{Change, ClusterState};
 use crate::engine::endpoints::{EndpointRecord, EndpointUpdate, ListCoverage};
-use crate::store::records::{HostRecord, NamedHost};
+use crate::store::records::{DrainRequest, HostRecord, NamedHost};
 use crate::time::Timestamp;
 use std::collections::BTreeSet;
 
@@ -31,7 +31,8 @@
         let mut entries = Vec::with_capacity(self.hosts.len());
         for (name, host) in &self.hosts {
             let is_drained = self.is_drained(name) || has_pending_drain(name);
-            entries.push(host.endpoint_record(name, is_drained));
+            let drain = if is_drained { DrainRequest::InForce } else { DrainRequest::Absent };
+            entries.push(host.endpoint_record(name, drain));
         }
         EndpointUpdate { version: index, coverage: ListCoverage::Complete, entries }
     }
