--- a/src/clock.rs
+++ b/src/clock.rs
@@ -28,6 +28,15 @@
     stepped_micros: Arc<AtomicI64>,
 }
 
+/// The current boot of the machine.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct BootInfo {
+    /// The kernel's random id of the boot; empty on systems that do not provide it.
+    pub boot_id: String,
+    /// The time since boot, including suspend; zero on systems that do not provide it.
+    pub uptime: TimeDelta,
+}
+
 impl Clock {
     /// Starts the clock from the current readings of the system clock and the monotonic clock.
     pub fn start() -> Clock {
@@ -52,13 +61,12 @@
         unstepped + TimeDelta::from_micros(largest_step)
     }
 
-    /// The kernel's boot id and the time since boot, including suspend. The id is empty and the time zero on systems
-    /// that do not provide them.
-    pub fn boot_id_and_uptime() -> (String, TimeDelta) {
+    /// Reads the kernel's boot id and the time since boot.
+    pub fn boot_info() -> BootInfo {
         let boot_id = read_or_empty("/proc/sys/kernel/random/boot_id").trim().to_string();
         let uptime = read_or_empty("/proc/uptime");
         let uptime_secs = uptime.split(' ').next().and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
-        (boot_id, TimeDelta::from_micros_f64(uptime_secs * 1e6))
+        BootInfo { boot_id, uptime: TimeDelta::from_micros_f64(uptime_secs * 1e6) }
     }
 
     /// Converts a timestamp to an [`Instant`]. A timestamp before the clock was started maps to the start.
--- a/src/config.rs
+++ b/src/config.rs
@@ -145,8 +145,8 @@
     pub discovery_timeout_after_failure: Duration,
     /// Calls that discovery rejected for lack of capacity are repeated after a random delay up to this.
     pub discovery_spread: Duration,
-    /// Minimum and maximum backoff after a failed call to discovery, and after a failed connection to a fleet peer.
-    pub discovery_backoff: (Duration, Duration),
+    /// Backoff after a failed call to discovery, and after a failed connection to a fleet peer.
+    pub discovery_backoff: BackoffLimits,
     /// A process that starts with a cached list uses it if discovery sends none for this long.
     pub cached_list_delay: Duration,
     /// Maximum time that a readiness query waits for the first list.
@@ -195,8 +195,8 @@
     pub fleet_nodes: usize,
     /// Maximum length of a message between fleet peers.
     pub peer_message_bytes: usize,
-    /// Maximum number and total bytes of the messages queued for one peer; further ones are dropped.
-    pub peer_queue: (usize, usize),
+    /// Limits on the messages queued for one peer; further ones are dropped.
+    pub peer_queue: QueueLimits,
     /// Maximum number of drains that wait for a majority.
     pub pending_drains: usize,
     /// Maximum number of endpoint observations in one message.
@@ -217,6 +217,24 @@
     pub bytes: usize,
 }
 
+/// Range of an exponential backoff.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BackoffLimits {
+    /// Backoff after the first failure, before jitter.
+    pub min: Duration,
+    /// Upper bound of the backoff, before jitter.
+    pub max: Duration,
+}
+
+/// Limits of a message queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct QueueLimits {
+    /// Maximum number of messages.
+    pub messages: usize,
+    /// Maximum total length of the messages in bytes.
+    pub bytes: usize,
+}
+
 /// Limits of a YAML file after its aliases are expanded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct YamlLimits {
--- a/src/config/defaults.rs
+++ b/src/config/defaults.rs
@@ -3,7 +3,7 @@
 //! Those that do (connections, `message_budget_bytes`, `read_ahead_bytes`) are zero here and set by
 //! [`Limits::for_resources`].
 
-use super::{CloseLinger, DISCOVERY_CALL_COST, Limits, YamlLimits};
+use super::{BackoffLimits, CloseLinger, DISCOVERY_CALL_COST, Limits, QueueLimits, YamlLimits};
 use std::time::Duration;
 
 const KIB: usize = 1024;
@@ -68,7 +68,7 @@
     // Together with the longest backoff and another timeout, this stays within the 6 s.
     discovery_timeout_after_failure: Duration::from_millis(2_500),
     discovery_spread: DISCOVERY_CALL_COST,
-    discovery_backoff: (Duration::from_millis(50), Duration::from_secs(1)),
+    discovery_backoff: BackoffLimits { min: Duration::from_millis(50), max: Duration::from_secs(1) },
     cached_list_delay: Duration::from_millis(100),
     readiness_timeout: Duration::from_millis(500),
     datagram_bytes: 256,
@@ -95,7 +95,7 @@
     log_entries: 16 * 1024,
     fleet_nodes: 32,
     peer_message_bytes: 8 * MIB,
-    peer_queue: (512, 16 * MIB),
+    peer_queue: QueueLimits { messages: 512, bytes: 16 * MIB },
     pending_drains: 10_000,
     observations_per_message: 512,
     recovery_check_interval: Duration::from_millis(20),
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -34,7 +34,7 @@
     let limits = Limits::for_sockets(64);
     let detected_after = limits.discovery_watch_timeout
         + limits.discovery_timeout
-        + limits.discovery_backoff.0
+        + limits.discovery_backoff.min
         + limits.discovery_timeout;
     assert!(detected_after < Duration::from_secs(5), "{detected_after:?}");
 }
@@ -49,9 +49,9 @@
         limits.spread_discovery_calls(poolers);
         let timed_out = (limits.discovery_watch_timeout + limits.discovery_timeout)
             .max(limits.discovery_timeout_after_failure)
-            + limits.discovery_backoff.1 * 3 / 2;
+            + limits.discovery_backoff.max * 3 / 2;
         // A rejected call ends at once: discovery was reachable but had no capacity.
-        let rejected = limits.discovery_spread.max(limits.discovery_backoff.1 * 3 / 2);
+        let rejected = limits.discovery_spread.max(limits.discovery_backoff.max * 3 / 2);
         let received = timed_out.max(rejected) + limits.discovery_timeout;
         assert!(received <= Duration::from_secs(6), "{poolers:?}: {received:?}");
     }
--- a/src/fleet/peer_link.rs
+++ b/src/fleet/peer_link.rs
@@ -6,7 +6,7 @@
 
 use super::bootstrap::{Handshake, HandshakeVerdict};
 use super::message::{HandshakeReply, MessageError, PeerMessage};
-use crate::config::Limits;
+use crate::config::{BackoffLimits, Limits};
 use crate::ids::NodeId;
 use crate::net::buffer::Buffer;
 use crate::net::http::client::ServerConnection;
@@ -139,8 +139,7 @@
 impl PeerLink {
     /// Creates a link that is not connected. [`PeerLink::run`] connects it.
     pub fn new(address: SocketAddr, origin: LinkOrigin, limits: &Limits) -> PeerLink {
-        let (max_queued_messages, max_queued_bytes) = limits.peer_queue;
-        let (queue_sender, queue_receiver) = async_channel::bounded(max_queued_messages);
+        let (queue_sender, queue_receiver) = async_channel::bounded(limits.peer_queue.messages);
         PeerLink {
             address,
             origin,
@@ -148,7 +147,7 @@
             is_up: Cell::new(false),
             dropped_messages: Cell::new(0),
             queued_bytes: Cell::new(0),
-            max_queued_bytes,
+            max_queued_bytes: limits.peer_queue.bytes,
             queue_sender,
             queue_receiver,
             closed: Signal::new(),
@@ -200,7 +199,7 @@
 
     /// Connects, sends queued messages and reconnects, until the link is closed.
     pub async fn run(&self, limits: &Limits, events: &impl PeerLinkEvents) {
-        let (shortest_backoff, longest_backoff) = limits.discovery_backoff;
+        let BackoffLimits { min: shortest_backoff, max: longest_backoff } = limits.discovery_backoff;
         let mut backoff = shortest_backoff;
         while !self.closed.sender.is_closed() {
             let connecting = self.connect(limits, events);
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip: exchanges endpoints' reports with the peers, saves them to disk and passes them to the engine.
 
 use super::Fleet;
-use crate::clock::Clock;
+use crate::clock::{BootInfo, Clock};
 use crate::engine::PeerObservation;
 use crate::engine::endpoints::id_of;
 use crate::engine::log_rollback::{LogRollback, LogRollbacks};
@@ -113,7 +113,7 @@
 
 /// Reads the wall clock and the machine's uptime clock.
 fn read_clocks(clock: &Clock) -> ClockReading {
-    let (boot_id, uptime) = Clock::boot_id_and_uptime();
+    let BootInfo { boot_id, uptime } = Clock::boot_info();
     ClockReading { wall: clock.now(), boot_id, uptime }
 }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -109,7 +109,7 @@
     /// Pauses if a call returned early without changes, so that a discovery that does not hold calls is not polled in a
     /// tight loop.
     async fn pause_after_short_watch(&mut self, started_at: Instant) {
-        let (shortest_pause, _) = self.limits.discovery_backoff;
+        let shortest_pause = self.limits.discovery_backoff.min;
         if started_at.elapsed() < shortest_pause
             && self.pause(shortest_pause).await == PauseEnd::RefetchRequested
         {
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -29,14 +29,17 @@
 impl<'a> Backoff<'a> {
     /// A backoff without failures. `seed` initializes the random numbers for jitter.
     pub(super) fn new(limits: &'a Limits, seed: u64) -> Backoff<'a> {
-        let (first_pause, _) = limits.discovery_backoff;
-        Backoff { rng: Rng::with_seed(seed), limits, next_pause: first_pause, timeout_after_failure: None }
+        Backoff {
+            rng: Rng::with_seed(seed),
+            limits,
+            next_pause: limits.discovery_backoff.min,
+            timeout_after_failure: None,
+        }
     }
 
     /// Records that a call has succeeded, or that earlier failures no longer matter.
     pub(super) fn reset(&mut self) {
-        let (first_pause, _) = self.limits.discovery_backoff;
-        self.next_pause = first_pause;
+        self.next_pause = self.limits.discovery_backoff.min;
         self.timeout_after_failure = None;
     }
 
@@ -63,9 +66,8 @@
     /// Records that a call failed, and returns the pause before the next one.
     pub(super) fn record_failure(&mut self, error: &DiscoveryError) -> Duration {
         let limits = self.limits;
-        let (_, longest_pause) = limits.discovery_backoff;
         let pause = self.next_pause.mul_f64(0.5 + self.rng.f64());
-        self.next_pause = (self.next_pause * 2).min(longest_pause);
+        self.next_pause = (self.next_pause * 2).min(limits.discovery_backoff.max);
         let timeout = self.timeout_after_failure.map_or(limits.discovery_timeout, |timeout| timeout * 2);
         self.timeout_after_failure = Some(timeout.min(limits.discovery_timeout_after_failure));
         match error {
--- a/src/net/discovery/backoff/tests.rs
+++ b/src/net/discovery/backoff/tests.rs
@@ -70,9 +70,8 @@
     );
     backoff.reset();
     assert_eq!(backoff.call_times(true).watch_timeout, limits.discovery_watch_timeout);
-    let (first_pause, _) = limits.discovery_backoff;
     assert!(
-        backoff.record_failure(&DiscoveryError::TimedOut) < first_pause * 2,
+        backoff.record_failure(&DiscoveryError::TimedOut) < limits.discovery_backoff.min * 2,
         "the pauses are short again"
     );
 }
