--- a/src/fleet/admin_api/mod.rs
+++ b/src/fleet/admin_api/mod.rs
@@ -68,7 +68,7 @@
 
 async fn answer(fleet: &Fleet, request: &Request) -> Answer {
     let (path, _) = request.path_and_query();
-    let method = request.head.start_line[0].as_str();
+    let method = request.head.method();
     // Otherwise a web page in a browser on this machine could drain endpoints.
     if request.head.header("origin").is_some() {
         return Answer::new(403, "not for web pages");
--- a/src/net/http/head.rs
+++ b/src/net/http/head.rs
@@ -11,7 +11,7 @@
 pub struct Head {
     /// The three parts of the start line: method, request target and version of a request; version, status code and
     /// reason phrase of a response.
-    pub start_line: [String; 3],
+    start_line: [String; 3],
     /// Names and values of the headers, in the order in which they were received.
     pub headers: Vec<(String, String)>,
 }
@@ -65,6 +65,11 @@
         &self.start_line[2]
     }
 
+    /// The HTTP version of a response, for example `HTTP/1.1`.
+    fn response_version(&self) -> &str {
+        &self.start_line[0]
+    }
+
     /// The status code of a response as it was sent. [`Head::status`] validates it.
     pub fn status_text(&self) -> &str {
         &self.start_line[1]
@@ -77,7 +82,7 @@
     pub fn status(&self) -> Result<u16, MessageError> {
         let code = self.status_text();
         let has_three_digits = code.len() == 3 && code.bytes().all(|byte| byte.is_ascii_digit());
-        if !self.start_line[0].starts_with("HTTP/1.") || !has_three_digits {
+        if !self.response_version().starts_with("HTTP/1.") || !has_three_digits {
             return Err(MessageError::InvalidStatusLine);
         }
         code.parse().map_err(|_| MessageError::InvalidStatusLine)
@@ -108,7 +113,7 @@
 
     /// Whether the connection persists after this response (RFC 9112, section 9.3).
     pub fn response_keeps_connection_open(&self) -> bool {
-        self.keeps_connection_open(&self.start_line[0])
+        self.keeps_connection_open(self.response_version())
     }
 
     fn keeps_connection_open(&self, version: &str) -> bool {
@@ -124,13 +129,13 @@
 fn parse_start_line(line: &str) -> Result<[String; 3], MessageError> {
     let mut parts = line.splitn(3, ' ');
     let mut next_part = || parts.next().unwrap_or("").to_string();
-    let line = [next_part(), next_part(), next_part()];
-    for part in &line[..2] {
+    let start_line = [next_part(), next_part(), next_part()];
+    for part in &start_line[..2] {
         if part.is_empty() || !part.bytes().all(|byte| byte.is_ascii_graphic()) {
             return Err(MessageError::InvalidStartLine);
         }
     }
-    Ok(line)
+    Ok(start_line)
 }
 
 fn parse_header(line: &str) -> Result<(String, String), MessageError> {
