--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -1,5 +1,5 @@
-//! The files that operators and the platform write: every key is read into the field that it stands for. Names of fields
-//! in the program may change, keys and their meaning may not.
+//! The files that operators and the platform write: every key is read into its field. Field names may change, but keys
+//! and their meaning may not.
 
 use brookpass::config::Limits;
 use brookpass::daemon::operator_config::{self, OperatorConfig, ParsedSettings, StoreConfig};
@@ -25,7 +25,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// A length of time as an optional setting holds it.
+/// A duration in microseconds, as the value of an optional setting.
 fn micros(micros: i64) -> Option<TimeDelta> {
     Some(TimeDelta::from_micros(micros))
 }
@@ -99,7 +99,7 @@
     assert_eq!((classes.len(), tenants.len()), (2, 2));
 }
 
-/// As above, for the keys of a class and of a tenant.
+/// Guards against a key of a class or of a tenant that is read into another field or in another unit.
 #[test]
 fn every_key_of_a_class_and_a_tenant_is_read_into_its_field() {
     let Settings { classes, tenants, .. } = settings_parser::parse(SETTINGS).unwrap();
@@ -140,11 +140,11 @@
     assert_eq!((write.consistency, write.max_age), (Some(Consistency::Write), micros(900_000)));
 }
 
-/// Guards against a line of the file above that nothing reads: without it some field must differ.
+/// Guards against a line of the settings file that nothing reads: without it some field must differ.
 #[test]
 fn every_settings_key_changes_a_field() {
     let complete = format!("{:?}", settings_parser::parse(SETTINGS).unwrap());
-    // Names are read by the callers of the parser, not by itself.
+    // Class names are read by the callers of the parser, not by the parser.
     let is_name = |line: &&str| line.contains(".name=");
     let lines: Vec<&str> = SETTINGS.lines().collect();
     for line in lines.iter().filter(|line| !is_name(line)) {
@@ -168,10 +168,10 @@
     ] {
         assert_eq!(class(&format!("services.0.repeat={keyword}")), (Some(idempotency), None, None));
     }
-    for (keyword, group) in
+    for (keyword, scope) in
         [("all", KeyScope::AllEndpoints), ("cell", KeyScope::Group), ("zone", KeyScope::Zone)]
     {
-        assert_eq!(class(&format!("services.0.group={keyword}")), (None, Some(group), None));
+        assert_eq!(class(&format!("services.0.group={keyword}")), (None, Some(scope), None));
     }
     for (keyword, consistency) in [
         ("mutate", Consistency::Write),
@@ -182,19 +182,20 @@
     ] {
         assert_eq!(class(&format!("family-info.consistency={keyword}")), (None, None, Some(consistency)));
     }
-    let read = |line: &str| settings_parser::parse(line).unwrap();
-    for (keyword, behind) in [
+    let parse = |line: &str| settings_parser::parse(line).unwrap();
+    for (keyword, policy) in [
         ("none", ReplicationLagPolicy::ServeStale),
         ("bounce", ReplicationLagPolicy::Reject),
         ("await", ReplicationLagPolicy::WaitThenReject),
     ] {
-        assert_eq!(read(&format!("family-info.behind={keyword}")).replication_lag_policy, Some(behind));
+        assert_eq!(parse(&format!("family-info.behind={keyword}")).replication_lag_policy, Some(policy));
     }
-    for (keyword, marks) in [("brought", SessionTracking::Carried), ("kept", SessionTracking::Remembered)] {
-        assert_eq!(read(&format!("family-info.session-marks={keyword}")).session_tracking, Some(marks));
+    for (keyword, tracking) in [("brought", SessionTracking::Carried), ("kept", SessionTracking::Remembered)]
+    {
+        assert_eq!(parse(&format!("family-info.session-marks={keyword}")).session_tracking, Some(tracking));
     }
-    for (keyword, must) in [("subscribe", true), ("automatic", false)] {
-        assert_eq!(read(&format!("discovery={keyword}")).must_subscribe, Some(must));
+    for (keyword, must_subscribe) in [("subscribe", true), ("automatic", false)] {
+        assert_eq!(parse(&format!("discovery={keyword}")).must_subscribe, Some(must_subscribe));
     }
 }
 
@@ -205,7 +206,7 @@
 fn every_key_of_the_operators_file_is_read_into_its_field() {
     let path = fixture("operator-every-key.yaml");
     let OperatorConfig {
-        path: own,
+        path: config_path,
         name,
         number,
         listen,
@@ -220,7 +221,7 @@
         settings,
         modified_at,
     } = operator_config::load(&path).unwrap();
-    assert_eq!((own, name.as_str(), number, sockets), (path, "b7", 3, 2048));
+    assert_eq!((config_path, name.as_str(), number, sockets), (path, "b7", 3, 2048));
     assert_eq!((listen, admin), (address("127.0.0.1:9001"), Some(address("127.0.0.1:9006"))));
     let FrontConfig { path, query_class, session_query_class, update_class, default_group } = service;
     assert_eq!((path.as_str(), host_path.as_str()), ("/query", "/host/sparql"));
@@ -248,7 +249,7 @@
     );
     assert!(modified_at > Timestamp::from_micros(0));
     let text = settings.unwrap();
-    assert_eq!(text, PAIRS, "the pairs that the store gets:\n{text}");
+    assert_eq!(text, PAIRS, "the pairs that are passed to the store:\n{text}");
     let ParsedSettings { settings, class_names, pairs } = operator_config::parse_settings(&text, 3).unwrap();
     assert_eq!(class_names, ["catalog-read", "own-edit-read", "score-write"]);
     assert_eq!(
@@ -256,7 +257,7 @@
         (Some(5), Some(3), Some(true))
     );
     assert_eq!(pairs["limits.conn-idle"], "15");
-    assert_eq!(pairs.len(), PAIRS.lines().count() + 9, "and those that the daemon itself decides");
+    assert_eq!(pairs.len(), PAIRS.lines().count() + 9, "and the pairs that the program sets itself");
     for (key, value) in [
         ("me", "3"),
         ("discovery", "automatic"),
@@ -272,7 +273,7 @@
     }
 }
 
-/// Guards against a default that changes for files without the key.
+/// Guards against a changed default of a key.
 #[test]
 fn a_key_that_an_operators_file_lacks_has_its_default() {
     let folder =
@@ -299,7 +300,7 @@
     );
 }
 
-/// Guards against a column or a variable of an inventory that is read as something else, in both forms.
+/// Guards against a column of a CSV inventory, or a variable of a YAML one, that is read into another field.
 #[test]
 fn every_key_of_an_inventory_is_read_into_its_field() {
     let first = EndpointRecord {
@@ -323,11 +324,11 @@
         started_at: None,
     };
     let regions = BTreeMap::from([(ZoneId(0), "north".to_string()), (ZoneId(1), "south".to_string())]);
-    let wanted = Inventory { hosts: vec![first, second], regions };
+    let expected = Inventory { hosts: vec![first, second], regions };
     let zones = ["north-1".to_string(), "south-2".to_string()];
     for (name, text) in [("i.csv", CSV), ("i.yaml", YAML), ("i.yml", YAML)] {
         let read = inventory::parse(Path::new(name), text, &zones, &Limits::for_sockets(64));
-        assert_eq!(read.as_ref(), Ok(&wanted), "{name}");
+        assert_eq!(read.as_ref(), Ok(&expected), "{name}");
     }
 }
 
@@ -411,7 +412,7 @@
     files
 }
 
-/// Guards against a build file whose keys or programs are others, and whose parts lists name what has moved.
+/// Guards against changed keys or program names in the build file, and against lists in it that name moved files.
 #[test]
 fn the_build_file_keeps_its_keys_and_names_existing_files() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
@@ -437,16 +438,16 @@
         let list = value(key).trim_start_matches('[').trim_end_matches(']').split(',');
         list.map(|path| path.trim().trim_matches('"').to_string()).collect()
     };
-    // Every file of the decision module, but for the one that reads its settings from text and for unit tests.
-    let mut decisions: Vec<String> = rust_files_below(root, "src/routing")
+    // Every file of the routing module except the settings parser and unit tests.
+    let mut policy_files: Vec<String> = rust_files_below(root, "src/routing")
         .into_iter()
         .filter(|path| path != "src/routing/settings_parser.rs" && !path.ends_with("/tests.rs"))
         .collect();
-    decisions.sort();
-    assert_eq!(paths("policy"), decisions);
-    let node = paths("node");
-    assert!(node.contains(&"src/main.rs".to_string()), "{node:?}");
-    for path in &node {
+    policy_files.sort();
+    assert_eq!(paths("policy"), policy_files);
+    let node_paths = paths("node");
+    assert!(node_paths.contains(&"src/main.rs".to_string()), "{node_paths:?}");
+    for path in &node_paths {
         assert!(root.join(path).exists(), "{path}");
     }
 }
--- a/tests/golden_program.rs
+++ b/tests/golden_program.rs
@@ -6,16 +6,16 @@
 
 const USAGE: &str = include_str!("fixtures/usage.txt");
 
-/// A folder of its own for each test, removed at its end.
-struct Folder(PathBuf);
+/// A folder for one test, removed when the test ends.
+struct TestFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TestFolder {
+    fn new(name: &str) -> TestFolder {
         let path =
             Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TestFolder(path)
     }
 
     fn write(&self, name: &str, text: &str) -> String {
@@ -25,13 +25,13 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Exit code, standard output and standard error.
+/// Runs the program; returns its exit code, standard output and standard error.
 fn run(arguments: &[&str], variables: &[(&str, &str)]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_brookpass"));
     command
@@ -44,8 +44,9 @@
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
-/// The one line of an error without its time; fails on further lines or anything on standard output.
-fn error(arguments: &[&str], variables: &[(&str, &str)]) -> String {
+/// Runs the program, which must fail with one log line on standard error and nothing on standard output. Returns the
+/// line without its time.
+fn run_and_get_error(arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let (code, stdout, stderr) = run(arguments, variables);
     assert_eq!((code, stdout.as_str(), stderr.lines().count()), (Some(1), "", 1), "{arguments:?}: {stderr}");
     let (time, line) = stderr.trim_end().split_once(' ').unwrap();
@@ -53,10 +54,10 @@
     line.to_string()
 }
 
-const GOOD: &str = include_str!("fixtures/operator-every-key.yaml");
-const HOSTS: &str = include_str!("fixtures/inventory-every-column.csv");
+const VALID_CONFIG: &str = include_str!("fixtures/operator-every-key.yaml");
+const VALID_INVENTORY: &str = include_str!("fixtures/inventory-every-column.csv");
 
-/// Guards against arguments and output that scripts use and that an update changes.
+/// Guards against changes to arguments and output that scripts use.
 #[test]
 fn version_and_usage_are_unchanged() {
     let version = format!("brookpass {}\n", env!("CARGO_PKG_VERSION"));
@@ -79,43 +80,43 @@
     }
 }
 
-/// Guards against a check that accepts what a start rejects, or reports it in another text.
+/// Guards against `--check` accepting what a start rejects, or reporting it in another text.
 #[test]
 fn a_check_counts_endpoints_or_names_file_and_line_of_the_error() {
-    let folder = Folder::new("check");
-    let file = folder.write("operator.yaml", GOOD);
-    let hosts = folder.write("hosts.csv", HOSTS);
+    let folder = TestFolder::new("check");
+    let file = folder.write("operator.yaml", VALID_CONFIG);
+    let hosts = folder.write("hosts.csv", VALID_INVENTORY);
     let check = ["--check", file.as_str()];
     assert_eq!(run(&check, &[]), (Some(0), format!("{file}: in order, 2 hosts\n"), String::new()));
-    folder.write("operator.yaml", &GOOD.replace("inventory: hosts.csv\n", ""));
+    folder.write("operator.yaml", &VALID_CONFIG.replace("inventory: hosts.csv\n", ""));
     assert_eq!(run(&check, &[]), (Some(0), format!("{file}: in order, 0 hosts\n"), String::new()));
     for arguments in [["--check", file.as_str()], ["--operator", file.as_str()]] {
-        folder.write("operator.yaml", &GOOD.replace("number: 3", "nummer: 3"));
+        folder.write("operator.yaml", &VALID_CONFIG.replace("number: 3", "nummer: 3"));
         let line = format!("ERROR {file}: line 3: \"nummer\" is unknown in the operator's file");
-        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
-        folder.write("operator.yaml", &GOOD.replace("warm-up: 16", "warm-up: long"));
+        assert_eq!(run_and_get_error(&arguments, &[]), line, "{arguments:?}");
+        folder.write("operator.yaml", &VALID_CONFIG.replace("warm-up: 16", "warm-up: long"));
         let line = format!("ERROR {file}: line 61: guarantees.warm-up: \"long\" is no such value");
-        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
-        folder.write("operator.yaml", GOOD);
-        folder.write("hosts.csv", &HOSTS.replace("leaving", "gone"));
+        assert_eq!(run_and_get_error(&arguments, &[]), line, "{arguments:?}");
+        folder.write("operator.yaml", VALID_CONFIG);
+        folder.write("hosts.csv", &VALID_INVENTORY.replace("leaving", "gone"));
         let line = format!("ERROR {hosts}: line 3: host \"s-2\": status \"gone\" is no such value");
-        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
+        assert_eq!(run_and_get_error(&arguments, &[]), line, "{arguments:?}");
         std::fs::remove_file(&hosts).unwrap();
         let line = format!("ERROR {hosts}: No such file or directory (os error 2)");
-        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
+        assert_eq!(run_and_get_error(&arguments, &[]), line, "{arguments:?}");
         std::fs::remove_file(&file).unwrap();
         let line = format!("ERROR {file}: No such file or directory (os error 2)");
-        assert_eq!(error(&arguments, &[]), line, "{arguments:?}");
+        assert_eq!(run_and_get_error(&arguments, &[]), line, "{arguments:?}");
     }
 }
 
-/// Guards against a start on the platform with half a configuration, or with another text of the error.
+/// Guards against a start with an incomplete platform configuration, and against a changed text of the error.
 #[test]
 fn a_malformed_platform_configuration_is_reported_in_one_line_with_file_and_line() {
-    let folder = Folder::new("platform");
-    let good = include_str!("fixtures/platform-every-key.json");
+    let folder = TestFolder::new("platform");
+    let valid = include_str!("fixtures/platform-every-key.json");
     let path = folder.0.join("config.json").to_str().unwrap().to_string();
-    for (from, to, why) in [
+    for (from, to, reason) in [
         (
             "\"listen\": \"127.0.0.1:9101\"",
             "\"listen\": \"here\"",
@@ -130,23 +131,26 @@
         ),
         ("}]},", "}}]},", "line 12: not JSON"),
     ] {
-        let text = good.replacen(from, to, 1);
-        assert_ne!(text, good, "{from}");
+        let text = valid.replacen(from, to, 1);
+        assert_ne!(text, valid, "{from}");
         folder.write("config.json", &text);
-        let line = error(&[], &[("GW_CONFIG", &path)]);
-        assert_eq!(line, format!("ERROR {path}: {why}"));
+        let line = run_and_get_error(&[], &[("GW_CONFIG", &path)]);
+        assert_eq!(line, format!("ERROR {path}: {reason}"));
     }
     std::fs::remove_file(&path).unwrap();
-    let line = error(&[], &[("GW_CONFIG", &path)]);
+    let line = run_and_get_error(&[], &[("GW_CONFIG", &path)]);
     assert_eq!(line, format!("ERROR {path}: No such file or directory (os error 2)"));
 }
 
-/// Guards against a recovery that is reported as done though no daemon answered.
+/// Guards against a recovery that is reported as done although no node answered.
 #[test]
 fn a_recovery_without_an_answer_fails() {
-    assert_eq!(error(&["fleet", "recover", "here"], &[]), "ERROR here: no address with a port");
-    let at = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
-    for arguments in [&["fleet", "recover", &at][..], &["fleet", "recover", &at, "--yes"]] {
-        assert_eq!(error(arguments, &[]), format!("ERROR {at}: Connection refused (os error 111)"));
+    assert_eq!(run_and_get_error(&["fleet", "recover", "here"], &[]), "ERROR here: no address with a port");
+    let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    for arguments in [&["fleet", "recover", &address][..], &["fleet", "recover", &address, "--yes"]] {
+        assert_eq!(
+            run_and_get_error(arguments, &[]),
+            format!("ERROR {address}: Connection refused (os error 111)")
+        );
     }
 }
