--- a/tests/client_departures.rs
+++ b/tests/client_departures.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect, in every state in which their request may be. Each test forces one order of
+//! Clients that disconnect, for every state in which their request may be. Each test forces one order of
 //! events.
 
 mod stand_in;
@@ -17,29 +17,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than it may take the program to notice that a client has disconnected.
+/// Time after which the pooler has noticed that a client has disconnected.
 const DISCONNECT_NOTICED_WITHIN: Duration = Duration::from_millis(300);
 
-/// Far beyond the tests' own timeout: such a deadline is not what ends an attempt.
+/// Far longer than the timeout of the tests, so that the deadline is never what ends an attempt.
 const REMOTE_DEADLINE_MS: u32 = 600_000;
 
-/// The beginning of a message that never ends: longer than what the program reads behind an open request.
-fn more_than_is_read_ahead() -> Vec<u8> {
+/// The beginning of an incomplete message, longer than what the pooler reads ahead behind an open request.
+fn incomplete_message_beyond_read_ahead() -> Vec<u8> {
     let mut bytes = messages::query(&"x".repeat(120_000));
     bytes.truncate(110_000);
     bytes
 }
 
-/// Guards against a client that disconnects while so many of its bytes are unread that the end of the stream
-/// is hidden behind them: its attempt would go on until the deadline.
+/// Guards against an attempt that goes on until its deadline although its client has disconnected: the end of
+/// the stream is not seen while too many bytes in front of it are unread.
 #[test]
-fn a_client_that_goes_with_bytes_sent_ahead_unread_ends_its_attempt() {
+fn a_disconnect_behind_unread_pipelined_bytes_ends_the_attempt() {
     let group = PostgresGroup::start(|_| Reply::NoAnswer);
     let pooler = start_pooler(&group.endpoint_list());
     let mut client = PostgresClient::connect(pooler.address);
     client.send_query(&keyed_write_statement("1", REMOTE_DEADLINE_MS, 1));
-    eventually("the primary has the write", || group.primary.statement_count() == 1);
-    client.send(&more_than_is_read_ahead());
+    eventually("the write has reached the primary", || group.primary.statement_count() == 1);
+    client.send(&incomplete_message_beyond_read_ahead());
     drop(client);
     let closed = group.primary.closed_connections.recv_timeout(DEFAULT_TIMEOUT);
     assert_eq!(closed, Ok(true), "the attempt's connection is closed");
@@ -48,20 +48,20 @@
 /// Guards against forwarding a client's pipelined requests, one after the other, after the client has
 /// disconnected.
 #[test]
-fn what_a_client_sent_ahead_is_not_sent_on_once_it_has_gone() {
+fn pipelined_requests_of_a_disconnected_client_are_not_forwarded() {
     let (release, released) = release_channel();
     let group = PostgresGroup::start(move |_| Reply::RowAfterRelease(released.clone(), b"slow"));
     let pooler = start_pooler(&group.endpoint_list());
     let mut client = PostgresClient::connect(pooler.address);
-    // More than may be open at once: the rest waits, unread or in the buffer, behind the first.
+    // More requests than may be open at once: the rest waits, unread or in the buffer.
     let mut pipelined = Vec::new();
     for number in 0..400 {
         let write = keyed_write_statement(&format!("ahead-{number}"), REMOTE_DEADLINE_MS, number);
         pipelined.extend(messages::query(&write));
     }
     client.send(&pipelined);
-    eventually("the first are sent", || group.primary.statement_count() > 0);
-    client.send(&more_than_is_read_ahead());
+    eventually("the first requests are sent", || group.primary.statement_count() > 0);
+    client.send(&incomplete_message_beyond_read_ahead());
     drop(client);
     thread::sleep(DISCONNECT_NOTICED_WITHIN);
     let forwarded_count = || {
@@ -76,13 +76,13 @@
     for number in 0..20 {
         other.query(&read_statement(&format!("other-{number}"), 1_000));
     }
-    assert_eq!(forwarded_count(), count_before, "no attempt began after the client had gone");
+    assert_eq!(forwarded_count(), count_before, "no attempt began after the client had disconnected");
 }
 
-/// Guards against a client that disconnects before the first endpoint list arrives: its request must not be
-/// sent then.
+/// Guards against a request that is sent when the first endpoint list arrives although its client has
+/// disconnected.
 #[test]
-fn a_client_that_goes_while_it_waits_for_the_first_list_is_not_sent_on() {
+fn a_request_whose_client_disconnects_before_the_first_list_is_not_sent() {
     let group = PostgresGroup::start(|_| Reply::Row(b"x"));
     let discovery = ScriptedDiscoveryServer::start();
     let config_path = test_directory("gone").join("config.json");
@@ -94,20 +94,20 @@
     let readiness_query = messages::query("");
     let write = messages::query(&keyed_write_statement("gone", REMOTE_DEADLINE_MS, 1));
     client.send(&[messages::startup(), readiness_query, write].concat());
-    assert_eq!(client.receive(), Some(PostgresResponse::READY), "all of it has been read");
+    assert_eq!(client.receive(), Some(PostgresResponse::READY), "the pooler has read all three messages");
     drop(client);
     thread::sleep(DISCONNECT_NOTICED_WITHIN);
     call.answer(&snapshot_json(1, &group.endpoint_list()));
     let mut other = PostgresClient::connect(pooler.address);
-    eventually("the list is there", || other.query(&read_statement("other", 1_000)).value.is_some());
+    eventually("the list is in use", || other.query(&read_statement("other", 1_000)).value.is_some());
     let statements = [group.primary.statements(), group.replica.statements()].concat();
     assert!(!statements.iter().any(|text| text.contains("id=gone,")), "{statements:?}");
 }
 
-/// Guards against a queued write that is sent, when its primary appears, for a client that has disconnected;
-/// and against many disconnected clients whose requests are sent in place of those of clients that stay.
+/// Guards against a queued write that is sent when its primary appears although its client has disconnected,
+/// and against requests of disconnected clients that delay those of connected ones.
 #[test]
-fn held_writes_of_clients_that_have_gone_are_not_sent_when_their_primary_comes() {
+fn queued_writes_of_disconnected_clients_are_not_sent_when_a_primary_appears() {
     let lone_replica = PostgresEndpoint::replica(|_| Reply::Error("25006"));
     let pooler = start_pooler(&[endpoint_json("lone", lone_replica.address, 1, "active")]);
     let mut clients = Vec::new();
@@ -117,20 +117,20 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send_query(&keyed_write_statement(&format!("held-{number}"), REMOTE_DEADLINE_MS, number));
     }
-    eventually("the first has missed", || lone_replica.statement_count() > 0);
-    let mut staying_client = clients.pop().unwrap();
+    eventually("the replica has rejected the first write", || lone_replica.statement_count() > 0);
+    let mut remaining_client = clients.pop().unwrap();
     drop(clients);
     thread::sleep(DISCONNECT_NOTICED_WITHIN);
     let primary = PostgresEndpoint::primary(|_| Reply::Row(b"done"));
     pooler.discovery.publish(&[endpoint_json("new", primary.address, 1, "active")]);
-    assert_eq!(staying_client.receive().unwrap().value, row_of(b"done"));
+    assert_eq!(remaining_client.receive().unwrap().value, row_of(b"done"));
     assert_eq!(primary.statement_count(), 1, "{:?}", primary.statements());
 }
 
-/// Guards against an attempt that is written when its connection becomes ready although its client has
-/// disconnected.
+/// Guards against an attempt that is written to a new connection although its client disconnected while the
+/// connection was being established.
 #[test]
-fn a_client_that_goes_while_its_host_is_dialled_is_not_sent_on() {
+fn a_request_whose_client_disconnects_during_the_connect_is_not_written() {
     let endpoint = ManualEndpoint::start();
     let list = [endpoint_json("slow", endpoint.address, 1, "active")];
     let pooler = start_pooler_with_config(&list, |text| {
@@ -141,12 +141,12 @@
     let connection = endpoint.next_connection();
     drop(client);
     thread::sleep(DISCONNECT_NOTICED_WITHIN);
-    assert_eq!(connection.complete_startup(), None, "nothing is written on it");
+    assert_eq!(connection.complete_startup(), None, "nothing is written to the connection");
 }
 
 /// Guards against a retry for a client that disconnected between the failed attempt and the retry.
 #[test]
-fn a_client_that_goes_between_two_attempts_gets_no_second_one() {
+fn a_request_whose_client_disconnects_between_attempts_is_not_retried() {
     let endpoint = ManualEndpoint::start();
     let pooler = start_pooler(&[endpoint_json("slow", endpoint.address, 1, "active")]);
     let mut client = PostgresClient::connect(pooler.address);
@@ -159,16 +159,17 @@
     drop(first_connection);
     let mut other = PostgresClient::connect(pooler.address);
     other.send_query(&keyed_write_statement("2", REMOTE_DEADLINE_MS, 2));
-    let next_statement = endpoint.next_connection().complete_startup().expect("the other's attempt");
+    let next_statement =
+        endpoint.next_connection().complete_startup().expect("the attempt of the other client");
     assert!(next_statement.contains("id=2,"), "{next_statement}");
 }
 
 /// Guards against an endpoint that is told too long a remaining time: the time that the request spent waiting
 /// behind others must be subtracted.
 #[test]
-fn a_request_that_waited_behind_others_tells_its_host_only_the_time_that_is_left() {
-    /// As many requests of one connection as may be open at once.
-    const OPEN_AT_MOST: usize = 64;
+fn a_request_that_waited_behind_others_is_sent_with_its_remaining_time() {
+    /// The number of requests of one connection that may be open at once.
+    const MAX_OPEN_REQUESTS: usize = 64;
     let (release, released) = release_channel();
     let group = PostgresGroup::start(move |text| match text.contains("id=0,") {
         true => Reply::RowAfterRelease(released.clone(), b"slow"),
@@ -177,17 +178,17 @@
     let pooler = start_pooler(&group.endpoint_list());
     let mut client = PostgresClient::connect(pooler.address);
     let mut pipelined = Vec::new();
-    for number in 0..OPEN_AT_MOST {
+    for number in 0..MAX_OPEN_REQUESTS {
         let write = keyed_write_statement(&number.to_string(), REMOTE_DEADLINE_MS, number);
         pipelined.extend(messages::query(&write));
     }
-    // One more that is read with them and waits.
+    // One more request, which is read with them and waits.
     pipelined.extend(messages::query(&keyed_write_statement("64", 5_000, 64)));
     let sent_at = Instant::now();
     client.send(&pipelined);
-    eventually("all that may be open is out", || group.primary.statement_count() > 0);
+    eventually("the open requests are sent", || group.primary.statement_count() > 0);
     thread::sleep(Duration::from_millis(400));
-    // Bytes of a later request arrive in between; they must not restart the time of those before it.
+    // The first bytes of a later request must not restart the waiting time of the requests before it.
     client.send(&messages::query(&keyed_write_statement("65", 5_000, 65))[..20]);
     thread::sleep(Duration::from_millis(50));
     release.send(()).unwrap();
@@ -195,10 +196,13 @@
         let statements = group.primary.statements();
         statements.into_iter().find(|text| text.contains("id=64,"))
     };
-    eventually("the one that waited is sent", || waiting_statement().is_some());
+    eventually("the waiting request is sent", || waiting_statement().is_some());
     let elapsed_ms = sent_at.elapsed().as_millis() as i64;
     let statement = waiting_statement().unwrap();
     let deadline_text = statement.split(",d=").nth(1).unwrap().split(',').next().unwrap();
     let deadline_ms: i64 = deadline_text.parse().unwrap();
-    assert!(deadline_ms <= 5_000 - 440, "{deadline_ms} ms are told, {elapsed_ms} ms after it was sent");
+    assert!(
+        deadline_ms <= 5_000 - 440,
+        "the endpoint is told {deadline_ms} ms, {elapsed_ms} ms after the client sent the request"
+    );
 }
--- a/tests/discovery_orders.rs
+++ b/tests/discovery_orders.rs
@@ -1,4 +1,5 @@
-//! The discovery client in every order of calls, answers, silence and moves. Each test forces one order.
+//! The discovery client under every order of calls, answers, missing answers and changes of the discovery
+//! server. Each test forces one order.
 
 mod stand_in;
 
@@ -18,13 +19,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Within this time a change must be in use, counted from when the discovery server has it and can be
-/// reached.
+/// A change must be in use within this time, counted from when the discovery server has it and can be reached.
 const CHANGE_IN_USE_WITHIN: Duration = Duration::from_secs(6);
 
-/// The program on a discovery server whose answers the test gives.
+/// A pooler whose discovery server answers as the test says.
 struct ScriptedPooler {
-    daemon: Daemon,
+    process: Daemon,
     /// Where clients connect.
     address: SocketAddr,
     config_path: PathBuf,
@@ -36,7 +36,7 @@
         ScriptedPooler::start_with_config("scripted", |text| text)
     }
 
-    /// Starts the program with a list from before its start.
+    /// Starts the pooler with a list that was saved before its start.
     fn start_with_known_list(list: &str) -> ScriptedPooler {
         ScriptedPooler::start_with_config("scripted", |text| {
             text.replace("\"seed\"", &format!("\"known\":{list},\n\"seed\""))
@@ -48,7 +48,7 @@
         let config_path = test_directory(directory).join("config.json");
         std::fs::write(&config_path, edit(config("127.0.0.1:0", discovery.address, SETTINGS))).unwrap();
         let StartedDaemon { daemon, address } = start_daemon(&config_path);
-        ScriptedPooler { daemon, address, config_path, discovery }
+        ScriptedPooler { process: daemon, address, config_path, discovery }
     }
 
     /// Waits for the next watch; answers other calls with `list`.
@@ -64,14 +64,14 @@
 }
 
 /// Two replicas of group 1: reads return `old` from one and `new` from the other.
-struct OldAndNew {
+struct OldAndNewEndpoints {
     old: PostgresEndpoint,
     new: PostgresEndpoint,
 }
 
-impl OldAndNew {
-    fn start() -> OldAndNew {
-        OldAndNew {
+impl OldAndNewEndpoints {
+    fn start() -> OldAndNewEndpoints {
+        OldAndNewEndpoints {
             old: PostgresEndpoint::replica(|_| Reply::Row(b"old")),
             new: PostgresEndpoint::replica(|_| Reply::Row(b"new")),
         }
@@ -95,26 +95,25 @@
         for number in 0..20 {
             assert_eq!(client.query(&read_statement(&number.to_string(), 1_000)).value, row_of(b"new"));
         }
-        assert_eq!(self.old.statement_count(), count_before, "nothing goes to the old one");
+        assert_eq!(self.old.statement_count(), count_before, "nothing is sent to the old endpoint");
     }
 }
 
-/// Guards against a restarted process that routes by its list from before the restart, which discovery has
-/// replaced.
+/// Guards against a restarted pooler that routes by its saved list although discovery has a newer one.
 #[test]
-fn a_request_at_the_start_waits_for_discoverys_first_answer() {
-    // Time enough for an attempt that does not wait, and less than the time for which discovery is waited
-    // for.
+fn a_request_at_startup_waits_for_the_first_answer_of_discovery() {
+    // Long enough for an attempt that does not wait, and shorter than the time for which the pooler waits for
+    // discovery.
     const ANSWER_DELAY: Duration = Duration::from_millis(20);
-    // A later answer may have come after the program stopped waiting for it.
+    // After a longer time the pooler may have stopped waiting for the answer.
     const ANSWERED_IN_TIME: Duration = Duration::from_millis(60);
     for _ in 0..50 {
-        let endpoints = OldAndNew::start();
+        let endpoints = OldAndNewEndpoints::start();
         let known_list = snapshot_json(7, &[endpoints.old_entry("active")]);
         let pooler = ScriptedPooler::start_with_known_list(&known_list);
         let call = pooler.discovery.next_call();
         let mut client = PostgresClient::connect_without_startup(pooler.address);
-        // The first query is answered at once; then the one behind it has been read as well.
+        // The first query is answered at once, which shows that the one behind it has been read as well.
         let unknown_class = messages::query(&read_statement("bad", 1_000).replace("c=read", "c=no"));
         let read = messages::query(&read_statement("first", 2_000));
         client.send(&[messages::startup(), unknown_class, read].concat());
@@ -124,36 +123,36 @@
         let call_received_at = call.received_at;
         call.answer(&snapshot_json(9, &[endpoints.old_entry("leaving"), endpoints.new_entry()]));
         if call_received_at.elapsed() > ANSWERED_IN_TIME {
-            // The machine was too slow for an answer in time: this round shows nothing.
+            // The machine was too slow to answer in time: this round proves nothing.
             continue;
         }
         assert_eq!(client.receive().unwrap().value, row_of(b"new"));
         let old_count = endpoints.old.statement_count();
-        assert_eq!(old_count, 0, "it drains, and discovery had it from the first moment");
+        assert_eq!(old_count, 0, "the old endpoint drains, and the first answer of discovery says so");
         return;
     }
     panic!("the machine was never fast enough");
 }
 
-/// Guards against a start that waits for a silent discovery server: the list from before the start is used.
+/// Guards against a start that waits for a discovery server that does not answer: the saved list is used.
 #[test]
-fn a_start_with_a_silent_discovery_serves_by_the_list_from_before() {
-    let endpoints = OldAndNew::start();
+fn a_start_without_an_answer_of_discovery_uses_the_saved_list() {
+    let endpoints = OldAndNewEndpoints::start();
     let known_list = snapshot_json(7, &[endpoints.old_entry("active")]);
     let started_at = Instant::now();
     let pooler = ScriptedPooler::start_with_known_list(&known_list);
     let _unanswered = pooler.discovery.next_call();
     let mut client = PostgresClient::connect(pooler.address);
-    assert!(client.query("").is_empty_query, "it says that it is ready");
+    assert!(client.query("").is_empty_query, "the pooler reports that it is ready");
     assert_eq!(client.query(&read_statement("1", 5_000)).value, row_of(b"old"));
     assert!(started_at.elapsed() < Duration::from_secs(10));
 }
 
-/// Guards against changes to an older list than the one in use: they do not apply to it, and the complete
-/// list has to be asked for.
+/// Guards against applying changes of an older list to the one in use: the pooler has to request the complete
+/// list instead.
 #[test]
-fn an_index_that_goes_back_has_the_whole_list_asked_for() {
-    let endpoints = OldAndNew::start();
+fn an_index_that_goes_back_causes_a_request_for_the_complete_list() {
+    let endpoints = OldAndNewEndpoints::start();
     let pooler = ScriptedPooler::start();
     let watch = pooler.next_watch(&snapshot_json(41, &[endpoints.old_entry("active")]));
     assert!(watch.target.contains("after=41&"), "{}", watch.target);
@@ -173,11 +172,11 @@
     spaced.replace("127.0.0.1 : ", "127.0.0.1:")
 }
 
-/// Guards against three lists that may be misread: a complete one without an endpoint that was in it before,
-/// an indented one, and one with a change that happened between two calls.
+/// Guards against misreading three kinds of lists: a complete one that lacks a former endpoint, an indented
+/// one, and one with a change that happened between two calls.
 #[test]
-fn lists_in_any_form_count_at_once() {
-    let endpoints = OldAndNew::start();
+fn lists_in_any_form_apply_at_once() {
+    let endpoints = OldAndNewEndpoints::start();
     let pooler = ScriptedPooler::start();
     let watch = pooler.next_watch(&snapshot_json(1, &endpoints.both_entries()));
     watch.answer(&indented(&snapshot_json(2, &[endpoints.new_entry()])));
@@ -186,12 +185,12 @@
     let mut client = PostgresClient::connect(pooler.address);
     endpoints.check_only_new_serves(&mut client);
     assert_eq!(endpoints.old.statement_count(), 0);
-    // What changed between two calls comes with the next answer.
+    // The next answer has the changes that happened between two calls.
     watch.answer(&changes_json(2, &[]));
     let watch = pooler.discovery.next_call();
     watch.answer(&changes_json(5, &[endpoints.old_entry("active")]));
     assert!(pooler.discovery.next_call().target.contains("after=5&"));
-    eventually("it is used", || {
+    eventually("the old endpoint is used", || {
         client.query(&read_statement("x", 1_000));
         endpoints.old.statement_count() > 0
     });
@@ -199,8 +198,8 @@
 
 /// Guards against a busy loop of calls to a discovery server that answers watches at once.
 #[test]
-fn a_discovery_that_does_not_wait_is_not_called_without_a_pause() {
-    let endpoints = OldAndNew::start();
+fn calls_to_a_discovery_server_that_answers_at_once_are_spaced() {
+    let endpoints = OldAndNewEndpoints::start();
     let pooler = ScriptedPooler::start();
     let watch = pooler.next_watch(&snapshot_json(1, &[endpoints.old_entry("active")]));
     watch.answer(&changes_json(1, &[]));
@@ -213,51 +212,51 @@
     assert!((5..=40).contains(&call_count), "{call_count} calls within a second");
 }
 
-/// Guards against a watch that falls silent, and a second one right after it: over all calls, a drain must be
-/// in use 6 s after discovery has it and can be reached.
+/// Guards against two successive watches without an answer that delay a drain: it must be in use 6 s after
+/// discovery has it and can be reached, however many calls that takes.
 #[test]
-fn a_drain_is_in_use_within_six_seconds_of_watches_that_fall_silent() {
-    let endpoints = OldAndNew::start();
+fn a_drain_is_in_use_within_six_seconds_despite_unanswered_watches() {
+    let endpoints = OldAndNewEndpoints::start();
     let pooler = ScriptedPooler::start();
-    let silent = pooler.next_watch(&snapshot_json(1, &endpoints.both_entries()));
-    // The watch is silent from its first moment, and the next call gets no answer either.
-    let also_silent = pooler.discovery.next_call();
+    let unanswered_watch = pooler.next_watch(&snapshot_json(1, &endpoints.both_entries()));
+    // Neither the watch nor the next call gets an answer.
+    let unanswered_call = pooler.discovery.next_call();
     let drain = changes_json(2, &[endpoints.old_entry("leaving")]);
-    let reachable_since = also_silent.received_at;
+    let reachable_since = unanswered_call.received_at;
     pooler.discovery.next_call().answer(&drain);
     assert!(pooler.discovery.next_call().target.contains("after=2&"));
     let since_reachable = reachable_since.elapsed();
     assert!(since_reachable < CHANGE_IN_USE_WITHIN / 2, "{since_reachable:?}");
-    let since_silent = silent.received_at.elapsed();
-    assert!(since_silent < CHANGE_IN_USE_WITHIN, "{since_silent:?}");
+    let since_watch = unanswered_watch.received_at.elapsed();
+    assert!(since_watch < CHANGE_IN_USE_WITHIN, "{since_watch:?}");
     endpoints.check_only_new_serves(&mut PostgresClient::connect(pooler.address));
 }
 
 /// Guards against an answer that arrives after its call timed out and is taken for the next call's answer.
 #[test]
-fn an_answer_to_a_call_that_was_given_up_changes_nothing() {
-    let endpoints = OldAndNew::start();
+fn an_answer_to_a_call_that_timed_out_changes_nothing() {
+    let endpoints = OldAndNewEndpoints::start();
     let pooler = ScriptedPooler::start();
     let watch = pooler.next_watch(&snapshot_json(4, &[endpoints.new_entry()]));
     let next_call = pooler.discovery.next_call();
     watch.answer(&snapshot_json(9, &[endpoints.old_entry("active")]));
     next_call.answer(&changes_json(4, &[]));
     let following_call = pooler.discovery.next_call();
-    assert!(following_call.target.contains("after=4&"), "the late one does not count");
+    assert!(following_call.target.contains("after=4&"), "the late answer is ignored");
     let mut client = PostgresClient::connect(pooler.address);
     assert_eq!(client.query(&read_statement("1", 1_000)).value, row_of(b"new"));
 }
 
-/// Continues an answer in chunks; returns whether the chunk could be written.
+/// Writes one more chunk of an answer; returns whether that was possible.
 fn write_chunk_of_spaces(call: &mut DiscoveryCall) -> bool {
     call.write_bytes(b"400\r\n") && call.write_bytes(&[b' '; 1024]) && call.write_bytes(b"\r\n")
 }
 
-/// Guards against a watch that is reset, or whose answer never ends, and that delays the next call: the next
-/// call must come at once, and its answer must apply.
+/// Guards against a watch that delays the next call because it is reset or its answer never ends: the next
+/// call must come in time, and its answer must apply.
 #[test]
-fn watches_that_are_reset_or_never_end_are_opened_anew_in_time() {
-    let endpoints = OldAndNew::start();
+fn watches_that_are_reset_or_never_end_are_replaced_in_time() {
+    let endpoints = OldAndNewEndpoints::start();
     let pooler = ScriptedPooler::start();
     let watch = pooler.next_watch(&snapshot_json(1, &endpoints.both_entries()));
     let reset_at = Instant::now();
@@ -273,44 +272,44 @@
     endpoints.check_only_new_serves(&mut PostgresClient::connect(pooler.address));
 }
 
-/// Guards against a move of discovery that waits for the backoff after failed calls to the old address, or
-/// that applies an answer of the old server afterwards.
+/// Guards against a new discovery address that is used only after the backoff of failed calls to the old one,
+/// and against applying an answer of the old server after the change.
 #[test]
-fn a_move_while_discovery_fails_or_a_call_is_open_counts_at_once() {
-    let endpoints = OldAndNew::start();
+fn a_new_discovery_address_applies_at_once_despite_failed_or_open_calls() {
+    let endpoints = OldAndNewEndpoints::start();
     let mut pooler = ScriptedPooler::start();
     let watch = pooler.next_watch(&snapshot_json(50, &[endpoints.old_entry("active")]));
     let second_server = ScriptedDiscoveryServer::start();
     std::fs::write(&pooler.config_path, config("127.0.0.1:0", second_server.address, SETTINGS)).unwrap();
-    pooler.daemon.signal("-HUP");
+    pooler.process.signal("-HUP");
     let call = second_server.next_call();
-    assert!(!call.is_watch(), "the whole list: {}", call.target);
+    assert!(!call.is_watch(), "a call for the complete list: {}", call.target);
     watch.answer(&snapshot_json(60, &[endpoints.old_entry("active")]));
     call.answer(&snapshot_json(2, &[endpoints.new_entry()]));
     let watch = second_server.next_call();
     assert!(watch.target.contains("after=2&"), "{}", watch.target);
     let mut client = PostgresClient::connect(pooler.address);
     assert_eq!(client.query(&read_statement("1", 1_000)).value, row_of(b"new"));
-    // The second server fails until the backoff is at its longest; then discovery moves again.
+    // The second server fails until the backoff is at its maximum; then the address changes again.
     watch.close();
     for _ in 0..6 {
         second_server.next_call().close();
     }
     let third_server = ScriptedDiscoveryServer::start();
     std::fs::write(&pooler.config_path, config("127.0.0.1:0", third_server.address, SETTINGS)).unwrap();
-    pooler.daemon.wait_for_log(log_lines::DISCOVERY_RELOADED);
-    let moved_at = Instant::now();
-    pooler.daemon.signal("-HUP");
+    pooler.process.wait_for_log(log_lines::DISCOVERY_RELOADED);
+    let reloaded_at = Instant::now();
+    pooler.process.signal("-HUP");
     third_server.next_call().close();
     third_server.next_call().answer(&snapshot_json(1, &[endpoints.old_entry("active")]));
-    assert!(moved_at.elapsed() < Duration::from_millis(700), "{:?}", moved_at.elapsed());
+    assert!(reloaded_at.elapsed() < Duration::from_millis(700), "{:?}", reloaded_at.elapsed());
 }
 
 /// Guards against idle clients that use up all file descriptors, so that none is left for discovery or for
 /// endpoints.
 #[test]
-fn idle_clients_leave_descriptors_for_discovery_and_hosts() {
-    let endpoints = OldAndNew::start();
+fn idle_clients_leave_file_descriptors_for_discovery_and_endpoints() {
+    let endpoints = OldAndNewEndpoints::start();
     let pooler =
         ScriptedPooler::start_with_config("full", |text| text.replace("\"sockets\":1024", "\"sockets\":96"));
     let watch = pooler.next_watch(&snapshot_json(1, &[endpoints.old_entry("active")]));
--- a/tests/host_orders.rs
+++ b/tests/host_orders.rs
@@ -1,5 +1,5 @@
-//! Connections to endpoints that become ready, end or go on at the wrong moment. Each test forces one order
-//! of events.
+//! Connections to endpoints that become ready, end or stay open at the wrong moment. Each test forces one
+//! order of events.
 
 mod stand_in;
 
@@ -28,54 +28,58 @@
 }
 
 /// The configuration with a connect timeout that no test reaches.
-fn long_connect_timeout(text: &str) -> String {
+fn with_long_connect_timeout(text: &str) -> String {
     text.replace("\"connect-timeout\":0.25", "\"connect-timeout\":15.0")
 }
 
-/// Guards against a retry that is decided within its group's deduplication window and written after it, since
-/// its connection became ready late: the write would run a second time.
+/// Guards against a write that runs twice: its retry is decided within the deduplication window, but its
+/// connection becomes ready only after the window.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
+fn a_retry_whose_connection_is_ready_after_the_deduplication_window_is_not_written() {
     let endpoint = ManualEndpoint::start();
     let pooler = start_pooler_with_config(&list_of(&endpoint), |text| {
-        long_connect_timeout(text).replace("\"dedup-window\":1.2", "\"dedup-window\":0.5")
+        with_long_connect_timeout(text).replace("\"dedup-window\":1.2", "\"dedup-window\":0.5")
     });
     let mut client = PostgresClient::connect(pooler.address);
     client.send_query(&keyed_write_statement("1", 10_000, 1));
     let first_connection = endpoint.next_connection();
     assert!(first_connection.complete_startup().is_some());
     let written_at = Instant::now();
-    // The write has run, or may have.
+    // The write may have run.
     drop(first_connection);
     let second_connection = endpoint.next_connection();
-    assert!(written_at.elapsed() < Duration::from_millis(500), "the repeat is decided within the window");
+    assert!(written_at.elapsed() < Duration::from_millis(500), "the retry is decided within the window");
     thread::sleep(Duration::from_millis(550));
     let second_statement = thread::spawn(move || second_connection.complete_startup());
-    assert_eq!(client.receive().unwrap().sqlstate.as_deref(), Some("58000"), "it may have had an effect");
+    assert_eq!(
+        client.receive().unwrap().sqlstate.as_deref(),
+        Some("58000"),
+        "the write may have had an effect"
+    );
     drop(client);
     drop(pooler);
-    assert_eq!(second_statement.join().unwrap(), None, "nothing is written on it");
+    assert_eq!(second_statement.join().unwrap(), None, "nothing is written to the connection");
 }
 
 /// Guards against a request that is written when its connection becomes ready although its deadline has
 /// passed.
 #[test]
-fn a_dial_that_completes_after_the_deadline_writes_nothing() {
+fn a_connection_that_is_ready_after_the_deadline_gets_no_request() {
     let endpoint = ManualEndpoint::start();
-    let pooler = start_pooler_with_config(&list_of(&endpoint), long_connect_timeout);
+    let pooler = start_pooler_with_config(&list_of(&endpoint), with_long_connect_timeout);
     let mut client = PostgresClient::connect(pooler.address);
     client.send_query(&keyed_write_statement("1", 300, 1));
     let connection = endpoint.next_connection();
     assert!(client.receive().unwrap().sqlstate.is_some(), "a final answer in time");
-    assert_eq!(connection.complete_startup(), None, "nothing is written on it");
+    assert_eq!(connection.complete_startup(), None, "nothing is written to the connection");
 }
 
-/// Guards against a request that is written to an endpoint which restarted while the connection became ready:
-/// the attempt was admitted for a warm endpoint, and this one is cold.
+/// Guards against a request that is written to an endpoint which restarted while the connection was being
+/// established: the attempt was admitted for a warm endpoint, and now the endpoint is cold.
 #[test]
-fn a_dial_to_a_host_that_begins_anew_meanwhile_writes_nothing() {
+fn a_connection_to_an_endpoint_that_restarted_meanwhile_gets_no_request() {
     let endpoint = ManualEndpoint::start();
-    let pooler = start_pooler_with_config(&list_of(&endpoint), long_connect_timeout);
+    let pooler = start_pooler_with_config(&list_of(&endpoint), with_long_connect_timeout);
     let mut client = PostgresClient::connect(pooler.address);
     client.send_query(&keyed_write_statement("1", 5_000, 1));
     let connection = endpoint.next_connection();
@@ -84,18 +88,21 @@
     let other_group = PostgresEndpoint::replica(|_| Reply::Row(b"x"));
     let other_entry = endpoint_json("elsewhere", other_group.address, 2, "active");
     pooler.discovery.publish(&[restarted_entry, other_entry]);
-    // Commands are carried out in order: once a later request is answered, the list has reached the attempt.
+    // The pooler handles the list before a later request: once that is answered, the list has taken effect.
     let mut other = PostgresClient::connect(pooler.address);
     let later_read = read_statement("2", 1_000).replace("cluster=1", "cluster=2");
     assert_eq!(other.query(&later_read).value, row_of(b"x"));
-    assert_eq!(connection.complete_startup(), None, "nothing is written on the first one");
-    assert!(endpoint.next_connection().complete_startup().is_some(), "it is decided anew");
+    assert_eq!(connection.complete_startup(), None, "nothing is written to the first connection");
+    assert!(
+        endpoint.next_connection().complete_startup().is_some(),
+        "the endpoint for the request is chosen again"
+    );
 }
 
-/// Guards against an answer that goes on forever behind a row that the client already has: neither the
-/// deadline nor the timeout of a stalled answer ends it.
+/// Guards against an answer that never ends after a row that the client already has: since bytes keep coming,
+/// neither the deadline nor the timeout of a stalled answer would end it.
 #[test]
-fn notices_without_end_behind_a_long_row_end_the_answer() {
+fn endless_notices_after_a_long_row_end_the_answer() {
     const VALUE_BYTES: usize = 200_000;
     let row = [messages::partial_row(VALUE_BYTES, &[9; VALUE_BYTES]), messages::command_complete()].concat();
     let (end_sender, ended) = channel();
@@ -111,11 +118,14 @@
     let mut received = Vec::new();
     let _ = client.stream.read_to_end(&mut received);
     let ends_as_complete = received.ends_with(b"Z\0\0\0\x05I");
-    assert!(received.len() >= VALUE_BYTES && !ends_as_complete, "it cannot pass for whole");
+    assert!(
+        received.len() >= VALUE_BYTES && !ends_as_complete,
+        "the client can tell that the answer is incomplete"
+    );
 }
 
-/// Serves one connection of an endpoint: answers the startup, answers the first statement with these bytes,
-/// then sends notices until the other side closes.
+/// Serves one connection of an endpoint: answers the startup message, answers the first statement with `row`,
+/// then sends notices until the other side closes the connection.
 fn send_row_and_endless_notices(stream: &mut TcpStream, row: &[u8]) {
     let mut input = [0; 4096];
     let _ = stream.read(&mut input);
@@ -127,10 +137,10 @@
     while stream.write_all(&notice).is_ok() {}
 }
 
-/// Guards against an incomplete answer that passes for a complete one: wherever an endpoint closes within an
-/// answer, its attempt has failed, and a read is retried at another endpoint.
+/// Guards against an incomplete answer that is taken for a complete one: wherever in its answer an endpoint
+/// closes the connection, the attempt has failed, and a read is retried on another endpoint.
 #[test]
-fn half_an_answer_and_a_close_is_a_reset_and_the_read_is_asked_again() {
+fn a_read_whose_answer_is_cut_off_is_retried() {
     let complete_answer = messages::row(b"value");
     let length = complete_answer.len();
     for cut in [0, 3, 20, length - 20, length - 3] {
@@ -143,9 +153,9 @@
                 _ => Reply::Row(b"again"),
             })
         };
-        let one = start_endpoint();
-        let other = start_endpoint();
-        let pooler = start_pooler(&primary_and_replica_list(&one, &other));
+        let first = start_endpoint();
+        let second = start_endpoint();
+        let pooler = start_pooler(&primary_and_replica_list(&first, &second));
         let response = PostgresClient::connect(pooler.address).query(&read_statement("1", 2_000));
         assert_eq!(response.value, row_of(b"again"), "cut after {cut}");
         assert_eq!(statement_count.load(Ordering::SeqCst), 2, "cut after {cut}");
@@ -155,7 +165,7 @@
 /// Guards against two attempts of one request on open connections at once: the first attempt's connection
 /// must have ended before the second attempt is written.
 #[test]
-fn no_attempt_goes_out_while_another_is_on_an_open_connection() {
+fn no_attempt_is_written_while_another_has_an_open_connection() {
     let endpoint = ManualEndpoint::start();
     let pooler = start_pooler(&list_of(&endpoint));
     let mut client = PostgresClient::connect(pooler.address);
@@ -173,10 +183,10 @@
     assert!(!is_open && !has_received, "the first connection is still open");
 }
 
-/// Guards against an idle connection that its endpoint closes just before a write: a write without a key
-/// cannot be retried, so it must not be written there.
+/// Guards against a write on an idle connection that its endpoint has just closed: a write without a key cannot
+/// be retried, so it needs a new connection.
 #[test]
-fn a_connection_that_ended_while_it_was_idle_is_not_written_to() {
+fn a_connection_closed_while_idle_is_not_written_to() {
     let endpoint = ManualEndpoint::start();
     let pooler = start_pooler(&list_of(&endpoint));
     let mut client = PostgresClient::connect(pooler.address);
@@ -189,6 +199,7 @@
     assert!(client.receive().unwrap().value.is_some());
     first_connection.stream.shutdown(Shutdown::Write).unwrap();
     client.send_query(&write_statement("2", 10_000));
-    let second_statement = endpoint.next_connection().complete_startup().expect("on a connection of its own");
+    let second_statement =
+        endpoint.next_connection().complete_startup().expect("the second write on a new connection");
     assert!(second_statement.contains("id=2,"), "{second_statement}");
 }
--- a/tests/shutdown_orders.rs
+++ b/tests/shutdown_orders.rs
@@ -22,7 +22,7 @@
 /// SQLSTATE of a request or connection that is rejected because of overload.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// Starts one of two poolers, which leaves its clients to the other one soon after SIGTERM.
+/// Starts one of two poolers: soon after SIGTERM it closes idle connections, so that its clients go to the other.
 fn start_one_of_two(endpoints: &[String]) -> RunningPooler {
     start_pooler_with_config(endpoints, |text| text.replace("\"balancers\":1", "\"balancers\":2"))
 }
@@ -34,22 +34,22 @@
     client
 }
 
-/// Sends SIGTERM and waits until the program drains.
+/// Sends SIGTERM and waits until the pooler drains.
 fn begin_shutdown(pooler: &mut RunningPooler) {
     pooler.daemon.signal("-TERM");
     pooler.daemon.wait_for_log(log_lines::DRAINING);
 }
 
-/// Checks that a read has an answer. A read that would queue for too long is rejected: that is an answer too.
+/// Checks that a read is answered by a row or, where it would queue for too long, by a rejection.
 fn check_answered(response: &PostgresResponse, number: usize) {
     let is_rejected = response.sqlstate.as_deref() == Some(TOO_MANY_CONNECTIONS);
     assert!(response.value.is_some() || is_rejected, "request {number}: {response:?}");
 }
 
-/// Guards against half a request that is dropped with its connection: one that started to arrive before the
-/// end is completed, forwarded and answered.
+/// Guards against a partly received request that is dropped at shutdown: the pooler reads the rest, forwards
+/// the request and answers it.
 #[test]
-fn a_request_that_is_half_read_when_connections_end_is_completed_and_answered() {
+fn a_partly_received_request_is_completed_and_answered_at_shutdown() {
     let group = PostgresGroup::start(|_| Reply::Row(b"x"));
     let mut pooler = start_one_of_two(&group.endpoint_list());
     let mut sending = connect_and_read(&pooler);
@@ -61,14 +61,14 @@
     assert_eq!(idle.receive(), None, "idle connections end");
     sending.send(second_half);
     assert!(sending.receive().expect("an answer").value.is_some());
-    assert_eq!(sending.receive(), None, "then it ends");
+    assert_eq!(sending.receive(), None, "then the connection ends");
     assert!(pooler.daemon.wait_for_exit().success());
 }
 
-/// Guards against connections in the system's accept queue that the program has not accepted when its
-/// listener closes: they would be reset together with what was written on them.
+/// Guards against connections that are still in the accept queue of the operating system when the listener
+/// closes: they would be reset, and the requests written to them lost.
 #[test]
-fn connections_that_wait_in_the_systems_queue_at_the_end_are_served() {
+fn connections_in_the_accept_queue_at_shutdown_are_served() {
     let group = PostgresGroup::start(|_| Reply::Row(b"x"));
     let mut pooler = start_one_of_two(&group.endpoint_list());
     drop(connect_and_read(&pooler));
@@ -81,8 +81,8 @@
         client.send(&[messages::startup(), query].concat());
         clients.push(client);
     }
-    // Longer than connections are accepted for, so that the program sees the end of that time and the
-    // connections at the same moment.
+    // Longer than the time for which connections are still accepted, so that the pooler sees the end of that
+    // time and the connections at the same moment.
     thread::sleep(Duration::from_millis(700));
     pooler.daemon.signal("-CONT");
     for (number, mut client) in clients.into_iter().enumerate() {
@@ -92,10 +92,10 @@
     assert!(pooler.daemon.wait_for_exit().success());
 }
 
-/// Guards against a request that crosses the end of its connection: it is not forwarded, and the client then
-/// reads the end of the stream, not a reset that might destroy the last answer.
+/// Guards against a reset, which might destroy the last answer, for a client that sends requests while the
+/// pooler closes the connection: they are not forwarded, and the client reads the end of the stream.
 #[test]
-fn what_is_read_after_the_write_side_was_shut_is_not_sent_on_and_resets_nothing() {
+fn requests_after_the_write_side_is_shut_are_not_forwarded_and_cause_no_reset() {
     let group = PostgresGroup::start(|_| Reply::Row(b"x"));
     let mut pooler = start_one_of_two(&group.endpoint_list());
     let mut client = connect_and_read(&pooler);
@@ -108,13 +108,13 @@
     }
     drop(client);
     assert!(pooler.daemon.wait_for_exit().success());
-    assert_eq!(group.statement_count(), count_before, "nothing of it was sent on");
+    assert_eq!(group.statement_count(), count_before, "no late request was forwarded");
 }
 
-/// Guards against a client that is rejected because there are too many connections, and loses that error to a
-/// reset for what it had written behind its startup message.
+/// Guards against a client that is rejected because of too many connections and cannot read that error: what
+/// it has written behind its startup message must not cause a reset.
 #[test]
-fn a_rejected_connection_can_read_why() {
+fn a_rejected_client_can_read_the_error() {
     const SOCKETS: u32 = 64;
     let group = PostgresGroup::start(|_| Reply::NoAnswer);
     let pooler = start_pooler_with_sockets(&group.endpoint_list(), SOCKETS);
@@ -130,7 +130,7 @@
         // A connection with an open request is not closed to make room for another one.
         client.send_query(&keyed_write_statement(&format!("busy-{}", busy_clients.len()), 600_000, 1));
         busy_clients.push(client);
-        assert!(busy_clients.len() < SOCKETS as usize, "none was turned away");
+        assert!(busy_clients.len() < SOCKETS as usize, "no connection was rejected");
         thread::sleep(Duration::from_millis(5));
     };
     assert_eq!(rejected.stream.read(&mut [0; 64]).unwrap(), 0, "the write side was shut");
@@ -140,17 +140,17 @@
     }
 }
 
-/// Guards against a shutdown that lasts as long as the deadline that a client claims: SIGKILL follows the
-/// longest deadline of the service classes.
+/// Guards against a shutdown that lasts as long as a deadline that a client states: the platform sends SIGKILL
+/// after the longest deadline of the service classes.
 #[test]
-fn the_end_follows_the_classes_deadlines_and_not_a_clients_claim() {
+fn shutdown_time_follows_the_deadlines_of_classes_and_not_of_clients() {
     let group = PostgresGroup::start(|_| Reply::NoAnswer);
     let mut pooler = start_pooler_with_config(&group.endpoint_list(), |text| {
         text.replace("\"deadline\":2.5", "\"deadline\":0.6").replace("\"deadline\":2.0", "\"deadline\":0.5")
     });
     let mut client = PostgresClient::connect(pooler.address);
     client.send_query(&keyed_write_statement("claims", 600_000, 1));
-    eventually("the primary has the write", || group.primary.statement_count() == 1);
+    eventually("the write has reached the primary", || group.primary.statement_count() == 1);
     let terminated_at = Instant::now();
     pooler.daemon.signal("-TERM");
     assert!(client.receive().expect("a final answer").sqlstate.is_some());
@@ -159,15 +159,15 @@
     assert!(elapsed < Duration::from_millis(2_000), "the platform kills it 1.3 s after SIGTERM: {elapsed:?}");
 }
 
-/// Guards against a write without an answer when the program ends: one that is queued for a primary, or one
-/// that was sent to an endpoint that hangs.
+/// Guards against writes without an answer at shutdown: one that is queued for a primary, and one that was sent
+/// to an endpoint that hangs.
 #[test]
-fn a_held_write_and_one_behind_a_host_that_hangs_get_final_answers_at_the_end() {
+fn a_queued_write_and_one_at_a_hanging_endpoint_get_final_answers_at_shutdown() {
     let group = PostgresGroup::start(|_| Reply::NoAnswer);
     let mut pooler = start_one_of_two(&group.endpoint_list());
     let mut unanswered = PostgresClient::connect(pooler.address);
     unanswered.send_query(&keyed_write_statement("hangs", 60_000, 1));
-    eventually("the primary has the write", || group.primary.statement_count() == 1);
+    eventually("the write has reached the primary", || group.primary.statement_count() == 1);
     // A group without a primary: its writes are rejected by every endpoint and are queued.
     let lone_replica = PostgresEndpoint::replica(|_| Reply::Error("25006"));
     let mut list = group.endpoint_list();
@@ -176,17 +176,16 @@
     let mut queued = PostgresClient::connect(pooler.address);
     let write_to_group_2 = keyed_write_statement("held", 60_000, 2).replace("cluster=1", "cluster=2");
     queued.send_query(&write_to_group_2);
-    eventually("the write has missed", || lone_replica.statement_count() > 0);
+    eventually("the replica has rejected the write", || lone_replica.statement_count() > 0);
     pooler.daemon.signal("-TERM");
-    assert_eq!(unanswered.receive().unwrap().sqlstate.as_deref(), Some("58000"), "it may have run");
-    assert_eq!(queued.receive().unwrap().sqlstate.as_deref(), Some("58000"), "it was tried");
+    assert_eq!(unanswered.receive().unwrap().sqlstate.as_deref(), Some("58000"), "the write may have run");
+    assert_eq!(queued.receive().unwrap().sqlstate.as_deref(), Some("58000"), "the write was attempted");
     assert!(pooler.daemon.wait_for_exit().success());
 }
 
-/// Guards against a retry that starts as the program ends and whose request then gets no answer, or a second
-/// one.
+/// Guards against a request that gets no answer, or two, because its retry starts during the shutdown.
 #[test]
-fn a_retry_that_starts_after_the_end_has_begun_is_answered() {
+fn a_retry_that_starts_during_shutdown_is_answered() {
     let attempt_count = Arc::new(Mutex::new(0));
     let counter = attempt_count.clone();
     let primary = PostgresEndpoint::primary(move |text| {
@@ -205,10 +204,10 @@
     assert!(pooler.daemon.wait_for_exit().success());
 }
 
-/// Guards against a start that fails because the process before it still has the port, and against a process
+/// Guards against a start that fails because the previous process still has the port, and against a process
 /// that cannot be stopped while it waits for the port.
 #[test]
-fn a_port_that_is_still_held_is_waited_for() {
+fn a_start_waits_for_a_port_that_is_still_in_use() {
     let group = PostgresGroup::start(|_| Reply::Row(b"x"));
     let discovery = DiscoveryServer::start();
     discovery.preset(&group.endpoint_list());
@@ -216,24 +215,24 @@
     let address = previous_listener.local_addr().unwrap();
     let config_path = test_directory("held").join("config.json");
     std::fs::write(&config_path, config(&address.to_string(), discovery.address, SETTINGS)).unwrap();
-    let start_waiting_daemon = || {
-        let mut daemon = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-        daemon.wait_for_log(log_lines::DISCOVERY_AWAITED);
-        daemon
+    let start_waiting_process = || {
+        let mut process = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+        process.wait_for_log(log_lines::DISCOVERY_AWAITED);
+        process
     };
-    let mut stopped = start_waiting_daemon();
+    let mut stopped = start_waiting_process();
     stopped.signal("-TERM");
     assert!(stopped.wait_for_exit().success());
-    let mut daemon = start_waiting_daemon();
+    let mut process = start_waiting_process();
     drop(previous_listener);
-    daemon.wait_for_log(log_lines::POSTGRES_LISTENING);
+    process.wait_for_log(log_lines::POSTGRES_LISTENING);
     assert!(PostgresClient::connect(address).query(&read_statement("1", 1_000)).value.is_some());
 }
 
-/// Guards against pipelined commands that are lost as the program ends: commands that arrive in one write are
-/// all answered, in order, before the connection ends.
+/// Guards against pipelined requests that are lost at shutdown: requests that arrive in one write are all
+/// answered, in order, before the connection ends.
 #[test]
-fn commands_sent_ahead_as_the_program_ends_are_all_answered() {
+fn pipelined_requests_during_shutdown_are_all_answered() {
     let group = PostgresGroup::start(|_| Reply::Row(b"x"));
     let mut pooler = start_one_of_two(&group.endpoint_list());
     let mut client = connect_and_read(&pooler);
