--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! What all poolers of a tier together send to an endpoint that has just started.
+//! The load that all poolers of a tier together put on an endpoint that has just started.
 
 mod common;
 
@@ -6,13 +6,13 @@
 use common::*;
 
 const POOLERS: u32 = 30;
-/// Requests per second that a warm endpoint bears; the tier sends it eight tenths of that.
+/// Requests per second that a warm endpoint can serve; the tier sends it 80 % of that.
 const CAPACITY_PER_S: f64 = 18.75;
 const OVERLOAD_WINDOW: TimeDelta = TimeDelta::from_secs(1);
 const WARM_UP: TimeDelta = TimeDelta::from_secs(16);
 const COLD_CAPACITY: f64 = 0.25;
 const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// How long an attempt takes.
+/// Duration of every attempt.
 const LATENCY: TimeDelta = TimeDelta::from_millis(20);
 /// The burst: a request every 100 ms over 2.5 s.
 const BURST_STEPS: i64 = 500;
@@ -22,7 +22,7 @@
 fn tier_settings() -> Settings {
     Settings {
         pooler_count: Some(POOLERS),
-        // All requests are of one class: each is of mean work.
+        // With a single class, every request counts as average work.
         classes: vec![settings().classes[EVENTUAL_READ].clone()],
         may_hedge: Some(false),
         cold_capacity: Some(COLD_CAPACITY),
@@ -33,7 +33,7 @@
     }
 }
 
-/// A pooler that has seen what two warm endpoints serve. Poolers begin at different times.
+/// A pooler that has measured two warm endpoints. Each seed starts at a different time.
 fn warmed_pooler(seed: u64) -> RouterHarness {
     let mut harness = RouterHarness::seeded(tier_settings(), 2, seed);
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -49,14 +49,14 @@
     harness
 }
 
-/// What one pooler does when the second endpoint restarts, the first one leaves, and after `idle` a burst of requests
-/// comes: the times, counted from the restart, at which it sent an attempt to the restarted endpoint.
+/// Restarts the second endpoint, drains the first one and, after a pause of `idle`, sends one pooler a burst of
+/// requests. Returns the times, counted from the restart, at which it sent attempts to the restarted endpoint.
 fn send_times_after_restart(seed: u64, idle: TimeDelta) -> Vec<TimeDelta> {
     let mut harness = warmed_pooler(seed);
     let restarted_at = harness.now;
-    let leaving = EndpointEntry { availability: Availability::Draining, ..entry(1) };
+    let draining = EndpointEntry { availability: Availability::Draining, ..entry(1) };
     let restarted = EndpointEntry { started_at: Some(restarted_at), ..entry(2) };
-    harness.update_list(ListKind::Delta, vec![leaving, restarted]);
+    harness.update_list(ListKind::Delta, vec![draining, restarted]);
     harness.advance(idle);
 
     let mut actions_seen = harness.actions.len();
@@ -84,31 +84,36 @@
     send_times
 }
 
-/// The most attempts that a cold endpoint may get in an overload window that begins at `from` after its restart: what
-/// it bears, and what counts as chance.
-fn most_in_window(from: TimeDelta) -> f64 {
+/// The most attempts that a cold endpoint may get in an overload window that begins `from` after its restart: its
+/// capacity in that window, plus a tolerance for random variation.
+fn max_sends_in_window(from: TimeDelta) -> f64 {
     let progress = (from.as_micros_f64() / WARM_UP.as_micros_f64()).min(1.0);
     let warmth = COLD_CAPACITY + (1.0 - COLD_CAPACITY) * progress;
-    let bears = CAPACITY_PER_S * warmth * OVERLOAD_MULTIPLE * OVERLOAD_WINDOW.as_secs_f64();
-    bears + 2.0 * bears.sqrt() + 2.0
+    let capacity = CAPACITY_PER_S * warmth * OVERLOAD_MULTIPLE * OVERLOAD_WINDOW.as_secs_f64();
+    capacity + 2.0 * capacity.sqrt() + 2.0
 }
 
-/// Guards against a share of less than one request that becomes one for each pooler: what each has saved up adds up
-/// to more than a cold endpoint bears, whenever a burst comes after a pause.
+/// Guards against poolers that each save up their share of less than one request until it is a whole request: in a
+/// burst after a pause, all of them together would exceed the capacity of a cold endpoint.
 #[test]
-fn thirty_poolers_together_send_no_more_than_a_cold_endpoint_bears_after_a_pause() {
+fn thirty_poolers_together_stay_within_a_cold_endpoints_capacity_after_a_pause() {
     for idle in [TimeDelta::ZERO, 500 * MS, 1_000 * MS, 3_000 * MS, 6_000 * MS] {
         let poolers = 0..u64::from(POOLERS);
         let mut times: Vec<TimeDelta> =
             poolers.flat_map(|seed| send_times_after_restart(seed, idle)).collect();
         times.sort_unstable();
-        assert!(times.len() > 10, "it is used: {} sends after {} us", times.len(), idle.as_micros());
+        assert!(
+            times.len() > 10,
+            "the cold endpoint is used: {} sends after {} us",
+            times.len(),
+            idle.as_micros()
+        );
         for (n, from) in times.iter().enumerate() {
-            let within = times[n..].iter().take_while(|at| **at < *from + OVERLOAD_WINDOW).count();
-            let most = most_in_window(*from);
+            let sends = times[n..].iter().take_while(|at| **at < *from + OVERLOAD_WINDOW).count();
+            let limit = max_sends_in_window(*from);
             assert!(
-                within as f64 <= most,
-                "{within} within a second from {} us on; {most:.1} is the most",
+                sends as f64 <= limit,
+                "{sends} sends within a second from {} us on; the limit is {limit:.1}",
                 from.as_micros()
             );
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,13 +1,14 @@
 //! A harness for tests of the router: one router, a group of endpoints, a clock, and all actions so far.
-// Each test program uses a part of it.
+// Each test program uses only a part of this module.
 #![allow(dead_code)]
 
 use brookpass::Router;
 use brookpass::routing::*;
 
 pub const MS: TimeDelta = TimeDelta::from_millis(1);
-/// Age of data that does not trail.
+/// Age of data without replication lag.
 pub const FRESH: TimeDelta = TimeDelta::ZERO;
+/// Index of a class in [`settings`], as are the next three.
 pub const BOUNDED_READ: usize = 0;
 pub const SESSION_READ: usize = 1;
 pub const WRITE: usize = 2;
@@ -17,12 +18,12 @@
     pub router: Router,
     pub now: Timestamp,
     pub actions: Vec<Action>,
-    /// How long attempts take, as reported to the router.
+    /// Duration of attempts as reported to the router.
     pub latency: TimeDelta,
     next: RequestId,
 }
 
-/// What an endpoint responds about itself.
+/// The role that an endpoint reports.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     Primary,
@@ -39,13 +40,13 @@
     EndpointId { ip: [10, 0, 0, n], port: 5432 }
 }
 
-fn class(consistency: Consistency, repeat: Idempotency) -> Class {
+fn class(consistency: Consistency, idempotency: Idempotency) -> Class {
     Class {
         latency_objective: Some(500 * MS),
         deadline: Some(5_000 * MS),
         priority_weight: Some(1.0),
         late_priority_weight: Some(0.5),
-        idempotency: Some(repeat),
+        idempotency: Some(idempotency),
         key_scope: Some(KeyScope::Group),
         key_window: Some(3_000 * MS),
         consistency: Some(consistency),
@@ -54,7 +55,7 @@
     }
 }
 
-/// Four classes: a bounded read, a session read, an unsafe write, an eventual read.
+/// Settings with four classes: a bounded read, a session read, a non-idempotent write, an eventual read.
 pub fn settings() -> Settings {
     Settings {
         pooler_count: Some(3),
@@ -94,7 +95,7 @@
 }
 
 impl RouterHarness {
-    /// A router with a group of `endpoints`, the first of them named primary by the list.
+    /// A router with one group of `endpoints`; the list names the first one as the primary.
     pub fn new(settings: Settings, endpoints: u8) -> RouterHarness {
         RouterHarness::seeded(settings, endpoints, 1)
     }
@@ -123,7 +124,7 @@
         self.handle(Event::EndpointList { kind, entries })
     }
 
-    /// Lets time pass, with every timer handed back when due.
+    /// Advances the clock in steps of 5 ms, with a timer event at each, and returns the actions.
     pub fn advance(&mut self, span: TimeDelta) -> Vec<Action> {
         let (end, from) = (self.now + span, self.actions.len());
         while self.now < end {
@@ -133,7 +134,7 @@
         self.actions[from..].to_vec()
     }
 
-    /// A request of `class` with the client waiting `client_timeout`; its number and what was done.
+    /// Sends a request of `class` whose client waits for `client_timeout`; returns its id and the resulting actions.
     pub fn request(
         &mut self,
         class: usize,
@@ -154,7 +155,7 @@
         (id, self.handle(Event::Request(request)))
     }
 
-    /// Ends an attempt. `role`: what the endpoint responds about itself; `age`: how far its data trails.
+    /// Ends an attempt. `role` is what the endpoint reports, and `age` is its replication lag.
     pub fn finish_attempt(
         &mut self,
         id: RequestId,
@@ -180,7 +181,7 @@
 
     /// Sends `count` requests of `class`, each served after 10 ms by its endpoint; returns those endpoints.
     pub fn serve_requests(&mut self, class: usize, count: usize) -> Vec<EndpointId> {
-        let one = |_| {
+        let serve_one = |_| {
             let (id, sent) = self.request(class, 2_000 * MS, None);
             let to = sent_to(&sent, id)[0];
             self.advance(10 * MS);
@@ -194,10 +195,10 @@
             );
             to
         };
-        (0..count).map(one).collect()
+        (0..count).map(serve_one).collect()
     }
 
-    /// Reports the state of endpoint `n` by a probe: its role, and data that is `age` old.
+    /// Reports a probe of endpoint `n` with its role and its replication lag `age`.
     pub fn report_state(&mut self, n: u8, role: Role, age: TimeDelta) {
         let report = LoadReport {
             count: 2,
@@ -207,7 +208,7 @@
     }
 }
 
-/// The endpoints that `actions` send `id` to.
+/// The endpoints to which `actions` send the request `id`.
 pub fn sent_to(actions: &[Action], id: RequestId) -> Vec<EndpointId> {
     let to = |action: &Action| match action {
         Action::Send { id: sent, endpoint, .. } if *sent == id => Some(*endpoint),
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,7 +1,7 @@
-//! The rules of the router as seen from outside, over long random but legal event sequences.
+//! Invariants of the router's actions over long, random and valid event sequences.
 //!
-//! Nothing here models an endpoint's behaviour: outcomes, delays, roles and positions are drawn at random, and only what
-//! the rules forbid is checked.
+//! No endpoint is modelled: outcomes, delays, roles and log positions are random, and the tests check only that the
+//! router does nothing that the invariants forbid.
 
 mod common;
 use brookpass::Router;
@@ -13,7 +13,7 @@
 
 /// Time between two steps of a simulation.
 const STEP: TimeDelta = TimeDelta::from_millis(5);
-/// A final answer may come this much after its request's deadline.
+/// Time after its deadline within which a request must have its final answer.
 const ANSWER_TOLERANCE: TimeDelta = TimeDelta::from_millis(20);
 
 /// A request without a final answer.
@@ -35,19 +35,19 @@
     sent_at: Timestamp,
 }
 
-/// What the router can know of an endpoint.
+/// What the router can know about an endpoint.
 #[derive(Clone)]
 struct KnownState {
     availability: Availability,
-    /// The role that the endpoint responded last.
+    /// The role that the endpoint reported last.
     is_primary: bool,
-    /// It has responded that it is the primary at some time.
+    /// The endpoint has reported at least once that it is the primary.
     was_primary: bool,
-    /// The highest position that it responded, as commit time.
+    /// The highest log position that the endpoint reported, as commit time.
     position: Option<Timestamp>,
 }
 
-/// The end of an attempt, in the order of time.
+/// The end of an attempt; ordered by time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptEnd {
     at: Timestamp,
@@ -78,13 +78,13 @@
     GroupId(u32::from(n) % groups)
 }
 
-fn random_length(rng: &mut Rng, within: Range<TimeDelta>) -> TimeDelta {
-    TimeDelta::from_micros(rng.i64(within.start.as_micros()..within.end.as_micros()))
+fn random_duration(rng: &mut Rng, range: Range<TimeDelta>) -> TimeDelta {
+    TimeDelta::from_micros(rng.i64(range.start.as_micros()..range.end.as_micros()))
 }
 
 impl Simulation {
-    /// Duplicated or garbled messages, and reports with impossible loads.
-    fn noise(&mut self) {
+    /// Sends duplicate and malformed peer messages, and a report with an invalid load.
+    fn send_invalid_input(&mut self) {
         let n = self.rng.u8(..self.endpoints);
         for _ in 0..self.rng.u8(..3) {
             self.handle(Event::PeerMessage { from: u16::from(n), bytes: vec![n; usize::from(n)] });
@@ -99,11 +99,11 @@
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.apply(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Send { id, endpoint, .. } => self.send(id, endpoint.ip[3]),
             Action::Reject { id, .. } => self.reject(id),
@@ -126,7 +126,7 @@
         let attempt = request.attempts_sent;
         request.in_flight.insert(attempt, InFlight { sent_at: self.now });
         request.attempts_sent += 1;
-        let ends_at = self.now + random_length(&mut self.rng, MS..900 * MS);
+        let ends_at = self.now + random_duration(&mut self.rng, MS..900 * MS);
         let end = AttemptEnd { at: ends_at.min(request.deadline), request: id, attempt };
         self.attempt_ends.insert(end, n);
         self.sends += 1;
@@ -155,7 +155,7 @@
         self.check_freshness(request, class, known);
     }
 
-    /// Where endpoints serve stale data, a read may go only where the data is known to be fresh enough.
+    /// Where endpoints serve stale data, a read may be sent only to an endpoint that is known to be fresh enough.
     fn check_freshness(&self, request: &OpenRequest, class: &Class, known: &KnownState) {
         let required = match class.consistency.unwrap() {
             Consistency::Bounded => Some(self.now - class.max_age.unwrap()),
@@ -178,15 +178,15 @@
         let may_have_run = request.may_have_run_since.is_some() || !request.in_flight.is_empty();
         assert!(
             !may_have_run || class.idempotency == Some(Idempotency::Idempotent),
-            "a rejection though it may have run"
+            "a rejection of a request that may have run"
         );
         self.final_answers += 1;
     }
 
-    /// A cancelled attempt ends a moment later.
+    /// Ends a cancelled attempt 1 ms later.
     fn cancel(&mut self, id: RequestId, attempt: u8) {
-        let same = |end: &&AttemptEnd| (end.request, end.attempt) == (id, attempt);
-        let Some(end) = self.attempt_ends.keys().find(same).copied() else { return };
+        let is_cancelled = |end: &&AttemptEnd| (end.request, end.attempt) == (id, attempt);
+        let Some(end) = self.attempt_ends.keys().find(is_cancelled).copied() else { return };
         let n = self.attempt_ends.remove(&end).unwrap();
         self.attempt_ends.insert(AttemptEnd { at: self.now + MS, ..end }, n);
     }
@@ -197,7 +197,7 @@
         if let Some(request) = self.open.get_mut(&id) {
             let sent_at = request.in_flight.remove(&attempt).unwrap().sent_at;
             outcome = random_outcome(&mut self.rng, self.now >= request.deadline);
-            // Stated here once more, not taken from the code under test.
+            // Repeated here instead of using the code under test.
             use AttemptOutcome::{Cancelled, Error, Reset, TimedOut};
             if matches!(outcome, Error | Reset | TimedOut | Cancelled) {
                 request.may_have_run_since = Some(request.may_have_run_since.unwrap_or(sent_at).min(sent_at));
@@ -220,11 +220,11 @@
         }));
     }
 
-    /// A status at random, where an endpoint responds one with this outcome.
+    /// A random status, or `None` for an outcome with which an endpoint reports none.
     fn random_status(&mut self, n: u8, outcome: AttemptOutcome) -> Option<ReplicaStatus> {
         use AttemptOutcome::{Error, Misdirected, Overloaded, Served};
         let primary = self.rng.u8(..10) == 0;
-        let age = random_length(&mut self.rng, TimeDelta::ZERO..600 * MS);
+        let age = random_duration(&mut self.rng, TimeDelta::ZERO..600 * MS);
         if !matches!(outcome, Served | Misdirected | Overloaded | Error) {
             return None;
         }
@@ -255,7 +255,7 @@
             1 => self.cancel_oldest_request(),
             2 => {
                 self.handle(Event::TimerFired { timer: 5 });
-                self.noise();
+                self.send_invalid_input();
             }
             3..=20 => self.new_request(),
             _ => {}
@@ -271,7 +271,7 @@
         let availability = [Ready, Ready, Ready, Draining, Gone][self.rng.usize(..5)];
         let started_at = (self.rng.u8(..4) == 0).then_some(self.now - 30_000 * MS);
         self.known[usize::from(n)].availability = availability;
-        // From here on the list says that it started long ago.
+        // The list now says that the endpoint started long ago.
         self.sent_to_cold.remove(&n);
         let entry = EndpointEntry { availability, group: group_of(n, self.groups), started_at, ..entry(n) };
         self.handle(Event::EndpointList { kind: ListKind::Delta, entries: vec![entry] });
@@ -288,9 +288,9 @@
         let id = self.next_id;
         self.next_id.0 += 1;
         let class = self.rng.usize(..self.settings.classes.len());
-        let client_timeout = random_length(&mut self.rng, 50 * MS..3_000 * MS);
+        let client_timeout = random_duration(&mut self.rng, 50 * MS..3_000 * MS);
         let has_commit = self.rng.bool();
-        let last_commit_age = has_commit.then(|| random_length(&mut self.rng, MS..900 * MS));
+        let last_commit_age = has_commit.then(|| random_duration(&mut self.rng, MS..900 * MS));
         let group = GroupId(self.rng.u32(..self.groups));
         let request = OpenRequest {
             class,
@@ -331,7 +331,7 @@
     if deadline_passed { TimedOut } else { OUTCOMES[rng.usize(..OUTCOMES.len())] }
 }
 
-/// What a simulation consists of.
+/// Parameters of a simulation.
 struct Scenario {
     settings: Settings,
     groups: u32,
@@ -341,7 +341,7 @@
     steps: usize,
 }
 
-/// The simulation after all steps of `scenario`.
+/// Runs all steps of `scenario` and returns the final state.
 fn simulate(seed: u64, scenario: Scenario) -> Simulation {
     let Scenario { settings, groups, endpoints, cold, steps } = scenario;
     let unknown = KnownState {
@@ -395,7 +395,7 @@
 }
 
 #[test]
-fn the_rules_hold_over_random_sequences_under_varied_settings() {
+fn the_invariants_hold_over_random_sequences_under_varied_settings() {
     for seed in 0..12 {
         let settings = varied_settings(seed);
         let scenario = Scenario { settings, groups: 2, endpoints: 8, cold: false, steps: 8_000 };
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn the_rules_hold_for_one_of_150_poolers_over_60_endpoints() {
+fn the_invariants_hold_for_one_of_150_poolers_over_60_endpoints() {
     for seed in 0..6 {
         let settings =
             Settings { pooler_count: Some(150), pooler_number: Some(149), ..varied_settings(seed) };
@@ -415,15 +415,16 @@
     }
 }
 
-/// The share of one pooler in what a cold endpoint bears, judged by the sends alone: no more than one at once.
+/// Guards against a pooler that sends a cold endpoint more than its share of the capacity, which is at most one attempt
+/// here. Only the sends are counted.
 #[test]
-fn one_of_150_poolers_sends_an_all_cold_fleet_next_to_nothing() {
+fn one_of_150_poolers_sends_each_cold_endpoint_at_most_one_attempt() {
     for seed in 0..6 {
         let settings = Settings { pooler_count: Some(150), ..varied_settings(seed) };
         let scenario = Scenario { settings, groups: 15, endpoints: 60, cold: true, steps: 400 };
         let simulation = simulate(seed, scenario);
         let sent_to_cold = &simulation.sent_to_cold;
         assert!(sent_to_cold.values().all(|sends| *sends <= 1), "{sent_to_cold:?}");
-        assert!(simulation.final_answers > 20, "what cannot be served is answered all the same");
+        assert!(simulation.final_answers > 20, "requests that cannot be served are answered too");
     }
 }
