--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -1,15 +1,17 @@
+//! The leader's membership changes, carried out on a simulated fleet.
+
 use super::*;
 use crate::ids::FleetId;
 use crate::store::storage::PersistedProgress;
 
-/// A simulated fleet: every step that is proposed is committed and carried out.
+/// A simulated fleet in which every proposed step is committed and carried out.
 struct SimulatedFleet {
     state: ClusterState,
     configuration: Configuration,
     progress: Vec<PeerProgress>,
     candidates: BTreeMap<NodeId, Handshake>,
     silent_for: BTreeMap<NodeId, TimeDelta>,
-    led_for: TimeDelta,
+    leading_for: TimeDelta,
     voter_statuses: BTreeMap<NodeId, VoterStatus>,
     requests: BTreeSet<MemberRequest>,
 }
@@ -24,20 +26,20 @@
 
 impl SimulatedFleet {
     fn new(founders: &[&str]) -> SimulatedFleet {
-        let founders = founders.iter().map(|f| f.to_string()).collect();
+        let founders = founders.iter().map(|name| name.to_string()).collect();
         SimulatedFleet {
             state: ClusterState::found_fleet(FleetId(7), NodeId(1), member("a"), founders),
             configuration: Configuration { voters: vec![NodeId(1)], ..Configuration::default() },
             progress: vec![PeerProgress { id: NodeId(1), match_index: 100, recently_active: true }],
             candidates: BTreeMap::new(),
             silent_for: BTreeMap::new(),
-            led_for: TimeDelta::from_micros(60_000),
+            leading_for: TimeDelta::from_micros(60_000),
             voter_statuses: BTreeMap::new(),
             requests: BTreeSet::new(),
         }
     }
 
-    fn meet(&mut self, id: u64, name: &str) {
+    fn add_candidate(&mut self, id: u64, name: &str) {
         let id = NodeId(id);
         let (address, progress) = (([127, 0, 0, 1], 9).into(), PersistedProgress::default());
         let handshake = Handshake { fleet: FleetId::NONE, id, name: name.into(), address, progress };
@@ -52,11 +54,11 @@
             progress,
             candidates,
             silent_for,
-            led_for,
+            leading_for,
             voter_statuses,
             requests,
         } = self;
-        let led_for = *led_for;
+        let leading_for = *leading_for;
         MembershipView {
             local_node: NodeId(1),
             state,
@@ -65,19 +67,19 @@
             progress,
             candidates,
             silent_for,
-            led_for,
+            leading_for,
             voter_statuses,
             requests,
-            gone_after: TimeDelta::from_micros(2_000),
+            peer_gone_timeout: TimeDelta::from_micros(2_000),
         }
         .next_action()
     }
 
-    /// Carries out steps until there is nothing to do. Returns the voters after each.
+    /// Carries out steps until there is nothing left to do. Returns the voters after each step.
     fn run(&mut self) -> Vec<Vec<NodeId>> {
         let mut voters = Vec::new();
         while let MembershipAction::Propose(change) = self.next() {
-            assert!(voters.len() < 50, "it never ends: {change:?}");
+            assert!(voters.len() < 50, "membership changes do not end: {change:?}");
             for step in &change.steps {
                 let remove = |ids: &mut Vec<NodeId>, id| ids.retain(|known| *known != id);
                 match *step {
@@ -107,7 +109,7 @@
 fn founders_get_a_vote_and_others_are_learners_until_an_operator_grants_them_one() {
     let mut fleet = SimulatedFleet::new(&["b", "c"]);
     for (id, name) in [(2, "b"), (3, "c"), (4, "d")] {
-        fleet.meet(id, name);
+        fleet.add_candidate(id, name);
     }
     fleet.run();
     assert_eq!(
@@ -121,31 +123,32 @@
     assert_eq!(fleet.run(), [[1, 3, 4].map(NodeId)]);
     assert_eq!(fleet.state.removed.get(&NodeId(2)).map(String::as_str), Some("b"));
     fleet.requests = [request("a", MembershipRequest::Remove)].into();
-    fleet.progress.iter_mut().for_each(|p| p.match_index = 0);
+    fleet.progress.iter_mut().for_each(|progress| progress.match_index = 0);
     assert_eq!(fleet.next(), MembershipAction::Nothing, "no voter has caught up enough to lead next");
-    fleet.progress.iter_mut().for_each(|p| p.match_index = 100);
+    fleet.progress.iter_mut().for_each(|progress| progress.match_index = 100);
     assert_eq!(
         fleet.next(),
         MembershipAction::TransferLeadership(NodeId(3)),
-        "it is the leader: another node has to lead first"
+        "the leader transfers leadership before its removal"
     );
 }
 
-/// Guards against a node that lost its disk and has two votes, and against one that takes the name of a live member.
+/// Guards against a node that gets a second vote after it lost its disk, and against one that takes a live member's
+/// name.
 #[test]
 fn a_node_that_lost_its_disk_replaces_its_predecessor() {
     let mut fleet = SimulatedFleet::new(&["b", "c"]);
-    fleet.meet(2, "b");
-    fleet.meet(3, "c");
+    fleet.add_candidate(2, "b");
+    fleet.add_candidate(3, "c");
     fleet.run();
-    fleet.meet(5, "b");
+    fleet.add_candidate(5, "b");
     assert_eq!(fleet.next(), MembershipAction::Nothing, "the other b is reachable");
     fleet.silent_for.insert(NodeId(2), TimeDelta::from_micros(5_000));
-    // The new node is a learner first, then takes the old one's place in one step.
+    // The new node joins as a learner, then replaces the old one in a single step.
     assert_eq!(fleet.run(), [[1, 2, 3].map(NodeId), [1, 3, 5].map(NodeId)]);
     assert!(!fleet.state.members.contains_key(&NodeId(2)));
     fleet.candidates.remove(&NodeId(5));
-    assert_eq!(fleet.next(), MembershipAction::Nothing, "the removed node does not come back");
+    assert_eq!(fleet.next(), MembershipAction::Nothing, "the removed node is not added again");
 }
 
 #[test]
@@ -153,23 +156,24 @@
     let mut fleet = SimulatedFleet::new(&[]);
     fleet.requests.insert(request("a", MembershipRequest::Remove));
     assert_eq!(fleet.next(), MembershipAction::Nothing);
-    fleet.meet(2, "b");
+    fleet.add_candidate(2, "b");
     assert_ne!(fleet.next(), MembershipAction::Nothing);
     fleet.configuration.voters_outgoing = vec![NodeId(1)];
     assert_eq!(fleet.next(), MembershipAction::Nothing);
 }
 
-/// Guards against a node that hears all but the leader and never learns anything, and against leadership that goes
-/// round in circles.
+/// Guards against a node that receives messages from all nodes but the leader and so never learns what is committed,
+/// and against leadership that keeps moving between nodes.
 #[test]
-fn a_leader_that_some_voters_do_not_hear_hands_over_to_one_that_all_hear() {
+fn a_leader_that_does_not_reach_all_voters_transfers_leadership_to_one_that_does() {
     let mut fleet = SimulatedFleet::new(&["b", "c", "d", "e"]);
     for (id, name) in [(2, "b"), (3, "c"), (4, "d"), (5, "e")] {
-        fleet.meet(id, name);
+        fleet.add_candidate(id, name);
     }
     fleet.run();
-    let status = |node: u64, leaderless, unheard: &[u64]| {
-        let reachable_peers = (1..=5).filter(|id| *id != node && !unheard.contains(id)).map(NodeId).collect();
+    let status = |node: u64, leaderless, unreachable: &[u64]| {
+        let reachable_peers =
+            (1..=5).filter(|id| *id != node && !unreachable.contains(id)).map(NodeId).collect();
         (NodeId(node), VoterStatus { leaderless_for: TimeDelta::from_micros(leaderless), reachable_peers })
     };
     fleet.voter_statuses = (2..=5).map(|id| status(id, 0, &[])).collect();
@@ -177,17 +181,17 @@
     fleet.voter_statuses.extend([status(2, 1_000, &[1]), status(3, 1_000, &[1])]);
     assert_eq!(fleet.next(), MembershipAction::Nothing, "not for long enough yet");
     fleet.voter_statuses.extend([status(2, 2_000, &[1]), status(3, 2_000, &[1])]);
-    fleet.led_for = TimeDelta::from_micros(1_999);
-    assert_eq!(fleet.next(), MembershipAction::Nothing, "that was reported about the leader before");
-    fleet.led_for = TimeDelta::from_micros(2_000);
+    fleet.leading_for = TimeDelta::from_micros(1_999);
+    assert_eq!(fleet.next(), MembershipAction::Nothing, "the report is about the previous leader");
+    fleet.leading_for = TimeDelta::from_micros(2_000);
     assert_eq!(fleet.next(), MembershipAction::TransferLeadership(NodeId(4)));
     fleet.voter_statuses.extend([status(2, 2_000, &[1, 4]), status(3, 2_000, &[1])]);
     assert_eq!(
         fleet.next(),
         MembershipAction::TransferLeadership(NodeId(5)),
-        "not every other voter hears 4"
+        "node 4 does not reach every other voter"
     );
-    // A voter that hears no node is no reason to hand over: no other leader would be heard better.
+    // A voter that no node reaches is no reason for a transfer: no other leader would reach it either.
     fleet.voter_statuses = (2..=4).map(|id| status(id, 0, &[5])).collect();
     fleet.voter_statuses.extend([status(5, 9_000, &[1, 2, 3, 4])]);
     assert_eq!(fleet.next(), MembershipAction::Nothing);
--- a/src/fleet/recovery/first_election.rs
+++ b/src/fleet/recovery/first_election.rs
@@ -23,13 +23,13 @@
     pub id: NodeId,
     /// The last entry of the voter's log.
     pub last_entry: EntryId,
-    /// The leader that the voter knows; [`NodeId::NOBODY`] if none.
+    /// The leader that the voter knows; [`NodeId::NONE`] if none.
     pub leader: NodeId,
 }
 
 impl Voter {
     fn knows_leader(&self) -> bool {
-        self.leader != NodeId::NOBODY
+        self.leader != NodeId::NONE
     }
 
     /// Whether this voter is to be elected rather than `other`: the one with the newer log by term, then index, as in
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -65,7 +65,7 @@
 
     /// Whether the connection is open and nothing was received after the last response.
     pub fn is_silent(&self) -> bool {
-        self.buffer.unread().is_empty() && crate::net::is_silent(&self.stream)
+        self.buffer.unread().is_empty() && crate::net::is_idle(&self.stream)
     }
 
     /// Writes an encoded request, or other bytes after an upgrade.
--- a/src/net/sparql/front/responder.rs
+++ b/src/net/sparql/front/responder.rs
@@ -35,7 +35,7 @@
 impl Responder<'_> {
     /// Writes an encoded response.
     pub(super) async fn write(&mut self, response: Vec<u8>) -> io::Result<AfterResponse> {
-        if !self.request.keeps_connection_open() || self.connection.ends() {
+        if !self.request.keeps_connection_open() || self.connection.must_close() {
             return self.write_and_close(response).await;
         }
         self.connection.write(&response).await?;
@@ -97,9 +97,9 @@
                     log::warn!("endpoint: the answer ended before it was complete");
                     return Ok(AfterResponse::Abort);
                 }
-                AnswerEvent::ClientSentMore => {}
+                AnswerEvent::ClientData => {}
                 // Ends the attempt even if the endpoint stalls, since its client has disconnected.
-                AnswerEvent::ClientLeft => return Ok(AfterResponse::Abort),
+                AnswerEvent::ClientDisconnected => return Ok(AfterResponse::Abort),
             }
         }
     }
--- a/tests/store_file.rs
+++ b/tests/store_file.rs
@@ -139,7 +139,7 @@
     let status = &opened.status;
     assert_eq!(
         (status.term, status.leader, status.participating),
-        (4, NodeId::NOBODY, false),
+        (4, NodeId::NONE, false),
         "its peers first compare its storage with its earlier reports"
     );
     assert_eq!((status.committed, status.applied), (27, 20));
