--- a/tests/discovery_orders.rs
+++ b/tests/discovery_orders.rs
@@ -4,14 +4,14 @@
 mod stand_in;
 
 use brookpass_testkit::log_lines;
-use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{
     DiscoveryCall, ScriptedDiscoveryServer, changes_json, endpoint_json, snapshot_json,
 };
-use stand_in::platform::{SETTINGS, StartedDaemon, config, read_statement, start_daemon};
+use stand_in::platform::{SETTINGS, StartedProcess, config, read_statement, start_process};
 use stand_in::postgres::client::{PostgresClient, PostgresResponse, row_of};
 use stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
 use stand_in::postgres::messages;
+use stand_in::process::{Process, test_directory};
 use stand_in::waiting::eventually;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 
 /// A pooler whose discovery server answers as the test says.
 struct ScriptedPooler {
-    process: Daemon,
+    process: Process,
     /// Where clients connect.
     address: SocketAddr,
     config_path: PathBuf,
@@ -47,8 +47,8 @@
         let discovery = ScriptedDiscoveryServer::start();
         let config_path = test_directory(directory).join("config.json");
         std::fs::write(&config_path, edit(config("127.0.0.1:0", discovery.address, SETTINGS))).unwrap();
-        let StartedDaemon { daemon, address } = start_daemon(&config_path);
-        ScriptedPooler { process: daemon, address, config_path, discovery }
+        let StartedProcess { process, address } = start_process(&config_path);
+        ScriptedPooler { process, address, config_path, discovery }
     }
 
     /// Waits for the next watch; answers other calls with `list`.
--- a/tests/fleet_recovery_power.rs
+++ b/tests/fleet_recovery_power.rs
@@ -120,7 +120,7 @@
         let end = Timestamp::now();
         load.served_within(end - Duration::from_secs(1)..end) * 2 > served_before
     });
-    eventually("a session is told of its lost write", || load.any(|request| request.status == 412));
+    eventually("a session is told of its lost write", || load.has_attempt(|request| request.status == 412));
     let requests = load.finish();
     assert!(assert_invariants(cluster, &requests) > 0);
     let worst = worst_cold_load(cluster, powered_on_at);
--- a/tests/fleet_replication.rs
+++ b/tests/fleet_replication.rs
@@ -608,7 +608,7 @@
     let cluster = &mut start_five_nodes();
     let endpoints = cluster.endpoints.names();
     let load = cluster.start_load(load_profile(250.0, seed));
-    let schedule = FaultSchedule::of_nodes(seed, 5, &endpoints, Duration::from_secs(5));
+    let schedule = FaultSchedule::random_node_faults(seed, 5, &endpoints, Duration::from_secs(5));
     let calls = cluster.run_schedule(&schedule);
     let running = cluster.running_nodes();
     assert_eq!(running.len(), 5, "seed {seed}");
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -417,7 +417,7 @@
 fn run_seed(seed: u64) {
     let (mut cluster, load) = nodes_under_load(3, seed);
     let zones = ["z-0", "z-1", "z-2"].map(String::from);
-    let schedule = FaultSchedule::of_zones(seed, 3, &zones, Duration::from_secs(6));
+    let schedule = FaultSchedule::random_zone_faults(seed, 3, &zones, Duration::from_secs(6));
     cluster.run_schedule(&schedule);
     (0..3).for_each(|node| cluster.wait_until_ready(node));
     cluster.wait_for_leader();
@@ -434,7 +434,7 @@
     eventually("requests are served again", || load.served_within(recovered_at..Timestamp::now()) > 100);
     let requests = load.finish();
     assert_invariants(&cluster, &requests);
-    let untouched_zones = zones.iter().filter(|zone| !schedule.touches_zone(zone));
+    let untouched_zones = zones.iter().filter(|zone| !schedule.has_fault_in_zone(zone));
     for (node, zone) in untouched_zones.flat_map(|zone| (0..3).map(move |node| (node, zone))) {
         assert!(
             applied_weights(&cluster, node, zone).iter().all(|permille| *permille > 0),
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -7,11 +7,11 @@
 use brookpass::store::zone_weights::WeightReason;
 use brookpass_testkit::cluster::{ClusterConfig, SERVICE_SETTINGS, TestCluster};
 use brookpass_testkit::log_lines;
-use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{endpoint_json, snapshot_json};
 use stand_in::http::{HttpClient, call};
 use stand_in::network::{spawn_server, unused_address};
 use stand_in::platform;
+use stand_in::process::{Process, test_directory};
 use stand_in::waiting::{DEFAULT_TIMEOUT, eventually, now_ms};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -176,7 +176,7 @@
 
 /// A node and the two endpoints of its inventory.
 struct SingleNode {
-    process: Daemon,
+    process: Process,
     store: SocketAddr,
     front: SocketAddr,
     /// The admin server; known once the node serves.
@@ -202,7 +202,7 @@
     );
     let file = folder.join("operator.yaml");
     std::fs::write(&file, text).unwrap();
-    let mut process = Daemon::start(&["--operator", file.to_str().unwrap()], &[]);
+    let mut process = Process::start(&["--operator", file.to_str().unwrap()], &[]);
     let store = process.wait_for_address(log_lines::STORE_LISTENING);
     let front = process.wait_for_address(log_lines::SPARQL_LISTENING);
     SingleNode { process, store, front, admin: None, primary, replica }
@@ -646,7 +646,7 @@
     let address = discovery.local_addr().unwrap();
     let path = test_directory("golden").join("config.json");
     std::fs::write(&path, platform::config("127.0.0.1:0", address, platform::SETTINGS)).unwrap();
-    let _pooler = platform::start_daemon(&path);
+    let _pooler = platform::start_process(&path);
     let (mut stream, _) = discovery.accept().unwrap();
     stream.set_read_timeout(Some(DEFAULT_TIMEOUT)).unwrap();
     let expected =
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,10 +1,10 @@
-//! The program on the platform's protocol: started as the platform starts it, with clients, endpoints and
-//! discovery on sockets.
+//! The program with the platform's configuration, tested over sockets with stand-in clients, endpoints and
+//! discovery servers.
 
 #[path = "../stand_in/mod.rs"]
 mod stand_in;
 
-mod answers;
 mod attempts;
 mod clients;
+mod responses;
 mod signals;
--- a/tests/shutdown_orders.rs
+++ b/tests/shutdown_orders.rs
@@ -3,7 +3,6 @@
 mod stand_in;
 
 use brookpass_testkit::log_lines;
-use stand_in::daemon::{Daemon, test_directory};
 use stand_in::discovery::{DiscoveryServer, endpoint_json};
 use stand_in::platform::{
     PostgresGroup, RunningPooler, SETTINGS, config, keyed_write_statement, read_statement,
@@ -12,6 +11,7 @@
 use stand_in::postgres::client::{PostgresClient, PostgresResponse, row_of};
 use stand_in::postgres::endpoint::{PostgresEndpoint, Reply};
 use stand_in::postgres::messages;
+use stand_in::process::{Process, test_directory};
 use stand_in::waiting::eventually;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpListener;
@@ -36,8 +36,8 @@
 
 /// Sends SIGTERM and waits until the pooler drains.
 fn begin_shutdown(pooler: &mut RunningPooler) {
-    pooler.daemon.signal("-TERM");
-    pooler.daemon.wait_for_log(log_lines::DRAINING);
+    pooler.process.signal("-TERM");
+    pooler.process.wait_for_log(log_lines::DRAINING);
 }
 
 /// Checks that a read is answered by a row or, where it would queue for too long, by a rejection.
@@ -62,7 +62,7 @@
     sending.send(second_half);
     assert!(sending.receive().expect("an answer").value.is_some());
     assert_eq!(sending.receive(), None, "then the connection ends");
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against connections that are still in the accept queue of the operating system when the listener
@@ -73,7 +73,7 @@
     let mut pooler = start_one_of_two(&group.endpoint_list());
     drop(connect_and_read(&pooler));
     begin_shutdown(&mut pooler);
-    pooler.daemon.signal("-STOP");
+    pooler.process.signal("-STOP");
     let mut clients = Vec::new();
     for number in 0..20 {
         let mut client = PostgresClient::connect_without_startup(pooler.address);
@@ -84,12 +84,12 @@
     // Longer than the time for which connections are still accepted, so that the pooler sees the end of that
     // time and the connections at the same moment.
     thread::sleep(Duration::from_millis(700));
-    pooler.daemon.signal("-CONT");
+    pooler.process.signal("-CONT");
     for (number, mut client) in clients.into_iter().enumerate() {
         assert_eq!(client.receive(), Some(PostgresResponse::READY), "connection {number}");
         check_answered(&client.receive().expect("an answer"), number);
     }
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against a reset, which might destroy the last answer, for a client that sends requests while the
@@ -107,7 +107,7 @@
         assert_eq!(client.stream.read(&mut [0; 64]).expect("no reset"), 0);
     }
     drop(client);
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
     assert_eq!(group.statement_count(), count_before, "no late request was forwarded");
 }
 
@@ -116,7 +116,7 @@
 #[test]
 fn a_rejected_client_can_read_the_error() {
     const SOCKETS: u32 = 64;
-    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let group = PostgresGroup::start(|_| Reply::NoResponse);
     let pooler = start_pooler_with_sockets(&group.endpoint_list(), SOCKETS);
     let mut busy_clients = Vec::new();
     let mut rejected = loop {
@@ -144,7 +144,7 @@
 /// after the longest deadline of the service classes.
 #[test]
 fn shutdown_time_follows_the_deadlines_of_classes_and_not_of_clients() {
-    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let group = PostgresGroup::start(|_| Reply::NoResponse);
     let mut pooler = start_pooler_with_config(&group.endpoint_list(), |text| {
         text.replace("\"deadline\":2.5", "\"deadline\":0.6").replace("\"deadline\":2.0", "\"deadline\":0.5")
     });
@@ -152,9 +152,9 @@
     client.send_query(&keyed_write_statement("claims", 600_000, 1));
     eventually("the write has reached the primary", || group.primary.statement_count() == 1);
     let terminated_at = Instant::now();
-    pooler.daemon.signal("-TERM");
+    pooler.process.signal("-TERM");
     assert!(client.receive().expect("a final answer").sqlstate.is_some());
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
     let elapsed = terminated_at.elapsed();
     assert!(elapsed < Duration::from_millis(2_000), "the platform kills it 1.3 s after SIGTERM: {elapsed:?}");
 }
@@ -163,7 +163,7 @@
 /// to an endpoint that hangs.
 #[test]
 fn a_queued_write_and_one_at_a_hanging_endpoint_get_final_answers_at_shutdown() {
-    let group = PostgresGroup::start(|_| Reply::NoAnswer);
+    let group = PostgresGroup::start(|_| Reply::NoResponse);
     let mut pooler = start_one_of_two(&group.endpoint_list());
     let mut unanswered = PostgresClient::connect(pooler.address);
     unanswered.send_query(&keyed_write_statement("hangs", 60_000, 1));
@@ -177,10 +177,10 @@
     let write_to_group_2 = keyed_write_statement("held", 60_000, 2).replace("cluster=1", "cluster=2");
     queued.send_query(&write_to_group_2);
     eventually("the replica has rejected the write", || lone_replica.statement_count() > 0);
-    pooler.daemon.signal("-TERM");
+    pooler.process.signal("-TERM");
     assert_eq!(unanswered.receive().unwrap().sqlstate.as_deref(), Some("58000"), "the write may have run");
     assert_eq!(queued.receive().unwrap().sqlstate.as_deref(), Some("58000"), "the write was attempted");
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against a request that gets no answer, or two, because its retry starts during the shutdown.
@@ -201,7 +201,7 @@
     client.send_query(&keyed_write_statement("again", 1_500, 1));
     assert_eq!(client.receive().unwrap().value, row_of(b"second"));
     assert_eq!(*attempt_count.lock().unwrap(), 2);
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
 
 /// Guards against a start that fails because the previous process still has the port, and against a process
@@ -216,8 +216,8 @@
     let config_path = test_directory("held").join("config.json");
     std::fs::write(&config_path, config(&address.to_string(), discovery.address, SETTINGS)).unwrap();
     let start_waiting_process = || {
-        let mut process = Daemon::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
-        process.wait_for_log(log_lines::DISCOVERY_AWAITED);
+        let mut process = Process::start(&[], &[("GW_CONFIG", config_path.to_str().unwrap())]);
+        process.wait_for_log(log_lines::LISTEN_ADDRESS_BUSY);
         process
     };
     let mut stopped = start_waiting_process();
@@ -247,5 +247,5 @@
     }
     let end = client.stream.write_all(b"").and_then(|()| client.stream.read(&mut [0; 8]));
     assert!(matches!(end, Ok(0)) || end.is_err_and(|error| error.kind() != ErrorKind::ConnectionReset));
-    assert!(pooler.daemon.wait_for_exit().success());
+    assert!(pooler.process.wait_for_exit().success());
 }
