--- a/src/fleet/admin_api/description.rs
+++ b/src/fleet/admin_api/description.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// The answer to `GET /fleet`: consensus, service, drains, sources of the configuration, nodes and counters.
+/// The response to `GET /fleet`: consensus, service, drains, sources of the configuration, nodes and counters.
 pub fn describe_fleet(fleet: &Fleet) -> String {
     let mut out = String::new();
     // Writing into a string cannot fail.
--- a/src/fleet/admin_api/metrics.rs
+++ b/src/fleet/admin_api/metrics.rs
@@ -6,7 +6,7 @@
 /// The type of a metric, written as the last letter of its line.
 #[derive(Clone, Copy)]
 enum Kind {
-    /// A value that goes up and down.
+    /// A value that can increase and decrease.
     Gauge,
     /// A value that only increases, from 0 at the start of the process.
     Counter,
--- a/src/fleet/admin_api/mod.rs
+++ b/src/fleet/admin_api/mod.rs
@@ -1,6 +1,6 @@
 //! The HTTP interface for operators at the store's address, on loopback only. The same address serves peer connections.
 //!
-//! Scripts depend on the texts and status codes of all answers; the golden answers of the tests pin them.
+//! Scripts depend on the texts and status codes of all responses; golden tests compare them.
 
 mod description;
 mod metrics;
@@ -18,7 +18,7 @@
 use crate::net::http::server::{self, NextRequest, Request};
 use std::rc::Rc;
 
-/// An answer to an operator.
+/// A response to an operator's request.
 struct Answer {
     status: u16,
     text: String,
--- a/src/fleet/bootstrap.rs
+++ b/src/fleet/bootstrap.rs
@@ -23,7 +23,8 @@
     pub name: String,
     /// The address at which its peers reach it.
     pub address: SocketAddr,
-    /// How far its storage has advanced, by which peers detect storage restored from an earlier copy.
+    /// The progress of its storage. Peers compare it with earlier reports to detect that the storage was restored from
+    /// an older copy.
     pub progress: PersistedProgress,
 }
 
@@ -36,7 +37,7 @@
     pub address: SocketAddr,
 }
 
-/// The answer to a handshake. The variant order is part of the message format.
+/// The result of checking a handshake. The variant order is part of the message format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HandshakeVerdict {
     /// The sender may exchange messages with this node.
@@ -92,7 +93,7 @@
 /// What a node without a fleet does next. The `Display` text is shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BootstrapState {
-    /// It waits for the configured peers at these addresses, which have not answered yet.
+    /// It waits for the configured peers at these addresses, which have not replied yet.
     AwaitingAnswers(Vec<SocketAddr>),
     /// It founds the fleet. Nodes with these names get a vote when they join.
     FoundsFleet(BTreeSet<String>),
@@ -128,16 +129,16 @@
     pub id: NodeId,
     /// The peer addresses in the operator's file.
     pub configured_peers: &'a [SocketAddr],
-    /// The last handshake from each address that has answered.
+    /// The last handshake from each address that has replied.
     pub answers: &'a BTreeMap<SocketAddr, Handshake>,
-    /// Whether an operator ordered this node to found the fleet with the nodes that have answered.
+    /// Whether an operator ordered this node to found the fleet with the nodes that have replied.
     pub ordered_by_operator: bool,
 }
 
 impl Bootstrap<'_> {
-    /// What this node does next. The node with the lowest name founds the fleet once all configured peers have answered
-    /// that they have none either, so at most one node founds without an operator. A node that an operator ordered to
-    /// found does so with the peers that have answered.
+    /// What this node does next. The node with the lowest name founds the fleet once all configured peers have replied
+    /// that they belong to no fleet either, so at most one node founds a fleet without an operator. A node that an
+    /// operator ordered to found a fleet does so with the peers that have replied.
     pub fn state(&self) -> BootstrapState {
         if let Some(member) = self.answers.values().find(|peer| !peer.fleet.is_none()) {
             return BootstrapState::AwaitsAdmission(member.fleet);
--- a/src/fleet/bootstrap/tests.rs
+++ b/src/fleet/bootstrap/tests.rs
@@ -35,7 +35,7 @@
     Bootstrap { name, id: NodeId(id), configured_peers, answers, ordered_by_operator: true }.state()
 }
 
-/// Guards against two fleets founded instead of one: whichever answers each node received, at most one founds a fleet
+/// Guards against two fleets founded instead of one: whichever replies each node received, at most one founds a fleet
 /// without an operator.
 #[test]
 fn at_most_one_node_founds_and_only_after_all_have_answered() {
--- a/src/fleet/gossip/endpoint_summary.rs
+++ b/src/fleet/gossip/endpoint_summary.rs
@@ -1,11 +1,11 @@
-//! Summarizes what is known about one endpoint at a moment, for recovery decisions.
+//! Summarizes the observations of one endpoint at a moment, for recovery decisions.
 
 use super::primary_beliefs::MAX_CLAIM_AGE;
 use super::restored::RestoredEndpoint;
 use super::state::{GossipState, MAX_RECENT_AGE};
 use crate::time::Timestamp;
 
-/// What is known about an endpoint from recent observations.
+/// A summary of the observations of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointSummary {
     /// The endpoint reported itself as the primary to this process, or recently to a peer.
@@ -26,7 +26,7 @@
 }
 
 impl GossipState {
-    /// Returns what is known about an endpoint now.
+    /// Summarizes the observations of an endpoint as of `now`.
     ///
     /// This process's own observations were all made since its start and always count; those of peers count if they are
     /// recent. Observations from before the endpoint's last start count only for its capacity.
--- a/src/fleet/gossip/mod.rs
+++ b/src/fleet/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! What the peers of a fleet know about endpoints, spread by gossip. No I/O.
+//! Observations of endpoints that the peers of a fleet exchange by gossip. No I/O.
 //!
 //! Each peer keeps its own observations and those of others, with the age and the source of each one ([`GossipState`]).
 //! Peers exchange digests of versions, then send what the other one lacks. This state is soft: it has no quorum and no
--- a/src/fleet/gossip/record.rs
+++ b/src/fleet/gossip/record.rs
@@ -1,4 +1,4 @@
-//! What peers send one another about endpoints.
+//! The records about endpoints that peers exchange.
 
 use crate::engine::PeerObservation;
 use crate::engine::poll_scheduler;
@@ -6,7 +6,7 @@
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Records of this age or older are rejected, and a node that has not been heard of for this long is forgotten.
+/// Records of this age or older are rejected, and a node is removed if none of its observations arrived for this long.
 pub(super) const MAX_RECORD_AGE: TimeDelta = TimeDelta::from_secs(600);
 
 /// The version of one node's observations: the node's incarnation and a counter within it.
--- a/src/fleet/gossip/restored.rs
+++ b/src/fleet/gossip/restored.rs
@@ -1,6 +1,6 @@
-//! What was known about endpoints before this start, as read from disk.
+//! Observations of endpoints from before this start, as read from disk.
 //!
-//! It serves first guesses only: it is not sent to peers, does not prove anything, and is replaced by whatever is
+//! They serve first guesses only: they are not sent to peers, do not prove anything, and are replaced by whatever is
 //! observed after the start.
 
 use super::record::GossipRecord;
@@ -26,7 +26,7 @@
     pub observed_at: Timestamp,
 }
 
-/// What was known about one endpoint before this start.
+/// The observations of one endpoint from before this start, summarized.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RestoredEndpoint {
     /// When the endpoint last reported itself as the primary.
@@ -80,7 +80,7 @@
     }
 }
 
-/// What was known about all endpoints before this start.
+/// The observations of all endpoints from before this start, summarized.
 #[derive(Debug, Default)]
 pub(super) struct RestoredGossip {
     by_endpoint: BTreeMap<String, RestoredEndpoint>,
@@ -102,7 +102,7 @@
         self.by_endpoint.get(endpoint)
     }
 
-    /// The greatest known log position of each endpoint.
+    /// The greatest log position that each endpoint reported.
     pub(super) fn positions(&self) -> Vec<PeerObservation> {
         let mut positions = Vec::new();
         for (endpoint, restored) in &self.by_endpoint {
--- a/src/fleet/gossip/state.rs
+++ b/src/fleet/gossip/state.rs
@@ -37,7 +37,7 @@
     received_at: Timestamp,
 }
 
-/// What is known about endpoints, by gossip and by this process's own observations.
+/// The observations of endpoints, received by gossip or made by this process.
 #[derive(Debug, Default)]
 pub struct GossipState {
     pub(super) local_node: NodeId,
@@ -45,7 +45,7 @@
     pub(super) observations: ObservationTable,
     known_versions: BTreeMap<NodeId, KnownVersion>,
     primary_beliefs: PrimaryBeliefs,
-    /// What was known before this process started.
+    /// The observations from before this process started, read from disk.
     pub(super) restored: RestoredGossip,
     /// The rate at which each endpoint serves this process.
     pub(super) service_rates: BTreeMap<String, ServiceRate>,
@@ -58,9 +58,9 @@
         GossipState { local_node, own_version, ..GossipState::default() }
     }
 
-    /// Records what endpoints reported to this process, and returns how soon peers have to be told. While this process
-    /// recovers and peers wait for its observations, the caller passes [`GossipUrgency::Immediate`], which makes every
-    /// change urgent.
+    /// Records what endpoints reported to this process, and returns how soon it has to be sent to peers. While this
+    /// process recovers and peers wait for its observations, the caller passes [`GossipUrgency::Immediate`], which
+    /// makes every change urgent.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Removes endpoints that are no longer listed, and nodes that are not members or have not been heard of for
-    /// [`MAX_RECORD_AGE`].
+    /// Removes endpoints that are no longer listed, and nodes that are not members or of which no observation has
+    /// arrived for [`MAX_RECORD_AGE`].
     pub fn remove_departed(&mut self, now: Timestamp, state: &ClusterState) {
         let local_node = self.local_node;
         self.known_versions.retain(|node, known| {
--- a/src/fleet/gossip/tests.rs
+++ b/src/fleet/gossip/tests.rs
@@ -357,8 +357,8 @@
     );
 }
 
-/// Guards against an admission rate that starts at the little that was asked of an endpoint, and against one that rests
-/// on one or two reports of its utilization.
+/// Guards against an admission rate that starts at the low request rate that an endpoint happened to serve, and against
+/// one that is based on one or two reports of its utilization.
 #[test]
 fn the_capacity_is_the_rate_served_divided_by_the_utilization_reported() {
     let capacity = |answers: u32, utilization: Option<f64>| {
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -34,7 +34,7 @@
 /// What a voter reports about the leader and its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VoterStatus {
-    /// How long it has known no leader.
+    /// Time for which no leader has been known to the voter.
     pub leaderless_for: TimeDelta,
     /// The nodes from which it receives messages.
     pub reachable_peers: BTreeSet<NodeId>,
@@ -44,7 +44,7 @@
 pub struct MembershipView<'a> {
     /// The leader, which is this node.
     pub local_node: NodeId,
-    /// The committed state.
+    /// The committed state as applied by the leader.
     pub state: &'a ClusterState,
     /// The current voters and learners.
     pub configuration: &'a Configuration,
@@ -194,7 +194,7 @@
     }
 
     /// A better leader, if a reachable voter has not received messages from this leader for too long: that voter would
-    /// never learn what is committed. The successor reaches more voters than this node; of those that reach the most,
+    /// never receive committed entries. The successor reaches more voters than this node; of those that reach the most,
     /// it is the one with the lowest id.
     fn better_connected_leader(&self) -> Option<NodeId> {
         let reachable = self.reachable_voters();
@@ -244,7 +244,7 @@
     }
 }
 
-/// The steps by which a learner replaces its predecessor in one change. `has_vote` says whether it gets a vote.
+/// The steps by which a learner replaces its predecessor in one change. `has_vote` is whether it gets a vote.
 fn replacement_steps(predecessor: NodeId, learner: NodeId, has_vote: bool) -> Vec<MembershipStep> {
     let mut steps = vec![MembershipStep::Remove(predecessor)];
     if has_vote {
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -35,11 +35,11 @@
     HandshakeReply(HandshakeReply),
     /// Raft messages from the sender.
     RaftMessages(Vec<RaftMessage>),
-    /// A change that the sender asks the leader to append to the log.
+    /// A change for the leader to append to the log.
     ForwardedProposal(Proposal),
     /// An operator's request to change a member, for the leader to carry out.
     MembershipRequest(MemberRequest),
-    /// All drains known to the sender that are not committed yet.
+    /// All pending drains of the sender, its own and those that it has received.
     PendingDrains(Vec<PendingDrain>),
     /// The sender's state, sent periodically and when its leader, term or participation changes.
     Heartbeat(Heartbeat),
@@ -72,7 +72,7 @@
 /// The state that a node reports to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The leader that the sender follows; [`NodeId::NONE`] if it knows none.
+    /// The leader that the sender follows, or the sender itself if it leads; [`NodeId::NONE`] without a leader.
     pub leader: NodeId,
     /// The sender's Raft term.
     pub term: u64,
@@ -80,7 +80,7 @@
     pub last_entry: EntryId,
     /// Whether the sender takes part in the consensus: it processes Raft messages and votes.
     pub participates: bool,
-    /// The highest log index that the sender knows to be committed.
+    /// The sender's commit index.
     pub commit_index: u64,
     /// The last log entry that the sender has applied.
     pub applied: AppliedPosition,
@@ -123,7 +123,7 @@
 /// A message decoded from the start of a buffer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedMessage {
-    /// The decoded message.
+    /// The message without its frame.
     pub message: PeerMessage,
     /// Size of the message in the buffer, including the length prefix: what the caller has to consume.
     pub encoded_bytes: usize,
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! The nodes of a fleet: what they agree on, what they send each other, and the endpoint list that follows from it.
+//! The nodes of a fleet: the state on which they reach consensus, the messages that they exchange, and the endpoint
+//! list that each node derives from both.
 //!
 //! All decisions are made in modules without I/O, which can be tested on their own:
 //!
@@ -9,9 +10,9 @@
 //! - [`recovery`]: the order in which service is restored after a start.
 //! - [`zones`]: when traffic is moved out of a zone, and how it returns.
 //!
-//! [`runtime`] carries the decisions out; start reading at [`runtime::Fleet`]. It uses [`message`] for the messages
+//! [`runtime`] executes the decisions; start reading at [`runtime::Fleet`]. It uses [`message`] for the messages
 //! between nodes, [`peer_link`] for the connections, and the thread of [`crate::store`] for consensus and storage.
-//! [`admin_api`] answers operators.
+//! [`admin_api`] serves the requests of operators.
 
 pub mod admin_api;
 pub mod bootstrap;
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -1,7 +1,7 @@
 //! Drains that are not committed yet. No I/O.
 //!
-//! A pending drain takes effect on every node that knows it, even without a majority, until the log resolves it by
-//! committing or undoing it.
+//! A pending drain takes effect on every node that has received it, even without a majority, until the log resolves it
+//! by committing or undoing it.
 
 use crate::ids::NodeId;
 use crate::store::codec;
--- a/src/fleet/recovery/first_election.rs
+++ b/src/fleet/recovery/first_election.rs
@@ -2,7 +2,7 @@
 //!
 //! By default an election starts after 10 to 20 ticks without a heartbeat, since a leader may be there and sends one
 //! that often. After a power failure there is no leader to wait for: once a majority of the voters is reachable and
-//! none of them knows a leader, the one with the newest log starts an election at once. Raft still decides whether it
+//! none of them reports a leader, the one with the newest log starts an election at once. Raft still decides whether it
 //! wins and that a term has at most one winner: a wrong choice here costs one exchange of messages.
 
 use crate::ids::NodeId;
@@ -16,14 +16,14 @@
 /// A node whose election produced no leader starts the next one after this time.
 const ELECTION_RETRY: TimeDelta = TimeDelta::from_millis(150);
 
-/// What is known about one voter.
+/// The latest state of one voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Voter {
     /// The voter's node.
     pub id: NodeId,
     /// The last entry of the voter's log.
     pub last_entry: EntryId,
-    /// The leader that the voter knows; [`NodeId::NONE`] if none.
+    /// The leader that the voter follows; [`NodeId::NONE`] if none.
     pub leader: NodeId,
 }
 
@@ -46,7 +46,8 @@
     majority_since: Option<Timestamp>,
     /// When this node last started an election.
     started_at: Option<Timestamp>,
-    /// This node has known a leader since its start: from then on elections start by Raft's own timeout.
+    /// A leader was known to this node at some time since its start: from then on, elections start only by Raft's own
+    /// timeout.
     leader_known: bool,
 }
 
--- a/src/fleet/recovery/phases.rs
+++ b/src/fleet/recovery/phases.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// What is known about one endpoint.
+/// The inputs about one endpoint for the recovery schedule.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointView {
     /// The replication group of the endpoint.
@@ -102,7 +102,7 @@
 /// The input of one step of the recovery schedule.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveryView {
-    /// The current time.
+    /// The time of this step.
     pub now: Timestamp,
     /// Whether the committed endpoint list has been received.
     pub list_received: bool,
@@ -117,7 +117,7 @@
 /// The result of one step of the recovery schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecoveryDecision {
-    /// The current phase.
+    /// The phase that applies after this step.
     pub phase: RecoveryPhase,
     /// What the schedule waits for, as shown to operators; empty if nothing.
     pub waiting_for: String,
--- a/src/fleet/recovery/restart_detector.rs
+++ b/src/fleet/recovery/restart_detector.rs
@@ -1,9 +1,9 @@
 //! Detects endpoints that restart while this process is in service, and decides how they are protected while cold.
 //!
-//! If a group has a warm endpoint beside a cold one, the router is told and sends less to the cold one. If all
-//! endpoints of a group are cold, there is no endpoint to shift load to: the group goes through the recovery phases
-//! again, at the rate that its endpoints can take. As long as it is not known which case applies, the restart stays
-//! undecided: endpoints report one after the other, even if all of them lost power at once.
+//! If a group has a warm endpoint beside a cold one, the restart is reported to the router, which sends less to the
+//! cold one. If all endpoints of a group are cold, there is no endpoint to shift load to: the group passes through the
+//! recovery phases again, at the rate that its endpoints can take. Until it is clear which case applies, the restart
+//! stays undecided: endpoints report one after the other, even if all of them lost power at once.
 
 use super::slow_start::SlowStartPolicy;
 use crate::engine::observations::START_TIME_TOLERANCE;
@@ -11,7 +11,7 @@
 use crate::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known about one endpoint.
+/// The inputs about one endpoint for restart detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KnownEndpoint {
     /// The replication group of the endpoint.
@@ -41,7 +41,7 @@
     Undecided,
 }
 
-/// Tracks the restarts seen while in service.
+/// Tracks the restarts of endpoints that were detected while in service.
 #[derive(Clone, Debug, Default)]
 pub struct RestartDetector {
     /// The start time of each endpoint as last reported to the router.
--- a/src/fleet/recovery/slow_start.rs
+++ b/src/fleet/recovery/slow_start.rs
@@ -42,7 +42,7 @@
 pub struct AdmissionShare {
     /// The load to start with.
     pub initial: f64,
-    /// The upper limit, reached once answers have shown that the endpoints can take it.
+    /// The upper limit, reached once responses have shown that the endpoints can take it.
     pub maximum: f64,
 }
 
--- a/src/fleet/runtime/agreed_state.rs
+++ b/src/fleet/runtime/agreed_state.rs
@@ -79,7 +79,8 @@
         self.status.leader != NodeId::NONE
     }
 
-    /// Whether this node considers itself the leader. A deposed leader may not know of its successor yet.
+    /// Whether this node considers itself the leader. A deposed leader does so until it receives a message of the newer
+    /// term, or check-quorum makes it step down.
     pub fn is_leader(&self) -> bool {
         self.status.leader == self.identity.id
     }
@@ -89,7 +90,7 @@
         self.is_leader() && self.status.participating
     }
 
-    /// Whether this node was removed from its fleet. It keeps serving with the last known state.
+    /// Whether this node was removed from its fleet. It keeps serving with the last applied state.
     pub fn is_removed(&self) -> bool {
         self.is_removed
     }
--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -1,6 +1,6 @@
 //! Drains requested by operators here or received from peers, kept on disk until the log has resolved them.
 //!
-//! A drain only removes traffic from an endpoint, so each node that knows of one applies it at once, even without a
+//! A drain only removes traffic from an endpoint, so each node that receives one applies it at once, even without a
 //! majority. Ending a drain returns traffic to the endpoint and requires the consensus.
 
 use super::Fleet;
@@ -19,7 +19,7 @@
     pending: PendingDrains,
     /// The last version that was queued for the store's thread.
     submitted_version: u64,
-    /// The last version known to be on disk.
+    /// The last version that the store's thread has reported as written.
     persisted_version: u64,
 }
 
@@ -102,7 +102,8 @@
         Ok(if is_committed { DrainOutcome::Committed } else { DrainOutcome::AwaitsMajority })
     }
 
-    /// Ends all drains of an endpoint that this node knows of. Takes effect once a majority has committed it.
+    /// Ends all drains of an endpoint that are committed or pending on this node. Takes effect once a majority has
+    /// committed it.
     ///
     /// # Errors
     ///
--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list for the engine: the committed inventory, with drains known here applied and weighted by zone.
+//! The endpoint list for the engine: the committed inventory, with committed and pending drains applied, weighted by
+//! zone.
 
 use super::Fleet;
 use super::agreed_state::AgreedState;
@@ -93,7 +94,7 @@
 impl Fleet {
     /// Returns the entries that have changed since the last call, and applies them to `list`, the caller's copy of the
     /// list. If `list` is empty, returns all entries. Returns `None` if nothing has changed or no inventory is
-    /// committed. Drains known here are applied whether or not they are committed.
+    /// committed. Pending drains are applied like committed ones.
     pub fn next_endpoint_update(
         &self,
         list: &mut BTreeMap<String, EndpointRecord>,
@@ -152,8 +153,8 @@
         self.endpoint_changes.borrow_mut().record(endpoints);
     }
 
-    /// The whole committed list with drains known here applied, as shown to operators; `None` if no inventory is
-    /// committed.
+    /// The whole committed list with committed and pending drains applied, as shown to operators; `None` if no
+    /// inventory is committed.
     pub fn endpoint_list(&self) -> Option<EndpointUpdate> {
         let agreed = self.agreed();
         agreed.state().inventory.as_ref()?;
--- a/src/fleet/runtime/event_loop.rs
+++ b/src/fleet/runtime/event_loop.rs
@@ -15,8 +15,8 @@
 /// Delay between a change and the next round, so that a burst of changes is handled in one round.
 const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(1);
 
-/// A candidate is forgotten after this many times [`crate::config::Limits::peer_gone_timeout`] without a message. A
-/// leader, which would admit it, forgets it after one such timeout.
+/// A candidate is removed after this many times [`crate::config::Limits::peer_gone_timeout`] without a message. The
+/// leader, which would admit it, ignores it after one such timeout.
 const CANDIDATE_EXPIRY_FACTOR: u32 = 5;
 
 impl Fleet {
--- a/src/fleet/runtime/first_election.rs
+++ b/src/fleet/runtime/first_election.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Peers that participate in the consensus, were heard recently and can be sent messages.
+    /// Peers that participate in the consensus, have recently sent a message and can be sent messages.
     fn reachable_voters(&self) -> Vec<Voter> {
         let peers = self.peers();
         let mut reachable = Vec::new();
--- a/src/fleet/runtime/gossip.rs
+++ b/src/fleet/runtime/gossip.rs
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Answers a peer's digest with the records that the peer is missing.
+    /// Replies to a peer's digest with the records that the peer is missing.
     pub(super) fn receive_gossip_digest(&self, sender: NodeId, digest: GossipDigest) {
         let records = {
             let peers = self.peers();
--- a/src/fleet/runtime/incoming_connection.rs
+++ b/src/fleet/runtime/incoming_connection.rs
@@ -15,7 +15,7 @@
 use std::time::Instant;
 
 impl Fleet {
-    /// Whether an HTTP request asks to be upgraded to a connection between peers.
+    /// Whether an HTTP request is the upgrade request of a connection between peers.
     pub fn is_peer_connection(request: &Request) -> bool {
         request.path_and_query().0 == UPGRADE_PATH && request.head.list_contains("upgrade", UPGRADE_PROTOCOL)
     }
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Judges the handshake of a peer that has connected. Records the peer as a candidate if it asks to be admitted,
-    /// and counts a rejection.
+    /// Validates the handshake of a peer that has connected. Records a node that requests admission as a candidate, and
+    /// counts and logs a rejection.
     fn check_handshake(&self, peer: &Handshake) -> HandshakeVerdict {
         let agreed = self.agreed();
         let known_progress = agreed.status().reported_progress.get(&peer.id);
--- a/src/fleet/runtime/message_dispatch.rs
+++ b/src/fleet/runtime/message_dispatch.rs
@@ -13,7 +13,7 @@
 pub(super) enum PeerRole {
     /// The peer is a member of this node's fleet, or this node has no fleet.
     Member,
-    /// The peer is not a member yet and asks to be admitted.
+    /// The peer is not a member yet and requests admission.
     Candidate,
 }
 
@@ -96,7 +96,8 @@
         Ok(())
     }
 
-    /// Records that a candidate was heard. One that has expired is added again, unless it was admitted meanwhile.
+    /// Records that a message arrived from a candidate. One that has expired is added again, unless it was admitted
+    /// meanwhile.
     fn refresh_candidate(&self, sender: &Handshake) {
         let mut peers = self.peers.borrow_mut();
         if !peers.refresh_candidate(sender.id) && !self.agreed().is_member(sender.id) {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Records a heartbeat. If the peer's pending drains differ from this node's, it is sent this node's.
+    /// Records a heartbeat. If the peer's pending drains differ from this node's, this node sends its own to the peer.
     fn receive_heartbeat(&self, sender: NodeId, heartbeat: Heartbeat) {
         let sender_digest = heartbeat.pending_drains_digest;
         self.peers.borrow_mut().record_heartbeat(sender, heartbeat);
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -127,7 +127,8 @@
     first_election: RefCell<FirstElection>,
     gossip: RefCell<GossipExchange>,
     engine_queues: EngineQueues,
-    /// Known log rollbacks of all groups. The SPARQL front reads them to answer sessions that are affected.
+    /// Log rollbacks of all groups, detected here or received from peers. The SPARQL front reads them to handle
+    /// requests of sessions that are affected.
     pub log_rollbacks: Rc<RefCell<LogRollbacks>>,
     recovery: RefCell<RecoveryProgress>,
     zones: RefCell<ZoneControl>,
--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery after the permanent loss of a majority: on an operator's order, one node continues alone as a new fleet.
 //!
 //! The program never decides this by itself, even if most voters are lost for good. The new fleet records the fleet
-//! that it supersedes. Nodes of that fleet that know no leader give up their identity and join the new one.
+//! that it supersedes. Nodes of that fleet to which no leader is known discard their identity and join the new one.
 
 use super::Fleet;
 use crate::ids::FleetId;
@@ -35,7 +35,7 @@
     },
     /// The member has no committed log entry that this node lacks.
     NotNewer,
-    /// The member was not heard within [`crate::config::Limits::peer_gone_timeout`].
+    /// No message has arrived from the member within [`crate::config::Limits::peer_gone_timeout`].
     Unknown,
 }
 
@@ -68,7 +68,7 @@
     /// This node has no fleet, was removed from it, or its storage failed.
     #[error("there is nothing here to go on from")]
     NothingToRecover,
-    /// This node knows a leader, so a majority exists.
+    /// A leader is known to this node, so a majority exists.
     #[error("a majority is there: nothing has to be recovered")]
     MajorityPresent,
     /// The queue of the store's thread is full.
--- a/src/fleet/runtime/outgoing_links.rs
+++ b/src/fleet/runtime/outgoing_links.rs
@@ -30,8 +30,8 @@
         }
     }
 
-    /// The addresses of all peers. For a node that was reached at an address from the operator's file, the address that
-    /// the fleet has of it is left out: the file says how the node is reached from here.
+    /// The addresses of all peers. For a node that was reached at an address from the operator's file, the address
+    /// reported by the fleet is left out: the file's address is the one that is reachable from here.
     fn wanted_links(&self) -> BTreeMap<SocketAddr, LinkOrigin> {
         let (agreed, peers, founding) = (self.agreed(), self.peers(), self.founding());
         let mut configured_ids: BTreeSet<NodeId> = BTreeSet::new();
@@ -59,7 +59,7 @@
         wanted
     }
 
-    /// Gives up this node's identity if a peer's verdict shows that it must no longer be used; returns whether it did.
+    /// Discards this node's identity if a peer's verdict shows that it must no longer be used; returns whether it did.
     fn reset_identity_if_invalid(&self, verdict: &HandshakeVerdict, peer: &Handshake) -> bool {
         match verdict {
             HandshakeVerdict::OutdatedStorage if self.agreed().is_member(peer.id) => {
@@ -121,7 +121,7 @@
         self.founding.borrow_mut().set_known_members(known);
     }
 
-    /// Gives up this node's identity to join the fleet that supersedes its own. Committed drains of the old fleet
+    /// Discards this node's identity to join the fleet that supersedes its own. Committed drains of the old fleet
     /// become pending drains and stay in force until the new fleet has resolved them.
     fn join_superseding_fleet(&self, peer: &Handshake) {
         log::warn!("fleet: the fleet of {} supersedes this node's fleet; joining it", peer.name);
--- a/src/fleet/runtime/peer_directory.rs
+++ b/src/fleet/runtime/peer_directory.rs
@@ -1,4 +1,4 @@
-//! The peers: links to them, their last heartbeats, and candidates, which are nodes that ask to be admitted.
+//! The peers: links to them, their last heartbeats, and candidates, which are nodes that request admission.
 
 use crate::fleet::bootstrap::Handshake;
 use crate::fleet::message::Heartbeat;
@@ -19,7 +19,7 @@
     pub name: String,
     /// The peer's last heartbeat. Before the first one, term and last log entry from its handshake.
     pub heartbeat: Heartbeat,
-    /// When the first of an unbroken series of heartbeats without a leader arrived; `None` while the peer knows one.
+    /// When the first of an unbroken series of heartbeats without a leader arrived; `None` while the peer reports one.
     pub leaderless_since: Option<Instant>,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A node that is not a member and asks to be admitted.
+/// A node that is not a member and requests admission.
 #[derive(Clone, Debug)]
 pub struct Candidate {
     /// The handshake with which it connected.
@@ -64,7 +64,8 @@
     statuses: BTreeMap<NodeId, PeerStatus>,
     candidates: BTreeMap<NodeId, Candidate>,
     max_candidates: usize,
-    /// Members that have accepted this node's handshake, which shows that its storage is not older than they know.
+    /// Members that have accepted this node's handshake: its storage is not behind the progress that it reported to
+    /// them before.
     accepted_by: BTreeSet<NodeId>,
     rejected_messages: u64,
     incoming_close: CloseSignal,
@@ -134,23 +135,24 @@
         self.incoming_close.receiver.clone()
     }
 
-    /// The status of each peer that was heard since the start.
+    /// The status of each peer from which a message has arrived since the start.
     pub fn statuses(&self) -> &BTreeMap<NodeId, PeerStatus> {
         &self.statuses
     }
 
-    /// The status of a peer; `None` if it was not heard since the start.
+    /// The status of a peer; `None` if no message has arrived from it since the start.
     pub fn status(&self, id: NodeId) -> Option<&PeerStatus> {
         self.statuses.get(&id)
     }
 
-    /// Up to `limit` peers that were heard less than `age` ago.
+    /// Up to `limit` peers from which the last message arrived less than `age` ago.
     pub(super) fn heard_within(&self, age: Duration, limit: usize) -> Vec<NodeId> {
         let recent = self.statuses.iter().filter(|(_, status)| status.last_heard.elapsed() < age);
         recent.map(|(id, _)| *id).take(limit).collect()
     }
 
-    /// The highest log index reported as committed by any peer; `None` if no peer was heard.
+    /// The highest log index reported as committed by any peer; `None` if no message from a peer has
+    /// arrived.
     pub(super) fn highest_commit_index(&self) -> Option<u64> {
         self.statuses.values().map(|status| status.heartbeat.commit_index).max()
     }
@@ -192,14 +194,14 @@
         }
     }
 
-    /// Records that a candidate was heard; returns false if the node is not a candidate.
+    /// Records that a message arrived from a candidate; returns false if the node is not a candidate.
     pub(super) fn refresh_candidate(&mut self, id: NodeId) -> bool {
         let Some(candidate) = self.candidates.get_mut(&id) else { return false };
         candidate.last_heard = Instant::now();
         true
     }
 
-    /// Removes candidates that were not heard for `age`.
+    /// Removes candidates from which no message has arrived for `age`.
     pub(super) fn expire_candidates(&mut self, age: Duration) {
         let now = Instant::now();
         self.candidates.retain(|_, candidate| now - candidate.last_heard < age);
--- a/src/fleet/runtime/peer_directory/tests.rs
+++ b/src/fleet/runtime/peer_directory/tests.rs
@@ -11,7 +11,7 @@
     Handshake { fleet: FleetId::NONE, id: NodeId(id), name: format!("b{id}"), address, progress }
 }
 
-/// Guards against a node that exhausts memory by asking for admission under many ids, and against candidates that are
+/// Guards against a node that exhausts memory by requesting admission under many ids, and against candidates that are
 /// never removed.
 #[test]
 fn candidates_are_bounded_and_expire_unless_they_are_refreshed() {
--- a/src/fleet/runtime/recovery.rs
+++ b/src/fleet/runtime/recovery.rs
@@ -1,5 +1,5 @@
-//! The gradual return to service after a start, in phases that depend on what the fleet knows. The same phases are used
-//! for a group whose endpoints have all restarted.
+//! The gradual return to service after a start, in phases that depend on the committed state and on the observations
+//! of endpoints. The same phases are used for a group whose endpoints have all restarted.
 
 use super::Fleet;
 use crate::engine::PollParticipants;
@@ -17,7 +17,7 @@
 /// The progress of this node's return to service.
 #[derive(Clone, Debug)]
 pub struct RecoveryStatus {
-    /// The phase reached.
+    /// The last phase that was reached.
     pub phase: RecoveryPhase,
     /// The condition for the next phase, as shown to operators; empty if there is none.
     pub waiting_for: String,
@@ -136,7 +136,7 @@
         self.recovery.borrow_mut().start_schedule(slow_start);
     }
 
-    /// Advances the recovery and returns the current restrictions on the engine. `has_list` says whether the engine has
+    /// Advances the recovery and returns the current restrictions on the engine. `has_list` is whether the engine has
     /// the endpoint list.
     pub fn advance_recovery(&self, has_list: bool) -> RecoveryRules {
         if self.recovery.borrow().schedule.is_none() {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// What is known of an endpoint; `None` if it is drained.
+    /// The inputs about one endpoint for the recovery schedule; `None` if the endpoint is drained.
     fn endpoint_view(&self, now: Timestamp, name: &str, record: &HostRecord) -> Option<EndpointView> {
         let is_drained = self.agreed().state().is_drained(name) || self.drains().pending().is_draining(name);
         if record.draining || is_drained {
@@ -207,9 +207,9 @@
         })
     }
 
-    /// Detects which of these endpoints have restarted. The engine is told and sends them less while they are cold. If
-    /// no endpoint of a group is warm, service returns to the group in phases, at the rate that its endpoints can
-    /// sustain.
+    /// Detects which of these endpoints have restarted, and updates their list entries so that the engine sends them
+    /// less while they are cold. If no endpoint of a group is warm, service returns to the group in phases, at the
+    /// rate that its endpoints can sustain.
     pub(super) fn detect_restarts<'a>(&self, now: Timestamp, endpoints: impl Iterator<Item = &'a String>) {
         let Some(slow_start) = self.recovery.borrow().slow_start else { return };
         let report = self.record_cold_endpoints(now, slow_start, endpoints);
--- a/src/fleet/runtime/store_events.rs
+++ b/src/fleet/runtime/store_events.rs
@@ -43,7 +43,7 @@
     }
 
     /// Sends Raft messages. Messages that do not fit into a link's queue are dropped: Raft repeats what it needs, but
-    /// has to be told whether a snapshot was sent.
+    /// requires a report of whether a snapshot was sent.
     fn send_raft_messages(&self, messages: Vec<RaftMessage>) {
         let mut by_receiver: BTreeMap<NodeId, Vec<RaftMessage>> = BTreeMap::new();
         for message in messages {
--- a/src/fleet/runtime/zones.rs
+++ b/src/fleet/runtime/zones.rs
@@ -231,7 +231,7 @@
         Ok(weight)
     }
 
-    /// Finds a zone by name, and computes the weight that a command gives it.
+    /// Finds a zone by name, and computes its weight after a command.
     fn weight_for_command(
         &self,
         name: &str,
--- a/src/fleet/zones/detector.rs
+++ b/src/fleet/zones/detector.rs
@@ -76,7 +76,7 @@
 }
 
 /// Whether the node of this report is isolated: it tried more than one zone, and all of them are lost to it. Its report
-/// then says nothing about the zones.
+/// is then no evidence about the zones.
 fn is_isolated(report: &ZoneReport) -> bool {
     let tried: Vec<&ZoneOutcomes> = report.values().filter(|outcomes| outcomes.finished() > 0).collect();
     tried.len() > 1 && tried.iter().all(|outcomes| outcomes.is_lost())
--- a/src/fleet/zones/evacuation.rs
+++ b/src/fleet/zones/evacuation.rs
@@ -10,15 +10,15 @@
 use std::collections::BTreeMap;
 
 /// The weights that a returning zone passes through. The first one sends just enough requests to show whether the zone
-/// answers at all.
+/// responds at all.
 const RETURN_STEPS_PERMILLE: [u16; 5] = [20, 125, 250, 500, FULL_WEIGHT_PERMILLE];
 /// The first weight of a returning zone.
 pub const FIRST_RETURN_PERMILLE: u16 = RETURN_STEPS_PERMILLE[0];
 /// Minimum time between two changes of a weight: the effect of a change has to show in the reports, which cover a
 /// shorter time.
 pub(super) const MIN_STEP_TIME: TimeDelta = TimeDelta::from_secs(1);
-/// A returning zone without any attempts takes the next step after this time: there are no answers to wait for, and the
-/// next step brings more attempts to judge by.
+/// A returning zone without any attempts takes the next step after this time: there are no responses to wait for, and
+/// the next step brings more attempts by which its health can be assessed.
 const STEP_TIME_WITHOUT_ATTEMPTS: TimeDelta = TimeDelta::from_micros(3 * MIN_STEP_TIME.as_micros());
 /// After this time in service a zone's earlier failures no longer extend its backoff.
 pub(super) const FAILURE_RETENTION_TIME: TimeDelta = TimeDelta::from_secs(120);
@@ -26,13 +26,13 @@
 /// A change of one zone's weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneMove {
-    /// The zone.
+    /// The zone whose weight changes.
     pub zone: ZoneId,
     /// The zone's next weight.
     pub weight: ZoneWeight,
 }
 
-/// The version of a zone's weight, and when this process first saw it.
+/// The version of a zone's committed weight, and when this process first observed it.
 #[derive(Clone, Copy, Debug)]
 struct SeenWeight {
     version: u64,
@@ -85,7 +85,7 @@
         snapshot.next_return(self.backoff).into_iter().collect()
     }
 
-    /// How long a zone has had its weight, as far as this process has seen.
+    /// How long a zone has had its weight, as observed by this process.
     fn unchanged_for(&mut self, now: Timestamp, zone: ZoneId, weight: &ZoneWeight) -> TimeDelta {
         let current = SeenWeight { version: weight.version, seen_at: now };
         let seen = self.seen_weights.entry(zone).or_insert(current);
@@ -96,8 +96,8 @@
     }
 }
 
-/// Returns the current health of a zone. If it gets too few attempts to tell, the other zones of its region may show
-/// that it is lost.
+/// Returns the current health of a zone. If it gets too few attempts to assess it, the other zones of its region may
+/// show that it is lost.
 fn current_health(
     zone: ZoneId,
     weight: &ZoneWeight,
@@ -116,7 +116,7 @@
     health
 }
 
-/// What is known about the zones at one moment.
+/// The weights and the health of the zones at one moment.
 struct ZoneSnapshot<'a> {
     weights: &'a BTreeMap<ZoneId, ZoneWeight>,
     health: BTreeMap<ZoneId, ZoneHealth>,
@@ -147,7 +147,7 @@
     }
 
     /// The move that takes as many reads off a zone as the others can serve. `None` if this would not reduce its
-    /// weight, or if no other zone is healthy: if all are slow or do not answer, the fault is elsewhere.
+    /// weight, or if no other zone is healthy: if all are slow or do not respond, the fault is elsewhere.
     fn evacuate(&self, zone: ZoneId, reason: WeightReason) -> Option<ZoneMove> {
         let alternatives = self.alternatives_to(zone);
         if !alternatives.iter().any(|other| self.health[other] == ZoneHealth::Healthy) {
@@ -207,7 +207,8 @@
         Some(ZoneMove { zone: *zone, weight })
     }
 
-    /// Whether a zone's backoff has ended or, once it gets reads, its last step has shown good answers.
+    /// Whether a zone's backoff has ended or, once it gets reads, enough time has passed since its last step and the
+    /// zone is healthy or gets too few attempts to assess it.
     fn may_take_next_step(&self, zone: ZoneId, weight: &ZoneWeight, backoff: EvacuationBackoff) -> bool {
         let unchanged_for = self.unchanged_for[&zone];
         if weight.permille == 0 {
--- a/src/fleet/zones/health.rs
+++ b/src/fleet/zones/health.rs
@@ -3,26 +3,26 @@
 use crate::ids::NodeId;
 use std::collections::BTreeSet;
 
-/// A zone with at least this percentage of late answers is slow.
+/// A zone with at least this percentage of late responses is slow.
 const SLOW_PERCENT: u32 = 50;
 /// A zone with a lower percentage of late and failed attempts together is healthy. Between the two limits its weight
 /// stays, so that a zone near one of them does not flap.
 const HEALTHY_PERCENT: u32 = 10;
 
-/// The health of a zone as seen by the fleet.
+/// The health of a zone, assessed from the reports of all nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// There are too few attempts to tell.
+    /// There are too few attempts to assess the zone.
     Unknown,
-    /// The zone answers in time.
+    /// The zone responds in time.
     Healthy,
     /// Some attempts fail or are late, but too few to move the zone's traffic.
     Degraded,
-    /// The zone answers, but late.
+    /// The zone responds, but late.
     Slow,
-    /// Most of the nodes that tried the zone get no answer from its endpoints.
+    /// Most of the nodes that tried the zone get no response from its endpoints.
     Lost,
-    /// Only these nodes get no answer from the zone's endpoints: the fault lies between them and the zone.
+    /// Only these nodes get no response from the zone's endpoints: the fault lies between them and the zone.
     CutOff(BTreeSet<NodeId>),
 }
 
--- a/src/fleet/zones/local_evacuation.rs
+++ b/src/fleet/zones/local_evacuation.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Whether a zone is lost by this peer's report alone. Without the reports of others, it must have seen half of the
-/// zone's endpoints fail.
+/// Whether a zone is lost by this peer's report alone. Since the reports of others do not count here, half of the
+/// zone's endpoints must have failed in it.
 fn is_lost_to_this_peer(outcomes: &ZoneOutcomes) -> bool {
     let half_of_zone_failed = u32::from(outcomes.endpoints_failed) * 2 >= u32::from(outcomes.endpoints_total);
     outcomes.finished() >= MIN_ATTEMPTS && outcomes.is_lost() && half_of_zone_failed
--- a/src/fleet/zones/mod.rs
+++ b/src/fleet/zones/mod.rs
@@ -10,7 +10,7 @@
 //! - `local_evacuation`: zones that one peer evacuates for itself.
 //! - `capacity`: the load and the capacity of a zone.
 //! - `policy`: the operator's settings and commands.
-//! - `state`: all that one peer knows about zones, and how its endpoint list follows.
+//! - `state`: one peer's state of the zones, and the effect on its endpoint list.
 
 mod capacity;
 mod detector;
--- a/src/fleet/zones/outcomes.rs
+++ b/src/fleet/zones/outcomes.rs
@@ -13,18 +13,18 @@
 /// The outcomes of one node's recent attempts in a zone. Field order is part of the message format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneOutcomes {
-    /// Attempts that were answered in time.
+    /// Attempts whose response arrived in time.
     pub on_time: u32,
-    /// Attempts that were answered late for their class, or that are overdue at an endpoint that answers other
+    /// Attempts whose response arrived late for their class, or is overdue from an endpoint that responds to other
     /// attempts.
     pub late: u32,
-    /// Attempts that got no answer: none for too long, or the connection broke.
+    /// Attempts without a response: it is overdue for too long, or the connection broke.
     pub unanswered: u32,
     /// Attempts that failed to connect.
     pub connect_failed: u32,
     /// Number of endpoints that were tried.
     pub endpoints_tried: u16,
-    /// Number of tried endpoints that answered none of the attempts.
+    /// Number of tried endpoints that responded to none of the attempts.
     pub endpoints_failed: u16,
     /// Number of endpoints in the zone.
     pub endpoints_total: u16,
@@ -98,20 +98,20 @@
     }
 
     /// Whether the zone is lost by this report alone: most attempts failed, and at least two thirds of the tried
-    /// endpoints gave no answer, so that one dead endpoint does not make a zone count as lost.
+    /// endpoints did not respond, so that one dead endpoint does not make a zone count as lost.
     pub fn is_lost(&self) -> bool {
         let most_endpoints_failed =
             u32::from(self.endpoints_failed) * 3 >= u32::from(self.endpoints_tried) * 2;
         self.finished() > 0 && self.failed_percent() >= LOST_PERCENT && most_endpoints_failed
     }
 
-    /// Whether there are enough attempts to tell that the zone is healthy.
+    /// Whether there are enough attempts to show that the zone is healthy.
     pub fn is_healthy(&self) -> bool {
         self.finished() >= MIN_ATTEMPTS && self.health() == ZoneHealth::Healthy
     }
 
-    /// Whether there are enough attempts to tell that the zone is not healthy: too many fail or are late for waiting to
-    /// be worthwhile.
+    /// Whether there are enough attempts to show that the zone is not healthy: so many fail or are late that waiting
+    /// for overdue responses is not worthwhile.
     pub fn is_unhealthy(&self) -> bool {
         self.finished() >= MIN_ATTEMPTS && self.health() != ZoneHealth::Healthy
     }
--- a/src/fleet/zones/state.rs
+++ b/src/fleet/zones/state.rs
@@ -1,9 +1,9 @@
-//! All that one peer knows about zones: its own report, those of its peers, the committed weights, and how its endpoint
-//! list follows them.
+//! One peer's state of the zones: its own report, those of its peers and the committed weights, and how its endpoint
+//! list is derived from them.
 //!
 //! Reports go to all peers, so that the next leader has the same information as this one. On the list, the endpoints of
 //! a zone get reads according to the zone's weight, and none if it is evacuated. The primary of a group stays on the
-//! list in any zone: only it can take writes, and the router finds out by itself whether it does.
+//! list in any zone: only it can take writes, and the router detects by its own attempts whether it does.
 
 use super::capacity::{UsualLoad, ZoneLoad};
 use super::detector::{ZoneReport, ZoneReports, assess_zone};
@@ -42,7 +42,7 @@
     pub group_confined_to_zone: bool,
 }
 
-/// What this peer knows about zones.
+/// One peer's state of the zones: reports, usual loads, the weights in its endpoint list, and local evacuations.
 #[derive(Debug)]
 pub struct ZoneState {
     policy: EvacuationPolicy,
@@ -205,7 +205,7 @@
         zones
     }
 
-    /// The zones whose overdue answers are not awaited: evacuated ones and, while another zone is healthy, unhealthy
+    /// The zones whose overdue responses are not awaited: evacuated ones and, while another zone is healthy, unhealthy
     /// ones.
     pub fn abandoned_zones(&self, now: Timestamp, state: &ClusterState) -> BTreeSet<ZoneId> {
         let mut zones = self.reduced_zones(now, state);
@@ -240,7 +240,7 @@
         changed
     }
 
-    /// Returns an endpoint of the committed list as this peer's router has to see it.
+    /// Returns the entry of an endpoint of the committed list as it is passed to this peer's router.
     pub fn apply_weight(
         &self,
         now: Timestamp,
@@ -259,7 +259,7 @@
         EndpointRecord { weight: weight.max(PRIMARY_ONLY_WEIGHT), availability, ..listed }
     }
 
-    /// Returns the weight that an operator's command gives a zone.
+    /// Returns the weight of a zone after an operator's command.
     ///
     /// # Errors
     /// [`ZoneCommandError::LastZone`] if the command would evacuate the last zone in service.
--- a/src/fleet/zones/tests.rs
+++ b/src/fleet/zones/tests.rs
@@ -111,7 +111,7 @@
 /// A simulation of three zones whose endpoints fail and return cold, with their committed weights.
 struct ZoneSimulation {
     weights: BTreeMap<ZoneId, ZoneWeight>,
-    /// Until when each zone gives no answers.
+    /// Until when the endpoints of each zone do not respond.
     unresponsive_until: [Timestamp; 3],
     /// Since when the endpoints of each zone have been running.
     started_at: [Timestamp; 3],
@@ -151,7 +151,7 @@
 }
 
 /// Guards against evacuating the last zone, two moves at once, a return step beyond a zone's capacity, flapping, and a
-/// zone that never returns. Seeded: zones stop answering and return cold at any time.
+/// zone that never returns. Seeded: zones stop responding and return cold at any time.
 #[test]
 fn zones_are_evacuated_at_once_and_return_no_faster_than_they_warm_up() {
     for seed in 0..40 {
--- a/src/store/raft_message.rs
+++ b/src/store/raft_message.rs
@@ -12,9 +12,9 @@
 pub struct RaftMessage {
     /// The kind of message: one of the constants in [`kind`].
     pub(super) kind: u8,
-    /// The receiver.
+    /// The node that the message is addressed to. A node rejects messages addressed to another one.
     pub to: NodeId,
-    /// The sender.
+    /// The node that sent the message. Messages that name another node than the connected peer are rejected.
     pub from: NodeId,
     /// The sender's term; in a pre-vote, the term of the election that the sender considers starting.
     pub term: u64,
@@ -144,8 +144,8 @@
         self.snapshot.is_some()
     }
 
-    /// The term that the sender must have persisted, or `None` if the message does not tell. A pre-vote does not,
-    /// since it names a term that no node has entered yet.
+    /// The term that the sender must have persisted, or `None` if the message does not imply one. A pre-vote does
+    /// not, since its term is one that the sender has not entered yet.
     pub fn persisted_term(&self) -> Option<u64> {
         let is_persisted = matches!(
             self.kind,
--- a/src/store/raft_node.rs
+++ b/src/store/raft_node.rs
@@ -67,7 +67,7 @@
     Failed,
 }
 
-/// How far a node has replicated the log, as known to the leader.
+/// How far a node has replicated the log, as last reported to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProgress {
     /// The node's id. The leader itself has an entry too.
@@ -131,7 +131,7 @@
         self.log().applied.index
     }
 
-    /// The index of the last entry that this node knows to be committed.
+    /// The commit index of this node: the index of the last entry that is known to be committed.
     pub fn committed(&self) -> u64 {
         self.node.raft.raft_log.committed
     }
@@ -212,7 +212,7 @@
     }
 
     /// Starts an election at once, without waiting for the election timeout. Used by the only voter of a fleet, and by
-    /// a node that knows that there is no leader.
+    /// a node that has determined that there is no leader to wait for.
     pub fn campaign(&mut self) {
         // The only error is that this node must not be elected; then there is nothing to do.
         let _ = self.node.campaign();
@@ -263,7 +263,7 @@
         self.node.propose_conf_change(codec::encode(change), raft_conf_change(change)).is_ok()
     }
 
-    /// Asks a majority whether this node is still the leader, by a Raft read index request.
+    /// Requests confirmation from a majority that this node is still the leader, by a Raft read index request.
     /// [`RaftNode::take_confirmed_checks`] returns `number` once a majority has confirmed it. The check is lost, and
     /// the caller has to request it again, if the leader has not committed an entry of its term yet or if messages are
     /// lost.
--- a/src/store/raft_node/applied.rs
+++ b/src/store/raft_node/applied.rs
@@ -7,7 +7,7 @@
 pub enum AppliedContent {
     /// A change of the replicated state, with the node that proposed it.
     Change(Proposal),
-    /// A membership change.
+    /// A change of the members or of the Raft configuration.
     Membership(MembershipChange),
     /// The whole replicated state: the entries up to this one were received as a snapshot, or the state was reloaded
     /// from storage.
--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -25,7 +25,7 @@
 /// Maximum number of members of a fleet, including learners.
 pub const MAX_MEMBERS: usize = 32;
 
-/// Maximum number of undone drains, and of removed members, that are remembered. It must be the same on all nodes. A
+/// Maximum number of undone drains, and of removed members, that the state keeps. It must be the same on all nodes. A
 /// drain that is committed after its undrain and this many further ones takes effect again.
 const MAX_TOMBSTONES: usize = 10_000;
 
@@ -85,7 +85,7 @@
     pub hosts: BTreeMap<String, HostRecord>,
     /// The drains in force, by the name of the host. No set is empty.
     pub drains: BTreeMap<String, BTreeSet<DrainId>>,
-    /// Undone drains, each with the index of the entry that undid it. They are remembered, at most [`MAX_TOMBSTONES`],
+    /// Undone drains, each with the index of the entry that undid it. They are kept, at most [`MAX_TOMBSTONES`],
     /// so that a drain that is committed after its undrain stays undone.
     pub undone_drains: BTreeMap<DrainId, u64>,
     /// Fleets that an operator has replaced with this one. Nodes that still belong to one of them join this fleet.
@@ -190,7 +190,7 @@
         ApplyResult::Done
     }
 
-    /// Undoes the drains that the requester knew of, including those that are not committed yet. Others stay in force.
+    /// Undoes the listed drains, including those that are not committed yet. Others stay in force.
     fn apply_undrain(&mut self, index: u64, host: &str, drains: &[DrainId]) -> ApplyResult {
         let mut in_force = self.drains.remove(host).unwrap_or_default();
         for drain in drains {
--- a/src/store/state_machine/change.rs
+++ b/src/store/state_machine/change.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Identifies a drain request. An undrain lists the drain requests that it undoes, so that one that its requester did
-/// not know of stays in force.
+/// Identifies a drain request. An undrain lists the drain requests that it undoes, so that a request that its requester
+/// had not received stays in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DrainId {
     /// The node that received the request from an operator.
@@ -19,20 +19,20 @@
     pub sequence: u64,
 }
 
-/// A drain request that may not be committed yet, with its host. Every node that knows it stops sending new requests
+/// A drain request that may not be committed yet, with its host. Every node that receives it stops sending new requests
 /// to the host at once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PendingDrain {
     /// The name of the host.
     pub host: String,
-    /// The drain request.
+    /// The id of the drain request.
     pub drain: DrainId,
 }
 
 /// What the replicated state records about a node of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The name in the operator's file of the node.
+    /// The name from the node's operator's file.
     pub name: String,
     /// The address at which peers reach the node, unless their own operator's files give another one.
     pub address: SocketAddr,
@@ -45,14 +45,14 @@
     Drain {
         /// The name of the host.
         host: String,
-        /// The drain request.
+        /// The id of the drain request.
         drain: DrainId,
     },
     /// Drain requests of a host are undone.
     Undrain {
         /// The name of the host.
         host: String,
-        /// The drain requests that the requester of the undrain knew of.
+        /// The drain requests that are undone: those that the requester of the undrain had received.
         drains: Vec<DrainId>,
     },
     /// The difference from the committed inventory to an inventory file.
@@ -119,11 +119,11 @@
 pub struct JoiningMember {
     /// The id of the joining node.
     pub id: NodeId,
-    /// Its name and address.
+    /// The name and address of the joining node.
     pub member: Member,
 }
 
-/// A membership change.
+/// A change of the members and of the Raft configuration, appended as one log entry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MembershipChange {
     /// The changes of the Raft configuration. They take effect together.
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -65,7 +65,7 @@
 pub struct StoreContents {
     /// The consensus state; the default if the storage is new.
     pub raft: RaftPersistentState,
-    /// Drain requests that were not known to be committed.
+    /// The pending drains as last written: requests that were not known to be committed.
     pub drains: Vec<PendingDrain>,
     /// The furthest progress that each peer has reported for itself.
     pub reported_progress: BTreeMap<NodeId, PersistedProgress>,
@@ -80,7 +80,7 @@
 
 /// A node's storage, and its contents when it was opened.
 pub struct OpenedStorage {
-    /// The open storage.
+    /// The storage, ready for further reads and writes.
     pub storage: DurableStorage,
     /// What the storage contained.
     pub contents: StoreContents,
--- a/src/store/storage/identity.rs
+++ b/src/store/storage/identity.rs
@@ -43,7 +43,8 @@
 /// Why a node discards its identity and continues as a new node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdentityResetReason {
-    /// Peers have seen more progress of this node than its storage holds: the storage was restored from an older copy.
+    /// Peers have recorded more progress of this node than its storage contains: the storage was restored from an older
+    /// copy.
     OutdatedStorage,
     /// An operator started a new fleet that replaces the fleet of this node.
     SupersededFleet,
@@ -62,7 +63,7 @@
     }
 }
 
-/// The progress of a node's storage, as the node reports it to peers. Peers remember the furthest report. If the node
+/// The progress of a node's storage, as the node reports it to peers. Peers store the furthest report. If the node
 /// later reports less, its storage was restored from an older copy, and it must not vote again in a term in which it
 /// has already voted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/store/store_thread/interface.rs
+++ b/src/store/store_thread/interface.rs
@@ -21,7 +21,7 @@
     ///
     /// A change that only removes hosts from service is appended at once. Any other change is appended once a majority
     /// has confirmed that this node is still the leader. Otherwise an isolated leader would append a change that could
-    /// be committed long after its requester has given up on it.
+    /// be committed long after its requester has stopped waiting for it.
     Propose(Proposal),
     /// Proposes a membership change, if this node is the leader.
     ChangeMembership(MembershipChange),
@@ -38,8 +38,8 @@
     FoundFleet(Box<ClusterState>),
     /// Starts a fleet with this node as its only member that continues from this state. An operator requests it.
     ForceNewFleet(Box<ClusterState>),
-    /// Starts to participate in the consensus, after enough voters have compared this node's storage with its earlier
-    /// reports.
+    /// Starts to participate in the consensus. Sent after a majority of the voters has compared this node's storage
+    /// with its earlier reports.
     StartParticipating,
     /// Discards this node's identity, and continues as a new node.
     ResetIdentity(IdentityResetReason),
@@ -115,7 +115,7 @@
     pub identity: NodeIdentity,
     /// The replicated state after the last entry that is known to be applied.
     pub state: ClusterState,
-    /// The initial status.
+    /// The status in the consensus before the thread has handled any command.
     pub status: StoreStatus,
     /// The drains that are not known to be committed: the pending ones in storage, and those in log entries that are
     /// not applied yet.
--- a/src/store/store_thread/proposals.rs
+++ b/src/store/store_thread/proposals.rs
@@ -4,7 +4,7 @@
 use crate::store::state_machine::Proposal;
 use std::collections::BTreeMap;
 
-/// How long a proposal waits for a majority to confirm the leadership, and how long an appended proposal is remembered
+/// How long a proposal waits for a majority to confirm the leadership, and how long an appended proposal is recorded
 /// so that it is not appended again. 40 ticks of 50 ms are 2 s, which is longer than an election and than the interval
 /// at which a proposer repeats its proposal.
 const PROPOSAL_TTL_TICKS: u32 = 40;
