--- a/src/fleet/gossip/restored.rs
+++ b/src/fleet/gossip/restored.rs
@@ -11,7 +11,7 @@
 use crate::time::{LogPosition, TimeDelta, Timestamp};
 use std::collections::BTreeMap;
 
-/// Number of assumed answers at full utilization that are averaged with the reported utilization: without them, a few
+/// Number of assumed responses at full utilization that are averaged with the reported utilization: without them, a few
 /// reports of a low utilization could give a capacity many times the rate served.
 const PRIOR_ANSWERS_AT_FULL_UTILIZATION: f64 = 4.0;
 /// A lower utilization counts as this: endpoints round it, and it varies by chance.
@@ -36,8 +36,8 @@
     position_at: Timestamp,
     /// Rate at which the endpoint served all peers together, in thousandths of a request per second.
     service_rate_milli: u32,
-    /// The part of the service rate, in requests per second, that came with a reported utilization, and the same
-    /// weighted by that utilization.
+    /// The sum of the service rates, in requests per second, of the records that contain a utilization, and the sum of
+    /// the products of rate and utilization.
     reported_rate_rps: f64,
     utilized_rate_rps: f64,
 }
@@ -66,7 +66,7 @@
     }
 
     /// Requests per second that the endpoint can serve when warm: the rate served divided by the utilization. The fewer
-    /// answers the reported utilization rests on, the closer to 1 it is taken.
+    /// responses the reported utilization is based on, the closer to 1 is the utilization that is assumed.
     pub(super) fn warm_capacity_rps(&self) -> f64 {
         let rate_rps = f64::from(self.service_rate_milli) / 1000.0;
         if !self.reported_utilization() {
--- a/src/fleet/gossip/state.rs
+++ b/src/fleet/gossip/state.rs
@@ -115,8 +115,8 @@
     }
 
     /// Returns the records that a peer with this digest lacks: this node's own observations, and those of nodes that
-    /// the peer does not reach itself (`peer_reaches`). The oldest of each node come first, `limit` at most in total;
-    /// the rest follows with the next digest.
+    /// the peer does not reach itself (`peer_reaches`). Returns at most `limit` records, the oldest of each node first;
+    /// the others follow with the next digest.
     pub fn records_missing_from(
         &self,
         now: Timestamp,
@@ -235,13 +235,13 @@
         self.restored.add(now, records, elapsed);
     }
 
-    /// Log positions from before this start. They only prove what their endpoints once reported: an endpoint that
-    /// reports a lower position now has gone back.
+    /// Log positions from before this start. They only prove what their endpoints once reported: a lower
+    /// position reported now shows that the endpoint's log was rolled back.
     pub fn restored_positions(&self) -> Vec<PeerObservation> {
         self.restored.positions()
     }
 
-    /// The primaries known before this start, as guesses for groups without a believed primary.
+    /// The primaries observed before this start, as guesses for groups without a believed primary.
     pub fn restored_primaries(&self, state: &ClusterState) -> BTreeMap<GroupId, RestoredPrimary> {
         self.restored.primaries(state, |group| self.primary_beliefs().contains_key(&group))
     }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -78,7 +78,7 @@
     pub term: u64,
     /// Term and index of the last entry in the sender's log.
     pub last_entry: EntryId,
-    /// Whether the sender takes part in the consensus: it processes Raft messages and votes.
+    /// Whether the sender participates in the consensus: it processes Raft messages and votes.
     pub participates: bool,
     /// The sender's commit index.
     pub commit_index: u64,
--- a/src/fleet/recovery/first_election.rs
+++ b/src/fleet/recovery/first_election.rs
@@ -1,9 +1,10 @@
 //! Which node starts the first election after a start.
 //!
-//! By default an election starts after 10 to 20 ticks without a heartbeat, since a leader may be there and sends one
-//! that often. After a power failure there is no leader to wait for: once a majority of the voters is reachable and
-//! none of them reports a leader, the one with the newest log starts an election at once. Raft still decides whether it
-//! wins and that a term has at most one winner: a wrong choice here costs one exchange of messages.
+//! By default an election starts after 10 to 20 ticks without a heartbeat, since an existing leader sends one within
+//! that time. After a power failure there is no leader to wait for: once a majority of the voters is reachable and
+//! none of them reports a leader, the one with the newest log starts an election at once. Raft still
+//! determines whether it wins, and ensures that a term has at most one winner: a wrong choice here costs one exchange
+//! of messages.
 
 use crate::ids::NodeId;
 use crate::store::records::EntryId;
@@ -53,7 +54,7 @@
 
 impl FirstElection {
     /// Whether this node starts an election now; if so, the call counts as its start. `reachable` lists the other nodes
-    /// that are reachable and take part in the consensus.
+    /// that are reachable and participate in the consensus.
     pub fn is_due(&mut self, now: Timestamp, local: Voter, voters: &[NodeId], reachable: &[Voter]) -> bool {
         self.leader_known |= local.knows_leader();
         let reachable_count = reachable.iter().filter(|voter| voters.contains(&voter.id)).count() + 1;
--- a/src/fleet/recovery/persisted.rs
+++ b/src/fleet/recovery/persisted.rs
@@ -66,7 +66,7 @@
     }
 }
 
-/// The age at `now` of something written at `written_at`.
+/// The age at `now` of data that was written at `written_at`.
 ///
 /// Time during which the machine was off is included. If the clock was set, the age is not known, and old data must not
 /// count as fresh.
--- a/src/fleet/recovery/phases.rs
+++ b/src/fleet/recovery/phases.rs
@@ -18,16 +18,16 @@
 use std::fmt;
 
 /// A group is opened after this time even if its primary or its log positions are not known: clients should not wait
-/// any longer for what the router finds out with the requests themselves.
+/// any longer for what the router can determine by sending the requests.
 pub const READINESS_TIMEOUT: TimeDelta = TimeDelta::from_millis(600);
 /// Peers take turns polling endpoints for at least this long after the endpoint list was received: an observed log
 /// position stays useful for about a second.
 pub const MIN_SHARED_POLLING_TIME: TimeDelta = TimeDelta::from_secs(1);
-/// Recovery takes at least this long, and shared polling ends after it even if some endpoint has not answered: a
+/// Recovery takes at least this long, and shared polling ends after it even if some endpoint has not responded: a
 /// process that waits for a peer's observation sends its reads to the primary in the meantime.
 pub const MIN_RECOVERY_TIME: TimeDelta = TimeDelta::from_secs(2);
-/// The minimum capacity assumed of a warm endpoint, in requests per second: a low guess where no service rate is known,
-/// to give admission a rate to grow from.
+/// The minimum capacity assumed of a warm endpoint, in requests per second: a low estimate where no service rate is
+/// known, as the initial rate that admission can increase.
 const MIN_WARM_CAPACITY_RPS: f64 = 10.0;
 /// Retry-after hint for requests rejected while a group is closed to admission.
 const CLOSED_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(100);
--- a/src/fleet/recovery/slow_start.rs
+++ b/src/fleet/recovery/slow_start.rs
@@ -5,7 +5,7 @@
 
 use crate::time::TimeDelta;
 
-/// The fraction of the load at which a cold endpoint fails that all processes together admit at most.
+/// The maximum load that all processes together admit to a cold endpoint, as a fraction of the load at which it fails.
 const SAFE_LOAD_FRACTION: f64 = 0.8;
 /// The fraction of that load reserved for the processes that reach no majority, all of them together.
 const MINORITY_LOAD_FRACTION: f64 = 0.5;
@@ -22,7 +22,7 @@
 }
 
 impl SlowStartPolicy {
-    /// The fraction of its capacity that an endpoint has at least at this age. An endpoint without a known start
+    /// The minimum fraction of its full capacity that an endpoint has at this age. An endpoint without a known start
     /// (`None`) counts as warm.
     pub fn capacity_share(&self, age: Option<TimeDelta>) -> f64 {
         let Some(age) = age else { return 1.0 };
--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -70,8 +70,8 @@
         Some(self.zones.state().apply_weight(self.now, record, state, placement))
     }
 
-    /// Whether an endpoint may be its group's primary. If the primary is unknown or was last seen in a lost zone, this
-    /// is true for every endpoint of the group outside lost zones.
+    /// Whether an endpoint may be its group's primary. If the primary is unknown or was last observed in a lost zone,
+    /// this is true for every endpoint of the group outside lost zones.
     fn may_be_primary(&self, name: &str, record: &EndpointRecord) -> bool {
         let gossip = self.gossip.state();
         let Some(belief) = gossip.primary_beliefs().get(&record.group) else {
--- a/src/fleet/runtime/event_loop.rs
+++ b/src/fleet/runtime/event_loop.rs
@@ -16,7 +16,7 @@
 const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(1);
 
 /// A candidate is removed after this many times [`crate::config::Limits::peer_gone_timeout`] without a message. The
-/// leader, which would admit it, ignores it after one such timeout.
+/// leader, which would admit it, removes it after one such timeout.
 const CANDIDATE_EXPIRY_FACTOR: u32 = 5;
 
 impl Fleet {
--- a/src/fleet/runtime/operator_recovery.rs
+++ b/src/fleet/runtime/operator_recovery.rs
@@ -1,6 +1,6 @@
 //! Recovery after the permanent loss of a majority: on an operator's order, one node continues alone as a new fleet.
 //!
-//! The program never decides this by itself, even if most voters are lost for good. The new fleet records the fleet
+//! The program never decides this by itself, even if most voters are permanently lost. The new fleet records the fleet
 //! that it supersedes. Nodes of that fleet to which no leader is known discard their identity and join the new one.
 
 use super::Fleet;
--- a/src/fleet/zones/capacity.rs
+++ b/src/fleet/zones/capacity.rs
@@ -7,7 +7,7 @@
 /// A lower non-zero utilization may be a rounding error and counts as this.
 const MIN_UTILIZATION: f64 = 0.05;
 /// Assumed capacity of a zone whose endpoints report no utilization, as a multiple of what it served: it handled that
-/// much, and how much more it could is not known.
+/// load, and its reserve beyond it is unknown.
 const UNREPORTED_CAPACITY_FACTOR: f64 = 1.25;
 /// Weight of each new measurement in the moving average of a zone's load.
 const LOAD_SMOOTHING: f64 = 0.05;
--- a/src/fleet/zones/evacuation.rs
+++ b/src/fleet/zones/evacuation.rs
@@ -47,7 +47,7 @@
 }
 
 impl EvacuationController {
-    /// Returns a controller that has not seen any weights.
+    /// Returns a controller that has not recorded any weights.
     pub fn new(backoff: EvacuationBackoff) -> EvacuationController {
         EvacuationController { backoff, seen_weights: BTreeMap::new() }
     }
--- a/src/store/raft_message.rs
+++ b/src/store/raft_message.rs
@@ -16,7 +16,7 @@
     pub to: NodeId,
     /// The node that sent the message. Messages that name another node than the connected peer are rejected.
     pub from: NodeId,
-    /// The sender's term; in a pre-vote, the term of the election that the sender considers starting.
+    /// The sender's term; in a pre-vote, the term of the election that would follow.
     pub term: u64,
     pub(super) log_term: u64,
     /// The index of an entry: in an append, of the entry before the appended ones; in the response, of the last entry
