--- a/src/clock.rs
+++ b/src/clock.rs
@@ -43,7 +43,7 @@
         Clock { started: Instant::now(), unix_at_start: system_time(), stepped_micros: Arc::default() }
     }
 
-    /// The current time.
+    /// The current Unix time of this clock, which never goes back.
     pub fn now(&self) -> Timestamp {
         self.now_at_system_time(system_time())
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -24,7 +24,8 @@
 const OPERATOR_RESERVED_SOCKETS: usize = 40;
 /// Minimum number of client and backend connections, even if all descriptors are reserved.
 const MIN_FREE_SOCKETS: usize = 16;
-/// Measured time that an overloaded discovery takes for one call.
+/// Time that an overloaded discovery takes for one call. Repeated calls are spread over this time multiplied by the
+/// number of poolers.
 const DISCOVERY_CALL_COST: Duration = Duration::from_millis(200);
 /// Number of poolers in a tier above which the spread of their calls no longer grows.
 const MAX_SPREAD_POOLERS: u32 = 10_000;
@@ -95,8 +96,8 @@
     pub open_requests: usize,
     /// Capacity of the engine thread's input queue.
     pub input_queue: usize,
-    /// The engine answers a request by its deadline. A request still unanswered this long after it fails without the
-    /// engine.
+    /// The router answers a request by its deadline. If a request is still unanswered this long after its deadline, the
+    /// engine fails it without the router.
     pub deadline_grace: Duration,
     /// Timeout of a request whose client sends none.
     pub default_client_timeout: Duration,
@@ -136,7 +137,7 @@
     pub discovery_answer_bytes: usize,
     /// How long discovery may hold a watch open while the list does not change.
     pub discovery_watch_timeout: Duration,
-    /// How much longer than that discovery may take to answer.
+    /// How much longer than `discovery_watch_timeout` discovery may take to answer.
     pub discovery_timeout: Duration,
     /// How long discovery may hold the first call after a failed one.
     pub discovery_recheck_timeout: Duration,
@@ -211,9 +212,9 @@
 /// it with unread input would send a reset, with which the client may lose the answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseLinger {
-    /// Maximum time.
+    /// Maximum time for which input is read and discarded.
     pub timeout: Duration,
-    /// Maximum number of bytes.
+    /// Maximum number of bytes that are read and discarded.
     pub bytes: usize,
 }
 
--- a/src/config/defaults.rs
+++ b/src/config/defaults.rs
@@ -59,11 +59,11 @@
     postgres_row_bytes: MAX_STORED_VALUE_BYTES + KIB,
 
     discovery_answer_bytes: 4 * MIB,
-    // A watch that went silent must be detected before a change counts as announced, 6 s after discovery received it.
-    // Detection takes one watch, its timeout, the first backoff and another timeout.
+    // A silent watch must be detected within the 6 s in which a change must be applied, counted from its receipt by
+    // discovery. Detection takes one watch, its timeout, the first backoff and another timeout.
     discovery_watch_timeout: Duration::from_secs(2),
     discovery_timeout: Duration::from_secs(1),
-    // Short, because a change that discovery announces counts as announced even if no watch is open.
+    // Short, because the 6 s for applying a change also pass while no watch is open.
     discovery_recheck_timeout: Duration::from_millis(100),
     // Together with the longest backoff and another timeout, this stays within the 6 s.
     discovery_timeout_after_failure: Duration::from_millis(2_500),
--- a/src/daemon/operator.rs
+++ b/src/daemon/operator.rs
@@ -45,9 +45,9 @@
 
 /// Serves until SIGTERM.
 ///
-/// The startup order matters. The store's listener and the fleet start first, because this daemon must learn of the
-/// drains that other daemons know before it sends the first request. Clients are accepted next and told to retry. The
-/// engine starts once settings are agreed and this daemon has caught up with the fleet's log.
+/// The startup order matters. The store's listener and the fleet start first, because this daemon must receive the
+/// drains that other daemons have stored before it sends the first request. Clients are accepted next and rejected with
+/// a retry delay. The engine starts once settings are agreed and this daemon has caught up with the fleet's log.
 ///
 /// # Errors
 /// [`DaemonError`] if a file, an address, the store or the settings cannot be used, or if the engine thread ends.
--- a/src/daemon/operator/client_front.rs
+++ b/src/daemon/operator/client_front.rs
@@ -1,4 +1,5 @@
-//! The listener of the SPARQL front. It accepts clients before requests can be served, and tells them when to retry.
+//! The listener of the SPARQL front. It accepts clients before requests can be served, and rejects them with a retry
+//! delay until then.
 
 use crate::clock::Clock;
 use crate::config::Limits;
@@ -64,7 +65,7 @@
     }
 }
 
-/// Tells a client to retry after a random delay of one to two times `Limits::front_retry_after`: clients that retry at
+/// Rejects a client with a random retry delay of one to two times `Limits::front_retry_after`: clients that retry at
 /// the same time would overload a daemon that has just started.
 async fn reject(stream: Async<TcpStream>, slot: ConnectionSlot, limits: Rc<Limits>, clock: Clock) {
     let min_micros = TimeDelta::from(limits.front_retry_after).as_micros();
--- a/src/endpoint_list_json.rs
+++ b/src/endpoint_list_json.rs
@@ -89,7 +89,7 @@
             zone: ZoneId(zone as u8),
             group: GroupId(self.group),
             availability,
-            // Roles are learned only from responses of the endpoints.
+            // Roles are taken only from responses of the endpoints.
             primary: false,
             weight: self.weight.filter(|weight| weight.is_finite()).unwrap_or(1.0),
             started_at: started_at_millis
--- a/src/engine/admission.rs
+++ b/src/engine/admission.rs
@@ -22,7 +22,8 @@
 const QUEUEING_LATENCY_FACTOR: f64 = 2.0;
 /// Allowance for latency that scheduling and the network may add to any answer.
 const LATENCY_JITTER: TimeDelta = TimeDelta::from_millis(30);
-/// Upper limit of that multiple: an answer that took longer counts as delayed by a queue, however slow its class is.
+/// Upper limit of [`QUEUEING_LATENCY_FACTOR`] times the fastest latency of a class: an answer that took longer counts
+/// as delayed by a queue, however slow its class is.
 const MAX_PROMPT_LATENCY: TimeDelta = TimeDelta::from_secs(1);
 /// A queue is too long if an answer takes longer than the latency objective of its class divided by this. Longer queues
 /// make the router send reads to endpoints whose capacity is needed for other requests.
@@ -46,7 +47,7 @@
     },
 }
 
-/// What the controller knows about a request class.
+/// The controller's state of a request class.
 #[derive(Clone, Copy, Debug)]
 struct ClassAdmission {
     kind: RequestKind,
--- a/src/engine/admission/paced_rate.rs
+++ b/src/engine/admission/paced_rate.rs
@@ -86,7 +86,7 @@
     /// Whether the rate has exceeded the capacity before.
     exceeded_capacity: bool,
     last_rejected_at: Timestamp,
-    /// Attempts that were sent before this time say nothing about the current rate.
+    /// The outcomes of attempts that were sent before this time do not reflect the current rate.
     last_decreased_at: Timestamp,
 }
 
--- a/src/engine/admission/policy.rs
+++ b/src/engine/admission/policy.rs
@@ -54,14 +54,14 @@
         capacity_per_s: f64,
         /// Upper bound of the rate, in requests per second.
         max_per_s: f64,
-        /// How `capacity_per_s` is known.
+        /// How `capacity_per_s` was determined.
         capacity_source: CapacitySource,
     },
     /// All are admitted.
     Open,
 }
 
-/// How the capacity of a group's endpoints is known.
+/// How the capacity of a group's endpoints was determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacitySource {
     /// All endpoints reported their utilization; the capacity is the rate that they served divided by the utilization.
--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -24,7 +24,7 @@
     pub primary: bool,
     /// Its capacity relative to other endpoints.
     pub weight: f64,
-    /// When it last started; `None` if the list does not say.
+    /// When it last started; `None` if the list has no start time.
     pub started_at: Option<Timestamp>,
 }
 
@@ -103,11 +103,11 @@
     pub changed: Vec<EndpointState>,
 }
 
-/// Limits the number of groups that are remembered. Beyond it, groups without an endpoint are forgotten.
+/// Limits the number of groups that are stored. Beyond it, groups without an endpoint are removed.
 const MAX_REMEMBERED_GROUPS: usize = 1024;
 
-/// The engine's state of the endpoint list. An endpoint that has left the list is forgotten: endpoints are replaced all
-/// the time, and memory use would grow without limit.
+/// The engine's state of the endpoint list. An endpoint that has left the list is removed: endpoints are replaced all
+/// the time, and memory use would otherwise grow without limit.
 #[derive(Default)]
 pub struct EndpointRegistry {
     /// Every group that a list has contained. A group without endpoints is kept, since it may get new ones.
@@ -145,7 +145,7 @@
 }
 
 impl EndpointRegistry {
-    /// Registers a name, unless it is registered already, and returns its id. If another name has the same hash, the new
+    /// Registers a name unless it is registered already, and returns its id. If another name has the same hash, the new
     /// name gets a different id.
     pub fn register(&mut self, name: &str) -> EndpointId {
         self.register_with_hash(name, derive_id)
--- a/src/engine/log_rollback.rs
+++ b/src/engine/log_rollback.rs
@@ -1,7 +1,8 @@
 //! Ranges of a group's log that were lost because its primary went back to an earlier position. No I/O.
 //!
 //! An endpoint that loses power may lose commits that it had not synced to disk. A session that refers to a lost commit
-//! must be told so. Otherwise the session would take data without its write, older or newer, for data that contains it.
+//! must receive an error. Otherwise its client would assume that data without its write, older or newer, contains the
+//! write.
 
 use crate::routing::{GroupId, LogPosition};
 use serde::{Deserialize, Serialize};
@@ -36,7 +37,7 @@
     }
 
     /// Records a rollback; returns whether it adds to what was known. Rollbacks to the same position are the same
-    /// rollback, which several processes noticed at different times.
+    /// rollback, which several processes detected at different times.
     pub fn record(&mut self, rollback: LogRollback) -> bool {
         if rollback.to <= rollback.from {
             return false;
--- a/src/engine/message.rs
+++ b/src/engine/message.rs
@@ -180,7 +180,7 @@
     CommittedSince(Timestamp),
 }
 
-/// What the engine asks the backend pool, discovery or gossip to do.
+/// Instructions of the engine to the backend pool, discovery or gossip.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command<W> {
     /// Send an attempt to an endpoint.
@@ -191,13 +191,13 @@
         attempt: u8,
         /// The endpoint's id, to be returned with what the endpoint reports about itself.
         endpoint: EndpointId,
-        /// The endpoint's name, by which the backend pool knows it.
+        /// The endpoint's name, which is its key in the backend pool.
         endpoint_name: String,
         /// The work of the request.
         work: W,
         /// When to stop waiting for the answer.
         deadline: Timestamp,
-        /// The attempt must not be sent after this time: an earlier attempt may have run, and endpoints forget its
+        /// The attempt must not be sent after this time: an earlier attempt may have run, and endpoints discard its
         /// idempotency key then. `None` if there is no such limit.
         send_by: Option<Timestamp>,
         /// How current the data of the answer has to be.
@@ -207,7 +207,7 @@
     Probe {
         /// The endpoint's id, to be returned with the report.
         endpoint: EndpointId,
-        /// The endpoint's name, by which the backend pool knows it.
+        /// The endpoint's name, which is its key in the backend pool.
         endpoint_name: String,
     },
     /// Cancel an attempt in flight.
--- a/src/engine/metrics.rs
+++ b/src/engine/metrics.rs
@@ -15,7 +15,7 @@
     Error,
 }
 
-/// Metrics that are measured when they are read.
+/// Metrics whose values are taken when they are read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Number of requests that were admitted and have not ended.
--- a/src/engine/observations.rs
+++ b/src/engine/observations.rs
@@ -58,7 +58,7 @@
 pub struct EndpointReport {
     /// The endpoint's role and log position.
     pub replica_status: ReplicaStatus,
-    /// How long the endpoint has been running; `None` if it does not say.
+    /// How long the endpoint has been running; `None` if it reports none.
     pub uptime: Option<TimeDelta>,
     /// When the answered request was sent.
     pub requested_at: Timestamp,
@@ -79,8 +79,8 @@
     arrived_at: Timestamp,
 }
 
-/// What is known of one endpoint. `served`, `utilization` and `regression` cover the time since observations were last
-/// taken.
+/// The reports of one endpoint, as far as they are kept. `served`, `utilization` and `regression` cover the time since
+/// observations were last taken.
 #[derive(Clone, Copy, Debug, Default)]
 struct EndpointHistory {
     latest: Option<LatestStatus>,
--- a/src/engine/outcome_window.rs
+++ b/src/engine/outcome_window.rs
@@ -49,7 +49,7 @@
 }
 
 impl OutcomeCounts {
-    /// How an ended attempt is counted; `None` if it says nothing about its endpoint.
+    /// How an ended attempt is counted; `None` if it shows nothing about its endpoint.
     fn of_attempt(outcome: AttemptOutcome, took: TimeDelta, bounds: LatencyBounds) -> Option<OutcomeCounts> {
         let mut counts = OutcomeCounts::default();
         match outcome {
--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -185,7 +185,7 @@
             self.observations.retain(|endpoint| endpoints.get(endpoint).is_some());
             self.polls.retain(|endpoint| endpoints.get(endpoint).is_some());
         }
-        // This command has to precede those of the router's actions: the backend pool must know the state of an
+        // This command has to precede those of the router's actions: the backend pool must have the state of an
         // endpoint before an attempt for it arrives.
         if !applied.changed.is_empty() {
             commands.push(Command::UpdateEndpoints(applied.changed));
--- a/src/engine/request_engine/attempts.rs
+++ b/src/engine/request_engine/attempts.rs
@@ -212,7 +212,7 @@
     }
 }
 
-/// When endpoints forget the idempotency key of a request; an attempt sent after that might run a second time.
+/// When endpoints discard the idempotency key of a request; an attempt sent after that might run a second time.
 /// `first_sent_at` is when the first attempt that may have run was sent. `None` if the class is not keyed.
 fn key_expiry(class: Option<&Class>, first_sent_at: Timestamp) -> Option<Timestamp> {
     let class = class.filter(|class| class.idempotency == Some(Idempotency::Keyed))?;
--- a/src/engine/request_engine/request_table.rs
+++ b/src/engine/request_engine/request_table.rs
@@ -19,7 +19,7 @@
     /// When the first attempt that may have run, but was not served, was sent.
     pub(super) first_may_have_run_at: Option<Timestamp>,
     pub(super) freshness: Freshness,
-    /// The class number.
+    /// The number of the request's class.
     pub(super) class: usize,
     pub(super) group: GroupId,
 }
--- a/src/engine/request_engine/tests.rs
+++ b/src/engine/request_engine/tests.rs
@@ -216,8 +216,8 @@
     assert!(commands.is_empty() && engine.requests.len() == 0, "{commands:?}");
 }
 
-/// The backend pool may send a retry late, when its connection is established. It therefore has to know until when
-/// endpoints remember the idempotency key of the first attempt that may have run.
+/// The backend pool may send a retry late, when its connection is established. The command therefore carries the time
+/// until which endpoints store the idempotency key of the first attempt that may have run.
 #[test]
 fn a_retry_of_a_keyed_request_carries_the_expiry_of_its_key() {
     let (mut engine, mut commands) = engine();
--- a/src/inventory/error.rs
+++ b/src/inventory/error.rs
@@ -62,7 +62,7 @@
     /// Groups set different values for the same endpoint.
     #[error("host {endpoint:?}: {field} is set to both {first:?} and {second:?}")]
     ConflictingValues {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
         /// The field that they set.
         field: String,
@@ -81,7 +81,7 @@
     /// An address does not parse.
     #[error("host {endpoint:?}: {text:?} is no address with a port")]
     InvalidAddress {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
         /// The text that does not parse.
         text: String,
@@ -89,7 +89,7 @@
     /// An address is not a loopback address. Traffic is not encrypted, so it must not leave this machine.
     #[error("host {endpoint:?}: {address} is not a loopback address")]
     NotLoopback {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
         /// The address of the endpoint.
         address: SocketAddr,
@@ -100,7 +100,7 @@
     /// A value does not parse or is out of range.
     #[error("host {endpoint:?}: {field} {value:?} is no such value")]
     InvalidValue {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
         /// The field with this value.
         field: &'static str,
@@ -110,7 +110,7 @@
     /// An endpoint has a region but no zone.
     #[error("host {endpoint:?}: region {region:?} without a zone")]
     RegionWithoutZone {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
         /// The region of the endpoint.
         region: String,
@@ -118,7 +118,7 @@
     /// Endpoints in the same zone have different regions.
     #[error("host {endpoint:?}: its zone is in region {known:?}, not {region:?}")]
     ConflictingRegion {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: String,
         /// The zone's region according to an earlier endpoint.
         known: String,
--- a/src/inventory/record.rs
+++ b/src/inventory/record.rs
@@ -30,7 +30,7 @@
         zone: zone(entry, zones)?,
         weight: weight(entry)?,
         started_at: started_at(entry)?,
-        // Roles are learned only from responses of the endpoints; an inventory is no evidence.
+        // Roles are taken only from responses of the endpoints; an inventory is no evidence of a role.
         primary: false,
     })
 }
--- a/src/inventory/yaml.rs
+++ b/src/inventory/yaml.rs
@@ -73,7 +73,7 @@
     Empty,
     /// A scalar of any type, as text.
     Scalar(String),
-    /// A list.
+    /// A sequence of nodes, in the order of the file.
     List(Vec<Node>),
     /// A mapping, in the order of the file.
     Map(Vec<(String, Node)>),
--- a/src/net/answer_stream.rs
+++ b/src/net/answer_stream.rs
@@ -7,7 +7,8 @@
 use futures_lite::future;
 
 /// A part of a streamed answer. If the channel closes before [`StreamChunk::End`], the endpoint broke off its answer;
-/// the front must close the client's connection without terminating the answer, so that the client notices.
+/// the front must close the client's connection without terminating the answer, so that the client detects that the
+/// answer is incomplete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamChunk {
     /// The next bytes of the answer.
--- a/src/net/backend_pool/attempt.rs
+++ b/src/net/backend_pool/attempt.rs
@@ -112,7 +112,7 @@
         let connection = self.acquire(name).await?;
         let mut connection = self.probe_before_use(name, connection, context).await?;
         // The endpoint may have been drained or restarted while the connection was established. The request is not sent
-        // then: the router has to decide anew, also about the load that a restarted endpoint receives.
+        // then: the router has to route it again, and to limit the load that a restarted endpoint receives.
         if !self.is_usable(name, &connection) {
             return Err(AttemptOutcome::ConnectFailed);
         }
@@ -153,8 +153,8 @@
             // connection, which is therefore closed.
             return self.acquire(name).await;
         }
-        // Reported before this attempt's outcome: the engine must know that the endpoint lost a part of its log before
-        // anything else is written to it.
+        // Reported before this attempt's outcome: if the endpoint lost a part of its log, the engine must receive this
+        // report before anything else is written to the endpoint.
         let took = self.clock.now() - started;
         let probed = Input::ProbeFinished { endpoint: context.endpoint, took, report };
         context.handle.send_input(probed).await;
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -51,7 +51,7 @@
     Data,
     /// The client closed the connection.
     Closed,
-    /// The limiter asked the connection to close, and no request has started.
+    /// The limiter notified the connection to close, and no request has started.
     CloseRequested,
     /// The limiter evicted the connection while a request was incomplete.
     Evicted,
@@ -161,8 +161,9 @@
     /// Waits for input while no request is open.
     ///
     /// The complete first request must arrive within `Limits::first_request_timeout` of the accept, any other request
-    /// within the same time of its first byte. A connection that was asked to close may still complete a request that
-    /// has started, and a new one has `Limits::silent_client_grace` to send its first request, unless it is evicted.
+    /// within the same time of its first byte. A connection that was notified to close may still complete a request
+    /// that has started, and a new one has `Limits::silent_client_grace` to send its first request, unless it is
+    /// evicted.
     ///
     /// # Errors
     /// The I/O error of the read; the connection is broken.
--- a/src/net/connection_limiter.rs
+++ b/src/net/connection_limiter.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Asks all connections to close once no request is open. A client that has sent a part of a request may complete
-    /// it.
+    /// Notifies all connections to close once no request is open. A client that has sent a part of a request may
+    /// complete it.
     pub fn close_after_request(&self) {
         for connection in self.active.borrow().values() {
             connection.request_close();
--- a/src/net/connection_limiter/eviction.rs
+++ b/src/net/connection_limiter/eviction.rs
@@ -59,9 +59,9 @@
 
 /// Closes connections that have been idle for `Limits::client_idle_timeout`.
 ///
-/// While more than `Limits::eviction_threshold` connections have sent requests, the excess is closed among those that sent
-/// only one request and have been idle for `Limits::silent_client_grace`, longest idle first. Otherwise they would use
-/// up the limited number of connections and lock out clients that keep sending requests.
+/// While more than `Limits::eviction_threshold` connections have sent requests, the excess is closed among those that
+/// sent only one request and have been idle for `Limits::silent_client_grace`, longest idle first. Otherwise they would
+/// use up the limited number of connections and lock out clients that keep sending requests.
 pub(super) fn close_idle(active: &Connections, limits: &Limits) {
     let mut served: usize = 0;
     let mut single_request: Vec<&Rc<ConnectionRecord>> = Vec::new();
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,6 +1,6 @@
 //! Watches discovery by long polling and delivers each update of the endpoint list as soon as it arrives.
 //!
-//! The first call fetches the whole list. Each later call asks for the changes since the index of the last list, and
+//! The first call fetches the whole list. Each later call requests the changes since the index of the last list, and
 //! discovery holds it until there are changes. `call` makes a single call; `backoff` chooses timeouts and the pauses
 //! after failures.
 
--- a/src/net/discovery/backoff.rs
+++ b/src/net/discovery/backoff.rs
@@ -45,8 +45,8 @@
 
     /// The times of the next call, which is a watch for changes or fetches the whole list.
     ///
-    /// After a failure watches are short. A change takes effect when it is made, whether or not a call is waiting for
-    /// it, so the time spent on a call that gets no response is lost. With each failure discovery gets more time to
+    /// After a failure, watches are short. A change takes effect when it is made, even if no call is waiting for it, so
+    /// the time spent on a call that gets no response delays its receipt. With each failure discovery gets more time to
     /// respond, since it may have to respond to other poolers first.
     pub(super) fn call_times(&self, is_watch: bool) -> CallTimes {
         let limits = self.limits;
--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -16,13 +16,13 @@
     /// Discovery has no capacity for this call: status 429 or 503.
     #[error("overloaded: status {status}")]
     Overloaded {
-        /// The status code.
+        /// Status code of the response.
         status: String,
     },
     /// The status is not 200, 429 or 503.
     #[error("unexpected status {status}")]
     Status {
-        /// The status code.
+        /// Status code of the response.
         status: String,
     },
     /// The body of the response is not valid UTF-8.
--- a/src/net/http/client.rs
+++ b/src/net/http/client.rs
@@ -31,7 +31,7 @@
 /// Progress of a body that is read in parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyProgress {
-    /// The body continues.
+    /// A part of the body has not been received yet.
     Partial,
     /// The body is complete.
     Complete,
--- a/src/net/inherited_socket.rs
+++ b/src/net/inherited_socket.rs
@@ -43,7 +43,7 @@
 /// Returns a duplicate of the listening socket that this process inherited under the given descriptor number.
 ///
 /// Taking ownership of a raw descriptor number would require unsafe code, since nothing proves that it has no other
-/// owner. The kernel is asked for a duplicate instead, which is returned as an owned descriptor.
+/// owner. Instead, the kernel duplicates the descriptor, and the duplicate is returned as an owned descriptor.
 ///
 /// # Errors
 /// [`InheritedSocketError`] if the descriptor is not a listening stream socket.
--- a/src/net/lifecycle.rs
+++ b/src/net/lifecycle.rs
@@ -9,7 +9,7 @@
 pub enum ServingState {
     /// Requests are served; the initial state.
     Serving,
-    /// Clients are told to use another pooler until an operator activates this one.
+    /// The fronts' readiness checks direct clients to other poolers until an operator activates this one.
     Drained,
     /// The process is shutting down. This state is final.
     Terminating,
@@ -34,13 +34,13 @@
 }
 
 impl Lifecycle {
-    /// The current state.
+    /// Whether and how the process serves clients now.
     pub fn state(&self) -> ServingState {
         self.state.get()
     }
 
-    /// Drains the process. Has no effect if it is drained already, or shutting down, when clients are told to use
-    /// another pooler anyway.
+    /// Drains the process. Has no effect if it is drained already, or if it is shutting down and rejects clients
+    /// anyway.
     pub fn drain(&self) {
         self.change_to(ServingState::Drained);
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,8 @@
 //! Network I/O. It accesses the engine only through [`crate::engine::EngineHandle`].
 //!
 //! - Clients: [`listener`] accepts connections within the limits of [`connection_limiter`], and a front ([`postgres`],
-//!   or [`sparql`] over [`http`]) serves each [`connection`]. [`lifecycle`] tells the fronts whether to serve clients.
+//!   or [`sparql`] over [`http`]) serves each [`connection`]. [`lifecycle`] holds the state that determines whether the
+//!   fronts serve clients.
 //! - Endpoints: [`backend_pool`] runs attempts with the protocol of the front.
 //! - Operators: [`admin_server`].
 //! - Platform: [`discovery`], [`gossip_socket`], [`inherited_socket`].
--- a/src/net/postgres/client_error.rs
+++ b/src/net/postgres/client_error.rs
@@ -9,7 +9,7 @@
 /// Lower bound of the retry-after hint: a hint of 0 ms would make the client retry immediately.
 const MIN_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(1);
 
-/// An error as the client sees it: [`Display`](std::fmt::Display) yields the message field of the ErrorResponse,
+/// An error as the client receives it: [`Display`](std::fmt::Display) yields the message field of the ErrorResponse,
 /// [`ClientError::sqlstate`] its code. Clients decide from the code alone whether they may retry.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ClientError {
@@ -34,7 +34,7 @@
     /// Rejected by admission control, or because no endpoint is usable; nothing was executed.
     #[error("no score host can take this now")]
     Rejected {
-        /// Delay after which to retry; `None` if the router gave none.
+        /// Delay after which to retry; `None` if the router set none.
         retry_after: Option<TimeDelta>,
     },
     /// The pooler is shutting down; nothing was executed.
--- a/src/net/postgres/codec.rs
+++ b/src/net/postgres/codec.rs
@@ -152,7 +152,7 @@
 pub enum StartupKind {
     /// A StartupMessage of protocol version 3.
     Startup,
-    /// An SSLRequest or GSSENCRequest: the client asks for an encrypted connection.
+    /// An SSLRequest or GSSENCRequest: the client requests an encrypted connection.
     Encryption,
     /// A CancelRequest, which refers to a query on another connection.
     Cancel,
--- a/src/net/postgres/front/client.rs
+++ b/src/net/postgres/front/client.rs
@@ -34,7 +34,7 @@
 
 /// An answer that was not written yet.
 pub(super) enum PendingAnswer {
-    /// Encoded messages that are already known.
+    /// Encoded messages that can be written without waiting.
     Bytes(Vec<u8>),
     /// The answer to an empty query, which serves as the readiness check.
     EmptyQuery,
@@ -135,7 +135,7 @@
         if until(deadline, future::or(ready, client_disconnected)).await == Some(ControlFlow::Break(())) {
             return Ok(ControlFlow::Break(()));
         }
-        // The error tells the platform's front layer to send no new clients to a drained pooler.
+        // Because of this error, the platform's front layer sends no new clients to a drained pooler.
         let bytes = match self.front.lifecycle.state() {
             ServingState::Drained => ClientError::Drained.to_query_answer(),
             ServingState::Serving | ServingState::Terminating => Session::empty_query_answer(),
@@ -160,7 +160,7 @@
     }
 
     /// Writes a streamed answer to the oldest pending query. If the endpoint breaks off, the connection is closed
-    /// without ReadyForQuery, so that the client can tell that the answer is incomplete.
+    /// without ReadyForQuery, so that the client can detect that the answer is incomplete.
     async fn write_stream(&mut self, chunks: Receiver<StreamChunk>) -> io::Result<()> {
         loop {
             match next_event(&chunks, &mut self.connection, self.session.input_buffer()).await {
--- a/src/net/postgres/statement.rs
+++ b/src/net/postgres/statement.rs
@@ -1,4 +1,4 @@
-//! A client's statement and the routing comment in front of it, which says how the request is to be routed.
+//! A client's statement and the routing comment in front of it, which determines how the request is routed.
 //!
 //! The comment is a list of `key=value` pairs, as in
 //! `/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */ SELECT …`:
--- a/src/net/sparql/client_error.rs
+++ b/src/net/sparql/client_error.rs
@@ -7,7 +7,7 @@
 use crate::time::TimeDelta;
 use thiserror::Error;
 
-/// The retry-after hint of a rejection for which the router chose none.
+/// The retry-after hint of a rejection for which the router set none.
 const DEFAULT_RETRY_AFTER: TimeDelta = TimeDelta::from_secs(1);
 
 /// An error response. [`Display`](std::fmt::Display) gives its body.
@@ -28,7 +28,7 @@
     /// Rejected by admission control, or because no endpoint is usable; nothing was executed.
     #[error("no score host can take this now")]
     Rejected {
-        /// How long to wait before a retry; `None` if the router chose no time.
+        /// How long to wait before a retry; `None` if the router set none.
         retry_after: Option<TimeDelta>,
     },
     /// The pooler has just started and cannot serve requests yet; nothing was executed.
@@ -55,7 +55,7 @@
     /// An attempt failed; an update may have been executed.
     #[error("the request failed; it may have had an effect")]
     Failed,
-    /// The answer is streamed, but the client speaks HTTP/1.0: without chunks it could not detect a truncated answer.
+    /// The answer is streamed, but the client uses HTTP/1.0: without chunks it could not detect a truncated answer.
     #[error("the answer is too long for HTTP/1.0")]
     ChunksUnsupported,
 }
--- a/src/net/sparql/endpoint.rs
+++ b/src/net/sparql/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint side: sends operations to endpoints that speak SPARQL over HTTP, and receives their responses.
+//! The endpoint side: sends operations to endpoints by the SPARQL protocol over HTTP, and receives their responses.
 
 use super::operation::{AttemptParameters, Operation};
 use super::response_head::{
@@ -41,7 +41,7 @@
 /// An endpoint's answer, as the front sends it to the client.
 #[derive(Clone, Debug)]
 pub struct EndpointAnswer {
-    /// The status code.
+    /// Status code of the response to the client.
     pub status: u16,
     /// The forwarded headers, without those that frame the body.
     pub headers: Vec<(String, String)>,
@@ -172,7 +172,7 @@
             outcome = AttemptOutcome::Misdirected;
         }
         if outcome == AttemptOutcome::Served && framing.is_close_delimited() {
-            // Such a response cannot be told from a truncated one.
+            // Such a response cannot be distinguished from a truncated one.
             log::warn!("endpoint: response rejected: neither Content-Length nor chunked transfer coding");
             outcome = AttemptOutcome::Error;
         }
--- a/src/net/sparql/front.rs
+++ b/src/net/sparql/front.rs
@@ -96,7 +96,7 @@
             match self.serve_request(&mut connection, &mut buffer).await {
                 Ok(AfterResponse::KeepOpen) if !(connection.must_close() && buffer.unread().is_empty()) => {}
                 Ok(AfterResponse::KeepOpen | AfterResponse::Close) => break,
-                // Closes the connection without a graceful shutdown, so that the client notices the truncated response.
+                // Closes the connection without a graceful shutdown, so that the client detects the truncated response.
                 Ok(AfterResponse::Abort) | Err(_) => return,
             }
         }
@@ -216,7 +216,7 @@
             None => Ok(AfterResponse::Abort),
         };
         if !matches!(written, Ok(AfterResponse::KeepOpen | AfterResponse::Close)) {
-            // Nobody waits for the answer any more: ends all attempts of the request.
+            // No client waits for the answer any more: ends all attempts of the request.
             self.engine.send_input(Input::RequestCancelled(id)).await;
         }
         written
--- a/src/net/sparql/operation.rs
+++ b/src/net/sparql/operation.rs
@@ -10,7 +10,7 @@
 
 /// Limits the length of a class, session or key.
 const MAX_NAME_BYTES: usize = 256;
-/// Limits the time that a client may say it waits, to one day, so that sums of times do not overflow.
+/// Limits the timeout that a client may send, to one day, so that sums of times do not overflow.
 const MAX_TIME_LEFT_MILLIS: i64 = 86_400_000;
 /// Limits a log position to what can be represented in microseconds.
 const MAX_POSITION_MILLIS: i64 = i64::MAX / 1000;
@@ -67,9 +67,9 @@
     pub session: Option<String>,
     /// The idempotency key, if there is one.
     pub key: Option<String>,
-    /// How long the client waits for the response, if it says so.
+    /// How long the client waits for the response; `None` if it sent no timeout.
     pub client_timeout: Option<TimeDelta>,
-    /// The log position that the answer must include, in Unix time, if the client names one.
+    /// The log position that the answer must include, in Unix time, if the client sent one.
     pub position: Option<LogPosition>,
 }
 
--- a/src/net/sparql/response_head.rs
+++ b/src/net/sparql/response_head.rs
@@ -71,8 +71,8 @@
 }
 
 /// The log position of a primary that does not have the last commit of a session: the group was rolled back to this
-/// position and has lost what the session wrote after it. `None` if the primary has the commit, and for a replica, which
-/// may merely lag.
+/// position and has lost what the session wrote after it. `None` if the primary has the commit, and for a replica,
+/// which may merely lag.
 pub(super) fn rolled_back_to(
     replica_status: Option<ReplicaStatus>,
     session_commit: Option<LogPosition>,
--- a/src/platform_config.rs
+++ b/src/platform_config.rs
@@ -186,7 +186,8 @@
     line_of_value(text, key, value)
 }
 
-/// Finds out why a JSON text is no valid configuration: the first required key that is missing or has the wrong type.
+/// Determines why a JSON text is not a valid configuration: the first required key that is missing or has the wrong
+/// type.
 fn first_invalid_key(text: &str, config: &Value) -> PlatformConfigError {
     let Value::Object(object) = config else {
         return LineError::new(1, PlatformConfigProblem::NotObject);
--- a/src/primary_hint.rs
+++ b/src/primary_hint.rs
@@ -1,5 +1,5 @@
-//! The datagram by which the poolers of a tier inform each other of a primary. This module only encodes and decodes it;
-//! `routing::learning` decides how far a hint is trusted.
+//! The datagram by which a pooler notifies the other poolers of its tier of a primary. This module only encodes and
+//! decodes it; `routing::learning` decides how far a hint is trusted.
 //!
 //! Format, in network byte order: the kind (1 byte), the endpoint's address (4) and port (2), and the time (8, signed
 //! microseconds). Poolers of two versions share a tier during an upgrade, so a format never changes; a new one gets its
--- a/src/routing/action.rs
+++ b/src/routing/action.rs
@@ -1,4 +1,4 @@
-//! Actions: what the decision module asks the runtime to do.
+//! Actions: the instructions of the decision module to the runtime.
 
 use crate::ids::{EndpointId, RequestId};
 use crate::time::{TimeDelta, Timestamp};
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -1,7 +1,7 @@
 //! The life cycle of a request: arrival, attempts, their outcomes, retries, and overdue attempts.
 //!
 //! Whether a request may be retried depends on the idempotency of its class: an idempotent request always, a keyed one
-//! while the endpoints remember its key, any other one only if no earlier attempt can have run.
+//! while the endpoints store its key, any other one only if no earlier attempt can have run.
 
 use super::endpoints::EndpointState;
 use super::learning::POSITION_RESOLUTION;
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -166,7 +166,7 @@
         self.schedule(now + delay + jitter, Timer::RetrySubscription);
     }
 
-    /// Removes the endpoints that a whole list does not contain, unless the settings say that only a draining entry
+    /// Removes the endpoints that a whole list does not contain, unless the settings define that only a draining entry
     /// takes an endpoint out of use.
     fn remove_unlisted_endpoints(&mut self, entries: &[EndpointEntry]) {
         if self.settings.keep_unlisted_endpoints == Some(true) {
@@ -186,7 +186,7 @@
             actions.push(Action::Subscribe { on: true });
         }
         if self.settings.may_probe == Some(true) {
-            // A new router knows no roles or positions yet; it gets them from one probe per endpoint.
+            // A new router has no roles or positions yet; one probe per endpoint provides them.
             for (&id, endpoint) in &self.endpoints {
                 if endpoint.availability == Availability::Ready {
                     actions.push(Action::Probe { endpoint: id });
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -126,7 +126,7 @@
     pub session: u64,
     /// Whether the client marked it as a retry of an earlier request.
     pub is_client_retry: bool,
-    /// Time until the client gives up.
+    /// Time until the client stops waiting for the answer.
     pub client_timeout: TimeDelta,
 }
 
--- a/src/routing/learning.rs
+++ b/src/routing/learning.rs
@@ -1,4 +1,4 @@
-//! What the router learns about endpoints: roles, log positions and latencies, and the last commits of sessions.
+//! The router's data about endpoints (roles, log positions and latencies) and about sessions (their last commits).
 //!
 //! A response always sets an endpoint's role. Load reports, hints from peers and the endpoint list may be out of date,
 //! so they are used only if they are newer than the endpoint's last response.
@@ -21,7 +21,7 @@
 const MIN_RELATIVE_LATENCY: f64 = 0.05;
 /// Resolution of reported log positions: endpoints round them down to whole milliseconds.
 pub(super) const POSITION_RESOLUTION: TimeDelta = TimeDelta::from_millis(1);
-/// Maximum number of sessions whose last commit is remembered individually; limits their memory to a few megabytes.
+/// Maximum number of sessions whose last commit is stored individually; limits their memory to a few megabytes.
 const MAX_SESSIONS: usize = 50_000;
 /// Load report field for the applied log position, in seconds after `Settings::position_epoch`.
 const REPORT_POSITION: &str = "x0";
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Remembers the commit of a session's write for its later reads, if the settings ask for it.
+    /// Stores the commit of a session's write for its later reads, if session tracking is `Remembered`.
     pub(super) fn remember_commit(&mut self, session: u64, status: ReplicaStatus) {
         if self.settings.session_tracking != Some(SessionTracking::Remembered) {
             return;
--- a/src/routing/reads.rs
+++ b/src/routing/reads.rs
@@ -2,7 +2,7 @@
 //!
 //! The weight of an endpoint is `capacity / (latency * (1 + attempts in flight))`, the inverse of the cost by which
 //! Finagle's peak-EWMA balancer compares endpoints; the candidates are the whole group. The choice is random because
-//! poolers do not see each other's load and would otherwise all choose the same endpoint.
+//! poolers do not receive each other's load and would otherwise all choose the same endpoint.
 
 use super::endpoints::{EndpointState, Role};
 use super::group::Group;
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -47,7 +47,7 @@
     pub(super) objective_at: Timestamp,
     /// A response after this has no value.
     pub(super) value_ends_at: Timestamp,
-    /// When the client gives up.
+    /// When the client stops waiting for the answer.
     pub(super) deadline: Timestamp,
     /// Commit time of the last write that a session read must reflect; `None` if there is none.
     pub(super) required_commit: Option<Timestamp>,
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -34,7 +34,7 @@
     pub(super) requests: BTreeMap<RequestId, Request>,
     /// Smoothed latency of each class over all endpoints, in microseconds.
     pub(super) class_latency_us: Vec<f64>,
-    /// Commit time of each session's last write; empty unless the settings ask the router to remember commits.
+    /// Commit time of each session's last write; empty unless session tracking is `Remembered`.
     pub(super) session_commits: BTreeMap<u64, Timestamp>,
     /// The latest commit time among the sessions that were evicted from `session_commits`.
     pub(super) evicted_sessions_commit: Option<Timestamp>,
--- a/src/routing/settings.rs
+++ b/src/routing/settings.rs
@@ -31,7 +31,7 @@
     NonIdempotent,
 }
 
-/// Which endpoints share the idempotency keys that they have seen, and so drop repeats of a keyed request.
+/// Which endpoints share the idempotency keys that they have received, and so drop repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints.
@@ -59,7 +59,7 @@
 pub enum SessionTracking {
     /// The client sends the age of its session's last commit with the read.
     Carried,
-    /// The router remembers the commits of the writes that it routed.
+    /// The router stores the commit of the last write that it routed for each session.
     Remembered,
 }
 
@@ -114,8 +114,7 @@
     pub over_quota_priority_weight: Option<f64>,
     /// Whether the endpoint list is sent only after [`super::Action::Subscribe`] or [`super::Action::FetchList`].
     pub must_subscribe: Option<bool>,
-    /// A pooler that has neither subscribed to the list nor fetched it for this long is considered informed all the
-    /// same.
+    /// A pooler that neither subscribes to the list nor fetches it within this time counts as informed of its changes.
     pub list_request_interval: Option<TimeDelta>,
     /// Whether requests may be hedged: two attempts of one request in flight at once.
     pub may_hedge: Option<bool>,
--- a/src/routing/settings_parser/tests.rs
+++ b/src/routing/settings_parser/tests.rs
@@ -1,4 +1,4 @@
-//! Settings parsed from text, and the error messages that operators see.
+//! Settings parsed from text, and the error messages for operators.
 
 use super::*;
 
--- a/src/routing/slow_start.rs
+++ b/src/routing/slow_start.rs
@@ -34,10 +34,10 @@
 
     /// The tokens in this pooler's bucket for a cold endpoint; [`f64::MAX`] for a warm one.
     ///
-    /// The bucket fills at the highest rate that this pooler saw a unit of capacity serve, times the endpoint's
-    /// capacity, its warm-up fraction and the tolerated overload. The peak rate is a safe measure, because an endpoint
-    /// can serve more than it was ever sent. The current rate is not used, because it follows demand: while all
-    /// endpoints are cold, it would not show what they can serve.
+    /// The bucket fills at the highest served rate per unit of capacity that this pooler has measured, times the
+    /// endpoint's capacity, its warm-up fraction and the tolerated overload. The peak rate is a safe estimate, because
+    /// an endpoint can serve at least as much as it has already served. The current rate is not used, because it
+    /// follows demand: while all endpoints are cold, it would not show what they can serve.
     pub(super) fn slow_start_allowance(&self, now: Timestamp, endpoint: &EndpointState) -> f64 {
         let warm_up_fraction = self.warm_up_fraction(now, endpoint);
         let Some(multiple) = self.settings.overload_multiple else { return f64::MAX };
--- a/src/time.rs
+++ b/src/time.rs
@@ -139,7 +139,7 @@
         Duration::from_micros(self.0.max(0) as u64)
     }
 
-    /// The absolute value.
+    /// The duration without its sign.
     pub fn abs(self) -> TimeDelta {
         TimeDelta(self.0.abs())
     }
