--- a/lab/src/check/error.rs
+++ b/lab/src/check/error.rs
@@ -69,7 +69,7 @@
         /// The position of the lost write.
         required: LogPosition,
     },
-    /// A session was told that its write is lost although it is not.
+    /// A write was reported as lost to its session although it is not lost.
     #[error("the read {request_id} was told that the write {required:?} is lost although it is not")]
     FalseLossReported {
         /// The request's id.
--- a/lab/src/check/requests.rs
+++ b/lab/src/check/requests.rs
@@ -63,8 +63,9 @@
     requests_due(records, window).filter(|record| !served.contains(&record.request_id)).count()
 }
 
-/// Checks that no read was served that required a lost write, and that no session was told of the loss of a write that
-/// is not lost. `lost` contains the lost commits by group. Returns the number of requests that were told of a loss.
+/// Checks that no read was served that required a lost write, and that no write was reported as lost to its session
+/// although it is not lost. `lost` contains the lost commits by group. Returns the number of requests whose response
+/// reported a loss.
 ///
 /// # Errors
 ///
--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -41,7 +41,7 @@
     pub reads_own_write: bool,
     /// Number of attempts of the request before this one.
     pub earlier_attempts: u32,
-    /// The delay that a rejection asks for in `Brookpass-Retry-After-Ms`.
+    /// The delay before a retry that a rejection states in `Brookpass-Retry-After-Ms`.
     pub retry_after: Option<Duration>,
     /// The position of the data in the response; `None` if the request was not served.
     pub observed_position: Option<LogPosition>,
@@ -74,8 +74,8 @@
     pub max_staleness: Duration,
     /// Seed of the clients' random choices.
     pub seed: u64,
-    /// Whether rejected requests are retried after the delay that the rejection asks for, and failed reads after a
-    /// pause, within [`REQUEST_TIMEOUT`].
+    /// Whether rejected requests are retried after the delay that the rejection states, and failed reads after a pause,
+    /// within [`REQUEST_TIMEOUT`].
     pub retries_rejections: bool,
 }
 
--- a/lab/src/client/session.rs
+++ b/lab/src/client/session.rs
@@ -174,7 +174,7 @@
         if request.is_write && committed.is_some() {
             *last_write = (*last_write).max(committed);
         }
-        // Status 412 tells the session that its write is lost.
+        // Status 412 reports that the session's write is lost.
         if status == 412 && *last_write == request.own_write {
             *last_write = None;
         }
--- a/lab/src/cluster/status.rs
+++ b/lab/src/cluster/status.rs
@@ -133,7 +133,7 @@
         matching.map(|arrival| arrival.endpoint).collect()
     }
 
-    /// The weight of a zone at a node; `None` if the node does not respond or does not know the zone.
+    /// The weight of a zone at a node; `None` if the node does not respond or does not list the zone.
     pub fn zone_weight(&self, node: usize, zone: &str) -> Option<ZoneWeight> {
         let zones = http::get_text(self.nodes[node].store_address, "/zones");
         let line = zones.lines().find(|line| line.starts_with(&format!("zone {zone} gets ")))?;
@@ -156,7 +156,7 @@
         })
     }
 
-    /// Whether a node drains an endpoint; `None` if the node does not respond or does not know the endpoint.
+    /// Whether a node drains an endpoint; `None` if the node does not respond or does not list the endpoint.
     pub fn is_draining(&self, node: usize, endpoint: &str) -> Option<bool> {
         let endpoints = http::get_text(self.nodes[node].store_address, "/hosts");
         let line = endpoints.lines().find(|line| line.starts_with(&format!("{endpoint} ")))?;
@@ -174,7 +174,7 @@
         })
     }
 
-    /// Waits until all these nodes know an endpoint and do not drain it. Returns how long that took.
+    /// Waits until all these nodes list an endpoint and do not drain it. Returns how long that took.
     ///
     /// # Panics
     ///
--- a/lab/src/endpoint.rs
+++ b/lab/src/endpoint.rs
@@ -1,5 +1,5 @@
 //! Stand-in endpoints: groups of one primary and replicas that apply its log with a lag. Each endpoint has a
-//! concurrency limit, a queue, a slow start and faults. They speak SPARQL over HTTP and record every operation that
+//! concurrency limit, a queue, a slow start and faults. They serve SPARQL over HTTP and record every operation that
 //! reaches them.
 
 mod group_log;
@@ -49,8 +49,8 @@
     pub request_id: u64,
     /// When the operation arrived.
     pub arrived_at: Timestamp,
-    /// When the endpoint had finished the operation or saw that the connection was closed. Equal to `arrived_at` if the
-    /// operation was rejected.
+    /// When the endpoint had finished the operation or detected that the connection was closed. Equal to `arrived_at`
+    /// if the operation was rejected.
     pub finished_at: Timestamp,
     /// Whether the operation is a write.
     pub is_write: bool,
--- a/lab/src/log_lines.rs
+++ b/lab/src/log_lines.rs
@@ -18,7 +18,8 @@
 pub const ENTRY_SUCCEEDED: &str = "Done";
 /// The node has entries on its disk; the index of the last one follows the text.
 pub const ENTRIES_ON_DISK: &str = "store: holds ";
-/// The node serves from the last committed state because it knows of no majority.
+/// The node serves from the last committed state because it did not get up to date in time, as happens without a
+/// majority.
 pub const SERVING_WITHOUT_MAJORITY: &str = "serving with the last agreed state";
 /// The node starts the first election of its fleet without waiting for the election timeout.
 pub const FIRST_ELECTION_STARTED: &str = "raft: election started";
@@ -27,7 +28,7 @@
 /// As [`STORE_SET_ASIDE`], with the new name after the text.
 pub const STORE_SET_ASIDE_AS: &str = "set aside as";
 
-/// What the node learned about endpoints by gossip has been written to disk.
+/// The node's gossip records about endpoints have been written to disk.
 pub const GOSSIP_SAVED: &str = "gossip records are written to disk";
 /// The gossip saved before the start is used for initial estimates; the line also contains its age, followed by
 /// [`SAVED_GOSSIP_AGE`].
--- a/lab/src/relay.rs
+++ b/lab/src/relay.rs
@@ -40,7 +40,7 @@
     pub const CUT: LinkFaults = LinkFaults { cut: true, ..LinkFaults::NONE };
 }
 
-/// What a relay knows about the bytes that it forwards.
+/// The format of the bytes that a relay forwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayProtocol {
     /// An opaque stream of bytes.
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -27,8 +27,8 @@
     assert!(limits.shutdown_times_without_peers(long_request).accept_period > Duration::from_secs(2));
 }
 
-/// Guards against attempts on a draining endpoint after the watch that should have announced the drain went silent. A
-/// change counts as known 6 s after discovery received it.
+/// Guards against attempts on a draining endpoint because the watch that should have reported the drain gets no answer.
+/// A change must be in use 6 s after discovery received it.
 #[test]
 fn a_silent_watch_is_detected_within_five_seconds() {
     let limits = Limits::for_sockets(64);
@@ -39,9 +39,9 @@
     assert!(detected_after < Duration::from_secs(5), "{detected_after:?}");
 }
 
-/// Guards against a pooler that still waits to repeat its call to discovery when a drain already counts as known. In
-/// the worst case a call starts just before discovery becomes reachable again, times out, and the longest backoff
-/// follows.
+/// Guards against a pooler that receives a drain more than 6 s after discovery can be reached again, because it still
+/// waits to repeat its call. In the worst case a call starts just before discovery becomes reachable again, times out,
+/// and the longest backoff follows.
 #[test]
 fn a_change_is_received_within_six_seconds_of_any_failed_call() {
     let mut limits = Limits::for_sockets(64);
--- a/src/engine/admission/tests.rs
+++ b/src/engine/admission/tests.rs
@@ -98,7 +98,7 @@
 }
 
 /// Submits requests at random times with random outcomes. Returns when requests were admitted, and when the rejected
-/// ones were told to return.
+/// ones may be retried.
 fn random_requests(
     seed: u64,
     rng: &mut fastrand::Rng,
--- a/src/engine/request_engine/tests.rs
+++ b/src/engine/request_engine/tests.rs
@@ -102,7 +102,7 @@
     assert_eq!(engine.requests.len(), 0);
 }
 
-/// Guards against work for a client that has disconnected, and against an answer to it.
+/// Guards against an attempt that continues after its client has disconnected, and against an answer to that client.
 #[test]
 fn the_attempt_of_a_disconnected_client_is_cancelled() {
     let (mut engine, mut commands) = engine();
@@ -216,8 +216,8 @@
     assert!(commands.is_empty() && engine.requests.len() == 0, "{commands:?}");
 }
 
-/// The backend pool may send a retry late, when its connection is established. It therefore has to know until when
-/// endpoints remember the idempotency key of the first attempt that may have run.
+/// The backend pool may send a retry late, when its connection is established. The command for the attempt therefore
+/// carries the time until which endpoints keep the idempotency key of the first attempt that may have run.
 #[test]
 fn a_retry_of_a_keyed_request_carries_the_expiry_of_its_key() {
     let (mut engine, mut commands) = engine();
--- a/src/fleet/gossip/tests.rs
+++ b/src/fleet/gossip/tests.rs
@@ -132,8 +132,8 @@
     }
 }
 
-/// Guards against nodes that do not converge to the same state, and against beliefs that return to an earlier claim.
-/// Seeded: messages in any order, lost and repeated, with different clocks.
+/// Guards against nodes that do not converge to the same state, and against a believed primary that an earlier
+/// observation replaces. Seeded: messages in any order, lost and repeated, with different clocks.
 #[test]
 fn any_schedule_converges_and_beliefs_only_advance() {
     for seed in 0..400 {
@@ -165,8 +165,8 @@
     }
 }
 
-/// Guards against records of peers that name an unlisted endpoint, override a later observation of this node, or claim
-/// another node as observer.
+/// Guards against records of peers that name an unlisted endpoint, override a later observation of this node, or name
+/// this node or a non-member as the observer.
 #[test]
 fn records_of_peers_do_not_override_later_observations_of_this_node() {
     let state = state(3, 3);
@@ -259,7 +259,8 @@
     );
 }
 
-/// Guards against a guess that stays in use after a later observation, or that is sent to peers as an observation.
+/// Guards against a restored primary that stays in use after a later observation, or that is sent to peers as an
+/// observation.
 #[test]
 fn a_restored_primary_is_a_guess_until_something_is_observed() {
     let state = state(2, 6);
@@ -357,8 +358,8 @@
     );
 }
 
-/// Guards against an admission rate that starts at the little that was asked of an endpoint, and against one that rests
-/// on one or two reports of its utilization.
+/// Guards against an admission rate that starts at the low rate of an endpoint that was sent few requests, and against
+/// one that is based on only one or two reports of its utilization.
 #[test]
 fn the_capacity_is_the_rate_served_divided_by_the_utilization_reported() {
     let capacity = |answers: u32, utilization: Option<f64>| {
--- a/src/fleet/membership/tests.rs
+++ b/src/fleet/membership/tests.rs
@@ -162,7 +162,7 @@
     assert_eq!(fleet.next(), MembershipAction::Nothing);
 }
 
-/// Guards against a node that receives messages from all nodes but the leader and so never learns what is committed,
+/// Guards against a node that receives messages from all nodes but the leader and so never receives committed changes,
 /// and against leadership that keeps moving between nodes.
 #[test]
 fn a_leader_that_does_not_reach_all_voters_transfers_leadership_to_one_that_does() {
--- a/src/fleet/pending_drains/tests.rs
+++ b/src/fleet/pending_drains/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
-/// Guards against losing a drain that was requested in a minority, and against an undrain that undoes a drain it did
-/// not know of. In each seeded run, three nodes exchange drains at random and any of them proposes its own to one log.
+/// Guards against losing a drain that was requested in a minority, and against an undrain that undoes a drain which the
+/// node that requested the undrain had not received. In each seeded run, three nodes exchange drains at random and any
+/// of them proposes its own to one log.
 #[test]
 fn a_drain_takes_effect_where_it_is_known_until_the_log_resolves_it() {
     for seed in 0..500 {
--- a/src/fleet/runtime/operator_recovery/tests.rs
+++ b/src/fleet/runtime/operator_recovery/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Guards against a plan that does not tell the operator what would be lost.
+/// Guards against a plan that does not list what the recovery would lose.
 #[test]
 fn the_plan_lists_what_every_other_member_may_have_that_would_be_lost() {
     let other = |name: &str, data| OtherMember { name: name.into(), data };
--- a/src/fleet/runtime/peer_directory/tests.rs
+++ b/src/fleet/runtime/peer_directory/tests.rs
@@ -11,8 +11,8 @@
     Handshake { fleet: FleetId::NONE, id: NodeId(id), name: format!("b{id}"), address, progress }
 }
 
-/// Guards against a node that exhausts memory by asking for admission under many ids, and against candidates that are
-/// never removed.
+/// Guards against a peer that exhausts this node's memory by requesting admission under many ids, and against
+/// candidates that are never removed.
 #[test]
 fn candidates_are_bounded_and_expire_unless_they_are_refreshed() {
     let mut peers = PeerDirectory::new(2);
@@ -27,7 +27,7 @@
     assert!(peers.candidates().is_empty());
 }
 
-/// Guards against a wrong duration of a peer's time without a leader, which the leader's membership decisions use.
+/// Guards against a wrong duration of a peer's time without a leader, on which the leader bases membership changes.
 #[test]
 fn a_peer_is_leaderless_from_its_first_heartbeat_that_names_no_leader() {
     let mut peers = PeerDirectory::new(2);
--- a/src/fleet/zones/state/tests.rs
+++ b/src/fleet/zones/state/tests.rs
@@ -32,8 +32,8 @@
     state().hosts.into_iter().map(with_outcomes).collect()
 }
 
-/// Guards against a peer that goes on sending to a zone that it cannot reach because others can, and against one that
-/// evacuates all zones that it tries.
+/// Guards against a peer that keeps sending to a zone that it cannot reach because other peers still reach it, and
+/// against a peer that reaches no zone and evacuates all of them.
 #[test]
 fn a_peer_evacuates_zones_that_only_it_cannot_reach_but_never_all_zones() {
     let state = state();
--- a/src/fleet/zones/tests.rs
+++ b/src/fleet/zones/tests.rs
@@ -150,8 +150,8 @@
     }
 }
 
-/// Guards against evacuating the last zone, two moves at once, a return step beyond a zone's capacity, flapping, and a
-/// zone that never returns. Seeded: zones stop answering and return cold at any time.
+/// Guards against evacuating the last zone, two changes of weights at once, a return step beyond a zone's capacity,
+/// flapping, and a zone that never returns. Seeded: zones stop answering and return cold at any time.
 #[test]
 fn zones_are_evacuated_at_once_and_return_no_faster_than_they_warm_up() {
     for seed in 0..40 {
@@ -279,7 +279,7 @@
 }
 
 /// Guards against a lost region of which only the zone with much traffic is evacuated, against lost zones that are
-/// evacuated one after the other, and against a fault of one zone that counts as one of its region.
+/// evacuated one after the other, and against a fault of a single zone that is attributed to its region.
 #[test]
 fn a_lost_region_is_evacuated_completely_and_a_lost_zone_alone() {
     let (ok, lost, none) = (answered(20), unanswered(20), ZoneOutcomes::default());
--- a/src/net/connection_limiter/tests.rs
+++ b/src/net/connection_limiter/tests.rs
@@ -16,7 +16,7 @@
     eviction::close_idle(&limiter.active.borrow(), &limiter.limits);
 }
 
-/// Guards against a front that runs out of descriptors, and against idle connections that lock out new clients.
+/// Guards against a pooler that runs out of descriptors, and against idle connections that lock out new clients.
 #[test]
 fn an_idle_connection_is_closed_for_a_new_one_and_further_ones_are_rejected() {
     let limits = Limits { client_connections: 2, rejected_connections: 1, ..Limits::for_sockets(64) };
--- a/src/net/inherited_socket/tests.rs
+++ b/src/net/inherited_socket/tests.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpStream, UdpSocket};
 use std::os::fd::AsRawFd;
 
-/// Guards against a daemon that starts without the inherited socket, or with a descriptor that is not a listening
+/// Guards against a process that starts without the inherited socket, or with a descriptor that is not a listening
 /// socket.
 #[test]
 fn only_a_listening_socket_is_inherited_and_the_duplicate_refers_to_it() {
--- a/src/store/raft_node/tests.rs
+++ b/src/store/raft_node/tests.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Under random schedules with lost messages and crashes, all nodes apply the same entries, a majority has stored each
-/// of them, and no drain is lost that its requester has seen committed.
+/// of them, and no drain is lost that its requester has applied.
 #[test]
 fn random_schedules_apply_the_same_entries_everywhere_and_lose_no_drain() {
     let (mut entries, mut compacted_logs) = (0, 0);
--- a/src/store/state_machine/tests/drains.rs
+++ b/src/store/state_machine/tests/drains.rs
@@ -7,7 +7,7 @@
     DrainId { node: NodeId(node), sequence }
 }
 
-/// Guards against an undrain that undoes a drain that its requester did not know of, and against a drain that takes
+/// Guards against an undrain that undoes a drain which its requester had not received, and against a drain that takes
 /// effect although it is committed after its undrain.
 #[test]
 fn an_undrain_permanently_undoes_only_the_drains_that_its_requester_knew() {
--- a/tests/client_departures.rs
+++ b/tests/client_departures.rs
@@ -31,7 +31,7 @@
 }
 
 /// Guards against an attempt that goes on until its deadline although its client has disconnected: the end of
-/// the stream is not seen while too many bytes in front of it are unread.
+/// the stream cannot be detected while too many bytes in front of it are unread.
 #[test]
 fn a_disconnect_behind_unread_pipelined_bytes_ends_the_attempt() {
     let group = PostgresGroup::start(|_| Reply::NoResponse);
@@ -164,7 +164,7 @@
     assert!(next_statement.contains("id=2,"), "{next_statement}");
 }
 
-/// Guards against an endpoint that is told too long a remaining time: the time that the request spent waiting
+/// Guards against sending an endpoint too long a remaining time: the time that the request spent waiting
 /// behind others must be subtracted.
 #[test]
 fn a_request_that_waited_behind_others_is_sent_with_its_remaining_time() {
--- a/tests/discovery_orders.rs
+++ b/tests/discovery_orders.rs
@@ -22,7 +22,7 @@
 /// A change must be in use within this time, counted from when the discovery server has it and can be reached.
 const CHANGE_IN_USE_WITHIN: Duration = Duration::from_secs(6);
 
-/// A pooler whose discovery server answers as the test says.
+/// A pooler whose discovery server gives the answers that the test specifies.
 struct ScriptedPooler {
     process: Process,
     /// Where clients connect.
@@ -212,7 +212,7 @@
     assert!((5..=40).contains(&call_count), "{call_count} calls within a second");
 }
 
-/// Guards against two successive watches without an answer that delay a drain: it must be in use 6 s after
+/// Guards against a drain that is delayed by two unanswered calls in a row: it must be in use 6 s after
 /// discovery has it and can be reached, however many calls that takes.
 #[test]
 fn a_drain_is_in_use_within_six_seconds_despite_unanswered_watches() {
@@ -252,8 +252,8 @@
     call.write_bytes(b"400\r\n") && call.write_bytes(&[b' '; 1024]) && call.write_bytes(b"\r\n")
 }
 
-/// Guards against a watch that delays the next call because it is reset or its answer never ends: the next
-/// call must come in time, and its answer must apply.
+/// Guards against a next call that is delayed because the watch was reset or its answer never ends: the call
+/// must be made in time, and its answer must be used.
 #[test]
 fn watches_that_are_reset_or_never_end_are_replaced_in_time() {
     let endpoints = OldAndNewEndpoints::start();
--- a/tests/fleet_recovery.rs
+++ b/tests/fleet_recovery.rs
@@ -26,7 +26,7 @@
     (0..cluster.nodes.len()).for_each(|node| cluster.wait_until_ready(node));
 }
 
-/// Waits until all nodes know the primaries of `groups` groups and have saved them to disk.
+/// Waits until all nodes have the primaries of `groups` groups and have saved them to disk.
 fn wait_until_primaries_saved(cluster: &TestCluster, groups: usize) {
     let knows_primaries = |node: usize| {
         let text = http::call(cluster.nodes[node].store_address, "GET", "/fleet/learned")
@@ -167,7 +167,7 @@
     assert_eq!(cluster.post(1, "/undrain/s-1-1"), 503);
     assert_eq!(cluster.post(3, "/drain/s-2-1"), 202);
     cluster.wait_until_draining(&[1, 3], "s-2-1");
-    // The uncommitted drain that only these two nodes know survives their power loss.
+    // The uncommitted drain that only these two nodes have survives their power loss.
     for node in [1, 3] {
         cluster.kill(node);
     }
@@ -210,7 +210,7 @@
     for node in [3, 4] {
         cluster.wait_until_ready(node);
     }
-    // A drain that only the other surviving node knows is taken over too.
+    // A drain that only the other surviving node has is recovered too.
     cluster.partition(&[vec![0, 1, 2, 3], vec![4]]);
     assert_eq!(cluster.post(4, "/drain/s-2-2"), 202);
     let (succeeded, text) = recover(cluster, 3, &[]);
--- a/tests/fleet_recovery_power.rs
+++ b/tests/fleet_recovery_power.rs
@@ -1,5 +1,5 @@
 //! Power losses of the whole fleet and its endpoints under load: in which order service returns, how much load cold
-//! endpoints get, and what sessions learn of lost writes.
+//! endpoints get, and how lost writes are reported to their sessions.
 
 use brookpass_testkit::check::{self, ColdStartBound, DrainPeriod};
 use brookpass_testkit::client::{LoadProfile, RequestRecord};
@@ -41,7 +41,7 @@
 }
 
 /// Asserts what must hold under any fault: no stale reads, no overlapping attempts, no write executed twice, one answer
-/// per request, and sessions told of their lost writes. Returns how many requests were told of a lost write.
+/// per request, and lost writes reported to their sessions. Returns how many requests got such a report.
 fn assert_invariants(cluster: &TestCluster, requests: &[RequestRecord]) -> usize {
     check::no_stale_reads(requests).unwrap();
     check::no_overlapping_attempts(&cluster.endpoints.arrivals()).unwrap();
@@ -92,8 +92,8 @@
     }
 }
 
-/// Guards against nodes that together overload cold endpoints, sessions that are served without their lost writes, and
-/// drains that are undone, when nodes and endpoints lose power at once.
+/// Guards against three faults after nodes and endpoints lose power at once: nodes that together overload cold
+/// endpoints, sessions that are served without their lost writes, and drains that are undone.
 #[test]
 fn invariants_hold_when_all_nodes_and_endpoints_lose_power_under_load() {
     let cluster = &mut new_cluster(ClusterConfig { groups: 4, ..ClusterConfig::default() });
@@ -211,8 +211,8 @@
     check::same_committed_sequence(&cluster.logs(), Some(4)).unwrap();
 }
 
-/// Guards against nodes that restart one by one and of which the first sends all load to cold endpoints or waits for
-/// all the others, and against changes that are lost because the power failed before they were committed.
+/// Guards, when nodes restart one by one, against a first node that sends all load to cold endpoints or does not serve
+/// until all others run, and against losing changes that were not yet committed when the power failed.
 #[test]
 fn nodes_that_restart_one_by_one_agree_on_changes_in_flight_at_the_power_loss() {
     let cluster = &mut new_cluster(ClusterConfig { nodes: 3, groups: 3, ..ClusterConfig::default() });
@@ -259,8 +259,8 @@
     check::same_committed_sequence(&cluster.logs(), Some(3)).unwrap();
 }
 
-/// Guards against restarted nodes that do not take over the primaries that running nodes know, after a rolling restart
-/// and after a kill of all nodes but one.
+/// Guards against restarted nodes that do not get the current primaries from running nodes, after a rolling restart and
+/// after a kill of all nodes but one.
 #[test]
 fn restarted_nodes_take_over_the_primaries_that_running_nodes_know() {
     let cluster = &mut new_cluster(ClusterConfig { nodes: 3, groups: 3, ..ClusterConfig::default() });
@@ -303,8 +303,8 @@
     connection.call(&text).map(|m| (m.status(), m.number("brookpass-position"))).expect("an answer")
 }
 
-/// Guards against a node that did not observe a primary losing writes and serves their sessions without them, and
-/// against a loss that is forgotten at a restart.
+/// Guards against a node that serves a session without its lost write because only another node observed the loss, and
+/// against records of a loss that do not survive a restart.
 #[test]
 fn every_node_tells_a_session_of_its_lost_write_even_after_restarts() {
     let cluster = &mut new_cluster(ClusterConfig { nodes: 3, groups: 1, ..ClusterConfig::default() });
@@ -339,7 +339,7 @@
     for node in 0..3 {
         eventually("node knows of the loss", || cluster.fleet_status(node).contains("lost group 1 after"));
     }
-    // The session is told even after the primary has newer commits, and by nodes that did not observe the loss.
+    // The loss is reported even after the primary has newer commits, also by nodes that did not observe it.
     let newer = write(cluster, 2);
     assert!(newer > lost);
     for node in 0..3 {
--- a/tests/fleet_replication.rs
+++ b/tests/fleet_replication.rs
@@ -217,7 +217,7 @@
     cluster.cut_one_way(leader, others[0]);
     cluster.cut_one_way(leader, others[1]);
     assert_eq!(cluster.post(others[2], "/drain/s-1-1"), 200);
-    // The drain is committed, but this node cannot know that yet.
+    // The drain is committed, but this node receives nothing from the leader and cannot confirm that yet.
     assert_eq!(cluster.post(others[0], "/drain/s-1-2"), 202);
     cluster.wait_until_caught_up();
     assert_ne!(cluster.wait_for_leader(), leader, "a node that reaches all others leads");
@@ -577,7 +577,7 @@
     let learned = |cluster: &TestCluster, node: usize| {
         http::call(cluster.nodes[node].store_address, "GET", "/fleet/learned").unwrap().text()
     };
-    // With the direct link cut, node 2 learns of the primary only through node 1.
+    // With the direct link cut, node 2 can get the primary only through node 1.
     cluster.cut_one_way(0, 2);
     let primaries = ["s-1-0", "s-1-2", "s-1-1"];
     for (round, endpoint) in primaries.into_iter().enumerate() {
--- a/tests/fleet_zones.rs
+++ b/tests/fleet_zones.rs
@@ -87,8 +87,8 @@
     entries.filter_map(|line| line.split(&prefix).nth(1)?.split(' ').next()?.parse().ok()).collect()
 }
 
-/// Guards against each node having to detect each silent endpoint by itself, reads that wait there until their
-/// deadline, and a return that skips steps on some nodes.
+/// Guards against nodes that each have to detect every silent endpoint of a failed zone, against reads that wait at
+/// these endpoints until their deadline, and against a return that skips steps on some nodes.
 #[test]
 fn all_nodes_evacuate_a_silent_zone_together_and_return_to_it_stepwise() {
     let (cluster, load) = nodes_under_load(3, 1);
@@ -123,8 +123,8 @@
     }
 }
 
-/// Guards against nodes that each ramp up on their own and together overload a cold zone, also where one of them
-/// restarts during the return.
+/// Guards against nodes that each raise their load on a returning zone independently and together overload the cold
+/// zone, also if one of them restarts during the return.
 #[test]
 fn cold_endpoints_of_a_returning_zone_are_not_overloaded() {
     let (mut cluster, load) = nodes_under_load(3, 2);
@@ -186,8 +186,8 @@
     assert_eq!(weights.iter().filter(|permille| **permille == 0).count(), 2, "{weights:?}");
 }
 
-/// Guards against an evacuation without a majority that counts as committed, and against nodes without a majority that
-/// do not avoid a silent zone at all.
+/// Guards against treating an evacuation without a majority as committed, and against nodes without a majority that do
+/// not avoid a silent zone at all.
 #[test]
 fn isolated_nodes_evacuate_a_silent_zone_only_locally() {
     let (cluster, load) = nodes_under_load(3, 4);
@@ -226,8 +226,8 @@
     );
 }
 
-/// Guards against an operator's evacuation that is overruled by what nodes observe, and against operators evacuating
-/// the last zone.
+/// Guards against nodes' observations that override an operator's evacuation, and against an operator's command that
+/// evacuates the last zone.
 #[test]
 fn an_operators_evacuation_holds_and_the_last_zone_is_kept() {
     let (cluster, load) = nodes_under_load(3, 5);
@@ -297,8 +297,8 @@
     assert!(applied_weights(&cluster, 0, "z-1").is_empty());
 }
 
-/// Guards against an outage when the zone of all primaries fails and another zone right after it: writes must go to the
-/// new primaries, and the last working zone must be kept.
+/// Guards against an outage when the zone of all primaries fails and a second zone fails right after it: writes must go
+/// to the new primaries, and the last working zone must be kept.
 #[test]
 fn the_last_zone_serves_after_the_zone_of_all_primaries_and_another_one_fail() {
     let (cluster, load) = nodes_under_load(5, 7);
@@ -331,7 +331,8 @@
     assert!(served(true) && served(false));
 }
 
-/// Guards against the zones of a failed region being evacuated one after the other, each on its own evidence.
+/// Guards against evacuating the zones of a failed region one after the other, each only once its own attempts show the
+/// failure.
 #[test]
 fn all_zones_of_a_failed_region_are_evacuated() {
     let regions = ["south", "north", "north"].map(String::from).to_vec();
@@ -395,8 +396,8 @@
     }
 }
 
-/// Guards against a zone that loses 30 % of its requests and is handled as failed, and against clients that see these
-/// losses.
+/// Guards against treating a zone that loses 30 % of its requests as failed, and against passing these losses on to
+/// clients.
 #[test]
 fn at_most_one_request_in_twenty_fails_with_a_lossy_zone() {
     let (cluster, load) = nodes_under_load(3, 10);
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -179,7 +179,7 @@
     process: Process,
     store: SocketAddr,
     front: SocketAddr,
-    /// The admin server; known once the node serves.
+    /// The address of the admin server; `None` until the node serves.
     admin: Option<SocketAddr>,
     primary: RecordingEndpoint,
     replica: RecordingEndpoint,
@@ -308,7 +308,8 @@
     check_golden("answers-store.txt", &text);
 }
 
-/// Guards against changed lines about learned roles and zone health, which operators' scripts parse.
+/// Guards against a changed format of the lines that report roles of endpoints and health of zones, which operators'
+/// scripts parse.
 #[test]
 fn learned_roles_and_zone_reports_have_the_expected_line_shapes() {
     let node = SingleNode::start_serving();
@@ -336,8 +337,8 @@
     assert_eq!(mask_numbers(&zone_lines), expected);
 }
 
-/// Guards against outer names of zone states that change when an identifier is renamed. The states that a running
-/// node does not reach quickly are checked here.
+/// Guards against a renamed identifier that changes an externally visible name of a zone state. The names are checked
+/// directly, since a running node does not reach some of the states quickly.
 #[test]
 fn zone_states_keep_their_outer_names() {
     let reasons = [WeightReason::Returns, WeightReason::Lost, WeightReason::Slow, WeightReason::Operator]
@@ -349,8 +350,8 @@
     assert_eq!(labels, ["unknown", "sound", "doubtful", "slow", "lost"]);
 }
 
-/// Guards against changed texts of a node that waits for its peers, and against answers that do not tell early
-/// clients when to retry.
+/// Guards against changed texts of a node that waits for its peers, and against rejections before the node serves that
+/// do not state when clients may retry.
 #[test]
 fn the_answers_of_a_node_without_a_fleet_match_the_golden_file() {
     let silent_peer = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -424,7 +425,7 @@
     eventually("the node reports that it was removed", || {
         cluster.fleet_status(leaving).contains(" removed\n")
     });
-    // Depending on timing, the node may still know the leader, and may or may not have applied its own removal.
+    // Depending on timing, the node may still report the leader, and may or may not have applied its own removal.
     let status = cluster.fleet_status(leaving).replace("\nleader none ", "\nleader b0 ");
     let status: Vec<&str> =
         status.lines().filter(|line| !line.starts_with("member ") && !line.starts_with("removed ")).collect();
@@ -518,7 +519,7 @@
     text.lines().map(mask).collect::<Vec<_>>().join("\n")
 }
 
-/// Guards against a missing header, and against one that clients and endpoints of the previous version do not know.
+/// Guards against a missing header, and against one that clients and endpoints of the previous version do not support.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one exchange after the other, in the order of the golden file")]
 fn sparql_requests_and_answers_have_the_headers_of_the_golden_file() {
@@ -605,7 +606,8 @@
     String::from_utf8(bytes).unwrap()
 }
 
-/// Guards against a changed upgrade, with which nodes of two versions could not connect to each other.
+/// Guards against a change to the HTTP upgrade between nodes, after which nodes of different versions could not
+/// connect to each other.
 #[test]
 fn the_upgrade_between_nodes_has_the_expected_heads() {
     let peer = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -639,7 +641,7 @@
     assert_eq!(start[8..], [1, 0], "a verdict: welcome");
 }
 
-/// Guards against a changed call to discovery that the platform's agent does not know.
+/// Guards against calls to discovery that the platform's agent does not support.
 #[test]
 fn the_calls_to_discovery_have_the_expected_heads() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -35,7 +35,7 @@
     sent_at: Timestamp,
 }
 
-/// What the router can know about an endpoint.
+/// What has been reported to the router about an endpoint.
 #[derive(Clone)]
 struct KnownState {
     availability: Availability,
@@ -271,7 +271,7 @@
         let availability = [Ready, Ready, Ready, Draining, Gone][self.rng.usize(..5)];
         let started_at = (self.rng.u8(..4) == 0).then_some(self.now - 30_000 * MS);
         self.known[usize::from(n)].availability = availability;
-        // The list now says that the endpoint started long ago.
+        // By its new list entry the endpoint started long ago, so it is no longer cold.
         self.sent_to_cold.remove(&n);
         let entry = EndpointEntry { availability, group: group_of(n, self.groups), started_at, ..entry(n) };
         self.handle(Event::EndpointList { kind: ListKind::Delta, entries: vec![entry] });
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// Guards against a change of the messages or of the log that nodes of the earlier version cannot read: the new node
-/// leads here and has no majority without them.
+/// Guards against a change of the messages or of the log that nodes of the earlier version cannot read: in this test
+/// the new node leads, and it has no majority without them.
 #[test]
 fn one_new_node_and_two_old_nodes_agree_on_drains() {
     let folder = folder("two-old");
--- a/tests/platform/attempts.rs
+++ b/tests/platform/attempts.rs
@@ -161,7 +161,7 @@
     assert_eq!(client.receive().unwrap().value, row_of(b"x"));
 }
 
-/// Guards against work whose result no client receives.
+/// Guards against an attempt that continues after its client has disconnected: no client receives its result.
 #[test]
 fn a_client_that_disconnects_ends_its_attempt() {
     let group = PostgresGroup::start(|_| Reply::NoResponse);
--- a/tests/platform/clients.rs
+++ b/tests/platform/clients.rs
@@ -108,8 +108,8 @@
     last
 }
 
-/// Guards against pipelined requests that are not sent before the previous one has its response, so that their
-/// deadlines pass.
+/// Guards against sending each pipelined request only after the previous one has its response, so that the
+/// deadlines of later ones pass.
 #[test]
 fn pipelined_requests_are_sent_at_once_and_answered_in_order() {
     let (release, released) = release_channel();
--- a/tests/router/admission.rs
+++ b/tests/router/admission.rs
@@ -49,7 +49,7 @@
         rejected(&after_half, queued) && !rejected(&after_half, received),
         "a write that an endpoint may have received stays queued"
     );
-    // The same applies to a request whose attempts could not connect, even if that is known only later.
+    // The same applies to a request whose attempts could not connect, even if this is reported only later.
     let mut harness = RouterHarness::new(settings(), 1);
     let (id, sent) = harness.request(WRITE, 2_000 * MS, None);
     assert_eq!(sent_to(&sent, id), [endpoint(1)]);
--- a/tests/router/peer_hints.rs
+++ b/tests/router/peer_hints.rs
@@ -4,7 +4,7 @@
 use brookpass::primary_hint::PrimaryHint;
 use brookpass::routing::*;
 
-/// Guards against a pooler without writes that knows the primary only from a hint, and therefore rejects every read
+/// Guards against a pooler that sends no writes, has the primary only from a hint, and therefore rejects every read
 /// that no replica can serve.
 #[test]
 fn a_primary_known_only_from_a_hint_is_probed_when_no_replica_is_fresh() {
--- a/tests/shutdown_orders.rs
+++ b/tests/shutdown_orders.rs
@@ -81,7 +81,7 @@
         client.send(&[messages::startup(), query].concat());
         clients.push(client);
     }
-    // Longer than the time for which connections are still accepted, so that the pooler sees the end of that
+    // Longer than the time for which connections are still accepted, so that the pooler handles the end of that
     // time and the connections at the same moment.
     thread::sleep(Duration::from_millis(700));
     pooler.process.signal("-CONT");
--- a/tests/sparql/administration.rs
+++ b/tests/sparql/administration.rs
@@ -22,8 +22,8 @@
     call(address, &format!("{method} {path} HTTP/1.1\r\n\r\n"))
 }
 
-/// Guards against a SPARQL server that operators cannot observe, drain and reactivate, as they can a PostgreSQL
-/// one.
+/// Guards against a SPARQL server that operators cannot observe, drain or reactivate. With a PostgreSQL server
+/// they can do all three.
 #[test]
 fn the_admin_server_returns_metrics_and_drains_and_reactivates_the_sparql_server() {
     let primary = SparqlEndpoint::primary();
--- a/tests/sparql/endpoint.rs
+++ b/tests/sparql/endpoint.rs
@@ -1,4 +1,4 @@
-//! A stand-in endpoint that speaks SPARQL over HTTP.
+//! A stand-in endpoint that serves SPARQL over HTTP.
 
 use super::stand_in::http::{HttpMessage, read_http_message};
 use super::stand_in::network::spawn_server;
@@ -50,8 +50,8 @@
     }
 }
 
-/// An endpoint that speaks SPARQL over HTTP and answers from the data that it has, however old that is. By
-/// default the body of a response is the position of the data that it was made from.
+/// An endpoint that serves SPARQL over HTTP and answers from the data that it has, however old that is. By default the
+/// body of a response is the position of the data that it was made from.
 pub struct SparqlEndpoint {
     pub address: SocketAddr,
     pub is_primary: Arc<AtomicBool>,
--- a/tests/sparql/responses.rs
+++ b/tests/sparql/responses.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Guards against a status that does not tell clients whether and when they may retry.
+/// Guards against a status that does not show clients whether and when they may retry.
 #[test]
 fn rejected_failed_and_late_operations_have_different_statuses() {
     let silent = SparqlEndpoint::primary_replying(|_| Some(Reply::NoResponse));
@@ -125,14 +125,15 @@
     let entries =
         [entry(&first, unused_address()), entry(&second, replica.address), entry(&third, primary.address)];
     let files = OperatorFiles::write("never", &entries);
-    // Without health checks the pooler does not know the primary, so it tries the endpoints in ring order.
+    // Without health checks no primary is known, so the pooler tries the endpoints in ring order.
     files.edit_operator_file(|text| text.replace("max-attempts: 8", "max-attempts: 8\n    probes: false"));
     let pooler = start_pooler(&files);
     assert_eq!(pooler.call(&update_request("")).status(), 200);
     assert_eq!((replica.operation_count(), primary.operation_count()), (1, 1));
 }
 
-/// Guards against a response that looks complete to the client although the endpoint closed before its end.
+/// Guards against a response that looks complete to the client although the endpoint closed the connection
+/// before the end of the response.
 #[test]
 fn a_long_response_is_forwarded_and_a_client_can_detect_that_it_is_truncated() {
     const LENGTH: usize = 3_000_000;
--- a/tests/stand_in/network.rs
+++ b/tests/stand_in/network.rs
@@ -21,8 +21,7 @@
     address
 }
 
-/// Endpoint names in the order of the router's ring. As long as a router knows of no primary, it tries the
-/// first one.
+/// Endpoint names in the order of the router's ring. A router without a known primary tries the first one.
 pub fn names_in_ring_order<const N: usize>() -> [String; N] {
     let mut registry = EndpointRegistry::default();
     let mut names = std::array::from_fn(|number| format!("host-{number}"));
--- a/tests/stand_in/postgres/endpoint.rs
+++ b/tests/stand_in/postgres/endpoint.rs
@@ -44,7 +44,7 @@
     (release, Arc::new(Mutex::new(released)))
 }
 
-/// An endpoint that speaks PostgreSQL's protocol.
+/// An endpoint that implements the PostgreSQL protocol.
 pub struct PostgresEndpoint {
     pub address: SocketAddr,
     statements: Arc<Mutex<Vec<String>>>,
