--- a/lab/src/bin/fleet-bench/front.rs
+++ b/lab/src/bin/fleet-bench/front.rs
@@ -1,4 +1,4 @@
-//! Latency and throughput of the SPARQL front.
+//! Latency and throughput of the SPARQL server.
 
 use crate::Bench;
 use brookpass_testkit::client::{LoadProfile, RequestRecord};
--- a/lab/src/bin/fleet-bench/main.rs
+++ b/lab/src/bin/fleet-bench/main.rs
@@ -20,7 +20,7 @@
 use std::path::PathBuf;
 use table::Rows;
 
-/// Number of rounds of the SPARQL front's measurement, each with a different seed.
+/// Number of rounds of the SPARQL server's measurement, each with a different seed.
 const FRONT_ROUNDS: usize = 3;
 
 /// Runs measurements of one version of the program.
--- a/lab/src/client/request.rs
+++ b/lab/src/client/request.rs
@@ -13,7 +13,7 @@
     /// The position of the session's last write, if the request reads it.
     pub(super) own_write: Option<LogPosition>,
     pub(super) due_at: Timestamp,
-    /// The end of the request's time, which every attempt announces.
+    /// The deadline of the request; every attempt states the time left until it.
     pub(super) deadline: Instant,
     pub(super) earlier_attempts: u32,
 }
--- a/src/engine/log_rollback/tests.rs
+++ b/src/engine/log_rollback/tests.rs
@@ -14,7 +14,7 @@
     /// Commits that have not been lost.
     kept: Vec<LogPosition>,
     lost: Vec<LogPosition>,
-    /// The rollbacks as several processes noticed them, possibly several times each.
+    /// The rollbacks as several processes detected them, possibly several times each.
     noticed: Vec<LogRollback>,
 }
 
@@ -42,7 +42,7 @@
 }
 
 /// Guards against a lost commit being reported as kept, and a kept one as lost. Randomized with fixed seeds: several
-/// processes notice the same rollbacks, which are recorded in any order.
+/// processes detect the same rollbacks, which are recorded in any order.
 #[test]
 fn lost_commits_are_reported_and_kept_ones_are_not() {
     for seed in 0..500 {
--- a/src/engine/outcome_window/tests.rs
+++ b/src/engine/outcome_window/tests.rs
@@ -65,7 +65,7 @@
     assert!(window.read(at(5_000 * MS), std::iter::empty()).is_empty(), "old outcomes have expired");
 }
 
-/// A failed endpoint gets few attempts. Its failures must not be forgotten between two of them.
+/// A failed endpoint gets few attempts, so its failures must still count when the next attempt ends.
 #[test]
 fn failures_are_retained_until_the_endpoint_answers_or_they_expire() {
     let mut window = recording_window();
--- a/src/fleet/recovery/persisted/tests.rs
+++ b/src/fleet/recovery/persisted/tests.rs
@@ -22,7 +22,8 @@
     }
     let mut rng = fastrand::Rng::with_seed(2);
     for _ in 0..5_000 {
-        // Without a reboot, nothing may look younger than it is, however the wall clock was set.
+        // Without a reboot, the restored age is at least the true age, less the tolerance for clock drift, however the
+        // wall clock was set.
         let (true_age, clock_change) = (rng.i64(0..4_000_000_000), rng.i64(-5_000_000_000..5_000_000_000));
         let (true_age, clock_change) =
             (TimeDelta::from_micros(true_age), TimeDelta::from_micros(clock_change));
--- a/src/fleet/zones/tests.rs
+++ b/src/fleet/zones/tests.rs
@@ -244,7 +244,7 @@
         &loads,
     )[0];
     assert_eq!((zone, weight.permille, weight.reason), (ZoneId(0), 0, WeightReason::Lost));
-    // Both zones are slow: a move would gain nothing.
+    // Both zones are slow: moving load between them would gain nothing.
     assert!(
         controller
             .next_moves(zero + 2 * MIN_STEP_TIME, &weights, own_region, &reports(&[&[late, late]]), &loads)
--- a/tests/client_departures.rs
+++ b/tests/client_departures.rs
@@ -17,7 +17,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time after which the pooler has noticed that a client has disconnected.
+/// Time within which the pooler detects that a client has disconnected.
 const DISCONNECT_NOTICED_WITHIN: Duration = Duration::from_millis(300);
 
 /// Far longer than the timeout of the tests, so that the deadline is never what ends an attempt.
--- a/tests/discovery_orders.rs
+++ b/tests/discovery_orders.rs
@@ -123,7 +123,7 @@
         let call_received_at = call.received_at;
         call.answer(&snapshot_json(9, &[endpoints.old_entry("leaving"), endpoints.new_entry()]));
         if call_received_at.elapsed() > ANSWERED_IN_TIME {
-            // The machine was too slow to answer in time: this round proves nothing.
+            // The machine was too slow to answer in time, so this round is inconclusive.
             continue;
         }
         assert_eq!(client.receive().unwrap().value, row_of(b"new"));
--- a/tests/fleet_recovery.rs
+++ b/tests/fleet_recovery.rs
@@ -1,4 +1,4 @@
-//! Restarts of a whole fleet after a power loss: which saved state each node still trusts, and which changes must
+//! Restarts of a whole fleet after a power loss: which saved state each node still uses, and which changes must
 //! survive.
 
 use brookpass_testkit::check;
@@ -88,7 +88,7 @@
             );
         }
     }
-    // A wrong guess costs only time: here the primaries moved while all nodes were down.
+    // An outdated saved primary costs only time: here the primaries moved while all nodes were down.
     kill_all_nodes(cluster);
     cluster.set_clock_offset(2, ClockOffset::NONE);
     for group in 1..=6 {
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -629,7 +629,7 @@
     // A checksum; then the message kind 0, and 0 since there is no fleet yet.
     assert_eq!(hello[..4], crc32fast::hash(&hello[4..]).to_be_bytes());
     assert_eq!(hello[4..6], [0, 0]);
-    // The same bytes in the other direction: the node answers with a verdict on the link and introduces itself.
+    // The same bytes in the other direction: the node answers with a verdict on the link, followed by its own hello.
     let mut stream = TcpStream::connect(node.store).unwrap();
     stream.set_read_timeout(Some(DEFAULT_TIMEOUT)).unwrap();
     stream.write_all(expected.as_bytes()).unwrap();
--- a/tests/host_orders.rs
+++ b/tests/host_orders.rs
@@ -172,7 +172,7 @@
     client.send_query(&keyed_write_statement("1", 10_000, 1));
     let first_connection = endpoint.next_connection();
     assert!(first_connection.complete_startup().is_some());
-    // A malformed answer: the attempt is over for the pooler, though the endpoint keeps the connection open.
+    // A malformed answer ends the attempt for the pooler, though the endpoint keeps the connection open.
     (&first_connection.stream).write_all(b"\0\xff\r\n").unwrap();
     let second_connection = endpoint.next_connection();
     assert!(second_connection.complete_startup().is_some());
--- a/tests/sparql/connections.rs
+++ b/tests/sparql/connections.rs
@@ -10,7 +10,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Guards against work whose result no client receives, the other hard case for operators besides stale reads.
+/// Guards against an attempt that continues after its client has disconnected: no client receives its result. This
+/// is the other hard case for operators besides stale reads.
 #[test]
 fn a_client_that_disconnects_ends_its_attempt() {
     let endpoint = SparqlEndpoint::primary_replying(|_| Some(Reply::NoResponse));
--- a/tests/stand_in/discovery.rs
+++ b/tests/stand_in/discovery.rs
@@ -38,7 +38,7 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// The index whose successors a watch waits for; `None` when the call requests the complete list.
+/// The index after which a watch waits for changes; `None` when the call requests the complete list.
 fn watched_index(request: &HttpMessage) -> Option<u64> {
     let after = request.first_line.split("after=").nth(1)?;
     after.split(['&', ' ']).next()?.parse().ok()
