--- a/src/engine/message.rs
+++ b/src/engine/message.rs
@@ -197,8 +197,8 @@
         work: W,
         /// When to stop waiting for the answer.
         deadline: Timestamp,
-        /// The attempt must not be sent after this time: an earlier attempt may have run, and endpoints forget its
-        /// idempotency key then. `None` if there is no such limit.
+        /// The attempt must not be sent after this time: an earlier attempt may have run, and endpoints then forget the
+        /// request's idempotency key, so it might run twice. `None` if there is no such limit.
         send_by: Option<Timestamp>,
         /// How current the data of the answer has to be.
         freshness: Freshness,
--- a/src/engine/request_engine.rs
+++ b/src/engine/request_engine.rs
@@ -5,7 +5,7 @@
 //! - Each request gets exactly one final answer.
 //! - At most one attempt of a request is in flight.
 //! - An outcome that arrives after its request has ended is reported to the router and otherwise dropped.
-//! - When a client disconnects, the attempt in flight for its request is cancelled.
+//! - When a client disconnects, the router is told; it cancels the attempt in flight if the settings permit it.
 //!
 //! This file contains the constructor and the dispatch of inputs, events and actions. Requests are handled in
 //! `request_table` and `requests`, attempts in `attempts`, health checks in `polling`, and timers in `timers`.
--- a/src/engine/request_engine/request_table.rs
+++ b/src/engine/request_engine/request_table.rs
@@ -16,7 +16,7 @@
     pub(super) deadline: Timestamp,
     /// Number of attempts so far.
     pub(super) attempts: u8,
-    /// When the first attempt that may have run, but was not served, was sent.
+    /// When the earliest attempt that may have run without being served was sent; `None` if there is none.
     pub(super) first_may_have_run_at: Option<Timestamp>,
     pub(super) freshness: Freshness,
     /// The class number.
--- a/src/routing/action.rs
+++ b/src/routing/action.rs
@@ -1,9 +1,9 @@
-//! Actions: what the decision module asks the runtime to do.
+//! Actions: what the router asks its caller, the engine or the simulator adapter, to do.
 
 use crate::ids::{EndpointId, RequestId};
 use crate::time::{TimeDelta, Timestamp};
 
-/// An instruction to the runtime, which carries out actions in the order in which they are returned.
+/// An instruction to the caller, which carries out actions in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request to an endpoint.
@@ -22,7 +22,7 @@
         /// How long the client should wait before it retries; `None` if the answer carries no such hint.
         retry_after: Option<TimeDelta>,
     },
-    /// Final answer: failed. The request may have run.
+    /// Final answer: failed. The request may have run, or its class is unknown.
     Fail {
         /// The request to answer.
         id: RequestId,
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -1,4 +1,5 @@
 //! The queue of a group: which requests are queued, in which order they are dispatched, and when they are given up.
+//! Which requests are admitted at all while service recovers is decided before, by `engine::admission`.
 
 use super::group::{QueuePosition, Urgency};
 use super::request::{Request, RequestPath};
@@ -164,7 +165,8 @@
         Some((RETRY_AFTER_OBJECTIVES * request.latency_objective).min(longest))
     }
 
-    /// Removes a request that has its final answer. Cancels its open attempts if the settings permit it.
+    /// Removes a request that has its final answer or needs none any more. Cancels its open attempts if the settings
+    /// permit it.
     pub(super) fn finish_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.dequeue(id);
         let Some(request) = self.requests.remove(&id) else { return };
--- a/src/routing/attempts.rs
+++ b/src/routing/attempts.rs
@@ -15,7 +15,8 @@
 
 /// Maximum number of attempts per request, if the settings define none.
 const DEFAULT_MAX_ATTEMPTS: u32 = 4;
-/// Errors after which a request is given up: a second error shows that the request causes it, not the endpoint.
+/// Number of errors after which a request is given up: a second one shows that the request causes them, not the
+/// endpoint.
 const MAX_ERRORS_PER_REQUEST: u32 = 2;
 /// Consecutive errors or broken connections after which an endpoint is ejected. Fewer may be caused by one request,
 /// key or tenant, or by a single connection.
@@ -220,7 +221,7 @@
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled => {
                 self.record_attempt_latency(now, class, finished);
             }
-            // An earlier attempt failed too, so the request, its key or its tenant causes the error.
+            // An earlier attempt ended in an error too, so the request, its key or its tenant causes the errors.
             AttemptOutcome::Error if failed_before => {}
             AttemptOutcome::Error if !error_limit_reached => endpoint.errors_since_success += 1,
             AttemptOutcome::Error | AttemptOutcome::Overloaded => {
@@ -259,7 +260,7 @@
     }
 
     /// Whether another attempt is allowed at `retry_at`, according to the class's idempotency, the maximum number of
-    /// attempts and the time left. `may_have_run_since` is when the first attempt was sent that may have run.
+    /// attempts and the time left. `may_have_run_since` is when the earliest attempt that may have run was sent.
     fn may_retry_at(
         &self,
         retry_at: Timestamp,
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -1,4 +1,4 @@
-//! Events: what the runtime reports to the decision module.
+//! Events: what the router's caller, the engine or the simulator adapter, reports to it.
 
 use crate::ids::{EndpointId, GroupId, RequestId, ZoneId};
 use crate::time::{LogPosition, TimeDelta, Timestamp};
@@ -77,13 +77,14 @@
     Served,
     /// The endpoint responded with an error; the attempt may have run.
     Error,
-    /// The endpoint rejected it as overloaded; it did not run.
+    /// The endpoint rejected it as overloaded, or the backend pool had no connection left for it; it did not run.
     Overloaded,
     /// No response in time; it may have run.
     TimedOut,
-    /// No connection could be established; it did not run.
+    /// It was not sent completely: no connection could be established, the connection was lost before the last byte of
+    /// the request was written, or the endpoint no longer accepts requests. It did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke after the last byte of the request was written; it may have run.
     Reset,
     /// The pooler cancelled it; it may have run.
     Cancelled,
@@ -174,7 +175,7 @@
     },
     /// An attempt has ended.
     AttemptFinished(AttemptFinished),
-    /// The client disconnected or its deadline passed; no answer is needed any more.
+    /// The router must not answer the request any more: the client disconnected, or the caller has answered it.
     RequestCancelled {
         /// The request that was cancelled.
         id: RequestId,
--- a/src/routing/group.rs
+++ b/src/routing/group.rs
@@ -11,16 +11,19 @@
     /// Its endpoints that the list has not removed. In sorted order they form the ring along which a write searches for
     /// the primary.
     pub(super) endpoints: BTreeSet<EndpointId>,
-    /// The believed primary: the endpoint that is the primary according to the latest information.
+    /// The believed primary: the endpoint that is the primary according to the latest information. If there is
+    /// none when the first write arrives, the first endpoint of the ring.
     pub(super) primary: Option<EndpointId>,
-    /// Whether a round of the ring found no primary or the primary is suspected. Writes stay queued until an endpoint
-    /// reports that it is the primary; until then the discovery timer tries one endpoint at a time.
+    /// Whether a round of the ring found no primary or the primary is suspected. Writes stay queued until an endpoint's
+    /// report, a peer's hint or the endpoint list names a primary. Until then
+    /// [`super::timers::Timer::PrimaryDiscovery`] sends one of them to one endpoint at a time.
     pub(super) awaiting_primary: bool,
-    /// The only write that searches for the primary along the ring; other writes wait for its result.
+    /// The one write that searches for the primary along the ring; `None` if no write does. The group's other writes
+    /// stay queued meanwhile.
     pub(super) discovery_request: Option<RequestId>,
-    /// Endpoints that were tried in the current round of the ring.
+    /// Endpoints to which a write was sent in the current round of the ring, and the believed primary that was lost.
     pub(super) tried_in_round: BTreeSet<EndpointId>,
-    /// When the discovery timer fires next, or fired last.
+    /// When [`super::timers::Timer::PrimaryDiscovery`] runs next, or ran last.
     pub(super) discovery_timer_at: Option<Timestamp>,
     pub(super) queued: RequestQueues,
     /// Rate of the attempts that this pooler sends to the group.
--- a/src/routing/learning.rs
+++ b/src/routing/learning.rs
@@ -1,7 +1,8 @@
 //! What the router learns about endpoints: roles, log positions and latencies, and the last commits of sessions.
 //!
-//! A response always sets an endpoint's role. Load reports, hints from peers and the endpoint list may be out of date,
-//! so they are used only if they are newer than the endpoint's last response.
+//! A role in a response always sets the endpoint's role. Other sources may be out of date: a load report or a peer's hint
+//! counts only if it is newer than the last information on the role, and the primary named by the endpoint list only if
+//! that endpoint has not reported a role lately (see `endpoints`).
 
 use super::endpoints::{EndpointState, Role};
 use super::router::{DEFAULT_LATENCY_OBJECTIVE, Router};
@@ -85,8 +86,8 @@
     }
 
     /// Applies a peer's hint that an endpoint responded as the primary. The hint is used only if the endpoint is in
-    /// service, and if the hint is newer than the last role that the endpoint, and the believed primary, reported to
-    /// this pooler. It is no proof of a log position.
+    /// service, and if the hint is newer than the last information on the endpoint's role and, unless that is a replica
+    /// by its own report, on the believed primary's role. A hint proves no log position.
     fn apply_primary_hint(&mut self, now: Timestamp, hint: PrimaryHint) {
         let Some(endpoint) = self.endpoints.get(&hint.endpoint) else { return };
         if endpoint.availability != Availability::Ready {
@@ -176,7 +177,8 @@
 }
 
 impl EndpointState {
-    /// Applies a position from a load report. Returns the reported role if it is newer than the last response.
+    /// Applies a position from a load report. Returns the reported role if the endpoint's role is unknown, or if the
+    /// report is newer than the last information on it.
     fn apply_report(&mut self, position: Timestamp, role: Option<Role>) -> Option<Role> {
         self.proven_position = self.proven_position.max(Some(position - POSITION_RESOLUTION));
         // A position is never ahead of the clock, so a position later than the last response proves a newer report.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,11 +1,12 @@
 //! The decision module: decides where each request is sent and when it is retried, queued or rejected, and tracks the
-//! state of the endpoints. It does no I/O and reads no clock: the runtime passes each [`Event`], with the time at which
-//! it happened, to [`Router::handle`] and carries out the returned [`Action`]s. `docs/design.md` describes the design.
+//! state of the endpoints. It does no I/O and reads no clock: its caller, the engine or the simulator adapter, passes
+//! each [`Event`], with the time at which it happened, to [`Router::handle`] and carries out the returned [`Action`]s.
+//! `docs/design.md` describes the design.
 //!
 //! Where to start: `router` dispatches the events, `attempts` implements the life cycle of a request, and `writes` and
 //! `reads` choose its endpoint. They use `endpoints` (the endpoint list), `learning` (roles, positions and latencies),
-//! `capacity` and `slow_start` (how many attempts an endpoint may get), `admission` (the queue) and `timers`.
-//! `request` and `group` hold state.
+//! `capacity` and `slow_start` (how many attempts an endpoint may get), `admission` (the queue of a group) and
+//! `timers`. `request` and `group` hold state.
 
 mod action;
 mod admission;
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -30,7 +30,8 @@
     pub(super) may_have_arrived: bool,
     /// This attempt counts as overtaken once the endpoint's `answered_attempts` reaches this number.
     pub(super) overtaken_at_count: u64,
-    /// When it ended with any outcome but a rejection as overloaded; `None` while it is open.
+    /// When it ended; `None` while it is open, and after a rejection as overloaded, since the same request may then try
+    /// the endpoint again.
     pub(super) unserved_at: Option<Timestamp>,
 }
 
@@ -53,7 +54,7 @@
     pub(super) required_commit: Option<Timestamp>,
     pub(super) session: u64,
     pub(super) attempts: Vec<Attempt>,
-    /// When the first attempt was sent that was not served but may have run.
+    /// When the earliest of its attempts that may have run without being served was sent; `None` if there is none.
     pub(super) may_have_run_since: Option<Timestamp>,
     /// Whether a part of the response has been sent to the client, so that no other attempt can replace it.
     pub(super) response_started: bool,
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -45,7 +45,7 @@
     /// The highest rate measured so far of attempts served per unit of capacity, per microsecond.
     pub(super) peak_rate_per_unit: f64,
     pub(super) timers: BTreeSet<ScheduledTimer>,
-    /// When the runtime's timer fires; `None` while it is not set.
+    /// When the caller's timer fires; `None` while it is not set.
     pub(super) armed_timer_at: Option<Timestamp>,
     /// Groups in which an endpoint may now accept queued requests; dispatched at the end of each event.
     pub(super) groups_to_dispatch: BTreeSet<GroupId>,
@@ -109,7 +109,8 @@
                 self.update_endpoint_state(now, finished.endpoint, status, &finished.report, actions);
                 self.attempt_finished(now, &finished, actions);
             }
-            // Cancels the open attempts: otherwise clients that give up early would load endpoints with abandoned work.
+            // Cancels the open attempts if the settings permit it: otherwise clients that give up early would load
+            // endpoints with abandoned work.
             Event::RequestCancelled { id } => self.finish_request(id, actions),
             Event::ProbeFinished { endpoint, ok, report, .. } => {
                 if ok {
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -1,4 +1,4 @@
-//! The schedule of timers. The runtime offers a single timer, which is set for the earliest entry of the schedule.
+//! The schedule of timers. The router uses a single timer of its caller, set for the earliest entry of the schedule.
 
 use super::request::AttemptId;
 use super::router::Router;
@@ -11,11 +11,12 @@
 pub(super) enum Timer {
     /// Subscribe to the endpoint list again after a failure.
     RetrySubscription,
-    /// Try one more endpoint for a group that awaits its primary.
+    /// Send a queued write of a group that awaits its primary to one more endpoint.
     PrimaryDiscovery(GroupId),
     /// Dispatch a group's queued requests, since an endpoint may accept attempts again.
     DispatchQueued(GroupId),
-    /// Check a request: it has reached the end of its latency objective, of its time in the queue, or its deadline.
+    /// Check a request: it can no longer meet its latency objective, may no longer be queued, or has reached its
+    /// deadline.
     Request(RequestId),
     /// Check an overdue attempt, whose endpoint may be unresponsive.
     SuspectEndpoint(AttemptId),
@@ -38,7 +39,7 @@
 
     /// Runs all timers that are due.
     pub(super) fn timer_fired(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        // The runtime's timers cannot be cancelled, so the one that fired may have been replaced since. A timer that is
+        // The caller's timers cannot be cancelled, so the one that fired may have been replaced since. A timer that is
         // armed for a later time stays armed, so that it is not set twice.
         self.armed_timer_at = self.armed_timer_at.filter(|at| *at > now);
         while let Some(&ScheduledTimer { at, timer }) = self.timers.first()
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Sets the runtime's timer if it is not set, or is set for a time after the earliest entry of the schedule.
+    /// Sets the caller's timer if it is not set, or is set for a time after the earliest entry of the schedule.
     pub(super) fn arm_timer(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let Some(&ScheduledTimer { at, .. }) = self.timers.first() else { return };
         if self.armed_timer_at.is_none_or(|armed| at < armed) {
--- a/src/routing/writes.rs
+++ b/src/routing/writes.rs
@@ -1,4 +1,5 @@
-//! The write path: the believed primary, and the search for another one along the ring.
+//! The write path: the believed primary, and primary discovery, the search for another one along the ring. Primary
+//! discovery is independent of `net::discovery`, the source of the endpoint list.
 //!
 //! The mechanism follows "RFT: Scalable and Fault-Tolerant Microservices for the O-RAN Control Plane": messages of a
 //! context are sent to its primary; if that is unreachable, they are re-routed at once to a backup, which knows its
@@ -11,26 +12,28 @@
 use super::timers::Timer;
 use super::{Action, Availability, EndpointId, GroupId, RequestId, TimeDelta, Timestamp};
 
-/// Time between two attempts to find the primary of a group that awaits one. A failover takes seconds, and each
-/// unsuccessful try costs a misdirected attempt.
+/// Interval at which a queued write of a group that awaits its primary is sent to the next endpoint of the ring. A
+/// failover takes seconds, and each endpoint that is not the primary costs a misdirected attempt.
 const DISCOVERY_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
-/// An endpoint that reported to be a replica is excluded from discovery for this long, since it would reject the write.
+/// An endpoint that reported that it is a replica is excluded from primary discovery for this long, since it would
+/// reject the write.
 const REPLICA_ROLE_VALIDITY: TimeDelta = TimeDelta::from_millis(500);
-/// Maximum number of queued writes that the discovery timer examines to find one that may be sent.
+/// Maximum number of queued writes that [`Timer::PrimaryDiscovery`] examines to find one that may be sent.
 const MAX_WRITES_EXAMINED: usize = 4;
 
 /// Whether the believed primary can be used for writes.
 enum PrimaryCondition {
-    /// It accepts attempts but does not respond.
+    /// Attempts at it are overdue, and it has not responded to anything since they were sent.
     Suspected,
-    /// It is out of service, unreachable, no longer on the list, or reported to be a replica.
+    /// It is draining, no longer on the list, ejected as unreachable, or reported that it is a replica.
     Lost,
     /// None of the above.
     Usable,
 }
 
 impl Router {
-    /// Chooses the endpoint for a write; `None` if it has to be queued.
+    /// Chooses the endpoint for a request of the write path: the believed primary, or the next endpoint of the ring for
+    /// the one request that searches for another primary. `None` if the request has to be queued.
     pub(super) fn choose_primary(&mut self, now: Timestamp, id: RequestId) -> Option<EndpointId> {
         let group_id = self.requests[&id].group;
         let group = self.groups.get_mut(&group_id)?;
@@ -45,8 +48,8 @@
         match self.primary_condition(now, primary) {
             PrimaryCondition::Usable => self.accepts_attempt(now, primary).then_some(primary),
             PrimaryCondition::Suspected => {
-                // New writes stay queued until it responds or the discovery timer finds another primary. Writes in
-                // flight at the suspected primary may still run.
+                // Writes stay queued until a primary is known: this one, if it responds, or another one that primary
+                // discovery finds. Writes in flight at the suspected primary may still run.
                 self.await_primary(now, group_id);
                 None
             }
@@ -76,8 +79,8 @@
         }
     }
 
-    /// The next endpoint that the group's discovery request tries. `None` after a full round; the group then awaits its
-    /// primary.
+    /// The next endpoint to which the group's discovery request is sent. `None` if the round has no candidate left; the
+    /// group then awaits its primary.
     fn continue_along_ring(&mut self, now: Timestamp, group_id: GroupId) -> Option<EndpointId> {
         let Some(next) = self.next_ring_candidate(now, group_id) else {
             self.await_primary(now, group_id);
@@ -98,8 +101,8 @@
         ring.find(|id| !group.tried_in_round.contains(id) && self.may_be_primary(now, &self.endpoints[id]))
     }
 
-    /// Whether an endpoint is worth trying as primary: it may get an attempt now and has not recently reported to be a
-    /// replica.
+    /// Whether an endpoint is worth trying as primary: it may get an attempt now and has not recently reported that it
+    /// is a replica.
     fn may_be_primary(&self, now: Timestamp, endpoint: &EndpointState) -> bool {
         // A suspected endpoint gets one attempt at a time, because only a response can show that it is healthy.
         let responsive = !endpoint.suspected || endpoint.in_flight.is_empty();
@@ -112,8 +115,8 @@
             && self.slow_start_allowance(now, endpoint) >= 1.0
     }
 
-    /// Queues the group's writes until an endpoint reports that it is the primary. Meanwhile the discovery timer tries
-    /// one endpoint at a time.
+    /// Marks the group as awaiting its primary and schedules [`Timer::PrimaryDiscovery`]. Until a primary is known, the
+    /// group's writes stay queued, and the timer sends one of them to one endpoint at a time.
     fn await_primary(&mut self, now: Timestamp, group_id: GroupId) {
         let group = self.groups.entry(group_id).or_default();
         group.awaiting_primary = true;
@@ -125,7 +128,8 @@
         }
     }
 
-    /// Handles the discovery timer: sends one queued write to the next endpoint that may be the primary.
+    /// Handles [`Timer::PrimaryDiscovery`]: sends one queued write to the next endpoint that may be the primary. If the
+    /// round has no candidate left, a new round starts.
     pub(super) fn continue_discovery(
         &mut self,
         now: Timestamp,
