--- a/src/routing/learning.rs
+++ b/src/routing/learning.rs
@@ -1,8 +1,8 @@
 //! What the router learns about endpoints: roles, log positions and latencies, and the last commits of sessions.
 //!
-//! A role in a response always sets the endpoint's role. Other sources may be out of date: a load report or a peer's hint
-//! counts only if it is newer than the last information on the role, and the primary named by the endpoint list only if
-//! that endpoint has not reported a role lately (see `endpoints`).
+//! A role in a response always sets the endpoint's role. Other sources may be out of date: a load report or a peer's
+//! hint counts only if it is newer than the last information on the role, and the primary named by the endpoint list
+//! only if that endpoint has not reported a role lately (see `endpoints`).
 
 use super::endpoints::{EndpointState, Role};
 use super::router::{DEFAULT_LATENCY_OBJECTIVE, Router};
