--- a/src/config.rs
+++ b/src/config.rs
@@ -197,7 +197,8 @@
     pub peer_message_bytes: usize,
     /// Limits on the messages queued for one peer; further ones are dropped.
     pub peer_queue: QueueLimits,
-    /// Maximum number of drains that wait for a majority.
+    /// Maximum number of pending drains up to which a node adds those of peers. Drains requested at the node itself
+    /// are not limited.
     pub pending_drains: usize,
     /// Maximum number of endpoint observations in one message.
     pub observations_per_message: usize,
--- a/src/daemon/operator/engine_feeds.rs
+++ b/src/daemon/operator/engine_feeds.rs
@@ -69,8 +69,8 @@
 }
 
 impl<W, A> Feed<W, A> {
-    /// Sends each agreed endpoint list to the engine, with this daemon's own drains. Warns when the agreed settings
-    /// change, since the engine keeps the settings that it was started with.
+    /// Sends each change of the endpoint list to the engine; see [`Fleet::next_endpoint_update`]. Warns when the agreed
+    /// settings change, since the engine keeps the settings that it was started with.
     async fn feed_lists(self: Rc<Self>, mut known_settings: String) {
         let mut known_list = BTreeMap::new();
         let changed = self.fleet.subscribe();
--- a/src/engine/endpoints.rs
+++ b/src/engine/endpoints.rs
@@ -40,15 +40,15 @@
 /// A whole list of endpoints, or changes to the last one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointUpdate {
-    /// The version of the list.
+    /// The version of the list; in a fleet, the index of the last applied log entry.
     pub version: u64,
-    /// Whether `entries` is the whole list or holds only the endpoints that changed.
+    /// Which endpoints of the list `entries` contains.
     pub coverage: ListCoverage,
     /// The endpoints; one that was removed from the list has [`Availability::Gone`].
     pub entries: Vec<EndpointRecord>,
 }
 
-/// The current endpoint list, assembled from the whole lists and the changes that discovery reports.
+/// The current endpoint list on the platform, assembled from the whole lists and the changes that discovery reports.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointCatalog {
     endpoints: BTreeMap<String, EndpointRecord>,
@@ -86,7 +86,7 @@
     pub name: String,
     /// The address under which this pooler reaches it.
     pub address: SocketAddr,
-    /// Whether new attempts may be sent to it.
+    /// Whether new attempts may be sent to it; false while it drains and after it has left the list.
     pub open: bool,
     /// When it last started; `None` if unknown. After a change, all earlier connections are dead.
     pub started_at: Option<Timestamp>,
@@ -107,7 +107,7 @@
 const MAX_REMEMBERED_GROUPS: usize = 1024;
 
 /// The engine's state of the endpoint list. An endpoint that has left the list is forgotten: endpoints are replaced all
-/// the time, and memory use would grow without limit.
+/// the time, so memory use would otherwise grow without limit.
 #[derive(Default)]
 pub struct EndpointRegistry {
     /// Every group that a list has contained. A group without endpoints is kept, since it may get new ones.
@@ -145,8 +145,8 @@
 }
 
 impl EndpointRegistry {
-    /// Registers a name, unless it is registered already, and returns its id. If another name has the same hash, the new
-    /// name gets a different id.
+    /// Registers a name, unless it is registered already, and returns its id. If another name has the same hash, the
+    /// new name gets a different id.
     pub fn register(&mut self, name: &str) -> EndpointId {
         self.register_with_hash(name, derive_id)
     }
--- a/src/fleet/message.rs
+++ b/src/fleet/message.rs
@@ -84,7 +84,7 @@
     pub commit_index: u64,
     /// The last log entry that the sender has applied.
     pub applied: AppliedPosition,
-    /// Checksum of the sender's drains that are not committed yet. If it differs, peers send theirs.
+    /// Checksum of the sender's drains that are not committed yet. A receiver that has other ones sends them.
     pub pending_drains_digest: u32,
     /// Peers from which the sender has recently received messages.
     pub reachable_peers: Vec<NodeId>,
--- a/src/fleet/pending_drains.rs
+++ b/src/fleet/pending_drains.rs
@@ -9,10 +9,11 @@
 use crate::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Drains that wait for a majority, by endpoint name.
+/// The drains that this node knows of and that the log has not resolved yet.
 #[derive(Debug, Default)]
 pub struct PendingDrains {
-    /// When this node, as the leader, last proposed each drain; `None` if it has not proposed it.
+    /// The pending drains, each with the time at which this node, as the leader, last proposed it; `None` if it has not
+    /// proposed it.
     proposed_at: BTreeMap<PendingDrain, Option<Timestamp>>,
     /// The number of pending drains of each endpoint, without zeros.
     count_by_endpoint: BTreeMap<String, usize>,
@@ -49,8 +50,9 @@
         }
     }
 
-    /// Adds a drain of an endpoint on behalf of this node; if this node drains the endpoint already, returns the
-    /// existing id. The sequence number is derived from `now`, so that it is new even if the node lost its disk.
+    /// Adds a drain of an endpoint with a new id of this node, and returns the id. If a drain of the endpoint by this
+    /// node is pending already, returns the id of that drain. The sequence number is derived from `now`, so that it is
+    /// new even if the node lost its disk.
     pub fn request_drain(&mut self, endpoint: &str, local_node: NodeId, now: Timestamp) -> DrainId {
         for pending in self.proposed_at.keys() {
             if pending.host == endpoint && pending.drain.node == local_node {
@@ -120,8 +122,8 @@
         if self.is_empty() { 0 } else { crc32fast::hash(&codec::encode(&self.all())) }
     }
 
-    /// The drains that the leader has to propose now. Each is proposed at once, and again every `retry_interval` until
-    /// the log resolves it.
+    /// Returns the drains that the leader has to propose now, and records them as proposed. Each is due at once, and
+    /// again every `retry_interval` until the log resolves it.
     pub fn due_proposals(&mut self, now: Timestamp, retry_interval: TimeDelta) -> Vec<Change> {
         let mut due = Vec::new();
         for (pending, proposed_at) in &mut self.proposed_at {
--- a/src/fleet/runtime/drains.rs
+++ b/src/fleet/runtime/drains.rs
@@ -1,7 +1,7 @@
-//! Drains requested by operators here or received from peers, kept on disk until the log has resolved them.
+//! Drains requested by operators here or received from peers, kept on disk until the log has committed or undone them.
 //!
 //! A drain only removes traffic from an endpoint, so each node that knows of one applies it at once, even without a
-//! majority. Ending a drain returns traffic to the endpoint and requires the consensus.
+//! majority. Undoing a drain returns traffic to the endpoint and requires the consensus.
 
 use super::Fleet;
 use super::proposals::NoMajority;
@@ -53,9 +53,10 @@
 /// The state of a drain when its request is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainOutcome {
-    /// A majority has committed it.
+    /// A majority has committed it, or has undone it meanwhile.
     Committed,
-    /// It is in force here and at all reachable peers, but a majority has not committed it yet.
+    /// It is in force here and at all reachable peers, but a majority has not committed it yet. If the storage is slow
+    /// or has failed, it may not be on this node's disk either.
     AwaitsMajority,
 }
 
@@ -65,9 +66,12 @@
 pub struct UnknownEndpoint(pub String);
 
 impl Fleet {
-    /// Drains an endpoint. The drain takes effect at once here and at all reachable peers, and is permanent once a
-    /// majority has committed it. Returns after the commit. If that takes longer than the agreement timeout, returns
-    /// once the drain is on disk, waiting for at most another agreement timeout.
+    /// Drains an endpoint. The drain takes effect at once here and at all reachable peers, and on every node once a
+    /// majority has committed it. It is proposed by the leader, which learns of it as of any pending drain; see
+    /// `Fleet::act_as_leader`.
+    ///
+    /// Waits for the commit for at most the agreement timeout, then for the write to this node's disk for at most
+    /// another one. Returns at once if a committed drain of the endpoint is in force.
     ///
     /// # Errors
     ///
@@ -102,7 +106,9 @@
         Ok(if is_committed { DrainOutcome::Committed } else { DrainOutcome::AwaitsMajority })
     }
 
-    /// Ends all drains of an endpoint that this node knows of. Takes effect once a majority has committed it.
+    /// Undoes all drains of an endpoint that this node knows of, committed or pending. Returns at once if it knows of
+    /// none, otherwise once the undrain is committed and applied here. An endpoint that the inventory marks as draining
+    /// stays out of service.
     ///
     /// # Errors
     ///
@@ -125,7 +131,7 @@
         known
     }
 
-    /// Waits until the log has resolved a drain, by committing or ending it.
+    /// Waits until the log has resolved a drain, by committing or undoing it.
     async fn wait_until_resolved(&self, endpoint: &str, drain_id: DrainId, changed: &Receiver<()>) {
         while !self.agreed().state().is_resolved(endpoint, drain_id) {
             let _ = changed.recv().await;
@@ -156,7 +162,8 @@
         }
     }
 
-    /// Removes pending drains that the log has resolved.
+    /// Removes pending drains that the log has resolved. Those that it has committed stay in force as part of the
+    /// committed state.
     pub(super) fn remove_settled_drains(&self) {
         let settled = {
             let agreed = self.agreed();
--- a/src/fleet/runtime/endpoint_list.rs
+++ b/src/fleet/runtime/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list for the engine: the committed inventory, with drains known here applied and weighted by zone.
+//! The endpoint list for the engine: the committed inventory, with the drains known here, the reported start times and
+//! the weights of zones applied to it.
 
 use super::Fleet;
 use super::agreed_state::AgreedState;
@@ -153,7 +154,8 @@
     }
 
     /// The whole committed list with drains known here applied, as shown to operators; `None` if no inventory is
-    /// committed.
+    /// committed. Unlike the entries of [`Fleet::next_endpoint_update`], it has the weights and start times of the
+    /// inventory: neither zone weights nor reported start times are applied.
     pub fn endpoint_list(&self) -> Option<EndpointUpdate> {
         let agreed = self.agreed();
         agreed.state().inventory.as_ref()?;
--- a/src/fleet/runtime/membership_requests.rs
+++ b/src/fleet/runtime/membership_requests.rs
@@ -1,4 +1,5 @@
-//! Membership changes: requests from operators, and the next step that the leader takes.
+//! Membership changes: requests from operators, and the next step that the leader takes. Also the leader's proposals of
+//! pending drains.
 
 use super::Fleet;
 use super::proposals::NoMajority;
--- a/src/fleet/runtime/message_dispatch.rs
+++ b/src/fleet/runtime/message_dispatch.rs
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Records a heartbeat. If the peer's pending drains differ from this node's, it is sent this node's.
+    /// Records a heartbeat. If this node has pending drains and the peer's differ from them, sends them to the peer.
     fn receive_heartbeat(&self, sender: NodeId, heartbeat: Heartbeat) {
         let sender_digest = heartbeat.pending_drains_digest;
         self.peers.borrow_mut().record_heartbeat(sender, heartbeat);
--- a/src/fleet/runtime/mod.rs
+++ b/src/fleet/runtime/mod.rs
@@ -17,7 +17,7 @@
 //! | `gossip` | exchange of observations, hints for the engine | [`GossipExchange`], `EngineQueues` |
 //! | `incoming_connection` | connections opened by peers | |
 //! | `log_rollbacks` | detection and exchange of log rollbacks | `LogRollbacks` |
-//! | `membership_requests` | operators' requests, membership changes by the leader | `MembershipRequests` |
+//! | `membership_requests` | requests about members, the leader's changes and drain proposals | `MembershipRequests` |
 //! | `message_dispatch` | handling of messages from peers | |
 //! | `operator_recovery` | recovery without a majority | |
 //! | `outgoing_links` | connections opened by this node | |
--- a/src/fleet/runtime/proposals.rs
+++ b/src/fleet/runtime/proposals.rs
@@ -1,4 +1,6 @@
-//! Proposals of changes: forwarded to the leader and repeated until they are committed.
+//! Proposals of changes: forwarded to the leader and repeated until they are applied here or given up.
+//!
+//! Drains are not proposed here: the leader proposes the pending drains that it knows of; see `Fleet::act_as_leader`.
 
 use super::Fleet;
 use crate::fleet::message::PeerMessage;
@@ -24,7 +26,7 @@
 /// Proposals of this node that are not committed yet.
 pub(super) struct PendingProposals {
     last_token: u64,
-    /// Tokens of the changes that callers wait for, and whether each was applied.
+    /// Tokens of the changes that callers wait for, and whether the log entry of each was applied.
     awaited: BTreeMap<u64, bool>,
     /// Changes from this node's own files, by a key that identifies their content.
     from_files: BTreeMap<String, RecentProposal>,
@@ -44,7 +46,7 @@
         self.last_token
     }
 
-    /// Records that a change proposed by this node was applied.
+    /// Records that the log entry of a change proposed by this node was applied.
     pub(super) fn record_applied(&mut self, token: u64) {
         if let Some(is_applied) = self.awaited.get_mut(&token) {
             *is_applied = true;
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Proposes a change and waits until it is applied here.
+    /// Proposes a change and waits until its log entry is applied here. Success does not imply that the change took
+    /// effect: the state machine may have rejected it.
     ///
     /// # Errors
     ///
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -50,7 +50,8 @@
     pub(super) availability: Availability,
     /// Its capacity relative to other endpoints.
     pub(super) capacity_units: f64,
-    /// Start time of its process; a change means a restart. `None` if that was long ago.
+    /// Start time of its process; a change means a restart. `None` if it is unknown or long ago: the endpoint counts as
+    /// warm.
     pub(super) started_at: Option<Timestamp>,
     pub(super) listed_as_primary: bool,
     /// The last reported role. A response always sets it, a load report only if it is newer than the last response.
@@ -201,7 +202,8 @@
             EndpointState::new(entry.group, concurrency_limit)
         });
         if endpoint.started_at != entry.started_at {
-            // A random initial fill, so that the poolers do not all send their first attempt at the same time.
+            // The bucket starts with a random fill, so that the poolers do not all send their first attempt at the same
+            // time.
             let slow_start_budget = self.rng.f64();
             endpoint.reset_for_restart(now, entry.started_at, slow_start_budget);
         }
@@ -209,7 +211,8 @@
         endpoint.listed_as_primary = entry.primary;
         endpoint.zone = entry.zone;
         endpoint.capacity_units = bounded_capacity(entry.capacity_units);
-        // If only a draining entry takes an endpoint out of use, `Gone` does not apply to one that is in service.
+        // With `keep_unlisted_endpoints`, only a draining entry takes an endpoint out of use, so `Gone` does not apply
+        // to one that is in service.
         let ignore_removal = self.settings.keep_unlisted_endpoints == Some(true)
             && entry.availability == Availability::Gone
             && endpoint.availability == Availability::Ready;
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -53,7 +53,7 @@
     pub primary: bool,
     /// Its capacity relative to other endpoints.
     pub capacity_units: f64,
-    /// When its process started; `None` if that was long ago.
+    /// When its process started; `None` if that is unknown or long ago.
     pub started_at: Option<Timestamp>,
 }
 
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -24,7 +24,8 @@
     pub zone: ZoneId,
     /// Its capacity relative to other hosts.
     pub weight: f64,
-    /// Whether the inventory marks it as draining. Drain requests are kept apart, in `ClusterState::drains`.
+    /// Whether the inventory marks it as draining. Drain requests are kept apart: committed ones in
+    /// `ClusterState::drains`, pending ones in `fleet::pending_drains`.
     pub draining: bool,
     /// When its process last started; `None` if that is unknown.
     pub started_at: Option<Timestamp>,
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Converts to a record of an endpoint list. The host is listed as draining if a drain request for it is in force or
-    /// the inventory marks it as draining.
+    /// Converts to a record of an endpoint list. The host is listed as draining if a drain request for it is in force
+    /// or the inventory marks it as draining.
     pub fn endpoint_record(&self, name: &str, drain: DrainRequest) -> EndpointRecord {
         let is_draining = drain == DrainRequest::InForce || self.draining;
         EndpointRecord {
--- a/src/store/state_machine.rs
+++ b/src/store/state_machine.rs
@@ -26,7 +26,7 @@
 pub const MAX_MEMBERS: usize = 32;
 
 /// Maximum number of undone drains, and of removed members, that are remembered. It must be the same on all nodes. A
-/// drain that is committed after its undrain and this many further ones takes effect again.
+/// drain whose entry is committed only after its undo record was discarded takes effect again.
 const MAX_TOMBSTONES: usize = 10_000;
 
 /// The encoded default of [`ClusterState::regions`]: time zero and an empty map. The first builds with zone weights
@@ -73,7 +73,7 @@
     pub fleet: FleetId,
     /// The nodes of the fleet, including learners.
     pub members: BTreeMap<NodeId, Member>,
-    /// The names of removed nodes, at most [`MAX_TOMBSTONES`].
+    /// The names of removed nodes, at most [`MAX_TOMBSTONES`]. Beyond that, those with the lowest ids are discarded.
     pub removed: BTreeMap<NodeId, String>,
     /// The names of founding nodes that do not vote yet.
     pub founders: BTreeSet<String>,
@@ -85,8 +85,8 @@
     pub hosts: BTreeMap<String, HostRecord>,
     /// The drains in force, by the name of the host. No set is empty.
     pub drains: BTreeMap<String, BTreeSet<DrainId>>,
-    /// Undone drains, each with the index of the entry that undid it. They are remembered, at most [`MAX_TOMBSTONES`],
-    /// so that a drain that is committed after its undrain stays undone.
+    /// Undone drains, each with the index of the entry that undid it. The newest [`MAX_TOMBSTONES`] are remembered, so
+    /// that a drain that is committed after its undrain stays undone.
     pub undone_drains: BTreeMap<DrainId, u64>,
     /// Fleets that an operator has replaced with this one. Nodes that still belong to one of them join this fleet.
     pub previous_fleets: BTreeSet<FleetId>,
@@ -149,7 +149,7 @@
         self.zone_weights.get(&zone).copied().unwrap_or_default()
     }
 
-    /// Whether any committed drain of the host is in force.
+    /// Whether any committed drain of the host is in force. Pending drains are not part of this state.
     pub fn is_drained(&self, host: &str) -> bool {
         self.drains.contains_key(host)
     }
@@ -190,7 +190,7 @@
         ApplyResult::Done
     }
 
-    /// Undoes the drains that the requester knew of, including those that are not committed yet. Others stay in force.
+    /// Undoes the listed drains, including those that are not committed yet. Other drains of the host stay in force.
     fn apply_undrain(&mut self, index: u64, host: &str, drains: &[DrainId]) -> ApplyResult {
         let mut in_force = self.drains.remove(host).unwrap_or_default();
         for drain in drains {
--- a/src/store/state_machine/change.rs
+++ b/src/store/state_machine/change.rs
@@ -9,18 +9,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Identifies a drain request. An undrain lists the drain requests that it undoes, so that one that its requester did
-/// not know of stays in force.
+/// Identifies a drain request. An undrain lists the ids that it undoes, so that a drain request stays in force if the
+/// node that proposed the undrain did not know of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DrainId {
-    /// The node that received the request from an operator.
+    /// The node that received the request from an operator, or imported it from a store of version 0.2.0.
     pub node: NodeId,
     /// The node's number for the request; a node never uses a number twice.
     pub sequence: u64,
 }
 
-/// A drain request that may not be committed yet, with its host. Every node that knows it stops sending new requests
-/// to the host at once.
+/// A drain request that is not known to be committed or undone, with its host. Every node that knows it stops sending
+/// new requests to the host at once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PendingDrain {
     /// The name of the host.
@@ -52,7 +52,7 @@
     Undrain {
         /// The name of the host.
         host: String,
-        /// The drain requests that the requester of the undrain knew of.
+        /// The drain requests to undo: those that the node that proposed the undrain knew of.
         drains: Vec<DrainId>,
     },
     /// The difference from the committed inventory to an inventory file.
@@ -96,8 +96,8 @@
 }
 
 impl Change {
-    /// Whether the change only takes hosts out of service, as a drain does. Such a change takes effect on the
-    /// requesting node before it is committed, and a leader appends it without confirming its leadership first.
+    /// Whether the change only takes hosts out of service, as a drain does. Such a change takes effect on every node
+    /// that knows of it before it is committed, and a leader appends it without confirming its leadership first.
     pub fn only_removes_hosts_from_service(&self) -> bool {
         matches!(self, Change::Drain { .. })
     }
--- a/src/store/state_machine/inventory.rs
+++ b/src/store/state_machine/inventory.rs
@@ -25,8 +25,9 @@
 }
 
 impl ClusterState {
-    /// The complete endpoint list after the entry at `index`. `has_pending_drain` tells whether a drain of a host is
-    /// not committed yet; the host is listed as draining nonetheless.
+    /// The complete endpoint list, with `index`, that of the last applied entry, as its version. `has_pending_drain`
+    /// tells whether a host has a drain that is not committed yet. A host is listed as draining if it has a pending or
+    /// a committed drain, or if the inventory marks it as draining.
     pub fn endpoint_list(&self, index: u64, has_pending_drain: impl Fn(&str) -> bool) -> EndpointUpdate {
         let mut entries = Vec::with_capacity(self.hosts.len());
         for (name, host) in &self.hosts {
--- a/src/store/store_thread.rs
+++ b/src/store/store_thread.rs
@@ -109,8 +109,8 @@
     }
 }
 
-/// The pending drains, and those in log entries that are not applied yet. A drain in the log is in force even while
-/// this node does not know whether its entry is committed.
+/// The stored pending drains, and those in log entries that are not applied yet. A drain takes effect before it is
+/// committed, so one in the log is in force even while this node does not know whether its entry is committed.
 fn unresolved_drains(pending: Vec<PendingDrain>, node: &RaftNode) -> Vec<PendingDrain> {
     let mut drains = pending;
     for proposal in node.unapplied_proposals() {
--- a/src/store/store_thread/interface.rs
+++ b/src/store/store_thread/interface.rs
@@ -132,7 +132,7 @@
     pub opened: OpenedStore,
     /// Sends commands to the thread. The queue is bounded. The thread ends when the last sender is dropped.
     pub commands: SyncSender<StoreCommand>,
-    /// Receives events from the thread. The queue is unbounded; the fleet's thread drains it as events arrive, and
-    /// drops messages that it cannot send.
+    /// Receives events from the thread. The queue is unbounded; the fleet's thread takes events out as they arrive, and
+    /// drops Raft messages that it cannot send.
     pub events: Receiver<StoreEvent>,
 }
