--- a/src/net/backend_pool.rs
+++ b/src/net/backend_pool.rs
@@ -121,8 +121,8 @@
         None
     }
 
-    /// Adds, updates or removes an endpoint. Its idle connections are closed, because they lead to an earlier process
-    /// or address.
+    /// Adds, updates or removes an endpoint. Its idle connections are closed: after a restart or a change of address
+    /// they lead to the earlier process or address, and while the endpoint drains no request uses them.
     fn update_endpoint(&self, state: EndpointState) {
         let mut endpoints = self.endpoints.borrow_mut();
         if state.gone {
--- a/src/net/backend_pool/endpoint.rs
+++ b/src/net/backend_pool/endpoint.rs
@@ -25,7 +25,7 @@
     /// connection to it failed, and no probe has followed.
     pub(super) needs_probe: bool,
     /// Increases with every change of this endpoint, and is unique in the pool. A connection of an earlier generation
-    /// is not reused, because it leads to an earlier process or address.
+    /// is not reused, because it may lead to an earlier process or address.
     pub(super) generation: u64,
 }
 
