--- a/src/fleet/zones/state.rs
+++ b/src/fleet/zones/state.rs
@@ -240,9 +240,9 @@
         changed
     }
 
-    /// Returns an endpoint of the committed list as this node's router has to see it. In a zone of weight 0, an endpoint
-    /// that cannot be the primary is listed as draining, although no drain of it is in force. Groups that are confined
-    /// to the zone are exempt.
+    /// Returns an endpoint of the committed list as this node's router has to see it. In a zone of weight 0, an
+    /// endpoint that cannot be the primary is listed as draining, although no drain of it is in force. Groups that are
+    /// confined to the zone are exempt.
     pub fn apply_weight(
         &self,
         now: Timestamp,
